--- a/src/main/java/org/ploverspindle/cli/Service.java
+++ b/src/main/java/org/ploverspindle/cli/Service.java
@@ -5,18 +5,18 @@
 import java.io.IOException;
 import java.util.random.RandomGenerator;
 import org.ploverspindle.cloud.HttpCloud;
-import org.ploverspindle.front.Door;
-import org.ploverspindle.leadership.Steward;
+import org.ploverspindle.front.UserApi;
+import org.ploverspindle.leadership.Leader;
 import org.ploverspindle.loop.EventLoop;
 import org.ploverspindle.loop.Rank;
 import org.ploverspindle.net.HttpCaller;
 import org.ploverspindle.node.Controller;
-import org.ploverspindle.peers.PeerDoor;
 import org.ploverspindle.peers.PeerRecord;
+import org.ploverspindle.peers.PeerServer;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.state.HttpStateStore;
-import org.ploverspindle.workers.HttpWorkerLine;
+import org.ploverspindle.workers.HttpWorkerClient;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
@@ -35,8 +35,8 @@
   private final EventLoop loop = new EventLoop();
   private final XnioWorker worker;
   private final Controller controller;
-  private final Door door;
-  private final PeerDoor peers;
+  private final UserApi door;
+  private final PeerServer peers;
 
   Service(Settings settings, Policy policy, RandomGenerator random) throws IOException {
     worker =
@@ -50,26 +50,26 @@
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     ByteBufferPool buffers = new DefaultByteBufferPool(true, 4096, 64, 2);
-    peers = new PeerDoor(loop, worker, settings.back(), settings.members(), this::heard);
+    peers = new PeerServer(loop, worker, settings.back(), settings.members(), this::heard);
     controller =
         new Controller(
             loop,
             new HttpStateStore(caller(buffers, settings.state().toString(), STATE_LINES)),
             new HttpCloud(caller(buffers, settings.cloud().toString(), CLOUD_LINES)),
-            new HttpWorkerLine(
+            new HttpWorkerClient(
                 address -> HttpCaller.once(loop, worker.getIoThread(), buffers, address)),
             peers,
             settings,
             policy,
             random);
     door =
-        new Door(
+        new UserApi(
             loop,
             worker,
             settings.front(),
-            Door.Limits.of(
+            UserApi.Limits.of(
                 settings.quota().maxConnections(),
-                STATE_LINES + CLOUD_LINES + Steward.MOST_DIRECT + 3 * settings.nodes() + SPARE,
+                STATE_LINES + CLOUD_LINES + Leader.MOST_DIRECT + 3 * settings.nodes() + SPARE,
                 settings.workers().reportS()),
             controller,
             controller::ready);
--- a/src/main/java/org/ploverspindle/cloud/Claims.java
+++ b/src/main/java/org/ploverspindle/cloud/Claims.java
@@ -22,7 +22,7 @@
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.state.TokenBucket;
-import org.ploverspindle.workers.Fleet;
+import org.ploverspindle.workers.MachineRegistry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -66,7 +66,7 @@
   private final Scheduler scheduler;
   private final CloudApi cloud;
   private final Catalogue catalogue;
-  private final Fleet fleet;
+  private final MachineRegistry fleet;
   private final LeaderWrites writes;
   private final RandomGenerator random;
   private final Term term;
@@ -91,7 +91,7 @@
       Scheduler scheduler,
       CloudApi cloud,
       Catalogue catalogue,
-      Fleet fleet,
+      MachineRegistry fleet,
       LeaderWrites writes,
       Policy policy,
       Settings settings,
--- a/src/main/java/org/ploverspindle/cloud/Pools.java
+++ b/src/main/java/org/ploverspindle/cloud/Pools.java
@@ -4,18 +4,19 @@
 import java.util.List;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.sizing.AdaptiveSizing;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 
 /** What each type's groups hold now, rentals in flight among it, and GEP-24's bounds for that. */
 final class Pools {
   private final Catalogue catalogue;
-  private final Fleet fleet;
+  private final MachineRegistry fleet;
   private final Claims claims;
   private final Backoffs backoffs;
   private final Policy policy;
 
-  Pools(Catalogue catalogue, Fleet fleet, Claims claims, Backoffs backoffs, Policy policy) {
+  Pools(
+      Catalogue catalogue, MachineRegistry fleet, Claims claims, Backoffs backoffs, Policy policy) {
     this.catalogue = catalogue;
     this.fleet = fleet;
     this.claims = claims;
--- a/src/main/java/org/ploverspindle/cloud/Rentals.java
+++ b/src/main/java/org/ploverspindle/cloud/Rentals.java
@@ -29,8 +29,8 @@
 import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.state.TokenBucket;
 import org.ploverspindle.state.TypesRecord;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -78,7 +78,7 @@
   private final Scheduler scheduler;
   private final CloudApi cloud;
   private final Catalogue catalogue;
-  private final Fleet fleet;
+  private final MachineRegistry fleet;
   private final Replica replica;
   private final LeaderWrites writes;
   private final Policy policy;
@@ -105,7 +105,7 @@
       Scheduler scheduler,
       CloudApi cloud,
       Catalogue catalogue,
-      Fleet fleet,
+      MachineRegistry fleet,
       Replica replica,
       LeaderWrites writes,
       Policy policy,
--- a/src/main/java/org/ploverspindle/cloud/Returns.java
+++ b/src/main/java/org/ploverspindle/cloud/Returns.java
@@ -11,8 +11,8 @@
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.sizing.AdaptiveSizing;
 import org.ploverspindle.state.TokenBucket;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -32,7 +32,7 @@
   private final Scheduler scheduler;
   private final CloudApi cloud;
   private final Catalogue catalogue;
-  private final Fleet fleet;
+  private final MachineRegistry fleet;
   private final Policy policy;
   private final Settings settings;
   private final Term term;
@@ -47,7 +47,7 @@
       Scheduler scheduler,
       CloudApi cloud,
       Catalogue catalogue,
-      Fleet fleet,
+      MachineRegistry fleet,
       Policy policy,
       Settings settings,
       Term term,
--- a/src/main/java/org/ploverspindle/front/AwaitsWriter.java
+++ b/src/main/java/org/ploverspindle/front/DependenciesWriter.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.state.AwaitsRecord;
+import org.ploverspindle.state.DependenciesRecord;
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
@@ -24,8 +24,8 @@
  * that stands is the right one whoever wrote it, also late, and a list that was begun is gone on
  * with, here after its user was sent away, and elsewhere when the user's repeat comes there.
  */
-final class AwaitsWriter {
-  private static final Logger LOG = LoggerFactory.getLogger(AwaitsWriter.class);
+final class DependenciesWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(DependenciesWriter.class);
   private static final int MOST_BYTES = 56 * 1024;
   private static final int MOST_LISTS = 20;
 
@@ -41,12 +41,12 @@
   private static final double SHARE = 0.4;
 
   private static final class Upload {
-    private final AwaitsRecord list;
+    private final DependenciesRecord list;
     private final BitSet standing = new BitSet();
     private final List<Consumer<Boolean>> askers = new ArrayList<>();
     private long untilMs;
 
-    private Upload(AwaitsRecord list) {
+    private Upload(DependenciesRecord list) {
       this.list = list;
     }
   }
@@ -59,7 +59,7 @@
   private final Map<String, Upload> uploads = new LinkedHashMap<>();
   private boolean busy;
 
-  AwaitsWriter(
+  DependenciesWriter(
       Scheduler scheduler, StateStore store, Replica replica, int txnOps, double writeRps) {
     this.scheduler = scheduler;
     this.store = store;
@@ -73,7 +73,7 @@
   }
 
   /** Calls with true once every part stands, and with false when that can't be reached. */
-  void write(AwaitsRecord list, Consumer<Boolean> then) {
+  void write(DependenciesRecord list, Consumer<Boolean> then) {
     Upload upload = uploads.computeIfAbsent(list.name(), n -> new Upload(list));
     upload.askers.add(then);
     upload.untilMs = scheduler.nowMs() + KEEPS_ON_MS;
--- a/src/main/java/org/ploverspindle/front/Intake.java
+++ b/src/main/java/org/ploverspindle/front/Intake.java
@@ -24,7 +24,7 @@
 import org.ploverspindle.pipelines.DependencyGraph;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.state.AwaitsRecord;
+import org.ploverspindle.state.DependenciesRecord;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressCounts;
 import org.ploverspindle.state.ProgressRecord;
@@ -80,7 +80,7 @@
   private record Request(
       JobSpec spec,
       JsonNode value,
-      Optional<AwaitsRecord> list,
+      Optional<DependenciesRecord> list,
       long cameMs,
       Consumer<Answer> then) {
     int bytes() {
@@ -125,7 +125,7 @@
   private final TokenBucket writes;
   private final SpecIndex specs;
   private final Pipelines pipelines;
-  private final AwaitsWriter lists;
+  private final DependenciesWriter lists;
   private final ProgressCounts counts;
   private final Cancellations cancellations;
   private final String nonce;
@@ -163,7 +163,7 @@
     this.specs = specs;
     this.pipelines = pipelines;
     this.lists =
-        new AwaitsWriter(
+        new DependenciesWriter(
             scheduler,
             store,
             replica,
@@ -341,7 +341,7 @@
     if (spec.dependencies().isEmpty() || whole.bytes() <= mostBytes()) {
       return whole;
     }
-    AwaitsRecord list = AwaitsRecord.split(spec.uid(), spec.dependencies(), valueBytes);
+    DependenciesRecord list = DependenciesRecord.split(spec.uid(), spec.dependencies(), valueBytes);
     return new Request(spec, record.encode(list), Optional.of(list), now, then);
   }
 
@@ -450,7 +450,7 @@
     return Optional.of(List.copyOf(unfinished));
   }
 
-  private void storeList(Request request, AwaitsRecord list) {
+  private void storeList(Request request, DependenciesRecord list) {
     if (lists.isFull()) {
       request.then().accept(Answer.later(429, "too many long lists at once", 3));
       return;
--- a/src/main/java/org/ploverspindle/front/Door.java
+++ b/src/main/java/org/ploverspindle/front/UserApi.java
@@ -24,7 +24,7 @@
  * The HTTP side: routes, limits, and ranks. The I/O thread only reads and writes; what a request
  * means is found out on the loop, reports first.
  */
-public final class Door {
+public final class UserApi {
   private static final int MAX_BODY = 64 * 1024;
   private static final String JOBS = "/submissions";
 
@@ -86,7 +86,7 @@
   private final int mostWithUsers;
   private final Undertow server;
 
-  public Door(
+  public UserApi(
       EventLoop loop,
       XnioWorker worker,
       Address at,
--- a/src/main/java/org/ploverspindle/leadership/Steward.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -44,14 +44,14 @@
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.state.TokenBucket;
-import org.ploverspindle.workers.Blame;
-import org.ploverspindle.workers.Fleet;
+import org.ploverspindle.workers.FailureDetector;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Order;
 import org.ploverspindle.workers.Placement;
 import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportDesk;
-import org.ploverspindle.workers.WorkerLine;
+import org.ploverspindle.workers.ReportHandler;
+import org.ploverspindle.workers.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -59,8 +59,8 @@
  * One term's leader: rebuilds what earlier leaders recorded, then takes reports, places, and rents.
  * It is thrown away with its term, so that nothing known in one term is believed in another.
  */
-public final class Steward {
-  private static final Logger LOG = LoggerFactory.getLogger(Steward.class);
+public final class Leader {
+  private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
   private static final long PLACING_PAUSE_MS = 40;
 
   /** Hints of new jobs may be lost: a leader looks for them by itself as well. */
@@ -86,14 +86,14 @@
   private static final int MOST_DIRECT_STOPS = MOST_DIRECT / 2;
 
   /** What a steward works with, the same in all terms. */
-  public record Surroundings(
+  public record LeaderContext(
       Scheduler scheduler,
       StateStore store,
       Replica replica,
       SpecIndex specs,
       Pipelines pipelines,
       CloudApi cloud,
-      WorkerLine workers,
+      WorkerClient workers,
       Catalogue catalogue,
       Settings settings,
       Policy policy,
@@ -102,23 +102,23 @@
       TokenBucket writes) {}
 
   /** A report whose answer waits for orders to become durable. */
-  private record Held(Report report, Consumer<ReportDesk.Reply> then, long untilMs) {}
+  private record Held(Report report, Consumer<ReportHandler.Reply> then, long untilMs) {}
 
-  private final Surroundings with;
+  private final LeaderContext with;
   private final Term term;
   private final Election election;
   private final TeamUsage teams;
   private final JobTable jobs;
-  private final Fleet fleet;
+  private final MachineRegistry fleet;
   private final Estimates estimates = new Estimates();
-  private final Blame blame;
-  private final Reach reach;
+  private final FailureDetector blame;
+  private final Reachability reach;
   private final Aims aims;
   private final Arrivals arrivals = new Arrivals();
-  private final PassedBack passedBack;
+  private final PriorityInheritance passedBack;
   private final List<Job> newlyReady = new ArrayList<>();
   private final ProgressWriter writer;
-  private final ReportDesk desk;
+  private final ReportHandler desk;
   private final Placer placer;
   private final Rentals rentals;
   private final DutyTimes times = new DutyTimes();
@@ -133,14 +133,14 @@
   private int directs;
   private boolean closed;
 
-  public Steward(Surroundings with, Term term, Election election) {
+  public Leader(LeaderContext with, Term term, Election election) {
     this.with = with;
     this.term = term;
     this.election = election;
     this.holdMs = Math.round(Math.min(2.0, 0.6 * with.settings().workers().reportS()) * 1000);
     this.teams = new TeamUsage(with.settings().teams());
     this.jobs = new JobTable(with.replica(), with.specs(), with.catalogue(), teams);
-    this.fleet = new Fleet(with.catalogue(), teams, with.timing(), term);
+    this.fleet = new MachineRegistry(with.catalogue(), teams, with.timing(), term);
     this.writer =
         new ProgressWriter(
             with.scheduler(),
@@ -153,17 +153,17 @@
             this::hostName,
             new WriterEvents());
     this.desk =
-        new ReportDesk(
+        new ReportHandler(
             fleet,
             term,
             this::mayDecide,
             jobs::get,
             this::owner,
             writer::isDurablyDone,
-            new DeskEvents());
-    this.blame = new Blame(this::works);
+            new ReportEvents());
+    this.blame = new FailureDetector(this::works);
     this.reach =
-        new Reach(
+        new Reachability(
             fleet,
             term,
             with.settings(),
@@ -171,7 +171,7 @@
             election.changesOften() ? with.timing().takeoverSilenceMs() + PATIENCE_MARGIN_MS : 0);
     this.aims = new Aims(with.settings().objectives());
     this.passedBack =
-        new PassedBack(
+        new PriorityInheritance(
             with.pipelines().graph(),
             uid -> with.specs().get(uid).flatMap(s -> SpecRecord.decode(uid, s.value())),
             jobs,
@@ -441,13 +441,15 @@
   }
 
   /** Whose an unrecorded task is: it counts for its team as long as it may run. */
-  private Optional<ReportDesk.Owner> owner(String uid) {
+  private Optional<ReportHandler.Owner> owner(String uid) {
     return with.specs()
         .get(uid)
         .flatMap(spec -> SpecRecord.decode(uid, spec.value()))
         .flatMap(
             r ->
-                teams.index(r.spec().team()).map(t -> new ReportDesk.Owner(t, r.spec().perTask())));
+                teams
+                    .index(r.spec().team())
+                    .map(t -> new ReportHandler.Owner(t, r.spec().perTask())));
   }
 
   // ---- reports
@@ -457,13 +459,13 @@
    * what is placed there by then goes out at once, where it would wait for the next report. Without
    * a sure lead nothing is ordered.
    */
-  public void report(Report report, Consumer<ReportDesk.Reply> then) {
+  public void report(Report report, Consumer<ReportHandler.Reply> then) {
     release(report.host());
     long now = with.scheduler().nowMs();
     reach.heard(now);
-    ReportDesk.Reply[] taken = new ReportDesk.Reply[1];
+    ReportHandler.Reply[] taken = new ReportHandler.Reply[1];
     times.run("reports", () -> taken[0] = desk.take(report, now));
-    ReportDesk.Reply reply = taken[0];
+    ReportHandler.Reply reply = taken[0];
     Optional<Machine> m = fleet.get(report.host());
     if (report.recallS().isPresent()) {
       m.ifPresent(this::recalled);
@@ -482,8 +484,8 @@
    * leads. A leader that lost the state service before it had stopped a cancelled job's tasks would
    * otherwise keep their leases alive until too late.
    */
-  private ReportDesk.Reply certain(ReportDesk.Reply reply) {
-    return new ReportDesk.Reply(
+  private ReportHandler.Reply certain(ReportHandler.Reply reply) {
+    return new ReportHandler.Reply(
         reply.token(),
         reply.orders().stream()
             .filter(
@@ -514,7 +516,7 @@
       boolean orders =
           fleet
               .get(h.report().host())
-              .map(m -> m.placements().stream().anyMatch(Steward::hasOrder))
+              .map(m -> m.placements().stream().anyMatch(Leader::hasOrder))
               .orElse(true);
       if (orders || now >= h.untilMs() || !mayDecide()) {
         release(h.report().host());
@@ -541,7 +543,7 @@
     }
   }
 
-  private void send(Machine m, ReportDesk.Direct d) {
+  private void send(Machine m, ReportHandler.Direct d) {
     directs++;
     with.workers()
         .order(
@@ -636,7 +638,7 @@
           && !m.address().isEmpty()
           && now - announcedMs.getOrDefault(m.host(), Long.MIN_VALUE / 2) > ANNOUNCED_AGAIN_MS) {
         announcedMs.put(m.host(), now);
-        send(m, new ReportDesk.Direct(m.address(), m.fence(), tenure, List.of()));
+        send(m, new ReportHandler.Direct(m.address(), m.fence(), tenure, List.of()));
         most--;
       }
     }
@@ -743,7 +745,7 @@
     @Override
     public void ready(String uid) {
       if (!closed) {
-        with.specs().get(uid).ifPresent(Steward.this::ready);
+        with.specs().get(uid).ifPresent(Leader.this::ready);
       }
     }
 
@@ -752,12 +754,12 @@
     public void aborted(String uid) {
       if (!closed) {
         passedBack.changed();
-        jobs.get(uid).ifPresent(Steward.this::cancel);
+        jobs.get(uid).ifPresent(Leader.this::cancel);
       }
     }
   }
 
-  private final class DeskEvents implements ReportDesk.Listener {
+  private final class ReportEvents implements ReportHandler.Listener {
     @Override
     public void completed(Placement p, long nowMs) {
       if (p.runningSinceMs() >= 0) {
@@ -796,7 +798,7 @@
         case NO_SUCH -> job.putOff(p.task(), nowMs + 4_000);
         default -> {}
       }
-      Steward.this.ended(p);
+      Leader.this.ended(p);
     }
 
     @Override
@@ -931,7 +933,7 @@
 
     @Override
     public void lost(List<Placement> placements) {
-      Steward.this.lost(placements);
+      Leader.this.lost(placements);
     }
 
     @Override
@@ -941,7 +943,7 @@
 
     @Override
     public boolean mayDecide() {
-      return Steward.this.mayDecide();
+      return Leader.this.mayDecide();
     }
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/PassedBack.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -20,7 +20,7 @@
  * once, when one of them has changed, or now and then as the corrected estimates move; where there
  * are no pipelines, it costs nothing.
  */
-final class PassedBack {
+final class PriorityInheritance {
   /** Estimates move slowly: each finished task moves its class's by less than a tenth. */
   private static final long STALE_MS = 5_000;
 
@@ -37,7 +37,7 @@
   /**
    * @param records what was accepted under an id; read once for each unfinished job
    */
-  PassedBack(
+  PriorityInheritance(
       DependencyGraph graph,
       Function<String, Optional<SpecRecord>> records,
       JobTable jobs,
@@ -65,8 +65,8 @@
   }
 
   private void workOut() {
-    Map<String, CriticalPath.PassedBack> due = pass(spec -> 1);
-    Map<String, CriticalPath.PassedBack> lastChance =
+    Map<String, CriticalPath.PriorityInheritance> due = pass(spec -> 1);
+    Map<String, CriticalPath.PriorityInheritance> lastChance =
         pass(spec -> aims.lastMultiple(spec.jobClass()));
     any = !due.isEmpty();
     known.keySet().retainAll(due.keySet());
@@ -84,7 +84,7 @@
   /**
    * @param multiple of a job's due time by which it is to be done
    */
-  private Map<String, CriticalPath.PassedBack> pass(ToDoubleFunction<JobSpec> multiple) {
+  private Map<String, CriticalPath.PriorityInheritance> pass(ToDoubleFunction<JobSpec> multiple) {
     return CriticalPath.of(graph, uid -> record(uid).map(r -> own(r, multiple)));
   }
 
--- a/src/main/java/org/ploverspindle/leadership/Reach.java
+++ b/src/main/java/org/ploverspindle/leadership/Reachability.java
@@ -5,14 +5,14 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 
 /**
  * Do the machines reach this leader, and do its answers reach them? A lead that is kept by its hold
  * alone would cost every lease. Nothing is concluded here about any one machine.
  */
-final class Reach {
+final class Reachability {
   /** So many machines do not all fall silent at once by chance; fewer are given more time. */
   private static final int MANY_MACHINES = 20;
 
@@ -25,7 +25,7 @@
   /** Reports that came to another controller in a second. */
   private record Strays(long atMs, int reports) {}
 
-  private final Fleet fleet;
+  private final MachineRegistry fleet;
   private final Term term;
   private final BooleanSupplier listRead;
   private final boolean alone;
@@ -44,7 +44,12 @@
    *     back, where several before it found the same: they would go round for good, none staying
    *     long enough to prove by silence that the machines are gone. 0 where none did.
    */
-  Reach(Fleet fleet, Term term, Settings settings, BooleanSupplier listRead, long patientMs) {
+  Reachability(
+      MachineRegistry fleet,
+      Term term,
+      Settings settings,
+      BooleanSupplier listRead,
+      long patientMs) {
     this.fleet = fleet;
     this.term = term;
     this.listRead = listRead;
--- a/src/main/java/org/ploverspindle/node/Controller.java
+++ b/src/main/java/org/ploverspindle/node/Controller.java
@@ -6,10 +6,10 @@
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.CloudApi;
 import org.ploverspindle.front.Answer;
-import org.ploverspindle.front.Door;
 import org.ploverspindle.front.Intake;
+import org.ploverspindle.front.UserApi;
 import org.ploverspindle.leadership.Election;
-import org.ploverspindle.leadership.Steward;
+import org.ploverspindle.leadership.Leader;
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.loop.Scheduler;
@@ -28,7 +28,7 @@
 import org.ploverspindle.state.TypesRecord;
 import org.ploverspindle.workers.Report;
 import org.ploverspindle.workers.ReportCodec;
-import org.ploverspindle.workers.WorkerLine;
+import org.ploverspindle.workers.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -36,7 +36,7 @@
  * One controller without its sockets: the copy of the state, the election, users' requests, and at
  * times a steward. Everything here runs on the scheduler's one thread of control.
  */
-public final class Controller implements Election.Listener, Door.Desk {
+public final class Controller implements Election.Listener, UserApi.Desk {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
   private static final double ACCEPTING_SHARE = 0.12;
@@ -51,11 +51,11 @@
   private final Intake intake;
   private final Pipelines pipelines;
   private final TokenBucket writes;
-  private final Steward.Surroundings surroundings;
+  private final Leader.LeaderContext surroundings;
   private final Peers peers;
   private final Scope duties = new Scope();
-  private Optional<Steward> steward = Optional.empty();
-  private final StateReach reach;
+  private Optional<Leader> steward = Optional.empty();
+  private final StateReachability reach;
   private int strays;
   private boolean started;
   private volatile boolean ready;
@@ -64,7 +64,7 @@
       Scheduler loop,
       StateStore store,
       CloudApi cloud,
-      WorkerLine workers,
+      WorkerClient workers,
       Peers peers,
       Settings settings,
       Policy policy,
@@ -74,7 +74,7 @@
     this.cloud = cloud;
     this.peers = peers;
     this.replica = new Replica(loop, store, Keys.PREFIX, 700);
-    this.reach = new StateReach(loop, replica, store, peers, settings.member());
+    this.reach = new StateReachability(loop, replica, store, peers, settings.member());
     this.catalogue = new Catalogue(settings.zones());
     this.timing = Timing.of(settings.workers(), settings.quota().cores());
     this.writes =
@@ -109,7 +109,7 @@
             nonce,
             this::changedForLeader);
     this.surroundings =
-        new Steward.Surroundings(
+        new Leader.LeaderContext(
             loop, store, replica, specs, pipelines, cloud, workers, catalogue, settings, policy,
             timing, random, writes);
   }
@@ -170,7 +170,7 @@
 
   public void stop() {
     duties.cancel();
-    steward.ifPresent(Steward::close);
+    steward.ifPresent(Leader::close);
     election.resign();
   }
 
@@ -191,7 +191,7 @@
     if (!catalogue.known()) {
       TypesRecord.read(replica).ifPresent(catalogue::update);
     }
-    boolean failing = steward.map(Steward::writesFail).orElse(false);
+    boolean failing = steward.map(Leader::writesFail).orElse(false);
     reach.look(failing);
     if (!started && replica.loaded() && catalogue.known()) {
       started = true;
@@ -225,7 +225,7 @@
   @Override
   public void leading(Term term) {
     replica.spacing(leaderSpacingMs());
-    Steward fresh = new Steward(surroundings, term, election);
+    Leader fresh = new Leader(surroundings, term, election);
     steward = Optional.of(fresh);
     fresh.start();
     peers.tellAll(new PeerRecord.Leading(settings.member(), term.token()));
@@ -234,7 +234,7 @@
   @Override
   public void ended(Term term, String cause) {
     replica.spacing(followerSpacingMs());
-    steward.ifPresent(Steward::close);
+    steward.ifPresent(Leader::close);
     steward = Optional.empty();
     peers.tellAll(new PeerRecord.Resigned(settings.member(), term.token()));
   }
--- a/src/main/java/org/ploverspindle/node/StateReach.java
+++ b/src/main/java/org/ploverspindle/node/StateReachability.java
@@ -18,7 +18,7 @@
  * only it gets, so it asks the others. What they say is a hint: it sends users elsewhere and gives
  * up a lead that is of no use, and nothing is decided by it.
  */
-final class StateReach {
+final class StateReachability {
   private static final long ASK_MS = 1_000;
 
   /** The copy is read every 700 ms; one lost answer is no reason to ask. */
@@ -41,7 +41,8 @@
   private long askedMs = Long.MIN_VALUE / 2;
   private long othersMs = Long.MIN_VALUE / 2;
 
-  StateReach(Scheduler clock, Replica replica, StateStore store, Peers peers, String member) {
+  StateReachability(
+      Scheduler clock, Replica replica, StateStore store, Peers peers, String member) {
     this.clock = clock;
     this.replica = replica;
     this.store = store;
--- a/src/main/java/org/ploverspindle/peers/PeerLine.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -22,8 +22,8 @@
  * The connection to one other controller, for telling only. Lives on the I/O thread. A peer that
  * refuses or hangs costs one try in a while, and what was to be told is dropped.
  */
-final class PeerLine {
-  private static final Logger LOG = LoggerFactory.getLogger(PeerLine.class);
+final class PeerClient {
+  private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
   private static final int MOST_WAITING = 16;
   private static final long PAUSE_MS = 1_500;
   private static final long CONNECT_MS = 1_000;
@@ -35,7 +35,7 @@
   private boolean connecting;
   private long notBeforeNanos = System.nanoTime();
 
-  PeerLine(XnioIoThread io, Address address) {
+  PeerClient(XnioIoThread io, Address address) {
     this.io = io;
     this.address = new InetSocketAddress(address.host(), address.port());
   }
--- a/src/main/java/org/ploverspindle/peers/PeerDoor.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -27,8 +27,8 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /** Where other controllers' records come in, and the lines on which ours go out. */
-public final class PeerDoor implements Peers {
-  private static final Logger LOG = LoggerFactory.getLogger(PeerDoor.class);
+public final class PeerServer implements Peers {
+  private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
 
   private final Scheduler scheduler;
   private final XnioWorker worker;
@@ -36,14 +36,14 @@
   private final Address at;
   private final int mostConnections;
   private final Consumer<PeerRecord> listener;
-  private final Map<String, PeerLine> lines = new LinkedHashMap<>();
+  private final Map<String, PeerClient> lines = new LinkedHashMap<>();
   private final Set<StreamConnection> open = new HashSet<>();
   private Optional<AcceptingChannel<StreamConnection>> server = Optional.empty();
 
   /**
    * @param listener is called on the scheduler's thread of control
    */
-  public PeerDoor(
+  public PeerServer(
       Scheduler scheduler,
       XnioWorker worker,
       Address at,
@@ -56,7 +56,7 @@
     // Each peer has one line to here; a second one while a lost first one is not noticed yet.
     this.mostConnections = 2 * members.size() + 2;
     this.listener = listener;
-    members.forEach(m -> lines.put(m.name(), new PeerLine(io, m.address())));
+    members.forEach(m -> lines.put(m.name(), new PeerClient(io, m.address())));
   }
 
   public void open() throws IOException {
@@ -79,7 +79,7 @@
     server.ifPresent(IoUtils::safeClose);
     io.execute(
         () -> {
-          lines.values().forEach(PeerLine::close);
+          lines.values().forEach(PeerClient::close);
           List.copyOf(open).forEach(IoUtils::safeClose);
         });
   }
@@ -87,7 +87,7 @@
   @Override
   public void tell(String member, PeerRecord record) {
     byte[] frame = PeerCodec.encode(record);
-    PeerLine line = lines.get(member);
+    PeerClient line = lines.get(member);
     if (line != null) {
       io.execute(() -> line.tell(frame));
     }
--- a/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
+++ b/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
@@ -27,7 +27,7 @@
   public record Own(OptionalLong latestFinishMs, Urgency urgency, double runS) {}
 
   /** A job with what its dependents ask of it. */
-  public record PassedBack(OptionalLong latestFinishMs, Urgency urgency) {}
+  public record PriorityInheritance(OptionalLong latestFinishMs, Urgency urgency) {}
 
   private CriticalPath() {}
 
@@ -36,7 +36,7 @@
    *
    * @param jobs empty for a job whose record can't be read, which passes on what it is asked
    */
-  public static Map<String, PassedBack> of(
+  public static Map<String, PriorityInheritance> of(
       DependencyGraph graph, Function<String, Optional<Own>> jobs) {
     List<Vertex> vertices = graph.vertices();
     int[] waitingFor = new int[vertices.size()];
@@ -51,7 +51,7 @@
         }
       }
     }
-    Map<String, PassedBack> passed = new HashMap<>();
+    Map<String, PriorityInheritance> passed = new HashMap<>();
     double[] latestStartMs = new double[vertices.size()];
     while (!work.isEmpty()) {
       Vertex v = work.poll();
@@ -68,7 +68,7 @@
       latestStartMs[v.index] = latestMs - 1000 * own.runS();
       OptionalLong latest =
           latestMs == NEVER ? OptionalLong.empty() : OptionalLong.of(Math.round(latestMs));
-      passed.put(v.uid, new PassedBack(latest, urgency));
+      passed.put(v.uid, new PriorityInheritance(latest, urgency));
       for (Vertex d : v.dependencies) {
         if (counts(d) && --waitingFor[d.index] == 0) {
           work.add(d);
--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.state.AwaitsRecord;
+import org.ploverspindle.state.DependenciesRecord;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SpecIndex;
@@ -83,7 +83,7 @@
         graph.put(spec.uid(), here.uids());
       }
     } else if (awaits instanceof SpecRecord.Awaits.Elsewhere elsewhere) {
-      Optional<List<String>> uids = AwaitsRecord.read(replica, elsewhere);
+      Optional<List<String>> uids = DependenciesRecord.read(replica, elsewhere);
       if (uids.isPresent()) {
         incomplete.remove(elsewhere.name());
         graph.put(spec.uid(), uids.get());
--- a/src/main/java/org/ploverspindle/placement/Triage.java
+++ b/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
@@ -17,7 +17,7 @@
  * keeps the most jobs in time. Those that stepped back are served after the others, the least work
  * first.
  */
-final class Triage {
+final class AdmissionOrder {
   /** Estimates are wrong by half: only what is late by a good part steps back. */
   private static final double CERTAINTY = 0.6;
 
@@ -29,7 +29,7 @@
   private final Map<Integer, Capacity> ofTeams;
   private final long nowMs;
 
-  Triage(
+  AdmissionOrder(
       Function<Job, OptionalDouble> openSlackS,
       Capacity capacity,
       Map<Integer, Capacity> ofTeams,
--- a/src/main/java/org/ploverspindle/placement/Capacity.java
+++ b/src/main/java/org/ploverspindle/placement/Capacity.java
@@ -2,8 +2,8 @@
 
 import java.util.Collection;
 import org.ploverspindle.jobs.Job;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
 
 /**
@@ -23,7 +23,7 @@
 
   private final double[] coreSeconds = new double[STEPS + 1];
 
-  Capacity(Fleet fleet, Estimates estimates, long nowMs, long silenceMs) {
+  Capacity(MachineRegistry fleet, Estimates estimates, long nowMs, long silenceMs) {
     for (Machine m : fleet.all()) {
       if (m.usable(nowMs, silenceMs)) {
         add(m.free().cores(), 0);
--- a/src/main/java/org/ploverspindle/placement/Placer.java
+++ b/src/main/java/org/ploverspindle/placement/Placer.java
@@ -16,8 +16,8 @@
 import org.ploverspindle.jobs.Shape;
 import org.ploverspindle.jobs.TeamUsage;
 import org.ploverspindle.jobs.Urgency;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
 
 /**
@@ -86,7 +86,7 @@
   private static final double DOUBT = 0.4;
 
   private final Catalogue catalogue;
-  private final Fleet fleet;
+  private final MachineRegistry fleet;
   private final JobTable jobs;
   private final TeamUsage teams;
   private final Estimates estimates;
@@ -107,7 +107,7 @@
    */
   public Placer(
       Catalogue catalogue,
-      Fleet fleet,
+      MachineRegistry fleet,
       JobTable jobs,
       TeamUsage teams,
       Estimates estimates,
@@ -141,7 +141,8 @@
     waiting.sort(Ranked.ORDER);
     List<Job> byStart = new ArrayList<>(waiting.size());
     waiting.forEach(r -> byStart.add(r.job()));
-    return new Triage(j -> openSlackS(j, wallMs), capacity(nowMs), teamCapacity, estimates, nowMs)
+    return new AdmissionOrder(
+            j -> openSlackS(j, wallMs), capacity(nowMs), teamCapacity, estimates, nowMs)
         .order(byStart);
   }
 
--- a/src/main/java/org/ploverspindle/placement/Preemption.java
+++ b/src/main/java/org/ploverspindle/placement/Preemption.java
@@ -14,8 +14,8 @@
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
 import org.ploverspindle.jobs.Urgency;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
 
 /**
@@ -32,13 +32,14 @@
 
   private static final int MACHINES_A_TASK = 10;
 
-  private final Fleet fleet;
+  private final MachineRegistry fleet;
   private final TeamUsage teams;
   private final Estimates estimates;
   private final Aims aims;
   private final long silenceMs;
 
-  Preemption(Fleet fleet, TeamUsage teams, Estimates estimates, Aims aims, long silenceMs) {
+  Preemption(
+      MachineRegistry fleet, TeamUsage teams, Estimates estimates, Aims aims, long silenceMs) {
     this.fleet = fleet;
     this.teams = teams;
     this.estimates = estimates;
--- a/src/main/java/org/ploverspindle/state/AwaitsRecord.java
+++ b/src/main/java/org/ploverspindle/state/DependenciesRecord.java
@@ -17,13 +17,13 @@
  * ended, two controllers that write one list write the same, and no part can come to stand that is
  * of another list.
  */
-public record AwaitsRecord(String name, List<JsonNode> parts) {
+public record DependenciesRecord(String name, List<JsonNode> parts) {
   private static final String IDS = "ids";
 
   /** A part's braces, its field's name, and quotes. */
   private static final int FRAME_BYTES = 20;
 
-  public static AwaitsRecord split(String uid, List<String> dependencies, int valueBytes) {
+  public static DependenciesRecord split(String uid, List<String> dependencies, int valueBytes) {
     List<JsonNode> parts = new ArrayList<>();
     StringBuilder ids = new StringBuilder();
     MessageDigest digest = sha256();
@@ -38,7 +38,7 @@
     }
     parts.add(Cbor.map().put(IDS, ids.toString()));
     String hash = HexFormat.of().formatHex(digest.digest(), 0, 10);
-    return new AwaitsRecord(uid + "-" + hash, List.copyOf(parts));
+    return new DependenciesRecord(uid + "-" + hash, List.copyOf(parts));
   }
 
   private static MessageDigest sha256() {
--- a/src/main/java/org/ploverspindle/state/SpecRecord.java
+++ b/src/main/java/org/ploverspindle/state/SpecRecord.java
@@ -33,7 +33,7 @@
   }
 
   /** With the dependencies in records of their own, which are written before this one. */
-  public ObjectNode encode(AwaitsRecord elsewhere) {
+  public ObjectNode encode(DependenciesRecord elsewhere) {
     ObjectNode v = withoutDependencies();
     v.putObject(AWAITS_IN).put("key", elsewhere.name()).put("parts", elsewhere.parts().size());
     return v;
--- a/src/main/java/org/ploverspindle/workers/Blame.java
+++ b/src/main/java/org/ploverspindle/workers/FailureDetector.java
@@ -10,7 +10,7 @@
  * shown that it runs elsewhere, and a machine is returned only on that evidence. The first jobs
  * with mistakes, some of hundreds of tasks, had a large part of a fleet shunned for a minute each.
  */
-public final class Blame {
+public final class FailureDetector {
   /** For each failure by a job that works elsewhere. */
   private static final long SHUN_MS = 10_000;
 
@@ -31,7 +31,7 @@
   /**
    * @param works whether the job has shown that it can run; those that are done have
    */
-  public Blame(Predicate<String> works) {
+  public FailureDetector(Predicate<String> works) {
     this.works = works;
   }
 
--- a/src/main/java/org/ploverspindle/workers/HttpWorkerLine.java
+++ b/src/main/java/org/ploverspindle/workers/HttpWorkerClient.java
@@ -11,12 +11,12 @@
  * The workers' own protocol. A connection for each call: they are few, and hundreds of kept ones
  * would take the sockets that reports and users need.
  */
-public final class HttpWorkerLine implements WorkerLine {
+public final class HttpWorkerClient implements WorkerClient {
   private static final long TIMEOUT_MS = 1_500;
 
   private final Function<String, Caller> callers;
 
-  public HttpWorkerLine(Function<String, Caller> callers) {
+  public HttpWorkerClient(Function<String, Caller> callers) {
     this.callers = callers;
   }
 
--- a/src/main/java/org/ploverspindle/workers/Fleet.java
+++ b/src/main/java/org/ploverspindle/workers/MachineRegistry.java
@@ -19,8 +19,8 @@
 /**
  * The machines of a term and what is placed on them; alone removes a placement that is proven gone.
  */
-public final class Fleet {
-  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class MachineRegistry {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
   private final Catalogue catalogue;
   private final TeamUsage teams;
@@ -34,7 +34,7 @@
   /** The newest that was known of a machine which is no longer kept. */
   private record Seen(long tenure, long tally) {}
 
-  public Fleet(Catalogue catalogue, TeamUsage teams, Timing timing, Term term) {
+  public MachineRegistry(Catalogue catalogue, TeamUsage teams, Timing timing, Term term) {
     this.catalogue = catalogue;
     this.teams = teams;
     this.timing = timing;
--- a/src/main/java/org/ploverspindle/workers/ReportDesk.java
+++ b/src/main/java/org/ploverspindle/workers/ReportHandler.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Takes in reports and says what the worker is to do: the only place that lets a launch go out. */
-public final class ReportDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportDesk.class);
+public final class ReportHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
 
   /** What a report shows, for the other slices. */
   public interface Listener {
@@ -36,7 +36,7 @@
   /** What is known of a job that is not in the table: whose it is and what a task takes. */
   public record Owner(int team, Resources takes) {}
 
-  private final Fleet fleet;
+  private final MachineRegistry fleet;
   private final Term term;
   private final Supplier<Boolean> mayLaunch;
   private final Function<String, Optional<Job>> jobs;
@@ -44,8 +44,8 @@
   private final BiPredicate<Job, Integer> durablyDone;
   private final Listener listener;
 
-  public ReportDesk(
-      Fleet fleet,
+  public ReportHandler(
+      MachineRegistry fleet,
       Term term,
       Supplier<Boolean> mayLaunch,
       Function<String, Optional<Job>> jobs,
--- a/src/main/java/org/ploverspindle/workers/WorkerLine.java
+++ b/src/main/java/org/ploverspindle/workers/WorkerClient.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Commands that go straight to a worker. */
-public interface WorkerLine {
+public interface WorkerClient {
   /**
    * Calls with the worker's report after the commands, or with nothing when none came: the commands
    * may have been executed, or may be later.
--- a/src/test/java/org/ploverspindle/NoNews.java
+++ b/src/test/java/org/ploverspindle/NoNews.java
@@ -3,10 +3,10 @@
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.workers.Placement;
 import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportDesk;
+import org.ploverspindle.workers.ReportHandler;
 
 /** For tests that do not ask what reports show. */
-public final class NoNews implements ReportDesk.Listener {
+public final class NoNews implements ReportHandler.Listener {
   @Override
   public void completed(Placement p, long nowMs) {}
 
--- a/src/test/java/org/ploverspindle/cloud/BootsTest.java
+++ b/src/test/java/org/ploverspindle/cloud/BootsTest.java
@@ -15,10 +15,10 @@
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportDesk;
+import org.ploverspindle.workers.ReportHandler;
 
 /** Machines of a type that takes 30 s by the cloud's word, and what is thought of them. */
 class BootsTest {
@@ -26,8 +26,8 @@
   private static final Settings.WorkerLimits WORKERS = new Settings.WorkerLimits(3, 14, 39);
 
   private final Catalogue catalogue = new Catalogue(List.of("a"));
-  private final Fleet fleet;
-  private final ReportDesk desk;
+  private final MachineRegistry fleet;
+  private final ReportHandler desk;
   private final Boots boots;
   private final Rentals.Group group = new Rentals.Group(0, 0, true);
 
@@ -36,9 +36,9 @@
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
-    fleet = new Fleet(catalogue, teams, Timing.of(WORKERS, 1), TERM);
+    fleet = new MachineRegistry(catalogue, teams, Timing.of(WORKERS, 1), TERM);
     desk =
-        new ReportDesk(
+        new ReportHandler(
             fleet,
             TERM,
             () -> true,
--- a/src/test/java/org/ploverspindle/front/DoorTest.java
+++ b/src/test/java/org/ploverspindle/front/UserApiTest.java
@@ -29,8 +29,8 @@
 import org.xnio.XnioWorker;
 
 /** The door over real sockets on loopback; what lies behind it is a plain echo. */
-class DoorTest {
-  private static final class Echo implements Door.Desk {
+class UserApiTest {
+  private static final class Echo implements UserApi.Desk {
     @Override
     public void submit(byte[] body, Consumer<Answer> then) {
       then.accept(Answer.of(201, Cbor.map().put("size", body.length)));
@@ -64,7 +64,7 @@
 
   private EventLoop loop;
   private XnioWorker worker;
-  private Door door;
+  private UserApi door;
   private int port;
   private volatile boolean ready = true;
 
@@ -77,11 +77,11 @@
     loop.start();
     worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
     door =
-        new Door(
+        new UserApi(
             loop,
             worker,
             new Address("127.0.0.1", port),
-            new Door.Limits(24, 4, 10_000),
+            new UserApi.Limits(24, 4, 10_000),
             new Echo(),
             () -> ready);
     door.open();
--- a/src/test/java/org/ploverspindle/leadership/PassedBackTest.java
+++ b/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
@@ -26,7 +26,7 @@
 import org.ploverspindle.state.SpecRecord;
 
 /** A job presses as the jobs that need it do, from when they come until they are over. */
-class PassedBackTest {
+class PriorityInheritanceTest {
   private static final long ACCEPTED = 5_000_000;
   private static final Aims AIMS =
       new Aims(List.of(new Settings.Objective("deadline", "publish", 0.9, 1.5, 0)));
@@ -36,15 +36,15 @@
   private final List<String> read = new ArrayList<>();
   private final Estimates estimates = new Estimates();
   private final JobTable jobs;
-  private final PassedBack passedBack;
+  private final PriorityInheritance passedBack;
   private long nowMs = 1_000;
 
-  PassedBackTest() {
+  PriorityInheritanceTest() {
     Replica none = new Replica(new EventLoop(), null, "x/", 700);
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
     jobs = new JobTable(none, new SpecIndex(none), new Catalogue(List.of("a")), teams);
     passedBack =
-        new PassedBack(
+        new PriorityInheritance(
             graph,
             uid -> {
               read.add(uid);
--- a/src/test/java/org/ploverspindle/leadership/ReachTest.java
+++ b/src/test/java/org/ploverspindle/leadership/ReachabilityTest.java
@@ -19,34 +19,34 @@
 import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.settings.Address;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
 import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportDesk;
+import org.ploverspindle.workers.ReportHandler;
 
 /** A leader of 100 machines that report every three seconds, and what it makes of their silence. */
-class ReachTest {
+class ReachabilityTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final int MACHINES = 100;
 
   private final Settings settings = settings();
-  private final Fleet fleet;
-  private final ReportDesk desk;
-  private Reach reach;
+  private final MachineRegistry fleet;
+  private final ReportHandler desk;
+  private Reachability reach;
   private long tally;
   private boolean listRead;
 
-  ReachTest() {
+  ReachabilityTest() {
     Catalogue catalogue = new Catalogue(List.of("a"));
     catalogue.update(
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     fleet =
-        new Fleet(
+        new MachineRegistry(
             catalogue, new TeamUsage(settings.teams()), Timing.of(settings.workers(), 1), TERM);
     desk =
-        new ReportDesk(
+        new ReportHandler(
             fleet,
             TERM,
             () -> true,
@@ -54,7 +54,7 @@
             u -> Optional.empty(),
             (j, t) -> false,
             new NoNews());
-    reach = new Reach(fleet, TERM, settings, () -> listRead, 0);
+    reach = new Reachability(fleet, TERM, settings, () -> listRead, 0);
   }
 
   private static Settings settings() {
@@ -159,7 +159,7 @@
       fleet.place(new Placement(job, task, task + 1, m, 1, Placement.Phase.RECORDED));
     }
     assertTrue(troubled(0, 20_000, false, 7), "the first ones look for a better one soon");
-    reach = new Reach(fleet, TERM, settings, () -> listRead, 40_000);
+    reach = new Reachability(fleet, TERM, settings, () -> listRead, 40_000);
     assertFalse(troubled(0, 39_000, false, 7));
     assertTrue(troubled(39_000, 42_000, false, 7));
   }
--- a/src/test/java/org/ploverspindle/peers/PeerDoorTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerServerTest.java
@@ -20,23 +20,23 @@
 import org.xnio.XnioWorker;
 
 /** Doors of controllers over real sockets on loopback. */
-class PeerDoorTest {
+class PeerServerTest {
   private final EventLoop loop = new EventLoop();
   private final BlockingQueue<PeerRecord> heard = new LinkedBlockingQueue<>();
   private XnioWorker worker;
-  private PeerDoor hearing;
-  private PeerDoor telling;
+  private PeerServer hearing;
+  private PeerServer telling;
 
   @BeforeEach
   void open() throws Exception {
     worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
     loop.start();
     Address any = new Address("127.0.0.1", 0);
-    hearing = new PeerDoor(loop, worker, any, List.of(), heard::add);
+    hearing = new PeerServer(loop, worker, any, List.of(), heard::add);
     hearing.open();
     Settings.Member to = new Settings.Member("n1", "a", new Address("127.0.0.1", hearing.port()));
     Settings.Member refuses = new Settings.Member("n2", "a", new Address("127.0.0.1", 1));
-    telling = new PeerDoor(loop, worker, any, List.of(to, refuses), r -> {});
+    telling = new PeerServer(loop, worker, any, List.of(to, refuses), r -> {});
   }
 
   @AfterEach
--- a/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
+++ b/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
@@ -202,7 +202,7 @@
               Urgency.values()[random.nextInt(4)],
               random.nextInt(200)));
     }
-    Map<String, CriticalPath.PassedBack> passed =
+    Map<String, CriticalPath.PriorityInheritance> passed =
         CriticalPath.of(graph, uid -> Optional.of(own.get(uid)));
     for (int i = 0; i < n; i++) {
       String uid = uid(i);
@@ -242,7 +242,7 @@
                 ? Optional.of(
                     new CriticalPath.Own(OptionalLong.of(1_000_000_000L), Urgency.HIGH, 10))
                 : BARE.apply(uid);
-    CriticalPath.PassedBack first = CriticalPath.of(graph, last).get(uid(0));
+    CriticalPath.PriorityInheritance first = CriticalPath.of(graph, last).get(uid(0));
     assertEquals(OptionalLong.of(1_000_000_000L - 10_000L * depth), first.latestFinishMs());
     assertEquals(Urgency.HIGH, first.urgency());
     graph.cancelled(uid(depth));
--- a/src/test/java/org/ploverspindle/placement/TriageTest.java
+++ b/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
@@ -23,12 +23,12 @@
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.workers.Fleet;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
 import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportDesk;
+import org.ploverspindle.workers.ReportHandler;
 
-class TriageTest {
+class AdmissionOrderTest {
   private static final long NOW = 10_000;
   private static final Term TERM = new Term(7, 1, 0);
 
@@ -40,24 +40,25 @@
   private static final TeamUsage TEAMS =
       new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
 
-  static final ReportDesk.Listener NOTHING = new NoNews();
+  static final ReportHandler.Listener NOTHING = new NoNews();
 
   /** One machine of 16 cores, empty and under our token. */
-  private static Fleet fleet() {
+  private static MachineRegistry fleet() {
     Catalogue catalogue = new Catalogue(List.of("a"));
     catalogue.update(
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
-    Fleet fleet =
-        new Fleet(catalogue, TEAMS, Timing.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
+    MachineRegistry fleet =
+        new MachineRegistry(
+            catalogue, TEAMS, Timing.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
     desk(fleet)
         .take(
             new Report("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()), NOW);
     return fleet;
   }
 
-  private static ReportDesk desk(Fleet fleet) {
-    return new ReportDesk(
+  private static ReportHandler desk(MachineRegistry fleet) {
+    return new ReportHandler(
         fleet,
         TERM,
         () -> true,
@@ -73,7 +74,7 @@
   }
 
   private static int stoppedFor(Urgency running, double expectedS, long ranMs, Aims aims) {
-    Fleet fleet = fleet();
+    MachineRegistry fleet = fleet();
     var machine = fleet.get("i-1").orElseThrow();
     Job victim = job("run-1", running, 4, expectedS, 500);
     victim.types().set(0);
@@ -121,7 +122,7 @@
         };
     Estimates estimates = new Estimates();
     Capacity all = new Capacity(fleet(), estimates, NOW, 60_000);
-    return new Triage(slack, all, ofTeams, estimates, NOW)
+    return new AdmissionOrder(slack, all, ofTeams, estimates, NOW)
         .order(List.of(byStart)).stream().map(Job::uid).toList();
   }
 
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -30,9 +30,9 @@
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.SpecRecord;
-import org.ploverspindle.workers.Fleet;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportDesk;
+import org.ploverspindle.workers.ReportHandler;
 
 /** What placing goes by: a job's own values, as ever, unless jobs that need it press more. */
 class EffectiveValuesTest {
@@ -58,9 +58,10 @@
     Replica none = new Replica(new EventLoop(), null, "x/", 700);
     jobs = new JobTable(none, new SpecIndex(none), catalogue, teams);
     Term term = new Term(7, 1, 0);
-    Fleet fleet =
-        new Fleet(catalogue, teams, Timing.of(new Settings.WorkerLimits(3, 14, 39), 1), term);
-    new ReportDesk(
+    MachineRegistry fleet =
+        new MachineRegistry(
+            catalogue, teams, Timing.of(new Settings.WorkerLimits(3, 14, 39), 1), term);
+    new ReportHandler(
             fleet,
             term,
             () -> true,
--- a/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
+++ b/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
@@ -39,11 +39,11 @@
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.SpecRecord;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
 import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportDesk;
+import org.ploverspindle.workers.ReportHandler;
 
 /** What is kept between looks or counted in steps, against plain sums over everything. */
 class LargeFleetTest {
@@ -59,8 +59,8 @@
               new Settings.Team("red", 900, 0, 0, 0), new Settings.Team("blue", 4_000, 0, 0, 0)));
   private final Estimates estimates = new Estimates();
   private final Map<String, Job> jobs = new HashMap<>();
-  private Fleet fleet;
-  private ReportDesk desk;
+  private MachineRegistry fleet;
+  private ReportHandler desk;
 
   private Job job(Random r, int i, Urgency urgency, int tasks) {
     JobSpec spec =
@@ -108,16 +108,17 @@
             new MachineType("small", Resources.offered(4, 0, 16), 40, 1, 0.3, 0.1, 5, ZONES),
             new MachineType("large", Resources.offered(16, 0, 64), 40, 1, 1.1, 0.4, 5, ZONES)));
     fleet =
-        new Fleet(catalogue, teams, Timing.of(new Settings.WorkerLimits(5, 26.5, 51.5), 1), TERM);
+        new MachineRegistry(
+            catalogue, teams, Timing.of(new Settings.WorkerLimits(5, 26.5, 51.5), 1), TERM);
     desk =
-        new ReportDesk(
+        new ReportHandler(
             fleet,
             TERM,
             () -> true,
             u -> Optional.ofNullable(jobs.get(u)),
             u -> Optional.empty(),
             (j, t) -> false,
-            TriageTest.NOTHING);
+            AdmissionOrderTest.NOTHING);
     List<Job> running = new ArrayList<>();
     for (int i = 0; i < RUNNING; i++) {
       running.add(job(r, i, Urgency.values()[r.nextInt(4)], 500));
--- a/src/test/java/org/ploverspindle/placement/PlacerTest.java
+++ b/src/test/java/org/ploverspindle/placement/PlacerTest.java
@@ -31,10 +31,10 @@
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.SpecRecord;
-import org.ploverspindle.workers.Fleet;
 import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportDesk;
+import org.ploverspindle.workers.ReportHandler;
 
 /** The placer looks only at machines with room and fills each; a plain one looks at all, always. */
 class PlacerTest {
@@ -73,17 +73,17 @@
         List.of());
   }
 
-  private Fleet fleet(Random r, int machines) {
-    Fleet fleet = new Fleet(catalogue, teams, Timing.of(WORKERS, 1), TERM);
-    ReportDesk desk =
-        new ReportDesk(
+  private MachineRegistry fleet(Random r, int machines) {
+    MachineRegistry fleet = new MachineRegistry(catalogue, teams, Timing.of(WORKERS, 1), TERM);
+    ReportHandler desk =
+        new ReportHandler(
             fleet,
             TERM,
             () -> true,
             u -> Optional.empty(),
             u -> Optional.empty(),
             (j, t) -> false,
-            TriageTest.NOTHING);
+            AdmissionOrderTest.NOTHING);
     for (int i = 0; i < machines; i++) {
       String type = r.nextBoolean() ? "small" : "large";
       String zone = r.nextBoolean() ? "a" : "b";
@@ -105,7 +105,7 @@
   }
 
   /** As the placer should: each task to the best of all machines, one after the other. */
-  private Map<String, String> plainly(List<Job> order, Fleet fleet) {
+  private Map<String, String> plainly(List<Job> order, MachineRegistry fleet) {
     Map<String, String> result = new TreeMap<>();
     Map<Machine, Resources> free = new HashMap<>();
     Map<Machine, Set<String>> images = new HashMap<>();
@@ -161,7 +161,7 @@
         List.of(
             new MachineType("small", Resources.offered(4, 0, 16), 40, 1, 0.3, 0.1, 5, zones),
             new MachineType("large", Resources.offered(16, 0, 64), 40, 1, 1.1, 0.4, 5, zones)));
-    Fleet fleet = fleet(r, 5 + r.nextInt(25));
+    MachineRegistry fleet = fleet(r, 5 + r.nextInt(25));
     Replica none = new Replica(new EventLoop(), null, "x/", 700);
     JobTable jobs = new JobTable(none, new SpecIndex(none), catalogue, teams);
     for (int i = 0; i < 14; i++) {
--- a/src/test/java/org/ploverspindle/sim/BrokenJobsTest.java
+++ b/src/test/java/org/ploverspindle/sim/BrokenJobsTest.java
@@ -15,7 +15,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void jobsThatFailEverywhereCostTheOthersLittleAndBrokenMachinesAreStillFound(long seed) {
-    World w = new World(seed, 3, 24, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(seed, 3, 24, List.of("a"));
     List<JobSpec> broken = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       boolean mistake = i % 20 == 7;
--- a/src/test/java/org/ploverspindle/sim/CheckerTest.java
+++ b/src/test/java/org/ploverspindle/sim/CheckerTest.java
@@ -19,7 +19,9 @@
 
   private final SimClock clock = new SimClock();
   private final Checker checker =
-      new Checker(clock, World.settings("n0", World.Site.small(3, 14, List.of("a", "b"))));
+      new Checker(
+          clock,
+          SimulatedCluster.settings("n0", SimulatedCluster.Site.small(3, 14, List.of("a", "b"))));
 
   private static JobSpec spec(String uid, double cores, boolean oneZone, boolean apart) {
     return new JobSpec(
--- a/src/test/java/org/ploverspindle/sim/CutControllerTest.java
+++ b/src/test/java/org/ploverspindle/sim/CutControllerTest.java
@@ -22,8 +22,8 @@
 class CutControllerTest {
   private static final int NODES = 3;
 
-  private static World busy(long seed) {
-    World w = new World(seed, NODES, 14, List.of("a"));
+  private static SimulatedCluster busy(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     for (int i = 0; i < 120; i++) {
       w.clock.at(
           3_000 + i * 1_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.HIGH, 4, 1, 5, 0)));
@@ -31,7 +31,7 @@
     return w;
   }
 
-  private static void assertServed(World w) {
+  private static void assertServed(SimulatedCluster w) {
     w.clock.at(135_000, w::troublesAreOver);
     w.clock.runUntil(400_000);
     w.checker.endOfDay();
@@ -39,15 +39,15 @@
     assertEquals(120, w.checker.jobsDone());
   }
 
-  private static int leaderOf(World w) {
+  private static int leaderOf(SimulatedCluster w) {
     assertTrue(w.leader() >= 0, "somebody leads");
     return w.leader();
   }
 
   @ParameterizedTest
-  @EnumSource(World.Refusal.class)
-  void aLeaderThatTheStateServiceRefusesAloneIsReplacedSoon(World.Refusal kind) {
-    World w = busy(3);
+  @EnumSource(SimulatedCluster.Refusal.class)
+  void aLeaderThatTheStateServiceRefusesAloneIsReplacedSoon(SimulatedCluster.Refusal kind) {
+    SimulatedCluster w = busy(3);
     int[] refused = new int[1];
     w.clock.at(
         40_000,
@@ -66,8 +66,8 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
   void aControllerThatAloneCannotReadSendsItsUsersToTheOthers(int node) {
-    World w = busy(4);
-    w.clock.at(40_000, () -> w.refuse(node, World.Refusal.READS, true));
+    SimulatedCluster w = busy(4);
+    w.clock.at(40_000, () -> w.refuse(node, SimulatedCluster.Refusal.READS, true));
     List<Answer> answers = new ArrayList<>();
     long[] cameMs = new long[1];
     w.clock.at(
@@ -83,7 +83,7 @@
                 cameMs[0] = w.clock.nowMs() - askedMs;
               });
         });
-    w.clock.at(60_000, () -> w.refuse(node, World.Refusal.READS, false));
+    w.clock.at(60_000, () -> w.refuse(node, SimulatedCluster.Refusal.READS, false));
     w.clock.at(64_000, () -> assertTrue(w.ready(node), "and is back"));
     w.clock.runUntil(50_000);
     assertEquals(503, answers.get(0).status());
@@ -95,7 +95,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void controllersThatAreDownForAMinuteInTurnAlsoInMidElection(long seed) {
-    World w = busy(seed);
+    SimulatedCluster w = busy(seed);
     w.clock.at(
         30_000,
         () -> {
@@ -110,7 +110,7 @@
 
   @Test
   void inAnOutageOfTheStateServiceAllStayReady() {
-    World w = busy(5);
+    SimulatedCluster w = busy(5);
     w.clock.at(40_000, () -> w.state.outage(true));
     w.clock.at(
         52_000,
@@ -127,7 +127,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void controllersThatStandStillSayAndDoNothingStale(long seed) {
-    World w = busy(seed);
+    SimulatedCluster w = busy(seed);
     Random r = new Random(seed);
     int[] pauses = {200, 900, 2_500, 4_000, 7_000, 15_000, 25_000, 60_000};
     for (int t = 15_000; t < 120_000; t += 4_000 + r.nextInt(9_000)) {
--- a/src/test/java/org/ploverspindle/sim/DirectStopTest.java
+++ b/src/test/java/org/ploverspindle/sim/DirectStopTest.java
@@ -18,10 +18,10 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void tasksOfACancelledJobAreStoppedBeforeTheirMachinesReport(long seed) {
-    World w =
-        new World(
+    SimulatedCluster w =
+        new SimulatedCluster(
             seed,
-            new World.Site(
+            new SimulatedCluster.Site(
                 3,
                 14,
                 List.of("a"),
--- a/src/test/java/org/ploverspindle/sim/EndOfDayTest.java
+++ b/src/test/java/org/ploverspindle/sim/EndOfDayTest.java
@@ -20,11 +20,17 @@
   private static final int NODES = 3;
 
   static JobSpec job(
-      World w, String jobClass, Urgency urgency, int tasks, double cores, double s, double dueS) {
+      SimulatedCluster w,
+      String jobClass,
+      Urgency urgency,
+      int tasks,
+      double cores,
+      double s,
+      double dueS) {
     return Specs.batch(w.newUid(), jobClass, "blue", urgency, tasks, cores, 0.1, s, dueS);
   }
 
-  private static void assertRulesKept(World w) {
+  private static void assertRulesKept(SimulatedCluster w) {
     w.checker.endOfDay();
     assertEquals(List.of(), w.checker.broken());
     assertEquals(0, w.checker.neverBegun());
@@ -33,7 +39,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void everyJobIsKnownAndRunsAfterAllControllersRestartAtOnce(long seed) {
-    World w = new World(seed, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     for (int i = 0; i < 700; i++) {
       w.clock.at(3_000 + i * 90, () -> w.user(job(w, "small", Urgency.NORMAL, 1, 0.1, 1, 0)));
     }
@@ -49,7 +55,7 @@
 
   @Test
   void theLargestJobBeginsAlthoughSmallOnesCouldAlwaysStillBeInTime() {
-    World w = new World(4, NODES, 10, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(4, NODES, 10, List.of("a"));
     w.clock.at(3_000, () -> w.user(job(w, "array", Urgency.NORMAL, 60, 4, 20, 15)));
     for (int i = 0; i < 300; i++) {
       w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "array", Urgency.NORMAL, 3, 4, 12, 30)));
@@ -64,7 +70,7 @@
 
   @Test
   void aLowUrgencyBeginsBelowOneThatNeverEnds() {
-    World w = new World(5, NODES, 2, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(5, NODES, 2, List.of("a"));
     for (int i = 0; i < 300; i++) {
       w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "urgent", Urgency.HIGH, 4, 4, 10, 60)));
     }
@@ -82,7 +88,7 @@
 
   @Test
   void aMachineThatIsNotReachedDrawsNoWorkAndItsTasksRunElsewhere() {
-    World w = new World(6, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(6, NODES, 14, List.of("a"));
     for (int i = 0; i < 120; i++) {
       w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "a", Urgency.NORMAL, 4, 1, 5, 0)));
     }
@@ -108,7 +114,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void lateCopiesOfReportsAreNotBelieved(long seed) {
-    World w = new World(seed, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     w.network.copyShare(0.5);
     for (int i = 0; i < 100; i++) {
       w.clock.at(3_000 + i * 1_200, () -> w.user(job(w, "a", Urgency.HIGH, 6, 1, 6, 0)));
@@ -134,7 +140,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void aLeaderThatOnlyItsWorkersReachDoesNotKeepACancelledJobAlive(long seed) {
-    World w = new World(seed, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     JobSpec[] spec = new JobSpec[2];
     w.clock.at(
         3_000,
@@ -149,7 +155,7 @@
         () -> {
           int leader = w.leader();
           assertTrue(leader >= 0 && w.checker.begunMs(spec[0].uid()) >= 0);
-          w.network.cut("n" + leader, World.STATE, true);
+          w.network.cut("n" + leader, SimulatedCluster.STATE, true);
           for (int i = 0; i < NODES; i++) {
             w.network.cut("n" + leader, "n" + i, true);
           }
@@ -157,7 +163,7 @@
           w.clock.at(
               60_000,
               () -> {
-                w.network.cut("n" + leader, World.STATE, false);
+                w.network.cut("n" + leader, SimulatedCluster.STATE, false);
                 for (int i = 0; i < NODES; i++) {
                   w.network.cut("n" + leader, "n" + i, false);
                 }
@@ -173,7 +179,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void processesBackWithinAFractionOfASecondAlsoInMidElection(long seed) {
-    World w = new World(seed, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     for (int i = 0; i < 60; i++) {
       w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "a", Urgency.HIGH, 4, 1, 5, 0)));
     }
--- a/src/test/java/org/ploverspindle/sim/Troubles.java
+++ b/src/test/java/org/ploverspindle/sim/Faults.java
@@ -4,16 +4,16 @@
 import java.util.Random;
 
 /** The troubles that a day may hold, each for a while; two of them may meet. */
-enum Troubles {
+enum Faults {
   CRASH {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       w.crash(leaderOrAny(w, r), 100 + r.nextInt(4_000));
     }
   },
   ALL_CRASH {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       for (int i = 0; i < w.nodes; i++) {
         w.crash(i, 100 + r.nextInt((int) forMs));
       }
@@ -21,34 +21,34 @@
   },
   PAUSE {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       w.freeze(leaderOrAny(w, r), forMs);
     }
   },
   STATE_OUTAGE {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       w.state.outage(true);
       w.clock.at(forMs, () -> w.state.outage(false));
     }
   },
   CLOUD_OUTAGE {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       w.cloud.outage(true);
       w.clock.at(forMs, () -> w.cloud.outage(false));
     }
   },
   SLOW_LINKS {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       w.network.lateShare(0.05 + r.nextDouble() * 0.2);
       w.clock.at(forMs, () -> w.network.lateShare(0));
     }
   },
   MACHINES_CUT {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       for (SimWorker x : some(w, r)) {
         for (int i = 0; i < w.nodes; i++) {
           String node = "n" + i;
@@ -60,25 +60,25 @@
   },
   MACHINES_DIE {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       some(w, r).forEach(x -> w.cloud.die(x.host()));
     }
   },
   MACHINES_RECALLED {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       some(w, r).forEach(SimWorker::recall);
     }
   },
   MACHINES_HANG {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       some(w, r).forEach(x -> x.hang(forMs));
     }
   },
   MACHINE_DEAF {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       for (SimWorker x : some(w, r)) {
         w.network.deaf(x.host(), true);
         w.clock.at(forMs, () -> w.network.deaf(x.host(), false));
@@ -87,7 +87,7 @@
   },
   MACHINE_MUTE {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       for (SimWorker x : some(w, r)) {
         w.network.machineMute(x.host(), true);
         w.clock.at(forMs, () -> w.network.machineMute(x.host(), false));
@@ -96,25 +96,25 @@
   },
   LATE_WRITES {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       lateWrites(w, 0.05 + r.nextDouble() * 0.4, false, forMs);
     }
   },
   WRITES_AT_ONCE {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       lateWrites(w, 0.05 + r.nextDouble() * 0.4, true, forMs);
     }
   },
   LATE_REPORTS {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       lateReports(w, 0.1 + r.nextDouble() * 0.5, false, forMs);
     }
   },
   REPORTS_FOR_NEXT {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       lateReports(w, 0.1 + r.nextDouble() * 0.5, true, forMs);
       // Without a next leader there is nothing to it.
       w.clock.at(forMs / 2, () -> w.crash(leaderOrAny(w, r), 100 + r.nextInt(3_000)));
@@ -122,55 +122,55 @@
   },
   NODE_CUT_HOLD {
     @Override
-    void begin(World w, Random r, long forMs) {
-      w.nodeCut(leaderOrAny(w, r), World.CutMode.HOLD, forMs);
+    void begin(SimulatedCluster w, Random r, long forMs) {
+      w.nodeCut(leaderOrAny(w, r), SimulatedCluster.CutMode.HOLD, forMs);
     }
   },
   NODE_CUT_REFUSE {
     @Override
-    void begin(World w, Random r, long forMs) {
-      w.nodeCut(leaderOrAny(w, r), World.CutMode.REFUSE, forMs);
+    void begin(SimulatedCluster w, Random r, long forMs) {
+      w.nodeCut(leaderOrAny(w, r), SimulatedCluster.CutMode.REFUSE, forMs);
     }
   },
   CANCEL_NOW {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       w.cancelNow(1 + r.nextInt(6), r.nextBoolean() ? 0 : forMs);
     }
   },
   CANCEL_AT_END {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       w.cancelAtEnd(0.5);
       w.clock.at(forMs, () -> w.cancelAtEnd(0));
     }
   },
   ODD_REQUESTS {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       w.oddRequests(true);
       w.clock.at(forMs, () -> w.oddRequests(false));
     }
   },
   CLOSE_LOOKS {
     @Override
-    void begin(World w, Random r, long forMs) {
+    void begin(SimulatedCluster w, Random r, long forMs) {
       w.closeLooks(true);
       w.clock.at(forMs, () -> w.closeLooks(false));
     }
   };
 
   /** Begins at once, and ends by itself within the time, but for what it does to processes. */
-  abstract void begin(World w, Random r, long forMs);
+  abstract void begin(SimulatedCluster w, Random r, long forMs);
 
   /** Mostly the leader: with another one there is little to it. */
-  private static int leaderOrAny(World w, Random r) {
+  private static int leaderOrAny(SimulatedCluster w, Random r) {
     int leader = w.leader();
     return leader >= 0 && r.nextInt(4) > 0 ? leader : r.nextInt(w.nodes);
   }
 
   /** One machine, or about half of them. */
-  private static List<SimWorker> some(World w, Random r) {
+  private static List<SimWorker> some(SimulatedCluster w, Random r) {
     List<SimWorker> all = w.cloud.workers().stream().filter(x -> !x.gone()).toList();
     if (all.isEmpty()) {
       return all;
@@ -180,12 +180,12 @@
         : all.stream().filter(x -> r.nextBoolean()).toList();
   }
 
-  private static void lateWrites(World w, double share, boolean atOnce, long forMs) {
+  private static void lateWrites(SimulatedCluster w, double share, boolean atOnce, long forMs) {
     w.network.lateWrites(share, atOnce);
     w.clock.at(forMs, () -> w.network.lateWrites(0, false));
   }
 
-  private static void lateReports(World w, double share, boolean forNext, long forMs) {
+  private static void lateReports(SimulatedCluster w, double share, boolean forNext, long forMs) {
     w.network.lateReports(share, forNext);
     w.clock.at(forMs, () -> w.network.lateReports(0, false));
   }
--- a/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
+++ b/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
@@ -22,13 +22,13 @@
   private static final Settings.WorkerLimits SLOW_REPORTS =
       new Settings.WorkerLimits(5, 26.5, 51.5);
 
-  private static World.Site site(int nodes, int capacity, List<String> zones) {
+  private static SimulatedCluster.Site site(int nodes, int capacity, List<String> zones) {
     return site(nodes, capacity, zones, 8, 0);
   }
 
-  private static World.Site site(
+  private static SimulatedCluster.Site site(
       int nodes, int capacity, List<String> zones, double listLagS, int poolMin) {
-    return new World.Site(
+    return new SimulatedCluster.Site(
         nodes,
         capacity,
         zones,
@@ -40,13 +40,13 @@
   }
 
   /** Three controllers, and machines that run one job's 80 tasks for 100 s. */
-  private static World busyFleet(long seed) {
-    World w = new World(seed, site(3, 60, List.of("a")));
+  private static SimulatedCluster busyFleet(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, site(3, 60, List.of("a")));
     w.clock.at(3_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.NORMAL, 80, 4, 100, 0)));
     return w;
   }
 
-  private static int leaderOf(World w) {
+  private static int leaderOf(SimulatedCluster w) {
     assertTrue(w.leader() >= 0, "somebody leads");
     return w.leader();
   }
@@ -54,7 +54,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderThatNoMachineReachesIsReplacedBeforeAnyLeaseEnds(long seed) {
-    World w = busyFleet(seed);
+    SimulatedCluster w = busyFleet(seed);
     w.clock.at(
         60_000,
         () -> {
@@ -73,7 +73,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderWhoseAnswersAreAllLostIsReplacedAndTheFleetKept(long seed) {
-    World w = busyFleet(seed);
+    SimulatedCluster w = busyFleet(seed);
     int[] machines = new int[1];
     w.clock.at(
         60_000,
@@ -93,7 +93,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderThatStoodStillForLongerThanALeaseKeepsTheFleet(long seed) {
-    World w = busyFleet(seed);
+    SimulatedCluster w = busyFleet(seed);
     int[] machines = new int[1];
     w.clock.at(
         60_000,
@@ -111,7 +111,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void shortPausesOfTheLeaderCostNoLeadAndNoTask(long seed) {
-    World w = busyFleet(seed);
+    SimulatedCluster w = busyFleet(seed);
     int[] first = new int[1];
     w.clock.at(59_000, () -> first[0] = leaderOf(w));
     for (int t = 60_000; t < 100_000; t += 4_000) {
@@ -127,13 +127,13 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderThatOnlyItsWorkersReachLosesThemToTheNextOneSoon(long seed) {
-    World w = busyFleet(seed);
+    SimulatedCluster w = busyFleet(seed);
     JobSpec[] next = new JobSpec[1];
     w.clock.at(
         60_000,
         () -> {
           int leader = leaderOf(w);
-          w.network.cut("n" + leader, World.STATE, true);
+          w.network.cut("n" + leader, SimulatedCluster.STATE, true);
           IntStream.range(0, 3).forEach(i -> w.network.cut("n" + leader, "n" + i, true));
         });
     w.clock.at(
@@ -154,7 +154,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void tasksOfMachinesTakenWithoutNoticeStartAgainBeforeTheLeaseWouldEnd(long seed) {
-    World w = new World(seed, site(3, 60, List.of("a"), 3, 20));
+    SimulatedCluster w = new SimulatedCluster(seed, site(3, 60, List.of("a"), 3, 20));
     w.clock.at(3_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.NORMAL, 60, 4, 200, 0)));
     int[] before = new int[2];
     w.clock.at(
@@ -191,10 +191,10 @@
     List<Settings.Team> teams = new ArrayList<>();
     IntStream.range(0, 30).forEach(t -> teams.add(new Settings.Team("team-" + t, 0, 0, 0, 0)));
     teams.add(new Settings.Team("blue", 0, 0, 0, 0));
-    World w =
-        new World(
+    SimulatedCluster w =
+        new SimulatedCluster(
             17,
-            new World.Site(
+            new SimulatedCluster.Site(
                 nodes,
                 120,
                 names,
@@ -217,7 +217,7 @@
   @Test
   void aFleetOfSeventeenHundredKeepsTheRulesThroughLossesATakeoverAndARestartOfAll() {
     int nodes = 7;
-    World w = new World(11, site(nodes, 1_700, List.of("a", "b", "c")));
+    SimulatedCluster w = new SimulatedCluster(11, site(nodes, 1_700, List.of("a", "b", "c")));
     Random r = new Random(11);
     for (int i = 0; i < 1_500; i++) {
       int at = i < 400 ? 3_000 : 3_000 + r.nextInt(200_000);
@@ -276,7 +276,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aFleetThatComesUpAtOnceIsNoReasonToGiveTheLeadUp(long seed) {
-    World w = new World(seed, site(7, 400, List.of("a"), 8, 300));
+    SimulatedCluster w = new SimulatedCluster(seed, site(7, 400, List.of("a"), 8, 300));
     // They ask any controller first, and most of them ask others before they find the leader.
     w.cloud.boots("small", 0.05);
     w.cloud.boots("large", 0.05);
@@ -291,7 +291,7 @@
 
   @Test
   void aTypeThatTheCloudHasGivenUpDoesNotStopOtherRentals() {
-    World w = new World(9, site(3, 60, List.of("a")));
+    SimulatedCluster w = new SimulatedCluster(9, site(3, 60, List.of("a")));
     w.cloud.giveUp("large");
     for (int i = 0; i < 20; i++) {
       w.clock.at(
@@ -305,7 +305,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void whereMachinesOfATypeNeverComeOthersAreRentedAndThoseReturned(long seed) {
-    World w = new World(seed, site(3, 200, List.of("a")));
+    SimulatedCluster w = new SimulatedCluster(seed, site(3, 200, List.of("a")));
     for (int i = 0; i < 60; i++) {
       w.clock.at(
           3_000 + i * 4_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.HIGH, 20, 2, 10, 60)));
@@ -321,7 +321,7 @@
     assertEquals(0, w.cloud.size() - w.cloud.workers().size(), "none is left that never came");
   }
 
-  private static void cut(World w, List<SimWorker> workers, int nodes, boolean now) {
+  private static void cut(SimulatedCluster w, List<SimWorker> workers, int nodes, boolean now) {
     for (SimWorker x : workers) {
       IntStream.range(0, nodes).forEach(i -> w.network.cut("n" + i, x.host(), now));
     }
--- a/src/test/java/org/ploverspindle/sim/GapTest.java
+++ b/src/test/java/org/ploverspindle/sim/GapTest.java
@@ -26,12 +26,12 @@
   private static final int NODES = 3;
 
   /** What the state service refuses to the leader alone before it is out for all. */
-  private static final List<Set<World.Refusal>> REFUSED =
+  private static final List<Set<SimulatedCluster.Refusal>> REFUSED =
       List.of(
-          Set.of(World.Refusal.values()),
-          Set.of(World.Refusal.READS),
-          Set.of(World.Refusal.HOLDS),
-          Set.of(World.Refusal.WRITES));
+          Set.of(SimulatedCluster.Refusal.values()),
+          Set.of(SimulatedCluster.Refusal.READS),
+          Set.of(SimulatedCluster.Refusal.HOLDS),
+          Set.of(SimulatedCluster.Refusal.WRITES));
 
   /** Report, lease and cancellation times of the operators' deployments. */
   private static final Map<String, Settings.WorkerLimits> TIMINGS =
@@ -44,7 +44,7 @@
   static Stream<Arguments> gaps() {
     List<Arguments> all = new ArrayList<>();
     for (String deployment : TIMINGS.keySet().stream().sorted().toList()) {
-      for (Set<World.Refusal> refused : REFUSED) {
+      for (Set<SimulatedCluster.Refusal> refused : REFUSED) {
         for (long seed = 1; seed <= 3; seed++) {
           all.add(Arguments.of(deployment, refused, seed));
         }
@@ -56,12 +56,12 @@
   @ParameterizedTest
   @MethodSource("gaps")
   void whatWasCancelledInTheGapIsGoneInTime(
-      String deployment, Set<World.Refusal> refused, long seed) {
+      String deployment, Set<SimulatedCluster.Refusal> refused, long seed) {
     Settings.WorkerLimits limits = TIMINGS.get(deployment);
-    World w =
-        new World(
+    SimulatedCluster w =
+        new SimulatedCluster(
             seed,
-            new World.Site(
+            new SimulatedCluster.Site(
                 NODES,
                 14,
                 List.of("a"),
@@ -108,7 +108,7 @@
         "cancelled while tasks were on machines: " + w.checker.cancelledWhileOn());
   }
 
-  private static void gap(World w, Set<World.Refusal> refused, long outMs) {
+  private static void gap(SimulatedCluster w, Set<SimulatedCluster.Refusal> refused, long outMs) {
     int leader = w.leader();
     if (leader >= 0) {
       refused.forEach(kind -> w.refuse(leader, kind, true));
--- a/src/test/java/org/ploverspindle/sim/GuestTest.java
+++ b/src/test/java/org/ploverspindle/sim/GuestTest.java
@@ -18,10 +18,10 @@
 class GuestTest {
   private static final Settings.StateLimits STATE = new Settings.StateLimits(80, 30, 16, 24);
 
-  private static World world(long seed) {
-    return new World(
+  private static SimulatedCluster world(long seed) {
+    return new SimulatedCluster(
         seed,
-        new World.Site(
+        new SimulatedCluster.Site(
             3,
             60,
             List.of("a"),
@@ -33,12 +33,13 @@
             new Policy(3, 30, 60, 0, Policy.UNBOUNDED, 30, Map.of())));
   }
 
-  private static JobSpec guest(World w, String jobClass, int tasks, double cores, double runS) {
+  private static JobSpec guest(
+      SimulatedCluster w, String jobClass, int tasks, double cores, double runS) {
     return Specs.batch(
         w.newUid(), jobClass, "guest", Urgency.BEST_EFFORT, tasks, cores, 0.1, runS, 0);
   }
 
-  private static List<JobSpec> homeTeam(World w) {
+  private static List<JobSpec> homeTeam(SimulatedCluster w) {
     List<JobSpec> own = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
       w.clock.at(
@@ -52,7 +53,7 @@
     return own;
   }
 
-  private static void assertServed(World w, List<JobSpec> own) {
+  private static void assertServed(SimulatedCluster w, List<JobSpec> own) {
     w.checker.endOfDay();
     assertEquals(List.of(), w.checker.broken());
     assertEquals(0, w.checker.neverBegun());
@@ -63,7 +64,7 @@
 
   @Test
   void anArrayOfManyShortTasksIsServedWithFewChanges() {
-    World w = world(1);
+    SimulatedCluster w = world(1);
     List<JobSpec> own = homeTeam(w);
     JobSpec[] huge = new JobSpec[1];
     long[] changes = new long[1];
@@ -84,7 +85,7 @@
 
   @Test
   void hundredsOfJobsOfOneTaskInAMinuteAreAcceptedAndRunBesideTheOthers() {
-    World w = world(2);
+    SimulatedCluster w = world(2);
     List<JobSpec> own = homeTeam(w);
     List<JobSpec> small = new ArrayList<>();
     for (int i = 0; i < 500; i++) {
@@ -107,7 +108,7 @@
   void questionsShareTheirReads() {
     long[] asked = new long[2];
     for (int storm = 0; storm < 2; storm++) {
-      World w = world(3);
+      SimulatedCluster w = world(3);
       List<JobSpec> own = homeTeam(w);
       Random r = new Random(3);
       int[] answers = new int[2];
--- a/src/test/java/org/ploverspindle/sim/OddRequests.java
+++ b/src/test/java/org/ploverspindle/sim/InvalidRequests.java
@@ -12,7 +12,7 @@
  * Users who send what is late, needless or wrong, to all nodes at once: what was said must stand
  * whatever else is asked, and a request that can't be served must leave no job behind.
  */
-final class OddRequests {
+final class InvalidRequests {
   /** None of these may be null, so none may be left out. */
   private static final List<String> NEEDED =
       List.of(
@@ -35,12 +35,12 @@
 
   private static final int SPACING_MS = 250;
 
-  private final World w;
+  private final SimulatedCluster w;
   private final Random random;
   private boolean on;
   private int counter;
 
-  OddRequests(World world) {
+  InvalidRequests(SimulatedCluster world) {
     this.w = world;
     this.random = new Random(7);
   }
@@ -71,7 +71,7 @@
   }
 
   private ObjectNode good(String uid) {
-    byte[] body = World.encode(RulesTest.job(uid, random));
+    byte[] body = SimulatedCluster.encode(RulesTest.job(uid, random));
     return Cbor.readMap(body).orElseThrow();
   }
 
@@ -142,7 +142,7 @@
 
   private void repeat(String uid) {
     if (!uid.isEmpty()) {
-      atAllNodes(i -> w.submitAt(i, uid, World.encode(w.spec(uid))));
+      atAllNodes(i -> w.submitAt(i, uid, SimulatedCluster.encode(w.spec(uid))));
     }
   }
 
--- a/src/test/java/org/ploverspindle/sim/LeaderMeetingsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeaderFaultsTest.java
@@ -31,7 +31,7 @@
  * every deployment. A day in which the meeting did not come about fails as much as one that broke a
  * rule.
  */
-class LeaderMeetingsTest {
+class LeaderFaultsTest {
   private static final int NODES = 3;
   private static final long AFTERWARDS_MS = 110_000;
 
@@ -46,7 +46,7 @@
 
   /** One day, in which one meeting comes about. */
   private static final class Day {
-    private final World w;
+    private final SimulatedCluster w;
     private final Random r;
     private final boolean odd;
     private final long leaseMs;
@@ -57,9 +57,9 @@
 
     Day(long seed, Settings.WorkerLimits limits, double limit) {
       this.w =
-          new World(
+          new SimulatedCluster(
               seed,
-              new World.Site(
+              new SimulatedCluster.Site(
                   NODES,
                   14,
                   List.of("a", "b"),
@@ -260,7 +260,7 @@
     LEADERS_CHANGE_TEN_TIMES_ALSO_IN_AN_OUTAGE {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 4_000, 30, 4, 1, 25);
         d.at(30_000, () -> d.note("terms", w::terms));
         long[] seen = {0};
@@ -297,7 +297,7 @@
     A_TRANSACTION_IS_CARRIED_OUT_AFTER_NEWER_ONES {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 1_500, 50, 3, 1, 12);
         d.at(20_000, () -> w.network.lateWrites(0.35, false));
         d.at(20_000, () -> d.note("terms", w::terms));
@@ -314,7 +314,7 @@
     A_ZONE_WITH_A_CONTROLLER_IS_CUT_OFF_LONGER_THAN_A_LEASE {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 1_000, 10, 6, 1, 160);
         d.at(45_000, () -> cut(d));
         d.overMs = 45_000 + d.cancelMs + 15_000;
@@ -324,7 +324,7 @@
       }
 
       private void cut(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         // Its controller leads, or another one.
         int inside = d.odd ? Math.max(0, w.leader()) : (w.leader() + 1) % NODES;
         List<SimWorker> zone =
@@ -354,8 +354,8 @@
 
       private void separate(Day d, int inside, List<SimWorker> zone, boolean now) {
         String node = "n" + inside;
-        d.w.network.hold(node, World.STATE, now);
-        d.w.network.hold(node, World.CLOUD, now);
+        d.w.network.hold(node, SimulatedCluster.STATE, now);
+        d.w.network.hold(node, SimulatedCluster.CLOUD, now);
         for (int i = 0; i < NODES; i++) {
           if (i != inside) {
             d.w.network.hold(node, "n" + i, now);
@@ -371,7 +371,7 @@
     CONTROLLERS_HAND_OVER_AND_BACK_ALL_END_AND_ONE_RETURNS {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 2_500, 30, 4, 1, 30);
         d.at(29_000, () -> d.note("terms", w::terms));
         for (int i = 0; i < 4; i++) {
@@ -399,7 +399,7 @@
         d.cameAbout("one returned and led alone", () -> d.noted("alone") == 1);
       }
 
-      private boolean aloneAlive(World w) {
+      private boolean aloneAlive(SimulatedCluster w) {
         int alive = 0;
         for (int i = 0; i < NODES; i++) {
           alive += w.alive(i) ? 1 : 0;
@@ -411,7 +411,7 @@
     A_LEADER_IS_CUT_FROM_STATE_AND_OTHERS_BUT_NOT_FROM_WORKERS_OR_USERS {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 1_000, 14, 3, 1, 250);
         d.at(50_000, () -> cut(d));
         d.overMs = 50_000 + d.cancelMs + 22_000;
@@ -420,10 +420,11 @@
       }
 
       private void cut(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         int old = Math.max(0, w.leader());
         long lasting = d.cancelMs + 12_000;
-        w.nodeCut(old, d.odd ? World.CutMode.HOLD : World.CutMode.REFUSE, lasting);
+        w.nodeCut(
+            old, d.odd ? SimulatedCluster.CutMode.HOLD : SimulatedCluster.CutMode.REFUSE, lasting);
         // Beside, some of the machines have no way to the others: nobody tells them of a new one.
         List<SimWorker> busy = d.busy();
         List<SimWorker> stay = busy.subList(0, busy.size() / 2 + 1);
@@ -462,7 +463,7 @@
         }
       }
 
-      private int nextLeader(World w, int old) {
+      private int nextLeader(SimulatedCluster w, int old) {
         for (int i = 0; i < NODES; i++) {
           if (i != old && w.leads(i)) {
             return i;
@@ -475,7 +476,7 @@
     JOBS_BOUND_TO_A_ZONE_LOSE_MACHINES {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         List<String> bound = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
           int n = i;
@@ -524,7 +525,7 @@
     A_LEADER_ENDS_WHILE_LONG_TASKS_CANT_BE_REACHED_OR_DONT_HEAR {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 1_000, 8, 1, 4, 250);
         d.at(50_000, () -> part(d));
         d.overMs = 50_000 + d.cancelMs + 25_000;
@@ -535,7 +536,7 @@
       }
 
       private void part(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         int old = Math.max(0, w.leader());
         List<SimWorker> busy = d.busy();
         List<SimWorker> unreached = busy.subList(0, busy.size() / 2);
@@ -547,7 +548,7 @@
         long lasting = d.cancelMs + 12_000;
         if (d.odd) {
           // The old leader goes on answering them as long as it may: none but it reaches them.
-          w.nodeCut(old, World.CutMode.REFUSE, lasting);
+          w.nodeCut(old, SimulatedCluster.CutMode.REFUSE, lasting);
           unreached.forEach(x -> d.reachesOnly(x, old, true));
           d.keepFrom(old, unreached, lasting);
           w.clock.at(lasting, () -> unreached.forEach(x -> d.reachesOnly(x, old, false)));
@@ -564,7 +565,7 @@
     A_TEAM_AT_ITS_LIMIT_A_CHANGE_MACHINES_UNASKED_AND_A_CANCELLATION {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         for (int i = 0; i < 4; i++) {
           d.at(3_000 + i * 300, () -> w.user(d.job("red", 1, 4, 260)));
         }
@@ -589,7 +590,7 @@
       }
 
       private void unasked(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.note("red", () -> Math.round(w.checker.coresInUse("red")));
         d.note("terms", w::terms);
         List<SimWorker> busy = d.busy();
@@ -614,7 +615,7 @@
     EVERY_TEAM_AT_ITS_LIMIT_CANCELLED_JOBS_CUT_OR_HUNG_AND_A_CHANGE {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 300, 8, 1, 4, 260);
         d.jobs(44_000, 300, 8, 1, 4, 20);
         d.at(50_000, () -> cancelled(d));
@@ -626,7 +627,7 @@
       }
 
       private void cancelled(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.note("red", () -> Math.round(w.checker.coresInUse("red")));
         d.note("blue", () -> Math.round(w.checker.coresInUse("blue")));
         d.note("terms", w::terms);
@@ -652,7 +653,7 @@
     NEW_MACHINES_GET_WORK_AT_ONCE_WHILE_WRITES_LAG_AND_THE_LEADER_ENDS {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         w.cloud.boots("small", 0.2);
         w.cloud.boots("large", 0.2);
         w.network.lateWrites(0.45, false);
@@ -668,7 +669,7 @@
       }
 
       private void burst(Day d, long atMs, int tasks) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         Set<String> before = new HashSet<>();
         d.at(
             atMs,
@@ -696,7 +697,7 @@
     AN_OLD_REPORT_COMES_JUST_AS_A_LEADER_BEGINS {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 1_500, 60, 3, 1, 18);
         d.at(15_000, () -> w.network.lateReports(0.5, true));
         d.at(29_000, () -> d.note("terms", w::terms));
@@ -714,7 +715,7 @@
     A_REPORT_IS_HELD_BACK_UNTIL_A_NEW_LEADER_HAS_ACTED {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 1_500, 16, 3, 1, 35);
         d.jobs(46_000, 1_000, 40, 2, 1, 30);
         d.at(45_000, () -> holdBack(d));
@@ -726,7 +727,7 @@
       }
 
       private void holdBack(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         List<SimWorker> busy = d.busy();
         List<SimWorker> some = busy.subList(0, busy.size() / 2 + 1);
         some.forEach(x -> d.cutOff(x, true));
@@ -757,7 +758,7 @@
     ALL_CONTROLLERS_ARE_AWAY_LONGER_THAN_A_LEASE {
       @Override
       void play(Day d) {
-        World w = d.w;
+        SimulatedCluster w = d.w;
         d.jobs(3_000, 1_000, 14, 3, 1, 120);
         Map<SimWorker, Long> sessions = new HashMap<>();
         long awayMs = d.leaseMs + 3_000 + d.r.nextInt(9_000);
@@ -843,7 +844,7 @@
   @MethodSource("deployments")
   void anAttemptThatGoesOnAfterItsTaskIsDoneCountsForTheNextLeader(String deployment, long seed) {
     Day d = new Day(seed, TIMINGS.get(deployment), 16);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     int tasks = d.odd ? 1 : 2;
     JobSpec job = d.job("red", tasks, 4, 70);
     d.at(3_000, () -> w.user(job));
@@ -884,7 +885,7 @@
     assertTrue(w.checker.isDone(job.uid()));
   }
 
-  private static List<SimWorker> machinesOf(World w, String uid) {
+  private static List<SimWorker> machinesOf(SimulatedCluster w, String uid) {
     List<String> hosts = w.checker.hostsOf(uid);
     return w.cloud.workers().stream().filter(x -> hosts.contains(x.host())).toList();
   }
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -223,7 +223,7 @@
   }
 
   /** A leader of this version. */
-  private final class Leader implements ProgressWriter.Listener {
+  private final class WritingLeader implements ProgressWriter.Listener {
     private final SimClock.Process p = clock.new Process(0, 1, 0);
     private final Line line;
     private final ProgressWriter writer;
@@ -231,7 +231,7 @@
     private final Map<String, Machine> hosts = new HashMap<>();
     private boolean deposed;
 
-    Leader(Settings.StateLimits limits, boolean bounded) {
+    WritingLeader(Settings.StateLimits limits, boolean bounded) {
       long stamp = newTerm();
       line = new Line(p, bounded);
       Replica replica = new Replica(p, line, Keys.PREFIX, 700);
@@ -451,7 +451,7 @@
         productionLeads(150 + random.nextInt(500));
         continue;
       }
-      Leader leader = new Leader(LOW, true);
+      WritingLeader leader = new WritingLeader(LOW, true);
       faults = random.nextInt(3) * 0.1;
       int steps = 500 + random.nextInt(3_000);
       for (int i = 0; i < steps; i++) {
@@ -475,11 +475,11 @@
   @ValueSource(longs = {1, 2, 3})
   void controllersGoOnWhenTheLimitsFall(long seed) {
     Settings.StateLimits next = new Settings.StateLimits(80, 20, 2, 4);
-    World.Site small = World.Site.small(3, 30, List.of("a", "b"));
-    World w =
-        new World(
+    SimulatedCluster.Site small = SimulatedCluster.Site.small(3, 30, List.of("a", "b"));
+    SimulatedCluster w =
+        new SimulatedCluster(
             seed,
-            new World.Site(
+            new SimulatedCluster.Site(
                 small.nodes(),
                 small.capacity(),
                 small.zones(),
@@ -541,7 +541,7 @@
     jobs.get(other).may.get(255).set(0, PlainProgress.WAITING);
     state.limits(LOW);
     for (int term = 0; term < 16; term++) {
-      Leader leader = new Leader(LOW, true);
+      WritingLeader leader = new WritingLeader(LOW, true);
       // The first ones end between two of the writes that it takes.
       for (int i = 0; i < (term < 12 ? 1 : 100); i++) {
         leader.step(true);
@@ -558,7 +558,7 @@
   @Test
   void aWriteThatIsRefusedForItsSizeIsMadeSmallerUntilOneIsTaken() {
     state.limits(LOW);
-    Leader leader = new Leader(OLD, false);
+    WritingLeader leader = new WritingLeader(OLD, false);
     for (int i = 0; i < 12; i++) {
       leader.add(accept(ProgressRecord.chunkFor(OLD.valueBytes())));
     }
--- a/src/test/java/org/ploverspindle/sim/PipelineDoorTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineDoorTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.state.AwaitsRecord;
+import org.ploverspindle.state.DependenciesRecord;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.SpecRecord;
 import org.ploverspindle.state.StateStore.Change;
@@ -27,13 +27,13 @@
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(200, 60, 8, 12);
   private static final Settings.StateLimits LOWEST = new Settings.StateLimits(60, 20, 2, 4);
 
-  private final Doors doors = new Doors(1, 2, LIMITS);
+  private final UserApiCluster doors = new UserApiCluster(1, 2, LIMITS);
 
-  private static void assertHeard(int status, String state, Doors.Heard heard) {
+  private static void assertHeard(int status, String state, UserApiCluster.Heard heard) {
     assertEquals(status + " " + state, heard.status() + " " + heard.state());
   }
 
-  private Doors.Heard submitRaw(int node, ObjectNode body) {
+  private UserApiCluster.Heard submitRaw(int node, ObjectNode body) {
     return doors.wait(
         then -> doors.nodes.get(node).intake.submit(Cbor.write(body), doors.heard(then)));
   }
@@ -41,7 +41,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"absent", "null", "[]"})
   void noneIsAwaitedAndNothingNewIsStored(String none) throws Exception {
-    ObjectNode body = Doors.body("run-1", List.of());
+    ObjectNode body = UserApiCluster.body("run-1", List.of());
     if (!none.equals("absent")) {
       body.set("awaits", new ObjectMapper().readTree(none));
     }
@@ -56,7 +56,7 @@
   @ValueSource(strings = {"\"run-1\"", "{\"run-1\":1}", "[7]", "[\"Run-1\"]", "[\"run-1\",null]"})
   void whatIsNoListOfIdsIsMalformedUnlessTheJobIsKnown(String awaits) throws Exception {
     assertHeard(201, "queued", doors.submit(0, "run-1", List.of()));
-    ObjectNode body = Doors.body("run-2", List.of());
+    ObjectNode body = UserApiCluster.body("run-2", List.of());
     body.set("awaits", new ObjectMapper().readTree(awaits));
     assertEquals(400, submitRaw(0, body).status());
     body.put("uid", "run-1");
@@ -82,17 +82,17 @@
   void acceptanceIsAtOnceWhereTheCopyShowsThoseAwaited() {
     doors.submit(0, "run-1", List.of());
     doors.pass(1_000);
-    Doors.Heard heard = doors.submit(1, "run-2", List.of("run-1"));
+    UserApiCluster.Heard heard = doors.submit(1, "run-2", List.of("run-1"));
     assertEquals(201, heard.status());
     assertTrue(heard.tookMs() < 40, "after " + heard.tookMs() + " ms");
   }
 
   @Test
   void withoutAFreshReadNothingIsRefused() {
-    Doors.Node cut = doors.nodes.get(1);
+    UserApiCluster.Node cut = doors.nodes.get(1);
     cut.cut = true;
     doors.submit(0, "run-1", List.of());
-    Doors.Heard first = doors.submit(1, "run-2", List.of("run-1"));
+    UserApiCluster.Heard first = doors.submit(1, "run-2", List.of("run-1"));
     assertEquals(503, first.status(), "the copy may lag");
     assertTrue(first.tookMs() <= 1_400, "after " + first.tookMs() + " ms");
     doors.pass(5_000);
@@ -105,7 +105,7 @@
 
   @Test
   void aServiceIsNeverDoneAndIsNotAwaited() {
-    ObjectNode service = Doors.body("run-1", List.of());
+    ObjectNode service = UserApiCluster.body("run-1", List.of());
     service.put("shape", "daemon").put("expected_s", 0.0);
     assertHeard(201, "queued", submitRaw(0, service));
     assertEquals(422, doors.submit(1, "run-2", List.of("run-1")).status());
@@ -150,16 +150,16 @@
       awaits.add(uid(i));
     }
     doors.pass(1_000);
-    List<Doors.Heard> withdrawn = new ArrayList<>();
+    List<UserApiCluster.Heard> withdrawn = new ArrayList<>();
     doors.withdraw(0, uid(0), withdrawn::add);
     // The barrier before the cancellation may take as long as the reads are apart.
     while (doors.written.stream().noneMatch(k -> k.startsWith(Keys.CANCELS))) {
       doors.pass(1);
     }
     doors.pass(laterMs);
-    Doors.Heard submitted = doors.submit(1, "run-50", awaits);
+    UserApiCluster.Heard submitted = doors.submit(1, "run-50", awaits);
     assertHeard(201, "aborted", submitted);
-    assertEquals(List.of(200), withdrawn.stream().map(Doors.Heard::status).toList());
+    assertEquals(List.of(200), withdrawn.stream().map(UserApiCluster.Heard::status).toList());
     assertHeard(200, "aborted", doors.poll(0, "run-50"));
     assertHeard(200, "aborted", doors.poll(1, "run-50"));
   }
@@ -179,7 +179,7 @@
     assertHeard(200, "aborted", doors.poll(0, "run-50"));
     assertFalse(doors.nodes.get(1).specs.get("run-50").isPresent(), "it lags");
     doors.nodes.get(1).cut = false;
-    Doors.Heard repeat = doors.submit(1, "run-50", awaits);
+    UserApiCluster.Heard repeat = doors.submit(1, "run-50", awaits);
     assertEquals("aborted", repeat.state());
   }
 
@@ -248,13 +248,13 @@
   }
 
   /** Jobs accepted long ago, as many in a record as fit. */
-  private static List<String> accepted(Doors doors, int count) {
+  private static List<String> accepted(UserApiCluster doors, int count) {
     List<String> uids = new ArrayList<>();
     ObjectNode batch = Cbor.map();
     for (int i = 0; i < count; i++) {
       String uid = "a-" + (1_000 + i);
       uids.add(uid);
-      batch.set(uid, new SpecRecord(Doors.job(uid, List.of()), 1, 20).encode());
+      batch.set(uid, new SpecRecord(UserApiCluster.job(uid, List.of()), 1, 20).encode());
       if (i + 1 == count || Cbor.jsonSize(batch) > 1_500) {
         Change put = new Change.Put(Keys.batch("old-" + i), batch.deepCopy());
         while (!(doors.applied(new Txn(List.of(), List.of(put))) instanceof TxnResult.Committed)) {
@@ -267,13 +267,13 @@
     return uids;
   }
 
-  private static long parts(Doors doors) {
+  private static long parts(UserApiCluster doors) {
     return doors.written.stream().filter(k -> k.startsWith(Keys.AWAITS)).count();
   }
 
   /** A user's tries, each at another node, a second after the last was answered. */
-  private static Doors.Heard tryOn(Doors doors, String uid, List<String> awaits) {
-    Doors.Heard heard = new Doors.Heard(0, "", 0);
+  private static UserApiCluster.Heard tryOn(UserApiCluster doors, String uid, List<String> awaits) {
+    UserApiCluster.Heard heard = new UserApiCluster.Heard(0, "", 0);
     for (int i = 0; i < 12 && heard.status() != 201 && heard.status() != 200; i++) {
       heard = doors.submit(i % doors.nodes.size(), uid, awaits);
       assertTrue(heard.tookMs() < 5_000, "answered after " + heard.tookMs() + " ms");
@@ -286,14 +286,14 @@
   @ParameterizedTest
   @CsvSource({"0.0,1", "0.15,2", "0.15,3", "0.3,4", "0.3,5"})
   void aListAsLongAsARequestMayBeIsStoredWithinTheLowestLimits(double loss, long seed) {
-    Doors lowest = new Doors(seed, 2, LOWEST);
+    UserApiCluster lowest = new UserApiCluster(seed, 2, LOWEST);
     List<String> awaits = accepted(lowest, 8_500);
-    ObjectNode body = Doors.body("run-1", awaits);
+    ObjectNode body = UserApiCluster.body("run-1", awaits);
     int size = Cbor.write(body).length;
     assertTrue(size > 58_000 && size <= 64 * 1024, "a request of " + size);
     lowest.lossShare = loss;
     int before = lowest.changes;
-    Doors.Heard heard = tryOn(lowest, "run-1", awaits);
+    UserApiCluster.Heard heard = tryOn(lowest, "run-1", awaits);
     assertTrue(heard.status() == 201 || heard.status() == 200, "" + heard);
     assertEquals("queued", heard.state());
     lowest.lossShare = 0;
@@ -303,7 +303,7 @@
     assertTrue(lowest.changes - before <= parts + 3, "no part is written twice");
     lowest.restart(0);
     lowest.pass(5_000);
-    for (Doors.Node node : lowest.nodes) {
+    for (UserApiCluster.Node node : lowest.nodes) {
       assertEquals(awaits, node.pipelines.graph().dependenciesOf("run-1"));
       assertFalse(node.pipelines.graph().isReady("run-1"));
     }
@@ -314,11 +314,11 @@
 
   @Test
   void oneLongListDoesNotHoldUpOtherSubmissions() {
-    Doors lowest = new Doors(9, 2, LOWEST);
+    UserApiCluster lowest = new UserApiCluster(9, 2, LOWEST);
     List<String> awaits = accepted(lowest, 8_500);
     lowest.submit(0, "run-1", awaits, h -> {});
     for (int i = 2; i < 12; i++) {
-      Doors.Heard heard = lowest.submit(0, uid(i), List.of());
+      UserApiCluster.Heard heard = lowest.submit(0, uid(i), List.of());
       assertEquals(201, heard.status());
       assertTrue(heard.tookMs() < 400, heard.tookMs() + " ms");
       lowest.pass(300);
@@ -328,10 +328,10 @@
   @Test
   void aJobThatIsReadBeforeItsListIsNeitherReadyNorAborted() {
     List<String> awaits = accepted(doors, 8_500);
-    AwaitsRecord list = AwaitsRecord.split("run-1", awaits, LIMITS.valueBytes());
+    DependenciesRecord list = DependenciesRecord.split("run-1", awaits, LIMITS.valueBytes());
     assertTrue(list.parts().size() > 5);
     doors.restart(0);
-    Doors.Node loading = doors.nodes.get(0);
+    UserApiCluster.Node loading = doors.nodes.get(0);
     while (loading.replica.under(Keys.PREFIX).isEmpty()) {
       doors.pass(1);
     }
@@ -341,7 +341,7 @@
       doors.applied(new Txn(List.of(), List.of(part)));
     }
     ObjectNode job = Cbor.map();
-    job.set("run-1", new SpecRecord(Doors.job("run-1", List.of()), 1, 20).encode(list));
+    job.set("run-1", new SpecRecord(UserApiCluster.job("run-1", List.of()), 1, 20).encode(list));
     doors.applied(new Txn(List.of(), List.of(new Change.Put(Keys.batch("zz"), job))));
     int unread = 0;
     for (int i = 0; i < 2_000; i++) {
@@ -364,13 +364,14 @@
     for (String record : List.of("z 1", "a 2")) {
       ObjectNode jobs = Cbor.map();
       String awaited = uid(record.charAt(2) - '0');
-      jobs.set("run-7", new SpecRecord(Doors.job("run-7", List.of(awaited)), 1, 20).encode());
+      jobs.set(
+          "run-7", new SpecRecord(UserApiCluster.job("run-7", List.of(awaited)), 1, 20).encode());
       Change put = new Change.Put(Keys.batch(record.substring(0, 1)), jobs);
       doors.applied(new Txn(List.of(), List.of(put)));
     }
     doors.restart(0);
     doors.pass(3_000);
-    for (Doors.Node node : doors.nodes) {
+    for (UserApiCluster.Node node : doors.nodes) {
       assertEquals(List.of(uid(1)), node.pipelines.graph().dependenciesOf("run-7"));
     }
   }
--- a/src/test/java/org/ploverspindle/sim/PipelineTroublesTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
@@ -25,19 +25,19 @@
  * Pipelines of all forms among other jobs, cancelled at any place, while pairs of all troubles
  * overlap and the state service lowers its limits. A seed that ever failed stays here by name.
  */
-class PipelineTroublesTest {
+class PipelineFaultsTest {
   private static final int NODES = 3;
   private static final Settings.StateLimits NEXT = new Settings.StateLimits(200, 15, 2, 4);
 
-  private static World.Site site(Settings.StateLimits now) {
-    World.Site s = World.Site.small(NODES, 14, List.of("a", "b"));
-    return new World.Site(
+  private static SimulatedCluster.Site site(Settings.StateLimits now) {
+    SimulatedCluster.Site s = SimulatedCluster.Site.small(NODES, 14, List.of("a", "b"));
+    return new SimulatedCluster.Site(
         s.nodes(), s.capacity(), s.zones(), s.workers(), now, s.cloud(), s.teams(), s.policy());
   }
 
   /** A day, and what came about in it. */
   static final class Day {
-    final World w;
+    final SimulatedCluster w;
     private final Random r;
     private final List<String> steps = new ArrayList<>();
     private final List<String> lasts = new ArrayList<>();
@@ -47,7 +47,9 @@
     private int outagesAfterTheWord;
 
     private Day(long seed) {
-      w = new World(seed, site(new Settings.StateLimits(200, 60, 8, 12, Optional.of(NEXT))));
+      w =
+          new SimulatedCluster(
+              seed, site(new Settings.StateLimits(200, 60, 8, 12, Optional.of(NEXT))));
       r = new Random(seed * 31 + 7);
       for (int i = 0; i < 24; i++) {
         w.clock.at(3_000 + r.nextInt(150_000), this::ordinary);
@@ -55,7 +57,7 @@
       for (int i = 0; i < 14; i++) {
         w.clock.at(3_000 + r.nextInt(120_000), this::pipeline);
       }
-      Troubles[] all = Troubles.values();
+      Faults[] all = Faults.values();
       for (int i = 0; i < 7; i++) {
         RulesTest.playPair(
             w,
@@ -303,7 +305,7 @@
   // ---- a thousand
 
   /** At every node the word on all of them, put and answered at this moment. */
-  private static void assertAllAborted(World w, List<String> uids, String when) {
+  private static void assertAllAborted(SimulatedCluster w, List<String> uids, String when) {
     List<String> wrong = new ArrayList<>();
     int[] heard = {0};
     for (int i = 0; i < NODES; i++) {
@@ -330,7 +332,7 @@
   @CsvSource({"WIDE,false", "WIDE,true", "DEEP,false", "DEEP,true"})
   void aThousandJobsAreAbortedWithTheFirst(String form, boolean outAndNewLeader) {
     Settings.StateLimits wide = new Settings.StateLimits(2_000, 900, 2, 4);
-    World w = new World(21, site(wide));
+    SimulatedCluster w = new SimulatedCluster(21, site(wide));
     JobSpec first = Specs.batch(w.newUid(), "first", "blue", Urgency.NORMAL, 2, 1, 0.1, 9_000, 0);
     w.clock.at(3_000, () -> w.user(first));
     w.clock.runUntil(6_000);
--- a/src/test/java/org/ploverspindle/sim/PipelineTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineTest.java
@@ -29,7 +29,7 @@
   private static final double REPORT_S = 1.5;
 
   private static JobSpec step(
-      World w,
+      SimulatedCluster w,
       Urgency urgency,
       int tasks,
       double cores,
@@ -42,7 +42,7 @@
 
   // ---- random pipelines under random troubles
 
-  private static JobSpec random(World w, Random r, List<String> awaits) {
+  private static JobSpec random(SimulatedCluster w, Random r, List<String> awaits) {
     boolean saves = r.nextInt(3) == 0;
     JobSpec spec =
         new JobSpec(
@@ -71,7 +71,8 @@
   }
 
   /** One after another, each as soon as all before are accepted, or the last once they are over. */
-  private static void submit(World w, Random r, List<String> before, int left, boolean lastLate) {
+  private static void submit(
+      SimulatedCluster w, Random r, List<String> before, int left, boolean lastLate) {
     boolean accepted = before.stream().allMatch(w.checker::isAccepted);
     boolean over = before.stream().noneMatch(u -> w.checker.finalWord(u).isEmpty());
     if (!accepted || left == 1 && lastLate && !over) {
@@ -96,7 +97,7 @@
     }
   }
 
-  private static void trouble(World w) {
+  private static void trouble(SimulatedCluster w) {
     Random r = w.random;
     int node = r.nextInt(NODES);
     long forMs = 1_000 + r.nextInt(20_000);
@@ -113,8 +114,8 @@
         w.clock.at(forMs, () -> w.state.outage(false));
       }
       case 4 -> {
-        w.network.cut("n" + node, World.STATE, true);
-        w.clock.at(forMs, () -> w.network.cut("n" + node, World.STATE, false));
+        w.network.cut("n" + node, SimulatedCluster.STATE, true);
+        w.clock.at(forMs, () -> w.network.cut("n" + node, SimulatedCluster.STATE, false));
       }
       case 5 -> {
         List<SimWorker> all = w.cloud.workers();
@@ -133,8 +134,8 @@
     }
   }
 
-  private static World play(long seed, int troubles) {
-    World w = new World(seed, NODES, 14, List.of("a", "b"));
+  private static SimulatedCluster play(long seed, int troubles) {
+    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a", "b"));
     Random r = new Random(seed * 31 + 7);
     for (int i = 0; i < 14; i++) {
       int steps = 2 + r.nextInt(5);
@@ -153,7 +154,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 291})
   void rulesHoldForPipelinesUnderRandomTroubles(long seed) {
-    World w = play(seed, 12);
+    SimulatedCluster w = play(seed, 12);
     assertEquals(List.of(), w.checker.broken(), "seed " + seed);
     assertTrue(w.checker.starts() > 60, "seed " + seed + ": " + w.checker.starts() + " starts");
     assertEquals(0, w.checker.neverBegun(), "seed " + seed + ": jobs that were ready never began");
@@ -162,8 +163,8 @@
   // ---- one deadline
 
   /** Two machines, and normal work that keeps them busy for minutes. */
-  private static World busy() {
-    World w = new World(3, NODES, 2, List.of("a"));
+  private static SimulatedCluster busy() {
+    SimulatedCluster w = new SimulatedCluster(3, NODES, 2, List.of("a"));
     for (int i = 0; i < 60; i++) {
       w.clock.at(3_000, () -> w.user(step(w, Urgency.NORMAL, 4, 4, 20, 0)));
     }
@@ -172,13 +173,13 @@
 
   @Test
   void aFirstStepRunsBeforeOtherWorkForTheSakeOfTheLast() {
-    World alone = busy();
+    SimulatedCluster alone = busy();
     JobSpec index = step(alone, Urgency.BEST_EFFORT, 4, 4, 10, 0);
     alone.clock.at(60_000, () -> alone.user(index));
     alone.clock.runUntil(140_000);
     assertEquals(-1, alone.checker.begunMs(index.uid()), "without a last job it waits");
 
-    World w = busy();
+    SimulatedCluster w = busy();
     JobSpec first = step(w, Urgency.BEST_EFFORT, 4, 4, 10, 0);
     JobSpec last = step(w, Urgency.HIGH, 1, 1, 5, 60, first.uid());
     w.clock.at(60_000, () -> w.user(first));
@@ -194,7 +195,7 @@
 
   @Test
   void itNoLongerDoesOnceTheLastIsCancelled() {
-    World w = busy();
+    SimulatedCluster w = busy();
     JobSpec first = step(w, Urgency.BEST_EFFORT, 80, 4, 10, 0);
     JobSpec last = step(w, Urgency.HIGH, 1, 1, 5, 600, first.uid());
     w.clock.at(60_000, () -> w.user(first));
@@ -215,7 +216,7 @@
 
   @Test
   void theNextStepStartsWithinAReportsTime() {
-    World w = new World(8, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(8, NODES, 14, List.of("a"));
     List<JobSpec> steps = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       String[] before = i == 0 ? new String[0] : new String[] {steps.get(i - 1).uid()};
@@ -234,7 +235,7 @@
 
   @Test
   void theNextStepWaitsForNoReadOfTheState() {
-    World w = new World(8, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(8, NODES, 14, List.of("a"));
     JobSpec first = step(w, Urgency.NORMAL, 1, 1, 20, 0);
     JobSpec second = step(w, Urgency.NORMAL, 1, 1, 5, 0, first.uid());
     w.clock.at(3_000, () -> w.user(first));
@@ -244,7 +245,7 @@
       w.clock.runUntil(w.clock.nowMs() + 100);
     }
     w.clock.runUntil(w.checker.begunMs(first.uid()) + 19_800);
-    w.refuse(w.leader(), World.Refusal.READS, true);
+    w.refuse(w.leader(), SimulatedCluster.Refusal.READS, true);
     w.clock.runUntil(w.clock.nowMs() + 9_000);
     long gapMs = w.checker.begunMs(second.uid()) - w.checker.doneMs(first.uid());
     assertTrue(gapMs > 0 && gapMs < REPORT_S * 1_000 + 2_200, gapMs + " ms");
@@ -255,7 +256,7 @@
 
   @Test
   void whatWaitsForOthersHoldsNothingAndIsNoDemand() {
-    World w = new World(9, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(9, NODES, 14, List.of("a"));
     JobSpec first = step(w, Urgency.NORMAL, 1, 1, 120, 0);
     // Team red may use 24 cores, and 8 are guaranteed.
     JobSpec waits =
@@ -281,7 +282,7 @@
 
   @Test
   void readinessIsWorkedOutAgainByEachNewLeader() {
-    World w = new World(10, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(10, NODES, 14, List.of("a"));
     JobSpec first = step(w, Urgency.NORMAL, 2, 1, 25, 0);
     JobSpec second = step(w, Urgency.NORMAL, 2, 1, 25, 0, first.uid());
     JobSpec third = step(w, Urgency.HIGH, 2, 1, 5, 0, first.uid(), second.uid());
@@ -299,7 +300,7 @@
   /** Records say that a task is out whose job awaits others: it counts, and none is started. */
   @Test
   void afterRecordsThatCannotBeNothingNewOfTheJobStarts() {
-    World w = new World(11, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(11, NODES, 14, List.of("a"));
     JobSpec first = step(w, Urgency.NORMAL, 2, 1, 60, 0);
     JobSpec second = step(w, Urgency.HIGH, 3, 1, 5, 0, first.uid());
     w.clock.at(3_000, () -> w.user(first));
@@ -327,7 +328,7 @@
   /** Were it done by such records, it would still be aborted with what it awaits. */
   @Test
   void whatAwaitsOthersIsNotDoneBeforeThem() {
-    World w = new World(12, NODES, 14, List.of("a"));
+    SimulatedCluster w = new SimulatedCluster(12, NODES, 14, List.of("a"));
     JobSpec first = step(w, Urgency.NORMAL, 2, 1, 90, 0);
     JobSpec second = step(w, Urgency.HIGH, 3, 1, 5, 0, first.uid());
     w.clock.at(3_000, () -> w.user(first));
--- a/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
@@ -27,7 +27,7 @@
  */
 class PipelineUsersTest {
   private static final class Users {
-    private final Doors doors;
+    private final UserApiCluster doors;
     private final Random random;
     private final Map<String, List<String>> lists = new LinkedHashMap<>();
     private final Map<String, Long> acceptedMs = new HashMap<>();
@@ -38,7 +38,7 @@
     private int heard;
 
     Users(long seed) {
-      doors = new Doors(seed, 3, new Settings.StateLimits(60, 20, 2, 4));
+      doors = new UserApiCluster(seed, 3, new Settings.StateLimits(60, 20, 2, 4));
       random = doors.random;
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** Holds an answer against all that was told before its question was asked. */
-    private Consumer<Doors.Heard> told(String uid, boolean submission) {
+    private Consumer<UserApiCluster.Heard> told(String uid, boolean submission) {
       long askedMs = doors.clock.nowMs();
       return h -> {
         heard++;
@@ -169,7 +169,7 @@
           state = "aborted";
         }
         for (int i = 0; i < 3; i++) {
-          Doors.Heard h = doors.poll(i, uid);
+          UserApiCluster.Heard h = doors.poll(i, uid);
           boolean accepted = acceptedMs.containsKey(uid);
           assertTrue(h.status() == 200 || !accepted && h.status() == 404, uid + " " + h);
           if (h.status() == 200) {
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -217,7 +217,7 @@
         .path("records")
         .properties()
         .forEach(e -> forms(e.getKey(), e.getValue(), production));
-    World w = new World(11, 3, 14, List.of("a", "b"));
+    SimulatedCluster w = new SimulatedCluster(11, 3, 14, List.of("a", "b"));
     Random random = new Random(5);
     for (int i = 0; i < 250; i++) {
       w.clock.at(
--- a/src/test/java/org/ploverspindle/sim/Rate.java
+++ b/src/test/java/org/ploverspindle/sim/RateLimiter.java
@@ -1,7 +1,7 @@
 package org.ploverspindle.sim;
 
 /** A published limit on a rate: what it allows, what it refused, and the most asked in a second. */
-final class Rate {
+final class RateLimiter {
   private final SimClock clock;
   private final double burstSeconds;
   private double perSecond;
@@ -15,7 +15,7 @@
   private long refused;
   private double amount;
 
-  Rate(SimClock clock, double perSecond, double burstSeconds) {
+  RateLimiter(SimClock clock, double perSecond, double burstSeconds) {
     this.clock = clock;
     this.perSecond = perSecond;
     this.burstSeconds = burstSeconds;
--- a/src/test/java/org/ploverspindle/sim/RulesSweep.java
+++ b/src/test/java/org/ploverspindle/sim/RulesSweep.java
@@ -15,10 +15,10 @@
   private static final int SEEDS = Integer.getInteger("seeds", 100);
   private static final int FIRST = Integer.getInteger("first", 1);
 
-  private static void sweep(int first, int seeds, LongFunction<World> play) {
+  private static void sweep(int first, int seeds, LongFunction<SimulatedCluster> play) {
     List<String> failed = new ArrayList<>();
     for (long seed = first; seed < first + seeds; seed++) {
-      World w = play.apply(seed);
+      SimulatedCluster w = play.apply(seed);
       if (!w.checker.broken().isEmpty()) {
         failed.add(seed + ": " + w.checker.broken().get(0));
       } else if (w.checker.neverBegun() > 0) {
@@ -40,13 +40,13 @@
 
   @Test
   void manySeedsOfPipelines() {
-    sweep(FIRST, SEEDS, seed -> PipelineTroublesTest.play(seed).w);
+    sweep(FIRST, SEEDS, seed -> PipelineFaultsTest.play(seed).w);
   }
 
   /** Each trouble with each, by its number: first, then second, with the seed given. */
   @Test
   void everyMeeting() {
-    Troubles[] all = Troubles.values();
+    Faults[] all = Faults.values();
     sweep(
         0,
         all.length * all.length,
--- a/src/test/java/org/ploverspindle/sim/RulesTest.java
+++ b/src/test/java/org/ploverspindle/sim/RulesTest.java
@@ -49,7 +49,7 @@
         List.of());
   }
 
-  private static void trouble(World w) {
+  private static void trouble(SimulatedCluster w) {
     Random r = w.random;
     int node = r.nextInt(NODES);
     long forMs = 1_000 + r.nextInt(30_000);
@@ -68,10 +68,10 @@
         w.cloud.outage(true);
         w.clock.at(forMs, () -> w.cloud.outage(false));
       }
-      case 4 -> cutFor(w, "n" + node, World.STATE, forMs);
+      case 4 -> cutFor(w, "n" + node, SimulatedCluster.STATE, forMs);
       case 5 -> w.cloud.workers().forEach(x -> cutFor(w, "n" + node, x.host(), forMs));
       case 6 -> {
-        cutFor(w, "n" + node, World.STATE, forMs);
+        cutFor(w, "n" + node, SimulatedCluster.STATE, forMs);
         w.cloud.workers().stream()
             .filter(x -> r.nextBoolean())
             .forEach(x -> cutFor(w, "n" + node, x.host(), forMs));
@@ -115,7 +115,7 @@
         w.clock.at(forMs, () -> w.network.copyShare(0));
       }
       case 12 -> {
-        cutFor(w, "n" + node, World.STATE, forMs);
+        cutFor(w, "n" + node, SimulatedCluster.STATE, forMs);
         for (int i = 0; i < NODES; i++) {
           cutFor(w, "n" + node, "n" + i, forMs);
         }
@@ -137,13 +137,13 @@
     }
   }
 
-  private static void cutFor(World w, String a, String b, long forMs) {
+  private static void cutFor(SimulatedCluster w, String a, String b, long forMs) {
     w.network.cut(a, b, true);
     w.clock.at(forMs, () -> w.network.cut(a, b, false));
   }
 
-  static World play(long seed, int troubles) {
-    World w = new World(seed, NODES, 14, List.of("a", "b"));
+  static SimulatedCluster play(long seed, int troubles) {
+    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a", "b"));
     Random r = new Random(seed * 31 + 7);
     submitJobs(w, r);
     for (int i = 0; i < troubles; i++) {
@@ -153,11 +153,11 @@
   }
 
   /** Each pair overlaps: the second trouble begins while the first one lasts. */
-  static World playPairs(long seed, int pairs) {
-    World w = new World(seed, NODES, 14, List.of("a", "b"));
+  static SimulatedCluster playPairs(long seed, int pairs) {
+    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a", "b"));
     Random r = new Random(seed * 31 + 7);
     submitJobs(w, r);
-    Troubles[] all = Troubles.values();
+    Faults[] all = Faults.values();
     for (int i = 0; i < pairs; i++) {
       playPair(
           w,
@@ -170,8 +170,8 @@
   }
 
   /** The two meet several times, in either order. */
-  static World playMeeting(long seed, Troubles first, Troubles second) {
-    World w = new World(seed, NODES, 14, List.of("a", "b"));
+  static SimulatedCluster playMeeting(long seed, Faults first, Faults second) {
+    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a", "b"));
     Random r = new Random(seed * 31 + 7);
     submitJobs(w, r);
     for (int i = 0; i < 5; i++) {
@@ -181,14 +181,14 @@
     return finish(w);
   }
 
-  static void playPair(World w, Random r, Troubles first, Troubles second, int atMs) {
+  static void playPair(SimulatedCluster w, Random r, Faults first, Faults second, int atMs) {
     int forMs = 1_000 + r.nextInt(30_000);
     int secondForMs = 1_000 + r.nextInt(30_000);
     w.clock.at(atMs, () -> first.begin(w, r, forMs));
     w.clock.at(atMs + r.nextInt(Math.min(forMs, 9_000)), () -> second.begin(w, r, secondForMs));
   }
 
-  private static void submitJobs(World w, Random r) {
+  private static void submitJobs(SimulatedCluster w, Random r) {
     for (int i = 0; i < 40; i++) {
       w.clock.at(
           3_000 + r.nextInt(150_000),
@@ -203,7 +203,7 @@
     w.clock.at(20_000, () -> w.poll("run-999999"));
   }
 
-  private static World finish(World w) {
+  private static SimulatedCluster finish(SimulatedCluster w) {
     w.clock.at(240_000, w::troublesAreOver);
     w.clock.runUntil(420_000);
     w.checker.endOfDay();
@@ -217,21 +217,21 @@
         1207
       })
   void rulesHoldUnderRandomTroubles(long seed) {
-    World w = play(seed, 14);
+    SimulatedCluster w = play(seed, 14);
     assertEquals(List.of(), w.checker.broken(), "seed " + seed);
     assertTrue(w.checker.starts() > 50, "seed " + seed + ": " + w.checker.starts() + " starts");
     assertEquals(0, w.checker.neverBegun(), "seed " + seed + ": accepted jobs never began");
   }
 
-  private static void assertRulesKept(World w, String what) {
+  private static void assertRulesKept(SimulatedCluster w, String what) {
     assertEquals(List.of(), w.checker.broken(), what);
     assertTrue(w.checker.starts() > 50, what + ": " + w.checker.starts() + " starts");
     assertEquals(0, w.checker.neverBegun(), what + ": accepted jobs never began");
   }
 
   @ParameterizedTest
-  @EnumSource(Troubles.class)
-  void rulesHoldUnderEachTrouble(Troubles trouble) {
+  @EnumSource(Faults.class)
+  void rulesHoldUnderEachTrouble(Faults trouble) {
     assertRulesKept(playMeeting(1, trouble, trouble), trouble.name());
   }
 
@@ -247,7 +247,7 @@
 
   @Test
   void anArrayOfTheLargestSizeIsTakenAndWorkedOn() {
-    World w = new World(5, NODES, 14, List.of("a", "b"));
+    SimulatedCluster w = new SimulatedCluster(5, NODES, 14, List.of("a", "b"));
     JobSpec big =
         new JobSpec(
             w.newUid(),
@@ -281,7 +281,7 @@
 
   @Test
   void aQuietDayIsServedWhole() {
-    World w = play(77, 0);
+    SimulatedCluster w = play(77, 0);
     assertEquals(List.of(), w.checker.broken());
     assertTrue(w.checker.jobsDone() >= 25, w.checker.jobsDone() + " jobs done");
   }
--- a/src/test/java/org/ploverspindle/sim/SimCloud.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloud.java
@@ -48,7 +48,7 @@
   private final List<MachineType> types;
   private final int capacity;
   private final long lagMs;
-  final Rate requests;
+  final RateLimiter requests;
   private final Function<Checker.Place, SimWorker> boot;
   private final Map<String, Rented> machines = new LinkedHashMap<>();
   private final Map<String, RentResult.Rented> claims = new HashMap<>();
@@ -71,7 +71,7 @@
     this.types = types;
     this.capacity = capacity;
     this.lagMs = Math.round(limits.listLagS() * 1000);
-    this.requests = new Rate(clock, limits.rps(), 2);
+    this.requests = new RateLimiter(clock, limits.rps(), 2);
     this.boot = boot;
     remember();
   }
--- a/src/test/java/org/ploverspindle/sim/SimState.java
+++ b/src/test/java/org/ploverspindle/sim/SimState.java
@@ -30,8 +30,8 @@
   private Settings.StateLimits limits;
   private boolean limitsFell;
   private int tooLarge;
-  final Rate requests;
-  final Rate changes;
+  final RateLimiter requests;
+  final RateLimiter changes;
   private final TreeMap<String, Kept> keys = new TreeMap<>();
   private final Map<Long, Long> holdEndsMs = new HashMap<>();
   private final Map<Long, Long> holdTtlMs = new HashMap<>();
@@ -44,8 +44,8 @@
   SimState(SimClock clock, Settings.StateLimits limits) {
     this.clock = clock;
     this.limits = limits;
-    this.requests = new Rate(clock, limits.rps(), 1);
-    this.changes = new Rate(clock, limits.writeRps(), 1);
+    this.requests = new RateLimiter(clock, limits.rps(), 1);
+    this.changes = new RateLimiter(clock, limits.writeRps(), 1);
   }
 
   /** To be run whenever a controller comes to lead, at the moment of the write that makes it so. */
--- a/src/test/java/org/ploverspindle/sim/World.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -35,10 +35,10 @@
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.workers.Order;
 import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.WorkerLine;
+import org.ploverspindle.workers.WorkerClient;
 
 /** Controllers as they really decide, among stand-ins for all else, in simulated time. */
-final class World {
+final class SimulatedCluster {
   static final String STATE = "state";
   static final String CLOUD = "cloud";
   private static final long STATE_TIMEOUT_MS = 2_500;
@@ -71,7 +71,7 @@
   private int oldReports;
   private double cancelAtEnd;
   private boolean closeLooks;
-  private final OddRequests odd;
+  private final InvalidRequests odd;
   private final Map<Integer, Long> carriedOut = new HashMap<>();
   private int overtakenWrites;
   private int copiesDelivered;
@@ -124,11 +124,11 @@
     }
   }
 
-  World(long seed, int nodes, int capacity, List<String> zones) {
+  SimulatedCluster(long seed, int nodes, int capacity, List<String> zones) {
     this(seed, Site.small(nodes, capacity, zones));
   }
 
-  World(long seed, Site site) {
+  SimulatedCluster(long seed, Site site) {
     List<String> zones = site.zones();
     int capacity = site.capacity();
     this.random = new Random(seed);
@@ -139,7 +139,7 @@
     this.network = new SimNetwork(clock, random);
     this.state = new SimState(clock, site.state());
     this.checker = new Checker(clock, settings);
-    this.odd = new OddRequests(this);
+    this.odd = new InvalidRequests(this);
     state.whenATermBegins(this::deliverKeptReports);
     checker.whenALastTaskEnds(this::lastTaskEnded);
     List<MachineType> types =
@@ -558,7 +558,7 @@
   }
 
   /** Direct commands: executed once, late, twice, or never, as the network has it. */
-  private final class DirectLine implements WorkerLine {
+  private final class DirectLine implements WorkerClient {
     private final int i;
     private final SimClock.Process p;
 
--- a/src/test/java/org/ploverspindle/sim/StandInsTest.java
+++ b/src/test/java/org/ploverspindle/sim/StandInsTest.java
@@ -17,7 +17,7 @@
 
 /** The stand-ins' troubles are what they are called: a trouble that does nothing tests nothing. */
 class StandInsTest {
-  private final World w = new World(1, 3, 14, List.of("a"));
+  private final SimulatedCluster w = new SimulatedCluster(1, 3, 14, List.of("a"));
 
   /** A job of one task, and the machine that it has been on for a moment. */
   private SimWorker machineOf(JobSpec spec) {
@@ -111,8 +111,8 @@
   }
 
   @ParameterizedTest
-  @EnumSource(World.CutMode.class)
-  void aLeaderCutFromStateAndPeersIsReplacedAndComesBack(World.CutMode mode) {
+  @EnumSource(SimulatedCluster.CutMode.class)
+  void aLeaderCutFromStateAndPeersIsReplacedAndComesBack(SimulatedCluster.CutMode mode) {
     run(20_000);
     int before = w.leader();
     w.nodeCut(before, mode, 20_000);
--- a/src/test/java/org/ploverspindle/sim/Doors.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -34,7 +34,7 @@
 import org.ploverspindle.state.TokenBucket;
 
 /** The users' side of several nodes over one state service; nobody leads. */
-final class Doors {
+final class UserApiCluster {
   private static final long TIMEOUT_MS = 2_500;
 
   /** One node's users' side. */
@@ -137,13 +137,13 @@
   double lossShare;
   int changes;
 
-  Doors(long seed, int count, Settings.StateLimits limits) {
+  UserApiCluster(long seed, int count, Settings.StateLimits limits) {
     random = new Random(seed);
-    World.Site small = World.Site.small(count, 10, List.of("a"));
+    SimulatedCluster.Site small = SimulatedCluster.Site.small(count, 10, List.of("a"));
     settings =
-        World.settings(
+        SimulatedCluster.settings(
             "n0",
-            new World.Site(
+            new SimulatedCluster.Site(
                 count,
                 10,
                 small.zones(),
@@ -238,7 +238,7 @@
   }
 
   static ObjectNode body(String uid, List<String> awaits) {
-    return Cbor.readMap(World.encode(job(uid, awaits))).orElseThrow();
+    return Cbor.readMap(SimulatedCluster.encode(job(uid, awaits))).orElseThrow();
   }
 
   void submit(int node, String uid, List<String> awaits, Consumer<Heard> then) {
--- a/src/test/java/org/ploverspindle/sim/UserMeetingsTest.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
@@ -25,7 +25,7 @@
  * Meetings of two troubles in which users ask, submit and cancel. Each seed plays one deployment's
  * report, lease and cancellation times, and each test also asserts that its meeting came about.
  */
-class UserMeetingsTest {
+class UserFaultsTest {
   private static final int NODES = 3;
   private static final int FROM_MS = 12_000;
 
@@ -44,7 +44,7 @@
 
   private final Random random = new Random(11);
   private final List<String> submitted = new ArrayList<>();
-  private World w;
+  private SimulatedCluster w;
 
   private void world(long seed, int capacity) {
     world(seed, capacity, 0);
@@ -52,9 +52,9 @@
 
   private void world(long seed, int capacity, double redCores) {
     w =
-        new World(
+        new SimulatedCluster(
             seed,
-            new World.Site(
+            new SimulatedCluster.Site(
                 NODES,
                 capacity,
                 List.of("a"),
@@ -250,11 +250,11 @@
 
   private void before(Before before) {
     if (before == Before.ANSWERS_SLOWLY) {
-      w.network.slow(World.STATE, 900);
-      w.clock.at(20_000, () -> w.network.slow(World.STATE, 0));
+      w.network.slow(SimulatedCluster.STATE, 900);
+      w.clock.at(20_000, () -> w.network.slow(SimulatedCluster.STATE, 0));
     } else {
       int leader = Math.max(0, w.leader());
-      for (World.Refusal kind : World.Refusal.values()) {
+      for (SimulatedCluster.Refusal kind : SimulatedCluster.Refusal.values()) {
         w.refuse(leader, kind, true);
         w.clock.at(20_000, () -> w.refuse(leader, kind, false));
       }
@@ -402,7 +402,7 @@
           () -> {
             int leader = Math.max(0, w.leader());
             if (cut) {
-              w.nodeCut(leader, World.CutMode.REFUSE, 20_000);
+              w.nodeCut(leader, SimulatedCluster.CutMode.REFUSE, 20_000);
             } else {
               w.crash(leader, 300);
             }
@@ -417,7 +417,7 @@
   /** The id counts, whatever else the body says, from the moment at which any node knows it. */
   private void submitAndRepeatWithMistakes() {
     String uid = submit("blue", Urgency.NORMAL, 1, 1, 6);
-    ObjectNode body = Cbor.readMap(World.encode(w.spec(uid))).orElseThrow();
+    ObjectNode body = Cbor.readMap(SimulatedCluster.encode(w.spec(uid))).orElseThrow();
     body.remove("cores");
     byte[] lacking = Cbor.write(body);
     for (int i = 0; i < 40; i++) {
--- a/src/test/java/org/ploverspindle/workers/BlameTest.java
+++ b/src/test/java/org/ploverspindle/workers/FailureDetectorTest.java
@@ -16,10 +16,11 @@
 import org.ploverspindle.jobs.Urgency;
 
 /** A machine is at fault when jobs that run elsewhere fail there; a job, when it runs nowhere. */
-class BlameTest {
+class FailureDetectorTest {
   private final Map<String, Job> jobs = new HashMap<>();
   private long now = 100_000;
-  private final Blame blame = new Blame(uid -> jobs.containsKey(uid) && jobs.get(uid).works(now));
+  private final FailureDetector blame =
+      new FailureDetector(uid -> jobs.containsKey(uid) && jobs.get(uid).works(now));
 
   private Job job(String uid) {
     Job job =
