--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -21,14 +21,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads: whoever's key stands in the state service, attached to a hold. The transaction that
+ * Who leads: whoever's key stands in the state service, attached to a lease. The transaction that
  * makes a leader also raises the token, so tokens grow with leaders and none is used twice.
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-  private static final long STAND_BACK_MS = 12_000;
-  private static final long STAND_BACK_FORGOTTEN_MS = 120_000;
+  private static final long RESIGNATION_PAUSE_MS = 12_000;
+  private static final long RESIGNATION_FORGOTTEN_MS = 120_000;
   private static final long OTHERS_FIRST_MS = 2_500;
 
   /** So many terms in so short a time: whatever ends them, another change does not help. */
@@ -54,14 +54,14 @@
   private final String nonce;
   private final Listener listener;
 
-  private Optional<Long> hold = Optional.empty();
-  private long holdSentMs;
-  private boolean holdBusy;
+  private Optional<Long> lease = Optional.empty();
+  private long leaseSentMs;
+  private boolean leaseBusy;
   private boolean acquiring;
   private long earliestTryMs;
-  private long standBackUntilMs = Long.MIN_VALUE / 2;
-  private long lastStandBackMs = Long.MIN_VALUE / 2;
-  private int standBacks;
+  private long pausedUntilMs = Long.MIN_VALUE / 2;
+  private long lastResignationMs = Long.MIN_VALUE / 2;
+  private int resignations;
   private long vacantSinceMs;
   private Optional<Term> term = Optional.empty();
   private final Deque<Long> termsSeenMs = new ArrayDeque<>();
@@ -86,7 +86,7 @@
   }
 
   public Cancellable start() {
-    return scheduler.every(timing.holdMs() / 20, this::tick);
+    return scheduler.every(timing.stateLeaseMs() / 20, this::tick);
   }
 
   public Optional<Term> term() {
@@ -103,14 +103,14 @@
     return replica.get(Keys.LEADER).map(e -> e.value().path("token").asLong());
   }
 
-  /** May this node decide? Only while its hold certainly lives. */
+  /** May this node decide? Only while its lease certainly lives. */
   public boolean mayDecide() {
-    return term.isPresent() && scheduler.nowMs() < holdSentMs + timing.holdSurelyMs();
+    return term.isPresent() && scheduler.nowMs() < leaseSentMs + timing.stateLeaseSurelyMs();
   }
 
   /** When the leader key was last known to be ours. */
   public long lastKnownMs() {
-    return Math.min(holdSentMs, replica.freshAsOfMs());
+    return Math.min(leaseSentMs, replica.freshAsOfMs());
   }
 
   /** Has the lead changed again and again lately, as far as this node saw? */
@@ -124,7 +124,9 @@
       return;
     }
     if (term.isPresent()) {
-      if (hold.isPresent() && !holdBusy && scheduler.nowMs() - holdSentMs >= timing.holdMs() / 4) {
+      if (lease.isPresent()
+          && !leaseBusy
+          && scheduler.nowMs() - leaseSentMs >= timing.stateLeaseMs() / 4) {
         renew();
       }
     } else if (replica.get(Keys.LEADER).isEmpty()) {
@@ -132,37 +134,37 @@
     }
   }
 
-  private void openHold() {
-    if (holdBusy) {
+  private void openLease() {
+    if (leaseBusy) {
       return;
     }
-    holdBusy = true;
+    leaseBusy = true;
     long sentMs = scheduler.nowMs();
-    store.openHold(
-        timing.holdMs(),
+    store.openLease(
+        timing.stateLeaseMs(),
         opened -> {
-          holdBusy = false;
+          leaseBusy = false;
           if (opened.isPresent()) {
-            hold = opened;
-            holdSentMs = sentMs;
+            lease = opened;
+            leaseSentMs = sentMs;
             tick();
           }
         });
   }
 
   private void renew() {
-    holdBusy = true;
+    leaseBusy = true;
     long sentMs = scheduler.nowMs();
-    long id = hold.get();
-    store.renewHold(
+    long id = lease.get();
+    store.renewLease(
         id,
         result -> {
-          holdBusy = false;
+          leaseBusy = false;
           if (result == Renewal.RENEWED) {
-            holdSentMs = Math.max(holdSentMs, sentMs);
+            leaseSentMs = Math.max(leaseSentMs, sentMs);
           } else if (result == Renewal.GONE) {
-            hold = Optional.empty();
-            end("the hold ended");
+            lease = Optional.empty();
+            end("the state lease ended");
           } else {
             // Tried again soon, but not in a storm: the service may be refusing us for its rate.
             scheduler.schedule(100 + random.nextInt(200), () -> {});
@@ -171,12 +173,12 @@
   }
 
   private void tryToLead() {
-    if (acquiring || scheduler.nowMs() < earliestTryMs || standsBack()) {
+    if (acquiring || scheduler.nowMs() < earliestTryMs || pausesAfterResigning()) {
       return;
     }
-    // Only who tries to lead needs a hold: renewals of all others would use up shared requests.
-    if (hold.isEmpty() || scheduler.nowMs() > holdSentMs + timing.holdSurelyMs() / 2) {
-      openHold();
+    // Only who tries to lead needs a lease: renewals of all others would use up shared requests.
+    if (lease.isEmpty() || scheduler.nowMs() > leaseSentMs + timing.stateLeaseSurelyMs() / 2) {
+      openLease();
       return;
     }
     acquiring = true;
@@ -187,17 +189,17 @@
             .put("member", member)
             .put("nonce", nonce)
             .put("token", token)
-            .put("hold", hold.get());
+            .put("hold", lease.get());
     store.txn(
         new StateStore.Txn(
             List.of(new Condition(Keys.LEADER, 0), new Condition(Keys.TOKEN, tokenStamp)),
             List.of(
-                new Change.Put(Keys.LEADER, leader, hold),
+                new Change.Put(Keys.LEADER, leader, lease),
                 // The last token of the term: whoever reads this, the next term begins above it.
                 new Change.Put(Keys.TOKEN, Cbor.map().put("n", token + Term.SPAN - 1)))),
         result -> {
           if (result instanceof TxnResult.NoSuchHold) {
-            hold = Optional.empty();
+            lease = Optional.empty();
           }
           // Whatever was said, the copy tells who leads: an unanswered try may have succeeded.
           replica.barrier(
@@ -224,10 +226,10 @@
     if (!ours && value.path("member").asText("").equals(member)) {
       // Left by this controller's process before this one, or by a try of it that was executed
       // late: nobody renews it, and the others need not wait for its end.
-      store.closeHold(value.path("hold").asLong(0));
+      store.closeLease(value.path("hold").asLong(0));
     }
-    if (ours && hold.isPresent() && value.path("hold").asLong(-1) != hold.get()) {
-      // A try that was executed late, on a hold that is not renewed any more.
+    if (ours && lease.isPresent() && value.path("hold").asLong(-1) != lease.get()) {
+      // A try that was executed late, on a lease that is not renewed any more.
       ours = false;
     }
     if (!ours) {
@@ -288,26 +290,26 @@
    * each time: a leader that no machine reaches keeps its key alive as well as any, and every lease
    * would end meanwhile.
    */
-  public void standBack(String cause) {
+  public void resignAndPause(String cause) {
     long now = scheduler.nowMs();
-    standBacks = now - lastStandBackMs > STAND_BACK_FORGOTTEN_MS ? 0 : standBacks + 1;
-    lastStandBackMs = now;
+    resignations = now - lastResignationMs > RESIGNATION_FORGOTTEN_MS ? 0 : resignations + 1;
+    lastResignationMs = now;
     vacantSinceMs = now;
-    standBackUntilMs = now + (STAND_BACK_MS << Math.min(2, standBacks));
-    LOG.info("standing back from the lead: {}", cause);
+    pausedUntilMs = now + (RESIGNATION_PAUSE_MS << Math.min(2, resignations));
+    LOG.info("resigning the lead: {}", cause);
     resign();
   }
 
   /** Others go first for a while; where nobody does, a leader that is hard to reach beats none. */
-  private boolean standsBack() {
+  private boolean pausesAfterResigning() {
     long now = scheduler.nowMs();
-    return now < standBackUntilMs && now - vacantSinceMs < OTHERS_FIRST_MS;
+    return now < pausedUntilMs && now - vacantSinceMs < OTHERS_FIRST_MS;
   }
 
-  /** Gives the lead up at once, so that others need not wait for the hold to end. */
+  /** Gives the lead up at once, so that others need not wait for the lease to end. */
   public void resign() {
-    hold.ifPresent(store::closeHold);
-    hold = Optional.empty();
+    lease.ifPresent(store::closeLease);
+    lease = Optional.empty();
     end("resigned");
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -124,7 +124,7 @@
   private final DutyTimes times = new DutyTimes();
   private final Scope duties = new Scope();
   private final Map<String, Held> held = new LinkedHashMap<>();
-  private final long holdMs;
+  private final long reportHoldMs;
   private long attemptCounter;
   private final Map<String, Long> announcedMs = new HashMap<>();
   private long placingTookMs;
@@ -137,7 +137,7 @@
     this.with = with;
     this.term = term;
     this.election = election;
-    this.holdMs = Math.round(Math.min(2.0, 0.6 * with.settings().workers().reportS()) * 1000);
+    this.reportHoldMs = Math.round(Math.min(2.0, 0.6 * with.settings().workers().reportS()) * 1000);
     this.teams = new TeamUsage(with.settings().teams());
     this.jobs = new JobTable(with.replica(), with.specs(), with.catalogue(), teams);
     this.fleet = new MachineRegistry(with.catalogue(), teams, with.timing(), term);
@@ -473,7 +473,7 @@
     if (!mayDecide()) {
       then.accept(certain(reply));
     } else if (reply.orders().isEmpty() && m.isPresent() && roomFor(m.get(), report, now)) {
-      held.put(report.host(), new Held(report, then, now + holdMs));
+      held.put(report.host(), new Held(report, then, now + reportHoldMs));
     } else {
       then.accept(reply);
     }
@@ -497,7 +497,7 @@
   private boolean roomFor(Machine m, Report report, long now) {
     return m.tally() == report.tally()
         && m.tenure() == report.tenure()
-        && m.usable(now, holdMs)
+        && m.usable(now, reportHoldMs)
         && m.free().cores() > 0;
   }
 
@@ -605,7 +605,7 @@
     if (mayDecide()) {
       lost(fleet.expire(now));
       planPlacing();
-      reach.trouble(now).ifPresent(election::standBack);
+      reach.trouble(now).ifPresent(election::resignAndPause);
     }
   }
 
--- a/src/main/java/org/ploverspindle/leadership/Timing.java
+++ b/src/main/java/org/ploverspindle/leadership/Timing.java
@@ -5,11 +5,11 @@
 /**
  * The times that the safety argument rests on (docs/safety.md), all on this node's steady clock.
  *
- * @param holdMs how long a hold lives in the state service when it is not renewed
+ * @param stateLeaseMs how long a lease lives in the state service when it is not renewed
  * @param answerMs how long after it last knew the state a leader may go on answering reports
  * @param leaseMs after this much silence a worker's lease has certainly run out
  */
-public record Timing(long holdMs, long answerMs, long leaseMs) {
+public record Timing(long stateLeaseMs, long answerMs, long leaseMs) {
   /** Clocks drift apart by at most 0.05 %; we allow for four times as much. */
   private static final double DRIFT = 1.002;
 
@@ -17,15 +17,15 @@
   private static final double MARGIN_S = 2.5;
 
   /** A controller that stands still for less than this keeps the lead. */
-  private static final long LEAST_HOLD_MS = 2_500;
+  private static final long SHORTEST_STATE_LEASE_MS = 2_500;
 
-  private static final long MOST_HOLD_MS = 5_000;
+  private static final long LONGEST_STATE_LEASE_MS = 5_000;
 
   /** What is done in a moment by a whole core takes a small share of one so much longer. */
-  private static final double HOLD_FOR_SHARE_MS = 250;
+  private static final double STATE_LEASE_FOR_SHARE_MS = 250;
 
   /**
-   * Until a dead leader's hold ends, nothing starts: it is as short as the processor allows, whose
+   * Until a dead leader's lease ends, nothing starts: it is as short as the processor allows, whose
    * pauses must not change the lead.
    */
   public static Timing of(Settings.WorkerLimits workers, double cores) {
@@ -33,13 +33,16 @@
     // A cancellation told right after the leader last read the state is unknown to it; its last
     // answer renews a lease once more. All of that must end before cancel_s.
     double answer = Math.max(0, (workers.cancelS() - MARGIN_S) / DRIFT - lease);
-    long holdMs = Math.min(MOST_HOLD_MS, LEAST_HOLD_MS + Math.round(HOLD_FOR_SHARE_MS / cores));
-    return new Timing(holdMs, Math.round(answer * 1000), Math.round(lease * 1000));
+    long stateLeaseMs =
+        Math.min(
+            LONGEST_STATE_LEASE_MS,
+            SHORTEST_STATE_LEASE_MS + Math.round(STATE_LEASE_FOR_SHARE_MS / cores));
+    return new Timing(stateLeaseMs, Math.round(answer * 1000), Math.round(lease * 1000));
   }
 
-  /** From the send of the last answered renewal on, the hold lives at least this long. */
-  public long holdSurelyMs() {
-    return Math.round(holdMs / DRIFT) - 50;
+  /** From the send of the last answered renewal on, the lease lives at least this long. */
+  public long stateLeaseSurelyMs() {
+    return Math.round(stateLeaseMs / DRIFT) - 50;
   }
 
   /** After this long in a term no earlier leader's answers keep any lease alive. */
--- a/src/main/java/org/ploverspindle/node/Controller.java
+++ b/src/main/java/org/ploverspindle/node/Controller.java
@@ -51,10 +51,10 @@
   private final Intake intake;
   private final Pipelines pipelines;
   private final TokenBucket writes;
-  private final Leader.LeaderContext surroundings;
+  private final Leader.LeaderContext leaderContext;
   private final Peers peers;
   private final Scope duties = new Scope();
-  private Optional<Leader> steward = Optional.empty();
+  private Optional<Leader> leader = Optional.empty();
   private final StateReachability reach;
   private int strays;
   private boolean started;
@@ -108,7 +108,7 @@
             accepting,
             nonce,
             this::changedForLeader);
-    this.surroundings =
+    this.leaderContext =
         new Leader.LeaderContext(
             loop, store, replica, specs, pipelines, cloud, workers, catalogue, settings, policy,
             timing, random, writes);
@@ -116,12 +116,12 @@
 
   /** What was written here is news for whoever leads. */
   private void changedForLeader() {
-    if (steward.isPresent()) {
+    if (leader.isPresent()) {
       replica.barrier(ok -> {});
     } else {
       election
           .leaderName()
-          .ifPresent(leader -> peers.tell(leader, new PeerRecord.News(settings.member())));
+          .ifPresent(other -> peers.tell(other, new PeerRecord.News(settings.member())));
     }
   }
 
@@ -130,11 +130,11 @@
    */
   public void heard(PeerRecord record) {
     if (record instanceof PeerRecord.News) {
-      if (steward.isPresent()) {
+      if (leader.isPresent()) {
         replica.barrier(ok -> {});
       }
     } else if (record instanceof PeerRecord.Strays strays) {
-      steward.ifPresent(s -> s.strayed(strays.reports()));
+      leader.ifPresent(s -> s.strayed(strays.reports()));
     } else if (record instanceof PeerRecord.Leading leading) {
       election.higherToken(leading.token());
     } else if (record instanceof PeerRecord.Asking asking) {
@@ -170,12 +170,12 @@
 
   public void stop() {
     duties.cancel();
-    steward.ifPresent(Leader::close);
+    leader.ifPresent(Leader::close);
     election.resign();
   }
 
   public boolean leads() {
-    return steward.isPresent();
+    return leader.isPresent();
   }
 
   /** Can this node do its own part? Read from other threads. */
@@ -191,7 +191,7 @@
     if (!catalogue.known()) {
       TypesRecord.read(replica).ifPresent(catalogue::update);
     }
-    boolean failing = steward.map(Leader::writesFail).orElse(false);
+    boolean failing = leader.map(Leader::writesFail).orElse(false);
     reach.look(failing);
     if (!started && replica.loaded() && catalogue.known()) {
       started = true;
@@ -204,7 +204,7 @@
     }
     if (reach.othersReachIt() && (failing || election.mayDecide() && reach.isAloneWithout())) {
       // The hold is renewed and nothing else is answered: the lead would be kept for nothing.
-      election.standBack("the state service serves others, and refuses this leader");
+      election.resignAndPause("the state service serves others, and refuses this leader");
     }
   }
 
@@ -225,8 +225,8 @@
   @Override
   public void leading(Term term) {
     replica.spacing(leaderSpacingMs());
-    Leader fresh = new Leader(surroundings, term, election);
-    steward = Optional.of(fresh);
+    Leader fresh = new Leader(leaderContext, term, election);
+    leader = Optional.of(fresh);
     fresh.start();
     peers.tellAll(new PeerRecord.Leading(settings.member(), term.token()));
   }
@@ -234,8 +234,8 @@
   @Override
   public void ended(Term term, String cause) {
     replica.spacing(followerSpacingMs());
-    steward.ifPresent(Leader::close);
-    steward = Optional.empty();
+    leader.ifPresent(Leader::close);
+    leader = Optional.empty();
     peers.tellAll(new PeerRecord.Resigned(settings.member(), term.token()));
   }
 
@@ -265,7 +265,7 @@
       return;
     }
     Optional<Term> term = election.term();
-    if (steward.isEmpty() || term.isEmpty()) {
+    if (leader.isEmpty() || term.isEmpty()) {
       then.accept(elsewhere(report.get()));
       return;
     }
@@ -279,7 +279,7 @@
       then.accept(Answer.later(503, "the state is not known", 1));
       return;
     }
-    steward
+    leader
         .get()
         .report(
             report.get(),
@@ -301,10 +301,10 @@
    * a sign that its answers are lost; one that has just come up, or was another leader's, is not.
    */
   private Answer elsewhere(Report report) {
-    Optional<String> leader = election.leaderName().filter(name -> !name.equals(settings.member()));
+    Optional<String> other = election.leaderName().filter(name -> !name.equals(settings.member()));
     boolean led = election.leaderToken().map(t -> report.warrant() >= t).orElse(false);
-    strays += leader.isPresent() && led ? 1 : 0;
-    return leader
+    strays += other.isPresent() && led ? 1 : 0;
+    return other
         .map(name -> Answer.elsewhere(name))
         .orElseGet(() -> Answer.later(503, "no leader is known", 1));
   }
@@ -321,7 +321,7 @@
                 + election.leaderName().orElse("none")
                 + " waiting="
                 + pipelines.waiting()
-                + steward.map(s -> " token=" + s.term().token() + " " + s.summary()).orElse("")));
+                + leader.map(s -> " token=" + s.term().token() + " " + s.summary()).orElse("")));
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/state/HttpStateStore.java
+++ b/src/main/java/org/ploverspindle/state/HttpStateStore.java
@@ -50,7 +50,7 @@
       if (change instanceof Change.Put put) {
         ObjectNode node = apply.addObject().put("put", put.key());
         node.set("v", put.value());
-        put.hold().ifPresent(h -> node.put("hold", h));
+        put.lease().ifPresent(h -> node.put("hold", h));
       } else {
         apply.addObject().put("remove", change.key());
       }
@@ -151,7 +151,7 @@
   }
 
   @Override
-  public void openHold(long ttlMs, Consumer<Optional<Long>> then) {
+  public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
     caller.call(
         "POST",
         "/holds",
@@ -166,10 +166,10 @@
   }
 
   @Override
-  public void renewHold(long hold, Consumer<Renewal> then) {
+  public void renewLease(long lease, Consumer<Renewal> then) {
     caller.call(
         "POST",
-        "/holds/" + hold + "/extend",
+        "/holds/" + lease + "/extend",
         EMPTY,
         TIMEOUT_MS,
         r -> {
@@ -184,7 +184,7 @@
   }
 
   @Override
-  public void closeHold(long hold) {
-    caller.call("DELETE", "/holds/" + hold, EMPTY, TIMEOUT_MS, r -> {});
+  public void closeLease(long lease) {
+    caller.call("DELETE", "/holds/" + lease, EMPTY, TIMEOUT_MS, r -> {});
   }
 }
--- a/src/main/java/org/ploverspindle/state/StateStore.java
+++ b/src/main/java/org/ploverspindle/state/StateStore.java
@@ -16,7 +16,7 @@
   sealed interface Change {
     String key();
 
-    record Put(String key, JsonNode value, Optional<Long> hold) implements Change {
+    record Put(String key, JsonNode value, Optional<Long> lease) implements Change {
       public Put(String key, JsonNode value) {
         this(key, value, Optional.empty());
       }
@@ -70,9 +70,9 @@
 
   void changesAfter(String prefix, long ledger, Consumer<News> then);
 
-  void openHold(long ttlMs, Consumer<Optional<Long>> then);
+  void openLease(long ttlMs, Consumer<Optional<Long>> then);
 
-  void renewHold(long hold, Consumer<Renewal> then);
+  void renewLease(long lease, Consumer<Renewal> then);
 
-  void closeHold(long hold);
+  void closeLease(long lease);
 }
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -153,17 +153,17 @@
     }
 
     @Override
-    public void openHold(long ttlMs, Consumer<Optional<Long>> then) {
+    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
       then.accept(Optional.empty());
     }
 
     @Override
-    public void renewHold(long hold, Consumer<Renewal> then) {
+    public void renewLease(long hold, Consumer<Renewal> then) {
       then.accept(Renewal.FAILED);
     }
 
     @Override
-    public void closeHold(long hold) {}
+    public void closeLease(long hold) {}
   }
 
   private long newTerm() {
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -83,13 +83,13 @@
     public void txn(Txn txn, Consumer<TxnResult> then) {}
 
     @Override
-    public void openHold(long ttlMs, Consumer<Optional<Long>> then) {}
+    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {}
 
     @Override
-    public void renewHold(long hold, Consumer<Renewal> then) {}
+    public void renewLease(long hold, Consumer<Renewal> then) {}
 
     @Override
-    public void closeHold(long hold) {}
+    public void closeLease(long hold) {}
   }
 
   @Test
--- a/src/test/java/org/ploverspindle/sim/SimState.java
+++ b/src/test/java/org/ploverspindle/sim/SimState.java
@@ -80,7 +80,7 @@
     out = now;
   }
 
-  long openHold(long ttlMs) {
+  long openLease(long ttlMs) {
     long id = nextHold++;
     holdTtlMs.put(id, ttlMs);
     holdEndsMs.put(id, clock.nowMs() + ttlMs);
@@ -170,8 +170,8 @@
     }
     for (Change change : txn.changes()) {
       if (change instanceof Change.Put put
-          && put.hold().isPresent()
-          && !holdEndsMs.containsKey(put.hold().get())) {
+          && put.lease().isPresent()
+          && !holdEndsMs.containsKey(put.lease().get())) {
         return new TxnResult.NoSuchHold();
       }
     }
@@ -181,7 +181,7 @@
     ledger++;
     for (Change change : txn.changes()) {
       if (change instanceof Change.Put put) {
-        keys.put(put.key(), new Kept(put.value().deepCopy(), ledger, put.hold()));
+        keys.put(put.key(), new Kept(put.value().deepCopy(), ledger, put.lease()));
         history.add(new Changed(put.key(), Optional.of(put.value().deepCopy()), ledger));
       } else {
         remove(change.key());
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -483,18 +483,18 @@
     }
 
     @Override
-    public void openHold(long ttlMs, Consumer<Optional<Long>> then) {
+    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
       Optional<Long> none = Optional.empty();
-      call(Refusal.HOLDS, () -> Optional.of(state.openHold(ttlMs)), none, none, then);
+      call(Refusal.HOLDS, () -> Optional.of(state.openLease(ttlMs)), none, none, then);
     }
 
     @Override
-    public void renewHold(long hold, Consumer<Renewal> then) {
+    public void renewLease(long hold, Consumer<Renewal> then) {
       call(Refusal.HOLDS, () -> state.renew(hold), Renewal.FAILED, Renewal.FAILED, then);
     }
 
     @Override
-    public void closeHold(long hold) {
+    public void closeLease(long hold) {
       network.request(node(i), STATE, () -> state.endHold(hold), () -> {});
     }
   }
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -110,17 +110,17 @@
     }
 
     @Override
-    public void openHold(long ttlMs, Consumer<Optional<Long>> then) {
+    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public void renewHold(long hold, Consumer<Renewal> then) {
+    public void renewLease(long hold, Consumer<Renewal> then) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public void closeHold(long hold) {
+    public void closeLease(long hold) {
       throw new UnsupportedOperationException();
     }
   }
