--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/SimCloudClient.java
@@ -0,0 +1,64 @@
+package org.ploverspindle.sim;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.ploverspindle.cloud.CloudApi;
+import org.ploverspindle.cloud.MachineType;
+
+/** One controller's requests to the simulated cloud. */
+final class SimCloudClient implements CloudApi {
+  static final String CLOUD = "cloud";
+
+  private static final long TIMEOUT_MS = 5_000;
+
+  private final SimCloud cloud;
+  private final SimLink link;
+
+  SimCloudClient(SimCloud cloud, SimLink link) {
+    this.cloud = cloud;
+    this.link = link;
+  }
+
+  private <T> void call(Supplier<T> execute, T refused, T none, Consumer<T> then) {
+    link.request(
+        CLOUD,
+        TIMEOUT_MS,
+        reply -> reply.accept(cloud.serves() ? execute.get() : refused),
+        none,
+        then);
+  }
+
+  @Override
+  public void types(Consumer<Optional<List<MachineType>>> then) {
+    call(() -> Optional.of(cloud.types()), Optional.empty(), Optional.empty(), then);
+  }
+
+  @Override
+  public void rent(
+      String claim, String type, String zone, boolean spot, int count, Consumer<RentResult> then) {
+    call(
+        () -> cloud.rent(claim, type, zone, spot, count),
+        new RentResult.Refused(),
+        new RentResult.Unknown(),
+        then);
+  }
+
+  @Override
+  public void release(List<String> hosts, Consumer<Boolean> then) {
+    call(
+        () -> {
+          cloud.release(hosts);
+          return true;
+        },
+        false,
+        false,
+        then);
+  }
+
+  @Override
+  public void hosts(String after, Consumer<Optional<HostPage>> then) {
+    call(() -> Optional.of(cloud.list(after)), Optional.empty(), Optional.empty(), then);
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/SimWireCodec.java
@@ -0,0 +1,87 @@
+package org.ploverspindle.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import org.ploverspindle.front.Answer;
+import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.net.Cbor;
+import org.ploverspindle.workers.Order;
+import org.ploverspindle.workers.Report;
+
+/** The wire's names as workers and users write and read them. */
+final class SimWireCodec {
+  private SimWireCodec() {}
+
+  static ObjectNode body(Answer answer) {
+    return Cbor.readMap(answer.body()).orElse(Cbor.map());
+  }
+
+  static String status(Answer answer) {
+    return body(answer).path("status").asText("");
+  }
+
+  static byte[] encode(Report report) {
+    ObjectNode body = Cbor.map();
+    body.put("host", report.host()).put("addr", report.address()).put("flavour", report.type());
+    body.put("site", report.zone()).put("loaners", report.spot());
+    body.put("tenure", report.tenure()).put("tally", report.tally());
+    body.put("warrant", report.warrant());
+    report.recallS().ifPresent(s -> body.put("recall_s", s));
+    ArrayNode pieces = body.putArray("pieces");
+    for (Report.Item item : report.items()) {
+      ObjectNode piece = pieces.addObject();
+      piece.put("piece", item.uid() + "/" + item.task()).put("try", item.attempt());
+      piece.put("status", item.phase().name().toLowerCase(Locale.ROOT));
+      if (item.cause() != Report.Cause.NONE) {
+        piece.put("cause", item.cause().name().toLowerCase(Locale.ROOT));
+      }
+      piece.put("stored", item.saved());
+    }
+    return Cbor.write(body);
+  }
+
+  static List<Order> orders(ObjectNode body) {
+    List<Order> orders = new ArrayList<>();
+    for (JsonNode order : body.path("orders")) {
+      orders.add(order(order));
+    }
+    return orders;
+  }
+
+  private static Order order(JsonNode order) {
+    String piece = order.path("piece").asText();
+    String uid = piece.substring(0, piece.lastIndexOf('/'));
+    int task = Integer.parseInt(piece.substring(piece.lastIndexOf('/') + 1));
+    long attempt = order.path("try").asLong();
+    return switch (order.path("verb").asText()) {
+      case "launch" -> new Order.Launch(uid, task, attempt);
+      case "stop" -> new Order.Stop(uid, task, attempt, order.path("wind_down_s").asDouble());
+      default -> new Order.Forget(uid, task, attempt);
+    };
+  }
+
+  static byte[] encode(JobSpec spec) {
+    ObjectNode body = Cbor.map();
+    body.put("uid", spec.uid()).put("jobclass", spec.jobClass()).put("owner", spec.team());
+    body.put("shape", spec.expectedS() > 0 ? "batch" : "daemon");
+    body.put("urgency", spec.urgency().name().toLowerCase(Locale.ROOT));
+    body.put("pieces", spec.tasks());
+    body.put("cores", spec.cores()).put("accelerators", spec.accelerators());
+    body.put("mem_gb", spec.memoryGb());
+    spec.types().ifPresent(types -> types.forEach(body.putArray("flavours")::add));
+    spec.zone().ifPresent(zone -> body.put("site", zone));
+    body.put("one_zone", spec.oneZone()).put("apart", spec.apart()).put("loaners", spec.spot());
+    body.put("bundle", spec.image()).put("image_gb", spec.imageGb());
+    body.put("expected_s", spec.expectedS());
+    body.put("save_every_s", spec.saveEveryS()).put("save_cost_s", spec.saveCostS());
+    spec.dueS().ifPresent(due -> body.put("due_s", due));
+    if (!spec.dependencies().isEmpty()) {
+      spec.dependencies().forEach(body.putArray("awaits")::add);
+    }
+    return Cbor.write(body);
+  }
+}
