--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/DirectCommands.java
@@ -0,0 +1,104 @@
+package org.ploverspindle.leadership;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.Placement;
+import org.ploverspindle.workers.ReportHandler;
+import org.ploverspindle.workers.WorkerClient;
+
+/**
+ * Sends commands straight to workers where waiting for their next report would take too long, and
+ * hands the report that each one answers with to the report handler. What finds no room among the
+ * commands under way goes out in the answer to the machine's next report instead.
+ */
+final class DirectCommands {
+  /** Each command under way has a connection of its own, and sockets are counted. */
+  static final int MOST_UNDER_WAY = 48;
+
+  /** Stops may use this part: launches of pressing jobs have the rest to themselves. */
+  private static final int MOST_UNDER_WAY_FOR_STOPS = MOST_UNDER_WAY / 2;
+
+  private final Scheduler scheduler;
+  private final WorkerClient workers;
+  private final ReportHandler reportHandler;
+  private int underWay;
+  private boolean closed;
+
+  DirectCommands(Scheduler scheduler, WorkerClient workers, ReportHandler reportHandler) {
+    this.scheduler = scheduler;
+    this.workers = workers;
+    this.reportHandler = reportHandler;
+  }
+
+  /** From now on answers are dropped: they belong to a term that is over. */
+  void close() {
+    closed = true;
+  }
+
+  /** May another launch or announcement be sent now? */
+  boolean hasRoom() {
+    return underWay < MOST_UNDER_WAY;
+  }
+
+  /**
+   * Launches what is pressing and was not sent in the answer to a report: the next report of its
+   * machine may be seconds away.
+   *
+   * @param durable placements whose intent has just become durable
+   */
+  void launch(List<Placement> durable) {
+    Set<Machine> machines = new LinkedHashSet<>();
+    for (Placement placement : durable) {
+      if (placement.phase() == Placement.Phase.READY
+          && placement.job().urgency().compareTo(Urgency.HIGH) <= 0) {
+        machines.add(placement.machine());
+      }
+    }
+    for (Machine machine : machines) {
+      if (!hasRoom()) {
+        return;
+      }
+      reportHandler.direct(machine, scheduler.nowMs()).ifPresent(this::send);
+    }
+  }
+
+  /**
+   * Stops the tasks of a cancelled job at once, as far as connections allow; all other machines are
+   * told in the answers to their reports.
+   */
+  void stop(Job cancelled) {
+    Set<Machine> machines = new LinkedHashSet<>();
+    cancelled.live().forEach(placement -> machines.add(placement.machine()));
+    for (Machine machine : machines) {
+      if (underWay >= MOST_UNDER_WAY_FOR_STOPS) {
+        return;
+      }
+      reportHandler.directStops(machine).ifPresent(this::send);
+    }
+  }
+
+  /** Shows the machine its token in this term, without any order. */
+  void announceToken(Machine machine, long tenure) {
+    send(new ReportHandler.Direct(machine.address(), machine.fence(), tenure, List.of()));
+  }
+
+  private void send(ReportHandler.Direct command) {
+    underWay++;
+    workers.order(
+        command.address(),
+        command.token(),
+        command.tenure(),
+        command.orders(),
+        answer -> {
+          underWay--;
+          if (!closed) {
+            answer.ifPresent(report -> reportHandler.takeDirect(report, scheduler.nowMs()));
+          }
+        });
+  }
+}
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -2,13 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
@@ -47,7 +42,6 @@
 import org.ploverspindle.workers.FailureDetector;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.Order;
 import org.ploverspindle.workers.Placement;
 import org.ploverspindle.workers.Report;
 import org.ploverspindle.workers.ReportHandler;
@@ -74,16 +68,8 @@
   /** A leader that has written nothing for so long is of no use. */
   private static final long USELESS_MS = 5_000;
 
-  private static final long ANNOUNCE_MS = 600;
-  private static final long ANNOUNCE_FROM_MS = 2_400;
-  private static final long ANNOUNCED_AGAIN_MS = 6_000;
-  private static final int ANNOUNCED_AT_ONCE = 8;
-
   /** Direct commands at a time: each has a connection of its own, and sockets are counted. */
-  public static final int MOST_DIRECT = 48;
-
-  /** Of these so many for stops: launches of pressing jobs have the rest to themselves. */
-  private static final int MOST_DIRECT_STOPS = MOST_DIRECT / 2;
+  public static final int MOST_DIRECT = DirectCommands.MOST_UNDER_WAY;
 
   /** What a steward works with, the same in all terms. */
   public record LeaderContext(
@@ -101,9 +87,6 @@
       RandomGenerator random,
       TokenBucket writes) {}
 
-  /** A report whose answer waits for orders to become durable. */
-  private record Held(Report report, Consumer<ReportHandler.Reply> then, long untilMs) {}
-
   private final LeaderContext with;
   private final Term term;
   private final Election election;
@@ -123,21 +106,20 @@
   private final Rentals rentals;
   private final DutyTimes times = new DutyTimes();
   private final Scope duties = new Scope();
-  private final Map<String, Held> held = new LinkedHashMap<>();
-  private final long reportHoldMs;
+  private final DirectCommands commands;
+  private final HeldReplies heldReplies;
+  private final ReportIntake reports;
+  private final TokenAnnouncement announcement;
   private long attemptCounter;
-  private final Map<String, Long> announcedMs = new HashMap<>();
   private long placingTookMs;
   private long placingFromMs = Long.MIN_VALUE;
   private boolean placingPlanned;
-  private int directs;
   private boolean closed;
 
   public Leader(LeaderContext with, Term term, Election election) {
     this.with = with;
     this.term = term;
     this.election = election;
-    this.reportHoldMs = Math.round(Math.min(2.0, 0.6 * with.settings().workers().reportS()) * 1000);
     this.teams = new TeamUsage(with.settings().teams());
     this.jobs = new JobTable(with.replica(), with.specs(), with.catalogue(), teams);
     this.fleet = new MachineRegistry(with.catalogue(), teams, with.timing(), term);
@@ -201,6 +183,28 @@
             with.random(),
             term,
             new RentalHost());
+    this.commands = new DirectCommands(with.scheduler(), with.workers(), desk);
+    this.heldReplies =
+        new HeldReplies(
+            with.scheduler(),
+            fleet,
+            desk,
+            this::mayDecide,
+            Math.round(Math.min(2.0, 0.6 * with.settings().workers().reportS()) * 1000));
+    this.reports =
+        new ReportIntake(
+            with.scheduler(),
+            with.replica(),
+            fleet,
+            desk,
+            heldReplies,
+            new SpotDrain(estimates),
+            reach,
+            times,
+            this::mayDecide);
+    this.announcement =
+        new TokenAnnouncement(
+            with.scheduler(), term, with.timing(), fleet, commands, this::mayDecide);
   }
 
   public void start() {
@@ -234,8 +238,8 @@
     duties.add(graph.listen(new GraphEvents()));
     duties.add(rentals.start());
     duties.add(with.scheduler().every(400, this::tick));
-    duties.add(with.scheduler().every(100, this::releaseHeld));
-    duties.add(with.scheduler().every(ANNOUNCE_MS, this::announce));
+    duties.add(with.scheduler().every(100, heldReplies::releaseDue));
+    duties.add(announcement.start());
     duties.add(with.scheduler().every(READ_MS, () -> with.replica().readIfOlderThan(READ_MS)));
     duties.add(with.scheduler().every(1_000, () -> times.run("preemption", this::preempt)));
     duties.add(with.scheduler().every(10_000, () -> LOG.debug("busy with {}", times.take())));
@@ -247,7 +251,8 @@
 
   public void close() {
     closed = true;
-    List.copyOf(held.keySet()).forEach(this::release);
+    commands.close();
+    heldReplies.releaseAll();
     writer.close();
     duties.cancel();
   }
@@ -415,23 +420,11 @@
       }
     }
     LOG.info("job {} is cancelled with {} tasks out", job.uid(), job.live().size());
-    stopDirectly(job);
+    commands.stop(job);
     tidy(job);
     planPlacing();
   }
 
-  /** Its machines are told at once, as far as connections allow; all others with their reports. */
-  private void stopDirectly(Job job) {
-    Set<Machine> machines = new LinkedHashSet<>();
-    job.live().forEach(p -> machines.add(p.machine()));
-    for (Machine m : machines) {
-      if (directs >= MOST_DIRECT_STOPS) {
-        return;
-      }
-      desk.directStops(m).ifPresent(d -> send(m, d));
-    }
-  }
-
   /** Drops a job that is over as soon as none of its tasks can be anywhere. */
   private void tidy(Job job) {
     if (job.over() && job.live().isEmpty()) {
@@ -460,139 +453,7 @@
    * a sure lead nothing is ordered.
    */
   public void report(Report report, Consumer<ReportHandler.Reply> then) {
-    release(report.host());
-    long now = with.scheduler().nowMs();
-    reach.heard(now);
-    ReportHandler.Reply[] taken = new ReportHandler.Reply[1];
-    times.run("reports", () -> taken[0] = desk.take(report, now));
-    ReportHandler.Reply reply = taken[0];
-    Optional<Machine> m = fleet.get(report.host());
-    if (report.recallS().isPresent()) {
-      m.ifPresent(this::recalled);
-    }
-    if (!mayDecide()) {
-      then.accept(certain(reply));
-    } else if (reply.orders().isEmpty() && m.isPresent() && roomFor(m.get(), report, now)) {
-      held.put(report.host(), new Held(report, then, now + reportHoldMs));
-    } else {
-      then.accept(reply);
-    }
-  }
-
-  /**
-   * Without a sure lead nothing is decided; but a cancellation that is known is final, whoever
-   * leads. A leader that lost the state service before it had stopped a cancelled job's tasks would
-   * otherwise keep their leases alive until too late.
-   */
-  private ReportHandler.Reply certain(ReportHandler.Reply reply) {
-    return new ReportHandler.Reply(
-        reply.token(),
-        reply.orders().stream()
-            .filter(
-                o ->
-                    o instanceof Order.Stop && with.replica().get(Keys.cancel(o.uid())).isPresent())
-            .toList());
-  }
-
-  private boolean roomFor(Machine m, Report report, long now) {
-    return m.tally() == report.tally()
-        && m.tenure() == report.tenure()
-        && m.usable(now, reportHoldMs)
-        && m.free().cores() > 0;
-  }
-
-  private void release(String host) {
-    Held h = held.remove(host);
-    if (h != null) {
-      h.then()
-          .accept(mayDecide() ? desk.later(h.report(), with.scheduler().nowMs()) : desk.none(host));
-    }
-  }
-
-  /** Answers what was held for long enough, or for what has now become durable. */
-  private void releaseHeld() {
-    long now = with.scheduler().nowMs();
-    for (Held h : List.copyOf(held.values())) {
-      boolean orders =
-          fleet
-              .get(h.report().host())
-              .map(m -> m.placements().stream().anyMatch(Leader::hasOrder))
-              .orElse(true);
-      if (orders || now >= h.untilMs() || !mayDecide()) {
-        release(h.report().host());
-      }
-    }
-  }
-
-  /**
-   * What presses and found no report to be an answer to goes straight to its machine: its next
-   * report may be seconds away.
-   */
-  private void launchDirectly(List<Placement> placements) {
-    Set<Machine> machines = new LinkedHashSet<>();
-    for (Placement p : placements) {
-      if (p.phase() == Placement.Phase.READY && p.job().urgency().compareTo(Urgency.HIGH) <= 0) {
-        machines.add(p.machine());
-      }
-    }
-    for (Machine m : machines) {
-      if (directs >= MOST_DIRECT) {
-        return;
-      }
-      desk.direct(m, with.scheduler().nowMs()).ifPresent(d -> send(m, d));
-    }
-  }
-
-  private void send(Machine m, ReportHandler.Direct d) {
-    directs++;
-    with.workers()
-        .order(
-            d.address(),
-            d.token(),
-            d.tenure(),
-            d.orders(),
-            answer -> {
-              directs--;
-              if (!closed) {
-                answer.ifPresent(r -> desk.takeDirect(r, with.scheduler().nowMs()));
-              }
-            });
-  }
-
-  private static boolean hasOrder(Placement p) {
-    return p.phase() == Placement.Phase.READY || !p.neverSent() && (p.stopping() || p.job().over());
-  }
-
-  /**
-   * The cloud takes the machine back: what can't end in time is stopped, so that it saves its work
-   * or at least starts again elsewhere without waiting for the lease.
-   */
-  private void recalled(Machine m) {
-    double leftS = m.recallS();
-    for (Placement p : List.copyOf(m.placements())) {
-      if (p.stopping()) {
-        continue;
-      }
-      double restS = restS(p);
-      double saveS = p.job().spec().saveCostS();
-      if (restS < leftS - 1) {
-        continue;
-      }
-      if (p.job().spec().saves() && leftS > saveS) {
-        p.stop(Math.max(saveS + 0.5, Math.min(leftS, saveS * 2)));
-      } else if (restS > leftS * 1.5) {
-        p.stop(0);
-      }
-    }
-  }
-
-  private double restS(Placement p) {
-    if (p.job().spec().expectedS() <= 0) {
-      return Double.MAX_VALUE;
-    }
-    double ranS =
-        p.runningSinceMs() < 0 ? 0 : (with.scheduler().nowMs() - p.runningSinceMs()) / 1000.0;
-    return estimates.runS(p.job()) - ranS;
+    reports.report(report, then);
   }
 
   private void tick() {
@@ -614,36 +475,6 @@
     reach.strayed(with.scheduler().nowMs(), reports);
   }
 
-  /**
-   * Tells a few of the machines that have not come to us that there is a new token. A leader that
-   * has lost the state service and us, but not its workers, goes on answering them; the first
-   * report that shows it the higher token ends that, where it would keep the fleet for its whole
-   * grace.
-   */
-  private void announce() {
-    long now = with.scheduler().nowMs();
-    long ageMs = now - term.startMs();
-    if (!mayDecide() || ageMs < ANNOUNCE_FROM_MS || ageMs > with.timing().answerMs()) {
-      return;
-    }
-    int most = ANNOUNCED_AT_ONCE;
-    for (Machine m : fleet.all()) {
-      if (most == 0 || directs >= MOST_DIRECT) {
-        return;
-      }
-      long tenure = m.lastKnownTenure();
-      if (!m.up()
-          && !m.releasing()
-          && tenure > 0
-          && !m.address().isEmpty()
-          && now - announcedMs.getOrDefault(m.host(), Long.MIN_VALUE / 2) > ANNOUNCED_AGAIN_MS) {
-        announcedMs.put(m.host(), now);
-        send(m, new ReportHandler.Direct(m.address(), m.fence(), tenure, List.of()));
-        most--;
-      }
-    }
-  }
-
   private void preempt() {
     if (mayDecide()) {
       updatePassedBack();
@@ -723,8 +554,8 @@
   private final class WriterEvents implements ProgressWriter.Listener {
     @Override
     public void durable(List<Placement> placements) {
-      releaseHeld();
-      launchDirectly(placements);
+      heldReplies.releaseDue();
+      commands.launch(placements);
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/ReportIntake.java
@@ -0,0 +1,89 @@
+package org.ploverspindle.leadership;
+
+import java.util.Optional;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.ploverspindle.loop.DutyTimes;
+import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.Replica;
+import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
+import org.ploverspindle.workers.Order;
+import org.ploverspindle.workers.Report;
+import org.ploverspindle.workers.ReportHandler;
+
+/** Takes workers' reports in and sees that each is answered, at once or after a moment. */
+final class ReportIntake {
+  private final Scheduler scheduler;
+  private final Replica replica;
+  private final MachineRegistry fleet;
+  private final ReportHandler reportHandler;
+  private final HeldReplies heldReplies;
+  private final SpotDrain spotDrain;
+  private final Reachability reachability;
+  private final DutyTimes times;
+  private final BooleanSupplier mayDecide;
+
+  /**
+   * @param mayDecide whether this leader is sure of its lead
+   */
+  ReportIntake(
+      Scheduler scheduler,
+      Replica replica,
+      MachineRegistry fleet,
+      ReportHandler reportHandler,
+      HeldReplies heldReplies,
+      SpotDrain spotDrain,
+      Reachability reachability,
+      DutyTimes times,
+      BooleanSupplier mayDecide) {
+    this.scheduler = scheduler;
+    this.replica = replica;
+    this.fleet = fleet;
+    this.reportHandler = reportHandler;
+    this.heldReplies = heldReplies;
+    this.spotDrain = spotDrain;
+    this.reachability = reachability;
+    this.times = times;
+    this.mayDecide = mayDecide;
+  }
+
+  /**
+   * Takes a report in and answers with orders, at the latest when the wait of a held answer is
+   * over. The machine's earlier report is answered first, if its answer is held.
+   */
+  void report(Report report, Consumer<ReportHandler.Reply> then) {
+    heldReplies.release(report.host());
+    long nowMs = scheduler.nowMs();
+    reachability.heard(nowMs);
+    ReportHandler.Reply reply = times.call("reports", () -> reportHandler.take(report, nowMs));
+    Optional<Machine> machine = fleet.get(report.host());
+    if (report.recallS().isPresent()) {
+      machine.ifPresent(recalled -> spotDrain.drain(recalled, nowMs));
+    }
+    if (!mayDecide.getAsBoolean()) {
+      then.accept(finalStops(reply));
+    } else if (reply.orders().isEmpty()
+        && machine.isPresent()
+        && heldReplies.worthHolding(machine.get(), report, nowMs)) {
+      heldReplies.hold(report, then, nowMs);
+    } else {
+      then.accept(reply);
+    }
+  }
+
+  /**
+   * Without a sure lead nothing is decided; but a cancellation that is known is final, whoever
+   * leads. A leader that lost the state service before it had stopped a cancelled job's tasks would
+   * otherwise keep their leases alive until too late.
+   */
+  private ReportHandler.Reply finalStops(ReportHandler.Reply reply) {
+    return new ReportHandler.Reply(
+        reply.token(), reply.orders().stream().filter(this::isFinalStop).toList());
+  }
+
+  private boolean isFinalStop(Order order) {
+    return order instanceof Order.Stop && replica.get(Keys.cancel(order.uid())).isPresent();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -0,0 +1,68 @@
+package org.ploverspindle.leadership;
+
+import java.util.List;
+import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.Placement;
+
+/**
+ * Decides what happens to the tasks of a spot machine that the cloud takes back: what can't end in
+ * time is stopped, so that it saves its work, or at least starts again elsewhere without waiting
+ * for the machine's lease to run out.
+ */
+final class SpotDrain {
+  /** A task that is to end by itself must do so this long before the machine goes. */
+  private static final double END_MARGIN_S = 1;
+
+  /** Beyond what a save costs, for the order and the save to arrive. */
+  private static final double SAVE_MARGIN_S = 0.5;
+
+  /** A save that takes so much longer than expected still succeeds, if the notice allows it. */
+  private static final double SAVE_ALLOWANCE = 2;
+
+  /** Estimates err: a task that can't save is given up only when it is this far from its end. */
+  private static final double HOPELESS_RATIO = 1.5;
+
+  private static final double MS_PER_S = 1_000;
+
+  private final Estimates estimates;
+
+  SpotDrain(Estimates estimates) {
+    this.estimates = estimates;
+  }
+
+  /** Called with each report that shows the notice; what is stopping already is left alone. */
+  void drain(Machine machine, long nowMs) {
+    double leftS = machine.recallS();
+    for (Placement placement : List.copyOf(machine.placements())) {
+      if (!placement.stopping()) {
+        stopIfLate(placement, leftS, nowMs);
+      }
+    }
+  }
+
+  private void stopIfLate(Placement placement, double leftS, long nowMs) {
+    double restS = restS(placement, nowMs);
+    if (restS < leftS - END_MARGIN_S) {
+      return;
+    }
+    JobSpec spec = placement.job().spec();
+    double saveS = spec.saveCostS();
+    if (spec.saves() && leftS > saveS) {
+      placement.stop(Math.max(saveS + SAVE_MARGIN_S, Math.min(leftS, saveS * SAVE_ALLOWANCE)));
+    } else if (restS > leftS * HOPELESS_RATIO) {
+      placement.stop(0);
+    }
+  }
+
+  /** How long the task is expected to run on; for ever if it is a service. */
+  private double restS(Placement placement, long nowMs) {
+    if (placement.job().spec().expectedS() <= 0) {
+      return Double.MAX_VALUE;
+    }
+    long sinceMs = placement.runningSinceMs();
+    double ranS = sinceMs < 0 ? 0 : (nowMs - sinceMs) / MS_PER_S;
+    return estimates.runS(placement.job()) - ranS;
+  }
+}
--- a/src/main/java/org/ploverspindle/loop/DutyTimes.java
+++ b/src/main/java/org/ploverspindle/loop/DutyTimes.java
@@ -2,6 +2,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.Supplier;
 
 /** How long the decision loop was busy with each duty, for people who ask what a node does. */
 public final class DutyTimes {
@@ -18,14 +19,27 @@
     try {
       work.run();
     } finally {
-      long took = System.nanoTime() - from;
-      Sum sum = sums.computeIfAbsent(duty, d -> new Sum());
-      sum.nanos += took;
-      sum.most = Math.max(sum.most, took);
-      sum.runs++;
+      add(duty, System.nanoTime() - from);
     }
   }
 
+  /** The same for work with a result. */
+  public <T> T call(String duty, Supplier<T> work) {
+    long from = System.nanoTime();
+    try {
+      return work.get();
+    } finally {
+      add(duty, System.nanoTime() - from);
+    }
+  }
+
+  private void add(String duty, long took) {
+    Sum sum = sums.computeIfAbsent(duty, d -> new Sum());
+    sum.nanos += took;
+    sum.most = Math.max(sum.most, took);
+    sum.runs++;
+  }
+
   /** Since the last call: each duty's milliseconds, its longest run, and how often it ran. */
   public String take() {
     StringBuilder text = new StringBuilder();
