--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -39,7 +39,6 @@
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.state.TokenBucket;
-import org.ploverspindle.workers.FailureDetector;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
@@ -94,14 +93,13 @@
   private final JobTable jobs;
   private final MachineRegistry fleet;
   private final Estimates estimates = new Estimates();
-  private final FailureDetector blame;
   private final Reachability reach;
   private final Aims aims;
   private final Arrivals arrivals = new Arrivals();
   private final PriorityInheritance passedBack;
   private final List<Job> newlyReady = new ArrayList<>();
   private final ProgressWriter writer;
-  private final ReportHandler desk;
+  private final TaskProgress progress;
   private final Placer placer;
   private final Rentals rentals;
   private final DutyTimes times = new DutyTimes();
@@ -134,16 +132,23 @@
             term,
             this::hostName,
             new WriterEvents());
-    this.desk =
+    this.progress =
+        new TaskProgress(
+            with.scheduler(),
+            jobs,
+            estimates,
+            writer,
+            new TaskFailures(with.scheduler(), jobs, with.replica()),
+            this::planPlacing);
+    ReportHandler desk =
         new ReportHandler(
             fleet,
             term,
             this::mayDecide,
             jobs::get,
-            this::owner,
+            new TaskOwners(with.specs(), teams)::of,
             writer::isDurablyDone,
-            new ReportEvents());
-    this.blame = new FailureDetector(this::works);
+            progress);
     this.reach =
         new Reachability(
             fleet,
@@ -169,7 +174,7 @@
             this::nextAttempt,
             aims,
             Math.round(with.settings().workers().reportS() * 2_200 + 1_500),
-            this::placed);
+            progress::placed);
     this.rentals =
         new Rentals(
             with.scheduler(),
@@ -244,7 +249,7 @@
     duties.add(with.scheduler().every(1_000, () -> times.run("preemption", this::preempt)));
     duties.add(with.scheduler().every(10_000, () -> LOG.debug("busy with {}", times.take())));
     for (Job job : List.copyOf(jobs.all())) {
-      tidy(job);
+      progress.tidy(job);
     }
     planPlacing();
   }
@@ -297,7 +302,7 @@
         fleet.place(
             new Placement(
                 job, l.task(), l.attempt(), m.get(), l.tenure(), Placement.Phase.RECORDED));
-        stopIfDone(job, l.task());
+        TaskProgress.stopIfDone(job, l.task());
       }
     }
     if (job.allDone() && !job.cancelled()) {
@@ -309,14 +314,6 @@
     return with.pipelines().readyWallMs(job.uid()).orElse(job.acceptedWallMs());
   }
 
-  /** An attempt that goes on although a report that came late showed the task done by another. */
-  private static void stopIfDone(Job job, int task) {
-    Placement p = job.liveAt(task);
-    if (p != null && job.done().get(task)) {
-      p.stop(0);
-    }
-  }
-
   // ---- changes made by any node
 
   private void recordChanged(String key, Optional<Entry> entry) {
@@ -421,30 +418,10 @@
     }
     LOG.info("job {} is cancelled with {} tasks out", job.uid(), job.live().size());
     commands.stop(job);
-    tidy(job);
+    progress.tidy(job);
     planPlacing();
   }
 
-  /** Drops a job that is over as soon as none of its tasks can be anywhere. */
-  private void tidy(Job job) {
-    if (job.over() && job.live().isEmpty()) {
-      writer.over(job);
-      jobs.remove(job);
-    }
-  }
-
-  /** Whose an unrecorded task is: it counts for its team as long as it may run. */
-  private Optional<ReportHandler.Owner> owner(String uid) {
-    return with.specs()
-        .get(uid)
-        .flatMap(spec -> SpecRecord.decode(uid, spec.value()))
-        .flatMap(
-            r ->
-                teams
-                    .index(r.spec().team())
-                    .map(t -> new ReportHandler.Owner(t, r.spec().perTask())));
-  }
-
   // ---- reports
 
   /**
@@ -464,7 +441,7 @@
       return;
     }
     if (mayDecide()) {
-      lost(fleet.expire(now));
+      progress.lost(fleet.expire(now));
       planPlacing();
       reach.trouble(now).ifPresent(election::resignAndPause);
     }
@@ -485,21 +462,6 @@
     }
   }
 
-  private void lost(List<Placement> placements) {
-    for (Placement p : placements) {
-      ended(p);
-    }
-  }
-
-  private void ended(Placement p) {
-    if (p.job().over()) {
-      tidy(p.job());
-    } else {
-      writer.changed(p.job(), p.task());
-    }
-    planPlacing();
-  }
-
   private void planPlacing() {
     if (!placingPlanned && !closed) {
       placingPlanned = true;
@@ -520,11 +482,6 @@
     }
   }
 
-  private void placed(Placement p) {
-    LOG.debug("{}/{} goes to {}", p.job().uid(), p.task(), p.machine().host());
-    writer.changed(p.job(), p.task());
-  }
-
   /** Have this leader's writes come to nothing for a good while? */
   public boolean writesFail() {
     long sinceMs = writer.failingSinceMs();
@@ -561,7 +518,7 @@
     @Override
     public void finished(Job job) {
       LOG.info("job {} is done", job.uid());
-      tidy(job);
+      progress.tidy(job);
       // The write has been carried out: what awaits it need not wait for the next read.
       with.pipelines().graph().done(job.uid());
     }
@@ -590,91 +547,6 @@
     }
   }
 
-  private final class ReportEvents implements ReportHandler.Listener {
-    @Override
-    public void completed(Placement p, long nowMs) {
-      if (p.runningSinceMs() >= 0) {
-        estimates.observed(p.job(), (nowMs - p.runningSinceMs()) / 1000.0);
-      }
-      completedUnplaced(p.job(), p.task());
-    }
-
-    @Override
-    public void completedUnplaced(Job job, int task) {
-      if (job.over()) {
-        tidy(job);
-        return;
-      }
-      job.markDone(task);
-      stopIfDone(job, task);
-      writer.changed(job, task);
-      planPlacing();
-    }
-
-    @Override
-    public void ended(Placement p, Report.Cause cause, boolean saved, long nowMs) {
-      Job job = p.job();
-      if (cause != Report.Cause.NONE) {
-        LOG.debug(
-            "{}/{} ended on {}: {}{}",
-            job.uid(),
-            p.task(),
-            p.machine().host(),
-            cause,
-            saved ? ", saved" : "");
-      }
-      switch (cause) {
-        case ERROR -> failed(p, nowMs);
-        case NO_ROOM, BUSY -> job.putOff(p.task(), nowMs + 1_000);
-        case NO_SUCH -> job.putOff(p.task(), nowMs + 4_000);
-        default -> {}
-      }
-      Leader.this.ended(p);
-    }
-
-    @Override
-    public void moved(Placement p) {
-      if (LOG.isDebugEnabled()
-          && p.phase() == Placement.Phase.RUNNING
-          && p.job().urgency().compareTo(Urgency.HIGH) <= 0) {
-        // For people who ask why a pressing task waited.
-        long now = with.scheduler().nowMs();
-        LOG.debug(
-            "{}/{} runs {} ms after it could first; {} ms after its record, {} ms after its launch",
-            p.job().uid(),
-            p.task(),
-            with.scheduler().wallMs() - p.job().sinceWallMs(),
-            now - p.recordedMs(),
-            now - p.sentMs());
-      }
-    }
-  }
-
-  private boolean works(String uid) {
-    return jobs.get(uid)
-        .map(j -> j.works(with.scheduler().nowMs()))
-        .orElseGet(() -> with.replica().get(Keys.done(uid)).isPresent());
-  }
-
-  private void failed(Placement p, long now) {
-    Job job = p.job();
-    Machine m = p.machine();
-    boolean looked = job.looksBroken(now);
-    job.failedOn(m.host(), p.runningSinceMs() < 0 ? 0 : now - p.runningSinceMs(), now);
-    if (job.works(now)) {
-      job.putOff(p.task(), now + Math.min(20_000, 1_000L * (1 + job.failures())));
-    }
-    if (blame.failed(m, job, now) && !m.draining()) {
-      LOG.info("machine {} fails tasks of jobs that run elsewhere: it is returned", m.host());
-      m.drain();
-    }
-    if (!looked && job.looksBroken(now)) {
-      LOG.info(
-          "job {} fails on several machines and runs nowhere: one task is tried now and then",
-          job.uid());
-    }
-  }
-
   private final class RentalHost implements Rentals.Host {
     @Override
     public List<Demand.Wanted> wanted(List<Demand.Offer> offers, List<Demand.Coming> coming) {
@@ -764,7 +636,7 @@
 
     @Override
     public void lost(List<Placement> placements) {
-      Leader.this.lost(placements);
+      progress.lost(placements);
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/TaskFailures.java
@@ -0,0 +1,66 @@
+package org.ploverspindle.leadership;
+
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.Replica;
+import org.ploverspindle.workers.FailureDetector;
+import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.Placement;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * What follows from a task's failure: when it may be tried again, whether its job is taken to be
+ * broken, and whether its machine is returned.
+ */
+final class TaskFailures {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskFailures.class);
+
+  /** Before a failed task is tried again: this for the first failure and each one before it. */
+  private static final long RETRY_STEP_MS = 1_000;
+
+  private static final long LONGEST_RETRY_MS = 20_000;
+
+  private final Scheduler scheduler;
+  private final JobTable jobs;
+  private final Replica replica;
+  private final FailureDetector detector;
+
+  TaskFailures(Scheduler scheduler, JobTable jobs, Replica replica) {
+    this.scheduler = scheduler;
+    this.jobs = jobs;
+    this.replica = replica;
+    this.detector = new FailureDetector(this::works);
+  }
+
+  /** The task ended on its machine with an error. */
+  void failed(Placement placement, long nowMs) {
+    Job job = placement.job();
+    Machine machine = placement.machine();
+    boolean lookedBroken = job.looksBroken(nowMs);
+    long sinceMs = placement.runningSinceMs();
+    job.failedOn(machine.host(), sinceMs < 0 ? 0 : nowMs - sinceMs, nowMs);
+    if (job.works(nowMs)) {
+      long retryMs = Math.min(LONGEST_RETRY_MS, RETRY_STEP_MS * (1 + job.failures()));
+      job.putOff(placement.task(), nowMs + retryMs);
+    }
+    if (detector.failed(machine, job, nowMs) && !machine.draining()) {
+      LOG.info("machine {} fails tasks of jobs that run elsewhere: it is returned", machine.host());
+      machine.drain();
+    }
+    if (!lookedBroken && job.looksBroken(nowMs)) {
+      LOG.info(
+          "job {} fails on several machines and runs nowhere: one task is tried now and then",
+          job.uid());
+    }
+  }
+
+  /** A job that is no longer in the table has shown that it can run if it was done. */
+  private boolean works(String uid) {
+    return jobs.get(uid)
+        .map(job -> job.works(scheduler.nowMs()))
+        .orElseGet(() -> replica.get(Keys.done(uid)).isPresent());
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -0,0 +1,152 @@
+package org.ploverspindle.leadership;
+
+import java.util.List;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.jobs.ProgressWriter;
+import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.workers.Placement;
+import org.ploverspindle.workers.Report;
+import org.ploverspindle.workers.ReportHandler;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Takes note of what becomes of tasks: has it recorded, has the freed room filled again, and drops
+ * jobs that are over.
+ */
+final class TaskProgress implements ReportHandler.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskProgress.class);
+
+  /** Before a task that its machine had no room for, or was too busy for, is placed again. */
+  private static final long REFUSED_RETRY_MS = 1_000;
+
+  /** The same for a task that its machine did not know. */
+  private static final long UNKNOWN_RETRY_MS = 4_000;
+
+  private static final double MS_PER_S = 1_000;
+
+  private final Scheduler scheduler;
+  private final JobTable jobs;
+  private final Estimates estimates;
+  private final ProgressWriter writer;
+  private final TaskFailures failures;
+  private final Runnable planPlacing;
+
+  /**
+   * @param planPlacing has waiting tasks placed soon, as there may be room for them now
+   */
+  TaskProgress(
+      Scheduler scheduler,
+      JobTable jobs,
+      Estimates estimates,
+      ProgressWriter writer,
+      TaskFailures failures,
+      Runnable planPlacing) {
+    this.scheduler = scheduler;
+    this.jobs = jobs;
+    this.estimates = estimates;
+    this.writer = writer;
+    this.failures = failures;
+    this.planPlacing = planPlacing;
+  }
+
+  /** A task has been given a place: its launch goes out once that is recorded. */
+  void placed(Placement placement) {
+    LOG.debug(
+        "{}/{} goes to {}", placement.job().uid(), placement.task(), placement.machine().host());
+    writer.changed(placement.job(), placement.task());
+  }
+
+  /** These are proven gone with their machines. */
+  void lost(List<Placement> placements) {
+    placements.forEach(this::ended);
+  }
+
+  /** Drops a job that is over as soon as none of its tasks can be anywhere. */
+  void tidy(Job job) {
+    if (job.over() && job.live().isEmpty()) {
+      writer.over(job);
+      jobs.remove(job);
+    }
+  }
+
+  /** Stops an attempt that goes on although its task is done, by a report of another one. */
+  static void stopIfDone(Job job, int task) {
+    Placement placement = job.liveAt(task);
+    if (placement != null && job.done().get(task)) {
+      placement.stop(0);
+    }
+  }
+
+  @Override
+  public void completed(Placement placement, long nowMs) {
+    long sinceMs = placement.runningSinceMs();
+    if (sinceMs >= 0) {
+      estimates.observed(placement.job(), (nowMs - sinceMs) / MS_PER_S);
+    }
+    completedUnplaced(placement.job(), placement.task());
+  }
+
+  @Override
+  public void completedUnplaced(Job job, int task) {
+    if (job.over()) {
+      tidy(job);
+      return;
+    }
+    job.markDone(task);
+    stopIfDone(job, task);
+    writer.changed(job, task);
+    planPlacing.run();
+  }
+
+  @Override
+  public void ended(Placement placement, Report.Cause cause, boolean saved, long nowMs) {
+    Job job = placement.job();
+    if (cause != Report.Cause.NONE) {
+      LOG.debug(
+          "{}/{} ended on {}: {}{}",
+          job.uid(),
+          placement.task(),
+          placement.machine().host(),
+          cause,
+          saved ? ", saved" : "");
+    }
+    switch (cause) {
+      case ERROR -> failures.failed(placement, nowMs);
+      case NO_ROOM, BUSY -> job.putOff(placement.task(), nowMs + REFUSED_RETRY_MS);
+      case NO_SUCH -> job.putOff(placement.task(), nowMs + UNKNOWN_RETRY_MS);
+      default -> {}
+    }
+    ended(placement);
+  }
+
+  private void ended(Placement placement) {
+    if (placement.job().over()) {
+      tidy(placement.job());
+    } else {
+      writer.changed(placement.job(), placement.task());
+    }
+    planPlacing.run();
+  }
+
+  /** For people who ask why a pressing task waited. */
+  @Override
+  public void moved(Placement placement) {
+    if (!LOG.isDebugEnabled()
+        || placement.phase() != Placement.Phase.RUNNING
+        || placement.job().urgency().compareTo(Urgency.HIGH) > 0) {
+      return;
+    }
+    long nowMs = scheduler.nowMs();
+    LOG.debug(
+        "{}/{} runs {} ms after it could first; {} ms after its record, {} ms after its launch",
+        placement.job().uid(),
+        placement.task(),
+        scheduler.wallMs() - placement.job().sinceWallMs(),
+        nowMs - placement.recordedMs(),
+        nowMs - placement.sentMs());
+  }
+}
