--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -0,0 +1,104 @@
+package org.ploverspindle.leadership;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.Resources;
+import org.ploverspindle.jobs.TeamUsage;
+import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.pipelines.Pipelines;
+import org.ploverspindle.placement.Arrivals;
+import org.ploverspindle.state.SpecIndex;
+import org.ploverspindle.state.SpecRecord;
+
+/**
+ * Notes jobs as they begin to wait for room, for the forecast of work, and has what jobs inherit
+ * from those that depend on them brought up to date before something is decided by it.
+ */
+final class JobArrivals {
+  /** What came longer ago, under earlier leaders, says nothing about the rate of work now. */
+  private static final long REMEMBERED_MS = 120_000;
+
+  private final Scheduler scheduler;
+  private final Pipelines pipelines;
+  private final PriorityInheritance inheritance;
+  private final Arrivals arrivals;
+  private final TeamUsage teams;
+  private final List<Job> newlyReady = new ArrayList<>();
+
+  JobArrivals(
+      Scheduler scheduler,
+      Pipelines pipelines,
+      PriorityInheritance inheritance,
+      Arrivals arrivals,
+      TeamUsage teams) {
+    this.scheduler = scheduler;
+    this.pipelines = pipelines;
+    this.inheritance = inheritance;
+    this.arrivals = arrivals;
+    this.teams = teams;
+  }
+
+  /** What came under earlier leaders tells how much will come under this one. */
+  void remember(SpecIndex.Spec spec) {
+    if (pipelines.graph().awaitsOthers(spec.uid())) {
+      // It came when it became ready, which nobody has recorded.
+      return;
+    }
+    long wallMs = SpecRecord.acceptedWallMs(spec.value());
+    arrivals.came(wallMs);
+    if (scheduler.wallMs() - wallMs < REMEMBERED_MS) {
+      SpecRecord.decode(spec.uid(), spec.value())
+          .ifPresent(
+              record ->
+                  arrivals.work(record.spec(), record.spec().dueS(), record.acceptedWallMs()));
+    }
+  }
+
+  /** From when on the job counts as waiting for room: all its dependencies are done. */
+  void ready(Job job) {
+    job.readySince(pipelines.readyWallMs(job.uid()).orElse(job.acceptedWallMs()));
+  }
+
+  /**
+   * A job became ready just now. It is looked at with the next update, as many may become ready at
+   * once and all of them change what others inherit.
+   */
+  void newlyReady(Job job) {
+    ready(job);
+    newlyReady.add(job);
+    inheritance.changed();
+  }
+
+  /** A job with dependencies came, or will never run. */
+  void dependenciesChanged() {
+    inheritance.changed();
+  }
+
+  /** Brings what jobs inherit up to date, and takes in all that became ready since. */
+  void update() {
+    inheritance.update(scheduler.nowMs());
+    newlyReady.forEach(this::arrived);
+    newlyReady.clear();
+  }
+
+  /** A job begins to wait for room. */
+  void arrived(Job job) {
+    arrivals.came(job.sinceWallMs());
+    arrivals.work(job.spec(), job.dueS(), job.sinceWallMs());
+    if (isPressing(job)) {
+      arrivals.pressing(job);
+    }
+  }
+
+  private boolean isPressing(Job job) {
+    if (job.urgency().compareTo(Urgency.HIGH) <= 0) {
+      return true;
+    }
+    int tasks = job.spec().tasks();
+    Resources perTask = job.perTask();
+    Resources whole = new Resources(perTask.cores() * tasks, perTask.accelerators() * tasks, 0);
+    return teams.guarantees(job.team(), whole) && job.dueS().isEmpty();
+  }
+}
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -14,10 +14,7 @@
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobTable;
 import org.ploverspindle.jobs.ProgressWriter;
-import org.ploverspindle.jobs.RecordedProgress;
-import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.loop.DutyTimes;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.loop.Scope;
@@ -54,13 +51,10 @@
  */
 public final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
-  private static final long PLACING_PAUSE_MS = 40;
 
   /** Hints of new jobs may be lost: a leader looks for them by itself as well. */
   private static final long READ_MS = 200;
 
-  private static final long REMEMBERED_MS = 120_000;
-
   /** For what is proven gone by silence to be known before the lead could change again. */
   private static final long PATIENCE_MARGIN_MS = 4_000;
 
@@ -96,11 +90,11 @@
   private final Reachability reach;
   private final Aims aims;
   private final Arrivals arrivals = new Arrivals();
-  private final PriorityInheritance passedBack;
-  private final List<Job> newlyReady = new ArrayList<>();
+  private final JobArrivals jobArrivals;
   private final ProgressWriter writer;
   private final TaskProgress progress;
   private final Placer placer;
+  private final PlacingRounds placing;
   private final Rentals rentals;
   private final DutyTimes times = new DutyTimes();
   private final Scope duties = new Scope();
@@ -109,9 +103,6 @@
   private final ReportIntake reports;
   private final TokenAnnouncement announcement;
   private long attemptCounter;
-  private long placingTookMs;
-  private long placingFromMs = Long.MIN_VALUE;
-  private boolean placingPlanned;
   private boolean closed;
 
   public Leader(LeaderContext with, Term term, Election election) {
@@ -157,13 +148,15 @@
             this::listRead,
             election.changesOften() ? with.timing().takeoverSilenceMs() + PATIENCE_MARGIN_MS : 0);
     this.aims = new Aims(with.settings().objectives());
-    this.passedBack =
+    PriorityInheritance inheritance =
         new PriorityInheritance(
             with.pipelines().graph(),
             uid -> with.specs().get(uid).flatMap(s -> SpecRecord.decode(uid, s.value())),
             jobs,
             estimates,
             aims);
+    this.jobArrivals =
+        new JobArrivals(with.scheduler(), with.pipelines(), inheritance, arrivals, teams);
     this.placer =
         new Placer(
             with.catalogue(),
@@ -175,6 +168,7 @@
             aims,
             Math.round(with.settings().workers().reportS() * 2_200 + 1_500),
             progress::placed);
+    this.placing = new PlacingRounds(with.scheduler(), placer, jobArrivals, times, this::mayDecide);
     this.rentals =
         new Rentals(
             with.scheduler(),
@@ -217,21 +211,13 @@
     with.specs().uids().stream()
         .flatMap(uid -> with.specs().get(uid).stream())
         .sorted(Comparator.comparingLong(spec -> SpecRecord.acceptedWallMs(spec.value())))
-        .forEach(this::remember);
-    RecordedProgress recorded = new RecordedProgress(with.replica(), writer);
+        .forEach(jobArrivals::remember);
     DependencyGraph graph = with.pipelines().graph();
-    for (Job job : jobs.loadAll(uid -> graph.isReady(uid) || recorded.speaksOf(uid))) {
-      if (!graph.isReady(job.uid())) {
-        LOG.error("tasks of job {} are recorded before what it awaits is done", job.uid());
-        job.await();
-      } else if (graph.awaitsOthers(job.uid())) {
-        job.readySince(readyWallMs(job));
-      }
-      rebuild(job, recorded.of(job), now);
-    }
-    passedBack.update(now);
-    if (recorded.logDamaged()) {
-      placingFromMs = now + with.timing().takeoverSilenceMs();
+    boolean logDamaged =
+        new Recovery(with.replica(), graph, jobs, fleet, writer, jobArrivals).restore(now);
+    jobArrivals.update();
+    if (logDamaged) {
+      placing.notBefore(now + with.timing().takeoverSilenceMs());
     }
     LOG.info(
         "took over {} jobs and {} machines under token {}",
@@ -246,7 +232,7 @@
     duties.add(with.scheduler().every(100, heldReplies::releaseDue));
     duties.add(announcement.start());
     duties.add(with.scheduler().every(READ_MS, () -> with.replica().readIfOlderThan(READ_MS)));
-    duties.add(with.scheduler().every(1_000, () -> times.run("preemption", this::preempt)));
+    duties.add(with.scheduler().every(1_000, placing::preempt));
     duties.add(with.scheduler().every(10_000, () -> LOG.debug("busy with {}", times.take())));
     for (Job job : List.copyOf(jobs.all())) {
       progress.tidy(job);
@@ -257,6 +243,7 @@
   public void close() {
     closed = true;
     commands.close();
+    placing.close();
     heldReplies.releaseAll();
     writer.close();
     duties.cancel();
@@ -287,33 +274,6 @@
         m.spot());
   }
 
-  // ---- taking over
-
-  private void rebuild(Job job, RecordedProgress.State recorded, long now) {
-    recorded.done().stream().forEach(job::markDone);
-    for (ProgressRecord.Live l : recorded.live().values()) {
-      ProgressRecord.Host h = l.host();
-      Optional<Machine> m = fleet.adopt(h.id(), h.type(), h.zone(), h.spot(), now);
-      if (m.isEmpty() || l.task() >= job.spec().tasks()) {
-        LOG.error(
-            "job {} has a record of a machine or task that can't be: it is not run", job.uid());
-        job.block();
-      } else {
-        fleet.place(
-            new Placement(
-                job, l.task(), l.attempt(), m.get(), l.tenure(), Placement.Phase.RECORDED));
-        TaskProgress.stopIfDone(job, l.task());
-      }
-    }
-    if (job.allDone() && !job.cancelled()) {
-      writer.changed(job, 0);
-    }
-  }
-
-  private long readyWallMs(Job job) {
-    return with.pipelines().readyWallMs(job.uid()).orElse(job.acceptedWallMs());
-  }
-
   // ---- changes made by any node
 
   private void recordChanged(String key, Optional<Entry> entry) {
@@ -331,13 +291,13 @@
     }
     LOG.debug("job {} is here", spec.uid());
     if (with.pipelines().graph().awaitsOthers(spec.uid())) {
-      passedBack.changed();
+      jobArrivals.dependenciesChanged();
       if (with.pipelines().graph().isReady(spec.uid())) {
         ready(spec);
       }
       return;
     }
-    jobs.add(spec).ifPresent(this::arrived);
+    jobs.add(spec).ifPresent(jobArrivals::arrived);
     rentals.scanSoon();
     planPlacing();
   }
@@ -348,7 +308,7 @@
     if (known.isPresent()) {
       Job job = known.get();
       if (job.awaiting()) {
-        job.readySince(readyWallMs(job));
+        jobArrivals.ready(job);
         if (!job.over()) {
           writer.changed(job, 0);
         }
@@ -358,53 +318,13 @@
           .ifPresent(
               job -> {
                 LOG.debug("what job {} awaited is done", job.uid());
-                job.readySince(readyWallMs(job));
-                newlyReady.add(job);
-                passedBack.changed();
+                jobArrivals.newlyReady(job);
               });
     }
     rentals.scanSoon();
     planPlacing();
   }
 
-  /**
-   * What is decided next goes by what jobs pass back now. All that became ready at once, of which
-   * there may be many, is looked at once.
-   */
-  private void updatePassedBack() {
-    passedBack.update(with.scheduler().nowMs());
-    newlyReady.forEach(this::arrived);
-    newlyReady.clear();
-  }
-
-  /** What came under earlier leaders tells how much will come under this one. */
-  private void remember(SpecIndex.Spec spec) {
-    if (with.pipelines().graph().awaitsOthers(spec.uid())) {
-      // It came when it became ready, which nobody has recorded.
-      return;
-    }
-    long wallMs = SpecRecord.acceptedWallMs(spec.value());
-    arrivals.came(wallMs);
-    if (with.scheduler().wallMs() - wallMs < REMEMBERED_MS) {
-      SpecRecord.decode(spec.uid(), spec.value())
-          .ifPresent(r -> arrivals.work(r.spec(), r.spec().dueS(), r.acceptedWallMs()));
-    }
-  }
-
-  private void arrived(Job job) {
-    arrivals.came(job.sinceWallMs());
-    arrivals.work(job.spec(), job.dueS(), job.sinceWallMs());
-    Resources whole =
-        new Resources(
-            job.perTask().cores() * job.spec().tasks(),
-            job.perTask().accelerators() * job.spec().tasks(),
-            0);
-    if (job.urgency().compareTo(Urgency.HIGH) <= 0
-        || teams.guarantees(job.team(), whole) && job.dueS().isEmpty()) {
-      arrivals.pressing(job);
-    }
-  }
-
   private void cancel(Job job) {
     if (job.cancelled()) {
       return;
@@ -452,34 +372,8 @@
     reach.strayed(with.scheduler().nowMs(), reports);
   }
 
-  private void preempt() {
-    if (mayDecide()) {
-      updatePassedBack();
-      int stopped = placer.preempt(with.scheduler().nowMs(), with.scheduler().wallMs());
-      if (stopped > 0) {
-        LOG.info("{} tasks are stopped to make room for pressing jobs", stopped);
-      }
-    }
-  }
-
   private void planPlacing() {
-    if (!placingPlanned && !closed) {
-      placingPlanned = true;
-      with.scheduler()
-          .schedule(
-              // A quarter of the time at most: what places a large backlog must leave room for the
-              // reports that end it.
-              Math.max(PLACING_PAUSE_MS, 3 * placingTookMs),
-              () -> {
-                placingPlanned = false;
-                long now = with.scheduler().nowMs();
-                if (mayDecide() && now >= placingFromMs) {
-                  updatePassedBack();
-                  times.run("placing", () -> placer.run(now, with.scheduler().wallMs()));
-                  placingTookMs = with.scheduler().nowMs() - now;
-                }
-              });
-    }
+    placing.plan();
   }
 
   /** Have this leader's writes come to nothing for a good while? */
@@ -541,7 +435,7 @@
     @Override
     public void aborted(String uid) {
       if (!closed) {
-        passedBack.changed();
+        jobArrivals.dependenciesChanged();
         jobs.get(uid).ifPresent(Leader.this::cancel);
       }
     }
@@ -552,7 +446,7 @@
     public List<Demand.Wanted> wanted(List<Demand.Offer> offers, List<Demand.Coming> coming) {
       long now = with.scheduler().nowMs();
       long wall = with.scheduler().wallMs();
-      updatePassedBack();
+      jobArrivals.update();
       // Work that is about to become ready could be counted here, from what its dependencies'
       // tasks have left to run; whether renting ahead for it pays is for measurement to say.
       List<Machine> usable = fleet.all().stream().filter(m -> m.usable(now, 60_000)).toList();
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/PlacingRounds.java
@@ -0,0 +1,95 @@
+package org.ploverspindle.leadership;
+
+import java.util.function.BooleanSupplier;
+import org.ploverspindle.loop.DutyTimes;
+import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.placement.Placer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** When waiting tasks are placed, and when running ones are stopped for more pressing ones. */
+final class PlacingRounds {
+  private static final Logger LOG = LoggerFactory.getLogger(PlacingRounds.class);
+
+  /** What happens within this time after a change is placed together. */
+  private static final long SHORTEST_PAUSE_MS = 40;
+
+  /**
+   * A pause lasts so many times as long as the last round took. Without it, placing a large backlog
+   * would leave no room for the reports that end it.
+   */
+  private static final int PAUSE_PER_ROUND = 3;
+
+  private final Scheduler scheduler;
+  private final Placer placer;
+  private final JobArrivals arrivals;
+  private final DutyTimes times;
+  private final BooleanSupplier mayDecide;
+  private long notBeforeMs = Long.MIN_VALUE;
+  private long lastRoundMs;
+  private boolean planned;
+  private boolean closed;
+
+  /**
+   * @param mayDecide whether this leader is sure of its lead
+   */
+  PlacingRounds(
+      Scheduler scheduler,
+      Placer placer,
+      JobArrivals arrivals,
+      DutyTimes times,
+      BooleanSupplier mayDecide) {
+    this.scheduler = scheduler;
+    this.placer = placer;
+    this.arrivals = arrivals;
+    this.times = times;
+    this.mayDecide = mayDecide;
+  }
+
+  /** From now on no round is planned. */
+  void close() {
+    closed = true;
+  }
+
+  /** Nothing is placed before: tasks may still run where no record says that they do. */
+  void notBefore(long atMs) {
+    notBeforeMs = atMs;
+  }
+
+  /** Has waiting tasks placed soon; calls before the round begins are served by that one. */
+  void plan() {
+    if (planned || closed) {
+      return;
+    }
+    planned = true;
+    scheduler.schedule(
+        Math.max(SHORTEST_PAUSE_MS, PAUSE_PER_ROUND * lastRoundMs), this::placeWaiting);
+  }
+
+  private void placeWaiting() {
+    planned = false;
+    long nowMs = scheduler.nowMs();
+    if (!mayDecide.getAsBoolean() || nowMs < notBeforeMs) {
+      return;
+    }
+    arrivals.update();
+    times.run("placing", () -> placer.run(nowMs, scheduler.wallMs()));
+    lastRoundMs = scheduler.nowMs() - nowMs;
+  }
+
+  /** Stops tasks, if need be, so that pressing jobs find room. */
+  void preempt() {
+    times.run("preemption", this::stopForPressing);
+  }
+
+  private void stopForPressing() {
+    if (!mayDecide.getAsBoolean()) {
+      return;
+    }
+    arrivals.update();
+    int stopped = placer.preempt(scheduler.nowMs(), scheduler.wallMs());
+    if (stopped > 0) {
+      LOG.info("{} tasks are stopped to make room for pressing jobs", stopped);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/Recovery.java
@@ -0,0 +1,96 @@
+package org.ploverspindle.leadership;
+
+import java.util.Optional;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.jobs.ProgressWriter;
+import org.ploverspindle.jobs.RecordedProgress;
+import org.ploverspindle.pipelines.DependencyGraph;
+import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.Replica;
+import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
+import org.ploverspindle.workers.Placement;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Turns what earlier leaders recorded into this leader's jobs and placements. A task that is
+ * recorded on a machine is presumed there until a report, or the end of the lease, says otherwise.
+ */
+final class Recovery {
+  private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
+
+  private final Replica replica;
+  private final DependencyGraph graph;
+  private final JobTable jobs;
+  private final MachineRegistry fleet;
+  private final ProgressWriter writer;
+  private final JobArrivals arrivals;
+
+  Recovery(
+      Replica replica,
+      DependencyGraph graph,
+      JobTable jobs,
+      MachineRegistry fleet,
+      ProgressWriter writer,
+      JobArrivals arrivals) {
+    this.replica = replica;
+    this.graph = graph;
+    this.jobs = jobs;
+    this.fleet = fleet;
+    this.writer = writer;
+    this.arrivals = arrivals;
+  }
+
+  /**
+   * Fills the job table, the registry of machines, and the writer's view of the records.
+   *
+   * @return whether a record of the log is lost: tasks may be where nothing says that they are
+   */
+  boolean restore(long nowMs) {
+    RecordedProgress recorded = new RecordedProgress(replica, writer);
+    for (Job job : jobs.loadAll(uid -> graph.isReady(uid) || recorded.speaksOf(uid))) {
+      if (!graph.isReady(job.uid())) {
+        LOG.error("tasks of job {} are recorded before what it awaits is done", job.uid());
+        job.await();
+      } else if (graph.awaitsOthers(job.uid())) {
+        arrivals.ready(job);
+      }
+      rebuild(job, recorded.of(job), nowMs);
+    }
+    return recorded.logDamaged();
+  }
+
+  private void rebuild(Job job, RecordedProgress.State recorded, long nowMs) {
+    recorded.done().stream().forEach(job::markDone);
+    for (ProgressRecord.Live live : recorded.live().values()) {
+      place(job, live, nowMs);
+    }
+    if (job.allDone() && !job.cancelled()) {
+      writer.changed(job, 0);
+    }
+  }
+
+  private void place(Job job, ProgressRecord.Live live, long nowMs) {
+    ProgressRecord.Host host = live.host();
+    Optional<Machine> machine =
+        fleet.adopt(host.id(), host.type(), host.zone(), host.spot(), nowMs);
+    if (machine.isEmpty() || live.task() >= job.spec().tasks()) {
+      // Where the task is can't be kept in view: were its job run, it could run in two places.
+      LOG.error("job {} has a record of a machine or task that can't be: it is not run", job.uid());
+      job.block();
+      return;
+    }
+    fleet.place(
+        new Placement(
+            job,
+            live.task(),
+            live.attempt(),
+            machine.get(),
+            live.tenure(),
+            Placement.Phase.RECORDED));
+    // Another attempt of it may have completed, as a report that came late showed.
+    TaskProgress.stopIfDone(job, live.task());
+  }
+}
