--- a/src/main/java/org/ploverspindle/leadership/JobArrivals.java
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -1,6 +1,7 @@
 package org.ploverspindle.leadership;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.Resources;
@@ -41,7 +42,14 @@
   }
 
   /** What came under earlier leaders tells how much will come under this one. */
-  void remember(SpecIndex.Spec spec) {
+  void rememberAll(SpecIndex specs) {
+    specs.uids().stream()
+        .flatMap(uid -> specs.get(uid).stream())
+        .sorted(Comparator.comparingLong(spec -> SpecRecord.acceptedWallMs(spec.value())))
+        .forEach(this::remember);
+  }
+
+  private void remember(SpecIndex.Spec spec) {
     if (pipelines.graph().awaitsOthers(spec.uid())) {
       // It came when it became ready, which nobody has recorded.
       return;
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/JobIntake.java
@@ -0,0 +1,170 @@
+package org.ploverspindle.leadership;
+
+import java.util.List;
+import java.util.Optional;
+import org.ploverspindle.cloud.Rentals;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.jobs.ProgressWriter;
+import org.ploverspindle.loop.Cancellable;
+import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.loop.Scope;
+import org.ploverspindle.pipelines.DependencyGraph;
+import org.ploverspindle.pipelines.Pipelines;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.SpecIndex;
+import org.ploverspindle.state.StateStore.Entry;
+import org.ploverspindle.workers.MachineRegistry;
+import org.ploverspindle.workers.Placement;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Takes in jobs as any node accepts or cancels them, and as their dependencies are done or will
+ * never be.
+ */
+final class JobIntake {
+  private static final Logger LOG = LoggerFactory.getLogger(JobIntake.class);
+
+  private final Scheduler scheduler;
+  private final Pipelines pipelines;
+  private final SpecIndex specs;
+  private final JobTable jobs;
+  private final MachineRegistry fleet;
+  private final ProgressWriter writer;
+  private final JobArrivals arrivals;
+  private final TaskProgress progress;
+  private final DirectCommands commands;
+  private final PlacingRounds placing;
+  private final Rentals rentals;
+  private boolean closed;
+
+  JobIntake(
+      Scheduler scheduler,
+      Pipelines pipelines,
+      SpecIndex specs,
+      JobTable jobs,
+      MachineRegistry fleet,
+      ProgressWriter writer,
+      JobArrivals arrivals,
+      TaskProgress progress,
+      DirectCommands commands,
+      PlacingRounds placing,
+      Rentals rentals) {
+    this.scheduler = scheduler;
+    this.pipelines = pipelines;
+    this.specs = specs;
+    this.jobs = jobs;
+    this.fleet = fleet;
+    this.writer = writer;
+    this.arrivals = arrivals;
+    this.progress = progress;
+    this.commands = commands;
+    this.placing = placing;
+    this.rentals = rentals;
+  }
+
+  /** Listens to the records from now on, until cancelled. */
+  Cancellable start(Replica replica) {
+    Scope listening = new Scope();
+    listening.add(replica.listen(this::recordChanged));
+    listening.add(specs.listen(this::accepted));
+    listening.add(pipelines.graph().listen(new GraphEvents()));
+    return listening;
+  }
+
+  /** From now on nothing is taken in, also if a change is being told to its listeners just now. */
+  void close() {
+    closed = true;
+  }
+
+  private void recordChanged(String key, Optional<Entry> entry) {
+    if (!closed && entry.isPresent() && key.startsWith(Keys.CANCELS)) {
+      jobs.get(key.substring(Keys.CANCELS.length())).ifPresent(this::cancel);
+    }
+  }
+
+  private void accepted(SpecIndex.Spec spec) {
+    if (closed) {
+      return;
+    }
+    LOG.debug("job {} is here", spec.uid());
+    if (pipelines.graph().awaitsOthers(spec.uid())) {
+      arrivals.dependenciesChanged();
+      if (pipelines.graph().isReady(spec.uid())) {
+        ready(spec);
+      }
+      return;
+    }
+    jobs.add(spec).ifPresent(arrivals::arrived);
+    workWaits();
+  }
+
+  /** All that the job awaited is done: it comes as a new one does. */
+  private void ready(SpecIndex.Spec spec) {
+    Optional<Job> known = jobs.get(spec.uid());
+    if (known.isPresent()) {
+      resume(known.get());
+    } else {
+      jobs.add(spec)
+          .ifPresent(
+              job -> {
+                LOG.debug("what job {} awaited is done", job.uid());
+                arrivals.newlyReady(job);
+              });
+    }
+    workWaits();
+  }
+
+  /** A job whose tasks were recorded before what it awaits was done: it may run on now. */
+  private void resume(Job job) {
+    if (!job.awaiting()) {
+      return;
+    }
+    arrivals.ready(job);
+    if (!job.over()) {
+      writer.changed(job, 0);
+    }
+  }
+
+  private void workWaits() {
+    rentals.scanSoon();
+    placing.plan();
+  }
+
+  private void cancel(Job job) {
+    if (job.cancelled()) {
+      return;
+    }
+    job.cancel();
+    long nowMs = scheduler.nowMs();
+    for (Placement placement : List.copyOf(job.live())) {
+      if (placement.neverSent()) {
+        fleet.gone(placement, nowMs);
+      }
+    }
+    LOG.info("job {} is cancelled with {} tasks out", job.uid(), job.live().size());
+    commands.stop(job);
+    progress.tidy(job);
+    placing.plan();
+  }
+
+  private final class GraphEvents implements DependencyGraph.Listener {
+    @Override
+    public void ready(String uid) {
+      if (!closed) {
+        specs.get(uid).ifPresent(JobIntake.this::ready);
+      }
+    }
+
+    /** Nothing of it has begun, unless records are damaged; others need no longer press for it. */
+    @Override
+    public void aborted(String uid) {
+      if (!closed) {
+        arrivals.dependenciesChanged();
+        jobs.get(uid).ifPresent(JobIntake.this::cancel);
+      }
+    }
+  }
+}
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -1,15 +1,10 @@
 package org.ploverspindle.leadership;
 
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
-import java.util.Optional;
 import java.util.function.Consumer;
-import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.CloudApi;
-import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.cloud.Rentals;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobTable;
@@ -27,14 +22,12 @@
 import org.ploverspindle.placement.Placer;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.LeaderWrites;
 import org.ploverspindle.state.ProgressRecord;
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.SpecRecord;
 import org.ploverspindle.state.StateStore;
-import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.state.TokenBucket;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
@@ -46,12 +39,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term's leader: rebuilds what earlier leaders recorded, then takes reports, places, and rents.
- * It is thrown away with its term, so that nothing known in one term is believed in another.
+ * One term's leader: wires the parts that do its work, starts and closes them, and gives the lead
+ * up where another controller would lead better. It is thrown away with its term, so that nothing
+ * known in one term is believed in another.
  */
 public final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
+  /** Direct commands at a time: each has a connection of its own, and sockets are counted. */
+  public static final int MOST_DIRECT = DirectCommands.MOST_UNDER_WAY;
+
   /** Hints of new jobs may be lost: a leader looks for them by itself as well. */
   private static final long READ_MS = 200;
 
@@ -61,10 +58,27 @@
   /** A leader that has written nothing for so long is of no use. */
   private static final long USELESS_MS = 5_000;
 
-  /** Direct commands at a time: each has a connection of its own, and sockets are counted. */
-  public static final int MOST_DIRECT = DirectCommands.MOST_UNDER_WAY;
+  private static final long TICK_MS = 400;
+  private static final long RELEASE_MS = 100;
+  private static final long PREEMPTION_MS = 1_000;
+  private static final long LOG_TIMES_MS = 10_000;
+
+  /** An answer is held for no longer than this, nor than this part of the time between reports. */
+  private static final double MOST_HOLD_S = 2;
+
+  private static final double HOLD_PART = 0.6;
+
+  /** A machine that missed two reports, with a margin, is no place for new tasks. */
+  private static final double SILENCE_PER_REPORT = 2.2;
+
+  private static final double SILENCE_MARGIN_S = 1.5;
 
-  /** What a steward works with, the same in all terms. */
+  private static final double MS_PER_S = 1_000;
+
+  /** Attempts of a term are numbered in this many bits, below those of its token. */
+  private static final int ATTEMPT_BITS = 24;
+
+  /** What a leader is built from, the same in all terms of a controller. */
   public record LeaderContext(
       Scheduler scheduler,
       StateStore store,
@@ -80,168 +94,227 @@
       RandomGenerator random,
       TokenBucket writes) {}
 
-  private final LeaderContext with;
+  private final Scheduler scheduler;
+  private final Replica replica;
+  private final SpecIndex specs;
+  private final DependencyGraph graph;
+  private final Timing timing;
   private final Term term;
   private final Election election;
+  private final DutyTimes times = new DutyTimes();
+  private final Scope duties = new Scope();
+  private final Estimates estimates = new Estimates();
+  private final Arrivals forecast = new Arrivals();
+  private final Aims aims;
   private final TeamUsage teams;
   private final JobTable jobs;
   private final MachineRegistry fleet;
-  private final Estimates estimates = new Estimates();
-  private final Reachability reach;
-  private final Aims aims;
-  private final Arrivals arrivals = new Arrivals();
-  private final JobArrivals jobArrivals;
   private final ProgressWriter writer;
   private final TaskProgress progress;
-  private final Placer placer;
+  private final Reachability reachability;
+  private final JobArrivals arrivals;
   private final PlacingRounds placing;
   private final Rentals rentals;
-  private final DutyTimes times = new DutyTimes();
-  private final Scope duties = new Scope();
   private final DirectCommands commands;
   private final HeldReplies heldReplies;
   private final ReportIntake reports;
+  private final JobIntake intake;
+  private final Recovery recovery;
   private final TokenAnnouncement announcement;
-  private long attemptCounter;
+  private long attempts;
   private boolean closed;
 
-  public Leader(LeaderContext with, Term term, Election election) {
-    this.with = with;
+  /** A leader for a term that has begun; it does nothing before it is started. */
+  public Leader(LeaderContext context, Term term, Election election) {
+    this.scheduler = context.scheduler();
+    this.replica = context.replica();
+    this.specs = context.specs();
+    this.graph = context.pipelines().graph();
+    this.timing = context.timing();
     this.term = term;
     this.election = election;
-    this.teams = new TeamUsage(with.settings().teams());
-    this.jobs = new JobTable(with.replica(), with.specs(), with.catalogue(), teams);
-    this.fleet = new MachineRegistry(with.catalogue(), teams, with.timing(), term);
-    this.writer =
-        new ProgressWriter(
-            with.scheduler(),
-            with.store(),
-            with.replica(),
-            with.writes(),
-            with.settings().writeLimits().txnOps(),
-            with.settings().writeLimits().valueBytes(),
-            term,
-            this::hostName,
-            new WriterEvents());
+    this.aims = new Aims(context.settings().objectives());
+    this.teams = new TeamUsage(context.settings().teams());
+    this.jobs = new JobTable(replica, specs, context.catalogue(), teams);
+    this.fleet = new MachineRegistry(context.catalogue(), teams, timing, term);
+    this.writer = newWriter(context);
+    TaskFailures failures = new TaskFailures(scheduler, jobs, replica);
     this.progress =
-        new TaskProgress(
-            with.scheduler(),
-            jobs,
-            estimates,
-            writer,
-            new TaskFailures(with.scheduler(), jobs, with.replica()),
-            this::planPlacing);
-    ReportHandler desk =
-        new ReportHandler(
-            fleet,
-            term,
-            this::mayDecide,
-            jobs::get,
-            new TaskOwners(with.specs(), teams)::of,
-            writer::isDurablyDone,
-            progress);
-    this.reach =
-        new Reachability(
-            fleet,
-            term,
-            with.settings(),
-            this::listRead,
-            election.changesOften() ? with.timing().takeoverSilenceMs() + PATIENCE_MARGIN_MS : 0);
-    this.aims = new Aims(with.settings().objectives());
-    PriorityInheritance inheritance =
-        new PriorityInheritance(
-            with.pipelines().graph(),
-            uid -> with.specs().get(uid).flatMap(s -> SpecRecord.decode(uid, s.value())),
-            jobs,
-            estimates,
-            aims);
-    this.jobArrivals =
-        new JobArrivals(with.scheduler(), with.pipelines(), inheritance, arrivals, teams);
-    this.placer =
-        new Placer(
-            with.catalogue(),
-            fleet,
-            jobs,
-            teams,
-            estimates,
-            this::nextAttempt,
-            aims,
-            Math.round(with.settings().workers().reportS() * 2_200 + 1_500),
-            progress::placed);
-    this.placing = new PlacingRounds(with.scheduler(), placer, jobArrivals, times, this::mayDecide);
-    this.rentals =
-        new Rentals(
-            with.scheduler(),
-            with.cloud(),
-            with.catalogue(),
-            fleet,
-            with.replica(),
-            new LeaderWrites(with.store(), with.replica(), with.writes(), term),
-            with.policy(),
-            with.settings(),
-            with.random(),
-            term,
-            new RentalHost());
-    this.commands = new DirectCommands(with.scheduler(), with.workers(), desk);
-    this.heldReplies =
-        new HeldReplies(
-            with.scheduler(),
-            fleet,
-            desk,
-            this::mayDecide,
-            Math.round(Math.min(2.0, 0.6 * with.settings().workers().reportS()) * 1000));
-    this.reports =
-        new ReportIntake(
-            with.scheduler(),
-            with.replica(),
-            fleet,
-            desk,
-            heldReplies,
-            new SpotDrain(estimates),
-            reach,
-            times,
-            this::mayDecide);
+        new TaskProgress(scheduler, jobs, estimates, writer, failures, this::planPlacing);
+    this.reachability = newReachability(context.settings());
+    this.arrivals =
+        new JobArrivals(scheduler, context.pipelines(), newInheritance(), forecast, teams);
+    Placer placer = newPlacer(context);
+    this.placing = new PlacingRounds(scheduler, placer, arrivals, times, this::mayDecide);
+    this.rentals = newRentals(context, newDemand(context, placer));
+    ReportHandler reportHandler = newReportHandler();
+    this.commands = new DirectCommands(scheduler, context.workers(), reportHandler);
+    this.heldReplies = newHeldReplies(context.settings(), reportHandler);
+    this.reports = newReportIntake(reportHandler);
+    this.intake = newJobIntake(context.pipelines());
+    this.recovery = new Recovery(replica, graph, jobs, fleet, writer, arrivals);
     this.announcement =
-        new TokenAnnouncement(
-            with.scheduler(), term, with.timing(), fleet, commands, this::mayDecide);
+        new TokenAnnouncement(scheduler, term, timing, fleet, commands, this::mayDecide);
+  }
+
+  // ---- wiring; each of these uses what the constructor has set before
+
+  private ProgressWriter newWriter(LeaderContext context) {
+    Catalogue catalogue = context.catalogue();
+    return new ProgressWriter(
+        scheduler,
+        context.store(),
+        replica,
+        context.writes(),
+        context.settings().writeLimits().txnOps(),
+        context.settings().writeLimits().valueBytes(),
+        term,
+        machine -> hostName(catalogue, machine),
+        new WriterEvents());
+  }
+
+  private static ProgressRecord.Host hostName(Catalogue catalogue, Machine machine) {
+    return new ProgressRecord.Host(
+        machine.host(),
+        catalogue.type(machine.type()).name(),
+        catalogue.zoneName(machine.zone()),
+        machine.spot());
+  }
+
+  private Reachability newReachability(Settings settings) {
+    long patientMs = election.changesOften() ? timing.takeoverSilenceMs() + PATIENCE_MARGIN_MS : 0;
+    return new Reachability(fleet, term, settings, this::listRead, patientMs);
+  }
+
+  private PriorityInheritance newInheritance() {
+    return new PriorityInheritance(
+        graph,
+        uid -> specs.get(uid).flatMap(spec -> SpecRecord.decode(uid, spec.value())),
+        jobs,
+        estimates,
+        aims);
+  }
+
+  private Placer newPlacer(LeaderContext context) {
+    double reportS = context.settings().workers().reportS();
+    return new Placer(
+        context.catalogue(),
+        fleet,
+        jobs,
+        teams,
+        estimates,
+        this::nextAttempt,
+        aims,
+        Math.round((reportS * SILENCE_PER_REPORT + SILENCE_MARGIN_S) * MS_PER_S),
+        progress::placed);
+  }
+
+  private RentalDemand newDemand(LeaderContext context, Placer placer) {
+    Catalogue catalogue = context.catalogue();
+    double drainS = context.policy().drainS();
+    return new RentalDemand(
+        scheduler,
+        catalogue,
+        fleet,
+        jobs,
+        estimates,
+        forecast,
+        arrivals,
+        () -> new Demand(catalogue, teams, estimates, aims, drainS),
+        placer,
+        progress,
+        reachability,
+        this::mayDecide);
+  }
+
+  private Rentals newRentals(LeaderContext context, RentalDemand demand) {
+    return new Rentals(
+        scheduler,
+        context.cloud(),
+        context.catalogue(),
+        fleet,
+        replica,
+        new LeaderWrites(context.store(), replica, context.writes(), term),
+        context.policy(),
+        context.settings(),
+        context.random(),
+        term,
+        demand);
   }
 
+  private ReportHandler newReportHandler() {
+    return new ReportHandler(
+        fleet,
+        term,
+        this::mayDecide,
+        jobs::get,
+        new TaskOwners(specs, teams)::of,
+        writer::isDurablyDone,
+        progress);
+  }
+
+  private HeldReplies newHeldReplies(Settings settings, ReportHandler reportHandler) {
+    double holdS = Math.min(MOST_HOLD_S, HOLD_PART * settings.workers().reportS());
+    return new HeldReplies(
+        scheduler, fleet, reportHandler, this::mayDecide, Math.round(holdS * MS_PER_S));
+  }
+
+  private ReportIntake newReportIntake(ReportHandler reportHandler) {
+    return new ReportIntake(
+        scheduler,
+        replica,
+        fleet,
+        reportHandler,
+        heldReplies,
+        new SpotDrain(estimates),
+        reachability,
+        times,
+        this::mayDecide);
+  }
+
+  private JobIntake newJobIntake(Pipelines pipelines) {
+    return new JobIntake(
+        scheduler, pipelines, specs, jobs, fleet, writer, arrivals, progress, commands, placing,
+        rentals);
+  }
+
+  // ---- the term's life
+
+  /** Rebuilds what earlier leaders recorded, and begins to lead. */
   public void start() {
-    long now = with.scheduler().nowMs();
-    with.specs().uids().stream()
-        .flatMap(uid -> with.specs().get(uid).stream())
-        .sorted(Comparator.comparingLong(spec -> SpecRecord.acceptedWallMs(spec.value())))
-        .forEach(jobArrivals::remember);
-    DependencyGraph graph = with.pipelines().graph();
-    boolean logDamaged =
-        new Recovery(with.replica(), graph, jobs, fleet, writer, jobArrivals).restore(now);
-    jobArrivals.update();
+    long nowMs = scheduler.nowMs();
+    arrivals.rememberAll(specs);
+    boolean logDamaged = recovery.restore(nowMs);
+    arrivals.update();
     if (logDamaged) {
-      placing.notBefore(now + with.timing().takeoverSilenceMs());
+      // Tasks may run where no record says that they do, until every lease is over.
+      placing.notBefore(nowMs + timing.takeoverSilenceMs());
     }
     LOG.info(
         "took over {} jobs and {} machines under token {}",
         jobs.all().size(),
         fleet.all().size(),
         term.token());
-    duties.add(with.replica().listen(this::recordChanged));
-    duties.add(with.specs().listen(this::accepted));
-    duties.add(graph.listen(new GraphEvents()));
+    startDuties();
+    List.copyOf(jobs.all()).forEach(progress::tidy);
+    placing.plan();
+  }
+
+  private void startDuties() {
+    duties.add(intake.start(replica));
     duties.add(rentals.start());
-    duties.add(with.scheduler().every(400, this::tick));
-    duties.add(with.scheduler().every(100, heldReplies::releaseDue));
+    duties.add(scheduler.every(TICK_MS, this::tick));
+    duties.add(scheduler.every(RELEASE_MS, heldReplies::releaseDue));
     duties.add(announcement.start());
-    duties.add(with.scheduler().every(READ_MS, () -> with.replica().readIfOlderThan(READ_MS)));
-    duties.add(with.scheduler().every(1_000, placing::preempt));
-    duties.add(with.scheduler().every(10_000, () -> LOG.debug("busy with {}", times.take())));
-    for (Job job : List.copyOf(jobs.all())) {
-      progress.tidy(job);
-    }
-    planPlacing();
+    duties.add(scheduler.every(READ_MS, () -> replica.readIfOlderThan(READ_MS)));
+    duties.add(scheduler.every(PREEMPTION_MS, placing::preempt));
+    duties.add(scheduler.every(LOG_TIMES_MS, () -> LOG.debug("busy with {}", times.take())));
   }
 
+  /** Ends all work of the term; what is held is answered without orders. */
   public void close() {
     closed = true;
+    intake.close();
     commands.close();
     placing.close();
     heldReplies.releaseAll();
@@ -249,8 +322,18 @@
     duties.cancel();
   }
 
-  public Term term() {
-    return term;
+  private void tick() {
+    long nowMs = scheduler.nowMs();
+    if (!fleet.fencesLeft()) {
+      // A new term has new tokens; nothing else changes, as a leader takes over from itself.
+      election.resign();
+      return;
+    }
+    if (mayDecide()) {
+      progress.lost(fleet.expire(nowMs));
+      placing.plan();
+      reachability.trouble(nowMs).ifPresent(election::resignAndPause);
+    }
   }
 
   private boolean mayDecide() {
@@ -261,89 +344,22 @@
     return rentals.listRead();
   }
 
-  /** Unique over all leaders: the token is part of it. */
-  private long nextAttempt() {
-    return term.token() << 24 | ++attemptCounter;
-  }
-
-  private ProgressRecord.Host hostName(Machine m) {
-    return new ProgressRecord.Host(
-        m.host(),
-        with.catalogue().type(m.type()).name(),
-        with.catalogue().zoneName(m.zone()),
-        m.spot());
-  }
-
-  // ---- changes made by any node
-
-  private void recordChanged(String key, Optional<Entry> entry) {
-    if (closed || entry.isEmpty()) {
-      return;
-    }
-    if (key.startsWith(Keys.CANCELS)) {
-      jobs.get(key.substring(Keys.CANCELS.length())).ifPresent(this::cancel);
-    }
+  private void planPlacing() {
+    placing.plan();
   }
 
-  private void accepted(SpecIndex.Spec spec) {
-    if (closed) {
-      return;
-    }
-    LOG.debug("job {} is here", spec.uid());
-    if (with.pipelines().graph().awaitsOthers(spec.uid())) {
-      jobArrivals.dependenciesChanged();
-      if (with.pipelines().graph().isReady(spec.uid())) {
-        ready(spec);
-      }
-      return;
-    }
-    jobs.add(spec).ifPresent(jobArrivals::arrived);
-    rentals.scanSoon();
-    planPlacing();
+  /** Unique over all leaders: the token is part of it. */
+  private long nextAttempt() {
+    return term.token() << ATTEMPT_BITS | ++attempts;
   }
 
-  /** All that the job awaited is done: it comes as a new one does. */
-  private void ready(SpecIndex.Spec spec) {
-    Optional<Job> known = jobs.get(spec.uid());
-    if (known.isPresent()) {
-      Job job = known.get();
-      if (job.awaiting()) {
-        jobArrivals.ready(job);
-        if (!job.over()) {
-          writer.changed(job, 0);
-        }
-      }
-    } else {
-      jobs.add(spec)
-          .ifPresent(
-              job -> {
-                LOG.debug("what job {} awaited is done", job.uid());
-                jobArrivals.newlyReady(job);
-              });
-    }
-    rentals.scanSoon();
-    planPlacing();
-  }
+  // ---- what the controller asks of its leader
 
-  private void cancel(Job job) {
-    if (job.cancelled()) {
-      return;
-    }
-    job.cancel();
-    long now = with.scheduler().nowMs();
-    for (Placement p : List.copyOf(job.live())) {
-      if (p.neverSent()) {
-        fleet.gone(p, now);
-      }
-    }
-    LOG.info("job {} is cancelled with {} tasks out", job.uid(), job.live().size());
-    commands.stop(job);
-    progress.tidy(job);
-    planPlacing();
+  /** The term that this leader leads in. */
+  public Term term() {
+    return term;
   }
 
-  // ---- reports
-
   /**
    * Takes a report in and answers with orders. The answer waits a little when the machine has room:
    * what is placed there by then goes out at once, where it would wait for the next report. Without
@@ -353,42 +369,24 @@
     reports.report(report, then);
   }
 
-  private void tick() {
-    long now = with.scheduler().nowMs();
-    if (!fleet.fencesLeft()) {
-      // A new term has new tokens; nothing else changes, as a leader takes over from itself.
-      election.resign();
-      return;
-    }
-    if (mayDecide()) {
-      progress.lost(fleet.expire(now));
-      planPlacing();
-      reach.trouble(now).ifPresent(election::resignAndPause);
-    }
-  }
-
   /** So many reports came to another controller, which sends the machines here. */
-  public void strayed(int reports) {
-    reach.strayed(with.scheduler().nowMs(), reports);
-  }
-
-  private void planPlacing() {
-    placing.plan();
+  public void strayed(int count) {
+    reachability.strayed(scheduler.nowMs(), count);
   }
 
   /** Have this leader's writes come to nothing for a good while? */
   public boolean writesFail() {
     long sinceMs = writer.failingSinceMs();
-    return mayDecide() && sinceMs >= 0 && with.scheduler().nowMs() - sinceMs > USELESS_MS;
+    return mayDecide() && sinceMs >= 0 && scheduler.nowMs() - sinceMs > USELESS_MS;
   }
 
   /** Numbers for people. */
   public String summary() {
     int up = 0;
-    int out = 0;
-    for (Machine m : fleet.all()) {
-      up += m.up() ? 1 : 0;
-      out += m.placements().size();
+    int placed = 0;
+    for (Machine machine : fleet.all()) {
+      up += machine.up() ? 1 : 0;
+      placed += machine.placements().size();
     }
     return "jobs="
         + jobs.all().size()
@@ -397,11 +395,12 @@
         + " up="
         + up
         + " placed="
-        + out
+        + placed
         + " unwritten="
         + writer.backlog();
   }
 
+  /** Passes on what has become durable, to the parts that waited for it. */
   private final class WriterEvents implements ProgressWriter.Listener {
     @Override
     public void durable(List<Placement> placements) {
@@ -414,7 +413,7 @@
       LOG.info("job {} is done", job.uid());
       progress.tidy(job);
       // The write has been carried out: what awaits it need not wait for the next read.
-      with.pipelines().graph().done(job.uid());
+      graph.done(job.uid());
     }
 
     @Override
@@ -422,125 +421,4 @@
       election.deposed(cause);
     }
   }
-
-  private final class GraphEvents implements DependencyGraph.Listener {
-    @Override
-    public void ready(String uid) {
-      if (!closed) {
-        with.specs().get(uid).ifPresent(Leader.this::ready);
-      }
-    }
-
-    /** Nothing of it has begun, unless records are damaged; others need no longer press for it. */
-    @Override
-    public void aborted(String uid) {
-      if (!closed) {
-        jobArrivals.dependenciesChanged();
-        jobs.get(uid).ifPresent(Leader.this::cancel);
-      }
-    }
-  }
-
-  private final class RentalHost implements Rentals.Host {
-    @Override
-    public List<Demand.Wanted> wanted(List<Demand.Offer> offers, List<Demand.Coming> coming) {
-      long now = with.scheduler().nowMs();
-      long wall = with.scheduler().wallMs();
-      jobArrivals.update();
-      // Work that is about to become ready could be counted here, from what its dependencies'
-      // tasks have left to run; whether renting ahead for it pays is for measurement to say.
-      List<Machine> usable = fleet.all().stream().filter(m -> m.usable(now, 60_000)).toList();
-      Demand demand = new Demand(with.catalogue(), teams, estimates, aims, with.policy().drainS());
-      List<Demand.Wanted> wanted =
-          demand.plan(
-              placer.waitingJobs(now, wall),
-              jobs.all(),
-              usable,
-              coming,
-              offers,
-              expected(),
-              arrivals.coresForRate(estimates, wall),
-              now,
-              wall);
-      retire(usable, demand);
-      return wanted;
-    }
-
-    /**
-     * Dear machines that nothing needs any more take no new work that could wait, so that they
-     * empty and go back: a busy machine would otherwise stay for as long as any work waits.
-     */
-    private void retire(List<Machine> usable, Demand demand) {
-      List<Machine> dear = new ArrayList<>();
-      for (Machine m : usable) {
-        m.retiring(false);
-        MachineType type = with.catalogue().type(m.type());
-        if (!m.spot() && type.price(false) > type.price(true) * Demand.DEAR) {
-          dear.add(m);
-        }
-      }
-      dear.sort(Comparator.comparingLong(m -> -m.free().cores()));
-      for (Machine m : dear) {
-        m.retiring(demand.isDearSurplus(m));
-      }
-    }
-
-    @Override
-    public Predicate<Machine> needed() {
-      return placer.wanted(with.scheduler().nowMs());
-    }
-
-    @Override
-    public boolean quiet() {
-      return arrivals.over(with.scheduler().wallMs());
-    }
-
-    /** Without its room the next pressing job would wait for a machine to boot. */
-    @Override
-    public Predicate<Machine> spare() {
-      Optional<Job> next = expected();
-      if (next.isEmpty()) {
-        return m -> true;
-      }
-      Job job = next.get();
-      long slots = 0;
-      for (Machine m : fleet.all()) {
-        slots += slots(m, job);
-      }
-      long[] left = {slots - job.spec().tasks()};
-      return m -> {
-        int its = slots(m, job);
-        if (left[0] < its) {
-          return its == 0;
-        }
-        left[0] -= its;
-        return true;
-      };
-    }
-
-    private int slots(Machine m, Job job) {
-      return m.usable(with.scheduler().nowMs(), 60_000) && Placer.allows(job, m)
-          ? m.free().times(job.perTask())
-          : 0;
-    }
-
-    private Optional<Job> expected() {
-      return quiet() ? Optional.empty() : arrivals.typicalPressing();
-    }
-
-    @Override
-    public void lost(List<Placement> placements) {
-      progress.lost(placements);
-    }
-
-    @Override
-    public long listeningSinceMs() {
-      return reach.listeningSinceMs();
-    }
-
-    @Override
-    public boolean mayDecide() {
-      return Leader.this.mayDecide();
-    }
-  }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/RentalDemand.java
@@ -0,0 +1,185 @@
+package org.ploverspindle.leadership;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.BooleanSupplier;
+import java.util.function.Predicate;
+import java.util.function.Supplier;
+import org.ploverspindle.cloud.Catalogue;
+import org.ploverspindle.cloud.MachineType;
+import org.ploverspindle.cloud.Rentals;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.placement.Arrivals;
+import org.ploverspindle.placement.Demand;
+import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.placement.Placer;
+import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
+import org.ploverspindle.workers.Placement;
+
+/** Tells rentals what the leader's work needs: what to rent, and what may go back. */
+final class RentalDemand implements Rentals.Host {
+  /** A machine that was silent for longer does not count as room. */
+  private static final long SILENCE_MS = 60_000;
+
+  private final Scheduler scheduler;
+  private final Catalogue catalogue;
+  private final MachineRegistry fleet;
+  private final JobTable jobs;
+  private final Estimates estimates;
+  private final Arrivals forecast;
+  private final JobArrivals arrivals;
+  private final Supplier<Demand> demands;
+  private final Placer placer;
+  private final TaskProgress progress;
+  private final Reachability reachability;
+  private final BooleanSupplier mayDecide;
+
+  /**
+   * @param demands a fresh calculation for each scan
+   * @param mayDecide whether this leader is sure of its lead
+   */
+  RentalDemand(
+      Scheduler scheduler,
+      Catalogue catalogue,
+      MachineRegistry fleet,
+      JobTable jobs,
+      Estimates estimates,
+      Arrivals forecast,
+      JobArrivals arrivals,
+      Supplier<Demand> demands,
+      Placer placer,
+      TaskProgress progress,
+      Reachability reachability,
+      BooleanSupplier mayDecide) {
+    this.scheduler = scheduler;
+    this.catalogue = catalogue;
+    this.fleet = fleet;
+    this.jobs = jobs;
+    this.estimates = estimates;
+    this.forecast = forecast;
+    this.arrivals = arrivals;
+    this.demands = demands;
+    this.placer = placer;
+    this.progress = progress;
+    this.reachability = reachability;
+    this.mayDecide = mayDecide;
+  }
+
+  @Override
+  public List<Demand.Wanted> wanted(List<Demand.Offer> offers, List<Demand.Coming> coming) {
+    long nowMs = scheduler.nowMs();
+    long wallMs = scheduler.wallMs();
+    arrivals.update();
+    // Work that is about to become ready could be counted here, from what its dependencies'
+    // tasks have left to run; whether renting ahead for it pays is for measurement to say.
+    List<Machine> usable =
+        fleet.all().stream().filter(machine -> machine.usable(nowMs, SILENCE_MS)).toList();
+    Demand demand = demands.get();
+    List<Demand.Wanted> wanted =
+        demand.plan(
+            placer.waitingJobs(nowMs, wallMs),
+            jobs.all(),
+            usable,
+            coming,
+            offers,
+            expected(),
+            forecast.coresForRate(estimates, wallMs),
+            nowMs,
+            wallMs);
+    retire(usable, demand);
+    return wanted;
+  }
+
+  /**
+   * Dear machines that nothing needs any more take no new work that could wait, so that they empty
+   * and go back: a busy machine would otherwise stay for as long as any work waits.
+   */
+  private void retire(List<Machine> usable, Demand demand) {
+    List<Machine> dear = new ArrayList<>();
+    for (Machine machine : usable) {
+      machine.retiring(false);
+      MachineType type = catalogue.type(machine.type());
+      if (!machine.spot() && type.price(false) > type.price(true) * Demand.DEAR) {
+        dear.add(machine);
+      }
+    }
+    dear.sort(Comparator.comparingLong(machine -> -machine.free().cores()));
+    for (Machine machine : dear) {
+      machine.retiring(demand.isDearSurplus(machine));
+    }
+  }
+
+  @Override
+  public Predicate<Machine> needed() {
+    return placer.wanted(scheduler.nowMs());
+  }
+
+  @Override
+  public boolean quiet() {
+    return forecast.over(scheduler.wallMs());
+  }
+
+  /** Without its room the next pressing job would wait for a machine to boot. */
+  @Override
+  public Predicate<Machine> spare() {
+    Optional<Job> next = expected();
+    return next.isPresent() ? new SpareRoom(next.get()) : machine -> true;
+  }
+
+  private Optional<Job> expected() {
+    return quiet() ? Optional.empty() : forecast.typicalPressing();
+  }
+
+  @Override
+  public void lost(List<Placement> placements) {
+    progress.lost(placements);
+  }
+
+  @Override
+  public long listeningSinceMs() {
+    return reachability.listeningSinceMs();
+  }
+
+  @Override
+  public boolean mayDecide() {
+    return mayDecide.getAsBoolean();
+  }
+
+  /** Asked of one machine after the other: may it go, and leave room for the next pressing job? */
+  private final class SpareRoom implements Predicate<Machine> {
+    private final Job next;
+
+    /** Tasks of that job that still fit, beyond all of its own, on the machines that stay. */
+    private long beyond;
+
+    SpareRoom(Job next) {
+      this.next = next;
+      long fitting = 0;
+      for (Machine machine : fleet.all()) {
+        fitting += fitting(machine);
+      }
+      this.beyond = fitting - next.spec().tasks();
+    }
+
+    @Override
+    public boolean test(Machine machine) {
+      int here = fitting(machine);
+      if (beyond < here) {
+        return here == 0;
+      }
+      beyond -= here;
+      return true;
+    }
+
+    private int fitting(Machine machine) {
+      return machine.usable(scheduler.nowMs(), SILENCE_MS) && Placer.allows(next, machine)
+          ? machine.free().times(next.perTask())
+          : 0;
+    }
+  }
+}
