--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -2,9 +2,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import java.util.random.RandomGenerator;
 import org.ploverspindle.cloud.Catalogue;
-import org.ploverspindle.cloud.CloudApi;
 import org.ploverspindle.cloud.Rentals;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobTable;
@@ -20,21 +18,17 @@
 import org.ploverspindle.placement.Demand;
 import org.ploverspindle.placement.Estimates;
 import org.ploverspindle.placement.Placer;
-import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.state.LeaderWrites;
 import org.ploverspindle.state.ProgressRecord;
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.SpecRecord;
-import org.ploverspindle.state.StateStore;
-import org.ploverspindle.state.TokenBucket;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
 import org.ploverspindle.workers.Report;
 import org.ploverspindle.workers.ReportHandler;
-import org.ploverspindle.workers.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -78,22 +72,6 @@
   /** Attempts of a term are numbered in this many bits, below those of its token. */
   private static final int ATTEMPT_BITS = 24;
 
-  /** What a leader is built from, the same in all terms of a controller. */
-  public record LeaderContext(
-      Scheduler scheduler,
-      StateStore store,
-      Replica replica,
-      SpecIndex specs,
-      Pipelines pipelines,
-      CloudApi cloud,
-      WorkerClient workers,
-      Catalogue catalogue,
-      Settings settings,
-      Policy policy,
-      Timing timing,
-      RandomGenerator random,
-      TokenBucket writes) {}
-
   private final Scheduler scheduler;
   private final Replica replica;
   private final SpecIndex specs;
--- a/src/main/java/org/ploverspindle/node/Controller.java
+++ b/src/main/java/org/ploverspindle/node/Controller.java
@@ -10,6 +10,7 @@
 import org.ploverspindle.front.UserApi;
 import org.ploverspindle.leadership.Election;
 import org.ploverspindle.leadership.Leader;
+import org.ploverspindle.leadership.LeaderContext;
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.loop.Scheduler;
@@ -51,7 +52,7 @@
   private final Intake intake;
   private final Pipelines pipelines;
   private final TokenBucket writes;
-  private final Leader.LeaderContext leaderContext;
+  private final LeaderContext leaderContext;
   private final Peers peers;
   private final Scope duties = new Scope();
   private Optional<Leader> leader = Optional.empty();
@@ -109,7 +110,7 @@
             nonce,
             this::changedForLeader);
     this.leaderContext =
-        new Leader.LeaderContext(
+        new LeaderContext(
             loop, store, replica, specs, pipelines, cloud, workers, catalogue, settings, policy,
             timing, random, writes);
   }
