--- /dev/null
+++ b/src/test/java/org/ploverspindle/leadership/HeldRepliesTest.java
@@ -0,0 +1,125 @@
+package org.ploverspindle.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.OptionalDouble;
+import org.junit.jupiter.api.Test;
+import org.ploverspindle.workers.Order;
+import org.ploverspindle.workers.Placement;
+import org.ploverspindle.workers.Report;
+import org.ploverspindle.workers.ReportHandler;
+
+/** When a held answer goes out, and with what. */
+class HeldRepliesTest {
+  private static final long HOLD_MS = 1_800;
+
+  private final OneMachine site = new OneMachine(OneMachine.spec(60, 0));
+  private final HeldReplies held =
+      new HeldReplies(site.scheduler, site.fleet, site.handler, () -> site.mayDecide, HOLD_MS);
+  private final List<ReportHandler.Reply> replies = new ArrayList<>();
+
+  private Report holdOne() {
+    Report report = site.report(OptionalDouble.empty());
+    held.hold(report, replies::add, site.nowMs);
+    return report;
+  }
+
+  private Placement recorded() {
+    Placement placement = site.place();
+    placement.recorded(site.nowMs);
+    return placement;
+  }
+
+  private boolean worthHolding(Report report) {
+    return held.worthHolding(site.machine(), report, site.nowMs);
+  }
+
+  @Test
+  void theNewestReportOfAMachineWithRoomIsWorthHolding() {
+    Report older = site.report(OptionalDouble.empty());
+    assertTrue(worthHolding(older));
+    Report newer = site.report(OptionalDouble.empty());
+    assertFalse(worthHolding(older));
+    assertTrue(worthHolding(newer));
+  }
+
+  @Test
+  void aMachineThatIsFullOrTakenBackIsAnsweredAtOnce() {
+    Report report = site.report(OptionalDouble.empty());
+    for (int i = 0; i < 4; i++) {
+      site.place();
+    }
+    assertFalse(worthHolding(report), "all four cores are taken");
+    OneMachine recalled = new OneMachine(OneMachine.spec(60, 0));
+    Report notice = recalled.report(OptionalDouble.of(20));
+    assertFalse(held.worthHolding(recalled.machine(), notice, recalled.nowMs));
+  }
+
+  @Test
+  void aLaunchGoesOutAsSoonAsItIsDurableAndNotBefore() {
+    holdOne();
+    Placement placement = site.place();
+    held.releaseDue();
+    assertEquals(List.of(), replies);
+    placement.recorded(site.nowMs);
+    held.releaseDue();
+    assertEquals(
+        List.of(new Order.Launch("job", placement.task(), placement.attempt())),
+        replies.get(0).orders());
+    assertEquals(Placement.Phase.SENT, placement.phase());
+  }
+
+  @Test
+  void withoutOrdersTheAnswerGoesOutWhenItsTimeIsOver() {
+    holdOne();
+    site.nowMs += HOLD_MS - 1;
+    held.releaseDue();
+    assertEquals(0, replies.size());
+    site.nowMs += 1;
+    held.releaseDue();
+    assertEquals(List.of(), replies.get(0).orders());
+  }
+
+  /** A leader that is not sure of its lead would launch what another one has placed elsewhere. */
+  @Test
+  void withoutASureLeadTheAnswerGoesOutAtOnceAndLaunchesNothing() {
+    holdOne();
+    Placement placement = recorded();
+    site.mayDecide = false;
+    held.releaseDue();
+    assertEquals(List.of(), replies.get(0).orders());
+    assertEquals(Placement.Phase.READY, placement.phase());
+  }
+
+  @Test
+  void anAnswerToAReportThatIsNoLongerTheNewestLaunchesNothing() {
+    holdOne();
+    site.mayDecide = false;
+    site.report(OptionalDouble.empty());
+    site.mayDecide = true;
+    Placement placement = recorded();
+    held.release(OneMachine.HOST);
+    assertEquals(List.of(), replies.get(0).orders());
+    assertEquals(Placement.Phase.READY, placement.phase());
+  }
+
+  @Test
+  void eachIsAnsweredOnce() {
+    holdOne();
+    held.release(OneMachine.HOST);
+    held.release(OneMachine.HOST);
+    held.releaseAll();
+    assertEquals(1, replies.size());
+  }
+
+  @Test
+  void allAreAnsweredWhenTheTermEnds() {
+    holdOne();
+    held.releaseAll();
+    assertEquals(1, replies.size());
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/leadership/OneMachine.java
@@ -0,0 +1,148 @@
+package org.ploverspindle.leadership;
+
+import java.util.BitSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import org.ploverspindle.NoNews;
+import org.ploverspindle.cloud.Catalogue;
+import org.ploverspindle.cloud.MachineType;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Resources;
+import org.ploverspindle.jobs.Shape;
+import org.ploverspindle.jobs.TeamUsage;
+import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.loop.Cancellable;
+import org.ploverspindle.loop.Rank;
+import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.settings.Settings;
+import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.MachineRegistry;
+import org.ploverspindle.workers.Placement;
+import org.ploverspindle.workers.Report;
+import org.ploverspindle.workers.ReportHandler;
+
+/** A leader's view of one spot machine with four cores, and of a job of one-core tasks. */
+final class OneMachine {
+  static final String HOST = "i-1";
+  private static final Term TERM = new Term(7, 1, 0);
+
+  /** Its time is what the test says; nothing is ever run. */
+  private final class StillScheduler implements Scheduler {
+    @Override
+    public long nowMs() {
+      return nowMs;
+    }
+
+    @Override
+    public long wallMs() {
+      return nowMs;
+    }
+
+    @Override
+    public void execute(Rank rank, Runnable work) {}
+
+    @Override
+    public Cancellable schedule(long delayMs, Runnable work) {
+      return () -> {};
+    }
+  }
+
+  final Scheduler scheduler = new StillScheduler();
+  final MachineRegistry fleet;
+  final ReportHandler handler;
+  final Job job;
+  long nowMs = 1_000;
+  boolean mayDecide = true;
+  private long attempts;
+  private long tally;
+
+  OneMachine(JobSpec spec) {
+    Catalogue catalogue = new Catalogue(List.of("a"));
+    catalogue.update(
+        List.of(
+            new MachineType("t", Resources.offered(4, 0, 16), 40, 1, 1, 0.4, 30, List.of("a"))));
+    TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
+    fleet =
+        new MachineRegistry(
+            catalogue, teams, Timing.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
+    BitSet types = new BitSet();
+    types.set(0);
+    job = new Job(spec, 0, 8, 0, types, -1, 1);
+    handler =
+        new ReportHandler(
+            fleet,
+            TERM,
+            () -> mayDecide,
+            uid -> Optional.of(job),
+            uid -> Optional.empty(),
+            (j, task) -> false,
+            new NoNews());
+  }
+
+  /**
+   * @param expectedS 0 for a service
+   * @param saveCostS 0 for what never saves
+   */
+  static JobSpec spec(double expectedS, double saveCostS) {
+    return new JobSpec(
+        "job",
+        "c",
+        "red",
+        expectedS > 0 ? Shape.BATCH : Shape.SERVICE,
+        Urgency.HIGH,
+        8,
+        1,
+        0,
+        1,
+        Optional.empty(),
+        Optional.empty(),
+        false,
+        false,
+        true,
+        "image",
+        1,
+        expectedS,
+        saveCostS > 0 ? 5 : 0,
+        saveCostS,
+        OptionalDouble.empty(),
+        List.of());
+  }
+
+  Machine machine() {
+    return fleet.get(HOST).orElseThrow();
+  }
+
+  /** The machine's next report, which the handler takes in. */
+  Report report(OptionalDouble recallS, Report.Item... items) {
+    Report report =
+        new Report(HOST, "", "t", "a", true, 1, ++tally, TERM.token(), recallS, List.of(items));
+    handler.take(report, nowMs);
+    return report;
+  }
+
+  /** Places the next task; its intent is not durable yet. */
+  Placement place() {
+    int task = (int) attempts;
+    Placement placement =
+        new Placement(job, task, ++attempts, machine(), 1, Placement.Phase.INTENT);
+    fleet.place(placement);
+    return placement;
+  }
+
+  /** Places the next task, and has a report show it running from now on. */
+  Placement run() {
+    Placement placement = place();
+    report(
+        OptionalDouble.empty(),
+        new Report.Item(
+            "job",
+            placement.task(),
+            placement.attempt(),
+            Report.Phase.RUNNING,
+            Report.Cause.NONE,
+            false));
+    return placement;
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
@@ -0,0 +1,89 @@
+package org.ploverspindle.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.OptionalDouble;
+import org.junit.jupiter.api.Test;
+import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.workers.Placement;
+import org.ploverspindle.workers.Report;
+
+/** What a running task is told when its spot machine has only so long left. */
+class SpotDrainTest {
+  private final SpotDrain drain = new SpotDrain(new Estimates());
+
+  /** A task that has run for so long, on a machine that has so long left. */
+  private Placement drained(JobSpec spec, double ranS, double leftS) {
+    OneMachine site = new OneMachine(spec);
+    site.report(OptionalDouble.empty());
+    Placement placement = site.run();
+    site.nowMs += Math.round(ranS * 1_000);
+    notice(site, placement, leftS);
+    return placement;
+  }
+
+  private void notice(OneMachine site, Placement placement, double leftS) {
+    site.report(
+        OptionalDouble.of(leftS),
+        new Report.Item(
+            "job",
+            placement.task(),
+            placement.attempt(),
+            Report.Phase.RUNNING,
+            Report.Cause.NONE,
+            false));
+    drain.drain(site.machine(), site.nowMs);
+  }
+
+  @Test
+  void whatEndsInTimeRunsOn() {
+    assertFalse(drained(OneMachine.spec(20, 0), 15, 10).stopping());
+    assertFalse(drained(OneMachine.spec(20, 2), 15, 10).stopping());
+  }
+
+  @Test
+  void whatSavesIsGivenTwiceItsCostToSave() {
+    Placement placement = drained(OneMachine.spec(60, 2), 5, 10);
+    assertTrue(placement.stopping());
+    assertEquals(4, placement.windDownS());
+  }
+
+  @Test
+  void aSaveIsGivenNoMoreThanTheNotice() {
+    assertEquals(3, drained(OneMachine.spec(60, 2), 5, 3).windDownS());
+  }
+
+  @Test
+  void whatCannotSaveInTimeIsStoppedAtOnceToStartElsewhere() {
+    Placement placement = drained(OneMachine.spec(60, 2), 5, 1.5);
+    assertTrue(placement.stopping());
+    assertEquals(0, placement.windDownS());
+  }
+
+  @Test
+  void whatNeverSavesIsGivenUpOnlyWhenItsEndIsFarBeyondTheNotice() {
+    assertFalse(drained(OneMachine.spec(20, 0), 8, 10).stopping(), "12 s are left to run");
+    assertTrue(drained(OneMachine.spec(20, 0), 4, 10).stopping(), "16 s are left to run");
+  }
+
+  @Test
+  void aServiceIsStoppedAtOnce() {
+    Placement placement = drained(OneMachine.spec(0, 0), 500, 30);
+    assertTrue(placement.stopping());
+    assertEquals(0, placement.windDownS());
+  }
+
+  @Test
+  void laterReportsOfTheNoticeDoNotCutASaveShort() {
+    OneMachine site = new OneMachine(OneMachine.spec(60, 2));
+    site.report(OptionalDouble.empty());
+    Placement placement = site.run();
+    notice(site, placement, 10);
+    site.nowMs += 8_500;
+    notice(site, placement, 1.5);
+    assertEquals(4, placement.windDownS());
+  }
+}
