--- a/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
@@ -36,6 +36,9 @@
    */
   private static final long MAX_START_AFTER_CANCELLATION_MS = 250;
 
+  /** Less than a leader whose writes fail keeps the lead, and about a report period. */
+  private static final int UNRECORDED_FOR_MS = 4_500;
+
   private static final List<Settings.WorkerLimits> TIMINGS =
       List.of(
           new Settings.WorkerLimits(3, 14, 39),
@@ -382,6 +385,58 @@
     assertEquals(25, cluster.checker.starts(), "what was done is not done again");
   }
 
+  /**
+   * The leader receives reports of completed tasks while its writes are refused, and crashes before
+   * it could record them: until then the worker is the only record, and must not be told to forget.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void leadersCrashBeforeCompletionsAreRecorded(long seed) {
+    startCluster(seed, 14);
+    jobs(4_000, 100, 700, Urgency.NORMAL, 2, 9);
+    int[] unrecorded = {0};
+    for (int at = 30_000; at <= 72_000; at += 14_000) {
+      cluster.clock.at(at, () -> crashWithUnrecordedCompletions(unrecorded));
+    }
+    runAndCheckRules(80_000, 120_000);
+    assertAtLeast("tasks completed while nothing could be recorded", 5, unrecorded[0]);
+    assertAtLeast("terms", 4, cluster.terms());
+    assertEquals(100, cluster.checker.jobsDone());
+    assertEquals(200, cluster.checker.starts(), "what was done is not done again");
+  }
+
+  private void crashWithUnrecordedCompletions(int[] unrecorded) {
+    int leader = Math.max(0, cluster.leader());
+    int before = tasksDone();
+    cluster.refuse(leader, SimulatedCluster.Refusal.WRITES, true);
+    cluster.clock.at(
+        UNRECORDED_FOR_MS,
+        () -> {
+          unrecorded[0] += tasksDone() - before;
+          cluster.crash(leader, 400);
+          cluster.refuse(leader, SimulatedCluster.Refusal.WRITES, false);
+        });
+  }
+
+  private int tasksDone() {
+    return submitted.stream().mapToInt(cluster.checker::tasksDone).sum();
+  }
+
+  /** The service's latency leaves time for the end to be recorded before the cancellation is. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void cancellationRacesWithTheEndOfTheLastTaskWhileTheStateServiceIsSlow(long seed) {
+    startCluster(seed, 14);
+    cluster.cancelAtEnd(0.6);
+    cluster.clock.at(FROM_MS, () -> cluster.network.slow(SimulatedCluster.STATE, 300));
+    cluster.clock.at(80_000, () -> cluster.network.slow(SimulatedCluster.STATE, 0));
+    jobs(FROM_MS, 80, 600, Urgency.NORMAL, 2, 5);
+    runAndCheckRules(80_000, 60_000);
+    long over = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
+    assertAtLeast("done", 20, cluster.checker.jobsDone());
+    assertAtLeast("cancelled though all its tasks had ended", 5, over - cluster.checker.jobsDone());
+  }
+
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void cancellationRacesWithTheEndOfTheLastTask(long seed) {
