--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/FixtureStore.java
@@ -0,0 +1,56 @@
+package org.ploverspindle.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.ploverspindle.state.StateStore;
+
+/** A fixture's records, all read at once and in their keys' order; it takes no writes. */
+record FixtureStore(JsonNode records) implements StateStore {
+  static final String HEAD_F659783 = "/head-f659783-records.json";
+  static final String PRODUCTION = "/production-records.json";
+  private static final long LEDGER = 7;
+
+  static JsonNode fixture(String resource) throws IOException {
+    try (var in = FixtureStore.class.getResourceAsStream(resource)) {
+      return new ObjectMapper().readTree(in);
+    }
+  }
+
+  List<Entry> entries() {
+    return records.properties().stream()
+        .map(e -> new Entry(e.getKey(), e.getValue(), LEDGER))
+        .sorted(Comparator.comparing(Entry::key))
+        .toList();
+  }
+
+  List<Entry> under(String prefix) {
+    return entries().stream().filter(e -> e.key().startsWith(prefix)).toList();
+  }
+
+  @Override
+  public void page(String prefix, String after, int size, Consumer<PageResult> then) {
+    then.accept(new PageResult.Page(under(prefix), false, LEDGER));
+  }
+
+  @Override
+  public void changesAfter(String prefix, long ledger, Consumer<News> then) {
+    then.accept(new News.Changes(LEDGER, List.of()));
+  }
+
+  @Override
+  public void txn(Txn txn, Consumer<TxnResult> then) {}
+
+  @Override
+  public void openLease(long ttlMs, Consumer<Optional<Long>> then) {}
+
+  @Override
+  public void renewLease(long hold, Consumer<Renewal> then) {}
+
+  @Override
+  public void closeLease(long hold) {}
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/HeadRecordsTest.java
@@ -0,0 +1,501 @@
+package org.ploverspindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashSet;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.ploverspindle.Specs;
+import org.ploverspindle.cloud.MachineType;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.ProgressWriter;
+import org.ploverspindle.jobs.RecordedProgress;
+import org.ploverspindle.jobs.Resources;
+import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.leadership.Term;
+import org.ploverspindle.net.Cbor;
+import org.ploverspindle.pipelines.Pipelines;
+import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.DependenciesRecord;
+import org.ploverspindle.state.HttpStateStore;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.ProgressLog;
+import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.SpecIndex;
+import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.state.StateStore.Change;
+import org.ploverspindle.state.StateStore.Condition;
+import org.ploverspindle.state.StateStore.Entry;
+import org.ploverspindle.state.StateStore.Txn;
+import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.TokenBucket;
+import org.ploverspindle.state.TypesRecord;
+import org.ploverspindle.workers.Placement;
+
+/**
+ * Records that commit f659783 (the first version with pipelines) wrote in a run of its own on the
+ * stand-ins under lower limits, with what it read from them itself. This version reads the same,
+ * and writes the same again, byte for byte: a rename in the code must not change what is stored,
+ * since both versions lead in turn while an upgrade is halted or turned back.
+ */
+class HeadRecordsTest {
+  /** The value limit that the run had: its lists and chunks were cut for it. */
+  private static final int VALUE_BYTES = 1024;
+
+  private static final String ABSENT = "-";
+
+  private final SimClock clock = new SimClock();
+
+  /** The fixture's records as a controller of this version holds them. */
+  private final class Loaded {
+    final FixtureStore store;
+    final Replica replica;
+    final SpecIndex specs;
+    final Pipelines pipelines;
+    final RecordedProgress progress;
+
+    Loaded(JsonNode records) {
+      SimClock.Process process = clock.new Process(0, 1, 0);
+      store = new FixtureStore(records);
+      replica = new Replica(process, store, Keys.PREFIX, 700);
+      specs = new SpecIndex(replica);
+      pipelines = new Pipelines(process, replica, specs);
+      replica.start();
+      progress = new RecordedProgress(replica, silentWriter(process, store, replica));
+    }
+
+    JsonNode spec(String uid) {
+      return specs.get(uid).orElseThrow().value();
+    }
+  }
+
+  private static ProgressWriter silentWriter(
+      SimClock.Process process, FixtureStore store, Replica replica) {
+    return new ProgressWriter(
+        process,
+        store,
+        replica,
+        new TokenBucket(process, 1, 1),
+        4,
+        VALUE_BYTES,
+        new Term(1, 7, 0),
+        machine -> new ProgressRecord.Host(machine.host(), "", "", true),
+        new ProgressWriter.Listener() {
+          @Override
+          public void durable(List<Placement> placements) {}
+
+          @Override
+          public void finished(Job job) {}
+
+          @Override
+          public void deposed(String cause) {}
+        });
+  }
+
+  private static JsonNode head() throws IOException {
+    return FixtureStore.fixture(FixtureStore.HEAD_F659783);
+  }
+
+  private static String hex(JsonNode value) {
+    return HexFormat.of().formatHex(Cbor.write(value));
+  }
+
+  private static void assertSameBytes(JsonNode expected, JsonNode written, String key) {
+    assertEquals(expected.toString(), written.toString(), key);
+    assertEquals(hex(expected), hex(written), key);
+  }
+
+  // ---- the same meaning
+
+  private static String text(SpecRecord record) {
+    JobSpec spec = record.spec();
+    return String.join(
+        " ",
+        spec.uid(),
+        spec.jobClass(),
+        spec.team(),
+        spec.shape().name(),
+        spec.urgency().name(),
+        "" + spec.tasks(),
+        "" + spec.cores(),
+        "" + spec.accelerators(),
+        "" + spec.memoryGb(),
+        spec.types().map(types -> String.join(",", types)).orElse(ABSENT),
+        spec.zone().orElse(ABSENT),
+        "" + spec.oneZone(),
+        "" + spec.apart(),
+        "" + spec.spot(),
+        spec.image(),
+        "" + spec.imageGb(),
+        "" + spec.expectedS(),
+        "" + spec.saveEveryS(),
+        "" + spec.saveCostS(),
+        spec.dueS().isPresent() ? "" + spec.dueS().getAsDouble() : ABSENT,
+        "" + record.acceptedWallMs(),
+        "" + record.chunk());
+  }
+
+  private static List<String> dependencies(Loaded loaded, String uid) {
+    return SpecRecord.awaits(loaded.spec(uid)) instanceof SpecRecord.Awaits.Elsewhere elsewhere
+        ? DependenciesRecord.read(loaded.replica, elsewhere).orElseThrow()
+        : SpecRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec().dependencies();
+  }
+
+  private static String status(Loaded loaded, String uid) {
+    if (loaded.replica.get(Keys.done(uid)).isPresent()) {
+      return "done";
+    }
+    boolean cancelled = loaded.replica.get(Keys.cancel(uid)).isPresent();
+    if (cancelled || loaded.pipelines.graph().isAborted(uid)) {
+      return "aborted";
+    }
+    return loaded.pipelines.isWaiting(uid) ? "waiting" : "ready";
+  }
+
+  private static String text(ProgressRecord.Live live) {
+    ProgressRecord.Host host = live.host();
+    return String.join(
+        " ",
+        "" + live.attempt(),
+        host.id(),
+        host.type(),
+        host.zone(),
+        "" + host.spot(),
+        "" + live.tenure());
+  }
+
+  private static ObjectNode meaning(Loaded loaded, String uid) {
+    SpecRecord record = SpecRecord.decode(uid, loaded.spec(uid)).orElseThrow();
+    ObjectNode meaning = Cbor.map().put("spec", text(record));
+    List<String> dependencies = dependencies(loaded, uid);
+    if (!dependencies.isEmpty()) {
+      meaning.put("awaits", String.join(" ", dependencies));
+    }
+    meaning.put("status", status(loaded, uid));
+    Job job = new Job(record.spec(), 0, record.chunk(), 0, new BitSet(), 0, 2);
+    RecordedProgress.State state = loaded.progress.of(job);
+    if (!state.done().isEmpty()) {
+      meaning.put("done", state.done().toString());
+    }
+    if (!state.live().isEmpty()) {
+      ObjectNode places = meaning.putObject("live");
+      state.live().forEach((task, live) -> places.put("" + task, text(live)));
+    }
+    return meaning;
+  }
+
+  @Test
+  void thisVersionReadsWhatThatVersionReads() throws Exception {
+    JsonNode fixture = head();
+    Loaded loaded = new Loaded(fixture.path("records"));
+    Map<String, String> expected = new TreeMap<>();
+    Map<String, String> read = new TreeMap<>();
+    for (Map.Entry<String, JsonNode> job : fixture.path("jobs").properties()) {
+      expected.put(job.getKey(), job.getValue().toString());
+      read.put(job.getKey(), meaning(loaded, job.getKey()).toString());
+    }
+    assertEquals(expected, read);
+    assertEquals(loaded.specs.uids(), expected.keySet());
+    assertEquals(Optional.of("n0"), loaded.replica.text(Keys.LEADER, "member"));
+    assertEquals(
+        Term.SPAN, loaded.replica.get(Keys.TOKEN).orElseThrow().value().path("n").asLong());
+  }
+
+  @Test
+  void theFixtureHoldsEveryKindOfRecord() throws Exception {
+    FixtureStore store = new FixtureStore(head().path("records"));
+    for (String prefix :
+        List.of(
+            Keys.LEADER,
+            Keys.TOKEN,
+            Keys.TYPES,
+            Keys.BATCHES,
+            Keys.AWAITS,
+            Keys.CANCELS,
+            Keys.DONES,
+            Keys.PROGRESS,
+            Keys.LOG,
+            Keys.CLAIMS,
+            Keys.BOUNDS)) {
+      assertTrue(!store.under(prefix).isEmpty(), prefix);
+    }
+  }
+
+  // ---- the same bytes
+
+  private static void assertSpecsWrittenAlike(Loaded loaded) {
+    for (String uid : loaded.specs.uids()) {
+      JsonNode stored = loaded.spec(uid);
+      SpecRecord record = SpecRecord.decode(uid, stored).orElseThrow();
+      if (SpecRecord.awaits(stored) instanceof SpecRecord.Awaits.Elsewhere elsewhere) {
+        DependenciesRecord list =
+            DependenciesRecord.split(uid, dependencies(loaded, uid), VALUE_BYTES);
+        assertEquals(elsewhere.name(), list.name());
+        assertEquals(elsewhere.parts(), list.parts().size());
+        assertSameBytes(stored, record.encode(list), uid);
+        for (int part = 0; part < list.parts().size(); part++) {
+          String key = list.key(part);
+          assertSameBytes(
+              loaded.replica.get(key).orElseThrow().value(), list.parts().get(part), key);
+        }
+      } else {
+        assertSameBytes(stored, record.encode(), uid);
+      }
+    }
+  }
+
+  private static void assertLogWrittenAlike(FixtureStore store) {
+    for (Entry entry : store.under(Keys.LOG)) {
+      ProgressLog record = ProgressLog.decode(entry.value()).orElseThrow();
+      ProgressLog.Builder builder = new ProgressLog.Builder(record.n(), record.id(), VALUE_BYTES);
+      record.deltas().forEach(delta -> assertTrue(builder.add(delta), entry.key()));
+      assertEquals(Keys.log(record.n()), entry.key());
+      assertSameBytes(entry.value(), builder.value(), entry.key());
+    }
+  }
+
+  private static void assertCheckpointsWrittenAlike(FixtureStore store) {
+    for (Entry entry : store.under(Keys.PROGRESS)) {
+      ProgressRecord record = ProgressRecord.decode(entry.value()).orElseThrow();
+      JsonNode written =
+          record.encode(
+              entry.value().path("job_done").asInt(), entry.value().path("job_running").asInt());
+      assertSameBytes(entry.value(), written, entry.key());
+    }
+  }
+
+  private static void assertTypesWrittenAlike(FixtureStore store) {
+    JsonNode stored = store.under(Keys.TYPES).get(0).value();
+    List<MachineType> types = TypesRecord.decode(stored).orElseThrow();
+    assertSameBytes(stored, TypesRecord.encode(types), Keys.TYPES);
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {FixtureStore.HEAD_F659783, FixtureStore.PRODUCTION})
+  void whatIsReadIsWrittenAgainByteForByte(String resource) throws Exception {
+    Loaded loaded = new Loaded(FixtureStore.fixture(resource).path("records"));
+    assertSpecsWrittenAlike(loaded);
+    assertLogWrittenAlike(loaded.store);
+    assertCheckpointsWrittenAlike(loaded.store);
+    assertTypesWrittenAlike(loaded.store);
+  }
+
+  @Test
+  void machineTypesInPartsAreWrittenAndReadAlike() throws Exception {
+    JsonNode parts = head().path("types_in_parts");
+    List<MachineType> types =
+        IntStream.range(0, 7)
+            .mapToObj(
+                i ->
+                    new MachineType(
+                        "machine-type-" + i,
+                        Resources.offered(16, i, 64.5),
+                        40,
+                        1.25,
+                        1.07,
+                        0.39,
+                        30,
+                        List.of("zone-a", "zone-b")))
+            .toList();
+    List<Change.Put> puts = TypesRecord.puts(types, VALUE_BYTES);
+    assertEquals(parts.size(), puts.size());
+    for (Change.Put put : puts) {
+      assertSameBytes(parts.path(put.key()), put.value(), put.key());
+    }
+    assertEquals(Optional.of(types), TypesRecord.read(new Loaded(parts).replica));
+  }
+
+  @Test
+  void valuesAndTransactionsGoOutInTheSameBytes() throws Exception {
+    JsonNode fixture = head();
+    JsonNode records = fixture.path("records");
+    for (Map.Entry<String, JsonNode> bytes : fixture.path("bytes").properties()) {
+      JsonNode record = records.path(bytes.getKey());
+      assertEquals(bytes.getValue().asText(), hex(record), bytes.getKey());
+      byte[] stored = HexFormat.of().parseHex(bytes.getValue().asText());
+      assertEquals(record.toString(), Cbor.readMap(stored).orElseThrow().toString());
+    }
+    Txn txn =
+        new Txn(
+            List.of(new Condition(Keys.LEADER, 0), new Condition(Keys.TOKEN, 258)),
+            List.of(
+                new Change.Put(Keys.LEADER, records.path(Keys.LEADER), Optional.of(9L)),
+                new Change.Put(Keys.TOKEN, records.path(Keys.TOKEN)),
+                new Change.Remove(Keys.claim("r-1-1"))));
+    assertEquals(fixture.path("transaction").asText(), hex(HttpStateStore.encode(txn)));
+  }
+
+  // ---- the same form, where a record's content is not the test's to choose
+
+  /** Names and types of the fields, in their order. */
+  private static String form(JsonNode value) {
+    Map<String, String> form = new LinkedHashMap<>();
+    for (Map.Entry<String, JsonNode> field : value.properties()) {
+      JsonNode v = field.getValue();
+      form.put(field.getKey(), v.isIntegralNumber() ? "COUNT" : v.getNodeType().name());
+    }
+    return form.toString();
+  }
+
+  private static final List<String> FORMS =
+      List.of(Keys.LEADER, Keys.TOKEN, Keys.CANCELS, Keys.DONES, Keys.CLAIMS, Keys.BOUNDS);
+
+  private static void addForm(String key, JsonNode value, Map<String, Set<String>> forms) {
+    for (String prefix : FORMS) {
+      if (key.startsWith(prefix)) {
+        forms.computeIfAbsent(prefix, p -> new HashSet<>()).add(form(value));
+      }
+    }
+  }
+
+  private static Map<String, Set<String>> forms(String resource) throws IOException {
+    Map<String, Set<String>> forms = new TreeMap<>();
+    new FixtureStore(FixtureStore.fixture(resource).path("records"))
+        .entries()
+        .forEach(e -> addForm(e.key(), e.value(), forms));
+    return forms;
+  }
+
+  @Test
+  void leadersOfThisVersionWriteRecordsOfTheSameForm() throws Exception {
+    SimulatedCluster cluster = new SimulatedCluster(4, 3, 14, List.of("a", "b"));
+    List<String> uids = new ArrayList<>();
+    for (int i = 0; i < 20; i++) {
+      JobSpec spec =
+          Specs.batch(cluster.newUid(), "class", "blue", Urgency.NORMAL, 6, 2, 0.1, 8, 0);
+      uids.add(spec.uid());
+      cluster.clock.at(3_000 + i * 1_000, () -> cluster.user(spec));
+    }
+    cluster.clock.at(24_000, () -> cluster.cancel(uids.get(19), 0));
+    Map<String, Set<String>> now = new TreeMap<>();
+    for (long t = 1_000; t < 60_000; t += 100) {
+      cluster.clock.runUntil(t);
+      LowerLimitsTest.all(cluster.state).forEach((key, e) -> addForm(key, e.value(), now));
+    }
+    assertEquals(forms(FixtureStore.HEAD_F659783), now);
+    assertEquals(forms(FixtureStore.PRODUCTION), now);
+  }
+
+  /** Jobs that await nothing must stay readable for the version that knows no pipelines. */
+  @Test
+  void jobsThatAwaitNothingHaveProductionsForm() throws Exception {
+    Set<String> optional = Set.of("types", "zone", "due");
+    Set<List<String>> forms = new HashSet<>();
+    for (String resource : List.of(FixtureStore.PRODUCTION, FixtureStore.HEAD_F659783)) {
+      Loaded loaded = new Loaded(FixtureStore.fixture(resource).path("records"));
+      for (String uid : loaded.specs.uids()) {
+        if (dependencies(loaded, uid).isEmpty()) {
+          SpecRecord record = SpecRecord.decode(uid, loaded.spec(uid)).orElseThrow();
+          List<String> fields = new ArrayList<>();
+          record.encode().fieldNames().forEachRemaining(fields::add);
+          fields.removeAll(optional);
+          forms.add(fields);
+        }
+      }
+    }
+    assertEquals(1, forms.size(), forms.toString());
+  }
+
+  // ---- a cluster of this version goes on from them
+
+  private static final Settings.StateLimits LOWER = new Settings.StateLimits(120, 40, 1, 6);
+
+  private static final long NODES_START_MS = 5_000;
+
+  private static SimulatedCluster clusterFrom(FixtureStore fixture) {
+    SimulatedCluster.Site small = SimulatedCluster.Site.small(3, 30, List.of("a", "b"));
+    SimulatedCluster cluster =
+        new SimulatedCluster(
+            6,
+            new SimulatedCluster.Site(
+                small.nodes(),
+                small.capacity(),
+                small.zones(),
+                small.workers(),
+                new Settings.StateLimits(200, 60, 8, 12, Optional.of(LOWER)),
+                small.cloud(),
+                small.teams(),
+                small.policy()));
+    IntStream.range(0, small.nodes()).forEach(node -> cluster.crash(node, NODES_START_MS));
+    // The leader that wrote them is gone: its lease ends, and the key with it.
+    long lease = cluster.state.openLease(2 * NODES_START_MS);
+    for (Entry e : fixture.entries()) {
+      Optional<Long> kept = e.key().equals(Keys.LEADER) ? Optional.of(lease) : Optional.empty();
+      Change put = new Change.Put(e.key(), e.value(), kept);
+      TxnResult result = cluster.state.txn(new Txn(List.of(), List.of(put)));
+      assertInstanceOf(TxnResult.Committed.class, result);
+      // Within the stand-in's rate of changes.
+      cluster.clock.runUntil(cluster.clock.nowMs() + 20);
+    }
+    assertTrue(cluster.clock.nowMs() < NODES_START_MS);
+    return cluster;
+  }
+
+  /** The checker learns what had happened, and the jobs' users submit again and ask. */
+  private static void usersComeBack(SimulatedCluster cluster, Loaded loaded, JsonNode jobs) {
+    for (Map.Entry<String, JsonNode> job : jobs.properties()) {
+      String uid = job.getKey();
+      JobSpec stored = SpecRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec();
+      JobSpec spec = Specs.after(stored, dependencies(loaded, uid).toArray(String[]::new));
+      cluster.checker.submitted(spec);
+      boolean done = job.getValue().path("status").asText().equals("done");
+      BitSet tasks = new BitSet();
+      if (done) {
+        tasks.set(0, spec.tasks());
+      } else {
+        Job rebuilt = new Job(spec, 0, 8, 0, new BitSet(), 0, 2);
+        tasks.or(loaded.progress.of(rebuilt).done());
+      }
+      tasks.stream().forEach(task -> cluster.checker.completes(uid, task));
+      if (loaded.replica.get(Keys.cancel(uid)).isPresent()) {
+        cluster.checker.cancelAsked(uid);
+      }
+      cluster.clock.at(NODES_START_MS, () -> cluster.user(spec));
+    }
+  }
+
+  @Test
+  void aClusterGoesOnFromThem() throws Exception {
+    JsonNode fixture = head();
+    Loaded loaded = new Loaded(fixture.path("records"));
+    SimulatedCluster cluster = clusterFrom(loaded.store);
+    usersComeBack(cluster, loaded, fixture.path("jobs"));
+    cluster.clock.runUntil(30_000);
+    assertEquals(-1, cluster.checker.begunMs("mark-3"));
+    assertEquals(-1, cluster.checker.begunMs("collect-7"));
+    cluster.clock.runUntil(300_000);
+    cluster.troublesAreOver();
+    cluster.clock.runUntil(360_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    long trainedMs = cluster.checker.doneMs("train-2");
+    assertTrue(cluster.checker.begunMs("train-2") > 0);
+    for (String waited : List.of("mark-3", "collect-7")) {
+      assertTrue(cluster.checker.begunMs(waited) >= trainedMs, waited);
+      assertEquals("done", cluster.checker.finalWord(waited));
+    }
+    for (String aborted : List.of("draft-4", "publish-5")) {
+      assertEquals("aborted", cluster.checker.finalWord(aborted));
+      assertEquals(-1, cluster.checker.begunMs(aborted));
+    }
+    assertTrue(cluster.cloud.rented() >= 18, "what the claim asks for is learnt by its name");
+    assertTrue(!LowerLimitsTest.all(cluster.state).containsKey(Keys.claim("r-1-97")));
+  }
+}
