--- a/src/main/java/org/ploverspindle/front/Cancellations.java
+++ b/src/main/java/org/ploverspindle/front/Cancellations.java
@@ -4,7 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
+import org.ploverspindle.loop.Cancellable;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.Keys;
@@ -15,9 +17,18 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * Cancellations on their way into the store: one transaction at a time, with all that were asked
- * for meanwhile in the next, since under many small jobs requests are scarcer than changes. Nothing
- * is said before the record stands.
+ * Cancellations on their way into the store. While the store answers promptly, one transaction is
+ * in flight and all that are asked for meanwhile share the next, since under many small jobs
+ * requests are scarcer than changes. Once an answer is late, the others go on in transactions of
+ * their own, a bounded number of them. Nothing is acknowledged before the record is durable.
+ *
+ * <p>A transaction without an answer is read back early: the replica is read past the moment at
+ * which it was sent, and whoever waits for it decides by the replica, which may mean to write the
+ * same record again. The first transaction may still be carried out afterwards. That is harmless:
+ * each has the absence of the job's end and of its cancellation as conditions and only creates the
+ * cancellation, so of all transactions for a job, in whatever order they are carried out, at most
+ * one takes effect, and none does once the job is done. If a late one takes effect after its user
+ * was told to ask again, the job is cancelled as that user demanded, and nobody was told otherwise.
  */
 final class Cancellations {
   /** How the record of a cancellation came out. */
@@ -25,87 +36,160 @@
     STANDS,
     REFUSED,
     /** Another record stood in the way, or nobody knows: only reading back tells. */
-    UNCERTAIN
+    UNCERTAIN,
+    /**
+     * No answer came, and the replica has been read since: it tells, or the record is due again.
+     */
+    READ_BACK
+  }
+
+  /**
+   * Beyond so many transactions without an answer the store does not serve, and more are no use.
+   */
+  static final int MOST_IN_FLIGHT = 4;
+
+  /**
+   * An answer that takes longer is late, and the others do not wait for it. Below that they share
+   * the next transaction; it also spaces the requests of a node whose answers are all lost.
+   */
+  static final long NEXT_AFTER_MS = 100;
+
+  /**
+   * A transaction that is unanswered for so long is read back. The store answers within 10 ms as a
+   * rule and rarely takes a few hundred, so that few are read back for nothing.
+   */
+  static final long READ_BACK_AFTER_MS = 300;
+
+  /** A transaction that was sent, with those who wait for its records. */
+  private static final class InFlight {
+    private final Map<String, List<Consumer<Outcome>>> askers;
+
+    InFlight(Map<String, List<Consumer<Outcome>>> askers) {
+      this.askers = askers;
+    }
   }
 
   private final Scheduler scheduler;
   private final StateStore store;
   private final TokenBucket writes;
   private final int most;
+  private final Consumer<Consumer<Boolean>> readBarrier;
 
   /** By job, so that a user who asks again meanwhile shares the record. */
   private Map<String, List<Consumer<Outcome>>> waiting = new LinkedHashMap<>();
 
-  /** Who asks again for one of these hears what becomes of it, and needs no record of its own. */
-  private Map<String, List<Consumer<Outcome>>> underWay = new LinkedHashMap<>();
+  /** Who asks again for one of these shares its outcome, and needs no record of their own. */
+  private final List<InFlight> inFlight = new ArrayList<>();
 
-  private boolean busy;
-  private boolean planned;
+  private Optional<Cancellable> planned = Optional.empty();
+  private long sentMs = Long.MIN_VALUE / 2;
 
   /**
    * @param most changes that a transaction may hold
+   * @param readBarrier brings the replica past the moment of the call, or says false
    */
-  Cancellations(Scheduler scheduler, StateStore store, TokenBucket writes, int most) {
+  Cancellations(
+      Scheduler scheduler,
+      StateStore store,
+      TokenBucket writes,
+      int most,
+      Consumer<Consumer<Boolean>> readBarrier) {
     this.scheduler = scheduler;
     this.store = store;
     this.writes = writes;
     this.most = most;
+    this.readBarrier = readBarrier;
   }
 
-  /** Writes the cancellation of a job that is not over by the copy. */
+  /** Writes the cancellation of a job that is not over by the replica. */
   void write(String uid, Consumer<Outcome> then) {
-    Map<String, List<Consumer<Outcome>>> shared = underWay.containsKey(uid) ? underWay : waiting;
+    Map<String, List<Consumer<Outcome>>> shared =
+        inFlight.stream()
+            .map(sent -> sent.askers)
+            .filter(askers -> askers.containsKey(uid))
+            .findFirst()
+            .orElse(waiting);
     shared.computeIfAbsent(uid, u -> new ArrayList<>()).add(then);
     plan();
   }
 
   private void plan() {
-    if (!busy && !planned && !waiting.isEmpty()) {
-      planned = true;
-      // Those that came with the same read of the copy go together.
-      scheduler.schedule(
-          1,
-          () -> {
-            planned = false;
-            flush();
-          });
+    planned.ifPresent(Cancellable::cancel);
+    planned = Optional.empty();
+    if (waiting.isEmpty() || inFlight.size() >= MOST_IN_FLIGHT) {
+      return;
+    }
+    // Those that came with the same read of the replica go together.
+    long delayMs = 1;
+    if (!inFlight.isEmpty()) {
+      delayMs = Math.max(delayMs, sentMs + NEXT_AFTER_MS - scheduler.nowMs());
     }
+    planned = Optional.of(scheduler.schedule(delayMs, this::send));
   }
 
-  private void flush() {
-    if (busy || waiting.isEmpty()) {
-      return;
-    }
+  private void send() {
+    planned = Optional.empty();
+    InFlight sent = new InFlight(takeWaiting());
+    inFlight.add(sent);
+    sentMs = scheduler.nowMs();
+    writes.take(sent.askers.size());
+    readBackLater(sent);
+    store.txn(transaction(sent), result -> settle(sent, outcome(result)));
+    plan();
+  }
+
+  private Map<String, List<Consumer<Outcome>>> takeWaiting() {
+    Map<String, List<Consumer<Outcome>>> taken = new LinkedHashMap<>();
+    Map<String, List<Consumer<Outcome>>> rest = new LinkedHashMap<>();
+    waiting.forEach((uid, askers) -> (taken.size() < most ? taken : rest).put(uid, askers));
+    waiting = rest;
+    return taken;
+  }
+
+  private StateStore.Txn transaction(InFlight sent) {
     List<Condition> conditions = new ArrayList<>();
     List<Change> changes = new ArrayList<>();
-    Map<String, List<Consumer<Outcome>>> rest = new LinkedHashMap<>();
-    waiting.forEach(
-        (uid, askers) -> {
-          if (changes.size() >= most) {
-            rest.put(uid, askers);
-            return;
+    for (String uid : sent.askers.keySet()) {
+      // Done and cancelled exclude each other: each is written only where the other is absent.
+      conditions.add(new Condition(Keys.done(uid), 0));
+      conditions.add(new Condition(Keys.cancel(uid), 0));
+      changes.add(new Change.Put(Keys.cancel(uid), Cbor.map().put("at", scheduler.wallMs())));
+    }
+    return new StateStore.Txn(conditions, changes);
+  }
+
+  private static Outcome outcome(TxnResult result) {
+    if (result instanceof TxnResult.Committed) {
+      return Outcome.STANDS;
+    }
+    return result instanceof TxnResult.Refused ? Outcome.REFUSED : Outcome.UNCERTAIN;
+  }
+
+  /** Again and again until it is settled: the read may fail as well. */
+  private void readBackLater(InFlight sent) {
+    scheduler.schedule(
+        READ_BACK_AFTER_MS,
+        () -> {
+          if (inFlight.contains(sent)) {
+            readBarrier.accept(
+                ok -> {
+                  if (ok) {
+                    settle(sent, Outcome.READ_BACK);
+                  } else {
+                    readBackLater(sent);
+                  }
+                });
           }
-          // Done and cancelled exclude each other: each is written only where the other is absent.
-          conditions.add(new Condition(Keys.done(uid), 0));
-          conditions.add(new Condition(Keys.cancel(uid), 0));
-          changes.add(new Change.Put(Keys.cancel(uid), Cbor.map().put("at", scheduler.wallMs())));
-          underWay.put(uid, askers);
-        });
-    waiting = rest;
-    busy = true;
-    writes.take(changes.size());
-    store.txn(
-        new StateStore.Txn(conditions, changes),
-        result -> {
-          busy = false;
-          Outcome outcome =
-              result instanceof TxnResult.Committed
-                  ? Outcome.STANDS
-                  : result instanceof TxnResult.Refused ? Outcome.REFUSED : Outcome.UNCERTAIN;
-          Map<String, List<Consumer<Outcome>>> told = underWay;
-          underWay = new LinkedHashMap<>();
-          told.values().forEach(askers -> askers.forEach(a -> a.accept(outcome)));
-          plan();
         });
   }
+
+  /** By identity: two transactions for the same jobs are not the same. */
+
+  /** Once only: an answer that comes after the read-back, or the reverse, changes nothing. */
+  private void settle(InFlight sent, Outcome outcome) {
+    if (inFlight.remove(sent)) {
+      sent.askers.values().forEach(askers -> askers.forEach(a -> a.accept(outcome)));
+      plan();
+    }
+  }
 }
--- a/src/main/java/org/ploverspindle/front/Intake.java
+++ b/src/main/java/org/ploverspindle/front/Intake.java
@@ -176,7 +176,8 @@
     this.scheduler = scheduler;
     this.store = store;
     this.cancellations =
-        new Cancellations(scheduler, store, writes, settings.writeLimits().txnOps());
+        new Cancellations(
+            scheduler, store, writes, settings.writeLimits().txnOps(), then -> barrier(then));
     this.replica = replica;
     this.catalogue = catalogue;
     this.settings = settings;
@@ -764,6 +765,7 @@
               }
               case REFUSED -> then.accept(notNow());
               case UNCERTAIN -> barrier(ok -> withdrawAt(uid, ok, tries + 1, cameMs, then));
+              case READ_BACK -> withdrawAt(uid, true, tries + 1, cameMs, then);
             }
           });
     }
--- a/src/test/java/org/ploverspindle/front/HeldStore.java
+++ b/src/test/java/org/ploverspindle/front/HeldStore.java
@@ -72,6 +72,12 @@
     return () -> s.then().accept(result);
   }
 
+  /** The oldest one is held up on its way; what is returned has it carried out, unanswered. */
+  Runnable holdUp() {
+    Sent s = sent.remove();
+    return () -> execute(s.txn());
+  }
+
   /** Has the oldest one answered so, and does not carry it out. */
   void answer(TxnResult result) {
     sent.remove().then().accept(result);
@@ -86,6 +92,10 @@
     return stamps.containsKey(key);
   }
 
+  long timesWritten(String key) {
+    return history.stream().filter(c -> c.key().equals(key)).count();
+  }
+
   private TxnResult execute(Txn txn) {
     List<String> failed =
         txn.conditions().stream()
