--- a/src/main/java/org/ploverspindle/front/Cancellations.java
+++ b/src/main/java/org/ploverspindle/front/Cancellations.java
@@ -43,6 +43,15 @@
     READ_BACK
   }
 
+  /** What others learn of the transactions, before anybody who waits for them is told. */
+  interface Listener {
+    /** A transaction has just been sent. */
+    void sent();
+
+    /** These cancellations are durable, as of that revision. */
+    void committed(List<Change.Put> cancellations, long ledger);
+  }
+
   /**
    * Beyond so many transactions without an answer the store does not serve, and more are no use.
    */
@@ -74,6 +83,7 @@
   private final TokenBucket writes;
   private final int most;
   private final Consumer<Consumer<Boolean>> readBarrier;
+  private final Listener listener;
 
   /** By job, so that a user who asks again meanwhile shares the record. */
   private Map<String, List<Consumer<Outcome>>> waiting = new LinkedHashMap<>();
@@ -93,12 +103,14 @@
       StateStore store,
       TokenBucket writes,
       int most,
-      Consumer<Consumer<Boolean>> readBarrier) {
+      Consumer<Consumer<Boolean>> readBarrier,
+      Listener listener) {
     this.scheduler = scheduler;
     this.store = store;
     this.writes = writes;
     this.most = most;
     this.readBarrier = readBarrier;
+    this.listener = listener;
   }
 
   /** Writes the cancellation of a job that is not over by the replica. */
@@ -134,7 +146,10 @@
     sentMs = scheduler.nowMs();
     writes.take(sent.askers.size());
     readBackLater(sent);
-    store.txn(transaction(sent), result -> settle(sent, outcome(result)));
+    List<Change.Put> cancellations = cancellations(sent);
+    StateStore.Txn txn = new StateStore.Txn(conditions(sent), List.copyOf(cancellations));
+    store.txn(txn, result -> answered(sent, cancellations, result));
+    listener.sent();
     plan();
   }
 
@@ -146,16 +161,29 @@
     return taken;
   }
 
-  private StateStore.Txn transaction(InFlight sent) {
+  private List<Change.Put> cancellations(InFlight sent) {
+    List<Change.Put> cancellations = new ArrayList<>();
+    for (String uid : sent.askers.keySet()) {
+      cancellations.add(new Change.Put(Keys.cancel(uid), Cbor.map().put("at", scheduler.wallMs())));
+    }
+    return cancellations;
+  }
+
+  /** Done and cancelled exclude each other: each is written only where the other is absent. */
+  private static List<Condition> conditions(InFlight sent) {
     List<Condition> conditions = new ArrayList<>();
-    List<Change> changes = new ArrayList<>();
     for (String uid : sent.askers.keySet()) {
-      // Done and cancelled exclude each other: each is written only where the other is absent.
       conditions.add(new Condition(Keys.done(uid), 0));
       conditions.add(new Condition(Keys.cancel(uid), 0));
-      changes.add(new Change.Put(Keys.cancel(uid), Cbor.map().put("at", scheduler.wallMs())));
     }
-    return new StateStore.Txn(conditions, changes);
+    return conditions;
+  }
+
+  private void answered(InFlight sent, List<Change.Put> cancellations, TxnResult result) {
+    if (result instanceof TxnResult.Committed committed) {
+      listener.committed(cancellations, committed.ledger());
+    }
+    settle(sent, outcome(result));
   }
 
   private static Outcome outcome(TxnResult result) {
--- a/src/main/java/org/ploverspindle/front/Intake.java
+++ b/src/main/java/org/ploverspindle/front/Intake.java
@@ -129,7 +129,7 @@
   private final ProgressCounts counts;
   private final Cancellations cancellations;
   private final String nonce;
-  private final Runnable changedForLeader;
+  private final LeaderHints leaderHints;
   private final int valueBytes;
   private final int chunk;
   private final Deque<Creation> creations = new ArrayDeque<>();
@@ -146,7 +146,7 @@
 
   /**
    * @param nonce names this process's records: no other's, and none of an earlier run's
-   * @param changedForLeader called when a job or a cancellation of here stands in the store
+   * @param leaderHints told when a job or a cancellation of here stands in the store
    */
   public Intake(
       Scheduler scheduler,
@@ -159,7 +159,7 @@
       Settings settings,
       TokenBucket writes,
       String nonce,
-      Runnable changedForLeader) {
+      LeaderHints leaderHints) {
     this.specs = specs;
     this.pipelines = pipelines;
     this.lists =
@@ -171,13 +171,18 @@
             settings.writeLimits().writeRps());
     this.counts = counts;
     this.nonce = nonce;
-    this.changedForLeader = changedForLeader;
+    this.leaderHints = leaderHints;
     this.valueBytes = Math.min(settings.writeLimits().valueBytes(), MAX_VALUE_BYTES);
     this.scheduler = scheduler;
     this.store = store;
     this.cancellations =
         new Cancellations(
-            scheduler, store, writes, settings.writeLimits().txnOps(), then -> barrier(then));
+            scheduler,
+            store,
+            writes,
+            settings.writeLimits().txnOps(),
+            then -> barrier(then),
+            cancellationListener());
     this.replica = replica;
     this.catalogue = catalogue;
     this.settings = settings;
@@ -634,7 +639,7 @@
         c.answer(Answer.of(201, Cbor.map().put("uid", c.spec().uid()).put("status", status)));
         answerLate(c);
       }
-      changedForLeader.run();
+      leaderHints.changed();
     } else if (result instanceof TxnResult.Refused refused) {
       if (refused.status() == 400) {
         LOG.error(
@@ -740,6 +745,26 @@
     }
   }
 
+  /**
+   * The leader hears of a cancellation when it is sent, so that it reads it by the time at which it
+   * is confirmed, and once more when it is durable, as that read may have come too early. On the
+   * leader itself the replica shows it before anybody is told.
+   */
+  private Cancellations.Listener cancellationListener() {
+    return new Cancellations.Listener() {
+      @Override
+      public void sent() {
+        leaderHints.cancelling();
+      }
+
+      @Override
+      public void committed(List<Change.Put> cancellations, long ledger) {
+        cancellations.forEach(put -> replica.created(put, ledger));
+        leaderHints.changed();
+      }
+    };
+  }
+
   private Answer overAnswer(String uid) {
     String status = replica.get(Keys.done(uid)).isPresent() ? "done" : "aborted";
     return Answer.of(200, Cbor.map().put("uid", uid).put("status", status));
@@ -758,11 +783,8 @@
           uid,
           outcome -> {
             switch (outcome) {
-              case STANDS -> {
-                then.accept(Answer.of(200, Cbor.map().put("uid", uid).put("status", "aborted")));
-                changedForLeader.run();
-                replica.barrier(ok -> {});
-              }
+              case STANDS ->
+                  then.accept(Answer.of(200, Cbor.map().put("uid", uid).put("status", "aborted")));
               case REFUSED -> then.accept(notNow());
               case UNCERTAIN -> barrier(ok -> withdrawAt(uid, ok, tries + 1, cameMs, then));
               case READ_BACK -> withdrawAt(uid, true, tries + 1, cameMs, then);
--- a/src/main/java/org/ploverspindle/node/Controller.java
+++ b/src/main/java/org/ploverspindle/node/Controller.java
@@ -7,6 +7,7 @@
 import org.ploverspindle.cloud.CloudApi;
 import org.ploverspindle.front.Answer;
 import org.ploverspindle.front.Intake;
+import org.ploverspindle.front.LeaderHints;
 import org.ploverspindle.front.UserApi;
 import org.ploverspindle.leadership.Election;
 import org.ploverspindle.leadership.Leader;
@@ -107,7 +108,7 @@
             settings,
             accepting,
             nonce,
-            this::changedForLeader);
+            leaderHints());
     this.leaderContext =
         new Leader.LeaderContext(
             loop, store, replica, specs, pipelines, cloud, workers, catalogue, settings, policy,
@@ -115,14 +116,31 @@
   }
 
   /** What was written here is news for whoever leads. */
-  private void changedForLeader() {
-    if (leader.isPresent()) {
-      replica.barrier(ok -> {});
-    } else {
-      election
-          .leaderName()
-          .ifPresent(other -> peers.tell(other, new PeerRecord.News(settings.member())));
-    }
+  private LeaderHints leaderHints() {
+    return new LeaderHints() {
+      @Override
+      public void cancelling() {
+        // The leader's own replica shows its node's cancellations without a read.
+        if (leader.isEmpty()) {
+          hintToLeader();
+        }
+      }
+
+      @Override
+      public void changed() {
+        if (leader.isPresent()) {
+          replica.barrier(ok -> {});
+        } else {
+          hintToLeader();
+        }
+      }
+    };
+  }
+
+  private void hintToLeader() {
+    election
+        .leaderName()
+        .ifPresent(other -> peers.tell(other, new PeerRecord.News(settings.member())));
   }
 
   /**
--- a/src/main/java/org/ploverspindle/state/Replica.java
+++ b/src/main/java/org/ploverspindle/state/Replica.java
@@ -11,6 +11,7 @@
 import java.util.function.Consumer;
 import org.ploverspindle.loop.Cancellable;
 import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Changed;
 import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.state.StateStore.News;
@@ -210,6 +211,20 @@
     }
   }
 
+  /**
+   * Shows what a transaction of this node created as soon as its answer is there, ahead of the
+   * reads, which bring it again. Only for keys that are created once and never change: a reader of
+   * the replica must not conclude anything from what such a key is shown without.
+   *
+   * @param ledger the revision of the transaction
+   */
+  public void created(Change.Put put, long ledger) {
+    // While it is read anew a page that is older than the key would seem to say that it is gone.
+    if (loaded) {
+      apply(new Changed(put.key(), Optional.of(put.value()), ledger));
+    }
+  }
+
   private void apply(Changed c) {
     Entry known = entries.get(c.key());
     if (known != null && known.stamp() >= c.stamp()) {
--- a/src/test/java/org/ploverspindle/front/CancellationsTest.java
+++ b/src/test/java/org/ploverspindle/front/CancellationsTest.java
@@ -16,6 +16,7 @@
 import org.ploverspindle.front.Cancellations.Outcome;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.TxnResult;
 import org.ploverspindle.state.TokenBucket;
@@ -27,9 +28,23 @@
   private final TokenBucket writes = new TokenBucket(store, 0, 100);
   private final List<Consumer<Boolean>> reads = new ArrayList<>();
   private final Cancellations cancellations =
-      new Cancellations(store, store, writes, MOST, reads::add);
+      new Cancellations(store, store, writes, MOST, reads::add, new Hearer());
   private final Map<String, List<Outcome>> heard = new TreeMap<>();
 
+  private final List<String> events = new ArrayList<>();
+
+  private final class Hearer implements Cancellations.Listener {
+    @Override
+    public void sent() {
+      events.add("sent with " + store.underWay() + " in flight");
+    }
+
+    @Override
+    public void committed(List<Change.Put> cancellations, long ledger) {
+      events.add("committed " + cancellations.size() + " while " + heard);
+    }
+  }
+
   private void cancel(String uid) {
     heard.computeIfAbsent(uid, u -> new ArrayList<>());
     cancellations.write(uid, heard.get(uid)::add);
@@ -241,4 +256,26 @@
     late.run();
     assertFalse(store.holds(Keys.cancel("run-0")));
   }
+
+  @Test
+  void othersLearnOfItWhenItIsSentAndBeforeTheUserIsTold() {
+    cancel("run-0");
+    assertEquals(List.of(), events);
+    store.run(10);
+    assertEquals(List.of("sent with 1 in flight"), events, "after the write itself");
+    store.carryOut();
+    assertEquals("committed 1 while {run-0=[]}", events.get(1));
+    assertEquals(List.of(Outcome.STANDS), heard.get("run-0"));
+  }
+
+  @Test
+  void anAnswerAfterTheReadBackStillSaysThatItIsDurable() {
+    cancel("run-0");
+    store.run(10);
+    Runnable answer = store.carryOutAndHold();
+    store.run(Cancellations.READ_BACK_AFTER_MS);
+    reads.get(0).accept(true);
+    answer.run();
+    assertEquals("committed 1 while {run-0=[READ_BACK]}", events.get(1));
+  }
 }
--- a/src/test/java/org/ploverspindle/front/IntakeTest.java
+++ b/src/test/java/org/ploverspindle/front/IntakeTest.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.ploverspindle.NoHints;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Resources;
@@ -68,7 +69,7 @@
             settings,
             new TokenBucket(store, 100, 100),
             "n0-1",
-            () -> {});
+            new NoHints());
     replica.start();
     store.run(1_000);
   }
--- a/src/test/java/org/ploverspindle/sim/SimNetwork.java
+++ b/src/test/java/org/ploverspindle/sim/SimNetwork.java
@@ -24,6 +24,7 @@
   private double heldCommands;
   private double copyShare;
   private double lateWrites;
+  private double lostHints;
   private boolean writesAtOnce;
   private double lateReports;
   private boolean reportsForNext;
@@ -93,6 +94,15 @@
     writesAtOnce = atOnce;
   }
 
+  /** This share of what controllers tell each other is lost. */
+  void lostHints(double share) {
+    lostHints = share;
+  }
+
+  boolean losesHint() {
+    return lostHints > 0 && random.nextDouble() < lostHints;
+  }
+
   WriteFate writeFate() {
     if (lateWrites <= 0 || random.nextDouble() >= lateWrites) {
       return WriteFate.ANSWERED;
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -251,6 +252,13 @@
     controllers.get(i).poll(uid, then);
   }
 
+  /** Does the node's replica show the job as cancelled? Asking changes nothing there. */
+  boolean knowsCancelled(int i, String uid) {
+    String[] text = {""};
+    controllers.get(i).jobStatus(uid, a -> text[0] = new String(a.body(), StandardCharsets.UTF_8));
+    return text[0].contains(uid + " is aborted");
+  }
+
   boolean alive(int i) {
     return !processes.get(i).dead();
   }
@@ -639,7 +647,7 @@
     @Override
     public void tell(String member, PeerRecord record) {
       int to = Integer.parseInt(member.substring(1));
-      if (to != i) {
+      if (to != i && !network.losesHint()) {
         network.request(
             node(i),
             member,
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -10,6 +10,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import org.ploverspindle.NoHints;
 import org.ploverspindle.Specs;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
@@ -65,7 +66,7 @@
               settings,
               new TokenBucket(process, Math.max(1, share), Math.max(3, share)),
               "n" + i,
-              () -> {});
+              new NoHints());
       // What a node of seven has of sixty requests a second.
       replica.spacing(220);
       replica.start();
--- a/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
@@ -30,10 +30,11 @@
   private static final int FROM_MS = 12_000;
 
   /**
-   * A leader hears of what another node confirms by a hint, at once, or by its next read; what it
-   * orders before that is in flight, and must be gone in time.
+   * A leader hears of what another node is about to confirm by a hint, or by its next read; what it
+   * orders before that is in flight, and must be gone in time. Measured on all these days: none was
+   * ordered after its confirmation.
    */
-  private static final long MOST_LATE_MS = 250;
+  private static final long MOST_LATE_MS = 50;
 
   private static final List<Settings.WorkerLimits> TIMINGS =
       List.of(
