--- a/src/main/java/org/ploverspindle/jobs/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/jobs/ProgressWriter.java
@@ -4,12 +4,14 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
@@ -46,6 +48,11 @@
  * <p>Each write is bound to the leader key's version, so that a deposed leader's writes fail, and
  * to the version of every key it replaces. An unanswered write may be executed late: all that it
  * said is said again under higher numbers, and readers take the highest.
+ *
+ * <p>Of a cancelled job only the ends of its placements are still news: a new leader would count
+ * them until it had proven them gone once more. They are cleared in a record that goes out anyway,
+ * or in one of their own after {@link #CLEAR_WAIT_MS}, and never before anything else. The job
+ * itself is kept here until nothing older than its newest statements stands.
  */
 public final class ProgressWriter {
   private static final Logger LOG = LoggerFactory.getLogger(ProgressWriter.class);
@@ -68,6 +75,9 @@
   /** A chunk whose checkpoint does not fit is not tried again before. */
   private static final long LARGE_FOR_MS = 1_000;
 
+  /** For so long the ends of cancelled jobs' placements wait for a record that goes out anyway. */
+  static final long CLEAR_WAIT_MS = 5_000;
+
   /** What happens to the writer's outcome. */
   public interface Listener {
     /** These became durable: their orders may go out. */
@@ -102,6 +112,19 @@
   private final Map<Chunk, Long> stamps = new HashMap<>();
   private final Map<Job, BitSet> durableDone = new HashMap<>();
   private final LinkedHashMap<Job, BitSet> dirty = new LinkedHashMap<>();
+
+  /** Tasks of cancelled jobs that are gone, while a record may yet say where they are. */
+  private final LinkedHashMap<Job, BitSet> toClear = new LinkedHashMap<>();
+
+  /** Cancelled jobs of which placements may have ended since {@link #toClear} was looked at. */
+  private final LinkedHashSet<Job> endedOf = new LinkedHashSet<>();
+
+  /** Tasks that the newest statement, also an unanswered one, may say to be on a machine. */
+  private final Map<Job, BitSet> recordedLive = new HashMap<>();
+
+  /** By the log's record: the jobs that it speaks of, or would if its unanswered write stood. */
+  private final TreeMap<Long, Set<String>> mentions = new TreeMap<>();
+
   private final LinkedHashMap<String, Job> ending = new LinkedHashMap<>();
   private final LinkedHashSet<Chunk> removable = new LinkedHashSet<>();
 
@@ -127,6 +150,7 @@
   private boolean busy;
   private Optional<Cancellable> planned = Optional.empty();
   private long plannedMs;
+  private long clearDueMs;
   private boolean endsWaited;
   private boolean closed;
   private int failures;
@@ -190,6 +214,18 @@
     durableDone.put(job, (BitSet) done.clone());
   }
 
+  /** Record {@code n} speaks of the job, be it covered or not. */
+  public void loadedMention(Job job, long n) {
+    mentions.computeIfAbsent(n, x -> new HashSet<>()).add(job.uid());
+  }
+
+  /** These tasks are on machines by the records. */
+  public void loadedLive(Job job, Set<Integer> tasks) {
+    BitSet live = new BitSet();
+    tasks.forEach(live::set);
+    recordedLive.put(job, live);
+  }
+
   public boolean isDurablyDone(Job job, int task) {
     if (job.finished()) {
       return true;
@@ -212,13 +248,81 @@
     plan(8);
   }
 
-  /** The job is over and none of its tasks is anywhere: nothing needs to be known of it. */
+  /**
+   * Placements of a cancelled job may have ended: those that a record speaks of are to be cleared.
+   * Call it after their proof alone.
+   */
+  public void cancelledTasksEnded(Job job) {
+    if (job.blocked()) {
+      // What can't be read may speak of any task: its records stay as they are.
+      return;
+    }
+    if (toClear.isEmpty() && endedOf.isEmpty()) {
+      clearDueMs = scheduler.nowMs() + CLEAR_WAIT_MS;
+    }
+    endedOf.add(job);
+    planClearing();
+  }
+
+  /** Once for all that ended of a job since the last flush: large jobs end task by task. */
+  private void findWhatToClear() {
+    for (Job job : endedOf) {
+      BitSet gone = (BitSet) recordedLive.getOrDefault(job, NO_TASKS).clone();
+      job.live().forEach(p -> gone.clear(p.task()));
+      if (isGone(job)) {
+        gone.or(uncoveredByRemoval(job));
+      }
+      if (!gone.isEmpty()) {
+        toClear.computeIfAbsent(job, j -> new BitSet()).or(gone);
+      }
+    }
+    endedOf.clear();
+  }
+
+  /** A checkpoint hides older records, which would count again once it is removed. */
+  private BitSet uncoveredByRemoval(Job job) {
+    BitSet tasks = new BitSet();
+    if (mentions.values().stream().anyMatch(m -> m.contains(job.uid()))) {
+      for (int i = 0; i < job.chunks(); i++) {
+        if (stamps.getOrDefault(new Chunk(job, i), 0L) != 0) {
+          tasks.set(i * job.chunkSize(), Math.min(job.spec().tasks(), (i + 1) * job.chunkSize()));
+        }
+      }
+    }
+    return tasks;
+  }
+
+  private void planClearing() {
+    if (!toClear.isEmpty() || !endedOf.isEmpty()) {
+      plan(Math.max(0, clearDueMs - scheduler.nowMs()));
+    }
+  }
+
+  /** Cancelled, and proven to be nowhere. */
+  private static boolean isGone(Job job) {
+    return job.cancelled() && !job.finished() && job.live().isEmpty();
+  }
+
+  /**
+   * The job is over and none of its tasks is anywhere. Nobody reads the progress of a finished job;
+   * of a cancelled one that is gone only what would be read otherwise is still said.
+   */
   public void over(Job job) {
     dirty.remove(job);
     durableDone.remove(job);
+    boolean readAgain = isGone(job) && !job.blocked();
+    if (readAgain) {
+      cancelledTasksEnded(job);
+    } else {
+      endedOf.remove(job);
+      toClear.remove(job);
+      recordedLive.remove(job);
+    }
     for (int i = 0; i < job.chunks(); i++) {
       Chunk c = new Chunk(job, i);
-      covered(c, Long.MAX_VALUE);
+      if (!readAgain) {
+        covered(c, Long.MAX_VALUE);
+      }
       largeUntilMs.remove(c);
       if (stamps.getOrDefault(c, 0L) != 0) {
         removable.add(c);
@@ -236,7 +340,7 @@
 
   /** How much waits to be written. */
   public int backlog() {
-    return dirty.size() + ending.size();
+    return dirty.size() + ending.size() + toClear.size();
   }
 
   private static Map<Chunk, BitSet> chunksOf(Job job, BitSet tasks) {
@@ -309,7 +413,17 @@
   }
 
   private void flush() {
-    if (busy || closed || dirty.isEmpty() && ending.isEmpty() && removable.isEmpty()) {
+    if (busy || closed) {
+      return;
+    }
+    boolean othersWait = !dirty.isEmpty() || !ending.isEmpty() || !removable.isEmpty();
+    if (!othersWait && scheduler.nowMs() < clearDueMs) {
+      planClearing();
+      return;
+    }
+    findWhatToClear();
+    boolean clearingIsDue = !toClear.isEmpty() && scheduler.nowMs() >= clearDueMs;
+    if (!othersWait && !clearingIsDue) {
       return;
     }
     dirty.values().removeIf(BitSet::isEmpty);
@@ -318,12 +432,15 @@
       plan(40);
       return;
     }
-    Batch batch = new Batch(budget);
+    // Removed checkpoints may uncover what has to be cleared, in the same transaction at the
+    // latest.
+    Batch batch = new Batch(budget, clearingIsDue || !removable.isEmpty());
     batch.fill();
     if (batch.changes.isEmpty()) {
       plan(100);
       return;
     }
+    sending(batch);
     busy = true;
     writes.take(batch.changes.size());
     long sentMs = scheduler.nowMs();
@@ -343,6 +460,15 @@
         });
   }
 
+  /** From now on the transaction may stand, whether an answer tells of it or not. */
+  private void sending(Batch batch) {
+    batch.spokenOf.forEach((n, chunks) -> chunks.keySet().forEach(c -> loadedMention(c.job(), n)));
+    for (Said s : batch.said) {
+      BitSet live = recordedLive.computeIfAbsent(s.job(), j -> new BitSet());
+      s.placements().forEach(p -> live.set(p.task()));
+    }
+  }
+
   /** One transaction in the making. */
   private final class Batch {
     private final int budget;
@@ -356,9 +482,15 @@
     private final long firstN = next;
     private int bytes = 300;
     private int largest;
+    private final boolean clears;
+    private long logN = firstN;
 
-    Batch(int budget) {
+    /**
+     * @param clears whether a record goes out for what is to be cleared alone
+     */
+    Batch(int budget, boolean clears) {
       this.budget = budget;
+      this.clears = clears;
       conditions.add(new Condition(Keys.LEADER, term.leaderStamp()));
     }
 
@@ -369,9 +501,12 @@
         ends(Math.max(1, budget - 1));
       }
       checkpoint(firstN - ProgressLog.SLOTS, budget);
-      log();
+      log(false);
       ends(budget);
       endsWaited = !ending.isEmpty();
+      if (clears) {
+        log(true);
+      }
       checkpoint(next - ProgressLog.SLOTS + EARLY, Math.min(budget, changes.size() + 2));
       removals();
     }
@@ -399,10 +534,14 @@
       }
     }
 
-    /** Fills record after record. Whose slot can't be had yet is passed over. */
-    private void log() {
+    /**
+     * Fills record after record. Whose slot can't be had yet is passed over.
+     *
+     * @param forClearing whether also for what is to be cleared alone
+     */
+    private void log(boolean forClearing) {
       int records = 0;
-      for (long n = firstN;
+      for (long n = logN;
           n < firstN + ProgressLog.SLOTS && records < EARLY / 2 && room(budget);
           n++) {
         if (damaged.get(ProgressLog.slot(n))) {
@@ -413,10 +552,15 @@
           continue;
         }
         boolean more = record.moveOn() | record.news();
+        if (more || forClearing) {
+          // Last, so that it takes no room from what is waited for.
+          more |= record.clear();
+        }
         if (!more || record.tasksSaid.isEmpty()) {
           return;
         }
         record.put();
+        logN = n + 1;
         records++;
       }
     }
@@ -436,6 +580,9 @@
       /** Says all that rests on the record it replaces; false if that can't be. */
       boolean takesOver(long old) {
         for (Map.Entry<Chunk, BitSet> e : resting.getOrDefault(old, Map.of()).entrySet()) {
+          if (isGone(e.getKey().job()) && !isNeeded(e.getKey(), old)) {
+            continue;
+          }
           BitSet open = open(e.getKey(), e.getValue());
           if (!open.isEmpty() && (e.getKey().job().blocked() || !say(e.getKey().job(), open))) {
             return false;
@@ -444,6 +591,14 @@
         return true;
       }
 
+      /** Does anything older speak of the chunk, so that it would count without the record? */
+      private boolean isNeeded(Chunk c, long record) {
+        return !c.job().blocked()
+            && (stamps.getOrDefault(c, 0L) != 0
+                || mentions.headMap(record).values().stream()
+                    .anyMatch(m -> m.contains(c.job().uid())));
+      }
+
       /** Of these tasks, those that this transaction does not say yet. */
       private BitSet open(Chunk c, BitSet tasks) {
         BitSet open = (BitSet) tasks.clone();
@@ -462,7 +617,7 @@
         for (Map.Entry<Long, Map<Chunk, BitSet>> r : resting.headMap(upTo, true).entrySet()) {
           for (Map.Entry<Chunk, BitSet> e : r.getValue().entrySet()) {
             Chunk c = e.getKey();
-            if (!c.job().blocked() && isLarge(c)) {
+            if (!c.job().blocked() && !isGone(c.job()) && isLarge(c)) {
               BitSet open = open(c, e.getValue());
               any |= !open.isEmpty();
               if (!say(c.job(), open)) {
@@ -496,6 +651,22 @@
         return any;
       }
 
+      /** Says which placements of cancelled jobs are gone; true if there was any. */
+      boolean clear() {
+        boolean any = false;
+        for (Map.Entry<Job, BitSet> e : toClear.entrySet()) {
+          BitSet open = (BitSet) e.getValue().clone();
+          chunksOf(e.getKey(), open)
+              .keySet()
+              .forEach(c -> open.andNot(tasksSaid.getOrDefault(c, NO_TASKS)));
+          any |= !open.isEmpty();
+          if (!say(e.getKey(), open)) {
+            return true;
+          }
+        }
+        return any;
+      }
+
       /** Says as many of the tasks as fit; true if all did. */
       private boolean say(Job job, BitSet open) {
         int sure = ProgressLog.Builder.tasksThatFit(valueBytes);
@@ -526,12 +697,17 @@
         spokenOf.put(n, tasksSaid);
         said.addAll(saidHere);
         for (Said s : saidHere) {
-          BitSet left = dirty.get(s.job());
-          if (left != null) {
-            left.andNot(s.tasks());
-            if (left.isEmpty()) {
-              dirty.remove(s.job());
-            }
+          removeTasks(dirty, s);
+          removeTasks(toClear, s);
+        }
+      }
+
+      private void removeTasks(Map<Job, BitSet> from, Said s) {
+        BitSet left = from.get(s.job());
+        if (left != null) {
+          left.andNot(s.tasks());
+          if (left.isEmpty()) {
+            from.remove(s.job());
           }
         }
       }
@@ -569,7 +745,7 @@
           if (!room(most)) {
             return;
           }
-          if (!checkpoints.contains(c) && !c.job().blocked() && !isLarge(c)) {
+          if (!checkpoints.contains(c) && !c.job().blocked() && !isGone(c.job()) && !isLarge(c)) {
             addCheckpoint(c);
           }
         }
@@ -614,6 +790,10 @@
       for (Iterator<Chunk> it = removable.iterator();
           it.hasNext() && changes.size() < budget && conditions.size() + 2 <= txnOps * 4; ) {
         Chunk c = it.next();
+        if (toClear.containsKey(c.job())) {
+          // Without it older records would say where tasks are that are proven gone.
+          continue;
+        }
         it.remove();
         conditions.add(new Condition(c.key(), stamps.getOrDefault(c, 0L)));
         changes.add(new Change.Remove(c.key()));
@@ -717,7 +897,9 @@
   /** Whatever the transaction said is to be written again, as it will be then. */
   private void again(Batch batch) {
     for (Said s : batch.said) {
-      if (!s.job().over() || !s.job().live().isEmpty()) {
+      if (isGone(s.job())) {
+        cancelledTasksEnded(s.job());
+      } else if (!s.job().over() || !s.job().live().isEmpty()) {
         dirty.computeIfAbsent(s.job(), j -> new BitSet()).or(s.tasks());
       }
     }
@@ -758,6 +940,7 @@
       return;
     }
     for (ProgressLog.Delta d : record.get().deltas()) {
+      mentions.computeIfAbsent(n, x -> new HashSet<>()).add(d.uid());
       Job job = jobOf(d.uid());
       if (job != null) {
         BitSet tasks = (BitSet) d.done().clone();
@@ -766,9 +949,22 @@
         loadedUncovered(job, tasks, n);
       }
     }
+    replaced(n);
     loadedSlot(e, n);
   }
 
+  /** Record {@code n} stands in its slot: what stood there before says nothing any more. */
+  private void replaced(long n) {
+    int slot = ProgressLog.slot(n);
+    mentions.headMap(n).keySet().removeIf(old -> ProgressLog.slot(old) == slot);
+    long old = standing[slot];
+    if (old < n) {
+      List.copyOf(resting.getOrDefault(old, Map.of()).keySet()).stream()
+          .filter(c -> isGone(c.job()))
+          .forEach(c -> drop(c, old));
+    }
+  }
+
   private Job jobOf(String uid) {
     for (Job job : dirty.keySet()) {
       if (job.uid().equals(uid)) {
@@ -780,6 +976,11 @@
         return c.job();
       }
     }
+    for (Job job : recordedLive.keySet()) {
+      if (job.uid().equals(uid)) {
+        return job;
+      }
+    }
     return null;
   }
 
@@ -791,21 +992,30 @@
         });
     batch.spokenOf.forEach(
         (n, chunks) -> {
-          slotStamps[ProgressLog.slot(n)] = ledger;
-          standing[ProgressLog.slot(n)] = n;
-          next = Math.max(next, n + 1);
           chunks.forEach(
               (c, tasks) -> {
-                if (!c.job().finished() && !(c.job().cancelled() && c.job().live().isEmpty())) {
+                if (!c.job().finished()) {
                   spoken(c, tasks, n);
                 }
               });
+          replaced(n);
+          slotStamps[ProgressLog.slot(n)] = ledger;
+          standing[ProgressLog.slot(n)] = n;
+          next = Math.max(next, n + 1);
         });
     List<Placement> durable = new ArrayList<>();
     for (Said s : batch.said) {
       if (!s.job().over()) {
         durableDone.computeIfAbsent(s.job(), j -> new BitSet()).or(s.done());
       }
+      BitSet live = recordedLive.get(s.job());
+      if (live != null) {
+        live.andNot(s.tasks());
+        s.placements().forEach(p -> live.set(p.task()));
+        if (live.isEmpty()) {
+          recordedLive.remove(s.job());
+        }
+      }
       for (Placement p : s.placements()) {
         p.recorded(scheduler.nowMs());
         durable.add(p);
--- a/src/main/java/org/ploverspindle/jobs/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/jobs/RecordedProgress.java
@@ -86,12 +86,14 @@
     for (ProgressLog record : logByJob.getOrDefault(job.uid(), List.of())) {
       for (ProgressLog.Delta d : record.deltas()) {
         if (d.uid().equals(job.uid())) {
+          writer.loadedMention(job, record.n());
           apply(job, record.n(), d, upTo, state);
         }
       }
     }
     state.done.clear(job.spec().tasks(), Math.max(job.spec().tasks(), state.done.length()));
     writer.loadedDone(job, state.done);
+    writer.loadedLive(job, state.live.keySet());
     return state;
   }
 
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -434,6 +434,9 @@
 
   /** Drops a job that is over as soon as none of its tasks can be anywhere. */
   private void tidy(Job job) {
+    if (job.cancelled()) {
+      writer.cancelledTasksEnded(job);
+    }
     if (job.over() && job.live().isEmpty()) {
       writer.over(job);
       jobs.remove(job);
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -0,0 +1,583 @@
+package org.ploverspindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.ploverspindle.Specs;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.ProgressWriter;
+import org.ploverspindle.jobs.RecordedProgress;
+import org.ploverspindle.jobs.Resources;
+import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.leadership.Term;
+import org.ploverspindle.net.Cbor;
+import org.ploverspindle.settings.Settings;
+import org.ploverspindle.sim.PlainProgress.Kind;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.StateStore;
+import org.ploverspindle.state.StateStore.Change;
+import org.ploverspindle.state.StateStore.Condition;
+import org.ploverspindle.state.StateStore.Entry;
+import org.ploverspindle.state.StateStore.PageResult;
+import org.ploverspindle.state.StateStore.Txn;
+import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.TokenBucket;
+import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.Placement;
+
+/**
+ * Ends of cancelled jobs' placements are durably known, so that a new leader does not count them,
+ * and none is said to have ended before its proof. The writer alone, on the stand-in for the state
+ * service.
+ */
+class CancelledPlacementsTest {
+  private static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 200, 16, 24);
+
+  /** Well over what the ends wait for a write that goes out anyway. */
+  private static final long QUIET_MS = 8_000;
+
+  /** Well under it. */
+  private static final long SHORT_MS = 400;
+
+  private enum Fate {
+    ANSWERED,
+    /** Carried out, and nobody hears of it. */
+    ANSWER_LOST,
+    /** Carried out seconds later, and nobody hears of it. */
+    LATE,
+    /** Never arrives. */
+    LOST
+  }
+
+  private final SimClock clock = new SimClock();
+  private final SimState state = new SimState(clock, LIMITS);
+  private final Random random = new Random(7);
+  private double faults;
+  private Fate next = Fate.ANSWERED;
+  private long lateMs = 3_000;
+  private long terms;
+  private long attempts;
+  private int transactions;
+  private final List<TxnResult> lateResults = new ArrayList<>();
+
+  private final class Line implements StateStore {
+    private final SimClock.Process p;
+
+    Line(SimClock.Process p) {
+      this.p = p;
+    }
+
+    private Fate fate() {
+      Fate fate = next;
+      next = Fate.ANSWERED;
+      return random.nextDouble() < faults ? Fate.values()[1 + random.nextInt(3)] : fate;
+    }
+
+    @Override
+    public void txn(Txn txn, Consumer<TxnResult> then) {
+      transactions++;
+      switch (fate()) {
+        case ANSWERED ->
+            clock.at(
+                3,
+                () -> {
+                  TxnResult result = state.txn(txn);
+                  p.schedule(3, () -> then.accept(result));
+                });
+        case ANSWER_LOST -> {
+          clock.at(3, () -> state.txn(txn));
+          p.schedule(300, () -> then.accept(new TxnResult.Unknown()));
+        }
+        case LATE -> {
+          clock.at(lateMs, () -> lateResults.add(state.txn(txn)));
+          p.schedule(300, () -> then.accept(new TxnResult.Unknown()));
+        }
+        case LOST -> p.schedule(300, () -> then.accept(new TxnResult.Unknown()));
+      }
+    }
+
+    @Override
+    public void page(String prefix, String after, int size, Consumer<PageResult> then) {
+      clock.at(2, () -> p.execute(null, () -> then.accept(state.page(prefix, after, size))));
+    }
+
+    @Override
+    public void changesAfter(String prefix, long ledger, Consumer<News> then) {
+      clock.at(
+          2,
+          () -> {
+            News news = state.changesAfter(prefix, ledger);
+            p.schedule(2, () -> then.accept(news));
+          });
+    }
+
+    @Override
+    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
+      then.accept(Optional.empty());
+    }
+
+    @Override
+    public void renewLease(long hold, Consumer<Renewal> then) {
+      then.accept(Renewal.FAILED);
+    }
+
+    @Override
+    public void closeLease(long hold) {}
+  }
+
+  private void runFor(long ms) {
+    clock.runUntil(clock.nowMs() + ms);
+  }
+
+  private long newTerm() {
+    long before =
+        Optional.ofNullable(LowerLimitsTest.all(state).get(Keys.LEADER))
+            .map(Entry::stamp)
+            .orElse(0L);
+    TxnResult result =
+        state.txn(
+            new Txn(
+                List.of(new Condition(Keys.LEADER, before)),
+                List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
+    return ((TxnResult.Committed) result).ledger();
+  }
+
+  /** A term: what it was told to be recorded, and the tasks of which it places and ends. */
+  private final class Leader implements ProgressWriter.Listener {
+    private final SimClock.Process p = clock.new Process(0, 1, 0);
+    private final ProgressWriter writer;
+    private final RecordedProgress recorded;
+    private final Map<String, Job> jobs = new LinkedHashMap<>();
+    private final Map<String, Machine> machines = new HashMap<>();
+    private boolean deposed;
+
+    Leader() {
+      long stamp = newTerm();
+      Line line = new Line(p);
+      Replica replica = new Replica(p, line, Keys.PREFIX, 700);
+      replica.start();
+      runFor(1_000);
+      assertTrue(replica.loaded());
+      writer =
+          new ProgressWriter(
+              p,
+              line,
+              replica,
+              new TokenBucket(p, 100, 40),
+              LIMITS.txnOps(),
+              LIMITS.valueBytes(),
+              new Term(1 + terms * Term.SPAN, stamp, p.nowMs()),
+              m -> new ProgressRecord.Host(m.host(), "type-16", "zone-a", true),
+              this);
+      recorded = new RecordedProgress(replica, writer);
+    }
+
+    Job accept(Kind kind) {
+      Job job =
+          new Job(
+              Specs.batch(kind.uid(), "c", "t", Urgency.NORMAL, kind.tasks(), 1, 0, 10, 0),
+              0,
+              kind.chunk(),
+              0,
+              new BitSet(),
+              -1,
+              1);
+      jobs.put(kind.uid(), job);
+      return job;
+    }
+
+    /** As an earlier leader left it: what is recorded is presumed to be there. */
+    Job takeOver(Kind kind, boolean cancelled) {
+      Job job = accept(kind);
+      if (cancelled) {
+        job.cancel();
+      }
+      RecordedProgress.State read = recorded.of(job);
+      read.done().stream().forEach(job::markDone);
+      read.live().values().forEach(l -> place(job, l.task(), l.attempt(), l.host().id()));
+      if (cancelled) {
+        tidy(job);
+      }
+      return job;
+    }
+
+    private void place(Job job, int task, long attempt, String host) {
+      Machine m =
+          machines.computeIfAbsent(
+              host, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
+      job.place(new Placement(job, task, attempt, m, 3, Placement.Phase.RECORDED));
+    }
+
+    void place(Job job, int... tasks) {
+      for (int t : tasks) {
+        place(job, t, (terms << 40) + ++attempts, "i-" + (100_000 + random.nextInt(50)));
+        writer.changed(job, t);
+      }
+    }
+
+    void cancel(Job job) {
+      job.cancel();
+      tidy(job);
+    }
+
+    /** Proven gone. */
+    void ended(Job job, int... tasks) {
+      for (int t : tasks) {
+        job.unplace(job.liveAt(t));
+        if (job.cancelled()) {
+          tidy(job);
+        } else {
+          writer.changed(job, t);
+        }
+      }
+    }
+
+    private void tidy(Job job) {
+      writer.cancelledTasksEnded(job);
+      if (job.live().isEmpty()) {
+        writer.over(job);
+        jobs.remove(job.uid());
+      }
+    }
+
+    void end() {
+      writer.close();
+      p.kill();
+    }
+
+    @Override
+    public void durable(List<Placement> placements) {}
+
+    @Override
+    public void finished(Job job) {
+      jobs.remove(job.uid());
+    }
+
+    @Override
+    public void deposed(String cause) {
+      deposed = true;
+    }
+  }
+
+  private static final Kind CANCELLED = new Kind("run-cancelled", 6, 4);
+  private static final Kind OTHER = new Kind("run-other", 2_000, 50);
+
+  /** The tasks that a reader of the documented forms, of whichever version, takes to be placed. */
+  private Set<Integer> recordedLive(Kind kind) {
+    String[] read = PlainProgress.read(LowerLimitsTest.all(state), kind);
+    Set<Integer> live = new TreeSet<>();
+    for (int t = 0; t < read.length; t++) {
+      if (read[t].startsWith("live")) {
+        live.add(t);
+      }
+    }
+    return live;
+  }
+
+  /** A leader that takes over now reads the same; it ends at once. */
+  private void assertNextLeaderCounts(Kind kind, Set<Integer> tasks) {
+    assertEquals(tasks, recordedLive(kind));
+    Leader reader = new Leader();
+    assertEquals(tasks, reader.recorded.of(reader.accept(kind)).live().keySet());
+    reader.end();
+  }
+
+  private Job placedAndCancelled(Leader leader, Kind kind, int... tasks) {
+    Job job = leader.accept(kind);
+    leader.place(job, tasks);
+    runFor(SHORT_MS);
+    leader.cancel(job);
+    return job;
+  }
+
+  @Test
+  void endsRideOnTheNextRecordAndTakeNoTransactionOfTheirOwn() {
+    Leader leader = new Leader();
+    Job other = leader.accept(OTHER);
+    Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
+    leader.ended(job, 0, 1, 5);
+    runFor(SHORT_MS);
+    assertEquals(1, transactions);
+    assertEquals(Set.of(0, 1, 5), recordedLive(CANCELLED));
+    leader.place(other, 0);
+    runFor(SHORT_MS);
+    assertEquals(2, transactions);
+    assertEquals(Set.of(), recordedLive(CANCELLED));
+    runFor(3 * QUIET_MS);
+    assertEquals(2, transactions, "nothing is left to say");
+    leader.end();
+    assertNextLeaderCounts(CANCELLED, Set.of());
+  }
+
+  @Test
+  void whenNothingElseIsWrittenOneTransactionSaysAllEnds() {
+    Leader leader = new Leader();
+    List<Kind> kinds = new ArrayList<>();
+    for (int i = 0; i < 20; i++) {
+      Kind kind = new Kind("run-" + i, 6, 4);
+      kinds.add(kind);
+      Job job = placedAndCancelled(leader, kind, 0, 5);
+      leader.ended(job, 0, 5);
+      runFor(20);
+    }
+    int before = transactions;
+    runFor(QUIET_MS);
+    assertTrue(transactions - before <= 1, transactions - before + " transactions");
+    kinds.forEach(k -> assertEquals(Set.of(), recordedLive(k), k.uid()));
+  }
+
+  @Test
+  void nothingIsSaidToHaveEndedBeforeItsProof() {
+    Leader leader = new Leader();
+    Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
+    runFor(QUIET_MS);
+    assertEquals(Set.of(0, 1, 5), recordedLive(CANCELLED));
+    leader.ended(job, 1);
+    runFor(QUIET_MS);
+    leader.end();
+    assertNextLeaderCounts(CANCELLED, Set.of(0, 5));
+  }
+
+  /** Its machine took the job's last task to its end just as the job was cancelled. */
+  @Test
+  void anEndThatWasAboutToBeWrittenIsCleared() {
+    Leader leader = new Leader();
+    Job job = leader.accept(CANCELLED);
+    leader.place(job, 0, 1);
+    runFor(SHORT_MS);
+    next = Fate.LOST;
+    job.markDone(1);
+    leader.ended(job, 1);
+    runFor(100);
+    leader.cancel(job);
+    leader.ended(job, 0);
+    runFor(QUIET_MS);
+    assertEquals(Set.of(), recordedLive(CANCELLED));
+  }
+
+  @Test
+  void aLeaderEndsBetweenTheProofAndTheWrite() {
+    Leader first = new Leader();
+    Job job = placedAndCancelled(first, CANCELLED, 0, 1, 5);
+    first.ended(job, 0, 1, 5);
+    runFor(100);
+    first.end();
+    Leader second = new Leader();
+    Job again = second.takeOver(CANCELLED, true);
+    assertEquals(3, again.live().size(), "what nothing durable says is not taken for granted");
+    second.ended(again, 0, 1, 5);
+    runFor(QUIET_MS);
+    second.end();
+    assertNextLeaderCounts(CANCELLED, Set.of());
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"ANSWER_LOST", "LATE", "LOST"})
+  void theWriteIsLateOrItsAnswerLost(String fate) {
+    Leader leader = new Leader();
+    Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
+    leader.ended(job, 0, 1, 5);
+    next = Fate.valueOf(fate);
+    runFor(3 * QUIET_MS);
+    assertTrue(!leader.deposed);
+    leader.end();
+    assertNextLeaderCounts(CANCELLED, Set.of());
+  }
+
+  /** The placements' own record comes late, after they are gone and said to be. */
+  @Test
+  void theRecordOfThePlacementsComesLate() {
+    Leader leader = new Leader();
+    Job other = leader.accept(OTHER);
+    Job job = leader.accept(CANCELLED);
+    next = Fate.LATE;
+    lateMs = 2_000;
+    leader.place(job, 0, 1, 5);
+    runFor(100);
+    leader.cancel(job);
+    leader.ended(job, 0, 1, 5);
+    // Soon after it is known that nobody knows of the first one.
+    runFor(900);
+    leader.place(other, 0);
+    runFor(5_000);
+    assertEquals(1, lateResults.size());
+    runFor(2 * QUIET_MS);
+    leader.end();
+    assertNextLeaderCounts(CANCELLED, Set.of());
+  }
+
+  @Test
+  void aLateWriteOfADeposedLeaderSaysNothing() {
+    Leader first = new Leader();
+    Job job = placedAndCancelled(first, CANCELLED, 0, 1);
+    first.ended(job, 0, 1);
+    next = Fate.LATE;
+    lateMs = 4_000;
+    runFor(5_100);
+    first.end();
+    Leader second = new Leader();
+    runFor(6_000);
+    assertEquals(1, lateResults.size());
+    assertTrue(lateResults.get(0) instanceof TxnResult.Conflict, lateResults.toString());
+    second.end();
+    assertNextLeaderCounts(CANCELLED, Set.of(0, 1));
+  }
+
+  /** Ends so many tasks of the other job, each in a record of its own. */
+  private void records(Leader leader, Job other, int count) {
+    for (int i = 0; i < count; i++) {
+      int task = other.waiting().nextSetBit(0);
+      leader.place(other, task);
+      runFor(30);
+      other.markDone(task);
+      leader.ended(other, task);
+      runFor(30);
+    }
+  }
+
+  @Test
+  void aCheckpointIsRemovedOnlyWithTheRecordThatSaysWhatItHid() {
+    Leader leader = new Leader();
+    Job other = leader.accept(OTHER);
+    Job job = leader.accept(CANCELLED);
+    leader.place(job, 0, 1, 5);
+    runFor(SHORT_MS);
+    // Its slot's turn is near: the placements are in checkpoints, and older records still stand.
+    records(leader, other, 110);
+    assertTrue(hasCheckpoint(CANCELLED));
+    assertEquals(Set.of(0, 1, 5), recordedLive(CANCELLED));
+    leader.cancel(job);
+    leader.ended(job, 0, 1, 5);
+    for (int i = 0; i < 300; i++) {
+      runFor(10);
+      if (!hasCheckpoint(CANCELLED)) {
+        assertEquals(Set.of(), recordedLive(CANCELLED));
+      }
+    }
+    assertTrue(!hasCheckpoint(CANCELLED));
+    leader.end();
+    assertNextLeaderCounts(CANCELLED, Set.of());
+  }
+
+  /** A burst leaves no room for the ends in its transaction, while there are changes left in it. */
+  @Test
+  void aCheckpointStaysUntilThereIsRoomToSayWhatItHides() {
+    Leader leader = new Leader();
+    Job other = leader.accept(OTHER);
+    Map<Kind, Job> jobs = new LinkedHashMap<>();
+    for (int i = 0; i < 12; i++) {
+      Kind kind = new Kind("run-cancelled-" + i, 6, 6);
+      jobs.put(kind, leader.accept(kind));
+      leader.place(jobs.get(kind), 0, 2, 5);
+    }
+    runFor(SHORT_MS);
+    records(leader, other, 110);
+    jobs.keySet().forEach(k -> assertTrue(hasCheckpoint(k)));
+    Job burst = leader.accept(new Kind("run-burst", 6_000, 160));
+    leader.place(burst, IntStream.range(0, 6_000).toArray());
+    jobs.values().forEach(leader::cancel);
+    jobs.values().forEach(job -> leader.ended(job, 0, 2, 5));
+    for (int i = 0; i < 300; i++) {
+      runFor(10);
+      for (Kind kind : jobs.keySet()) {
+        assertTrue(hasCheckpoint(kind) || recordedLive(kind).isEmpty(), kind.uid());
+      }
+    }
+    jobs.keySet().forEach(k -> assertTrue(!hasCheckpoint(k)));
+  }
+
+  private boolean hasCheckpoint(Kind kind) {
+    return LowerLimitsTest.all(state).keySet().stream()
+        .anyMatch(k -> k.startsWith(Keys.progressOf(kind.uid())));
+  }
+
+  @Test
+  void theLogForgetsThemOnceNothingOlderStands() {
+    Leader leader = new Leader();
+    Job other = leader.accept(OTHER);
+    Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
+    leader.ended(job, 0, 1, 5);
+    records(leader, other, 260);
+    assertEquals(Set.of(), recordedLive(CANCELLED));
+    boolean mentioned =
+        LowerLimitsTest.all(state).values().stream()
+            .anyMatch(e -> e.value().toString().contains(CANCELLED.uid()));
+    assertTrue(!mentioned, "a record speaks of it");
+  }
+
+  /**
+   * Terms with answers lost and writes late: at the end of each, all that was proven gone of
+   * cancelled jobs is read as gone, all that was not is read as there, and both stays so for the
+   * next ones while the log goes round.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+  void whatIsReadIsWhatWasProven(long seed) {
+    random.setSeed(seed);
+    Map<Kind, Boolean> cancelled = new LinkedHashMap<>();
+    int named = 0;
+    for (int term = 0; term < 6; term++) {
+      faults = 0;
+      Leader leader = new Leader();
+      Map<Kind, Job> leads = new LinkedHashMap<>();
+      cancelled.forEach((k, c) -> leads.put(k, leader.takeOver(k, c)));
+      faults = random.nextInt(3) * 0.12;
+      for (int i = 0; i < 600; i++) {
+        if (leads.size() < 12 || random.nextInt(25) == 0) {
+          Kind kind = new Kind("run-" + ++named, 1 + random.nextInt(60), 20);
+          cancelled.put(kind, false);
+          leads.put(kind, leader.accept(kind));
+        }
+        List<Kind> kinds = List.copyOf(leads.keySet());
+        Kind kind = kinds.get(random.nextInt(kinds.size()));
+        step(leader, leads.get(kind), kind, cancelled);
+        runFor(20);
+      }
+      faults = 0;
+      runFor(2 * QUIET_MS);
+      assertEquals(0, leader.writer.backlog(), "still to be written");
+      for (Map.Entry<Kind, Job> e : leads.entrySet()) {
+        Set<Integer> live = new TreeSet<>();
+        e.getValue().live().forEach(p -> live.add(p.task()));
+        assertEquals(live, recordedLive(e.getKey()), e.getKey() + " after term " + term);
+      }
+      assertTrue(!leader.deposed);
+      leader.end();
+    }
+    assertTrue(cancelled.containsValue(true));
+  }
+
+  private void step(Leader leader, Job job, Kind kind, Map<Kind, Boolean> cancelled) {
+    int what = random.nextInt(100);
+    if (what < 4 && !job.cancelled() && !job.live().isEmpty()) {
+      cancelled.put(kind, true);
+      leader.cancel(job);
+    } else if (what < 55 && !job.waiting().isEmpty()) {
+      leader.place(job, job.waiting().nextSetBit(0));
+    } else if (!job.live().isEmpty()) {
+      Placement p = job.live().iterator().next();
+      // One task stays, so that the job is not done: its end is another matter.
+      if (!job.cancelled() && job.done().cardinality() + 1 < kind.tasks()) {
+        job.markDone(p.task());
+      }
+      leader.ended(job, p.task());
+    }
+  }
+}
--- a/src/test/java/org/ploverspindle/sim/SimState.java
+++ b/src/test/java/org/ploverspindle/sim/SimState.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.state.HttpStateStore;
 import org.ploverspindle.state.Keys;
@@ -40,6 +41,7 @@
   private long nextHold = 1;
   private boolean out;
   private Runnable newTerm = () -> {};
+  private Consumer<Txn> written = txn -> {};
 
   SimState(SimClock clock, Settings.StateLimits limits) {
     this.clock = clock;
@@ -53,6 +55,11 @@
     newTerm = then;
   }
 
+  /** To be told of every transaction that is carried out and changes something. */
+  void whenWritten(Consumer<Txn> then) {
+    written = then;
+  }
+
   /** How many transactions were refused for their size. */
   int tooLarge() {
     return tooLarge;
@@ -187,6 +194,9 @@
         remove(change.key());
       }
     }
+    if (!txn.changes().isEmpty()) {
+      written.accept(txn);
+    }
     if (txn.changes().stream().anyMatch(c -> c.key().equals(Keys.TOKEN))) {
       newTerm.run();
     }
