--- a/src/main/java/org/ploverspindle/leadership/TaskProgress.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -67,6 +67,9 @@
 
   /** Drops a job that is over as soon as none of its tasks can be anywhere. */
   void tidy(Job job) {
+    if (job.cancelled()) {
+      writer.cancelledTasksEnded(job);
+    }
     if (job.over() && job.live().isEmpty()) {
       writer.over(job);
       jobs.remove(job);
