--- a/src/test/java/org/ploverspindle/sim/Checker.java
+++ b/src/test/java/org/ploverspindle/sim/Checker.java
@@ -57,6 +57,9 @@
     }
   }
 
+  /** A task began to be on a machine, by an order that was given then. */
+  record Start(String uid, int task, long orderedMs, long startedMs) {}
+
   /** What the truth is on a machine, beside the tasks that are on it. */
   record Offer(Place place, Resources size, BooleanSupplier sound) {}
 
@@ -95,6 +98,7 @@
   private int cancelledWhileOn;
   private long troublesOverMs = -1;
   private Consumer<String> lastTaskEnded = uid -> {};
+  private Consumer<Start> taskStarted = start -> {};
 
   /** A job about which nothing is answered for this long once all is well counts as forgotten. */
   private static final long UNANSWERED_MS = 75_000;
@@ -389,6 +393,11 @@
     }
   }
 
+  /** To be run whenever a task begins to be on a machine. */
+  void whenATaskStarts(Consumer<Start> then) {
+    taskStarted = then;
+  }
+
   /** To be run whenever the last task of a job has completed. */
   void whenALastTaskEnds(Consumer<String> then) {
     lastTaskEnded = then;
@@ -455,6 +464,7 @@
    */
   void starts(String uid, int task, Place place, long orderedMs) {
     starts++;
+    taskStarted.accept(new Start(uid, task, orderedMs, clock.nowMs()));
     JobSeen job = jobs.get(uid);
     job.begunMs = job.begunMs < 0 ? clock.nowMs() : job.begunMs;
     Place other = job.on.get(task);
--- a/src/test/java/org/ploverspindle/sim/SimState.java
+++ b/src/test/java/org/ploverspindle/sim/SimState.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
+import org.ploverspindle.net.Cbor;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.state.HttpStateStore;
 import org.ploverspindle.state.Keys;
@@ -30,6 +31,7 @@
   private Settings.StateLimits limits;
   private boolean limitsFell;
   private int tooLarge;
+  private int pages;
   final RateLimiter requests;
   final RateLimiter changes;
   private final TreeMap<String, Kept> keys = new TreeMap<>();
@@ -58,6 +60,34 @@
     return tooLarge;
   }
 
+  /** How many pages of keys were read. */
+  int pages() {
+    return pages;
+  }
+
+  boolean holds(String key) {
+    return keys.containsKey(key);
+  }
+
+  /** How many keys there are of this prefix; no request. */
+  int keysUnder(String prefix) {
+    return keys.subMap(prefix, prefix + Character.MAX_VALUE).size();
+  }
+
+  /** The names and the values of the prefix's keys in JSON form; no request. */
+  long bytesUnder(String prefix) {
+    return keys.subMap(prefix, prefix + Character.MAX_VALUE).entrySet().stream()
+        .mapToLong(e -> e.getKey().length() + Cbor.jsonSize(e.getValue().value()))
+        .sum();
+  }
+
+  /** This stood there before the run began, and cost nothing of its rates. */
+  void stoodBefore(String key, JsonNode value) {
+    ledger++;
+    keys.put(key, new Kept(value.deepCopy(), ledger, Optional.empty()));
+    history.add(new Changed(key, Optional.of(value.deepCopy()), ledger));
+  }
+
   /** From now on these are the limits; nobody is told. */
   void limits(Settings.StateLimits now) {
     limits = now;
@@ -194,6 +224,7 @@
   }
 
   PageResult page(String prefix, String after, int size) {
+    pages++;
     List<Entry> entries = new ArrayList<>();
     boolean more = false;
     for (Map.Entry<String, Kept> e : keys.tailMap(prefix, true).entrySet()) {
