--- a/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
@@ -63,21 +63,51 @@
               partitionZone(scenario, inside, zone, false);
             });
       }
+    },
 
-      private void partitionZone(
-          FaultScenario scenario, int inside, List<SimWorker> zone, boolean now) {
-        String node = "n" + inside;
-        scenario.cluster.network.hold(node, SimulatedCluster.STATE, now);
-        scenario.cluster.network.hold(node, SimulatedCluster.CLOUD, now);
-        for (int i = 0; i < FaultScenario.NODES; i++) {
-          if (i != inside) {
-            scenario.cluster.network.hold(node, "n" + i, now);
-          }
-        }
-        zone.forEach(x -> scenario.partitionFromAllBut(x, inside, now));
-        scenario.cluster.cloud.workers().stream()
-            .filter(x -> !zone.contains(x))
-            .forEach(x -> scenario.cluster.network.hold(node, x.host(), now));
+    /** Returned machines end their tasks before others start: here none can be returned. */
+    ZONE_WITH_THE_LEADER_PARTITIONED_DURING_A_CLOUD_OUTAGE {
+      @Override
+      public void play(FaultScenario scenario) {
+        SimulatedCluster cluster = scenario.cluster;
+        scenario.jobs(3_000, 1_000, 6, 4, 1, 160);
+        // Their machines have room again when the tasks of the zone are given up.
+        scenario.jobs(3_500, 1_000, 12, 6, 1, 42);
+        scenario.at(45_000, () -> partition(scenario));
+        scenario.faultsEndMs = 45_000 + scenario.cancelMs + 15_000;
+        scenario.leaderMustChange(1);
+        scenario.mustOccur("tasks in the zone", () -> scenario.noted("busy") >= 1);
+        scenario.mustOccur("sessions ended there", () -> scenario.noted("ended") >= 1);
+        scenario.mustOccur(
+            "started elsewhere", () -> cluster.checker.starts() > scenario.noted("starts"));
+      }
+
+      private void partition(FaultScenario scenario) {
+        SimulatedCluster cluster = scenario.cluster;
+        int leader = Math.max(0, cluster.leader());
+        List<SimWorker> zone =
+            cluster.cloud.workers().stream().filter(x -> x.zone().equals("b")).toList();
+        Map<SimWorker, Long> sessions = new HashMap<>();
+        scenario.busyWorkers().stream()
+            .filter(zone::contains)
+            .forEach(x -> sessions.put(x, x.tenure()));
+        scenario.note("terms", cluster::terms);
+        scenario.note("busy", sessions::size);
+        scenario.note("starts", cluster.checker::starts);
+        partitionZone(scenario, leader, zone, true);
+        cluster.cloud.outage(true);
+        cluster.clock.at(
+            scenario.cancelMs + 6_000 + scenario.random.nextInt(6_000),
+            () -> {
+              scenario.note(
+                  "ended",
+                  () ->
+                      sessions.entrySet().stream()
+                          .filter(e -> e.getKey().tenure() > e.getValue())
+                          .count());
+              partitionZone(scenario, leader, zone, false);
+              cluster.cloud.outage(false);
+            });
       }
     },
 
@@ -257,4 +287,21 @@
   void rulesHoldIn(FaultScenario.Combination combination, String deployment, long seed) {
     FaultScenario.assertRulesHold(combination, deployment, seed);
   }
+
+  /** The zone's workers reach that controller only, and nothing else reaches it. */
+  private static void partitionZone(
+      FaultScenario scenario, int inside, List<SimWorker> zone, boolean now) {
+    String node = "n" + inside;
+    scenario.cluster.network.hold(node, SimulatedCluster.STATE, now);
+    scenario.cluster.network.hold(node, SimulatedCluster.CLOUD, now);
+    for (int i = 0; i < FaultScenario.NODES; i++) {
+      if (i != inside) {
+        scenario.cluster.network.hold(node, "n" + i, now);
+      }
+    }
+    zone.forEach(x -> scenario.partitionFromAllBut(x, inside, now));
+    scenario.cluster.cloud.workers().stream()
+        .filter(x -> !zone.contains(x))
+        .forEach(x -> scenario.cluster.network.hold(node, x.host(), now));
+  }
 }
