--- /dev/null
+++ b/src/main/java/org/ploverspindle/pipelines/package-info.java
@@ -0,0 +1,10 @@
+/**
+ * Jobs that depend on other jobs.
+ *
+ * <p>Duty: derives readiness and abortion of each job from the durable records, and passes
+ * deadlines and urgency backwards along the critical path. Owns: the dependency graph, which every
+ * controller keeps because users' answers need it. Nothing that is derived here is stored.
+ *
+ * <p>May depend on: {@code state}, {@code loop}, and {@code jobs.Urgency}.
+ */
+package org.ploverspindle.pipelines;
--- /dev/null
+++ b/src/main/java/org/ploverspindle/placement/package-info.java
@@ -0,0 +1,10 @@
+/**
+ * Which waiting task starts on which machine, and what capacity is missing.
+ *
+ * <p>Duty: orders waiting jobs, chooses machines, preempts, estimates run times and arrival rates,
+ * and computes what would have to be rented. Owns: the estimates and the arrival statistics of a
+ * term. It proposes; durable writes and orders to workers are made elsewhere.
+ *
+ * <p>May depend on: {@code jobs}, {@code workers}, {@code settings}, {@code cloud.Catalogue}.
+ */
+package org.ploverspindle.placement;
--- /dev/null
+++ b/src/main/java/org/ploverspindle/policy/package-info.java
@@ -0,0 +1,10 @@
+/**
+ * The operators' policy file: a small expression language for the scheduler's tunable values.
+ *
+ * <p>Duty: parses and evaluates the file into the immutable {@link org.ploverspindle.policy.Policy
+ * Policy}, and reports every problem with line and column. Owns: the language's grammar, the names
+ * of the tunable values, their ranges and defaults.
+ *
+ * <p>May depend on: {@code settings}, whose amounts an expression may use.
+ */
+package org.ploverspindle.policy;
