--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -59,6 +59,7 @@
 
   private Main() {}
 
+  /** The entry point of the program; see the class for the exit codes. */
   public static void main(String[] args) {
     setUpLogging();
     if (args.length == 2 && args[0].equals("--config")) {
--- a/src/main/java/org/ploverspindle/cli/Rehearse.java
+++ b/src/main/java/org/ploverspindle/cli/Rehearse.java
@@ -26,6 +26,10 @@
 @Command(name = "rehearse", hidden = true, description = "Used by the build.")
 final class Rehearse implements Callable<Integer> {
   private static final String OWN = "org/ploverspindle/";
+  private static final String CLASS_SUFFIX = ".class";
+  private static final int ROUNDS = 3;
+  private static final long PAUSE_MS = 400;
+  private static final int READ_TIMEOUT_MS = 5_000;
 
   @Override
   public Integer call() throws Exception {
@@ -40,8 +44,8 @@
     Service service = new Service(settings, Policy.DEFAULT, new SplittableRandom());
     service.start();
     loadOwnClasses();
-    for (int round = 0; round < 3; round++) {
-      Thread.sleep(400);
+    for (int round = 0; round < ROUNDS; round++) {
+      Thread.sleep(PAUSE_MS);
       ask("GET", front, "/ready", new byte[0]);
       ask("GET", front, "/submissions/run-1", new byte[0]);
       ask("POST", front, "/submissions", sampleBody());
@@ -81,10 +85,10 @@
       List<String> names =
           jar.stream()
               .map(e -> e.getName())
-              .filter(n -> n.startsWith(OWN) && n.endsWith(".class"))
+              .filter(n -> n.startsWith(OWN) && n.endsWith(CLASS_SUFFIX))
               .toList();
       for (String name : names) {
-        Class.forName(name.substring(0, name.length() - 6).replace('/', '.'));
+        Class.forName(name.substring(0, name.length() - CLASS_SUFFIX.length()).replace('/', '.'));
       }
     }
   }
@@ -94,7 +98,7 @@
     HttpURLConnection c =
         (HttpURLConnection) URI.create("http://" + front + path).toURL().openConnection();
     c.setRequestMethod(method);
-    c.setReadTimeout(5_000);
+    c.setReadTimeout(READ_TIMEOUT_MS);
     if (body.length > 0) {
       c.setDoOutput(true);
       try (OutputStream out = c.getOutputStream()) {
--- a/src/main/java/org/ploverspindle/cli/Service.java
+++ b/src/main/java/org/ploverspindle/cli/Service.java
@@ -23,11 +23,21 @@
 import org.xnio.XnioWorker;
 
 /**
- * A controller with its threads and sockets: one loop for decisions, one I/O thread for the rest.
+ * A controller with its threads and sockets: the decision loop, and one I/O thread for all sockets.
  */
 final class Service {
-  private static final int STATE_LINES = 6;
-  private static final int CLOUD_LINES = 3;
+  private static final int STATE_CONNECTIONS = 6;
+  private static final int CLOUD_CONNECTIONS = 3;
+
+  /**
+   * One connection to each other controller, one from it, and a second one from it while a lost
+   * first one is not noticed yet.
+   */
+  private static final int CONNECTIONS_PER_CONTROLLER = 3;
+
+  private static final int BUFFER_BYTES = 4_096;
+  private static final int POOLED_BUFFERS = 64;
+  private static final int BUFFERS_PER_THREAD = 2;
 
   /** Sockets that listen, and those that are being closed. */
   private static final int SPARE = 10;
@@ -39,23 +49,15 @@
   private final PeerServer peers;
 
   Service(Settings settings, Policy policy, RandomGenerator random) throws IOException {
-    worker =
-        Xnio.getInstance()
-            .createWorker(
-                OptionMap.builder()
-                    .set(Options.WORKER_NAME, "io")
-                    .set(Options.WORKER_IO_THREADS, 1)
-                    .set(Options.WORKER_TASK_CORE_THREADS, 0)
-                    .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                    .set(Options.TCP_NODELAY, true)
-                    .getMap());
-    ByteBufferPool buffers = new DefaultByteBufferPool(true, 4096, 64, 2);
+    worker = ioWorker();
+    ByteBufferPool buffers =
+        new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, BUFFERS_PER_THREAD);
     peers = new PeerServer(loop, worker, settings.back(), settings.members(), this::heard);
     controller =
         new Controller(
             loop,
-            new HttpStateStore(caller(buffers, settings.state().toString(), STATE_LINES)),
-            new HttpCloud(caller(buffers, settings.cloud().toString(), CLOUD_LINES)),
+            new HttpStateStore(caller(buffers, settings.state().toString(), STATE_CONNECTIONS)),
+            new HttpCloud(caller(buffers, settings.cloud().toString(), CLOUD_CONNECTIONS)),
             new HttpWorkerClient(
                 address -> HttpCaller.once(loop, worker.getIoThread(), buffers, address)),
             peers,
@@ -69,12 +71,29 @@
             settings.front(),
             UserApi.Limits.of(
                 settings.quota().maxConnections(),
-                STATE_LINES + CLOUD_LINES + Leader.MOST_DIRECT + 3 * settings.nodes() + SPARE,
+                STATE_CONNECTIONS
+                    + CLOUD_CONNECTIONS
+                    + Leader.MOST_DIRECT
+                    + CONNECTIONS_PER_CONTROLLER * settings.nodes()
+                    + SPARE,
                 settings.workers().reportS()),
             controller,
             controller::ready);
   }
 
+  /** Its one I/O thread owns all sockets. */
+  private static XnioWorker ioWorker() throws IOException {
+    return Xnio.getInstance()
+        .createWorker(
+            OptionMap.builder()
+                .set(Options.WORKER_NAME, "io")
+                .set(Options.WORKER_IO_THREADS, 1)
+                .set(Options.WORKER_TASK_CORE_THREADS, 0)
+                .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                .set(Options.TCP_NODELAY, true)
+                .getMap());
+  }
+
   private HttpCaller caller(ByteBufferPool buffers, String address, int connections) {
     return new HttpCaller(loop, worker.getIoThread(), buffers, address, connections);
   }
--- a/src/main/java/org/ploverspindle/cli/StatusCommand.java
+++ b/src/main/java/org/ploverspindle/cli/StatusCommand.java
@@ -44,7 +44,7 @@
               URI.create("http://" + address + "/status" + query).toURL().openConnection();
       c.setConnectTimeout(TIMEOUT_MS);
       c.setReadTimeout(TIMEOUT_MS);
-      if (c.getResponseCode() != 200) {
+      if (c.getResponseCode() != HttpURLConnection.HTTP_OK) {
         throw new IOException("it answers " + c.getResponseCode());
       }
       try (InputStream in = c.getInputStream()) {
--- a/src/main/java/org/ploverspindle/cloud/Backoffs.java
+++ b/src/main/java/org/ploverspindle/cloud/Backoffs.java
@@ -16,6 +16,15 @@
 final class Backoffs {
   private static final Logger LOG = LoggerFactory.getLogger(Backoffs.class);
 
+  /** A mark lasts at least this part of the policy's backoff. */
+  private static final double LEAST_PART = 0.85;
+
+  /** A mark lasts longer by a random part of the backoff, of up to this. */
+  private static final double RANDOM_PART = 0.3;
+
+  /** A recorded mark: zone, spot, milliseconds left. */
+  private static final int MARK_FIELDS = 3;
+
   private final Scheduler scheduler;
   private final Catalogue catalogue;
   private final Policy policy;
@@ -32,7 +41,8 @@
   void backOff(Rentals.Group g) {
     // Spread out: marks that were set together would otherwise end together, and all be tried at
     // once.
-    long ms = Math.round(policy.backoffS() * 1000 * (0.85 + 0.3 * random.nextDouble()));
+    long ms =
+        Math.round(policy.backoffS() * 1000 * (LEAST_PART + RANDOM_PART * random.nextDouble()));
     untilMs.put(g, scheduler.nowMs() + ms);
   }
 
@@ -55,7 +65,8 @@
   void read(Entry e, Optional<Integer> type) {
     for (JsonNode mark : e.value().path("backoff")) {
       String[] f = mark.asText().split(",", -1);
-      Optional<Integer> zone = f.length == 3 ? catalogue.zoneIndex(f[0]) : Optional.empty();
+      Optional<Integer> zone =
+          f.length == MARK_FIELDS ? catalogue.zoneIndex(f[0]) : Optional.empty();
       if (type.isEmpty() || zone.isEmpty() || !f[2].matches("\\d{1,9}")) {
         LOG.warn("a backoff mark in {} can't be read", e.key());
         continue;
--- a/src/main/java/org/ploverspindle/cloud/Catalogue.java
+++ b/src/main/java/org/ploverspindle/cloud/Catalogue.java
@@ -20,6 +20,7 @@
     zonesInOrder.forEach(this::zone);
   }
 
+  /** Takes in the types that the cloud names now. */
   public void update(List<MachineType> latest) {
     for (MachineType type : latest) {
       type.zones().forEach(this::zone);
@@ -33,7 +34,7 @@
     }
   }
 
-  /** False until the cloud has told its types: then nobody can say what fits. */
+  /** False until the machine types are known; before that nobody can say what fits. */
   public boolean known() {
     return !types.isEmpty();
   }
@@ -50,6 +51,7 @@
     return Optional.ofNullable(typeIndex.get(name));
   }
 
+  /** The index of the zone, which gets one if it has none. */
   public int zone(String name) {
     return zoneIndex.computeIfAbsent(
         name,
--- a/src/main/java/org/ploverspindle/cloud/Claims.java
+++ b/src/main/java/org/ploverspindle/cloud/Claims.java
@@ -35,6 +35,14 @@
   static final int MAX_PER_RENTAL = 50;
   private static final long OPEN_MS = 30_000;
 
+  /** A claim without an answer is asked for again after at least this time. */
+  private static final int RETRY_MS = 700;
+
+  /** Random addition to the time above. */
+  private static final int RETRY_JITTER_MS = 600;
+
+  private static final int REMOVE_RETRY_MS = 2_000;
+
   /** Part of what the cloud's rate allows between two scans that one group's rentals may take. */
   private static final double GROUP_SHARE = 0.4;
 
@@ -235,7 +243,8 @@
             removeClaim(claim);
           } else {
             // No answer, or a refusal: the same claim is asked for again, which rents once at most.
-            scheduler.schedule(700 + random.nextInt(600), () -> claim.asked = false);
+            scheduler.schedule(
+                RETRY_MS + random.nextInt(RETRY_JITTER_MS), () -> claim.asked = false);
           }
         });
   }
@@ -290,7 +299,7 @@
           if (gone) {
             claims.remove(claim.name);
           } else {
-            scheduler.schedule(2_000, () -> claim.removing = false);
+            scheduler.schedule(REMOVE_RETRY_MS, () -> claim.removing = false);
             if (claim.hosts.isEmpty()) {
               claim.hosts = Optional.of(List.of());
             }
--- a/src/main/java/org/ploverspindle/cloud/CloudApi.java
+++ b/src/main/java/org/ploverspindle/cloud/CloudApi.java
@@ -4,15 +4,20 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The cloud as this program sees it; answers arrive on the decision loop. */
+/**
+ * The cloud's operations. Outcomes are delivered on the decision loop; an empty one means that
+ * there was no usable response.
+ */
 public interface CloudApi {
 
+  /** The state of a rented machine, by the cloud. */
   enum HostStatus {
     BOOTING,
     RUNNING,
     FAILED
   }
 
+  /** A rented machine in the cloud's list. */
   record Host(
       String id,
       String address,
@@ -22,11 +27,15 @@
       HostStatus status,
       double ageS) {}
 
+  /** A page of the list of rented machines. */
   record HostPage(List<Host> hosts, boolean hasNext) {}
 
+  /** The outcome of a rental. */
   sealed interface RentResult {
+    /** These machines are rented, fewer than were asked for or as many. */
     record Rented(List<String> hosts) implements RentResult {}
 
+    /** The group has no machine left at present. */
     record NoCapacity() implements RentResult {}
 
     /** The cloud does not take such a request, now or later. */
@@ -39,13 +48,19 @@
     record Unknown() implements RentResult {}
   }
 
+  /** Asks for the machine types on offer. */
   void types(Consumer<Optional<List<MachineType>>> then);
 
+  /**
+   * Rents up to {@code count} machines. A repeat under the same claim rents nothing more and
+   * returns the same machines.
+   */
   void rent(
       String claim, String type, String zone, boolean spot, int count, Consumer<RentResult> then);
 
-  /** True: the machines and all on them are gone. */
+  /** Returns machines. True means that they and all tasks on them are gone. */
   void release(List<String> hosts, Consumer<Boolean> then);
 
+  /** Asks for the page of the list that follows the machine {@code after}; empty for the first. */
   void hosts(String after, Consumer<Optional<HostPage>> then);
 }
--- a/src/main/java/org/ploverspindle/cloud/HttpCloud.java
+++ b/src/main/java/org/ploverspindle/cloud/HttpCloud.java
@@ -17,9 +17,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud's own protocol. Broken or unexpected answers count as none. */
+/** The cloud over HTTP. A response that is malformed or unexpected counts as none. */
 public final class HttpCloud implements CloudApi {
   private static final byte[] EMPTY = {};
+  private static final int HTTP_OK = 200;
+  private static final int HTTP_BAD_REQUEST = 400;
+  private static final int HTTP_TOO_MANY_REQUESTS = 429;
+  private static final int HTTP_UNAVAILABLE = 503;
   private static final long TIMEOUT_MS = 5_000;
   private static final int PAGE = 500;
 
@@ -35,7 +39,7 @@
   }
 
   private static Optional<ObjectNode> ok(Reply reply) {
-    return reply instanceof Reply.Answer a && a.status() == 200
+    return reply instanceof Reply.Answer a && a.status() == HTTP_OK
         ? Cbor.readMap(a.body())
         : Optional.empty();
   }
@@ -100,18 +104,18 @@
       return new RentResult.Unknown();
     }
     Optional<ObjectNode> body = Cbor.readMap(answer.body());
-    if (answer.status() == 200 && body.isPresent() && body.get().path("hosts").isArray()) {
+    if (answer.status() == HTTP_OK && body.isPresent() && body.get().path("hosts").isArray()) {
       List<String> hosts = new ArrayList<>();
       body.get().path("hosts").forEach(h -> hosts.add(h.asText()));
       return new RentResult.Rented(hosts);
     }
-    if (answer.status() == 503
+    if (answer.status() == HTTP_UNAVAILABLE
         && body.map(b -> b.path("error").asText("")).orElse("").contains("capacity")) {
       return new RentResult.NoCapacity();
     }
     return switch (answer.status()) {
-      case 400 -> new RentResult.Malformed();
-      case 429, 503 -> new RentResult.Refused();
+      case HTTP_BAD_REQUEST -> new RentResult.Malformed();
+      case HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE -> new RentResult.Refused();
       default -> {
         if (told.add(answer.status())) {
           LOG.warn(
@@ -132,7 +136,7 @@
         "/rentals/release",
         Cbor.write(body),
         TIMEOUT_MS,
-        r -> then.accept(r instanceof Reply.Answer a && a.status() == 200));
+        r -> then.accept(r instanceof Reply.Answer a && a.status() == HTTP_OK));
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/loop/Cancellable.java
+++ b/src/main/java/org/ploverspindle/loop/Cancellable.java
@@ -1,7 +1,8 @@
 package org.ploverspindle.loop;
 
-/** Something that can be told not to run (again). */
+/** Work that can be stopped before its next run. */
 @FunctionalInterface
 public interface Cancellable {
+  /** Stops further runs. Cancelling twice is allowed. */
   void cancel();
 }
--- a/src/main/java/org/ploverspindle/loop/Duty.java
+++ b/src/main/java/org/ploverspindle/loop/Duty.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.loop;
 
-/** A long-lived duty: runs again a period after each run ended, until it is cancelled. */
+/** Periodic work: runs again a period after each run ended, until it is cancelled. */
 final class Duty implements Cancellable {
   private final Scheduler scheduler;
   private final long periodMs;
@@ -25,7 +25,7 @@
     try {
       work.run();
     } finally {
-      // Rescheduled also when a run failed: one bad record must not end a duty for good.
+      // Rescheduled also when a run failed: one unreadable record must not end the work for good.
       if (!cancelled) {
         scheduler.schedule(periodMs, this::run);
       }
--- a/src/main/java/org/ploverspindle/loop/EventLoop.java
+++ b/src/main/java/org/ploverspindle/loop/EventLoop.java
@@ -11,9 +11,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The real loop: one thread, three ranks of work, timers in between. */
+/**
+ * The scheduler of a running service: one thread that takes reports first, then due timers, then
+ * the other ranks of work in their order.
+ */
 public final class EventLoop implements Scheduler, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
+  private static final long NANOS_PER_MS = 1_000_000;
 
   private record Timer(long dueMs, long order, Runnable work) implements Comparable<Timer> {
     @Override
@@ -40,13 +44,14 @@
     thread = new Thread(this::run, "decisions");
   }
 
+  /** Starts the thread. */
   public void start() {
     thread.start();
   }
 
   @Override
   public long nowMs() {
-    return System.nanoTime() / 1_000_000L;
+    return System.nanoTime() / NANOS_PER_MS;
   }
 
   @Override
@@ -54,7 +59,7 @@
     return System.currentTimeMillis();
   }
 
-  /** How much work of this rank waits; the door refuses submissions by it. */
+  /** How many units of work of this rank are waiting. The user API refuses submissions by it. */
   public int backlog(Rank rank) {
     lock.lock();
     try {
--- a/src/main/java/org/ploverspindle/loop/Rank.java
+++ b/src/main/java/org/ploverspindle/loop/Rank.java
@@ -1,13 +1,13 @@
 package org.ploverspindle.loop;
 
-/** Order in which waiting work is taken when there is more than can be done. */
+/** Priority classes of waiting work, the first one first. */
 public enum Rank {
-  /** Reports of workers: late answers let leases run out and kill work. */
+  /** Workers' reports. A late response lets leases expire, which ends running tasks. */
   REPORT,
-  /** Decisions, timers and answers from outside systems. */
+  /** Decisions, timers, and responses of the state service, the cloud and workers. */
   DECISION,
-  /** What users want done. */
+  /** Users' submissions and cancellations. */
   SUBMISSION,
-  /** Questions of users: however many there are, submissions keep their time. */
+  /** Users' queries. However many there are, they delay no submission. */
   POLL
 }
--- a/src/main/java/org/ploverspindle/loop/Scheduler.java
+++ b/src/main/java/org/ploverspindle/loop/Scheduler.java
@@ -1,21 +1,23 @@
 package org.ploverspindle.loop;
 
 /**
- * The one thread of control that owns the decisions' state, with its clock. Tests put a simulated
- * one in its place, so that decisions repeat exactly.
+ * The single thread that owns all state on which decisions rest, and its clocks. Tests replace it
+ * by a simulated one, so that runs are repeatable.
  */
 public interface Scheduler {
-  /** Steady clock in milliseconds; only differences mean anything. */
+  /** Monotonic clock in milliseconds. Only differences are meaningful. */
   long nowMs();
 
-  /** Time of day in milliseconds; good for ordering and display, never for safety. */
+  /** Time of day in milliseconds. For ordering and display only; no safety argument may use it. */
   long wallMs();
 
+  /** Runs the work once on the thread, in the order that its rank gives. Any thread may call. */
   void execute(Rank rank, Runnable work);
 
+  /** Runs the work once on the thread, not before the delay has passed. */
   Cancellable schedule(long delayMs, Runnable work);
 
-  /** Runs {@code work} every {@code periodMs} until cancelled; a late run is not made up for. */
+  /** Runs the work again and again, a period after each run ended, until it is cancelled. */
   default Cancellable every(long periodMs, Runnable work) {
     return new Duty(this, periodMs, work).start();
   }
--- a/src/main/java/org/ploverspindle/loop/Scope.java
+++ b/src/main/java/org/ploverspindle/loop/Scope.java
@@ -3,10 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Parent of duties: closing it cancels them, the youngest first. */
+/** A group of cancellable work: cancelling it cancels all, the last added first. */
 public final class Scope implements Cancellable {
   private final List<Cancellable> children = new ArrayList<>();
 
+  /** Adds work that ends with this scope. */
   public void add(Cancellable child) {
     children.add(child);
   }
--- a/src/main/java/org/ploverspindle/net/Caller.java
+++ b/src/main/java/org/ploverspindle/net/Caller.java
@@ -2,8 +2,14 @@
 
 import java.util.function.Consumer;
 
-/** Sends requests to one target; replies arrive on the decision loop. */
+/** Sends HTTP requests to one target. Outcomes are delivered on the decision loop. */
 public interface Caller {
-  /** {@code body} may be empty: then none is sent. */
+  /**
+   * Sends one request.
+   *
+   * @param body may be empty: then none is sent
+   * @param timeoutMs covers waiting for a connection, connecting, sending and reading
+   * @param then is called exactly once with the outcome
+   */
   void call(String method, String path, byte[] body, long timeoutMs, Consumer<Reply> then);
 }
--- a/src/main/java/org/ploverspindle/net/Cbor.java
+++ b/src/main/java/org/ploverspindle/net/Cbor.java
@@ -25,6 +25,7 @@
     }
   }
 
+  /** The tree as a CBOR body. */
   public static byte[] write(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -33,6 +34,7 @@
     }
   }
 
+  /** A new, empty map. */
   public static ObjectNode map() {
     return JsonNodeFactory.instance.objectNode();
   }
--- a/src/main/java/org/ploverspindle/net/HttpCaller.java
+++ b/src/main/java/org/ploverspindle/net/HttpCaller.java
@@ -27,12 +27,17 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Undertow's client with what it leaves to its users: a bounded pool of kept connections, a bounded
- * queue, and a time limit that covers connecting, sending and reading. Lives on one I/O thread.
+ * An HTTP client for one target, on Undertow's client. Adds what that leaves to its users: a
+ * bounded pool of kept-alive connections, a bounded queue of waiting calls, and a time limit for a
+ * call as a whole. All state is confined to one I/O thread.
  */
 public final class HttpCaller implements Caller {
   private static final int MAX_QUEUED = 200;
-  private static final int MAX_BODY = 8 << 20;
+
+  /** Larger responses count as failed, so that a broken target can't fill the heap. */
+  private static final int MAX_BODY_BYTES = 8 << 20;
+
+  private static final int READ_CHUNK_BYTES = 4_096;
 
   private final Scheduler scheduler;
   private final XnioIoThread io;
@@ -68,7 +73,10 @@
     this.keep = keep;
   }
 
-  /** For one call to a target that there are many of: its connection is not kept. */
+  /**
+   * A client for a single call: its connection is closed afterwards. For targets of which there are
+   * many.
+   */
   public static HttpCaller once(
       Scheduler scheduler, XnioIoThread io, ByteBufferPool buffers, String address) {
     return new HttpCaller(scheduler, io, buffers, address, 1, false);
@@ -238,7 +246,7 @@
       if (finished) {
         return;
       }
-      ByteBuffer chunk = ByteBuffer.allocate(4096);
+      ByteBuffer chunk = ByteBuffer.allocate(READ_CHUNK_BYTES);
       try {
         while (true) {
           chunk.clear();
@@ -251,7 +259,7 @@
             break;
           }
           received.write(chunk.array(), 0, n);
-          if (received.size() > MAX_BODY) {
+          if (received.size() > MAX_BODY_BYTES) {
             fail("the answer is too large");
             return;
           }
@@ -260,6 +268,10 @@
         fail("failed: " + e.getMessage());
         return;
       }
+      deliver(exchange);
+    }
+
+    private void deliver(ClientExchange exchange) {
       int status = exchange.getResponse().getResponseCode();
       boolean close =
           "close"
--- a/src/main/java/org/ploverspindle/net/Reply.java
+++ b/src/main/java/org/ploverspindle/net/Reply.java
@@ -1,10 +1,11 @@
 package org.ploverspindle.net;
 
-/** What became of a call: an answer, or none. */
+/** The outcome of a call: a response, or the reason why there is none. */
 public sealed interface Reply {
+  /** The target responded, with any HTTP status. */
   record Answer(int status, byte[] body) implements Reply {}
 
-  /** No answer: the request may have been executed, or may yet be executed later. */
+  /** No response: the request may have been executed, or may yet be executed later. */
   record Silence(String reason) implements Reply {}
 
   /** The request never left this process. */
--- a/src/main/java/org/ploverspindle/peers/PeerClient.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -19,14 +19,16 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 
 /**
- * The connection to one other controller, for telling only. Lives on the I/O thread. A peer that
- * refuses or hangs costs one try in a while, and what was to be told is dropped.
+ * The outgoing connection to one other controller, for sending only. All state is confined to the
+ * I/O thread. While a peer refuses connections or does not read, a new one is tried only after a
+ * pause, and what was to be sent is dropped.
  */
 final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
   private static final int MOST_WAITING = 16;
   private static final long PAUSE_MS = 1_500;
   private static final long CONNECT_MS = 1_000;
+  private static final int READ_BYTES = 64;
 
   private final XnioIoThread io;
   private final InetSocketAddress address;
@@ -98,7 +100,7 @@
         .setReadListener(
             c -> {
               try {
-                if (c.read(ByteBuffer.allocate(64)) < 0) {
+                if (c.read(ByteBuffer.allocate(READ_BYTES)) < 0) {
                   IoUtils.safeClose(fresh);
                 }
               } catch (IOException e) {
--- a/src/main/java/org/ploverspindle/peers/PeerCodec.java
+++ b/src/main/java/org/ploverspindle/peers/PeerCodec.java
@@ -11,12 +11,13 @@
 
 /**
  * Records between controllers: a length, a version, a kind, and the fields. A record of another
- * version or kind is passed over, so that landings can be mixed while controllers are restarted one
+ * version or kind is passed over, so that versions can be mixed while controllers are restarted one
  * after the other; a length that no record has ends the connection.
  */
 public final class PeerCodec {
   public static final int MAX_LENGTH = 1024;
   private static final int VERSION = 1;
+  private static final int USUAL_BYTES = 64;
   private static final int LEADING = 1;
   private static final int RESIGNED = 2;
   private static final int NEWS = 3;
@@ -26,7 +27,7 @@
 
   private PeerCodec() {}
 
-  /** A connection carries something that is not ours. */
+  /** The bytes on a connection are not of this format. */
   public static final class Broken extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -35,9 +36,10 @@
     }
   }
 
+  /** The record as a frame: its length, then its body. */
   public static byte[] encode(PeerRecord record) {
-    ByteArrayOutputStream body = new ByteArrayOutputStream(64);
-    ByteArrayOutputStream framed = new ByteArrayOutputStream(64);
+    ByteArrayOutputStream body = new ByteArrayOutputStream(USUAL_BYTES);
+    ByteArrayOutputStream framed = new ByteArrayOutputStream(USUAL_BYTES);
     try {
       DataOutputStream out = new DataOutputStream(body);
       out.writeByte(VERSION);
--- a/src/main/java/org/ploverspindle/peers/PeerServer.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -26,7 +26,7 @@
 import org.xnio.channels.AcceptingChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** Where other controllers' records come in, and the lines on which ours go out. */
+/** Listens for the other controllers, and sends to them over one connection each. */
 public final class PeerServer implements Peers {
   private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
 
@@ -59,6 +59,7 @@
     members.forEach(m -> lines.put(m.name(), new PeerClient(io, m.address())));
   }
 
+  /** Starts to listen. */
   public void open() throws IOException {
     ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
     AcceptingChannel<StreamConnection> channel =
@@ -75,6 +76,7 @@
     return server.map(s -> s.getLocalAddress(InetSocketAddress.class).getPort()).orElse(-1);
   }
 
+  /** Stops listening and closes all connections. */
   public void close() {
     server.ifPresent(IoUtils::safeClose);
     io.execute(
--- a/src/main/java/org/ploverspindle/policy/Parser.java
+++ b/src/main/java/org/ploverspindle/policy/Parser.java
@@ -19,6 +19,14 @@
   private static final Pattern TOKEN =
       Pattern.compile(
           "\\s*(?:(\\d+(?:\\.\\d+)?)|([A-Za-z_][A-Za-z0-9_]*)|\"([^\"]*)\"|(<=|>=|==|[-+*/()<>,=]))");
+
+  /** Groups of the pattern above. */
+  private static final int NUMBER_GROUP = 1;
+
+  private static final int WORD_GROUP = 2;
+  private static final int QUOTED_GROUP = 3;
+
+  /** Bounds the recursion: a line of ten thousand parentheses must not overflow the stack. */
   private static final int MAX_DEPTH = 50;
 
   private enum Kind {
@@ -48,9 +56,11 @@
         throw new PolicyError(at + 1, "unexpected \"" + line.substring(at).strip() + "\"");
       }
       Kind kind =
-          m.group(1) != null
+          m.group(NUMBER_GROUP) != null
               ? Kind.NUMBER
-              : m.group(2) != null ? Kind.WORD : m.group(3) != null ? Kind.QUOTED : Kind.SIGN;
+              : m.group(WORD_GROUP) != null
+                  ? Kind.WORD
+                  : m.group(QUOTED_GROUP) != null ? Kind.QUOTED : Kind.SIGN;
       int group = kind.ordinal() + 1;
       tokens.add(new Token(kind, m.group(group), m.start(group) + 1));
       at = m.end();
--- a/src/main/java/org/ploverspindle/policy/PolicyFile.java
+++ b/src/main/java/org/ploverspindle/policy/PolicyFile.java
@@ -31,6 +31,8 @@
           "pool_min", new Range(0, 100_000, true),
           "pool_max", new Range(0, 100_000, true));
 
+  private static final String POOL_PREFIX = "pool/";
+
   private final String file;
   private final Evaluator evaluator;
   private final Map<String, Double> values = new LinkedHashMap<>();
@@ -57,6 +59,7 @@
     return names;
   }
 
+  /** Reads a file. The exception names every problem that was found. */
   public static Policy load(Path path, Settings settings) throws InvalidSettings {
     try {
       return parse(path.toString(), Files.readString(path), settings);
@@ -69,6 +72,7 @@
     }
   }
 
+  /** Reads a text; {@code file} is the name that problems are reported under. */
   public static Policy parse(String file, String text, Settings settings) throws InvalidSettings {
     PolicyFile reader = new PolicyFile(file, settings);
     List<String> lines = text.lines().toList();
@@ -119,7 +123,7 @@
   }
 
   private static Range range(String target) throws PolicyError {
-    String name = target.startsWith("pool/") ? "pool_max" : target;
+    String name = target.startsWith(POOL_PREFIX) ? "pool_max" : target;
     Range range = KNOWN.get(name);
     if (range == null) {
       throw new PolicyError(
@@ -137,8 +141,8 @@
     checkBounds("pool_min", min, max);
     Map<String, Policy.PoolBounds> pools = new HashMap<>();
     for (String target : values.keySet()) {
-      if (target.startsWith("pool/")) {
-        String type = target.substring(5, target.lastIndexOf('/'));
+      if (target.startsWith(POOL_PREFIX)) {
+        String type = target.substring(POOL_PREFIX.length(), target.lastIndexOf('/'));
         int typeMin = values.getOrDefault("pool/" + type + "/min", (double) min).intValue();
         int typeMax = values.getOrDefault("pool/" + type + "/max", (double) max).intValue();
         if (pools.put(type, new Policy.PoolBounds(typeMin, typeMax)) == null) {
--- a/src/main/java/org/ploverspindle/settings/Settings.java
+++ b/src/main/java/org/ploverspindle/settings/Settings.java
@@ -3,7 +3,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What the platform hands over, checked once; see {@link SettingsFile}. */
+/**
+ * The platform's settings of this controller, checked when they are read; see {@link SettingsFile}.
+ *
+ * @param front where users and workers connect
+ * @param back where the other controllers connect
+ * @param members the other controllers
+ * @param skewMs by how much times of day may differ between machines
+ */
 public record Settings(
     String member,
     String location,
@@ -21,6 +28,8 @@
     CloudLimits cloudLimits,
     Quota quota) {
 
+  private static final int BYTES_PER_KB = 1024;
+
   /** Another controller. */
   public record Member(String name, String location, Address address) {}
 
@@ -28,13 +37,20 @@
   public record Team(
       String name, double cores, double coresMax, double accelerators, double acceleratorsMax) {}
 
-  /** An aim, for display and for the order of work. */
+  /** A service level objective. It affects the order of work and promises nothing. */
   public record Objective(
       String kind, String jobClass, double share, double times, double withinS) {}
 
+  /**
+   * @param reportS how often a worker reports
+   * @param leaseS after how long without a response a worker stops all its tasks
+   * @param cancelS within which time a cancelled job must be gone
+   */
   public record WorkerLimits(double reportS, double leaseS, double cancelS) {}
 
   /**
+   * Limits of the state service.
+   *
    * @param next what the service will allow from some moment on that nobody is told; a limit that
    *     it does not name stays as it is
    */
@@ -44,8 +60,9 @@
       this(rps, writeRps, valueKb, txnOps, Optional.empty());
     }
 
+    /** The largest value that the service takes. */
     public int valueBytes() {
-      return (int) (valueKb * 1024);
+      return (int) (valueKb * BYTES_PER_KB);
     }
 
     /** What holds before and after the moment: the smaller of both, limit by limit. */
@@ -61,8 +78,14 @@
     }
   }
 
+  /**
+   * Limits of the cloud.
+   *
+   * @param listLagS by how much its list of machines may be out of date
+   */
   public record CloudLimits(double rps, double listLagS) {}
 
+  /** What one controller may use of its own machine. */
   public record Quota(double cores, double ramMb, int maxConnections) {}
 
   /**
@@ -73,10 +96,12 @@
     return stateLimits.lowest();
   }
 
+  /** The team of that name, if it is known. */
   public Optional<Team> team(String name) {
     return teams.stream().filter(t -> t.name().equals(name)).findFirst();
   }
 
+  /** How many controllers there are, this one included. */
   public int nodes() {
     return members.size() + 1;
   }
--- a/src/main/java/org/ploverspindle/settings/SettingsFile.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsFile.java
@@ -23,6 +23,15 @@
  */
 public final class SettingsFile {
   private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}):(\\d{1,5})");
+  private static final int MAX_PORT = 65_535;
+  private static final double LEAST_REPORT_S = 0.01;
+  private static final double LEAST_LEASE_S = 0.1;
+  private static final double LEAST_CLOUD_RPS = 0.1;
+  private static final double LEAST_CORES = 0.001;
+  private static final int LEAST_CONNECTIONS = 16;
+
+  private static final int LEAST_TXN_OPS = 4;
+
   private static final Address NOWHERE = new Address("0.0.0.0", 0);
 
   private final String file;
@@ -34,6 +43,7 @@
     this.lines = lines;
   }
 
+  /** Reads a file. The exception names every problem that was found. */
   public static Settings load(Path path) throws InvalidSettings {
     try {
       return parse(path.toString(), Files.readString(path));
@@ -46,6 +56,7 @@
     }
   }
 
+  /** Reads a text; {@code file} is the name that problems are reported under. */
   public static Settings parse(String file, String text) throws InvalidSettings {
     JsonNode root;
     try {
@@ -89,17 +100,17 @@
             teams(params),
             objectives(params),
             new Settings.WorkerLimits(
-                amount(workers, "params.workers.report_s", 0.01),
-                amount(workers, "params.workers.lease_s", 0.1),
-                amount(workers, "params.workers.cancel_s", 0.1)),
+                amount(workers, "params.workers.report_s", LEAST_REPORT_S),
+                amount(workers, "params.workers.lease_s", LEAST_LEASE_S),
+                amount(workers, "params.workers.cancel_s", LEAST_LEASE_S)),
             stateLimits(state),
             new Settings.CloudLimits(
-                amount(cloud, "params.cloud.rps", 0.1),
+                amount(cloud, "params.cloud.rps", LEAST_CLOUD_RPS),
                 amount(cloud, "params.cloud.list_lag_s", 0)),
             new Settings.Quota(
-                amount(quota, "params.quota.cores", 0.001),
+                amount(quota, "params.quota.cores", LEAST_CORES),
                 amount(quota, "params.quota.ram_mb", 1),
-                (int) amount(quota, "params.quota.max_connections", 16)));
+                (int) amount(quota, "params.quota.max_connections", LEAST_CONNECTIONS)));
     checkTogether(settings);
     return settings;
   }
@@ -110,7 +121,7 @@
             amount(state, "params.state.rps", 1),
             amount(state, "params.state.write_rps", 1),
             amount(state, "params.state.value_kb", 1),
-            (int) amount(state, "params.state.txn_ops", 4));
+            (int) amount(state, "params.state.txn_ops", LEAST_TXN_OPS));
     JsonNode next = state.path("next");
     if (next.isMissingNode()) {
       return now;
@@ -124,7 +135,7 @@
             amountOr(next, "params.state.next.rps", 1, now.rps()),
             amountOr(next, "params.state.next.write_rps", 1, now.writeRps()),
             amountOr(next, "params.state.next.value_kb", 1, now.valueKb()),
-            (int) amountOr(next, "params.state.next.txn_ops", 4, now.txnOps()));
+            (int) amountOr(next, "params.state.next.txn_ops", LEAST_TXN_OPS, now.txnOps()));
     return new Settings.StateLimits(
         now.rps(), now.writeRps(), now.valueKb(), now.txnOps(), Optional.of(later));
   }
@@ -276,7 +287,7 @@
       return NOWHERE;
     }
     var m = ADDRESS.matcher(value);
-    if (!m.matches() || Integer.parseInt(m.group(2)) > 65535) {
+    if (!m.matches() || Integer.parseInt(m.group(2)) > MAX_PORT) {
       report(field, "must be an IP number and a port, as in 10.0.0.1:8080");
       return NOWHERE;
     }
--- a/src/main/java/org/ploverspindle/settings/Sufficiency.java
+++ b/src/main/java/org/ploverspindle/settings/Sufficiency.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
 
 /**
  * Limits that are valid and too small for the deployment's size. The service starts with them and
@@ -18,6 +19,12 @@
   private static final double LEAST_WRITE_RPS = 4;
   private static final int LEAST_VALUE_BYTES = 1_500;
 
+  /** Below this a wait is not told any longer. */
+  private static final double LEAST_RATE = 0.01;
+
+  /** What remains of the time to cancel for orders and clock drift; see leadership.Timing. */
+  private static final double CANCEL_MARGIN_S = 2.5;
+
   private Sufficiency() {}
 
   /** A field, and what follows from its value. */
@@ -28,6 +35,7 @@
     }
   }
 
+  /** All limits that are too small, with what follows from each. */
   public static List<Warning> warnings(Settings s) {
     List<Warning> warnings = new ArrayList<>();
     Settings.StateLimits state = s.writeLimits();
@@ -47,7 +55,7 @@
               field("write_rps", s.stateLimits().writeRps(), state.writeRps()),
               text(
                   "%.1f changes a second: each start waits for its record for up to %.1f s",
-                  state.writeRps(), 2 / Math.max(0.01, state.writeRps()))));
+                  state.writeRps(), 2 / Math.max(LEAST_RATE, state.writeRps()))));
     }
     if (state.valueBytes() < LEAST_VALUE_BYTES) {
       warnings.add(
@@ -58,19 +66,25 @@
                       + " with 422, and tasks may not start",
                   state.valueBytes())));
     }
-    double answerS = s.workers().cancelS() - 2.5 - s.workers().leaseS();
-    if (answerS < s.workers().leaseS()) {
-      warnings.add(
-          new Warning(
-              "params.workers.cancel_s",
-              text(
-                  "only %.1f s above the lease: a state service that is away for longer costs the"
-                      + " running tasks",
-                  Math.max(0, answerS))));
-    }
+    graceWarning(s).ifPresent(warnings::add);
     return warnings;
   }
 
+  /** A leader that lacks the state service answers reports for this long; see leadership.Timing. */
+  private static Optional<Warning> graceWarning(Settings s) {
+    double answerS = s.workers().cancelS() - CANCEL_MARGIN_S - s.workers().leaseS();
+    if (answerS >= s.workers().leaseS()) {
+      return Optional.empty();
+    }
+    return Optional.of(
+        new Warning(
+            "params.workers.cancel_s",
+            text(
+                "only %.1f s above the lease: a state service that is away for longer costs the"
+                    + " running tasks",
+                Math.max(0, answerS))));
+  }
+
   /** The place of the limit that is the smaller one. */
   private static String field(String name, double now, double lowest) {
     return (lowest < now ? "params.state.next." : "params.state.") + name;
--- a/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
+++ b/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
@@ -4,14 +4,16 @@
 import java.util.List;
 
 /**
- * GEP-24's Adaptive Sizing (3.1) for one pool, that is, one machine type: how many machines each
- * zone's group must and may hold. Pure: the same state gives the same bounds on any leader.
+ * Adaptive Sizing of GEP-24 (section 3.1) for one pool, that is, one machine type: how many
+ * machines each zone's group must and may hold. The functions are pure, so any leader computes the
+ * same bounds from the same state.
  */
 public final class AdaptiveSizing {
 
   /** A zone's group as the scan sees it. */
   public record Group(int held, boolean backedOff) {}
 
+  /** How many machines a group must hold at least and may hold at most. */
   public record Bounds(int min, int max) {}
 
   private AdaptiveSizing() {}
--- a/src/main/java/org/ploverspindle/workers/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/workers/HttpWorkerClient.java
@@ -12,6 +12,8 @@
  * would take the sockets that reports and users need.
  */
 public final class HttpWorkerClient implements WorkerClient {
+  private static final int HTTP_OK = 200;
+  private static final int HTTP_CONFLICT = 409;
   private static final long TIMEOUT_MS = 1_500;
 
   private final Function<String, Caller> callers;
@@ -39,7 +41,7 @@
 
   /** Refused commands are answered with a report as well: the session or the token has moved on. */
   private static Optional<Report> report(Reply reply) {
-    return reply instanceof Reply.Answer a && (a.status() == 200 || a.status() == 409)
+    return reply instanceof Reply.Answer a && (a.status() == HTTP_OK || a.status() == HTTP_CONFLICT)
         ? ReportCodec.decode(a.body())
         : Optional.empty();
   }
--- a/src/main/java/org/ploverspindle/workers/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/workers/MachineRegistry.java
@@ -22,6 +22,9 @@
 public final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
+  /** When a term has used this many tokens, nothing goes out any more that needs another. */
+  private static final long USABLE_TOKENS = Term.SPAN * 3 / 4;
+
   private final Catalogue catalogue;
   private final TeamUsage teams;
   private final Timing timing;
@@ -76,6 +79,7 @@
     return Optional.of(m);
   }
 
+  /** Puts a task on a machine: from now on it counts for the machine, its job and its team. */
   public void place(Placement p) {
     p.machine().add(p);
     p.job().place(p);
@@ -144,7 +148,7 @@
 
   /** False when the term's tokens come to their end: then nothing may go out that needs more. */
   public boolean fencesLeft() {
-    return fences < Term.SPAN * 3 / 4;
+    return fences < USABLE_TOKENS;
   }
 
   /**
--- a/src/main/java/org/ploverspindle/workers/Order.java
+++ b/src/main/java/org/ploverspindle/workers/Order.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.workers;
 
-/** What a worker is told to do. */
+/** An order to a worker, about one attempt of a task. */
 public sealed interface Order {
   String uid();
 
@@ -8,9 +8,12 @@
 
   long attempt();
 
+  /** Start the attempt. */
   record Launch(String uid, int task, long attempt) implements Order {}
 
+  /** Stop the attempt; it has {@code windDownS} seconds to save. */
   record Stop(String uid, int task, long attempt, double windDownS) implements Order {}
 
+  /** Do not report the ended attempt any more. */
   record Forget(String uid, int task, long attempt) implements Order {}
 }
--- a/src/main/java/org/ploverspindle/workers/Placement.java
+++ b/src/main/java/org/ploverspindle/workers/Placement.java
@@ -7,6 +7,7 @@
  * may start nowhere else, and it counts for limits, room and zones.
  */
 public final class Placement {
+  /** How far the attempt has come, as far as is known here. */
   public enum Phase {
     /** Being recorded; no order may go out yet. */
     INTENT,
--- a/src/main/java/org/ploverspindle/workers/Report.java
+++ b/src/main/java/org/ploverspindle/workers/Report.java
@@ -16,6 +16,7 @@
     OptionalDouble recallS,
     List<Item> items) {
 
+  /** The state of an attempt on the machine. */
   public enum Phase {
     FETCHING,
     RUNNING,
@@ -23,6 +24,7 @@
     EXITED
   }
 
+  /** Why an attempt ended, or why it did not start. */
   public enum Cause {
     NONE,
     DONE,
--- a/src/main/java/org/ploverspindle/workers/ReportCodec.java
+++ b/src/main/java/org/ploverspindle/workers/ReportCodec.java
@@ -11,6 +11,9 @@
 
 /** The wire form of reports and orders. */
 public final class ReportCodec {
+  /** What an order takes besides the job's id. */
+  private static final int ORDER_BYTES = 90;
+
   /** Orders of one answer, well within 64 KiB in JSON form; the rest goes with later answers. */
   public static final int MAX_ORDER_BYTES = 48 * 1024;
 
@@ -142,6 +145,6 @@
 
   /** About what an order takes in JSON form. */
   public static int size(Order order) {
-    return order.uid().length() + 90;
+    return order.uid().length() + ORDER_BYTES;
   }
 }
