--- a/src/main/java/org/ploverspindle/cli/BoundsCommand.java
+++ b/src/main/java/org/ploverspindle/cli/BoundsCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Shows what a scan would allow, for operators who choose a pool's bounds. */
+/** Prints the bounds that a sizing scan computes, for operators who choose a pool's bounds. */
 @Command(
     name = "bounds",
     mixinStandardHelpOptions = true,
--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -40,7 +40,7 @@
       CommandLine.HelpCommand.class
     })
 public final class Main implements Callable<Integer> {
-  /** Not an exit code: the service's threads keep the process up. */
+  /** Not an exit code: the process goes on, kept alive by the threads of the service. */
   private static final int RUNNING = -1;
 
   @Spec private CommandSpec spec;
--- a/src/main/java/org/ploverspindle/cli/Rehearse.java
+++ b/src/main/java/org/ploverspindle/cli/Rehearse.java
@@ -19,9 +19,10 @@
 import picocli.CommandLine.Command;
 
 /**
- * Starts a controller on loopback that takes itself for the state service and the cloud, asks it a
- * few things, and stops it again. The build makes the class-data archive from what this loads: a
- * class that is missing there is read from the jar in the middle of the work.
+ * Starts a controller on loopback, with its own address as that of the state service and of the
+ * cloud, sends it a few requests, and stops it. The build makes the class-data archive from the
+ * classes that are loaded by this. A class that is missing there is later loaded from the jar,
+ * which takes long on a small machine.
  */
 @Command(name = "rehearse", hidden = true, description = "Used by the build.")
 final class Rehearse implements Callable<Integer> {
--- a/src/main/java/org/ploverspindle/cli/StatusCommand.java
+++ b/src/main/java/org/ploverspindle/cli/StatusCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Asks a running controller how it is. */
+/** Prints the status of a running controller, or of one job. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
--- a/src/main/java/org/ploverspindle/cloud/Backoffs.java
+++ b/src/main/java/org/ploverspindle/cloud/Backoffs.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** GEP-24's backoff, by group and kind: who is left alone after a failed rental, and until when. */
+/** GEP-24's backoff: the groups that are not asked for after a failed rental, and until when. */
 final class Backoffs {
   private static final Logger LOG = LoggerFactory.getLogger(Backoffs.class);
 
@@ -39,7 +39,7 @@
   }
 
   void backOff(Rentals.Group g) {
-    // Spread out: marks that were set together would otherwise end together, and all be tried at
+    // Random, as marks that were set together would otherwise end together and all be tried at
     // once.
     long ms =
         Math.round(policy.backoffS() * 1000 * (LEAST_PART + RANDOM_PART * random.nextDouble()));
@@ -61,7 +61,7 @@
         });
   }
 
-  /** Those of an earlier leader go on for what was left when they were recorded. */
+  /** Takes over an earlier leader's marks, for the time that was left when they were recorded. */
   void read(Entry e, Optional<Integer> type) {
     for (JsonNode mark : e.value().path("backoff")) {
       String[] f = mark.asText().split(",", -1);
--- a/src/main/java/org/ploverspindle/cloud/Boots.java
+++ b/src/main/java/org/ploverspindle/cloud/Boots.java
@@ -8,9 +8,9 @@
 import org.ploverspindle.workers.Machine;
 
 /**
- * How long machines of each group take to come up at present, from our own rentals alone: the time
- * since a machine was rented against what its type takes by the cloud's word. There are times when
- * machines come several times later than that, or never.
+ * Measures how long machines of each group take to boot at present, from this term's own rentals:
+ * the time since a machine was rented, relative to the boot time that the cloud gives for its type.
+ * At times machines boot several times slower than that, or never.
  */
 final class Boots {
   /** Most machines are up after 1.5 times what their type takes. */
--- a/src/main/java/org/ploverspindle/cloud/Claims.java
+++ b/src/main/java/org/ploverspindle/cloud/Claims.java
@@ -27,8 +27,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rentals by claims: each is recorded before it is asked for, and asked for by the same name until
- * it is known what it rented, also by the next leader. So nothing is rented twice and nothing lost.
+ * Rentals by claims. A claim is recorded durably before the cloud is asked, and the cloud is asked
+ * under the claim's name until its outcome is known, if need be by the next leader. So no rental is
+ * executed twice and no rented machine is lost.
  */
 final class Claims {
   private static final Logger LOG = LoggerFactory.getLogger(Claims.class);
--- a/src/main/java/org/ploverspindle/cloud/Pools.java
+++ b/src/main/java/org/ploverspindle/cloud/Pools.java
@@ -7,7 +7,7 @@
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 
-/** What each type's groups hold now, rentals in flight among it, and GEP-24's bounds for that. */
+/** How many machines each group holds, rentals in flight included, and GEP-24's bounds for it. */
 final class Pools {
   private final Catalogue catalogue;
   private final MachineRegistry fleet;
--- a/src/main/java/org/ploverspindle/peers/Peers.java
+++ b/src/main/java/org/ploverspindle/peers/Peers.java
@@ -1,8 +1,10 @@
 package org.ploverspindle.peers;
 
-/** Tells other controllers; what can't be told at once is lost. */
+/** Sends messages to the other controllers. What can't be sent at once is dropped. */
 public interface Peers {
+  /** Sends to one controller; an unknown name is ignored. */
   void tell(String member, PeerRecord record);
 
+  /** Sends to all other controllers. */
   void tellAll(PeerRecord record);
 }
--- a/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
+++ b/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
@@ -14,8 +14,8 @@
 /**
  * The backward pass of the critical path method: users give only the last job of a pipeline its
  * deadline and priority, and from these follows when each job before it must be finished, and how
- * urgent it is. Worked out anew from the graph each time, so that a dependent that comes late has
- * its effect, and one that is aborted has none any more.
+ * urgent it is. Computed from the whole graph each time: a dependent that is accepted later is
+ * taken into account, and one that is aborted no longer is.
  */
 public final class CriticalPath {
   /**
@@ -26,15 +26,16 @@
    */
   public record Own(OptionalLong latestFinishMs, Urgency urgency, double runS) {}
 
-  /** A job with what its dependents ask of it. */
+  /** A job's effective deadline and urgency: the tightest of its own and its dependents'. */
   public record PriorityInheritance(OptionalLong latestFinishMs, Urgency urgency) {}
 
   private CriticalPath() {}
 
   /**
-   * For every job of the graph that is neither done nor aborted.
+   * The effective values of every job of the graph that is neither done nor aborted.
    *
-   * @param jobs empty for a job whose record can't be read, which passes on what it is asked
+   * @param jobs the job's own values; empty when its record can't be read: such a job passes on its
+   *     dependents' values unchanged
    */
   public static Map<String, PriorityInheritance> of(
       DependencyGraph graph, Function<String, Optional<Own>> jobs) {
--- a/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
+++ b/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
@@ -14,19 +14,26 @@
 import org.ploverspindle.loop.Cancellable;
 
 /**
- * Which jobs await which, and what follows for them: a job is ready once all its dependencies are
- * done, and aborted once it or any dependency is. All of it is derived from facts that never change
- * back, so that their order of arrival does not matter and every controller comes to the same.
+ * The graph of jobs and their dependencies. A job is ready once all its dependencies are done, and
+ * aborted once it is cancelled or any dependency is aborted. Both are derived from facts that never
+ * become false again, so the result does not depend on the order in which the facts arrive and is
+ * the same on every controller.
  *
- * <p>Only jobs that await others, and those that these name, are kept. Each is marked once in its
- * life, by a work list: what follows from an event is true when the call returns, whatever the
- * pipeline's depth, and all calls together take time linear in what was put.
+ * <p>Only jobs with dependencies, and the jobs that these name, are kept. Each job is marked at
+ * most once as done and once as aborted. Marks spread by a work list instead of recursion, so that
+ * all consequences of an event hold when the call returns, whatever the pipeline's depth, and all
+ * calls together take time linear in the number of edges that were put.
  */
 public final class DependencyGraph {
-  /** Told of jobs that await others, at most once each; never that one is ready while aborted. */
+  /**
+   * Is told of jobs with dependencies: of each at most once that it is ready, and at most once that
+   * it is aborted; never of an aborted one that it is ready.
+   */
   public interface Listener {
+    /** All dependencies of the job are done. */
     void ready(String uid);
 
+    /** The job or one of its dependencies is aborted. */
     void aborted(String uid);
   }
 
@@ -66,19 +73,24 @@
   private List<Vertex> newlyReady = new ArrayList<>();
   private long visits;
 
-  /** The look-ups tell what is known already of a job that is named for the first time. */
+  /**
+   * A graph without jobs.
+   *
+   * @param isDone asked once for each job, when it is named first
+   * @param isCancelled asked once for each job, when it is named first
+   */
   public DependencyGraph(Predicate<String> isDone, Predicate<String> isCancelled) {
     this.isDone = isDone;
     this.isCancelled = isCancelled;
   }
 
-  /** Cancelled with the term of whoever listens. */
+  /** Adds a listener; cancel the result to remove it. */
   public Cancellable listen(Listener listener) {
     listeners.add(listener);
     return () -> listeners.remove(listener);
   }
 
-  /** A job that awaits others which are not known yet: it is not ready until it is put. */
+  /** Adds a job whose dependencies are not known yet: it is not ready until it is put. */
   public void expect(String uid) {
     Vertex v = vertex(uid);
     if (!v.awaits) {
@@ -88,7 +100,7 @@
     finish();
   }
 
-  /** A job that awaits others. Its last list counts. */
+  /** Adds a job with its dependencies. A later list replaces an earlier one. */
   public void put(String uid, List<String> dependencies) {
     Collection<String> distinct = new LinkedHashSet<>(dependencies);
     Vertex v = vertex(uid);
@@ -100,7 +112,7 @@
     finish();
   }
 
-  /** The job is durably done. */
+  /** Marks a job that is durably done. */
   public void done(String uid) {
     Vertex v = byUid.get(uid);
     if (v != null) {
@@ -109,7 +121,7 @@
     }
   }
 
-  /** The job itself was cancelled. */
+  /** Marks a job that was itself cancelled. */
   public void cancelled(String uid) {
     Vertex v = byUid.get(uid);
     if (v != null) {
@@ -119,29 +131,30 @@
     }
   }
 
-  /** True also of jobs that await nothing. */
+  /** True when all dependencies are done, also of a job without any. */
   public boolean isReady(String uid) {
     Vertex v = byUid.get(uid);
     return v == null || v.ready();
   }
 
-  /** By its own cancellation, or by that of a job that it needs, directly or through others. */
+  /** True when the job, or any job that it depends on directly or through others, is cancelled. */
   public boolean isAborted(String uid) {
     Vertex v = byUid.get(uid);
     return v == null ? isCancelled.test(uid) : v.aborted;
   }
 
-  /** False while it is not known what the job awaits. */
+  /** False while the job's dependencies are not known. */
   public boolean isKnown(String uid) {
     Vertex v = byUid.get(uid);
     return v == null || !v.awaits || v.known;
   }
 
+  /** True when the job has dependencies. */
   public boolean awaitsOthers(String uid) {
     return awaiting.contains(uid);
   }
 
-  /** What the job still awaits, for people. */
+  /** The direct dependencies that are not done yet, for display. */
   public List<String> unfinished(String uid) {
     Vertex v = byUid.get(uid);
     return v == null
@@ -149,18 +162,19 @@
         : v.dependencies.stream().filter(d -> !d.done).map(d -> d.uid).toList();
   }
 
+  /** The direct dependencies. */
   public List<String> dependenciesOf(String uid) {
     Vertex v = byUid.get(uid);
     return v == null ? List.of() : uidsOf(v.dependencies);
   }
 
-  /** Those that name the job themselves. */
+  /** The direct dependents. */
   public List<String> dependentsOf(String uid) {
     Vertex v = byUid.get(uid);
     return v == null ? List.of() : uidsOf(v.dependents);
   }
 
-  /** Jobs that await others, in the order of their arrival. */
+  /** Jobs with dependencies, in the order in which they were added. */
   public Collection<String> uids() {
     return Collections.unmodifiableCollection(awaiting);
   }
@@ -170,7 +184,7 @@
     return vertices;
   }
 
-  /** Edges and marks looked at so far: what the work is measured by. */
+  /** How many edges were visited so far; tests bound the work by it. */
   long visits() {
     return visits;
   }
@@ -208,7 +222,7 @@
       }
     }
     if (v.aborted) {
-      // It may have been named, and cancelled, before it was put: only now is it told of.
+      // It may have been named and cancelled before it was put: listeners are told only now.
       newlyAborted.add(v);
     }
     if (v.unfinished == 0) {
@@ -216,7 +230,10 @@
     }
   }
 
-  /** Two controllers took one id with different lists, and the earlier record came later. */
+  /**
+   * Replaces a job's dependencies. Needed when two controllers accepted one id with different
+   * lists, and the record that counts, the one written first, arrived second.
+   */
   private void replace(Vertex changed, Collection<String> dependencies) {
     Map<Vertex, Collection<String>> lists = new LinkedHashMap<>();
     for (Vertex v : vertices) {
@@ -254,7 +271,7 @@
     }
   }
 
-  /** Works off the list, and tells only then: listeners see nothing half done. */
+  /** Spreads all marks and only then calls the listeners, so that they see a consistent graph. */
   private void finish() {
     while (!spreading.isEmpty()) {
       Vertex v = spreading.poll();
--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -13,13 +13,16 @@
 import org.ploverspindle.state.SpecRecord;
 import org.ploverspindle.state.StateStore.Entry;
 
-/** The dependency graph over this node's copy, on every controller: users' answers need it too. */
+/**
+ * Keeps the dependency graph up to date with this controller's replica. Every controller has one,
+ * as answers to users need it too.
+ */
 public final class Pipelines {
   private final Replica replica;
   private final DependencyGraph graph;
   private final Map<String, Long> readyWallMs = new HashMap<>();
 
-  /** Jobs whose lists are not all read yet, by the lists' names. */
+  /** Jobs of whose lists of dependencies not all parts are read yet, by the lists' names. */
   private final Map<String, SpecIndex.Spec> incomplete = new HashMap<>();
 
   public Pipelines(Scheduler scheduler, Replica replica, SpecIndex specs) {
@@ -54,24 +57,28 @@
     replica.listen(this::changed);
   }
 
+  /** The graph, which changes with the replica. */
   public DependencyGraph graph() {
     return graph;
   }
 
   /**
-   * When this process first saw the job ready, by the time of day; empty for a job that is not, or
-   * that awaits nothing.
+   * When this process first saw the job ready, by the time of day; empty for a job that is not
+   * ready or has no dependencies.
    */
   public OptionalLong readyWallMs(String uid) {
     Long ms = readyWallMs.get(uid);
     return ms == null ? OptionalLong.empty() : OptionalLong.of(ms);
   }
 
-  /** Neither over nor ready: it holds nothing until others are done. */
+  /**
+   * True when the job is neither over nor ready. Such a job takes part in no limit and no demand.
+   */
   public boolean isWaiting(String uid) {
     return !graph.isReady(uid) && !graph.isAborted(uid) && replica.get(Keys.done(uid)).isEmpty();
   }
 
+  /** How many jobs wait for their dependencies. */
   public long waiting() {
     return graph.uids().stream().filter(this::isWaiting).count();
   }
--- a/src/main/java/org/ploverspindle/policy/Evaluator.java
+++ b/src/main/java/org/ploverspindle/policy/Evaluator.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Checks an expression against the known names and gives its value. All values are numbers. */
+/** Evaluates an expression over the known names, or tells what is wrong with it. */
 final class Evaluator {
   private final Map<String, Double> names;
 
@@ -16,7 +16,7 @@
     if (isCondition(e)) {
       throw new PolicyError(e.column(), "a comparison is no amount");
     }
-    // Both branches of an "if" are checked, also the one that today's settings do not take.
+    // Both branches of an "if" are checked, also the one that the present settings do not take.
     if (e instanceof Expr.If choice) {
       double then = amount(choice.then());
       double otherwise = amount(choice.otherwise());
--- a/src/main/java/org/ploverspindle/policy/Policy.java
+++ b/src/main/java/org/ploverspindle/policy/Policy.java
@@ -19,13 +19,14 @@
   public record PoolBounds(int min, int max) {}
 
   /**
-   * Without operators' word the cloud's refusals are the edge of a pool, not a number of ours: 1000
-   * was below the first fleet of more machines than that.
+   * The default maximum of a pool, in effect none: the cloud's refusals are the limit. A default of
+   * 1000 left a larger fleet's machines unrented.
    */
   public static final int UNBOUNDED = 100_000;
 
   public static final Policy DEFAULT = new Policy(3, 30, 60, 0, UNBOUNDED, 30, Map.of());
 
+  /** The bounds of the type's pool: its own, or the common ones. */
   public PoolBounds pool(String type) {
     return pools.getOrDefault(type, new PoolBounds(poolMin, poolMax));
   }
--- a/src/main/java/org/ploverspindle/workers/FailureDetector.java
+++ b/src/main/java/org/ploverspindle/workers/FailureDetector.java
@@ -5,10 +5,11 @@
 import org.ploverspindle.jobs.Job;
 
 /**
- * Whose fault it is that a task failed. A job that was submitted with a mistake fails on every
- * machine, and a machine that is broken fails every job: a job accuses a machine only once it has
- * shown that it runs elsewhere, and a machine is returned only on that evidence. The first jobs
- * with mistakes, some of hundreds of tasks, had a large part of a fleet shunned for a minute each.
+ * Decides whether a failed task is the fault of its job or of its machine. A job that was submitted
+ * with a mistake fails on every machine; a broken machine fails every job. So a failure counts
+ * against a machine only if the job has shown that it runs elsewhere, and a machine is returned
+ * only on that evidence. Without this rule, the first jobs with mistakes, some of hundreds of
+ * tasks, kept a large part of a fleet from being used for a minute each.
  */
 public final class FailureDetector {
   /** For each failure by a job that works elsewhere. */
--- a/src/main/java/org/ploverspindle/workers/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/workers/HttpWorkerClient.java
@@ -8,8 +8,8 @@
 import org.ploverspindle.net.Reply;
 
 /**
- * The workers' own protocol. A connection for each call: they are few, and hundreds of kept ones
- * would take the sockets that reports and users need.
+ * Orders to workers over HTTP. Each call has a connection of its own: calls are rare, and hundreds
+ * of kept-alive connections would take the sockets that reports and users need.
  */
 public final class HttpWorkerClient implements WorkerClient {
   private static final int HTTP_OK = 200;
@@ -39,7 +39,9 @@
             r -> then.accept(report(r)));
   }
 
-  /** Refused commands are answered with a report as well: the session or the token has moved on. */
+  /**
+   * A refusal carries a report as well: the session has ended, or a higher token is known there.
+   */
   private static Optional<Report> report(Reply reply) {
     return reply instanceof Reply.Answer a && (a.status() == HTTP_OK || a.status() == HTTP_CONFLICT)
         ? ReportCodec.decode(a.body())
--- a/src/main/java/org/ploverspindle/workers/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/workers/MachineRegistry.java
@@ -17,7 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of a term and what is placed on them; alone removes a placement that is proven gone.
+ * The machines of a term and the tasks that are placed on them. The only class that removes a
+ * placement, and only when the task is proven gone.
  */
 public final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
@@ -34,7 +35,7 @@
   private final Map<String, Seen> dropped = new HashMap<>();
   private long fences;
 
-  /** The newest that was known of a machine which is no longer kept. */
+  /** The newest report that was known of a machine which is no longer kept. */
   private record Seen(long tenure, long tally) {}
 
   public MachineRegistry(Catalogue catalogue, TeamUsage teams, Timing timing, Term term) {
@@ -52,7 +53,7 @@
     return machines.values();
   }
 
-  /** True for machines whose release was answered: whatever still speaks of them is old. */
+  /** True for machines whose return the cloud confirmed: a report or list that names one is old. */
   public boolean wasReleased(String host) {
     return released.contains(host);
   }
@@ -118,7 +119,7 @@
     return lost;
   }
 
-  /** A release was answered: the machine and all on it are gone. */
+  /** The cloud confirmed the return: the machine and all tasks on it are gone. */
   public List<Placement> released(Machine m, long nowMs) {
     List<Placement> lost = allGone(m, nowMs);
     machines.remove(m.host());
@@ -133,8 +134,8 @@
   }
 
   /**
-   * True for a copy, come late, of what a machine said before it was dropped: it must not bring the
-   * machine back as one that can be used.
+   * True for a delayed copy of a report that was made before the machine was dropped: it must not
+   * bring the machine back as usable.
    */
   boolean isOld(Report report) {
     Seen seen = dropped.get(report.host());
--- a/src/main/java/org/ploverspindle/workers/WorkerClient.java
+++ b/src/main/java/org/ploverspindle/workers/WorkerClient.java
@@ -4,11 +4,12 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Commands that go straight to a worker. */
+/** Sends orders straight to a worker, instead of in the response to its report. */
 public interface WorkerClient {
   /**
-   * Calls with the worker's report after the commands, or with nothing when none came: the commands
-   * may have been executed, or may be later.
+   * Sends orders. {@code then} is called with the worker's report after it took them, or with an
+   * empty value when there was no response: the orders may have been executed, or may be executed
+   * later.
    */
   void order(
       String address, long token, long tenure, List<Order> orders, Consumer<Optional<Report>> then);
