--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -40,7 +40,7 @@
       CommandLine.HelpCommand.class
     })
 public final class Main implements Callable<Integer> {
-  /** Not an exit code: the service's threads keep the process up. */
+  /** Not an exit code: the process goes on, kept alive by the threads of the service. */
   private static final int RUNNING = -1;
 
   @Spec private CommandSpec spec;
@@ -59,6 +59,7 @@
 
   private Main() {}
 
+  /** The entry point of the program; see the class for the exit codes. */
   public static void main(String[] args) {
     setUpLogging();
     if (args.length == 2 && args[0].equals("--config")) {
--- a/src/main/java/org/ploverspindle/cli/Rehearse.java
+++ b/src/main/java/org/ploverspindle/cli/Rehearse.java
@@ -19,13 +19,18 @@
 import picocli.CommandLine.Command;
 
 /**
- * Starts a controller on loopback that takes itself for the state service and the cloud, asks it a
- * few things, and stops it again. The build makes the class-data archive from what this loads: a
- * class that is missing there is read from the jar in the middle of the work.
+ * Starts a controller on loopback, with its own address as that of the state service and of the
+ * cloud, sends it a few requests, and stops it. The build makes the class-data archive from the
+ * classes that are loaded by this. A class that is missing there is later loaded from the jar,
+ * which takes long on a small machine.
  */
 @Command(name = "rehearse", hidden = true, description = "Used by the build.")
 final class Rehearse implements Callable<Integer> {
   private static final String OWN = "org/ploverspindle/";
+  private static final String CLASS_SUFFIX = ".class";
+  private static final int ROUNDS = 3;
+  private static final long PAUSE_MS = 400;
+  private static final int READ_TIMEOUT_MS = 5_000;
 
   @Override
   public Integer call() throws Exception {
@@ -40,8 +45,8 @@
     Service service = new Service(settings, Policy.DEFAULT, new SplittableRandom());
     service.start();
     loadOwnClasses();
-    for (int round = 0; round < 3; round++) {
-      Thread.sleep(400);
+    for (int round = 0; round < ROUNDS; round++) {
+      Thread.sleep(PAUSE_MS);
       ask("GET", front, "/ready", new byte[0]);
       ask("GET", front, "/submissions/run-1", new byte[0]);
       ask("POST", front, "/submissions", sampleBody());
@@ -81,10 +86,10 @@
       List<String> names =
           jar.stream()
               .map(e -> e.getName())
-              .filter(n -> n.startsWith(OWN) && n.endsWith(".class"))
+              .filter(n -> n.startsWith(OWN) && n.endsWith(CLASS_SUFFIX))
               .toList();
       for (String name : names) {
-        Class.forName(name.substring(0, name.length() - 6).replace('/', '.'));
+        Class.forName(name.substring(0, name.length() - CLASS_SUFFIX.length()).replace('/', '.'));
       }
     }
   }
@@ -94,7 +99,7 @@
     HttpURLConnection c =
         (HttpURLConnection) URI.create("http://" + front + path).toURL().openConnection();
     c.setRequestMethod(method);
-    c.setReadTimeout(5_000);
+    c.setReadTimeout(READ_TIMEOUT_MS);
     if (body.length > 0) {
       c.setDoOutput(true);
       try (OutputStream out = c.getOutputStream()) {
--- a/src/main/java/org/ploverspindle/cli/StatusCommand.java
+++ b/src/main/java/org/ploverspindle/cli/StatusCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Asks a running controller how it is. */
+/** Prints the status of a running controller, or of one job. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
@@ -44,7 +44,7 @@
               URI.create("http://" + address + "/status" + query).toURL().openConnection();
       c.setConnectTimeout(TIMEOUT_MS);
       c.setReadTimeout(TIMEOUT_MS);
-      if (c.getResponseCode() != 200) {
+      if (c.getResponseCode() != HttpURLConnection.HTTP_OK) {
         throw new IOException("it answers " + c.getResponseCode());
       }
       try (InputStream in = c.getInputStream()) {
--- a/src/main/java/org/ploverspindle/cloud/Backoffs.java
+++ b/src/main/java/org/ploverspindle/cloud/Backoffs.java
@@ -12,10 +12,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** GEP-24's backoff, by group and kind: who is left alone after a failed rental, and until when. */
+/** GEP-24's backoff: the groups that are not asked for after a failed rental, and until when. */
 final class Backoffs {
   private static final Logger LOG = LoggerFactory.getLogger(Backoffs.class);
 
+  /** A mark lasts at least this part of the policy's backoff. */
+  private static final double LEAST_PART = 0.85;
+
+  /** A mark lasts longer by a random part of the backoff, of up to this. */
+  private static final double RANDOM_PART = 0.3;
+
+  /** A recorded mark: zone, spot, milliseconds left. */
+  private static final int MARK_FIELDS = 3;
+
   private final Scheduler scheduler;
   private final Catalogue catalogue;
   private final Policy policy;
@@ -30,9 +39,10 @@
   }
 
   void backOff(Rentals.Group g) {
-    // Spread out: marks that were set together would otherwise end together, and all be tried at
+    // Random, as marks that were set together would otherwise end together and all be tried at
     // once.
-    long ms = Math.round(policy.backoffS() * 1000 * (0.85 + 0.3 * random.nextDouble()));
+    long ms =
+        Math.round(policy.backoffS() * 1000 * (LEAST_PART + RANDOM_PART * random.nextDouble()));
     untilMs.put(g, scheduler.nowMs() + ms);
   }
 
@@ -51,11 +61,12 @@
         });
   }
 
-  /** Those of an earlier leader go on for what was left when they were recorded. */
+  /** Takes over an earlier leader's marks, for the time that was left when they were recorded. */
   void read(Entry e, Optional<Integer> type) {
     for (JsonNode mark : e.value().path("backoff")) {
       String[] f = mark.asText().split(",", -1);
-      Optional<Integer> zone = f.length == 3 ? catalogue.zoneIndex(f[0]) : Optional.empty();
+      Optional<Integer> zone =
+          f.length == MARK_FIELDS ? catalogue.zoneIndex(f[0]) : Optional.empty();
       if (type.isEmpty() || zone.isEmpty() || !f[2].matches("\\d{1,9}")) {
         LOG.warn("a backoff mark in {} can't be read", e.key());
         continue;
--- a/src/main/java/org/ploverspindle/workers/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/workers/HttpWorkerClient.java
@@ -8,10 +8,12 @@
 import org.ploverspindle.net.Reply;
 
 /**
- * The workers' own protocol. A connection for each call: they are few, and hundreds of kept ones
- * would take the sockets that reports and users need.
+ * Orders to workers over HTTP. Each call has a connection of its own: calls are rare, and hundreds
+ * of kept-alive connections would take the sockets that reports and users need.
  */
 public final class HttpWorkerClient implements WorkerClient {
+  private static final int HTTP_OK = 200;
+  private static final int HTTP_CONFLICT = 409;
   private static final long TIMEOUT_MS = 1_500;
 
   private final Function<String, Caller> callers;
@@ -37,9 +39,11 @@
             r -> then.accept(report(r)));
   }
 
-  /** Refused commands are answered with a report as well: the session or the token has moved on. */
+  /**
+   * A refusal carries a report as well: the session has ended, or a higher token is known there.
+   */
   private static Optional<Report> report(Reply reply) {
-    return reply instanceof Reply.Answer a && (a.status() == 200 || a.status() == 409)
+    return reply instanceof Reply.Answer a && (a.status() == HTTP_OK || a.status() == HTTP_CONFLICT)
         ? ReportCodec.decode(a.body())
         : Optional.empty();
   }
--- a/src/main/java/org/ploverspindle/workers/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/workers/MachineRegistry.java
@@ -17,11 +17,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of a term and what is placed on them; alone removes a placement that is proven gone.
+ * The machines of a term and the tasks that are placed on them. The only class that removes a
+ * placement, and only when the task is proven gone.
  */
 public final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
+  /** When a term has used this many tokens, nothing goes out any more that needs another. */
+  private static final long USABLE_TOKENS = Term.SPAN * 3 / 4;
+
   private final Catalogue catalogue;
   private final TeamUsage teams;
   private final Timing timing;
@@ -31,7 +35,7 @@
   private final Map<String, Seen> dropped = new HashMap<>();
   private long fences;
 
-  /** The newest that was known of a machine which is no longer kept. */
+  /** The newest report that was known of a machine which is no longer kept. */
   private record Seen(long tenure, long tally) {}
 
   public MachineRegistry(Catalogue catalogue, TeamUsage teams, Timing timing, Term term) {
@@ -49,7 +53,7 @@
     return machines.values();
   }
 
-  /** True for machines whose release was answered: whatever still speaks of them is old. */
+  /** True for machines whose return the cloud confirmed: a report or list that names one is old. */
   public boolean wasReleased(String host) {
     return released.contains(host);
   }
@@ -76,6 +80,7 @@
     return Optional.of(m);
   }
 
+  /** Puts a task on a machine: from now on it counts for the machine, its job and its team. */
   public void place(Placement p) {
     p.machine().add(p);
     p.job().place(p);
@@ -114,7 +119,7 @@
     return lost;
   }
 
-  /** A release was answered: the machine and all on it are gone. */
+  /** The cloud confirmed the return: the machine and all tasks on it are gone. */
   public List<Placement> released(Machine m, long nowMs) {
     List<Placement> lost = allGone(m, nowMs);
     machines.remove(m.host());
@@ -129,8 +134,8 @@
   }
 
   /**
-   * True for a copy, come late, of what a machine said before it was dropped: it must not bring the
-   * machine back as one that can be used.
+   * True for a delayed copy of a report that was made before the machine was dropped: it must not
+   * bring the machine back as usable.
    */
   boolean isOld(Report report) {
     Seen seen = dropped.get(report.host());
@@ -144,7 +149,7 @@
 
   /** False when the term's tokens come to their end: then nothing may go out that needs more. */
   public boolean fencesLeft() {
-    return fences < Term.SPAN * 3 / 4;
+    return fences < USABLE_TOKENS;
   }
 
   /**
