--- a/src/main/java/org/ploverspindle/leadership/DirectCommands.java
+++ b/src/main/java/org/ploverspindle/leadership/DirectCommands.java
@@ -6,6 +6,7 @@
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.workers.DirectOrders;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.Placement;
 import org.ploverspindle.workers.ReportHandler;
@@ -25,13 +26,19 @@
 
   private final Scheduler scheduler;
   private final WorkerClient workers;
+  private final DirectOrders directOrders;
   private final ReportHandler reportHandler;
   private int underWay;
   private boolean closed;
 
-  DirectCommands(Scheduler scheduler, WorkerClient workers, ReportHandler reportHandler) {
+  DirectCommands(
+      Scheduler scheduler,
+      WorkerClient workers,
+      DirectOrders directOrders,
+      ReportHandler reportHandler) {
     this.scheduler = scheduler;
     this.workers = workers;
+    this.directOrders = directOrders;
     this.reportHandler = reportHandler;
   }
 
@@ -63,7 +70,7 @@
       if (!hasRoom()) {
         return;
       }
-      reportHandler.direct(machine, scheduler.nowMs()).ifPresent(this::send);
+      directOrders.launches(machine, scheduler.nowMs()).ifPresent(this::send);
     }
   }
 
@@ -78,16 +85,16 @@
       if (underWay >= MOST_UNDER_WAY_FOR_STOPS) {
         return;
       }
-      reportHandler.directStops(machine).ifPresent(this::send);
+      directOrders.cancelledStops(machine).ifPresent(this::send);
     }
   }
 
   /** Shows the machine its token in this term, without any order. */
   void announceToken(Machine machine, long tenure) {
-    send(new ReportHandler.Direct(machine.address(), machine.fence(), tenure, List.of()));
+    send(new DirectOrders.Command(machine.address(), machine.fence(), tenure, List.of()));
   }
 
-  private void send(ReportHandler.Direct command) {
+  private void send(DirectOrders.Command command) {
     underWay++;
     workers.order(
         command.address(),
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -1,6 +1,7 @@
 package org.ploverspindle.leadership;
 
 import java.util.List;
+import java.util.Locale;
 import java.util.function.Consumer;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.Rentals;
@@ -24,6 +25,7 @@
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.workers.DirectOrders;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
@@ -126,7 +128,8 @@
     this.placing = new PlacingRounds(scheduler, placer, arrivals, times, this::mayDecide);
     this.rentals = newRentals(context, newDemand(context, placer));
     ReportHandler reportHandler = newReportHandler();
-    this.commands = new DirectCommands(scheduler, context.workers(), reportHandler);
+    DirectOrders directOrders = new DirectOrders(fleet, this::mayDecide);
+    this.commands = new DirectCommands(scheduler, context.workers(), directOrders, reportHandler);
     this.heldReplies = newHeldReplies(context.settings(), reportHandler);
     this.reports = newReportIntake(reportHandler);
     this.intake = newJobIntake(context.pipelines());
@@ -366,16 +369,14 @@
       up += machine.up() ? 1 : 0;
       placed += machine.placements().size();
     }
-    return "jobs="
-        + jobs.all().size()
-        + " machines="
-        + fleet.all().size()
-        + " up="
-        + up
-        + " placed="
-        + placed
-        + " unwritten="
-        + writer.backlog();
+    return String.format(
+        Locale.ROOT,
+        "jobs=%d machines=%d up=%d placed=%d unwritten=%d",
+        jobs.all().size(),
+        fleet.all().size(),
+        up,
+        placed,
+        writer.backlog());
   }
 
   /** Passes on what has become durable, to the parts that waited for it. */
--- /dev/null
+++ b/src/main/java/org/ploverspindle/workers/AbsentTasks.java
@@ -0,0 +1,96 @@
+package org.ploverspindle.workers;
+
+/** What follows from the placements that a report does not show on their machine. */
+final class AbsentTasks {
+  /** A machine that lost so many answers one after the other does not hear us. */
+  private static final int LOST_ANSWERS_OF_THE_DEAF = 2;
+
+  private final MachineRegistry fleet;
+  private final ReportHandler.Listener listener;
+
+  AbsentTasks(MachineRegistry fleet, ReportHandler.Listener listener) {
+    this.fleet = fleet;
+    this.listener = listener;
+  }
+
+  /** The placement is proven gone without having ended on its machine. */
+  void gone(Placement placement, long nowMs) {
+    fleet.gone(placement, nowMs);
+    listener.ended(placement, Report.Cause.NONE, false, nowMs);
+  }
+
+  /**
+   * A placement that the report does not show. Proof that it is not there needs a report made after
+   * the worker took our token, as an earlier leader's answer may have come after an older one; and,
+   * for a launch of ours, made after the answer that held it.
+   */
+  void absent(ReportReading reading, Placement placement) {
+    if (placement.neverSent()) {
+      if (placement.job().over()) {
+        gone(placement, reading.nowMs());
+      }
+      return;
+    }
+    if (!reading.ours()) {
+      return;
+    }
+    if (placement.directToken() >= 0 && reading.report().warrant() <= placement.directToken()) {
+      directAbsent(reading, placement);
+      return;
+    }
+    placement.directVoid();
+    sentAbsent(reading, placement);
+  }
+
+  /** No direct command can bring it any more, but an answer that is under way might. */
+  private void sentAbsent(ReportReading reading, Placement placement) {
+    if (placement.neverSent()) {
+      if (placement.job().over() || placement.stopping()) {
+        gone(placement, reading.nowMs());
+      }
+    } else if (placement.phase() != Placement.Phase.SENT) {
+      gone(placement, reading.nowMs());
+    } else if (!reading.direct() && isAnswerOver(reading, placement)) {
+      // Only a report proves that the answer before it is over: what answers a direct command
+      // may have been written in between.
+      answerLost(reading, placement);
+    }
+  }
+
+  private static boolean isAnswerOver(ReportReading reading, Placement placement) {
+    return reading.report().tally() > placement.sentTally()
+        || placement.sentTally() == Long.MAX_VALUE;
+  }
+
+  /** The launch went straight there, is not shown, and may still arrive. */
+  private void directAbsent(ReportReading reading, Placement placement) {
+    if (reading.direct()) {
+      return;
+    }
+    Machine machine = reading.machine();
+    if (placement.job().over() || placement.stopping()) {
+      if (machine.fence() <= placement.directToken()) {
+        machine.raise(fleet.nextFence());
+      }
+    } else if (placement.phase() == Placement.Phase.SENT && isAnswerOver(reading, placement)) {
+      // The same launch in an answer does no harm where the direct one arrives as well.
+      placement.lost();
+    }
+  }
+
+  /**
+   * The answer with the launch was lost, and answers are never executed late: it can be sent again.
+   * A machine that loses one after another does not hear us; its tasks go elsewhere.
+   */
+  private void answerLost(ReportReading reading, Placement placement) {
+    if (placement.job().over() || placement.stopping()) {
+      gone(placement, reading.nowMs());
+      return;
+    }
+    placement.lost();
+    if (placement.lostAnswers() >= LOST_ANSWERS_OF_THE_DEAF) {
+      reading.machine().suspectDeaf(fleet.nextFence(), reading.nowMs());
+      gone(placement, reading.nowMs());
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/workers/DirectOrders.java
@@ -0,0 +1,83 @@
+package org.ploverspindle.workers;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.BooleanSupplier;
+
+/** Says which orders may go straight to a machine, before its next report. */
+public final class DirectOrders {
+  /** Orders for one machine, and what they are sent with. */
+  public record Command(String address, long token, long tenure, List<Order> orders) {
+    static Optional<Command> of(Machine machine, OrderBatch batch) {
+      return batch.orders().isEmpty()
+          ? Optional.empty()
+          : Optional.of(
+              new Command(machine.address(), machine.fence(), machine.tenure(), batch.orders()));
+    }
+  }
+
+  private final MachineRegistry fleet;
+  private final BooleanSupplier mayDecide;
+
+  /**
+   * @param mayDecide whether this leader is sure of its lead: without it nothing is ordered
+   */
+  public DirectOrders(MachineRegistry fleet, BooleanSupplier mayDecide) {
+    this.fleet = fleet;
+    this.mayDecide = mayDecide;
+  }
+
+  /**
+   * Launches on the machine that are recorded and were in no answer yet, to go straight to it. A
+   * launch that goes this way may be executed late, so from here on the attempt counts as possibly
+   * there until a report shows otherwise under a higher token, or the session ends.
+   */
+  public Optional<Command> launches(Machine machine, long nowMs) {
+    // Without tokens to spare a late copy of the launch could not be made void.
+    if (!mayBeTold(machine) || !fleet.fencesLeft()) {
+      return Optional.empty();
+    }
+    OrderBatch batch = new OrderBatch();
+    for (Placement placement : machine.placements()) {
+      if (maySend(machine, placement)
+          && batch.add(
+              new Order.Launch(placement.job().uid(), placement.task(), placement.attempt()))) {
+        placement.sentDirectly(machine.fence(), nowMs);
+        machine.sentDirectly(placement.attempt());
+      }
+    }
+    return Command.of(machine, batch);
+  }
+
+  private static boolean maySend(Machine machine, Placement placement) {
+    return placement.phase() == Placement.Phase.READY
+        && placement.tenure() == machine.tenure()
+        && !placement.job().over()
+        && !placement.stopping();
+  }
+
+  /**
+   * Stops of cancelled jobs' tasks, to go straight to their machine: until its next report they
+   * would run on, or even begin, for nobody. Executed late or twice they do no harm, whoever leads
+   * by then, as a cancellation is never taken back; that a launch still in flight comes after them
+   * is seen in the next report.
+   */
+  public Optional<Command> cancelledStops(Machine machine) {
+    if (!mayBeTold(machine)) {
+      return Optional.empty();
+    }
+    OrderBatch batch = new OrderBatch();
+    for (Placement placement : machine.placements()) {
+      if (placement.job().cancelled()
+          && !placement.neverSent()
+          && placement.tenure() == machine.tenure()) {
+        batch.add(new Order.Stop(placement.job().uid(), placement.task(), placement.attempt(), 0));
+      }
+    }
+    return Command.of(machine, batch);
+  }
+
+  private boolean mayBeTold(Machine machine) {
+    return machine.hears() && !machine.address().isEmpty() && mayDecide.getAsBoolean();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/workers/ReportReading.java
@@ -0,0 +1,71 @@
+package org.ploverspindle.workers;
+
+import java.util.List;
+
+/** A report while it is taken in, and the orders that answer it. */
+final class ReportReading {
+  private final MachineRegistry fleet;
+  private final Machine machine;
+  private final Report report;
+  private final boolean ours;
+  private final boolean direct;
+  private final long nowMs;
+  private final OrderBatch batch = new OrderBatch();
+
+  /**
+   * @param ours whether the worker had taken a token of this term when it reported
+   * @param direct whether the report answers a direct command: it can't be answered itself
+   */
+  ReportReading(
+      MachineRegistry fleet,
+      Machine machine,
+      Report report,
+      boolean ours,
+      boolean direct,
+      long nowMs) {
+    this.fleet = fleet;
+    this.machine = machine;
+    this.report = report;
+    this.ours = ours;
+    this.direct = direct;
+    this.nowMs = nowMs;
+  }
+
+  Machine machine() {
+    return machine;
+  }
+
+  Report report() {
+    return report;
+  }
+
+  boolean ours() {
+    return ours;
+  }
+
+  boolean direct() {
+    return direct;
+  }
+
+  long nowMs() {
+    return nowMs;
+  }
+
+  /** The answer's orders so far. */
+  List<Order> orders() {
+    return batch.orders();
+  }
+
+  /** Adds an order to the answer; false if it does not fit and must wait for a later one. */
+  boolean order(Order order) {
+    if (!batch.add(order)) {
+      return false;
+    }
+    if (order instanceof Order.Forget && machine.directOpen(order.attempt())) {
+      // Once forgotten, a late copy of the launch would start it again: the same answer raises
+      // the token, under which that copy is void.
+      machine.raise(fleet.nextFence());
+    }
+    return true;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/workers/ShownTasks.java
@@ -0,0 +1,115 @@
+package org.ploverspindle.workers;
+
+import java.util.Optional;
+import java.util.function.BiPredicate;
+import java.util.function.Function;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.Resources;
+
+/** What follows from the attempts that a report shows on its machine. */
+final class ShownTasks {
+  private static final int NO_TEAM = -1;
+
+  private final MachineRegistry fleet;
+  private final Function<String, Optional<Job>> jobs;
+  private final Function<String, Optional<ReportHandler.Owner>> owners;
+  private final BiPredicate<Job, Integer> durablyDone;
+  private final ReportHandler.Listener listener;
+
+  ShownTasks(
+      MachineRegistry fleet,
+      Function<String, Optional<Job>> jobs,
+      Function<String, Optional<ReportHandler.Owner>> owners,
+      BiPredicate<Job, Integer> durablyDone,
+      ReportHandler.Listener listener) {
+    this.fleet = fleet;
+    this.jobs = jobs;
+    this.owners = owners;
+    this.durablyDone = durablyDone;
+    this.listener = listener;
+  }
+
+  /** An attempt that is placed on the machine. */
+  void placed(ReportReading reading, Placement placement, Report.Item item) {
+    switch (item.phase()) {
+      case EXITED -> exited(reading, placement, item);
+      case FETCHING -> present(reading, placement, Placement.Phase.FETCHING);
+      case RUNNING -> present(reading, placement, Placement.Phase.RUNNING);
+      case SAVING -> present(reading, placement, Placement.Phase.SAVING);
+      default -> throw new IllegalStateException("a phase without a meaning");
+    }
+  }
+
+  private void present(ReportReading reading, Placement placement, Placement.Phase phase) {
+    if (placement.phase() != phase) {
+      placement.phase(phase, reading.nowMs());
+      listener.moved(placement);
+    }
+    if (placement.job().over()) {
+      reading.order(stop(placement, 0));
+    } else if (placement.stopping()
+        && (phase != Placement.Phase.SAVING || placement.windDownS() == 0)) {
+      // A task that saves is told again only to make it end: repeating the order is not needed.
+      reading.order(stop(placement, placement.windDownS()));
+    }
+  }
+
+  private static Order.Stop stop(Placement placement, double windDownS) {
+    return new Order.Stop(placement.job().uid(), placement.task(), placement.attempt(), windDownS);
+  }
+
+  private void exited(ReportReading reading, Placement placement, Report.Item item) {
+    fleet.gone(placement, reading.nowMs());
+    if (item.cause() == Report.Cause.DONE) {
+      reading.machine().taskCompleted(placement.runningSinceMs());
+      // Forgotten only once the completion is durable: until then the worker is its only record.
+      listener.completed(placement, reading.nowMs());
+      return;
+    }
+    if (item.cause() == Report.Cause.ERROR) {
+      reading.machine().taskFailed(item.uid(), reading.nowMs());
+    }
+    reading.order(new Order.Forget(item.uid(), item.task(), item.attempt()));
+    listener.ended(placement, item.cause(), item.saved(), reading.nowMs());
+  }
+
+  /** An attempt that is not placed there: it is stopped, or forgotten once its result is safe. */
+  void unplaced(ReportReading reading, Report.Item item) {
+    Optional<Job> job = jobs.apply(item.uid());
+    if (item.phase() != Report.Phase.EXITED) {
+      orphan(reading, item, job);
+    } else if (mayBeForgotten(item, job)) {
+      reading.order(new Order.Forget(item.uid(), item.task(), item.attempt()));
+    }
+  }
+
+  /**
+   * A completion counts whoever placed it, and until it is durable the worker is its only record.
+   */
+  private boolean mayBeForgotten(Report.Item item, Optional<Job> known) {
+    if (known.isEmpty() || known.get().over() || item.cause() != Report.Cause.DONE) {
+      return true;
+    }
+    Job job = known.get();
+    if (item.task() >= job.spec().tasks()) {
+      return true;
+    }
+    if (!job.done().get(item.task())) {
+      listener.completedUnplaced(job, item.task());
+    }
+    return durablyDone.test(job, item.task());
+  }
+
+  /** It takes room, and counts for its team, until a report shows it no more. */
+  private void orphan(ReportReading reading, Report.Item item, Optional<Job> job) {
+    ReportHandler.Owner owner =
+        job.map(known -> new ReportHandler.Owner(known.team(), known.perTask()))
+            .or(() -> owners.apply(item.uid()))
+            .orElse(new ReportHandler.Owner(NO_TEAM, Resources.NONE));
+    fleet.orphan(
+        reading.machine(),
+        new Machine.Orphan(
+            item.uid(), item.task(), item.attempt(), owner.team(), owner.takes(), false));
+    reading.order(new Order.Stop(item.uid(), item.task(), item.attempt(), 0));
+  }
+}
