--- a/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
@@ -31,8 +31,7 @@
 
   /**
    * A leader hears of what another node is about to confirm by a hint, or by its next read; what it
-   * orders before that is in flight, and must be gone in time. Measured on all these days: none was
-   * ordered after its confirmation.
+   * orders before that is in flight, and must be gone in time.
    */
   private static final long MOST_LATE_MS = 50;
 
