--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/HeadTakeOverTest.java
@@ -0,0 +1,635 @@
+package org.ploverspindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import java.util.Set;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.stream.IntStream;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.ploverspindle.Specs;
+import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.ProgressWriter;
+import org.ploverspindle.jobs.RecordedProgress;
+import org.ploverspindle.jobs.Resources;
+import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.leadership.Term;
+import org.ploverspindle.net.Cbor;
+import org.ploverspindle.pipelines.Pipelines;
+import org.ploverspindle.settings.Settings;
+import org.ploverspindle.sim.PlainProgress.Kind;
+import org.ploverspindle.state.DependenciesRecord;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.SpecIndex;
+import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.state.StateStore;
+import org.ploverspindle.state.StateStore.Change;
+import org.ploverspindle.state.StateStore.Condition;
+import org.ploverspindle.state.StateStore.Entry;
+import org.ploverspindle.state.StateStore.Txn;
+import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.TokenBucket;
+import org.ploverspindle.workers.Machine;
+import org.ploverspindle.workers.Placement;
+
+/**
+ * An upgrade from the version that first had pipelines (f659783) that is halted half way and turned
+ * back, and begun again: leaders of this version and stand-ins for that one take turns on jobs that
+ * wait for others, from the records that f659783 itself wrote. Both versions accept jobs all along.
+ * Whoever takes over reads what a plain reader of the documented forms reads, nothing is placed
+ * that waits by those forms, and in the end every job is done or aborted.
+ */
+class HeadTakeOverTest {
+  private static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 60, 1, 6);
+  private static final int CHUNK = ProgressRecord.chunkFor(LIMITS.valueBytes());
+  private static final long TENURE = 3;
+
+  /** A job is accepted about every so many steps, so that there are always some that wait. */
+  private static final int ACCEPT_EVERY = 12;
+
+  private static final int MOST_ENDS_A_STEP = 3;
+
+  private final SimClock clock = new SimClock();
+  private final SimState state = new SimState(clock, LIMITS);
+  private final Map<String, Truth> truths = new TreeMap<>();
+  private Random random = new Random();
+  private JsonNode awaitsNothing = Cbor.map();
+  private double faults;
+  private long terms = 1;
+  private int named;
+  private long attempts;
+
+  /** Jobs that waited for others when a leader took over, summed over all terms. */
+  private int waitedAtTakeOver;
+
+  /** What was asked, how each task is by the last leader, and all that it ever was. */
+  private static final class Truth {
+    private final Kind kind;
+    private final List<String> awaits;
+    private final String[] now;
+    private final List<Set<String>> ever = new ArrayList<>();
+
+    Truth(Kind kind, List<String> awaits, String[] now) {
+      this.kind = kind;
+      this.awaits = awaits;
+      this.now = now;
+      for (String task : now) {
+        ever.add(new HashSet<>(Set.of(task)));
+      }
+    }
+
+    void now(int task, String text) {
+      now[task] = text;
+      ever.get(task).add(text);
+    }
+
+    void isRecorded(String[] recorded) {
+      System.arraycopy(recorded, 0, now, 0, recorded.length);
+    }
+  }
+
+  // ---- the state service
+
+  /** Waits while the rate of changes refuses. */
+  private TxnResult commit(Txn txn) {
+    TxnResult result = state.txn(txn);
+    while (result instanceof TxnResult.Refused) {
+      clock.runUntil(clock.nowMs() + 50);
+      result = state.txn(txn);
+    }
+    return result;
+  }
+
+  private void put(String key, JsonNode value) {
+    Txn txn = new Txn(List.of(new Condition(key, 0)), List.of(new Change.Put(key, value)));
+    assertInstanceOf(TxnResult.Committed.class, commit(txn));
+  }
+
+  /** The state service as a leader of this version reaches it: some answers are lost or late. */
+  private final class Line implements StateStore {
+    private final SimClock.Process process;
+
+    Line(SimClock.Process process) {
+      this.process = process;
+    }
+
+    @Override
+    public void txn(Txn txn, Consumer<TxnResult> then) {
+      if (random.nextDouble() < faults) {
+        // Never executed, executed unseen, or executed when the next leader may be there.
+        int kind = random.nextInt(3);
+        if (kind > 0) {
+          clock.at(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.txn(txn));
+        }
+        process.schedule(300, () -> then.accept(new TxnResult.Unknown()));
+        return;
+      }
+      clock.at(
+          3,
+          () -> {
+            TxnResult result = state.txn(txn);
+            process.schedule(3, () -> then.accept(result));
+          });
+    }
+
+    @Override
+    public void page(String prefix, String after, int size, Consumer<PageResult> then) {
+      clock.at(2, () -> process.execute(null, () -> then.accept(state.page(prefix, after, size))));
+    }
+
+    @Override
+    public void changesAfter(String prefix, long ledger, Consumer<News> then) {
+      clock.at(
+          2,
+          () -> {
+            News news = state.changesAfter(prefix, ledger);
+            process.schedule(2, () -> then.accept(news));
+          });
+    }
+
+    @Override
+    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
+      then.accept(Optional.empty());
+    }
+
+    @Override
+    public void renewLease(long hold, Consumer<Renewal> then) {
+      then.accept(Renewal.FAILED);
+    }
+
+    @Override
+    public void closeLease(long hold) {}
+  }
+
+  private long newTerm() {
+    long before = LowerLimitsTest.all(state).get(Keys.LEADER).stamp();
+    JsonNode leader = Cbor.map().put("member", "n0").put("token", 1 + terms++ * Term.SPAN);
+    TxnResult result =
+        commit(
+            new Txn(
+                List.of(new Condition(Keys.LEADER, before)),
+                List.of(new Change.Put(Keys.LEADER, leader))));
+    return assertInstanceOf(TxnResult.Committed.class, result).ledger();
+  }
+
+  // ---- jobs
+
+  private void startFromFixture() throws IOException {
+    JsonNode records = FixtureStore.fixture(FixtureStore.HEAD_F659783).path("records");
+    FixtureStore fixture = new FixtureStore(records);
+    fixture.entries().forEach(e -> put(e.key(), e.value()));
+    awaitsNothing = fixture.under("ps1/b/n1-1uy9swvfcl9p-16").get(0).value().path("prepare-1");
+    assertTrue(awaitsNothing.isObject());
+    SortedMap<String, Entry> all = LowerLimitsTest.all(state);
+    PlainJobs plain = new PlainJobs(all);
+    plain
+        .jobs()
+        .forEach(
+            (uid, job) -> {
+              String[] now = PlainProgress.read(all, job.kind());
+              if (plain.status(uid).equals(PlainJobs.DONE)) {
+                Arrays.fill(now, PlainProgress.DONE);
+              }
+              truths.put(uid, new Truth(job.kind(), job.awaits(), now));
+            });
+  }
+
+  /** Jobs that are not over: what a new one may await. */
+  private List<String> open(PlainJobs plain) {
+    List<String> open = new ArrayList<>();
+    for (String uid : plain.jobs().keySet()) {
+      if (Set.of(PlainJobs.WAITING, PlainJobs.READY).contains(plain.status(uid))) {
+        open.add(uid);
+      }
+    }
+    return open;
+  }
+
+  /** A node of either version accepts a job, some with lists too long for its record. */
+  private void accept(boolean byHead) {
+    PlainJobs plain = new PlainJobs(LowerLimitsTest.all(state));
+    List<String> open = open(plain);
+    Set<String> awaits = new HashSet<>();
+    for (int i = 1 + random.nextInt(3); i > 0 && !open.isEmpty(); i--) {
+      awaits.add(open.get(random.nextInt(open.size())));
+    }
+    boolean isLong = random.nextInt(4) == 0;
+    if (isLong) {
+      // Those of f659783's run, whose names fill a list in two parts.
+      truths.keySet().stream().filter(uid -> uid.startsWith("step")).forEach(awaits::add);
+    }
+    List<String> list = List.copyOf(awaits);
+    String uid = String.format("job-%06d", ++named);
+    int tasks = 1 + random.nextInt(30);
+    JsonNode spec =
+        byHead ? acceptedByHead(uid, tasks, list, isLong) : acceptedHere(uid, tasks, list, isLong);
+    put("ps1/b/n2-test-" + named, Cbor.map().set(uid, spec));
+    String[] waiting = new String[tasks];
+    Arrays.fill(waiting, PlainProgress.WAITING);
+    truths.put(uid, new Truth(new Kind(uid, tasks, CHUNK), list, waiting));
+  }
+
+  private JsonNode acceptedByHead(String uid, int tasks, List<String> awaits, boolean isLong) {
+    ObjectNode spec = PlainJobs.spec(awaitsNothing, tasks);
+    if (isLong) {
+      String name = uid + "-0123456789abcdef0123";
+      int half = awaits.size() / 2;
+      List<List<String>> parts =
+          List.of(awaits.subList(0, half), awaits.subList(half, awaits.size()));
+      for (int part = 0; part < parts.size(); part++) {
+        JsonNode ids = Cbor.map().put("ids", String.join(",", parts.get(part)));
+        put(PlainJobs.listKey(name, part), ids);
+      }
+      spec.putObject("awaits_in").put("key", name).put("parts", parts.size());
+    } else if (!awaits.isEmpty()) {
+      awaits.forEach(spec.putArray("awaits")::add);
+    }
+    return spec;
+  }
+
+  private JsonNode acceptedHere(String uid, int tasks, List<String> awaits, boolean isLong) {
+    JobSpec spec =
+        Specs.after(
+            Specs.batch(uid, "class-0", "blue", Urgency.NORMAL, tasks, 1, 1, 5, 0),
+            awaits.toArray(String[]::new));
+    SpecRecord record = new SpecRecord(spec, clock.nowMs(), CHUNK);
+    if (!isLong) {
+      return record.encode();
+    }
+    DependenciesRecord list = DependenciesRecord.split(uid, awaits, LIMITS.valueBytes());
+    IntStream.range(0, list.parts().size())
+        .forEach(part -> put(list.key(part), list.parts().get(part)));
+    return record.encode(list);
+  }
+
+  private void cancelOne() {
+    List<String> open = open(new PlainJobs(LowerLimitsTest.all(state)));
+    if (open.size() > 12) {
+      put("ps1/c/" + open.get(random.nextInt(open.size())), Cbor.map().put("at", 1_800_000_000L));
+    }
+  }
+
+  // ---- taking over
+
+  /** Checks the records against what happened; gives what is recorded of the jobs that may run. */
+  private Map<Truth, String[]> takeOver(boolean settled) {
+    SortedMap<String, Entry> all = LowerLimitsTest.all(state);
+    PlainJobs plain = new PlainJobs(all);
+    assertEquals(truths.keySet(), plain.jobs().keySet());
+    Map<Truth, String[]> ready = new LinkedHashMap<>();
+    truths.forEach(
+        (uid, truth) -> {
+          assertEquals(truth.awaits, plain.jobs().get(uid).awaits(), uid);
+          String status = plain.status(uid);
+          String[] read = PlainProgress.read(all, truth.kind);
+          if (status.equals(PlainJobs.DONE)) {
+            truth.ever.forEach(e -> assertTrue(e.contains(PlainProgress.DONE), uid));
+          } else if (status.equals(PlainJobs.WAITING)) {
+            waitedAtTakeOver++;
+            assertTrue(Arrays.stream(read).allMatch(PlainProgress.WAITING::equals), uid);
+          } else if (status.equals(PlainJobs.READY)) {
+            assertHappened(truth, read);
+            if (settled) {
+              assertArrayEquals(truth.now, read, uid);
+            }
+            truth.isRecorded(read);
+            ready.put(truth, read);
+          }
+        });
+    return ready;
+  }
+
+  private static void assertHappened(Truth truth, String[] read) {
+    for (int task = 0; task < read.length; task++) {
+      String what = truth.kind.uid() + "/" + task + " is recorded as " + read[task];
+      assertTrue(truth.ever.get(task).contains(read[task]), what);
+    }
+  }
+
+  private void assertMayRun(String uid) {
+    assertEquals(
+        PlainJobs.READY, new PlainJobs(LowerLimitsTest.all(state)).status(uid), uid + " is placed");
+  }
+
+  private String newHost() {
+    return "i-" + (100_000 + random.nextInt(60));
+  }
+
+  // ---- a leader of this version
+
+  private final class ThisVersionLeader implements ProgressWriter.Listener {
+    private final SimClock.Process process = clock.new Process(0, 1, 0);
+    private final Replica replica;
+    private final SpecIndex specs;
+    private final Pipelines pipelines;
+    private final ProgressWriter writer;
+    private final Map<String, Job> leads = new LinkedHashMap<>();
+    private final Set<String> everLed = new HashSet<>();
+    private final Map<String, Machine> hosts = new HashMap<>();
+
+    ThisVersionLeader(boolean settledBefore) {
+      long stamp = newTerm();
+      Line line = new Line(process);
+      replica = new Replica(process, line, Keys.PREFIX, 200);
+      specs = new SpecIndex(replica);
+      pipelines = new Pipelines(process, replica, specs);
+      replica.start();
+      clock.runUntil(clock.nowMs() + 1_000);
+      assertTrue(replica.loaded());
+      writer =
+          new ProgressWriter(
+              process,
+              line,
+              replica,
+              new TokenBucket(process, LIMITS.writeRps() * 0.65, LIMITS.writeRps() * 0.4),
+              LIMITS.txnOps(),
+              LIMITS.valueBytes(),
+              new Term(1 + terms * Term.SPAN, stamp, process.nowMs()),
+              machine -> new ProgressRecord.Host(machine.host(), "type-16", "zone-a", true),
+              this);
+      load(new RecordedProgress(replica, writer), takeOver(settledBefore));
+    }
+
+    private void load(RecordedProgress recorded, Map<Truth, String[]> ready) {
+      PlainJobs plain = new PlainJobs(LowerLimitsTest.all(state));
+      truths.keySet().forEach(uid -> assertEquals(plain.status(uid), status(uid), uid));
+      ready.forEach(
+          (truth, plainly) -> {
+            Job job = add(truth.kind.uid());
+            RecordedProgress.State read = recorded.of(job);
+            assertArrayEquals(plainly, texts(truth.kind, read), truth.kind.uid());
+            read.done().stream().forEach(job::markDone);
+            read.live()
+                .forEach((task, live) -> job.place(placement(job, live, Placement.Phase.RECORDED)));
+            if (job.allDone()) {
+              writer.changed(job, 0);
+            }
+          });
+    }
+
+    private String status(String uid) {
+      if (replica.get(Keys.done(uid)).isPresent()) {
+        return PlainJobs.DONE;
+      }
+      if (replica.get(Keys.cancel(uid)).isPresent() || pipelines.graph().isAborted(uid)) {
+        return PlainJobs.ABORTED;
+      }
+      return pipelines.isWaiting(uid) ? PlainJobs.WAITING : PlainJobs.READY;
+    }
+
+    private Job add(String uid) {
+      SpecRecord record =
+          SpecRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
+      Job job = new Job(record.spec(), 0, record.chunk(), 0, new BitSet(), -1, 1);
+      leads.put(uid, job);
+      everLed.add(uid);
+      return job;
+    }
+
+    private String[] texts(Kind kind, RecordedProgress.State read) {
+      String[] texts = new String[kind.tasks()];
+      Arrays.fill(texts, PlainProgress.WAITING);
+      read.live()
+          .forEach((t, l) -> texts[t] = PlainProgress.live(l.attempt(), l.host().id(), l.tenure()));
+      read.done().stream().forEach(task -> texts[task] = PlainProgress.DONE);
+      return texts;
+    }
+
+    private Machine host(String id) {
+      return hosts.computeIfAbsent(
+          id, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
+    }
+
+    private Placement placement(Job job, ProgressRecord.Live live, Placement.Phase phase) {
+      return new Placement(
+          job, live.task(), live.attempt(), host(live.host().id()), live.tenure(), phase);
+    }
+
+    void step() {
+      for (String uid : specs.uids()) {
+        if (!everLed.contains(uid) && status(uid).equals(PlainJobs.READY)) {
+          add(uid);
+        }
+      }
+      List<String> uids = List.copyOf(leads.keySet());
+      if (!uids.isEmpty()) {
+        String uid = uids.get(random.nextInt(uids.size()));
+        if (random.nextInt(5) < 3) {
+          place(uid, leads.get(uid));
+        } else {
+          end(uid, leads.get(uid));
+        }
+      }
+    }
+
+    private void place(String uid, Job job) {
+      if (!job.waiting().isEmpty()) {
+        assertMayRun(uid);
+      }
+      for (int i = random.nextInt(4); i >= 0 && !job.waiting().isEmpty(); i--) {
+        int task = job.waiting().nextSetBit(0);
+        ProgressRecord.Host at = new ProgressRecord.Host(newHost(), "", "", true);
+        ProgressRecord.Live live =
+            new ProgressRecord.Live(task, (terms << 40) + ++attempts, at, TENURE);
+        job.place(placement(job, live, Placement.Phase.INTENT));
+        truths.get(uid).now(task, PlainProgress.live(live.attempt(), at.id(), TENURE));
+        writer.changed(job, task);
+      }
+    }
+
+    private void end(String uid, Job job) {
+      List<Placement> there =
+          job.live().stream()
+              .filter(x -> x.phase() != Placement.Phase.INTENT)
+              .limit(MOST_ENDS_A_STEP)
+              .toList();
+      for (Placement at : there) {
+        boolean done = random.nextInt(5) > 0;
+        if (done) {
+          job.markDone(at.task());
+        }
+        job.unplace(at);
+        truths.get(uid).now(at.task(), done ? PlainProgress.DONE : PlainProgress.WAITING);
+        writer.changed(job, at.task());
+      }
+    }
+
+    void settle() {
+      faults = 0;
+      for (int i = 0; i < 60 && (i < 3 || writer.backlog() > 0); i++) {
+        clock.runUntil(clock.nowMs() + 1_000);
+      }
+      clock.runUntil(clock.nowMs() + 5_000);
+      assertEquals(0, writer.backlog(), "still to be written");
+    }
+
+    void stop() {
+      writer.close();
+      process.kill();
+    }
+
+    @Override
+    public void durable(List<Placement> placements) {}
+
+    @Override
+    public void finished(Job job) {
+      leads.remove(job.uid());
+    }
+
+    @Override
+    public void deposed(String cause) {
+      throw new IllegalStateException(cause);
+    }
+  }
+
+  private boolean thisVersionLeads(int steps, boolean settledBefore, boolean settles) {
+    faults = 0;
+    ThisVersionLeader leader = new ThisVersionLeader(settledBefore);
+    faults = random.nextInt(3) * 0.1;
+    for (int i = 0; i < steps; i++) {
+      if (random.nextInt(ACCEPT_EVERY) == 0) {
+        accept(random.nextBoolean());
+      }
+      leader.step();
+      clock.runUntil(clock.nowMs() + 25);
+    }
+    if (settles) {
+      leader.settle();
+    }
+    leader.stop();
+    return settles;
+  }
+
+  // ---- a stand-in for a leader of the head as found
+
+  private boolean headLeads(int steps, boolean settledBefore) {
+    long stamp = newTerm();
+    PlainProgress.OldWriter head =
+        new PlainProgress.OldWriter(state, stamp, LIMITS.valueBytes(), LIMITS.txnOps());
+    takeOver(settledBefore).forEach((truth, read) -> head.knows(truth.kind, read.clone()));
+    boolean written = true;
+    for (int i = 0; i < steps; i++) {
+      if (random.nextInt(ACCEPT_EVERY) == 0) {
+        accept(random.nextBoolean());
+      }
+      learnReady(head);
+      List<Kind> kinds = List.copyOf(head.jobs());
+      if (!kinds.isEmpty()) {
+        headStep(head, kinds.get(random.nextInt(kinds.size())));
+      }
+      clock.runUntil(clock.nowMs() + 60);
+      written = head.write();
+      finish(head, stamp);
+    }
+    return written && head.clean();
+  }
+
+  private void learnReady(PlainProgress.OldWriter head) {
+    PlainJobs plain = new PlainJobs(LowerLimitsTest.all(state));
+    plain
+        .jobs()
+        .forEach(
+            (uid, job) -> {
+              boolean known = head.jobs().contains(job.kind());
+              if (!known && plain.status(uid).equals(PlainJobs.READY)) {
+                head.knows(job.kind(), truths.get(uid).now.clone());
+              }
+            });
+  }
+
+  private void headStep(PlainProgress.OldWriter head, Kind kind) {
+    for (int i = random.nextInt(6); i >= 0; i--) {
+      int task = random.nextInt(kind.tasks());
+      String before = head.state(kind)[task];
+      if (before.equals(PlainProgress.DONE)) {
+        continue;
+      }
+      String now = random.nextInt(5) > 0 ? PlainProgress.DONE : PlainProgress.WAITING;
+      if (before.equals(PlainProgress.WAITING)) {
+        now = PlainProgress.live((terms << 40) + ++attempts, newHost(), TENURE);
+      }
+      head.now(kind, task, now);
+      truths.get(kind.uid()).now(task, now);
+    }
+  }
+
+  /** As documented: done and cancelled exclude each other, under the leader's key. */
+  private void finish(PlainProgress.OldWriter head, long stamp) {
+    for (Kind kind : List.copyOf(head.jobs())) {
+      if (Arrays.stream(head.state(kind)).allMatch(PlainProgress.DONE::equals)) {
+        Txn txn =
+            new Txn(
+                List.of(
+                    new Condition("ps1/leader", stamp),
+                    new Condition("ps1/c/" + kind.uid(), 0),
+                    new Condition("ps1/d/" + kind.uid(), 0)),
+                List.of(
+                    new Change.Put("ps1/d/" + kind.uid(), Cbor.map().put("tasks", kind.tasks()))));
+        if (commit(txn) instanceof TxnResult.Committed) {
+          head.over(kind);
+        }
+      }
+    }
+  }
+
+  // ---- turns
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void anUpgradeHaltedHalfWayAndTurnedBackKeepsWhatWaits(long seed) throws Exception {
+    random = new Random(seed);
+    startFromFixture();
+    boolean settled = true;
+    for (int turn = 0; turn < 6; turn++) {
+      settled =
+          turn % 2 == 0
+              ? thisVersionLeads(200 + random.nextInt(400), settled, random.nextBoolean())
+              : headLeads(60 + random.nextInt(150), settled);
+      cancelOne();
+    }
+    lastLeaderFinishesAll(settled);
+  }
+
+  private void lastLeaderFinishesAll(boolean settled) {
+    faults = 0;
+    ThisVersionLeader last = new ThisVersionLeader(settled);
+    for (int i = 0; i < 20_000 && (i % 50 > 0 || !everythingIsOver()); i++) {
+      last.step();
+      clock.runUntil(clock.nowMs() + 25);
+    }
+    last.settle();
+    last.stop();
+    takeOver(true);
+    PlainJobs plain = new PlainJobs(LowerLimitsTest.all(state));
+    assertEquals(List.of(), open(plain), "neither done nor aborted");
+    long done =
+        truths.keySet().stream().filter(u -> plain.status(u).equals(PlainJobs.DONE)).count();
+    assertTrue(done >= 35 && done < truths.size(), done + " of " + truths.size() + " are done");
+    assertTrue(waitedAtTakeOver >= 20, waitedAtTakeOver + " jobs waited at the changes of leaders");
+  }
+
+  private boolean everythingIsOver() {
+    return open(new PlainJobs(LowerLimitsTest.all(state))).isEmpty();
+  }
+}
