--- a/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
@@ -7,6 +7,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Repeated changes of the leader, also with all controllers down and with delayed writes. */
@@ -209,4 +210,19 @@
   void rulesHoldIn(FaultScenario.Combination combination, String deployment, long seed) {
     FaultScenario.assertRulesHold(combination, deployment, seed);
   }
+
+  /** Seeds on which tasks run twice if an unanswered transaction is taken as committed. */
+  @ParameterizedTest(name = "{0}, seed {1}")
+  @CsvSource({
+    "Athens, 9",
+    "large Kosice, 12",
+    "Athens, 17",
+    "large Kosice, 20",
+    "Kosice, 22",
+    "large Athens, 27"
+  })
+  void unansweredTransactionsAreNotTakenAsCommitted(String deployment, long seed) {
+    FaultScenario.assertRulesHold(
+        Combinations.TRANSACTIONS_EXECUTED_AFTER_NEWER_ONES, deployment, seed);
+  }
 }
