--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -390,7 +390,11 @@
   }
 
   private void arrived(Job job) {
-    arrivals.came(job.sinceWallMs());
+    if (with.pipelines().graph().awaitsOthers(job.uid())) {
+      arrivals.becameReady(job.sinceWallMs());
+    } else {
+      arrivals.came(job.sinceWallMs());
+    }
     arrivals.work(job.spec(), job.dueS(), job.sinceWallMs());
     Resources whole =
         new Resources(
@@ -928,7 +932,9 @@
     }
 
     private Optional<Job> expected() {
-      return quiet() ? Optional.empty() : arrivals.typicalPressing();
+      return arrivals.nothingFollows(with.scheduler().wallMs())
+          ? Optional.empty()
+          : arrivals.typicalPressing();
     }
 
     @Override
--- a/src/main/java/org/ploverspindle/placement/Arrivals.java
+++ b/src/main/java/org/ploverspindle/placement/Arrivals.java
@@ -33,10 +33,22 @@
   private record Came(long wallMs, String jobClass, double coreSeconds) {}
 
   private final Deque<Came> recent = new ArrayDeque<>();
-  private final Deque<Long> times = new ArrayDeque<>();
+  private final Deque<Long> submissions = new ArrayDeque<>();
+  private final Deque<Long> starters = new ArrayDeque<>();
   private final Deque<Job> pressing = new ArrayDeque<>();
 
+  /** A user submitted a job that could run at once. */
   public void came(long wallMs) {
+    keep(submissions, wallMs);
+    keep(starters, wallMs);
+  }
+
+  /** A job that awaited others could run from then on. */
+  public void becameReady(long wallMs) {
+    keep(starters, wallMs);
+  }
+
+  private static void keep(Deque<Long> times, long wallMs) {
     times.addLast(wallMs);
     if (times.size() > KEPT) {
       times.removeFirst();
@@ -76,8 +88,17 @@
     }
   }
 
-  /** True when jobs came before and have stopped coming. */
+  /** True when users submitted jobs before and have stopped; pipelines may still go on. */
   public boolean over(long wallMs) {
+    return isOver(submissions, wallMs);
+  }
+
+  /** True when jobs that could run came before, and neither users nor pipelines bring any more. */
+  public boolean nothingFollows(long wallMs) {
+    return isOver(starters, wallMs);
+  }
+
+  private static boolean isOver(Deque<Long> times, long wallMs) {
     if (times.size() < 4) {
       return false;
     }
--- a/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
+++ b/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
@@ -183,4 +183,18 @@
     assertTrue(arrivals.over(36_000 + 29_000));
     assertFalse(new Arrivals().over(1_000_000), "where nothing came nothing is over");
   }
+
+  @Test
+  void stepsThatBecomeReadyAreNoSubmissionsAndMayStillBeFollowed() {
+    Arrivals arrivals = new Arrivals();
+    for (int i = 0; i < 10; i++) {
+      arrivals.came(1_000L * 4 * i);
+    }
+    for (int i = 0; i < 10; i++) {
+      arrivals.becameReady(36_000 + 1_000L * 4 * i);
+    }
+    assertTrue(arrivals.over(36_000 + 29_000), "users have stopped");
+    assertFalse(arrivals.nothingFollows(36_000 + 29_000), "the pipelines have not");
+    assertTrue(arrivals.nothingFollows(72_000 + 29_000));
+  }
 }
--- a/src/test/java/org/ploverspindle/sim/EndOfDayTest.java
+++ b/src/test/java/org/ploverspindle/sim/EndOfDayTest.java
@@ -6,6 +6,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.Random;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -14,6 +15,7 @@
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.policy.Policy;
 
 /** What is asked at the end of a day, each under the trouble that would break it. */
 class EndOfDayTest {
@@ -201,4 +203,43 @@
     assertRulesKept(w);
     assertEquals(60, w.checker.jobsDone());
   }
+
+  /**
+   * Steps that became ready counted as jobs that come, so that the whole fleet was kept for the
+   * full idle time after the last of them, though users had stopped long before.
+   */
+  @Test
+  void machinesGoBackOnceUsersHaveStoppedAlthoughAPipelineGoesOn() {
+    SimulatedCluster.Site small = SimulatedCluster.Site.small(NODES, 14, List.of("a"));
+    SimulatedCluster w =
+        new SimulatedCluster(
+            8,
+            new SimulatedCluster.Site(
+                small.nodes(),
+                small.capacity(),
+                small.zones(),
+                small.workers(),
+                small.state(),
+                small.cloud(),
+                small.teams(),
+                new Policy(3, 8, 120, 0, 100, 20, Map.of())));
+    for (int i = 0; i < 8; i++) {
+      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "burst", Urgency.NORMAL, 12, 1, 10, 30)));
+    }
+    String[] before = new String[0];
+    for (int i = 0; i < 30; i++) {
+      JobSpec step = Specs.after(job(w, "step", Urgency.NORMAL, 1, 1, 5, 0), before);
+      w.clock.at(3_000 + i * 500, () -> w.user(step));
+      before = new String[] {step.uid()};
+    }
+    int[] most = new int[1];
+    w.clock.at(45_000, () -> most[0] = w.cloud.size());
+    w.clock.runUntil(110_000);
+    assertTrue(most[0] >= 4, "a fleet for the burst: " + most[0]);
+    assertTrue(w.checker.jobsDone() < 38, "the pipeline goes on");
+    assertTrue(w.cloud.size() <= 2, w.cloud.size() + " machines for one core");
+    w.clock.runUntil(500_000);
+    assertRulesKept(w);
+    assertEquals(38, w.checker.jobsDone());
+  }
 }
