--- a/src/main/java/org/ploverspindle/leadership/JobArrivals.java
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -93,7 +93,11 @@
 
   /** A job begins to wait for room. */
   void arrived(Job job) {
-    arrivals.came(job.sinceWallMs());
+    if (pipelines.graph().awaitsOthers(job.uid())) {
+      arrivals.becameReady(job.sinceWallMs());
+    } else {
+      arrivals.came(job.sinceWallMs());
+    }
     arrivals.work(job.spec(), job.dueS(), job.sinceWallMs());
     if (isPressing(job)) {
       arrivals.pressing(job);
--- a/src/main/java/org/ploverspindle/leadership/RentalDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/RentalDemand.java
@@ -75,8 +75,6 @@
     long nowMs = scheduler.nowMs();
     long wallMs = scheduler.wallMs();
     arrivals.update();
-    // Work that is about to become ready could be counted here, from what its dependencies'
-    // tasks have left to run; whether renting ahead for it pays is for measurement to say.
     List<Machine> usable =
         fleet.all().stream().filter(machine -> machine.usable(nowMs, SILENCE_MS)).toList();
     Demand demand = demands.get();
@@ -132,7 +130,9 @@
   }
 
   private Optional<Job> expected() {
-    return quiet() ? Optional.empty() : forecast.typicalPressing();
+    return forecast.nothingFollows(scheduler.wallMs())
+        ? Optional.empty()
+        : forecast.typicalPressing();
   }
 
   @Override
