--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -31,11 +31,9 @@
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.PageResult;
 import org.ploverspindle.state.StateStore.Txn;
 import org.ploverspindle.state.StateStore.TxnResult;
 import org.ploverspindle.state.TokenBucket;
@@ -77,10 +75,11 @@
   private int transactions;
   private final List<TxnResult> lateResults = new ArrayList<>();
 
-  private final class Line implements StateStore {
+  private final class Line extends ReadingStateClient {
     private final SimClock.Process p;
 
     Line(SimClock.Process p) {
+      super(clock, state, p);
       this.p = p;
     }
 
@@ -112,34 +111,6 @@
         case LOST -> p.schedule(300, () -> then.accept(new TxnResult.Unknown()));
       }
     }
-
-    @Override
-    public void page(String prefix, String after, int size, Consumer<PageResult> then) {
-      clock.at(2, () -> p.execute(null, () -> then.accept(state.page(prefix, after, size))));
-    }
-
-    @Override
-    public void changesAfter(String prefix, long ledger, Consumer<News> then) {
-      clock.at(
-          2,
-          () -> {
-            News news = state.changesAfter(prefix, ledger);
-            p.schedule(2, () -> then.accept(news));
-          });
-    }
-
-    @Override
-    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
-      then.accept(Optional.empty());
-    }
-
-    @Override
-    public void renewLease(long hold, Consumer<Renewal> then) {
-      then.accept(Renewal.FAILED);
-    }
-
-    @Override
-    public void closeLease(long hold) {}
   }
 
   private void runFor(long ms) {
--- a/src/test/java/org/ploverspindle/sim/HeadTakeOverTest.java
+++ b/src/test/java/org/ploverspindle/sim/HeadTakeOverTest.java
@@ -16,7 +16,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.SortedMap;
@@ -43,7 +42,6 @@
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.SpecRecord;
-import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
@@ -127,10 +125,11 @@
   }
 
   /** The state service as a leader of this version reaches it: some answers are lost or late. */
-  private final class Line implements StateStore {
+  private final class Line extends ReadingStateClient {
     private final SimClock.Process process;
 
     Line(SimClock.Process process) {
+      super(clock, state, process);
       this.process = process;
     }
 
@@ -152,34 +151,6 @@
             process.schedule(3, () -> then.accept(result));
           });
     }
-
-    @Override
-    public void page(String prefix, String after, int size, Consumer<PageResult> then) {
-      clock.at(2, () -> process.execute(null, () -> then.accept(state.page(prefix, after, size))));
-    }
-
-    @Override
-    public void changesAfter(String prefix, long ledger, Consumer<News> then) {
-      clock.at(
-          2,
-          () -> {
-            News news = state.changesAfter(prefix, ledger);
-            process.schedule(2, () -> then.accept(news));
-          });
-    }
-
-    @Override
-    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
-      then.accept(Optional.empty());
-    }
-
-    @Override
-    public void renewLease(long hold, Consumer<Renewal> then) {
-      then.accept(Renewal.FAILED);
-    }
-
-    @Override
-    public void closeLease(long hold) {}
   }
 
   private long newTerm() {
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -33,7 +33,6 @@
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
@@ -99,12 +98,13 @@
   }
 
   /** To the store with faults; nothing larger than the lower limits may pass. */
-  private final class Line implements StateStore {
+  private final class Line extends ReadingStateClient {
     private final SimClock.Process p;
     private final boolean bounded;
     private int refused;
 
     Line(SimClock.Process p, boolean bounded) {
+      super(clock, state, p);
       this.p = p;
       this.bounded = bounded;
     }
@@ -136,34 +136,6 @@
             });
       }
     }
-
-    @Override
-    public void page(String prefix, String after, int size, Consumer<PageResult> then) {
-      clock.at(2, () -> p.execute(null, () -> then.accept(state.page(prefix, after, size))));
-    }
-
-    @Override
-    public void changesAfter(String prefix, long ledger, Consumer<News> then) {
-      clock.at(
-          2,
-          () -> {
-            News news = state.changesAfter(prefix, ledger);
-            p.schedule(2, () -> then.accept(news));
-          });
-    }
-
-    @Override
-    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
-      then.accept(Optional.empty());
-    }
-
-    @Override
-    public void renewLease(long hold, Consumer<Renewal> then) {
-      then.accept(Renewal.FAILED);
-    }
-
-    @Override
-    public void closeLease(long hold) {}
   }
 
   private long newTerm() {
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -4,9 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -16,7 +14,6 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.function.Consumer;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.cloud.MachineType;
@@ -60,36 +57,7 @@
           "backoff", Pattern.compile("\\w+,(true|false),\\d+"));
 
   private static JsonNode fixture() throws IOException {
-    try (var in = ProductionRecordsTest.class.getResourceAsStream("/production-records.json")) {
-      return new ObjectMapper().readTree(in);
-    }
-  }
-
-  /** The fixture's records, all read at once. */
-  private record Fixed(JsonNode records) implements StateStore {
-    @Override
-    public void page(String prefix, String after, int size, Consumer<PageResult> then) {
-      List<Entry> entries = new ArrayList<>();
-      records.properties().forEach(e -> entries.add(new Entry(e.getKey(), e.getValue(), 7)));
-      then.accept(new PageResult.Page(entries, false, 7));
-    }
-
-    @Override
-    public void changesAfter(String prefix, long ledger, Consumer<News> then) {
-      then.accept(new News.Changes(7, List.of()));
-    }
-
-    @Override
-    public void txn(Txn txn, Consumer<TxnResult> then) {}
-
-    @Override
-    public void openLease(long ttlMs, Consumer<Optional<Long>> then) {}
-
-    @Override
-    public void renewLease(long hold, Consumer<Renewal> then) {}
-
-    @Override
-    public void closeLease(long hold) {}
+    return FixtureStore.fixture(FixtureStore.PRODUCTION);
   }
 
   @Test
@@ -97,7 +65,7 @@
     JsonNode fixture = fixture();
     SimClock clock = new SimClock();
     SimClock.Process p = clock.new Process(0, 1, 0);
-    StateStore store = new Fixed(fixture.path("records"));
+    StateStore store = new FixtureStore(fixture.path("records"));
     Replica replica = new Replica(p, store, Keys.PREFIX, 700);
     SpecIndex specs = new SpecIndex(replica);
     replica.start();
