--- a/src/main/java/org/ploverspindle/cli/CheckCommand.java
+++ b/src/main/java/org/ploverspindle/cli/CheckCommand.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 import java.util.concurrent.Callable;
 import org.ploverspindle.policy.Policy;
-import org.ploverspindle.settings.FleetNeeds;
-import org.ploverspindle.settings.InvalidSettings;
-import org.ploverspindle.settings.Problem;
+import org.ploverspindle.settings.FleetRequirements;
+import org.ploverspindle.settings.InvalidSettingsException;
+import org.ploverspindle.settings.LimitChecks;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.settings.SettingsFile;
-import org.ploverspindle.settings.Sufficiency;
+import org.ploverspindle.settings.SettingsProblem;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -41,11 +41,11 @@
 
   @Override
   public Integer call() {
-    List<Problem> problems = new ArrayList<>();
+    List<SettingsProblem> problems = new ArrayList<>();
     try {
       Settings settings = SettingsFile.load(config);
       Policy checked = Main.policy(policy, settings);
-      Sufficiency.warnings(settings)
+      LimitChecks.warnings(settings)
           .forEach(w -> spec.commandLine().getErr().println("warning: " + w));
       machines.ifPresent(planned -> tellShortages(settings, planned));
       Settings.StateLimits state = settings.writeLimits();
@@ -65,9 +65,9 @@
           .printf(
               Locale.ROOT,
               "fleet: up to %d machines, by sockets, memory and processor share%n",
-              FleetNeeds.mostMachines(settings));
+              FleetRequirements.mostMachines(settings));
       return 0;
-    } catch (InvalidSettings e) {
+    } catch (InvalidSettingsException e) {
       problems.addAll(e.problems());
     }
     problems.forEach(spec.commandLine().getErr()::println);
@@ -79,7 +79,7 @@
       throw new ParameterException(
           spec.commandLine(), "--machines must be at least 1, and is " + planned);
     }
-    FleetNeeds.of(settings, planned)
+    FleetRequirements.of(settings, planned)
         .shortages(settings)
         .forEach(w -> spec.commandLine().getErr().println("warning: " + w));
   }
--- a/src/main/java/org/ploverspindle/cli/Service.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -4,13 +4,13 @@
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.util.random.RandomGenerator;
-import org.ploverspindle.cloud.HttpCloud;
+import org.ploverspindle.cloud.HttpCloudClient;
 import org.ploverspindle.front.UserApi;
 import org.ploverspindle.loop.EventLoop;
-import org.ploverspindle.loop.Rank;
-import org.ploverspindle.net.HttpCaller;
+import org.ploverspindle.loop.EventPriority;
+import org.ploverspindle.net.UndertowHttpClient;
 import org.ploverspindle.node.Controller;
-import org.ploverspindle.peers.PeerRecord;
+import org.ploverspindle.peers.PeerMessage;
 import org.ploverspindle.peers.PeerServer;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
@@ -25,7 +25,7 @@
 /**
  * A controller with its threads and sockets: the decision loop, and one I/O thread for all sockets.
  */
-final class Service {
+final class ControllerProcess {
   private static final int BUFFER_BYTES = 4_096;
   private static final int POOLED_BUFFERS = 64;
   private static final int BUFFERS_PER_THREAD = 2;
@@ -36,7 +36,7 @@
   private final UserApi userApi;
   private final PeerServer peers;
 
-  Service(Settings settings, Policy policy, RandomGenerator random) throws IOException {
+  ControllerProcess(Settings settings, Policy policy, RandomGenerator random) throws IOException {
     worker = ioWorker();
     SocketBudget sockets = SocketBudget.of(settings);
     ByteBufferPool buffers =
@@ -46,9 +46,9 @@
         new Controller(
             loop,
             new HttpStateStore(caller(buffers, settings.state().toString(), sockets.state())),
-            new HttpCloud(caller(buffers, settings.cloud().toString(), sockets.cloud())),
+            new HttpCloudClient(caller(buffers, settings.cloud().toString(), sockets.cloud())),
             new HttpWorkerClient(
-                address -> HttpCaller.once(loop, worker.getIoThread(), buffers, address)),
+                address -> UndertowHttpClient.once(loop, worker.getIoThread(), buffers, address)),
             peers,
             settings,
             policy,
@@ -77,11 +77,11 @@
                 .getMap());
   }
 
-  private HttpCaller caller(ByteBufferPool buffers, String address, int connections) {
-    return new HttpCaller(loop, worker.getIoThread(), buffers, address, connections);
+  private UndertowHttpClient caller(ByteBufferPool buffers, String address, int connections) {
+    return new UndertowHttpClient(loop, worker.getIoThread(), buffers, address, connections);
   }
 
-  private void heard(PeerRecord record) {
+  private void heard(PeerMessage record) {
     controller.heard(record);
   }
 
@@ -89,11 +89,11 @@
     loop.start();
     userApi.open();
     peers.open();
-    loop.execute(Rank.DECISION, controller::start);
+    loop.execute(EventPriority.DECISION, controller::start);
   }
 
   void stop() {
-    loop.execute(Rank.DECISION, controller::stop);
+    loop.execute(EventPriority.DECISION, controller::stop);
     userApi.close();
     peers.close();
     loop.close();
--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.Callable;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.policy.PolicyFile;
-import org.ploverspindle.settings.InvalidSettings;
+import org.ploverspindle.settings.InvalidSettingsException;
+import org.ploverspindle.settings.LimitChecks;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.settings.SettingsFile;
-import org.ploverspindle.settings.Sufficiency;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -36,7 +36,7 @@
       CheckCommand.class,
       BoundsCommand.class,
       StatusCommand.class,
-      Rehearse.class,
+      RehearseCommand.class,
       CommandLine.HelpCommand.class
     })
 public final class Main implements Callable<Integer> {
@@ -84,7 +84,7 @@
       Settings settings = SettingsFile.load(config);
       run(settings, Policy.DEFAULT);
       return true;
-    } catch (InvalidSettings e) {
+    } catch (InvalidSettingsException e) {
       System.err.println(e.getMessage());
     } catch (IOException e) {
       System.err.println("failed: " + e);
@@ -93,8 +93,8 @@
   }
 
   private static void run(Settings settings, Policy policy) throws IOException {
-    new Service(settings, policy, new SplittableRandom()).start();
-    Sufficiency.warnings(settings).forEach(w -> LoggerFactory.getLogger(Main.class).warn("{}", w));
+    new ControllerProcess(settings, policy, new SplittableRandom()).start();
+    LimitChecks.warnings(settings).forEach(w -> LoggerFactory.getLogger(Main.class).warn("{}", w));
     LoggerFactory.getLogger(Main.class).info("{} serves {}", settings.member(), settings.front());
   }
 
@@ -102,8 +102,9 @@
     return new CommandLine(new Main())
         .setExecutionExceptionHandler(
             (e, line, parsed) -> {
-              line.getErr().println(e instanceof InvalidSettings ? e.getMessage() : "failed: " + e);
-              return e instanceof InvalidSettings ? 2 : 1;
+              line.getErr()
+                  .println(e instanceof InvalidSettingsException ? e.getMessage() : "failed: " + e);
+              return e instanceof InvalidSettingsException ? 2 : 1;
             });
   }
 
@@ -119,7 +120,7 @@
   }
 
   /** The policy of the file, or the defaults. */
-  static Policy policy(Optional<Path> file, Settings settings) throws InvalidSettings {
+  static Policy policy(Optional<Path> file, Settings settings) throws InvalidSettingsException {
     return file.isPresent() ? PolicyFile.load(file.get(), settings) : Policy.DEFAULT;
   }
 
--- a/src/main/java/org/ploverspindle/cli/Rehearse.java
+++ b/src/main/java/org/ploverspindle/cli/RehearseCommand.java
@@ -25,7 +25,7 @@
  * which takes long on a small machine.
  */
 @Command(name = "rehearse", hidden = true, description = "Used by the build.")
-final class Rehearse implements Callable<Integer> {
+final class RehearseCommand implements Callable<Integer> {
   private static final String OWN = "org/ploverspindle/";
   private static final String CLASS_SUFFIX = ".class";
   private static final int ROUNDS = 3;
@@ -34,7 +34,7 @@
 
   @Override
   public Integer call() throws Exception {
-    byte[] sample = Rehearse.class.getResourceAsStream("/rehearsal.toml").readAllBytes();
+    byte[] sample = RehearseCommand.class.getResourceAsStream("/rehearsal.toml").readAllBytes();
     String front = "127.0.0.1:" + freePort();
     Settings settings =
         SettingsFile.parse(
@@ -42,7 +42,8 @@
             new String(sample, StandardCharsets.UTF_8)
                 .replace("front = \"127.0.0.1:0\"", "front = \"" + front + "\"")
                 .replace("\"127.0.0.1:1\"", "\"" + front + "\""));
-    Service service = new Service(settings, Policy.DEFAULT, new SplittableRandom());
+    ControllerProcess service =
+        new ControllerProcess(settings, Policy.DEFAULT, new SplittableRandom());
     service.start();
     loadOwnClasses();
     for (int round = 0; round < ROUNDS; round++) {
@@ -78,7 +79,8 @@
 
   /** Loads the program's own classes from its jar; from a folder of classes there is no archive. */
   private static void loadOwnClasses() throws Exception {
-    Path self = Path.of(Rehearse.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    Path self =
+        Path.of(RehearseCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     if (!self.toString().endsWith(".jar")) {
       return;
     }
--- a/src/main/java/org/ploverspindle/cloud/Rentals.java
+++ b/src/main/java/org/ploverspindle/cloud/Autoscaler.java
@@ -12,31 +12,31 @@
 import java.util.random.RandomGenerator;
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.loop.Cancellable;
+import org.ploverspindle.loop.CancellableGroup;
 import org.ploverspindle.loop.RetryDelay;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.loop.Scope;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.placement.Demand;
+import org.ploverspindle.placement.ScaleOutPlanner;
 import org.ploverspindle.policy.Policy;
-import org.ploverspindle.returns.MachineReturns;
-import org.ploverspindle.returns.ReleaseSender;
-import org.ploverspindle.returns.ReturnWriter;
+import org.ploverspindle.returns.MachineTerminations;
+import org.ploverspindle.returns.TerminationRecordWriter;
+import org.ploverspindle.returns.TerminationSender;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.sizing.AdaptiveSizing;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.LeaderWrites;
+import org.ploverspindle.state.LeaderWriter;
+import org.ploverspindle.state.MachineTypesRecord;
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.state.TokenBucket;
-import org.ploverspindle.state.TypesRecord;
+import org.ploverspindle.workers.HeartbeatTimeout;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.MachineSilence;
 import org.ploverspindle.workers.Placement;
 
 /** A leader's dealings with the cloud: scans, rentals by durable claims, returns, and the list. */
-public final class Rentals {
+public final class Autoscaler {
   /** Below the cloud's rate: what it counts as a second is not what we do. */
   private static final double CLOUD_SHARE = 0.75;
 
@@ -53,16 +53,17 @@
   private static final int RETRY_JITTER_MS = 600;
 
   /** A type's machines of one kind in one zone. */
-  record Group(int type, int zone, boolean spot) {
-    static Group of(Machine m) {
-      return new Group(m.type(), m.zone(), m.spot());
+  record MachineGroup(int type, int zone, boolean spot) {
+    static MachineGroup of(Machine m) {
+      return new MachineGroup(m.type(), m.zone(), m.spot());
     }
   }
 
   /** What the rest of the leader has to do with rentals. */
-  public interface Host {
+  public interface Workload {
     /** What to rent, given what may be rented and what is on its way. */
-    List<Demand.Wanted> wanted(List<Demand.Offer> offers, List<Demand.Coming> coming);
+    List<ScaleOutPlanner.Request> wanted(
+        List<ScaleOutPlanner.Candidate> offers, List<ScaleOutPlanner.PendingMachine> coming);
 
     /** True when jobs have stopped coming: idle machines wait for nobody. */
     boolean quiet();
@@ -86,43 +87,43 @@
   }
 
   private final Scheduler scheduler;
-  private final CloudApi cloud;
+  private final CloudClient cloud;
   private final Catalogue catalogue;
   private final MachineRegistry fleet;
   private final Replica replica;
-  private final LeaderWrites writes;
+  private final LeaderWriter writes;
   private final Policy policy;
   private final Settings settings;
   private final Term term;
-  private final Host host;
+  private final Workload host;
   private final TokenBucket budget;
 
-  private final Backoffs backoffs;
-  private final RentalQuota quota;
-  private final Claims claims;
+  private final GroupBackoffs backoffs;
+  private final ScaleOutLimits quota;
+  private final ProvisioningIntents claims;
   private final Pools pools;
-  private final Boots boots;
-  private final MachineReturns returns;
-  private final ReturnSelection returnSelection;
+  private final BootTracker boots;
+  private final MachineTerminations returns;
+  private final ScaleInPlanner returnSelection;
   private final MachineList list;
   private final Map<String, JsonNode> writtenBounds = new HashMap<>();
-  private final Scope duties = new Scope();
+  private final CancellableGroup duties = new CancellableGroup();
   private boolean inherited;
   private boolean typesBusy;
   private boolean typesRecorded;
 
-  public Rentals(
+  public Autoscaler(
       Scheduler scheduler,
-      CloudApi cloud,
+      CloudClient cloud,
       Catalogue catalogue,
       MachineRegistry fleet,
       Replica replica,
-      LeaderWrites writes,
+      LeaderWriter writes,
       Policy policy,
       Settings settings,
       RandomGenerator random,
       Term term,
-      Host host) {
+      Workload host) {
     this.scheduler = scheduler;
     this.cloud = cloud;
     this.catalogue = catalogue;
@@ -137,22 +138,22 @@
     // Listing leaves one call for a rental: with room for one call alone it would never begin, and
     // nothing is rented before the first list.
     this.budget = new TokenBucket(scheduler, rps * CLOUD_SHARE, Math.max(2, rps));
-    this.boots = new Boots(catalogue);
-    this.backoffs = new Backoffs(scheduler, catalogue, policy, random);
+    this.boots = new BootTracker(catalogue);
+    this.backoffs = new GroupBackoffs(scheduler, catalogue, policy, random);
     RetryDelay retryDelay = new RetryDelay(random, RETRY_MS, RETRY_JITTER_MS);
-    this.quota = new RentalQuota(backoffs, policy, settings, rps * CLOUD_SHARE);
+    this.quota = new ScaleOutLimits(backoffs, policy, settings, rps * CLOUD_SHARE);
     this.claims =
-        new Claims(
+        new ProvisioningIntents(
             scheduler,
             cloud,
             fleet,
-            new ClaimRecords(catalogue, writes, term.token()),
+            new ProvisioningIntentRecords(catalogue, writes, term.token()),
             quota,
             this::mayCall,
             retryDelay);
     this.pools = new Pools(catalogue, fleet, claims, backoffs, policy);
-    MachineSilence silence =
-        new MachineSilence(
+    HeartbeatTimeout silence =
+        new HeartbeatTimeout(
             settings.workers().reportS(), term.startMs(), () -> host.listeningSinceMs());
     this.returns = newReturns(silence, retryDelay);
     this.returnSelection = newReturnSelection();
@@ -175,25 +176,25 @@
     return host.mayDecide() && budget.tryTake(1);
   }
 
-  private MachineReturns newReturns(MachineSilence silence, RetryDelay retryDelay) {
+  private MachineTerminations newReturns(HeartbeatTimeout silence, RetryDelay retryDelay) {
     long keepMs =
         Math.round(settings.cloudLimits().listLagS() * OLDEST_LIST_MS_PER_LAG_S)
             + OLDEST_LIST_MARGIN_MS;
-    return new MachineReturns(
+    return new MachineTerminations(
         scheduler,
         fleet,
         silence,
-        new ReturnWriter(writes, term.token(), settings.writeLimits().valueBytes()),
-        new ReleaseSender(scheduler, cloud, this::mayCall, retryDelay),
+        new TerminationRecordWriter(writes, term.token(), settings.writeLimits().valueBytes()),
+        new TerminationSender(scheduler, cloud, this::mayCall, retryDelay),
         keepMs,
         host::lost);
   }
 
-  private ReturnSelection newReturnSelection() {
-    return new ReturnSelection(
+  private ScaleInPlanner newReturnSelection() {
+    return new ScaleInPlanner(
         scheduler,
         fleet,
-        new UselessMachines(fleet, boots, backoffs, term.startMs(), settings.workers().leaseS()),
+        new UnusableMachines(fleet, boots, backoffs, term.startMs(), settings.workers().leaseS()),
         new IdleMachines(pools, policy, host),
         returns,
         host::mayDecide);
@@ -256,8 +257,8 @@
       return;
     }
     boots.look(fleet.all(), scheduler.nowMs());
-    List<Demand.Offer> offers = new ArrayList<>();
-    Map<Group, Integer> forMinimum = new LinkedHashMap<>();
+    List<ScaleOutPlanner.Candidate> offers = new ArrayList<>();
+    Map<MachineGroup, Integer> forMinimum = new LinkedHashMap<>();
     for (int t = 0; t < catalogue.types().size(); t++) {
       List<AdaptiveSizing.Group> groups = pools.groups(t);
       List<AdaptiveSizing.Bounds> bounds = pools.bounds(t, groups);
@@ -267,53 +268,55 @@
           continue;
         }
         int room = bounds.get(z).max() - groups.get(z).held();
-        offer(offers, new Group(t, z, true), room, groups.get(z).held());
-        offer(offers, new Group(t, z, false), room, groups.get(z).held());
+        offer(offers, new MachineGroup(t, z, true), room, groups.get(z).held());
+        offer(offers, new MachineGroup(t, z, false), room, groups.get(z).held());
         int missing = Math.min(room, bounds.get(z).min() - groups.get(z).held());
         if (missing > 0) {
           // The minimum stands for what the pool must always have: ordinary machines where
           // possible.
-          boolean spot = backoffs.backedOff(new Group(t, z, false));
-          forMinimum.put(new Group(t, z, spot), missing);
+          boolean spot = backoffs.backedOff(new MachineGroup(t, z, false));
+          forMinimum.put(new MachineGroup(t, z, spot), missing);
         }
       }
     }
-    Map<Group, Integer> toRent = new LinkedHashMap<>(forMinimum);
-    List<Demand.Coming> coming = coming();
+    Map<MachineGroup, Integer> toRent = new LinkedHashMap<>(forMinimum);
+    List<ScaleOutPlanner.PendingMachine> coming = coming();
     forMinimum.forEach(
         (g, n) -> {
           for (int i = 0; i < n; i++) {
-            coming.add(new Demand.Coming(g.type(), g.zone(), g.spot()));
+            coming.add(new ScaleOutPlanner.PendingMachine(g.type(), g.zone(), g.spot()));
           }
         });
-    for (Demand.Wanted w : host.wanted(offers, coming)) {
-      toRent.merge(new Group(w.type(), w.zone(), w.spot()), w.count(), Integer::sum);
+    for (ScaleOutPlanner.Request w : host.wanted(offers, coming)) {
+      toRent.merge(new MachineGroup(w.type(), w.zone(), w.spot()), w.count(), Integer::sum);
     }
     toRent.forEach(
         (g, n) -> {
           int left = Math.min(n, quota.most(g));
-          for (; left > 0; left -= Claims.MAX_PER_RENTAL) {
+          for (; left > 0; left -= ProvisioningIntents.MAX_PER_RENTAL) {
             claims.rent(
-                g, Math.min(Claims.MAX_PER_RENTAL, left), "work waits or a minimum is open");
+                g,
+                Math.min(ProvisioningIntents.MAX_PER_RENTAL, left),
+                "work waits or a minimum is open");
           }
         });
   }
 
-  private void offer(List<Demand.Offer> offers, Group g, int room, int held) {
+  private void offer(List<ScaleOutPlanner.Candidate> offers, MachineGroup g, int room, int held) {
     if (room > 0 && !backoffs.backedOff(g)) {
       offers.add(
-          new Demand.Offer(
+          new ScaleOutPlanner.Candidate(
               g.type(), g.zone(), g.spot(), Math.min(room, quota.most(g)), held, boots.areBad(g)));
     }
   }
 
   /** Machines that boot as expected, and rentals in flight. */
-  private List<Demand.Coming> coming() {
-    List<Demand.Coming> coming = claims.coming();
+  private List<ScaleOutPlanner.PendingMachine> coming() {
+    List<ScaleOutPlanner.PendingMachine> coming = claims.coming();
     long now = scheduler.nowMs();
     for (Machine m : fleet.all()) {
       if (!m.up() && !m.leaving() && !boots.isOverdue(m, now)) {
-        coming.add(new Demand.Coming(m.type(), m.zone(), m.spot()));
+        coming.add(new ScaleOutPlanner.PendingMachine(m.type(), m.zone(), m.spot()));
       }
     }
     return coming;
@@ -368,7 +371,9 @@
                 catalogue.update(types);
                 if (!typesRecorded && writes.spare() && host.mayDecide()) {
                   typesRecorded = true;
-                  record(TypesRecord.puts(catalogue.types(), settings.writeLimits().valueBytes()));
+                  record(
+                      MachineTypesRecord.puts(
+                          catalogue.types(), settings.writeLimits().valueBytes()));
                 }
               });
         });
--- a/src/main/java/org/ploverspindle/cloud/Boots.java
+++ b/src/main/java/org/ploverspindle/cloud/BootTracker.java
@@ -12,7 +12,7 @@
  * the time since a machine was rented, relative to the boot time that the cloud gives for its type.
  * At times machines boot several times slower than that, or never.
  */
-final class Boots {
+final class BootTracker {
   /** Most machines are up after 1.5 times what their type takes. */
   private static final double USUAL = 1.7;
 
@@ -57,9 +57,9 @@
   }
 
   private final Catalogue catalogue;
-  private final Map<Rentals.Group, Record> records = new HashMap<>();
+  private final Map<Autoscaler.MachineGroup, Record> records = new HashMap<>();
 
-  Boots(Catalogue catalogue) {
+  BootTracker(Catalogue catalogue) {
     this.catalogue = catalogue;
   }
 
@@ -82,7 +82,7 @@
   }
 
   private Record of(Machine m) {
-    return records.computeIfAbsent(Rentals.Group.of(m), g -> new Record());
+    return records.computeIfAbsent(Autoscaler.MachineGroup.of(m), g -> new Record());
   }
 
   private double bootS(Machine m) {
@@ -93,21 +93,21 @@
     return (nowMs - m.bootingSinceMs()) / 1000.0;
   }
 
-  private double latest(Rentals.Group g) {
+  private double latest(Autoscaler.MachineGroup g) {
     Record r = records.get(g);
     return r == null ? 0 : r.latest;
   }
 
   /** It has not come when nearly all do, nor when the late ones of its group lately did. */
   boolean isOverdue(Machine m, long nowMs) {
-    double latest = latest(Rentals.Group.of(m));
+    double latest = latest(Autoscaler.MachineGroup.of(m));
     double ratio = latest > USUAL ? Math.min(LONGEST, latest * BEYOND_LATEST) : USUAL;
     return ageS(m, nowMs) >= bootS(m) * ratio + USUAL_MORE_S;
   }
 
   /** It is taken for one that never comes. */
   boolean isStuck(Machine m, long nowMs) {
-    double latest = Math.min(LONGEST, latest(Rentals.Group.of(m)) * BEYOND_LATEST);
+    double latest = Math.min(LONGEST, latest(Autoscaler.MachineGroup.of(m)) * BEYOND_LATEST);
     return ageS(m, nowMs) > bootS(m) * Math.max(STUCK, latest) + STUCK_MORE_S;
   }
 
@@ -115,7 +115,7 @@
    * Machines of the group are overdue, and more of them than have come up lately: whoever is
    * pressed for time had better get another one.
    */
-  boolean areBad(Rentals.Group g) {
+  boolean areBad(Autoscaler.MachineGroup g) {
     Record r = records.get(g);
     return r != null && r.overdue >= SOME && r.overdue > r.came.size();
   }
--- a/src/main/java/org/ploverspindle/cloud/CloudApi.java
+++ b/src/main/java/org/ploverspindle/cloud/CloudClient.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.ploverspindle.returns.ReleaseClient;
+import org.ploverspindle.returns.TerminationClient;
 
 /**
  * The cloud's operations. Outcomes are delivered on the decision loop; an empty one means that
  * there was no usable response.
  */
-public interface CloudApi extends ReleaseClient {
+public interface CloudClient extends TerminationClient {
 
   /** The state of a rented machine, by the cloud. */
   enum HostStatus {
@@ -32,21 +32,21 @@
   record HostPage(List<Host> hosts, boolean hasNext) {}
 
   /** The outcome of a rental. */
-  sealed interface RentResult {
+  sealed interface ProvisionResult {
     /** These machines are rented, fewer than were asked for or as many. */
-    record Rented(List<String> hosts) implements RentResult {}
+    record Provisioned(List<String> hosts) implements ProvisionResult {}
 
     /** The group has no machine left at present. */
-    record NoCapacity() implements RentResult {}
+    record NoCapacity() implements ProvisionResult {}
 
     /** The cloud does not take such a request, now or later. */
-    record Malformed() implements RentResult {}
+    record Malformed() implements ProvisionResult {}
 
     /** Certainly not executed, and says nothing on capacity. */
-    record Refused() implements RentResult {}
+    record Refused() implements ProvisionResult {}
 
     /** May have been executed: the same claim must be asked for again. */
-    record Unknown() implements RentResult {}
+    record Unknown() implements ProvisionResult {}
   }
 
   /** Asks for the machine types on offer. */
@@ -57,7 +57,12 @@
    * returns the same machines.
    */
   void rent(
-      String claim, String type, String zone, boolean spot, int count, Consumer<RentResult> then);
+      String claim,
+      String type,
+      String zone,
+      boolean spot,
+      int count,
+      Consumer<ProvisionResult> then);
 
   /** Asks for the page of the list that follows the machine {@code after}; empty for the first. */
   void hosts(String after, Consumer<Optional<HostPage>> then);
--- a/src/main/java/org/ploverspindle/cloud/FleetHearing.java
+++ b/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
@@ -7,7 +7,7 @@
  * How the fleet as a whole hears and is heard, counted once in a look and only if asked for: a zone
  * that is cut off has thousands of machines that ask.
  */
-final class FleetHearing {
+final class FleetConnectivity {
   private final MachineRegistry fleet;
   private final double leaseMs;
   private final long nowMs;
@@ -16,7 +16,7 @@
   private int up;
   private int heard;
 
-  FleetHearing(MachineRegistry fleet, double leaseMs, long nowMs) {
+  FleetConnectivity(MachineRegistry fleet, double leaseMs, long nowMs) {
     this.fleet = fleet;
     this.leaseMs = leaseMs;
     this.nowMs = nowMs;
--- a/src/main/java/org/ploverspindle/cloud/Backoffs.java
+++ b/src/main/java/org/ploverspindle/cloud/GroupBackoffs.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /** GEP-24's backoff: the groups that are not asked for after a failed rental, and until when. */
-final class Backoffs {
-  private static final Logger LOG = LoggerFactory.getLogger(Backoffs.class);
+final class GroupBackoffs {
+  private static final Logger LOG = LoggerFactory.getLogger(GroupBackoffs.class);
 
   /** A mark lasts at least this part of the policy's backoff. */
   private static final double LEAST_PART = 0.85;
@@ -29,16 +29,16 @@
   private final Catalogue catalogue;
   private final Policy policy;
   private final RandomGenerator random;
-  private final Map<Rentals.Group, Long> untilMs = new HashMap<>();
+  private final Map<Autoscaler.MachineGroup, Long> untilMs = new HashMap<>();
 
-  Backoffs(Scheduler scheduler, Catalogue catalogue, Policy policy, RandomGenerator random) {
+  GroupBackoffs(Scheduler scheduler, Catalogue catalogue, Policy policy, RandomGenerator random) {
     this.scheduler = scheduler;
     this.catalogue = catalogue;
     this.policy = policy;
     this.random = random;
   }
 
-  void backOff(Rentals.Group g) {
+  void backOff(Autoscaler.MachineGroup g) {
     // Random, as marks that were set together would otherwise end together and all be tried at
     // once.
     long ms =
@@ -46,7 +46,7 @@
     untilMs.put(g, scheduler.nowMs() + ms);
   }
 
-  boolean backedOff(Rentals.Group g) {
+  boolean backedOff(Autoscaler.MachineGroup g) {
     return untilMs.getOrDefault(g, Long.MIN_VALUE) > scheduler.nowMs();
   }
 
@@ -73,7 +73,7 @@
       }
       long leftMs = Math.min(Long.parseLong(f[2]), Math.round(policy.backoffS() * 1000));
       untilMs.put(
-          new Rentals.Group(type.get(), zone.get(), Boolean.parseBoolean(f[1])),
+          new Autoscaler.MachineGroup(type.get(), zone.get(), Boolean.parseBoolean(f[1])),
           scheduler.nowMs() + leftMs);
     }
   }
--- a/src/main/java/org/ploverspindle/cloud/HttpCloud.java
+++ b/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
@@ -11,14 +11,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.net.Caller;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.net.Reply;
+import org.ploverspindle.net.HttpClient;
+import org.ploverspindle.net.HttpResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The cloud over HTTP. A response that is malformed or unexpected counts as none. */
-public final class HttpCloud implements CloudApi {
+public final class HttpCloudClient implements CloudClient {
   private static final byte[] EMPTY = {};
   private static final int HTTP_OK = 200;
   private static final int HTTP_BAD_REQUEST = 400;
@@ -27,19 +27,19 @@
   private static final long TIMEOUT_MS = 5_000;
   private static final int PAGE = 500;
 
-  private static final Logger LOG = LoggerFactory.getLogger(HttpCloud.class);
+  private static final Logger LOG = LoggerFactory.getLogger(HttpCloudClient.class);
 
-  private final Caller caller;
+  private final HttpClient caller;
 
   /** Answers that were named in the log, once each. */
   private final Set<Integer> told = new HashSet<>();
 
-  public HttpCloud(Caller caller) {
+  public HttpCloudClient(HttpClient caller) {
     this.caller = caller;
   }
 
-  private static Optional<ObjectNode> ok(Reply reply) {
-    return reply instanceof Reply.Answer a && a.status() == HTTP_OK
+  private static Optional<ObjectNode> ok(HttpResult reply) {
+    return reply instanceof HttpResult.Response a && a.status() == HTTP_OK
         ? Cbor.readMap(a.body())
         : Optional.empty();
   }
@@ -51,7 +51,7 @@
         "/flavors",
         EMPTY,
         TIMEOUT_MS,
-        r -> then.accept(ok(r).flatMap(HttpCloud::readTypes)));
+        r -> then.accept(ok(r).flatMap(HttpCloudClient::readTypes)));
   }
 
   /** Empty when any type lacks what placing needs: half a catalogue would refuse good jobs. */
@@ -85,7 +85,12 @@
 
   @Override
   public void rent(
-      String claim, String type, String zone, boolean spot, int count, Consumer<RentResult> then) {
+      String claim,
+      String type,
+      String zone,
+      boolean spot,
+      int count,
+      Consumer<ProvisionResult> then) {
     ObjectNode body =
         Cbor.map()
             .put("claim", claim)
@@ -96,33 +101,33 @@
     caller.call("POST", "/rentals", Cbor.write(body), TIMEOUT_MS, r -> then.accept(rented(r)));
   }
 
-  private RentResult rented(Reply reply) {
-    if (reply instanceof Reply.NotSent) {
-      return new RentResult.Refused();
+  private ProvisionResult rented(HttpResult reply) {
+    if (reply instanceof HttpResult.NotSent) {
+      return new ProvisionResult.Refused();
     }
-    if (!(reply instanceof Reply.Answer answer)) {
-      return new RentResult.Unknown();
+    if (!(reply instanceof HttpResult.Response answer)) {
+      return new ProvisionResult.Unknown();
     }
     Optional<ObjectNode> body = Cbor.readMap(answer.body());
     if (answer.status() == HTTP_OK && body.isPresent() && body.get().path("hosts").isArray()) {
       List<String> hosts = new ArrayList<>();
       body.get().path("hosts").forEach(h -> hosts.add(h.asText()));
-      return new RentResult.Rented(hosts);
+      return new ProvisionResult.Provisioned(hosts);
     }
     if (answer.status() == HTTP_UNAVAILABLE
         && body.map(b -> b.path("error").asText("")).orElse("").contains("capacity")) {
-      return new RentResult.NoCapacity();
+      return new ProvisionResult.NoCapacity();
     }
     return switch (answer.status()) {
-      case HTTP_BAD_REQUEST -> new RentResult.Malformed();
-      case HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE -> new RentResult.Refused();
+      case HTTP_BAD_REQUEST -> new ProvisionResult.Malformed();
+      case HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE -> new ProvisionResult.Refused();
       default -> {
         if (told.add(answer.status())) {
           LOG.warn(
               "a rental was answered {}, which no page names: it is asked for again",
               answer.status());
         }
-        yield new RentResult.Unknown();
+        yield new ProvisionResult.Unknown();
       }
     };
   }
@@ -136,7 +141,7 @@
         "/rentals/release",
         Cbor.write(body),
         TIMEOUT_MS,
-        r -> then.accept(r instanceof Reply.Answer a && a.status() == HTTP_OK));
+        r -> then.accept(r instanceof HttpResult.Response a && a.status() == HTTP_OK));
   }
 
   @Override
@@ -146,7 +151,7 @@
             + PAGE
             + (after.isEmpty() ? "" : "&after=" + URLEncoder.encode(after, StandardCharsets.UTF_8));
     caller.call(
-        "GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(ok(r).flatMap(HttpCloud::readPage)));
+        "GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(ok(r).flatMap(HttpCloudClient::readPage)));
   }
 
   private static Optional<HostPage> readPage(ObjectNode body) {
--- a/src/main/java/org/ploverspindle/cloud/IdleMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/IdleMachines.java
@@ -16,9 +16,9 @@
 
   private final Pools pools;
   private final Policy policy;
-  private final Rentals.Host host;
+  private final Autoscaler.Workload host;
 
-  IdleMachines(Pools pools, Policy policy, Rentals.Host host) {
+  IdleMachines(Pools pools, Policy policy, Autoscaler.Workload host) {
     this.pools = pools;
     this.policy = policy;
     this.host = host;
@@ -35,7 +35,7 @@
     private final Predicate<Machine> needed = host.needed();
     private final Predicate<Machine> spare = host.spare();
     private final Map<Integer, List<AdaptiveSizing.Group>> groups = new HashMap<>();
-    private final Map<Rentals.Group, Integer> found = new HashMap<>();
+    private final Map<Autoscaler.MachineGroup, Integer> found = new HashMap<>();
 
     Look(long nowMs) {
       this.nowMs = nowMs;
@@ -48,7 +48,8 @@
       }
       List<AdaptiveSizing.Group> ofType = groups.computeIfAbsent(machine.type(), pools::groups);
       // Both kinds of a type in a zone count for one minimum.
-      Rentals.Group group = new Rentals.Group(machine.type(), machine.zone(), false);
+      Autoscaler.MachineGroup group =
+          new Autoscaler.MachineGroup(machine.type(), machine.zone(), false);
       int held = ofType.get(machine.zone()).held() - found.getOrDefault(group, 0);
       if (held <= pools.bounds(machine.type(), ofType).get(machine.zone()).min()) {
         return false;
--- a/src/main/java/org/ploverspindle/cloud/MachineList.java
+++ b/src/main/java/org/ploverspindle/cloud/MachineList.java
@@ -11,9 +11,9 @@
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.state.TokenBucket;
+import org.ploverspindle.workers.HeartbeatTimeout;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.MachineSilence;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -73,12 +73,12 @@
   }
 
   private final Scheduler scheduler;
-  private final CloudApi cloud;
+  private final CloudClient cloud;
   private final MachineRegistry fleet;
   private final Settings settings;
   private final Term term;
   private final TokenBucket budget;
-  private final MachineSilence silence;
+  private final HeartbeatTimeout silence;
   private final BooleanSupplier mayDecide;
   private final Listener listener;
   private final double pagesPerS;
@@ -93,13 +93,13 @@
    */
   MachineList(
       Scheduler scheduler,
-      CloudApi cloud,
+      CloudClient cloud,
       MachineRegistry fleet,
       Settings settings,
       Term term,
       TokenBucket budget,
       double callsPerS,
-      MachineSilence silence,
+      HeartbeatTimeout silence,
       BooleanSupplier mayDecide,
       Listener listener) {
     this.scheduler = scheduler;
@@ -147,10 +147,10 @@
         answer -> answer.ifPresentOrElse(page -> received(list, page), () -> failed(list)));
   }
 
-  private void received(Reading list, CloudApi.HostPage page) {
+  private void received(Reading list, CloudClient.HostPage page) {
     list.pages++;
     list.retries = 0;
-    for (CloudApi.Host listed : page.hosts()) {
+    for (CloudClient.Host listed : page.hosts()) {
       list.seen.add(listed.id());
       list.after = listed.id();
       listed(listed);
@@ -194,21 +194,21 @@
     listener.complete(first);
   }
 
-  private void listed(CloudApi.Host listed) {
+  private void listed(CloudClient.Host listed) {
     long nowMs = scheduler.nowMs();
     fleet
         .adopt(listed.id(), listed.type(), listed.zone(), listed.spot(), nowMs)
         .ifPresent(machine -> update(machine, listed, nowMs));
   }
 
-  private static void update(Machine machine, CloudApi.Host listed, long nowMs) {
+  private static void update(Machine machine, CloudClient.Host listed, long nowMs) {
     machine.listedAt(nowMs);
-    if (listed.status() == CloudApi.HostStatus.BOOTING && !machine.up()) {
+    if (listed.status() == CloudClient.HostStatus.BOOTING && !machine.up()) {
       // The list is older than now by its lag, so this is not before the rental.
       machine.rentedAt(nowMs - Math.round(listed.ageS() * MS_PER_S));
     }
     machine.addressListed(listed.address());
-    if (listed.status() == CloudApi.HostStatus.FAILED && !machine.leaving()) {
+    if (listed.status() == CloudClient.HostStatus.FAILED && !machine.leaving()) {
       // It has stopped by itself; the answer to its release proves that all on it is gone.
       machine.condemn();
     }
--- a/src/main/java/org/ploverspindle/cloud/Pools.java
+++ b/src/main/java/org/ploverspindle/cloud/Pools.java
@@ -11,12 +11,16 @@
 final class Pools {
   private final Catalogue catalogue;
   private final MachineRegistry fleet;
-  private final Claims claims;
-  private final Backoffs backoffs;
+  private final ProvisioningIntents claims;
+  private final GroupBackoffs backoffs;
   private final Policy policy;
 
   Pools(
-      Catalogue catalogue, MachineRegistry fleet, Claims claims, Backoffs backoffs, Policy policy) {
+      Catalogue catalogue,
+      MachineRegistry fleet,
+      ProvisioningIntents claims,
+      GroupBackoffs backoffs,
+      Policy policy) {
     this.catalogue = catalogue;
     this.fleet = fleet;
     this.claims = claims;
@@ -39,8 +43,8 @@
     List<AdaptiveSizing.Group> groups = new ArrayList<>();
     for (int z = 0; z < held.length; z++) {
       boolean bad =
-          backoffs.backedOff(new Rentals.Group(type, z, true))
-              && backoffs.backedOff(new Rentals.Group(type, z, false));
+          backoffs.backedOff(new Autoscaler.MachineGroup(type, z, true))
+              && backoffs.backedOff(new Autoscaler.MachineGroup(type, z, false));
       groups.add(new AdaptiveSizing.Group(held[z] + claims.inFlight(type, z), bad));
     }
     return groups;
--- a/src/main/java/org/ploverspindle/cloud/ClaimRecords.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
@@ -6,25 +6,25 @@
 import java.util.function.Consumer;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.LeaderWrites;
-import org.ploverspindle.state.LeaderWrites.CreateOutcome;
+import org.ploverspindle.state.LeaderWriter;
+import org.ploverspindle.state.LeaderWriter.CreateOutcome;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Entry;
 
 /** The durable records of claims: their names, their stored form, and their writes. */
-final class ClaimRecords {
+final class ProvisioningIntentRecords {
   /** What a claim asks for. */
-  record Demanded(Rentals.Group group, int count) {}
+  record Requested(Autoscaler.MachineGroup group, int count) {}
 
   private final Catalogue catalogue;
-  private final LeaderWrites writes;
+  private final LeaderWriter writes;
   private final long token;
   private long counter;
 
   /**
    * @param token the term's first token, which makes names unique over all terms
    */
-  ClaimRecords(Catalogue catalogue, LeaderWrites writes, long token) {
+  ProvisioningIntentRecords(Catalogue catalogue, LeaderWriter writes, long token) {
     this.catalogue = catalogue;
     this.writes = writes;
     this.token = token;
@@ -40,19 +40,20 @@
   }
 
   /** Empty when the value can't be read, or its type or zone is not known. */
-  Optional<Demanded> decode(JsonNode value) {
+  Optional<Requested> decode(JsonNode value) {
     Optional<Integer> type = catalogue.typeIndex(value.path("type").asText());
     Optional<Integer> zone = catalogue.zoneIndex(value.path("zone").asText());
     int count = value.path("count").asInt();
     if (type.isEmpty() || zone.isEmpty() || count < 1) {
       return Optional.empty();
     }
-    Rentals.Group group = new Rentals.Group(type.get(), zone.get(), value.path("spot").asBoolean());
-    return Optional.of(new Demanded(group, count));
+    Autoscaler.MachineGroup group =
+        new Autoscaler.MachineGroup(type.get(), zone.get(), value.path("spot").asBoolean());
+    return Optional.of(new Requested(group, count));
   }
 
-  void create(String name, Demanded demanded, Consumer<CreateOutcome> then) {
-    Rentals.Group group = demanded.group();
+  void create(String name, Requested demanded, Consumer<CreateOutcome> then) {
+    Autoscaler.MachineGroup group = demanded.group();
     ObjectNode value = Cbor.map();
     value.put("type", catalogue.type(group.type()).name());
     value.put("zone", catalogue.zoneName(group.zone()));
@@ -65,11 +66,11 @@
     writes.tell(new Change.Remove(Keys.claim(name)), then);
   }
 
-  String typeName(Rentals.Group group) {
+  String typeName(Autoscaler.MachineGroup group) {
     return catalogue.type(group.type()).name();
   }
 
-  String zoneName(Rentals.Group group) {
+  String zoneName(Autoscaler.MachineGroup group) {
     return catalogue.zoneName(group.zone());
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/Claims.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
@@ -8,8 +8,8 @@
 import java.util.function.BooleanSupplier;
 import org.ploverspindle.loop.RetryDelay;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.placement.Demand;
-import org.ploverspindle.state.LeaderWrites;
+import org.ploverspindle.placement.ScaleOutPlanner;
+import org.ploverspindle.state.LeaderWriter;
 import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
@@ -21,16 +21,16 @@
  * under the claim's name until its outcome is known, if need be by the next leader. So no rental is
  * executed twice and no rented machine is lost.
  */
-final class Claims {
-  private static final Logger LOG = LoggerFactory.getLogger(Claims.class);
+final class ProvisioningIntents {
+  private static final Logger LOG = LoggerFactory.getLogger(ProvisioningIntents.class);
   static final int MAX_PER_RENTAL = 50;
   private static final long OPEN_MS = 30_000;
 
   private static final int REMOVE_RETRY_MS = 2_000;
 
-  private static final class Claim {
+  private static final class Intent {
     private final String name;
-    private final Rentals.Group group;
+    private final Autoscaler.MachineGroup group;
     private final int count;
     private boolean recorded;
     private final boolean byUs;
@@ -40,7 +40,8 @@
     private Optional<List<String>> hosts = Optional.empty();
     private boolean removing;
 
-    Claim(String name, ClaimRecords.Demanded demanded, boolean recorded, long sinceMs) {
+    Intent(
+        String name, ProvisioningIntentRecords.Requested demanded, boolean recorded, long sinceMs) {
       this.sinceMs = sinceMs;
       this.name = name;
       this.group = demanded.group();
@@ -51,25 +52,25 @@
   }
 
   private final Scheduler scheduler;
-  private final CloudApi cloud;
+  private final CloudClient cloud;
   private final MachineRegistry fleet;
-  private final ClaimRecords records;
-  private final RentalQuota quota;
+  private final ProvisioningIntentRecords records;
+  private final ScaleOutLimits quota;
   private final BooleanSupplier mayCall;
   private final RetryDelay retryDelay;
-  private final Map<String, Claim> claims = new LinkedHashMap<>();
+  private final Map<String, Intent> claims = new LinkedHashMap<>();
 
   /**
    * @param mayCall takes a call to the cloud from its budget, if the lead is sure; asked last
    *     before each send
    * @param retryDelay before a claim without an answer is asked for again
    */
-  Claims(
+  ProvisioningIntents(
       Scheduler scheduler,
-      CloudApi cloud,
+      CloudClient cloud,
       MachineRegistry fleet,
-      ClaimRecords records,
-      RentalQuota quota,
+      ProvisioningIntentRecords records,
+      ScaleOutLimits quota,
       BooleanSupplier mayCall,
       RetryDelay retryDelay) {
     this.scheduler = scheduler;
@@ -96,11 +97,12 @@
   }
 
   /** What is asked for and not known yet, machine by machine. */
-  List<Demand.Coming> coming() {
-    List<Demand.Coming> coming = new ArrayList<>();
-    for (Claim c : claims.values()) {
+  List<ScaleOutPlanner.PendingMachine> coming() {
+    List<ScaleOutPlanner.PendingMachine> coming = new ArrayList<>();
+    for (Intent c : claims.values()) {
       for (int i = 0; c.hosts.isEmpty() && i < c.count; i++) {
-        coming.add(new Demand.Coming(c.group.type(), c.group.zone(), c.group.spot()));
+        coming.add(
+            new ScaleOutPlanner.PendingMachine(c.group.type(), c.group.zone(), c.group.spot()));
       }
     }
     return coming;
@@ -109,7 +111,7 @@
   /** Machines of the type in the zone that are asked for and not known yet. */
   int inFlight(int type, int zone) {
     int n = 0;
-    for (Claim c : claims.values()) {
+    for (Intent c : claims.values()) {
       if (c.hosts.isEmpty() && c.group.type() == type && c.group.zone() == zone) {
         n += c.count;
       }
@@ -119,20 +121,21 @@
 
   /** An earlier leader's claim: what it rented is learnt by asking for it again. */
   void inherit(Entry entry) {
-    Optional<ClaimRecords.Demanded> demanded = records.decode(entry.value());
+    Optional<ProvisioningIntentRecords.Requested> demanded = records.decode(entry.value());
     if (demanded.isEmpty()) {
       LOG.error("the record {} can't be read and is left as it is", entry.key());
       return;
     }
-    String name = ClaimRecords.name(entry);
-    claims.put(name, new Claim(name, demanded.get(), true, scheduler.nowMs()));
+    String name = ProvisioningIntentRecords.name(entry);
+    claims.put(name, new Intent(name, demanded.get(), true, scheduler.nowMs()));
   }
 
   /** Records a claim, and asks for it once the record stands. */
-  void rent(Rentals.Group group, int count, String cause) {
+  void rent(Autoscaler.MachineGroup group, int count, String cause) {
     String name = records.newName();
-    ClaimRecords.Demanded demanded = new ClaimRecords.Demanded(group, count);
-    Claim claim = new Claim(name, demanded, false, scheduler.nowMs());
+    ProvisioningIntentRecords.Requested demanded =
+        new ProvisioningIntentRecords.Requested(group, count);
+    Intent claim = new Intent(name, demanded, false, scheduler.nowMs());
     claims.put(name, claim);
     LOG.info(
         "renting {} {} {} in {} as {}: {}",
@@ -147,7 +150,7 @@
         name,
         demanded,
         outcome -> {
-          if (outcome == LeaderWrites.CreateOutcome.STANDS) {
+          if (outcome == LeaderWriter.CreateOutcome.STANDS) {
             claim.recorded = true;
             ask(claim);
           } else {
@@ -156,13 +159,13 @@
         });
   }
 
-  private void ask(Claim claim) {
+  private void ask(Intent claim) {
     if (claim.asked || !mayCall.getAsBoolean()) {
       return;
     }
     claim.asked = true;
     claim.askedMs = scheduler.nowMs();
-    Rentals.Group group = claim.group;
+    Autoscaler.MachineGroup group = claim.group;
     cloud.rent(
         claim.name,
         records.typeName(group),
@@ -172,15 +175,15 @@
         result -> answered(claim, result));
   }
 
-  private void answered(Claim claim, CloudApi.RentResult result) {
-    if (result instanceof CloudApi.RentResult.Rented rented) {
+  private void answered(Intent claim, CloudClient.ProvisionResult result) {
+    if (result instanceof CloudClient.ProvisionResult.Provisioned rented) {
       rented(claim, rented.hosts());
-    } else if (result instanceof CloudApi.RentResult.Malformed) {
+    } else if (result instanceof CloudClient.ProvisionResult.Malformed) {
       // Asked for again for ever, it would keep all other rentals waiting.
       LOG.error("the cloud does not take {} as it is: {} backs off", claim.name, claim.group);
       quota.notFilled(claim.group);
       removeClaim(claim);
-    } else if (result instanceof CloudApi.RentResult.NoCapacity) {
+    } else if (result instanceof CloudClient.ProvisionResult.NoCapacity) {
       LOG.info("no capacity for {}", claim.name);
       quota.notFilled(claim.group);
       removeClaim(claim);
@@ -190,9 +193,9 @@
     }
   }
 
-  private void rented(Claim claim, List<String> hosts) {
+  private void rented(Intent claim, List<String> hosts) {
     claim.hosts = Optional.of(hosts);
-    Rentals.Group g = claim.group;
+    Autoscaler.MachineGroup g = claim.group;
     if (hosts.size() < claim.count) {
       quota.notFilled(g);
     } else {
@@ -208,14 +211,14 @@
     }
   }
 
-  private static void rentedByUs(Machine machine, Claim claim) {
+  private static void rentedByUs(Machine machine, Intent claim) {
     machine.rentedAt(claim.askedMs);
     machine.endQuarantine();
   }
 
   /** Asks for what has no answer yet, and drops the records of what is known by now. */
   void pursue() {
-    for (Claim c : List.copyOf(claims.values())) {
+    for (Intent c : List.copyOf(claims.values())) {
       if (c.recorded && c.hosts.isEmpty()) {
         ask(c);
       } else if (c.hosts.isPresent() && c.hosts.get().stream().allMatch(this::seen)) {
@@ -228,7 +231,7 @@
     return fleet.get(id).map(m -> m.up() || m.listed()).orElse(true);
   }
 
-  private void removeClaim(Claim claim) {
+  private void removeClaim(Intent claim) {
     if (claim.removing) {
       return;
     }
--- a/src/main/java/org/ploverspindle/cloud/ReturnSelection.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
@@ -5,13 +5,13 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.returns.MachineReturns;
-import org.ploverspindle.returns.ReleaseClient;
+import org.ploverspindle.returns.MachineTerminations;
+import org.ploverspindle.returns.TerminationClient;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 
 /** Looks again and again which machines go back, and has their returns carried out. */
-final class ReturnSelection {
+final class ScaleInPlanner {
   /** Of a large fleet, one machine in so many may go in one look, by several requests. */
   private static final int PART_PER_LOOK = 20;
 
@@ -22,21 +22,21 @@
 
   private final Scheduler scheduler;
   private final MachineRegistry fleet;
-  private final UselessMachines useless;
+  private final UnusableMachines useless;
   private final IdleMachines idle;
-  private final MachineReturns returns;
+  private final MachineTerminations returns;
   private final BooleanSupplier mayDecide;
   private long lastIdleReturnMs;
 
   /**
    * @param mayDecide whether this leader is sure of its lead
    */
-  ReturnSelection(
+  ScaleInPlanner(
       Scheduler scheduler,
       MachineRegistry fleet,
-      UselessMachines useless,
+      UnusableMachines useless,
       IdleMachines idle,
-      MachineReturns returns,
+      MachineTerminations returns,
       BooleanSupplier mayDecide) {
     this.scheduler = scheduler;
     this.fleet = fleet;
@@ -58,10 +58,11 @@
 
   private List<Machine> select() {
     long nowMs = scheduler.nowMs();
-    int most = Math.max(ReleaseClient.MAX_HOSTS_PER_RELEASE, fleet.all().size() / PART_PER_LOOK);
+    int most =
+        Math.max(TerminationClient.MAX_HOSTS_PER_RELEASE, fleet.all().size() / PART_PER_LOOK);
     boolean idleMayGo = mayReturnIdle(nowMs);
     Predicate<Machine> isIdle = idleMayGo ? idle.look(nowMs) : machine -> false;
-    FleetHearing hearing = useless.hearing(nowMs);
+    FleetConnectivity hearing = useless.hearing(nowMs);
     List<Machine> selected = new ArrayList<>();
     for (Machine machine : fleet.all()) {
       if (selected.size() >= most) {
--- a/src/main/java/org/ploverspindle/cloud/UselessMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/UnusableMachines.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Tells which machines are of no use any more and go back, whatever the bounds say. */
-final class UselessMachines {
-  private static final Logger LOG = LoggerFactory.getLogger(UselessMachines.class);
+final class UnusableMachines {
+  private static final Logger LOG = LoggerFactory.getLogger(UnusableMachines.class);
 
   private static final double MS_PER_S = 1_000;
 
@@ -18,8 +18,8 @@
   private static final long SILENCE_BEYOND_LEASE_MS = 15_000;
 
   private final MachineRegistry fleet;
-  private final Boots boots;
-  private final Backoffs backoffs;
+  private final BootTracker boots;
+  private final GroupBackoffs backoffs;
   private final long termStartMs;
   private final double leaseMs;
 
@@ -27,8 +27,12 @@
    * @param termStartMs when the leader's term began, on the steady clock
    * @param leaseS a worker's lease
    */
-  UselessMachines(
-      MachineRegistry fleet, Boots boots, Backoffs backoffs, long termStartMs, double leaseS) {
+  UnusableMachines(
+      MachineRegistry fleet,
+      BootTracker boots,
+      GroupBackoffs backoffs,
+      long termStartMs,
+      double leaseS) {
     this.fleet = fleet;
     this.boots = boots;
     this.backoffs = backoffs;
@@ -36,11 +40,11 @@
     this.leaseMs = leaseS * MS_PER_S;
   }
 
-  FleetHearing hearing(long nowMs) {
-    return new FleetHearing(fleet, leaseMs, nowMs);
+  FleetConnectivity hearing(long nowMs) {
+    return new FleetConnectivity(fleet, leaseMs, nowMs);
   }
 
-  boolean test(Machine machine, long nowMs, FleetHearing hearing) {
+  boolean test(Machine machine, long nowMs, FleetConnectivity hearing) {
     if (machine.leaving()) {
       return true;
     }
@@ -71,19 +75,19 @@
         "machine {} has not come up in {} s: it is returned, and its group backs off",
         machine.host(),
         Math.round((nowMs - machine.bootingSinceMs()) / MS_PER_S));
-    backoffs.backOff(Rentals.Group.of(machine));
+    backoffs.backOff(Autoscaler.MachineGroup.of(machine));
     return true;
   }
 
   /** It reports and nothing we say reaches it: paid for and of no use. */
-  private boolean isDeaf(Machine machine, long nowMs, FleetHearing hearing) {
+  private boolean isDeaf(Machine machine, long nowMs, FleetConnectivity hearing) {
     return machine.deafSinceMs() >= 0
         && nowMs - machine.deafSinceMs() >= leaseMs * DEAF_LEASES
         && hearing.fewAreDeaf();
   }
 
   /** Its lease ran out a while ago, and it did not report again. */
-  private boolean isLost(Machine machine, long nowMs, FleetHearing hearing) {
+  private boolean isLost(Machine machine, long nowMs, FleetConnectivity hearing) {
     return nowMs > fleet.leaseOverMs(machine) + SILENCE_BEYOND_LEASE_MS && hearing.mostReport();
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/package-info.java
+++ b/src/main/java/org/ploverspindle/cloud/package-info.java
@@ -4,8 +4,8 @@
  * <p>Duty: the client of the cloud's interface, the catalogue of machine types and zones, and a
  * leader's rentals and returns: scans by Adaptive Sizing, backoff of groups whose rentals fail,
  * durable claims that are repeated by name until their outcome is known. Owns: the claims, the
- * backoff marks, the wire names of the cloud's interface ({@link org.ploverspindle.cloud.HttpCloud
- * HttpCloud}).
+ * backoff marks, the wire names of the cloud's interface ({@link
+ * org.ploverspindle.cloud.HttpCloudClient HttpCloudClient}).
  *
  * <p>May depend on: {@code sizing}, {@code placement} for demand, {@code workers}, {@code jobs},
  * {@code state}, {@code net}, {@code loop}, {@code policy}, {@code settings}, and {@code
--- a/src/main/java/org/ploverspindle/duties/FencedStore.java
+++ b/src/main/java/org/ploverspindle/duties/FencedStore.java
@@ -11,25 +11,25 @@
 public final class FencedStore implements StateStore {
   private final StateStore store;
   private final String holderKey;
-  private final RefusedActions refused;
+  private final FencingRejections refused;
 
   /**
    * @param holderKey the record that says who holds the duty
    */
-  public FencedStore(StateStore store, String holderKey, RefusedActions refused) {
+  public FencedStore(StateStore store, String holderKey, FencingRejections refused) {
     this.store = store;
     this.holderKey = holderKey;
     this.refused = refused;
   }
 
   @Override
-  public void txn(Txn txn, Consumer<TxnResult> then) {
+  public void txn(Transaction txn, Consumer<TransactionResult> then) {
     store.txn(
         txn,
         result -> {
-          if (result instanceof TxnResult.Conflict conflict
+          if (result instanceof TransactionResult.Conflict conflict
               && conflict.keys().contains(holderKey)) {
-            refused.add(RefusedActions.Kind.STATE_WRITE);
+            refused.add(FencingRejections.Kind.STATE_WRITE);
           }
           then.accept(result);
         });
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public void changesAfter(String prefix, long ledger, Consumer<News> then) {
+  public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
     store.changesAfter(prefix, ledger, then);
   }
 
--- a/src/main/java/org/ploverspindle/duties/RefusedActions.java
+++ b/src/main/java/org/ploverspindle/duties/FencingRejections.java
@@ -7,7 +7,7 @@
  * Counts what receivers refused of this process because another holder had replaced it. Nothing is
  * decided by it: people see from it that a controller stalled, and that the fencing held.
  */
-public final class RefusedActions {
+public final class FencingRejections {
   /** Who refused. */
   public enum Kind {
     /** The state service: the holder's record is not the one that the write was bound to. */
--- a/src/main/java/org/ploverspindle/duties/HeldDuty.java
+++ b/src/main/java/org/ploverspindle/duties/HeldRole.java
@@ -8,4 +8,4 @@
  *     that writes of a former holder fail however late they are carried out
  * @param sinceMs when this process learnt that it holds the duty, on its steady clock
  */
-public record HeldDuty(long epoch, long stamp, long sinceMs) {}
+public record HeldRole(long epoch, long stamp, long sinceMs) {}
--- a/src/main/java/org/ploverspindle/duties/Holder.java
+++ b/src/main/java/org/ploverspindle/duties/RoleHolder.java
@@ -8,4 +8,4 @@
  * @param epoch grows with each holder; the fencing token
  * @param lease the state service's lease that the record is attached to
  */
-public record Holder(String member, String nonce, long epoch, long lease) {}
+public record RoleHolder(String member, String nonce, long epoch, long lease) {}
--- a/src/main/java/org/ploverspindle/duties/DutyLease.java
+++ b/src/main/java/org/ploverspindle/duties/RoleLease.java
@@ -11,7 +11,7 @@
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,8 +20,8 @@
  * The transaction that writes the record also raises the epoch, so epochs grow with holders and
  * none is used twice. A holder keeps its duty until its lease ends or it gives the duty up.
  */
-public final class DutyLease {
-  private static final Logger LOG = LoggerFactory.getLogger(DutyLease.class);
+public final class RoleLease {
+  private static final Logger LOG = LoggerFactory.getLogger(RoleLease.class);
 
   /** After the record is gone, controllers try one after the other and not all at once. */
   private static final int FIRST_TRY_SPREAD_MS = 150;
@@ -33,10 +33,10 @@
   /** What the process is told; always on the loop. */
   public interface Listener {
     /** The duty is held; the replica has all that earlier holders wrote. */
-    void taken(HeldDuty duty);
+    void taken(HeldRole duty);
 
     /** The duty is over: nothing may be done under it any more. */
-    void lost(HeldDuty duty, String cause);
+    void lost(HeldRole duty, String cause);
 
     /** May this process try to take the duty now? Asked before each try. */
     boolean mayTry();
@@ -47,25 +47,25 @@
   private final Replica replica;
   private final RandomGenerator random;
   private final StateLease lease;
-  private final DutyRecords records;
+  private final RoleRecords records;
   private final String member;
   private final String nonce;
   private final Listener listener;
   private final Histogram vacantMs = new Histogram(LONGEST_VACANCY_MS, 2);
-  private Optional<HeldDuty> held = Optional.empty();
+  private Optional<HeldRole> held = Optional.empty();
   private Optional<Long> vacantSinceMs = Optional.empty();
   private Optional<String> unreadable = Optional.empty();
   private boolean acquiring;
   private long earliestTryMs;
 
   /** A duty that is not tried for before the first {@link #tick}. */
-  public DutyLease(
+  public RoleLease(
       Scheduler scheduler,
       StateStore store,
       Replica replica,
       RandomGenerator random,
       LeaseTiming timing,
-      DutyRecords records,
+      RoleRecords records,
       String member,
       Listener listener) {
     this.scheduler = scheduler;
@@ -81,7 +81,7 @@
   }
 
   /** The duty, if this process holds it as far as it knows. */
-  public Optional<HeldDuty> held() {
+  public Optional<HeldRole> held() {
     return held;
   }
 
@@ -99,7 +99,7 @@
   }
 
   /** The holder by the replica, whoever it is. */
-  public Optional<Holder> holder() {
+  public Optional<RoleHolder> holder() {
     return replica.get(records.holderKey()).map(Entry::value).flatMap(records::decode);
   }
 
@@ -150,9 +150,9 @@
 
   private void take(long epoch, long epochStamp, long leaseId) {
     acquiring = true;
-    JsonNode record = records.encode(new Holder(member, nonce, epoch, leaseId));
+    JsonNode record = records.encode(new RoleHolder(member, nonce, epoch, leaseId));
     store.txn(
-        new StateStore.Txn(
+        new StateStore.Transaction(
             List.of(
                 new Condition(records.holderKey(), 0),
                 new Condition(records.epochKey(), epochStamp)),
@@ -160,7 +160,7 @@
                 new Change.Put(records.holderKey(), record, Optional.of(leaseId)),
                 new Change.Put(records.epochKey(), records.encodeEpochs(epoch)))),
         result -> {
-          if (result instanceof TxnResult.NoSuchHold) {
+          if (result instanceof TransactionResult.NoSuchLease) {
             lease.forget();
           }
           // Whatever was answered, the replica tells who holds the duty: an unanswered try may
@@ -186,7 +186,7 @@
     }
     vacantSinceMs.ifPresent(this::recordVacancy);
     vacantSinceMs = Optional.empty();
-    Optional<Holder> holder = records.decode(entry.get().value());
+    Optional<RoleHolder> holder = records.decode(entry.get().value());
     if (holder.isEmpty()) {
       tellUnreadable(key);
       end("the record of the holder can't be read");
@@ -207,7 +207,7 @@
    * A try that was carried out late, under a lease that was given up or is not renewed any more, is
    * not ours: the record goes with that lease, whatever is known of another one.
    */
-  private boolean isOurs(Holder holder) {
+  private boolean isOurs(RoleHolder holder) {
     return holder.nonce().equals(nonce) && lease.id().map(id -> id == holder.lease()).orElse(false);
   }
 
@@ -215,25 +215,25 @@
    * Left by this controller's process before this one, or by a try of it that was carried out late:
    * nobody renews it, and the others need not wait for its end.
    */
-  private void closeIfAbandoned(Holder holder) {
+  private void closeIfAbandoned(RoleHolder holder) {
     if (holder.member().equals(member)) {
       store.closeLease(holder.lease());
     }
   }
 
-  private void takenAt(long stamp, Holder ours) {
+  private void takenAt(long stamp, RoleHolder ours) {
     if (held.isPresent() && held.get().stamp() == stamp) {
       return;
     }
     end("the record of the holder is a newer one");
-    HeldDuty fresh = new HeldDuty(ours.epoch(), stamp, scheduler.nowMs());
+    HeldRole fresh = new HeldRole(ours.epoch(), stamp, scheduler.nowMs());
     // One more read after our record stood: then the replica has every write of earlier holders,
     // and later ones fail on their condition.
     replica.barrier(read -> begin(fresh, ours.lease(), read));
   }
 
   /** Meanwhile another one may have taken the duty, or this process have given it up. */
-  private void begin(HeldDuty fresh, long leaseId, boolean read) {
+  private void begin(HeldRole fresh, long leaseId, boolean read) {
     boolean stands =
         replica.get(records.holderKey()).map(e -> e.stamp() == fresh.stamp()).orElse(false);
     boolean leased = lease.id().map(id -> id == leaseId).orElse(false);
@@ -251,7 +251,7 @@
   /** Ends the duty here on a sign that it is over; the record is left to its lease. */
   public void end(String cause) {
     if (held.isPresent()) {
-      HeldDuty over = held.get();
+      HeldRole over = held.get();
       held = Optional.empty();
       listener.lost(over, cause);
     }
--- a/src/main/java/org/ploverspindle/duties/DutyRecords.java
+++ b/src/main/java/org/ploverspindle/duties/RoleRecords.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** How a duty's holder and its epochs are stored. */
-public interface DutyRecords {
+public interface RoleRecords {
   /** The duty's name, for people. */
   String name();
 
@@ -15,10 +15,10 @@
   String epochKey();
 
   /** The holder's record in its stored form. */
-  JsonNode encode(Holder holder);
+  JsonNode encode(RoleHolder holder);
 
   /** Reads a holder's record; empty if it can't be understood. */
-  Optional<Holder> decode(JsonNode record);
+  Optional<RoleHolder> decode(JsonNode record);
 
   /** The epochs' record from the moment on at which this epoch was taken. */
   JsonNode encodeEpochs(long taken);
--- a/src/main/java/org/ploverspindle/front/CreationBatch.java
+++ b/src/main/java/org/ploverspindle/front/AcceptanceBatch.java
@@ -12,7 +12,7 @@
 import org.ploverspindle.state.StateStore.Condition;
 
 /** One transaction that stores several jobs, as many as fit into each record. */
-final class CreationBatch {
+final class AcceptanceBatch {
   private static final int MAX_TXN_BYTES = 56 * 1024;
   private static final int CONDITIONS_PER_CHANGE = 4;
 
@@ -27,12 +27,12 @@
 
   private final int valueBytes;
   private final int mostConditions;
-  private final List<Creation> creations = new ArrayList<>();
+  private final List<PendingAcceptance> creations = new ArrayList<>();
   private final List<Condition> conditions = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
   private int bytes = FRAME_BYTES;
 
-  CreationBatch(int valueBytes, int txnOps) {
+  AcceptanceBatch(int valueBytes, int txnOps) {
     this.valueBytes = valueBytes;
     this.mostConditions = conditionsOf(txnOps);
   }
@@ -47,7 +47,7 @@
   }
 
   /** Takes as many of the waiting ones as fit, in records with the names that are given. */
-  void fill(Deque<Creation> waiting, int mostRecords, Supplier<String> nextKey) {
+  void fill(Deque<PendingAcceptance> waiting, int mostRecords, Supplier<String> nextKey) {
     while (changes.size() < mostRecords
         && nextFits(waiting)
         && bytes < MAX_TXN_BYTES - valueBytes) {
@@ -55,11 +55,11 @@
     }
   }
 
-  private void addRecord(Deque<Creation> waiting, Supplier<String> nextKey) {
+  private void addRecord(Deque<PendingAcceptance> waiting, Supplier<String> nextKey) {
     ObjectNode jobs = Cbor.map();
     int size = EMPTY_MAP_BYTES;
     while (nextFits(waiting) && size + waiting.peek().bytes() <= valueBytes) {
-      Creation creation = waiting.poll();
+      PendingAcceptance creation = waiting.poll();
       addConditions(creation);
       jobs.set(creation.uid(), creation.value());
       size += creation.bytes();
@@ -75,19 +75,19 @@
    * Another node may have accepted the job long ago, which this replica need not show yet: a job
    * that was called done or cancelled must not be called queued for it.
    */
-  private void addConditions(Creation creation) {
+  private void addConditions(PendingAcceptance creation) {
     conditions.add(new Condition(Keys.cancel(creation.uid()), 0));
     conditions.add(new Condition(Keys.done(creation.uid()), 0));
     creation.guards().forEach(guard -> conditions.add(new Condition(Keys.cancel(guard), 0)));
     bytes += FRAME_BYTES + GUARD_BYTES * creation.guards().size();
   }
 
-  private boolean nextFits(Deque<Creation> waiting) {
+  private boolean nextFits(Deque<PendingAcceptance> waiting) {
     return !waiting.isEmpty()
         && conditions.size() + OWN_CONDITIONS + waiting.peek().guards().size() <= mostConditions;
   }
 
-  List<Creation> creations() {
+  List<PendingAcceptance> creations() {
     return creations;
   }
 
@@ -96,7 +96,7 @@
     return changes.size();
   }
 
-  StateStore.Txn txn() {
-    return new StateStore.Txn(conditions, changes);
+  StateStore.Transaction txn() {
+    return new StateStore.Transaction(conditions, changes);
   }
 }
--- a/src/main/java/org/ploverspindle/front/AcceptanceWriter.java
+++ b/src/main/java/org/ploverspindle/front/AcceptanceWriter.java
@@ -11,7 +11,7 @@
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.StateStore;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -47,16 +47,16 @@
 
   private final Scheduler scheduler;
   private final StateStore store;
-  private final FreshReads reads;
-  private final JobStates states;
+  private final LinearizableReads reads;
+  private final JobStatusReader states;
   private final DependencyCheck dependencies;
   private final TokenBucket writes;
   private final String nonce;
-  private final LeaderHints leaderHints;
+  private final LeaderNotifier leaderHints;
   private final int valueBytes;
   private final int txnOps;
-  private final Deque<Creation> creations = new ArrayDeque<>();
-  private final Map<String, Creation> pending = new HashMap<>();
+  private final Deque<PendingAcceptance> creations = new ArrayDeque<>();
+  private final Map<String, PendingAcceptance> pending = new HashMap<>();
 
   /** Those of them whose write is out. */
   private final Set<String> sent = new HashSet<>();
@@ -76,12 +76,12 @@
   AcceptanceWriter(
       Scheduler scheduler,
       StateStore store,
-      FreshReads reads,
-      JobStates states,
+      LinearizableReads reads,
+      JobStatusReader states,
       DependencyCheck dependencies,
       TokenBucket writes,
       String nonce,
-      LeaderHints leaderHints,
+      LeaderNotifier leaderHints,
       int valueBytes,
       int txnOps) {
     this.scheduler = scheduler;
@@ -99,7 +99,7 @@
   /** Stores the job and answers its user, or tells the user at once to come back. */
   void accept(Submission submission, List<String> guards) {
     String uid = submission.spec().uid();
-    Creation same = pending.get(uid);
+    PendingAcceptance same = pending.get(uid);
     if (same != null) {
       // The user asks again while its first request is under way: one record answers both. What
       // comes after the write went out has to be told how things are after it.
@@ -108,10 +108,10 @@
       return;
     }
     if (creations.size() >= MOST_WAITING) {
-      submission.then().accept(Answer.later(TOO_MANY, "too many submissions at once", 2));
+      submission.then().accept(ApiResponse.later(TOO_MANY, "too many submissions at once", 2));
       return;
     }
-    Creation creation = Creation.of(submission, guards);
+    PendingAcceptance creation = PendingAcceptance.of(submission, guards);
     pending.put(uid, creation);
     creations.add(creation);
     planFlush(GATHER_MS);
@@ -145,7 +145,7 @@
       return;
     }
     flushedMs = nowMs;
-    CreationBatch batch = new CreationBatch(valueBytes, txnOps);
+    AcceptanceBatch batch = new AcceptanceBatch(valueBytes, txnOps);
     batch.fill(creations, Math.max(1, budget), () -> Keys.batch(nonce + "-" + ++batches));
     batch.creations().forEach(creation -> sent.add(creation.uid()));
     creating = true;
@@ -158,27 +158,27 @@
   private void giveUpLateOnes() {
     while (!creations.isEmpty()
         && scheduler.nowMs() - creations.peek().cameMs() > CREATE_LIMIT_MS) {
-      Creation late = creations.poll();
+      PendingAcceptance late = creations.poll();
       pending.remove(late.uid());
-      late.answerAll(Answer.later(UNAVAILABLE, "the state service is busy", 2));
+      late.answerAll(ApiResponse.later(UNAVAILABLE, "the state service is busy", 2));
     }
   }
 
-  private void answered(List<Creation> batch, TxnResult result) {
+  private void answered(List<PendingAcceptance> batch, TransactionResult result) {
     creating = false;
-    if (result instanceof TxnResult.Conflict) {
+    if (result instanceof TransactionResult.Conflict) {
       reads.barrier(fresh -> batch.forEach(creation -> afterConflict(creation, fresh)));
       // What came meanwhile waits for nobody: all of the batch may be over already.
       flushTheRest();
       return;
     }
-    for (Creation creation : batch) {
+    for (PendingAcceptance creation : batch) {
       pending.remove(creation.uid());
       sent.remove(creation.uid());
     }
-    if (result instanceof TxnResult.Committed) {
+    if (result instanceof TransactionResult.Committed) {
       committed(batch);
-    } else if (result instanceof TxnResult.Refused refused) {
+    } else if (result instanceof TransactionResult.Refused refused) {
       refused(batch, refused);
     } else {
       // It may stand or may yet come to stand: only what is read back is said.
@@ -193,42 +193,42 @@
     }
   }
 
-  private void committed(List<Creation> batch) {
+  private void committed(List<PendingAcceptance> batch) {
     LOG.debug(
         "accepted {} jobs, the first {} after {} ms",
         batch.size(),
         batch.get(0).uid(),
         scheduler.nowMs() - batch.get(0).cameMs());
-    for (Creation creation : batch) {
+    for (PendingAcceptance creation : batch) {
       boolean aborted = creation.spec().dependencies().stream().anyMatch(states::isAborted);
       String status = aborted ? "aborted" : "queued";
       creation.answer(
-          Answer.of(CREATED, Cbor.map().put("uid", creation.uid()).put("status", status)));
+          ApiResponse.of(CREATED, Cbor.map().put("uid", creation.uid()).put("status", status)));
       answerLate(creation);
     }
     leaderHints.accepted();
   }
 
-  private void refused(List<Creation> batch, TxnResult.Refused refused) {
+  private void refused(List<PendingAcceptance> batch, TransactionResult.Refused refused) {
     if (refused.status() == TOO_LARGE) {
       LOG.error(
           "the state service takes no write of {} jobs, {} bytes together",
           batch.size(),
-          batch.stream().mapToInt(Creation::bytes).sum());
+          batch.stream().mapToInt(PendingAcceptance::bytes).sum());
     }
     // All nodes together ask for more than the service gives: the leader's writes go first.
     writes.take(REFUSED_COST);
     refusedMs = scheduler.nowMs();
-    batch.forEach(c -> c.answerAll(Answer.later(UNAVAILABLE, "the state service refuses", 1)));
+    batch.forEach(c -> c.answerAll(ApiResponse.later(UNAVAILABLE, "the state service refuses", 1)));
   }
 
   /** Some of the batch are over already and are answered so; the others are tried again. */
-  private void afterConflict(Creation creation, boolean fresh) {
+  private void afterConflict(PendingAcceptance creation, boolean fresh) {
     String uid = creation.uid();
     sent.remove(uid);
     if (fresh && !states.isKnown(uid)) {
       // The conditions are worked out anew: a job before it may have been cancelled, or done.
-      Creation again =
+      PendingAcceptance again =
           creation.guardedBy(
               creation.guards().isEmpty()
                   ? List.of()
@@ -244,7 +244,7 @@
   }
 
   /** Some of them may have asked after the last read went out. */
-  private void answerLate(Creation creation) {
+  private void answerLate(PendingAcceptance creation) {
     if (!creation.late().isEmpty()) {
       reads.barrier(
           fresh ->
--- a/src/main/java/org/ploverspindle/front/CancellationService.java
+++ b/src/main/java/org/ploverspindle/front/CancellationService.java
@@ -16,18 +16,18 @@
   private static final int OK = 200;
 
   private final Scheduler scheduler;
-  private final FreshReads reads;
-  private final JobStates states;
+  private final LinearizableReads reads;
+  private final JobStatusReader states;
   private final Cancellations cancellations;
 
   CancellationService(
       Scheduler scheduler,
       StateStore store,
-      FreshReads reads,
-      JobStates states,
+      LinearizableReads reads,
+      JobStatusReader states,
       TokenBucket writes,
       int txnOps,
-      LeaderHints leaderHints) {
+      LeaderNotifier leaderHints) {
     this.scheduler = scheduler;
     this.reads = reads;
     this.states = states;
@@ -40,7 +40,7 @@
    * is confirmed, and once more when it is durable, as that read may have come too early. On the
    * leader itself the replica shows it before anybody is told.
    */
-  private record Hints(LeaderHints leaderHints) implements Cancellations.Listener {
+  private record Hints(LeaderNotifier leaderHints) implements Cancellations.Listener {
     @Override
     public void sent() {
       leaderHints.cancelling();
@@ -53,32 +53,33 @@
   }
 
   /** Cancels the job, unless it is over. */
-  void cancel(String uid, Consumer<Answer> then) {
+  void cancel(String uid, Consumer<ApiResponse> then) {
     if (!SubmissionCodec.validUid(uid)) {
       then.accept(QueryService.noSuchJob());
     } else if (states.isOver(uid)) {
       then.accept(over(uid));
     } else if (!reads.isLoaded()) {
-      then.accept(JobStates.notNow());
+      then.accept(JobStatusReader.notNow());
     } else {
       long cameMs = scheduler.nowMs();
       reads.barrier(fresh -> cancelAt(uid, fresh, 0, cameMs, then));
     }
   }
 
-  private Answer over(String uid) {
+  private ApiResponse over(String uid) {
     return told(uid, states.isDone(uid) ? "done" : "aborted");
   }
 
-  private static Answer told(String uid, String status) {
-    return Answer.of(OK, Cbor.map().put("uid", uid).put("status", status));
+  private static ApiResponse told(String uid, String status) {
+    return ApiResponse.of(OK, Cbor.map().put("uid", uid).put("status", status));
   }
 
-  private void cancelAt(String uid, boolean fresh, int tries, long cameMs, Consumer<Answer> then) {
+  private void cancelAt(
+      String uid, boolean fresh, int tries, long cameMs, Consumer<ApiResponse> then) {
     if (states.isOver(uid)) {
       then.accept(over(uid));
     } else if (!fresh || tries > 0 && scheduler.nowMs() - cameMs > CANCEL_LIMIT_MS) {
-      then.accept(JobStates.notNow());
+      then.accept(JobStatusReader.notNow());
     } else if (!states.isKnown(uid)) {
       then.accept(QueryService.noSuchJob());
     } else {
@@ -87,7 +88,7 @@
           outcome -> {
             switch (outcome) {
               case STANDS -> then.accept(told(uid, "aborted"));
-              case REFUSED -> then.accept(JobStates.notNow());
+              case REFUSED -> then.accept(JobStatusReader.notNow());
               case UNCERTAIN -> reads.barrier(read -> cancelAt(uid, read, tries + 1, cameMs, then));
               case READ_BACK -> cancelAt(uid, true, tries + 1, cameMs, then);
             }
--- a/src/main/java/org/ploverspindle/front/Cancellations.java
+++ b/src/main/java/org/ploverspindle/front/Cancellations.java
@@ -13,7 +13,7 @@
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 
 /**
@@ -147,7 +147,8 @@
     writes.take(sent.askers.size());
     readBackLater(sent);
     List<Change.Put> cancellations = cancellations(sent);
-    StateStore.Txn txn = new StateStore.Txn(conditions(sent), List.copyOf(cancellations));
+    StateStore.Transaction txn =
+        new StateStore.Transaction(conditions(sent), List.copyOf(cancellations));
     store.txn(txn, result -> answered(sent, cancellations, result));
     listener.sent();
     plan();
@@ -179,18 +180,18 @@
     return conditions;
   }
 
-  private void answered(InFlight sent, List<Change.Put> cancellations, TxnResult result) {
-    if (result instanceof TxnResult.Committed committed) {
+  private void answered(InFlight sent, List<Change.Put> cancellations, TransactionResult result) {
+    if (result instanceof TransactionResult.Committed committed) {
       listener.committed(cancellations, committed.ledger());
     }
     settle(sent, outcome(result));
   }
 
-  private static Outcome outcome(TxnResult result) {
-    if (result instanceof TxnResult.Committed) {
+  private static Outcome outcome(TransactionResult result) {
+    if (result instanceof TransactionResult.Committed) {
       return Outcome.STANDS;
     }
-    return result instanceof TxnResult.Refused ? Outcome.REFUSED : Outcome.UNCERTAIN;
+    return result instanceof TransactionResult.Refused ? Outcome.REFUSED : Outcome.UNCERTAIN;
   }
 
   /** Again and again until it is settled: the read may fail as well. */
--- a/src/main/java/org/ploverspindle/front/DependenciesWriter.java
+++ b/src/main/java/org/ploverspindle/front/DependenciesWriter.java
@@ -13,7 +13,7 @@
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -127,15 +127,16 @@
     }
     busy = true;
     long nextMs = scheduler.nowMs() + Math.round(sent.size() * perPartMs);
-    store.txn(new StateStore.Txn(conditions, changes), r -> answered(upload, sent, nextMs, r));
+    store.txn(
+        new StateStore.Transaction(conditions, changes), r -> answered(upload, sent, nextMs, r));
   }
 
-  private void answered(Upload upload, List<Integer> sent, long nextMs, TxnResult result) {
-    if (result instanceof TxnResult.Committed) {
+  private void answered(Upload upload, List<Integer> sent, long nextMs, TransactionResult result) {
+    if (result instanceof TransactionResult.Committed) {
       sent.forEach(upload.standing::set);
       boolean last = missing(upload).isEmpty();
       goOnIn(last ? 0 : nextMs - scheduler.nowMs());
-    } else if (result instanceof TxnResult.Refused refused) {
+    } else if (result instanceof TransactionResult.Refused refused) {
       if (refused.status() == 400) {
         LOG.error("a part of {}'s list of jobs is refused for good", upload.list.name());
         end(upload, false);
--- a/src/main/java/org/ploverspindle/front/DependencyCheck.java
+++ b/src/main/java/org/ploverspindle/front/DependencyCheck.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.pipelines.Pipelines;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
 
 /**
  * May a job depend on the jobs that it names, and what can change about that while it is stored?
@@ -18,15 +18,16 @@
   /** Beyond so many unfinished jobs before it a job is accepted after a read instead. */
   private static final int MOST_GUARDS = 6;
 
-  private final SpecIndex specs;
+  private final AcceptedJobIndex specs;
   private final Pipelines pipelines;
-  private final JobStates states;
+  private final JobStatusReader states;
   private final int mostGuards;
 
   /**
    * @param conditions how many conditions a transaction has for one job's guards
    */
-  DependencyCheck(SpecIndex specs, Pipelines pipelines, JobStates states, int conditions) {
+  DependencyCheck(
+      AcceptedJobIndex specs, Pipelines pipelines, JobStatusReader states, int conditions) {
     this.specs = specs;
     this.pipelines = pipelines;
     this.states = states;
@@ -36,11 +37,11 @@
   /** Why the job can't depend on what it names; to be asked after a barrier. */
   Optional<String> wrongDependency(JobSpec spec) {
     for (String uid : spec.dependencies()) {
-      Optional<SpecIndex.Spec> dependency = specs.get(uid);
+      Optional<AcceptedJobIndex.AcceptedJob> dependency = specs.get(uid);
       if (dependency.isEmpty()) {
         return Optional.of("awaits a job that was never accepted: " + uid);
       }
-      if (SpecRecord.isService(dependency.get().value())) {
+      if (JobRecord.isService(dependency.get().value())) {
         return Optional.of("awaits a service, which is never done: " + uid);
       }
     }
--- a/src/main/java/org/ploverspindle/front/Feasibility.java
+++ b/src/main/java/org/ploverspindle/front/Feasibility.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
 import org.ploverspindle.settings.Settings;
 
 /** Can a job ever run, given the teams' limits and the machine types? */
@@ -31,7 +31,7 @@
     if (team.isEmpty()) {
       return Optional.of("unknown team");
     }
-    int counted = spec.shape() == Shape.BATCH ? 1 : spec.tasks();
+    int counted = spec.shape() == JobKind.BATCH ? 1 : spec.tasks();
     if (isBeyond(team.get().coresMax(), spec.cores() * counted)
         || isBeyond(team.get().acceleratorsMax(), spec.accelerators() * counted)) {
       return Optional.of("more than the team's limit");
--- a/src/main/java/org/ploverspindle/front/JobStates.java
+++ b/src/main/java/org/ploverspindle/front/JobStatusReader.java
@@ -4,22 +4,23 @@
 import java.util.Optional;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.pipelines.Pipelines;
+import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressCounts;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
 
 /** How jobs are by the replica. Whether the replica is new enough is the caller's question. */
-final class JobStates {
+final class JobStatusReader {
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
 
   private final Replica replica;
-  private final SpecIndex specs;
+  private final AcceptedJobIndex specs;
   private final Pipelines pipelines;
   private final ProgressCounts counts;
 
-  JobStates(Replica replica, SpecIndex specs, Pipelines pipelines, ProgressCounts counts) {
+  JobStatusReader(
+      Replica replica, AcceptedJobIndex specs, Pipelines pipelines, ProgressCounts counts) {
     this.replica = replica;
     this.specs = specs;
     this.pipelines = pipelines;
@@ -27,8 +28,8 @@
   }
 
   /** The answer to who asks when the replica can't be read in time. */
-  static Answer notNow() {
-    return Answer.later(UNAVAILABLE, "the state can't be read now", 1);
+  static ApiResponse notNow() {
+    return ApiResponse.later(UNAVAILABLE, "the state can't be read now", 1);
   }
 
   boolean isKnown(String uid) {
@@ -37,7 +38,7 @@
 
   /** The job's state; empty when the replica has no such job. */
   Optional<ObjectNode> state(String uid) {
-    Optional<SpecIndex.Spec> spec = specs.get(uid);
+    Optional<AcceptedJobIndex.AcceptedJob> spec = specs.get(uid);
     if (spec.isEmpty()) {
       return Optional.empty();
     }
@@ -56,13 +57,13 @@
   }
 
   /** The state as an answer; empty when the replica has no such job. */
-  Optional<Answer> answer(String uid) {
-    return state(uid).map(state -> Answer.of(OK, state));
+  Optional<ApiResponse> answer(String uid) {
+    return state(uid).map(state -> ApiResponse.of(OK, state));
   }
 
   /** What is read back after a write, if the replica was read since. */
-  Answer readBack(String uid, boolean fresh) {
-    return fresh ? answer(uid).orElseGet(JobStates::notNow) : notNow();
+  ApiResponse readBack(String uid, boolean fresh) {
+    return fresh ? answer(uid).orElseGet(JobStatusReader::notNow) : notNow();
   }
 
   boolean isDone(String uid) {
--- a/src/main/java/org/ploverspindle/front/LeaderHints.java
+++ b/src/main/java/org/ploverspindle/front/LeaderNotifier.java
@@ -7,7 +7,7 @@
  * Tells whoever leads that there is something to read in the state service. A hint may be lost; the
  * leader then learns by its next read.
  */
-public interface LeaderHints {
+public interface LeaderNotifier {
   /** A cancellation was just sent to the state service, and may stand there in a moment. */
   void cancelling();
 
--- a/src/main/java/org/ploverspindle/front/FreshReads.java
+++ b/src/main/java/org/ploverspindle/front/LinearizableReads.java
@@ -5,7 +5,7 @@
 import org.ploverspindle.state.Replica;
 
 /** Waits until the replica is as new as a user's question, for as long as the user waits. */
-final class FreshReads {
+final class LinearizableReads {
   private static final long BARRIER_LIMIT_MS = 1_400;
 
   /** The replica is read more often than that: who waits for the next read would wait in vain. */
@@ -14,7 +14,7 @@
   private final Scheduler scheduler;
   private final Replica replica;
 
-  FreshReads(Scheduler scheduler, Replica replica) {
+  LinearizableReads(Scheduler scheduler, Replica replica) {
     this.scheduler = scheduler;
     this.replica = replica;
   }
--- a/src/main/java/org/ploverspindle/front/Creation.java
+++ b/src/main/java/org/ploverspindle/front/PendingAcceptance.java
@@ -14,17 +14,17 @@
  * @param late who asked when it was too late for the write's conditions to speak for them: the job
  *     may have been accepted and called over elsewhere before they asked
  */
-record Creation(
+record PendingAcceptance(
     JobSpec spec,
     JsonNode value,
     int bytes,
     long cameMs,
     List<String> guards,
-    List<Consumer<Answer>> askers,
-    List<Consumer<Answer>> late) {
+    List<Consumer<ApiResponse>> askers,
+    List<Consumer<ApiResponse>> late) {
 
-  static Creation of(Submission submission, List<String> guards) {
-    return new Creation(
+  static PendingAcceptance of(Submission submission, List<String> guards) {
+    return new PendingAcceptance(
         submission.spec(),
         submission.value(),
         submission.bytes(),
@@ -34,19 +34,19 @@
         new ArrayList<>());
   }
 
-  Creation guardedBy(List<String> others) {
-    return new Creation(spec, value, bytes, cameMs, others, askers, late);
+  PendingAcceptance guardedBy(List<String> others) {
+    return new PendingAcceptance(spec, value, bytes, cameMs, others, askers, late);
   }
 
   String uid() {
     return spec.uid();
   }
 
-  void answer(Answer answer) {
+  void answer(ApiResponse answer) {
     askers.forEach(asker -> asker.accept(answer));
   }
 
-  void answerAll(Answer answer) {
+  void answerAll(ApiResponse answer) {
     answer(answer);
     late.forEach(asker -> asker.accept(answer));
   }
--- a/src/main/java/org/ploverspindle/front/QueryService.java
+++ b/src/main/java/org/ploverspindle/front/QueryService.java
@@ -13,25 +13,25 @@
   private static final int NOT_FOUND = 404;
   private static final int MOST_EXPLAINED = 50;
 
-  private final FreshReads reads;
-  private final JobStates states;
+  private final LinearizableReads reads;
+  private final JobStatusReader states;
   private final Pipelines pipelines;
 
-  QueryService(FreshReads reads, JobStates states, Pipelines pipelines) {
+  QueryService(LinearizableReads reads, JobStatusReader states, Pipelines pipelines) {
     this.reads = reads;
     this.states = states;
     this.pipelines = pipelines;
   }
 
   /** Answers a poll, no older than what any node told before it came. */
-  void poll(String uid, Consumer<Answer> then) {
+  void poll(String uid, Consumer<ApiResponse> then) {
     if (!SubmissionCodec.validUid(uid)) {
       then.accept(noSuchJob());
     } else if (states.isOver(uid)) {
       // What is over stays so: no newer answer can differ.
       then.accept(states.answer(uid).orElseThrow());
     } else if (!reads.isLoaded()) {
-      then.accept(JobStates.notNow());
+      then.accept(JobStatusReader.notNow());
     } else {
       // Polls come every few seconds for each job, and nobody waits for one to go on.
       reads.patientBarrier(
@@ -39,12 +39,12 @@
               then.accept(
                   fresh
                       ? states.answer(uid).orElseGet(QueryService::noSuchJob)
-                      : JobStates.notNow()));
+                      : JobStatusReader.notNow()));
     }
   }
 
-  static Answer noSuchJob() {
-    return Answer.error(NOT_FOUND, "no such job");
+  static ApiResponse noSuchJob() {
+    return ApiResponse.error(NOT_FOUND, "no such job");
   }
 
   /** For people: how the replica has the job, and what it awaits. */
--- a/src/main/java/org/ploverspindle/front/Submission.java
+++ b/src/main/java/org/ploverspindle/front/Submission.java
@@ -19,7 +19,7 @@
     JsonNode value,
     Optional<DependenciesRecord> list,
     long cameMs,
-    Consumer<Answer> then) {
+    Consumer<ApiResponse> then) {
   /** Quotes, colon and comma around the name of a value. */
   private static final int NAME_FRAME_BYTES = 4;
 
--- a/src/main/java/org/ploverspindle/front/SubmissionCodec.java
+++ b/src/main/java/org/ploverspindle/front/SubmissionCodec.java
@@ -9,9 +9,9 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.regex.Pattern;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 
 /** The wire form of submissions, checked field by field. */
 final class SubmissionCodec {
@@ -63,20 +63,20 @@
     double cores = amount("cores");
     double accelerators = amount("accelerators");
     double memory = amount("mem_gb");
-    Shape shape =
+    JobKind shape =
         switch (text("shape")) {
-          case "batch" -> Shape.BATCH;
+          case "batch" -> JobKind.BATCH;
           // Not in the protocol's table, yet the bench's trial on real processes asks for it.
-          case "group" -> Shape.GANG;
-          case "daemon" -> Shape.SERVICE;
+          case "group" -> JobKind.GANG;
+          case "daemon" -> JobKind.SERVICE;
           default -> throw new Malformed("shape: " + text("shape"));
         };
-    Urgency urgency =
+    Priority urgency =
         switch (text("urgency")) {
-          case "critical" -> Urgency.CRITICAL;
-          case "high" -> Urgency.HIGH;
-          case "normal" -> Urgency.NORMAL;
-          case "best_effort" -> Urgency.BEST_EFFORT;
+          case "critical" -> Priority.CRITICAL;
+          case "high" -> Priority.HIGH;
+          case "normal" -> Priority.NORMAL;
+          case "best_effort" -> Priority.BEST_EFFORT;
           default -> throw new Malformed("urgency: " + text("urgency"));
         };
     return new JobSpec(
--- a/src/main/java/org/ploverspindle/front/SubmissionService.java
+++ b/src/main/java/org/ploverspindle/front/SubmissionService.java
@@ -8,7 +8,7 @@
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.DependenciesRecord;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.state.JobRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -32,8 +32,8 @@
   private static final int MANY_LISTS_RETRY_S = 3;
 
   private final Scheduler scheduler;
-  private final FreshReads reads;
-  private final JobStates states;
+  private final LinearizableReads reads;
+  private final JobStatusReader states;
   private final Feasibility feasibility;
   private final DependencyCheck dependencies;
   private final DependenciesWriter lists;
@@ -47,8 +47,8 @@
    */
   SubmissionService(
       Scheduler scheduler,
-      FreshReads reads,
-      JobStates states,
+      LinearizableReads reads,
+      JobStatusReader states,
       Feasibility feasibility,
       DependencyCheck dependencies,
       DependenciesWriter lists,
@@ -67,18 +67,18 @@
   }
 
   /** Answers a submission, at the latest when its user is about to give up. */
-  void submit(byte[] bytes, Consumer<Answer> then) {
+  void submit(byte[] bytes, Consumer<ApiResponse> then) {
     Optional<ObjectNode> body = Cbor.readMap(bytes);
     if (body.isEmpty()) {
-      then.accept(Answer.error(MALFORMED, "the body must be a CBOR map"));
+      then.accept(ApiResponse.error(MALFORMED, "the body must be a CBOR map"));
       return;
     }
     Optional<String> uid = SubmissionCodec.uid(body.get());
     if (uid.isEmpty()) {
-      then.accept(Answer.error(MALFORMED, "missing or invalid: uid"));
+      then.accept(ApiResponse.error(MALFORMED, "missing or invalid: uid"));
     } else if (!reads.isLoaded() || reads.isStale()) {
       reads.refresh();
-      then.accept(JobStates.notNow());
+      then.accept(JobStatusReader.notNow());
     } else if (states.isKnown(uid.get())) {
       known(uid.get(), then);
     } else {
@@ -86,18 +86,18 @@
     }
   }
 
-  private void unknown(String uid, ObjectNode body, Consumer<Answer> then) {
+  private void unknown(String uid, ObjectNode body, Consumer<ApiResponse> then) {
     JobSpec spec;
     try {
       spec = SubmissionCodec.decode(body);
     } catch (SubmissionCodec.Malformed e) {
       LOG.info("submission {} is malformed: {}", uid, e.getMessage());
-      Answer refusal = Answer.error(MALFORMED, "missing or invalid: " + e.getMessage());
+      ApiResponse refusal = ApiResponse.error(MALFORMED, "missing or invalid: " + e.getMessage());
       refuseUnlessKnown(uid, refusal, then);
       return;
     }
     if (!feasibility.isDecidable()) {
-      then.accept(Answer.later(UNAVAILABLE, "the machine types are not known yet", 2));
+      then.accept(ApiResponse.later(UNAVAILABLE, "the machine types are not known yet", 2));
       return;
     }
     Submission submission = submission(spec, then);
@@ -106,7 +106,7 @@
       never = Optional.of("the job's description is too long to be kept");
     }
     if (never.isPresent()) {
-      refuseUnlessKnown(uid, Answer.error(NEVER_RUNS, never.get()), then);
+      refuseUnlessKnown(uid, ApiResponse.error(NEVER_RUNS, never.get()), then);
     } else if (spec.dependencies().isEmpty()) {
       writer.accept(submission, List.of());
     } else {
@@ -118,7 +118,7 @@
     return valueBytes - FRAME_BYTES;
   }
 
-  private Submission submission(JobSpec spec, Consumer<Answer> then) {
+  private Submission submission(JobSpec spec, Consumer<ApiResponse> then) {
     Submission whole = encoded(spec, then);
     if (whole.bytes() > mostBytes() && spec.types().isPresent()) {
       // Types that the cloud does not name run nothing: a job is not refused for a list of them.
@@ -129,9 +129,9 @@
     return whole;
   }
 
-  private Submission encoded(JobSpec spec, Consumer<Answer> then) {
+  private Submission encoded(JobSpec spec, Consumer<ApiResponse> then) {
     long nowMs = scheduler.nowMs();
-    SpecRecord record = new SpecRecord(spec, scheduler.wallMs(), chunk);
+    JobRecord record = new JobRecord(spec, scheduler.wallMs(), chunk);
     Submission whole = new Submission(spec, record.encode(), Optional.empty(), nowMs, then);
     if (spec.dependencies().isEmpty() || whole.bytes() <= mostBytes()) {
       return whole;
@@ -157,10 +157,10 @@
   private void acceptAfterRead(Submission submission, boolean fresh) {
     JobSpec spec = submission.spec();
     if (!fresh) {
-      submission.then().accept(JobStates.notNow());
+      submission.then().accept(JobStatusReader.notNow());
       return;
     }
-    Optional<Answer> answer =
+    Optional<ApiResponse> answer =
         states
             .answer(spec.uid())
             .or(() -> dependencies.wrongDependency(spec).map(SubmissionService::neverRuns));
@@ -173,15 +173,15 @@
     }
   }
 
-  private static Answer neverRuns(String why) {
-    return Answer.error(NEVER_RUNS, why);
+  private static ApiResponse neverRuns(String why) {
+    return ApiResponse.error(NEVER_RUNS, why);
   }
 
   private void storeList(Submission submission, DependenciesRecord list) {
     if (lists.isFull()) {
       submission
           .then()
-          .accept(Answer.later(TOO_MANY, "too many long lists at once", MANY_LISTS_RETRY_S));
+          .accept(ApiResponse.later(TOO_MANY, "too many long lists at once", MANY_LISTS_RETRY_S));
       return;
     }
     boolean[] answered = {false};
@@ -203,11 +203,13 @@
       long cameMs = scheduler.nowMs() - AcceptanceWriter.CREATE_LIMIT_MS + AFTER_LIST_MS;
       writer.accept(submission.cameAt(Math.max(cameMs, submission.cameMs())), List.of());
     } else {
-      submission.then().accept(Answer.later(UNAVAILABLE, "the list of jobs is not stored yet", 1));
+      submission
+          .then()
+          .accept(ApiResponse.later(UNAVAILABLE, "the list of jobs is not stored yet", 1));
     }
   }
 
-  private void known(String uid, Consumer<Answer> then) {
+  private void known(String uid, Consumer<ApiResponse> then) {
     if (states.isOver(uid)) {
       then.accept(states.answer(uid).orElseThrow());
     } else {
@@ -216,8 +218,9 @@
   }
 
   /** A job that any node accepted is never refused, also when the repeat's body is not as good. */
-  private void refuseUnlessKnown(String uid, Answer refusal, Consumer<Answer> then) {
+  private void refuseUnlessKnown(String uid, ApiResponse refusal, Consumer<ApiResponse> then) {
     reads.barrier(
-        fresh -> then.accept(fresh ? states.answer(uid).orElse(refusal) : JobStates.notNow()));
+        fresh ->
+            then.accept(fresh ? states.answer(uid).orElse(refusal) : JobStatusReader.notNow()));
   }
 }
--- a/src/main/java/org/ploverspindle/front/UserApi.java
+++ b/src/main/java/org/ploverspindle/front/UserApi.java
@@ -16,7 +16,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.ploverspindle.loop.EventLoop;
-import org.ploverspindle.loop.Rank;
+import org.ploverspindle.loop.EventPriority;
 import org.ploverspindle.settings.Address;
 import org.xnio.Options;
 import org.xnio.XnioWorker;
@@ -69,18 +69,18 @@
 
   /** What requests are handed to, on the loop. */
   public interface RequestHandler {
-    void submit(byte[] body, Consumer<Answer> then);
+    void submit(byte[] body, Consumer<ApiResponse> then);
 
-    void poll(String uid, Consumer<Answer> then);
+    void poll(String uid, Consumer<ApiResponse> then);
 
-    void withdraw(String uid, Consumer<Answer> then);
+    void withdraw(String uid, Consumer<ApiResponse> then);
 
-    void checkin(byte[] body, Consumer<Answer> then);
+    void checkin(byte[] body, Consumer<ApiResponse> then);
 
-    void status(Consumer<Answer> then);
+    void status(Consumer<ApiResponse> then);
 
     /** What is known of one job, and what it awaits, for people. */
-    void jobStatus(String uid, Consumer<Answer> then);
+    void jobStatus(String uid, Consumer<ApiResponse> then);
   }
 
   private final EventLoop loop;
@@ -136,14 +136,16 @@
     switch (path) {
       case "/checkin" -> {
         if (allow(exchange, method, Methods.POST)) {
-          body(exchange, (bytes, then) -> handler.checkin(bytes, then), Rank.REPORT);
+          body(exchange, (bytes, then) -> handler.checkin(bytes, then), EventPriority.REPORT);
         }
       }
       case "/ready" -> {
         if (allow(exchange, method, Methods.GET)) {
           send(
               exchange,
-              ready.getAsBoolean() ? Answer.error(200, "") : Answer.later(503, "not ready", 1));
+              ready.getAsBoolean()
+                  ? ApiResponse.error(200, "")
+                  : ApiResponse.later(503, "not ready", 1));
         }
       }
       case "/status" -> {
@@ -152,15 +154,15 @@
               Optional.ofNullable(exchange.getQueryParameters().get("job")).map(Deque::peek);
           hand(
               exchange,
-              Rank.SUBMISSION,
+              EventPriority.SUBMISSION,
               then ->
                   job.ifPresentOrElse(
                       uid -> handler.jobStatus(uid, then), () -> handler.status(then)));
         }
       }
       case JOBS -> {
-        if (allow(exchange, method, Methods.POST) && admitted(exchange, Rank.SUBMISSION)) {
-          body(exchange, handler::submit, Rank.SUBMISSION);
+        if (allow(exchange, method, Methods.POST) && admitted(exchange, EventPriority.SUBMISSION)) {
+          body(exchange, handler::submit, EventPriority.SUBMISSION);
         }
       }
       default -> job(exchange, path, method);
@@ -169,22 +171,22 @@
 
   private void job(HttpServerExchange exchange, String path, HttpString method) {
     if (!path.startsWith(JOBS + "/")) {
-      send(exchange, Answer.error(404, "no such path"));
+      send(exchange, ApiResponse.error(404, "no such path"));
       return;
     }
     String rest = path.substring(JOBS.length() + 1);
     int slash = rest.indexOf('/');
     if (slash < 0) {
-      if (allow(exchange, method, Methods.GET) && admitted(exchange, Rank.POLL)) {
-        hand(exchange, Rank.POLL, then -> handler.poll(rest, then));
+      if (allow(exchange, method, Methods.GET) && admitted(exchange, EventPriority.POLL)) {
+        hand(exchange, EventPriority.POLL, then -> handler.poll(rest, then));
       }
     } else if (rest.substring(slash).equals("/withdraw")) {
-      if (allow(exchange, method, Methods.POST) && admitted(exchange, Rank.SUBMISSION)) {
+      if (allow(exchange, method, Methods.POST) && admitted(exchange, EventPriority.SUBMISSION)) {
         String uid = rest.substring(0, slash);
-        body(exchange, (bytes, then) -> handler.withdraw(uid, then), Rank.SUBMISSION);
+        body(exchange, (bytes, then) -> handler.withdraw(uid, then), EventPriority.SUBMISSION);
       }
     } else {
-      send(exchange, Answer.error(404, "no such path"));
+      send(exchange, ApiResponse.error(404, "no such path"));
     }
   }
 
@@ -193,22 +195,22 @@
       return true;
     }
     exchange.getResponseHeaders().put(Headers.ALLOW, only.toString());
-    send(exchange, Answer.error(405, "the method must be " + only));
+    send(exchange, ApiResponse.error(405, "the method must be " + only));
     return false;
   }
 
   /** Under overload users are told at once to come back: workers and decisions go first. */
-  private boolean admitted(HttpServerExchange exchange, Rank rank) {
+  private boolean admitted(HttpServerExchange exchange, EventPriority rank) {
     if (connections() > mostWithUsers) {
       // The sockets that are left are for workers: who can't report loses its tasks.
       exchange.setPersistent(false);
-      send(exchange, Answer.later(503, "no connections are left", 2));
+      send(exchange, ApiResponse.later(503, "no connections are left", 2));
       return false;
     }
     if (loop.backlog(rank) < maxUserWork) {
       return true;
     }
-    send(exchange, Answer.later(429, "too much to do", 2));
+    send(exchange, ApiResponse.later(429, "too much to do", 2));
     return false;
   }
 
@@ -217,10 +219,10 @@
   }
 
   private interface WithBody {
-    void accept(byte[] body, Consumer<Answer> then);
+    void accept(byte[] body, Consumer<ApiResponse> then);
   }
 
-  private void body(HttpServerExchange exchange, WithBody work, Rank rank) {
+  private void body(HttpServerExchange exchange, WithBody work, EventPriority rank) {
     Receiver receiver = exchange.getRequestReceiver();
     receiver.setMaxBufferSize(MAX_BODY);
     receiver.receiveFullBytes(
@@ -229,16 +231,17 @@
           boolean tooLarge = e instanceof Receiver.RequestToLargeException;
           if (tooLarge || ex.getRequestContentLength() > MAX_BODY) {
             ex.setPersistent(false);
-            send(ex, Answer.error(413, "the body is too large"));
+            send(ex, ApiResponse.error(413, "the body is too large"));
           } else {
             ex.setPersistent(false);
-            send(ex, Answer.error(400, "the body could not be read"));
+            send(ex, ApiResponse.error(400, "the body could not be read"));
           }
         });
   }
 
-  private void hand(HttpServerExchange exchange, Rank rank, Consumer<Consumer<Answer>> work) {
-    long keepsMs = rank == Rank.REPORT ? REPORT_KEEPS_MS : ANSWER_KEEPS_MS;
+  private void hand(
+      HttpServerExchange exchange, EventPriority rank, Consumer<Consumer<ApiResponse>> work) {
+    long keepsMs = rank == EventPriority.REPORT ? REPORT_KEEPS_MS : ANSWER_KEEPS_MS;
     Runnable task = () -> work.accept(a -> reply(exchange, a, keepsMs));
     if (exchange.isInIoThread()) {
       exchange.dispatch(SameThreadExecutor.INSTANCE, () -> loop.execute(rank, task));
@@ -247,14 +250,14 @@
     }
   }
 
-  private void reply(HttpServerExchange exchange, Answer answer, long keepsMs) {
+  private void reply(HttpServerExchange exchange, ApiResponse answer, long keepsMs) {
     long madeMs = loop.nowMs();
     exchange
         .getIoThread()
         .execute(() -> send(exchange, answer.after(loop.nowMs() - madeMs, keepsMs)));
   }
 
-  private void send(HttpServerExchange exchange, Answer answer) {
+  private void send(HttpServerExchange exchange, ApiResponse answer) {
     if (exchange.isResponseStarted()) {
       return;
     }
--- a/src/main/java/org/ploverspindle/front/UserRequests.java
+++ b/src/main/java/org/ploverspindle/front/UserRequests.java
@@ -5,10 +5,10 @@
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.ProgressCounts;
-import org.ploverspindle.state.ProgressRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.TokenBucket;
 
@@ -33,21 +33,21 @@
       Scheduler scheduler,
       StateStore store,
       Replica replica,
-      SpecIndex specs,
+      AcceptedJobIndex specs,
       Pipelines pipelines,
       ProgressCounts counts,
       Catalogue catalogue,
       Settings settings,
       TokenBucket writes,
       String nonce,
-      LeaderHints leaderHints) {
+      LeaderNotifier leaderHints) {
     Settings.StateLimits limits = settings.writeLimits();
     int valueBytes = Math.min(limits.valueBytes(), MAX_VALUE_BYTES);
-    FreshReads reads = new FreshReads(scheduler, replica);
-    JobStates states = new JobStates(replica, specs, pipelines, counts);
+    LinearizableReads reads = new LinearizableReads(scheduler, replica);
+    JobStatusReader states = new JobStatusReader(replica, specs, pipelines, counts);
     DependencyCheck dependencies =
         new DependencyCheck(
-            specs, pipelines, states, CreationBatch.mostGuards(settings.writeLimits().txnOps()));
+            specs, pipelines, states, AcceptanceBatch.mostGuards(settings.writeLimits().txnOps()));
     DependenciesWriter lists =
         new DependenciesWriter(scheduler, store, replica, limits.txnOps(), limits.writeRps());
     AcceptanceWriter writer =
@@ -72,7 +72,7 @@
             lists,
             writer,
             valueBytes,
-            ProgressRecord.chunkFor(limits.valueBytes()));
+            SnapshotRecord.chunkFor(limits.valueBytes()));
     this.queries = new QueryService(reads, states, pipelines);
     this.cancellations =
         new CancellationService(
@@ -80,17 +80,17 @@
   }
 
   /** Answers a submission. */
-  public void submit(byte[] body, Consumer<Answer> then) {
+  public void submit(byte[] body, Consumer<ApiResponse> then) {
     submissions.submit(body, then);
   }
 
   /** Answers a question about a job's state. */
-  public void poll(String uid, Consumer<Answer> then) {
+  public void poll(String uid, Consumer<ApiResponse> then) {
     queries.poll(uid, then);
   }
 
   /** Answers a request to cancel a job. */
-  public void cancel(String uid, Consumer<Answer> then) {
+  public void cancel(String uid, Consumer<ApiResponse> then) {
     cancellations.cancel(uid, then);
   }
 
--- a/src/main/java/org/ploverspindle/jobs/DurableTasks.java
+++ b/src/main/java/org/ploverspindle/jobs/DurableTasks.java
@@ -26,7 +26,7 @@
   }
 
   /** From now on the statement may stand, whether an answer tells of it or not. */
-  void sending(Statement s) {
+  void sending(TaskStatuses s) {
     if (!s.placements().isEmpty()) {
       BitSet tasks = live.computeIfAbsent(s.job(), j -> new BitSet());
       s.placements().forEach(p -> tasks.set(p.task()));
@@ -34,7 +34,7 @@
   }
 
   /** The statement stands, and is the newest of its tasks. */
-  void committed(Statement s) {
+  void committed(TaskStatuses s) {
     if (!s.job().over()) {
       done.computeIfAbsent(s.job(), j -> new BitSet()).or(s.done());
     }
--- a/src/main/java/org/ploverspindle/jobs/Job.java
+++ b/src/main/java/org/ploverspindle/jobs/Job.java
@@ -41,7 +41,7 @@
   private boolean blocked;
   private boolean awaiting;
   private long sinceWallMs;
-  private Urgency urgency;
+  private Priority urgency;
   private OptionalLong latestFinishWallMs = OptionalLong.empty();
   private OptionalLong lastChanceWallMs = OptionalLong.empty();
 
@@ -111,7 +111,7 @@
   }
 
   /** How urgent it is: as its user says, or as any job that needs it. */
-  public Urgency urgency() {
+  public Priority urgency() {
     return urgency;
   }
 
@@ -164,7 +164,7 @@
    * @param latestFinish by when it must be done, so that all that need it can be done when due
    * @param lastChance the same for the last multiples of their due times that count
    */
-  public void passedBack(Urgency mostUrgent, OptionalLong latestFinish, OptionalLong lastChance) {
+  public void passedBack(Priority mostUrgent, OptionalLong latestFinish, OptionalLong lastChance) {
     urgency = mostUrgent.compareTo(spec.urgency()) < 0 ? mostUrgent : spec.urgency();
     latestFinishWallMs = beforeOwn(latestFinish);
     lastChanceWallMs = latestFinishWallMs.isPresent() ? lastChance : OptionalLong.empty();
@@ -377,7 +377,7 @@
     if (waiting.isEmpty() || awaiting) {
       return 0;
     }
-    if (works(nowMs) || spec.shape() == Shape.GANG && !held(nowMs)) {
+    if (works(nowMs) || spec.shape() == JobKind.GANG && !held(nowMs)) {
       return waiting.cardinality();
     }
     return held(nowMs) || !live.isEmpty() ? 0 : 1;
--- a/src/main/java/org/ploverspindle/jobs/Shape.java
+++ b/src/main/java/org/ploverspindle/jobs/JobKind.java
@@ -1,7 +1,7 @@
 package org.ploverspindle.jobs;
 
 /** What a job's tasks are. */
-public enum Shape {
+public enum JobKind {
   /** Independent tasks; each runs to its end. */
   BATCH,
   /** Tasks that need each other: they start together or not at all. */
--- a/src/main/java/org/ploverspindle/jobs/JobTable.java
+++ b/src/main/java/org/ploverspindle/jobs/JobTable.java
@@ -10,10 +10,10 @@
 import java.util.function.Predicate;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,12 +22,12 @@
   private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
 
   private final Replica replica;
-  private final SpecIndex specs;
+  private final AcceptedJobIndex specs;
   private final Catalogue catalogue;
   private final TeamUsage teams;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
 
-  public JobTable(Replica replica, SpecIndex specs, Catalogue catalogue, TeamUsage teams) {
+  public JobTable(Replica replica, AcceptedJobIndex specs, Catalogue catalogue, TeamUsage teams) {
     this.replica = replica;
     this.specs = specs;
     this.catalogue = catalogue;
@@ -52,13 +52,13 @@
   }
 
   /** Adds the job of a record, if it is readable, not done, and not known yet. */
-  public Optional<Job> add(SpecIndex.Spec accepted) {
+  public Optional<Job> add(AcceptedJobIndex.AcceptedJob accepted) {
     String uid = accepted.uid();
     if (jobs.containsKey(uid) || replica.get(Keys.done(uid)).isPresent()) {
       return Optional.empty();
     }
     boolean cancelled = replica.get(Keys.cancel(uid)).isPresent();
-    Optional<SpecRecord> record = SpecRecord.decode(uid, accepted.value());
+    Optional<JobRecord> record = JobRecord.decode(uid, accepted.value());
     if (record.isEmpty()) {
       LOG.error("what {} says of {} can't be read and is left as it is", accepted.key(), uid);
       return Optional.empty();
--- a/src/main/java/org/ploverspindle/jobs/LogRecord.java
+++ b/src/main/java/org/ploverspindle/jobs/LogRecordBuilder.java
@@ -5,46 +5,46 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.ploverspindle.state.ProgressLog;
+import org.ploverspindle.state.ProgressLogRecord;
 
 /** One record of the log in the making; nothing of it counts before its batch takes it in. */
-final class LogRecord {
+final class LogRecordBuilder {
   private static final BitSet NO_TASKS = new BitSet();
 
   private final long n;
-  private final Batch batch;
-  private final BatchSources sources;
-  private final ProgressLog.Builder builder;
-  private final Map<Chunk, BitSet> tasksSaid = new LinkedHashMap<>();
-  private final List<Statement> statements = new ArrayList<>();
+  private final WriteBatch batch;
+  private final WriteBatchContext sources;
+  private final ProgressLogRecord.Builder builder;
+  private final Map<TaskShard, BitSet> tasksSaid = new LinkedHashMap<>();
+  private final List<TaskStatuses> statements = new ArrayList<>();
 
-  LogRecord(long n, String id, Batch batch, BatchSources sources) {
+  LogRecordBuilder(long n, String id, WriteBatch batch, WriteBatchContext sources) {
     this.n = n;
     this.batch = batch;
     this.sources = sources;
-    this.builder = new ProgressLog.Builder(n, id, sources.limits().recordBytes());
+    this.builder = new ProgressLogRecord.Builder(n, id, sources.limits().recordBytes());
   }
 
   long n() {
     return n;
   }
 
-  ProgressLog.Builder builder() {
+  ProgressLogRecord.Builder builder() {
     return builder;
   }
 
-  Map<Chunk, BitSet> tasksSaid() {
+  Map<TaskShard, BitSet> tasksSaid() {
     return tasksSaid;
   }
 
-  List<Statement> statements() {
+  List<TaskStatuses> statements() {
     return statements;
   }
 
   /** Says all that rests on the record it replaces; false if that can't be. */
   boolean takesOver(long old) {
-    for (Map.Entry<Chunk, BitSet> e : sources.slots().restingOn(old).entrySet()) {
-      Chunk c = e.getKey();
+    for (Map.Entry<TaskShard, BitSet> e : sources.slots().restingOn(old).entrySet()) {
+      TaskShard c = e.getKey();
       if (c.job().isGone() && !isNeeded(c, old)) {
         continue;
       }
@@ -58,7 +58,7 @@
   }
 
   /** Does anything older speak of the chunk, so that it would count without the record? */
-  private boolean isNeeded(Chunk c, long record) {
+  private boolean isNeeded(TaskShard c, long record) {
     return !c.job().blocked()
         && (sources.checkpoints().exists(c)
             || sources.slots().isMentionedBefore(c.job().uid(), record));
@@ -67,9 +67,9 @@
   /** Says what rests on records up to this one and fits in no checkpoint; true if there was any. */
   boolean moveOn(long upTo) {
     boolean any = false;
-    for (Map<Chunk, BitSet> resting : sources.slots().restingUpTo(upTo).values()) {
-      for (Map.Entry<Chunk, BitSet> e : resting.entrySet()) {
-        Chunk c = e.getKey();
+    for (Map<TaskShard, BitSet> resting : sources.slots().restingUpTo(upTo).values()) {
+      for (Map.Entry<TaskShard, BitSet> e : resting.entrySet()) {
+        TaskShard c = e.getKey();
         if (!c.job().blocked() && !c.job().isGone() && sources.isLarge(c)) {
           BitSet open = batch.unsaid(c, e.getValue());
           open.andNot(tasksSaid.getOrDefault(c, NO_TASKS));
@@ -88,7 +88,7 @@
     boolean any = false;
     for (Map.Entry<Job, BitSet> e : tasks.entrySet()) {
       BitSet open = (BitSet) e.getValue().clone();
-      Chunk.of(e.getKey(), open)
+      TaskShard.of(e.getKey(), open)
           .keySet()
           .forEach(c -> open.andNot(tasksSaid.getOrDefault(c, NO_TASKS)));
       any |= !open.isEmpty();
@@ -104,11 +104,11 @@
     int group = sources.limits().tasksInRecord();
     while (!open.isEmpty()) {
       BitSet tasks = firstOf(open, group);
-      Statement s = Statement.of(job, tasks);
+      TaskStatuses s = TaskStatuses.of(job, tasks);
       if (builder.add(sources.encoder().delta(s))) {
         open.andNot(tasks);
         statements.add(s);
-        Chunk.of(job, tasks)
+        TaskShard.of(job, tasks)
             .forEach((c, some) -> tasksSaid.computeIfAbsent(c, x -> new BitSet()).or(some));
       } else if (group == 1) {
         return false;
--- a/src/main/java/org/ploverspindle/jobs/PendingProgress.java
+++ b/src/main/java/org/ploverspindle/jobs/PendingProgress.java
@@ -19,7 +19,7 @@
   private final LinkedHashMap<String, Job> ending = new LinkedHashMap<>();
 
   /** Chunks whose checkpoint nobody needs any more. */
-  private final LinkedHashSet<Chunk> removable = new LinkedHashSet<>();
+  private final LinkedHashSet<TaskShard> removable = new LinkedHashSet<>();
 
   void changed(Job job, int task) {
     changed.computeIfAbsent(job, j -> new BitSet()).set(task);
@@ -41,7 +41,7 @@
     ending.remove(job.uid());
   }
 
-  void removable(Chunk c) {
+  void removable(TaskShard c) {
     removable.add(c);
   }
 
@@ -87,12 +87,12 @@
   }
 
   /** The chunks to remove; what is taken is removed. */
-  Iterator<Chunk> removals() {
+  Iterator<TaskShard> removals() {
     return removable.iterator();
   }
 
   /** Those whose checkpoint does not stand need no removal. */
-  void keepRemovable(Checkpoints checkpoints) {
+  void keepRemovable(ShardSnapshots checkpoints) {
     removable.removeIf(c -> !checkpoints.exists(c));
   }
 
--- a/src/main/java/org/ploverspindle/jobs/Urgency.java
+++ b/src/main/java/org/ploverspindle/jobs/Priority.java
@@ -1,7 +1,7 @@
 package org.ploverspindle.jobs;
 
 /** Priorities, the highest first. */
-public enum Urgency {
+public enum Priority {
   CRITICAL,
   HIGH,
   NORMAL,
--- a/src/main/java/org/ploverspindle/jobs/LogSlots.java
+++ b/src/main/java/org/ploverspindle/jobs/ProgressLogSlots.java
@@ -13,40 +13,40 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressLog;
+import org.ploverspindle.state.ProgressLogRecord;
 
 /**
  * What stands in the slots of the progress log, and in which record each task's newest statement
  * is. A slot may be used again only when no newest statement rests on the record that stands there.
  */
-final class LogSlots {
+final class ProgressLogSlots {
   /** By the log's record: chunks with tasks whose newest statement is there, and which. */
-  private final TreeMap<Long, Map<Chunk, BitSet>> resting = new TreeMap<>();
+  private final TreeMap<Long, Map<TaskShard, BitSet>> resting = new TreeMap<>();
 
   /** The records in {@link #resting} that speak of the chunk. */
-  private final Map<Chunk, TreeSet<Long>> recordsOf = new HashMap<>();
+  private final Map<TaskShard, TreeSet<Long>> recordsOf = new HashMap<>();
 
   /** By the log's record: the jobs that it speaks of, or would if its unanswered write stood. */
   private final TreeMap<Long, Set<String>> mentions = new TreeMap<>();
 
   /** The version of each slot's key, or 0. */
-  private final long[] stamps = new long[ProgressLog.SLOTS];
+  private final long[] stamps = new long[ProgressLogRecord.SLOTS];
 
   /** The number of the record that stands in each slot, or 0. */
-  private final long[] standing = new long[ProgressLog.SLOTS];
+  private final long[] standing = new long[ProgressLogRecord.SLOTS];
 
   /** Slots whose record can't be read: it stays, as a later leader must see it too. */
   private final BitSet damaged = new BitSet();
 
   /** Record {@code n} stands in its slot. */
   void stands(long n, long stamp) {
-    stamps[ProgressLog.slot(n)] = stamp;
-    standing[ProgressLog.slot(n)] = n;
+    stamps[ProgressLogRecord.slot(n)] = stamp;
+    standing[ProgressLogRecord.slot(n)] = n;
   }
 
   /** What stands under this key of the log can't be read. */
   void markDamaged(String key) {
-    for (int slot = 0; slot < ProgressLog.SLOTS; slot++) {
+    for (int slot = 0; slot < ProgressLogRecord.SLOTS; slot++) {
       if (Keys.log(slot).equals(key)) {
         damaged.set(slot);
       }
@@ -54,17 +54,17 @@
   }
 
   boolean isDamaged(long n) {
-    return damaged.get(ProgressLog.slot(n));
+    return damaged.get(ProgressLogRecord.slot(n));
   }
 
   /** The version of the key of record {@code n}'s slot, or 0 if nothing stands there. */
   long stampAt(long n) {
-    return stamps[ProgressLog.slot(n)];
+    return stamps[ProgressLogRecord.slot(n)];
   }
 
   /** The number of the record that stands in record {@code n}'s slot, or 0. */
   long standingAt(long n) {
-    return standing[ProgressLog.slot(n)];
+    return standing[ProgressLogRecord.slot(n)];
   }
 
   /** Record {@code n} speaks of the job, be it covered or not, or would if it stood. */
@@ -82,22 +82,25 @@
   }
 
   /** The newest statements that rest on the record. */
-  Map<Chunk, BitSet> restingOn(long record) {
+  Map<TaskShard, BitSet> restingOn(long record) {
     return resting.getOrDefault(record, Map.of());
   }
 
   /** The newest statements that rest on records up to this one, by record. */
-  SortedMap<Long, Map<Chunk, BitSet>> restingUpTo(long record) {
+  SortedMap<Long, Map<TaskShard, BitSet>> restingUpTo(long record) {
     return Collections.unmodifiableSortedMap(resting.headMap(record, true));
   }
 
   /** A job with a newest statement in the log. */
   Optional<Job> job(String uid) {
-    return recordsOf.keySet().stream().map(Chunk::job).filter(j -> j.uid().equals(uid)).findFirst();
+    return recordsOf.keySet().stream()
+        .map(TaskShard::job)
+        .filter(j -> j.uid().equals(uid))
+        .findFirst();
   }
 
   /** The tasks' statements move on to record {@code n}, unless newer ones stand. */
-  void spoken(Chunk c, BitSet tasks, long n) {
+  void spoken(TaskShard c, BitSet tasks, long n) {
     BitSet newest = (BitSet) tasks.clone();
     for (Long at : List.copyOf(recordsOf.getOrDefault(c, new TreeSet<>()))) {
       BitSet there = resting.get(at).get(c);
@@ -120,14 +123,14 @@
   }
 
   /** No record up to {@code upTo} is needed for the chunk any more. */
-  void covered(Chunk c, long upTo) {
+  void covered(TaskShard c, long upTo) {
     for (Long n : List.copyOf(recordsOf.getOrDefault(c, new TreeSet<>()).headSet(upTo, true))) {
       drop(c, n);
     }
   }
 
-  private void drop(Chunk c, long n) {
-    Map<Chunk, BitSet> there = resting.get(n);
+  private void drop(TaskShard c, long n) {
+    Map<TaskShard, BitSet> there = resting.get(n);
     there.remove(c);
     if (there.isEmpty()) {
       resting.remove(n);
@@ -141,8 +144,8 @@
 
   /** Record {@code n} comes to stand in its slot: what stood there says nothing any more. */
   void replaced(long n) {
-    int slot = ProgressLog.slot(n);
-    mentions.headMap(n).keySet().removeIf(old -> ProgressLog.slot(old) == slot);
+    int slot = ProgressLogRecord.slot(n);
+    mentions.headMap(n).keySet().removeIf(old -> ProgressLogRecord.slot(old) == slot);
     long old = standing[slot];
     if (old < n) {
       List.copyOf(restingOn(old).keySet()).stream()
--- a/src/main/java/org/ploverspindle/jobs/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/jobs/ProgressWriter.java
@@ -11,12 +11,12 @@
 import org.ploverspindle.loop.Cancellable;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressLog;
-import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.ProgressLogRecord;
 import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.Placement;
@@ -81,10 +81,10 @@
   private final Listener listener;
   private final WriteLimits limits;
   private final PendingProgress pending = new PendingProgress();
-  private final LogSlots slots = new LogSlots();
-  private final Checkpoints checkpoints = new Checkpoints();
+  private final ProgressLogSlots slots = new ProgressLogSlots();
+  private final ShardSnapshots checkpoints = new ShardSnapshots();
   private final DurableTasks durable = new DurableTasks();
-  private final BatchSources sources;
+  private final WriteBatchContext sources;
 
   /** Cancelled jobs of which placements may have ended since what to clear was looked at. */
   private final LinkedHashSet<Job> endedOf = new LinkedHashSet<>();
@@ -108,7 +108,7 @@
       int txnOps,
       int valueBytes,
       Term term,
-      Function<Machine, ProgressRecord.Host> hostNames,
+      Function<Machine, SnapshotRecord.MachineInfo> hostNames,
       Listener listener) {
     this.scheduler = scheduler;
     this.store = store;
@@ -118,7 +118,7 @@
     this.listener = listener;
     this.limits = new WriteLimits(txnOps, valueBytes);
     this.sources =
-        new BatchSources(
+        new WriteBatchContext(
             scheduler, term, limits, new ProgressEncoder(hostNames), pending, slots, checkpoints);
   }
 
@@ -141,12 +141,12 @@
 
   /** A checkpoint that an earlier leader wrote. */
   public void loadedCheckpoint(Job job, int chunk, long stamp) {
-    checkpoints.stands(new Chunk(job, chunk), stamp);
+    checkpoints.stands(new TaskShard(job, chunk), stamp);
   }
 
   /** Record {@code n} speaks of these tasks, and no checkpoint covers it. */
   public void loadedUncovered(Job job, BitSet tasks, long n) {
-    Chunk.of(job, tasks).forEach((c, some) -> slots.spoken(c, some, n));
+    TaskShard.of(job, tasks).forEach((c, some) -> slots.spoken(c, some, n));
   }
 
   /** Record {@code n} speaks of the job, be it covered or not. */
@@ -218,7 +218,7 @@
     BitSet tasks = new BitSet();
     if (slots.isMentioned(job.uid())) {
       for (int i = 0; i < job.chunks(); i++) {
-        Chunk c = new Chunk(job, i);
+        TaskShard c = new TaskShard(job, i);
         if (checkpoints.exists(c)) {
           tasks.set(c.firstTask(), c.endTask());
         }
@@ -249,7 +249,7 @@
       durable.forgetLive(job);
     }
     for (int i = 0; i < job.chunks(); i++) {
-      Chunk c = new Chunk(job, i);
+      TaskShard c = new TaskShard(job, i);
       if (!readAgain) {
         slots.covered(c, Long.MAX_VALUE);
       }
@@ -312,7 +312,8 @@
       plan(NO_BUDGET_MS);
       return;
     }
-    Batch batch = new Batch(sources, budget, nextRecord, () -> term.token() + "." + ++tries);
+    WriteBatch batch =
+        new WriteBatch(sources, budget, nextRecord, () -> term.token() + "." + ++tries);
     // Removed checkpoints may uncover what has to be cleared, in the same transaction at the
     // latest.
     batch.fill(endsWaited, clearingIsDue || pending.hasRemovals());
@@ -324,7 +325,7 @@
     send(batch);
   }
 
-  private void send(Batch batch) {
+  private void send(WriteBatch batch) {
     // From now on it may stand, whether an answer tells of it or not.
     batch
         .records()
@@ -342,12 +343,12 @@
         });
   }
 
-  private void answered(Batch batch, TxnResult result) {
+  private void answered(WriteBatch batch, TransactionResult result) {
     busy = false;
     if (closed) {
       return;
     }
-    if (result instanceof TxnResult.Committed committed) {
+    if (result instanceof TransactionResult.Committed committed) {
       failures = 0;
       failingSinceMs = -1;
       committed(batch, committed.ledger());
@@ -356,22 +357,22 @@
     }
     failures++;
     again(batch);
-    boolean tooMany = result instanceof TxnResult.Refused r && r.status() == TOO_MANY;
-    if (failingSinceMs < 0 && !tooMany && !(result instanceof TxnResult.Conflict)) {
+    boolean tooMany = result instanceof TransactionResult.Refused r && r.status() == TOO_MANY;
+    if (failingSinceMs < 0 && !tooMany && !(result instanceof TransactionResult.Conflict)) {
       failingSinceMs = scheduler.nowMs();
     }
-    if (result instanceof TxnResult.Refused refused) {
+    if (result instanceof TransactionResult.Refused refused) {
       refused(batch, refused.status());
       return;
     }
-    if (result instanceof TxnResult.Unknown) {
+    if (result instanceof TransactionResult.Unknown) {
       // It may yet stand: what is written after it has higher numbers, and so is what counts.
       batch.records().keySet().forEach(n -> nextRecord = Math.max(nextRecord, n + 1));
     }
     readBack(batch, result);
   }
 
-  private void refused(Batch batch, int status) {
+  private void refused(WriteBatch batch, int status) {
     if (status == TOO_LARGE) {
       LOG.error(
           "the state service takes no write of {}, {} in the largest value: the next ones are"
@@ -384,8 +385,8 @@
   }
 
   /** Whatever the transaction said is to be written again, as it will be then. */
-  private void again(Batch batch) {
-    for (Statement s : batch.statements()) {
+  private void again(WriteBatch batch) {
+    for (TaskStatuses s : batch.statements()) {
       if (s.job().isGone()) {
         cancelledTasksEnded(s.job());
       } else if (!s.job().over() || !s.job().live().isEmpty()) {
@@ -396,8 +397,8 @@
     batch.removed().forEach(pending::removable);
   }
 
-  private void committed(Batch batch, long ledger) {
-    for (Chunk c : batch.checkpoints()) {
+  private void committed(WriteBatch batch, long ledger) {
+    for (TaskShard c : batch.checkpoints()) {
       checkpoints.stands(c, ledger);
       slots.covered(c, batch.coveredUpTo());
     }
@@ -416,7 +417,7 @@
               nextRecord = Math.max(nextRecord, n + 1);
             });
     List<Placement> placements = new ArrayList<>();
-    for (Statement s : batch.statements()) {
+    for (TaskStatuses s : batch.statements()) {
       durable.committed(s);
       s.placements().forEach(p -> p.recorded(scheduler.nowMs()));
       placements.addAll(s.placements());
@@ -438,7 +439,7 @@
   // ---- reading back
 
   /** After no answer or a conflict only reading back tells what stands there now. */
-  private void readBack(Batch batch, TxnResult result) {
+  private void readBack(WriteBatch batch, TransactionResult result) {
     busy = true;
     replica.barrier(
         ok -> {
@@ -453,7 +454,7 @@
         });
   }
 
-  private void wasReadBack(Batch batch, TxnResult result) {
+  private void wasReadBack(WriteBatch batch, TransactionResult result) {
     boolean ours = replica.get(Keys.LEADER).map(e -> e.stamp() == term.leaderStamp()).orElse(false);
     if (!ours) {
       listener.deposed("the leader key changed under a write");
@@ -473,18 +474,18 @@
     replica.under(Keys.LOG).values().forEach(this::taken);
   }
 
-  private void readStamp(Chunk c) {
+  private void readStamp(TaskShard c) {
     checkpoints.stands(c, replica.get(c.key()).map(Entry::stamp).orElse(0L));
   }
 
   /** If a record of an unanswered write stands, what it speaks of rests on it. */
   private void taken(Entry e) {
-    Optional<ProgressLog> record = ProgressLog.decode(e.value());
-    long n = record.map(ProgressLog::n).orElse(-1L);
+    Optional<ProgressLogRecord> record = ProgressLogRecord.decode(e.value());
+    long n = record.map(ProgressLogRecord::n).orElse(-1L);
     if (n < 0 || !Keys.log(n).equals(e.key()) || slots.stampAt(n) == e.stamp()) {
       return;
     }
-    for (ProgressLog.Delta d : record.get().deltas()) {
+    for (ProgressLogRecord.Delta d : record.get().deltas()) {
       slots.mention(d.uid(), n);
       job(d.uid()).ifPresent(job -> loadedUncovered(job, tasksOf(d), n));
     }
@@ -492,7 +493,7 @@
     loadedSlot(e, n);
   }
 
-  private static BitSet tasksOf(ProgressLog.Delta d) {
+  private static BitSet tasksOf(ProgressLogRecord.Delta d) {
     BitSet tasks = (BitSet) d.done().clone();
     tasks.or(d.cleared());
     d.live().forEach(l -> tasks.set(l.task()));
--- a/src/main/java/org/ploverspindle/jobs/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/jobs/RecordedProgress.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressLog;
-import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.ProgressLogRecord;
 import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.state.StateStore.Entry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -25,18 +25,18 @@
 
   private final Replica replica;
   private final ProgressWriter writer;
-  private final Map<String, List<ProgressLog>> logByJob = new HashMap<>();
+  private final Map<String, List<ProgressLogRecord>> logByJob = new HashMap<>();
   private boolean logDamaged;
 
   /** A job's tasks as they were recorded last. */
-  public record State(BitSet done, Map<Integer, ProgressRecord.Live> live) {}
+  public record State(BitSet done, Map<Integer, SnapshotRecord.RecordedPlacement> live) {}
 
   public RecordedProgress(Replica replica, ProgressWriter writer) {
     this.replica = replica;
     this.writer = writer;
-    List<ProgressLog> records = new ArrayList<>();
+    List<ProgressLogRecord> records = new ArrayList<>();
     for (Entry e : replica.under(Keys.LOG).values()) {
-      Optional<ProgressLog> record = ProgressLog.decode(e.value());
+      Optional<ProgressLogRecord> record = ProgressLogRecord.decode(e.value());
       if (record.isPresent() && Keys.log(record.get().n()).equals(e.key())) {
         writer.loadedSlot(e, record.get().n());
         records.add(record.get());
@@ -46,10 +46,10 @@
         logDamaged = true;
       }
     }
-    records.sort(Comparator.comparingLong(ProgressLog::n));
-    for (ProgressLog record : records) {
+    records.sort(Comparator.comparingLong(ProgressLogRecord::n));
+    for (ProgressLogRecord record : records) {
       record.deltas().stream()
-          .map(ProgressLog.Delta::uid)
+          .map(ProgressLogRecord.Delta::uid)
           .distinct()
           .forEach(uid -> logByJob.computeIfAbsent(uid, u -> new ArrayList<>()).add(record));
     }
@@ -70,7 +70,7 @@
     State state = new State(new BitSet(), new TreeMap<>());
     long[] upTo = new long[job.chunks()];
     for (Entry e : replica.under(Keys.progressOf(job.uid())).values()) {
-      Optional<ProgressRecord> record = ProgressRecord.decode(e.value());
+      Optional<SnapshotRecord> record = SnapshotRecord.decode(e.value());
       int chunk = chunkOf(e.key());
       if (record.isEmpty() || chunk < 0 || chunk >= job.chunks()) {
         LOG.error(
@@ -83,8 +83,8 @@
       state.done.or(record.get().done());
       record.get().live().forEach(l -> state.live.put(l.task(), l));
     }
-    for (ProgressLog record : logByJob.getOrDefault(job.uid(), List.of())) {
-      for (ProgressLog.Delta d : record.deltas()) {
+    for (ProgressLogRecord record : logByJob.getOrDefault(job.uid(), List.of())) {
+      for (ProgressLogRecord.Delta d : record.deltas()) {
         if (d.uid().equals(job.uid())) {
           writer.loadedMention(job, record.n());
           apply(job, record.n(), d, upTo, state);
@@ -97,7 +97,7 @@
     return state;
   }
 
-  private void apply(Job job, long n, ProgressLog.Delta d, long[] upTo, State state) {
+  private void apply(Job job, long n, ProgressLogRecord.Delta d, long[] upTo, State state) {
     BitSet newer = new BitSet();
     d.done().stream()
         .filter(t -> newer(job, t, n, upTo))
@@ -114,7 +114,7 @@
               newer.set(t);
               state.live.remove(t);
             });
-    for (ProgressRecord.Live l : d.live()) {
+    for (SnapshotRecord.RecordedPlacement l : d.live()) {
       if (newer(job, l.task(), n, upTo)) {
         newer.set(l.task());
         state.live.put(l.task(), l);
--- a/src/main/java/org/ploverspindle/jobs/Checkpoints.java
+++ b/src/main/java/org/ploverspindle/jobs/ShardSnapshots.java
@@ -4,46 +4,46 @@
 import java.util.Map;
 
 /** Which checkpoints stand, and which would be too large to be written. */
-final class Checkpoints {
+final class ShardSnapshots {
   /** The least that a placement takes in a checkpoint. */
   private static final int LEAST_LIVE_BYTES = 16;
 
   /** A chunk whose checkpoint does not fit is not tried again before. */
   private static final long LARGE_FOR_MS = 1_000;
 
-  private final Map<Chunk, Long> stamps = new HashMap<>();
-  private final Map<Chunk, Long> largeUntilMs = new HashMap<>();
+  private final Map<TaskShard, Long> stamps = new HashMap<>();
+  private final Map<TaskShard, Long> largeUntilMs = new HashMap<>();
 
   /** The chunk's checkpoint stands with this version; 0: none does. */
-  void stands(Chunk c, long stamp) {
+  void stands(TaskShard c, long stamp) {
     stamps.put(c, stamp);
   }
 
-  void removed(Chunk c) {
+  void removed(TaskShard c) {
     stamps.remove(c);
   }
 
   /** The version of the chunk's checkpoint, or 0. */
-  long stamp(Chunk c) {
+  long stamp(TaskShard c) {
     return stamps.getOrDefault(c, 0L);
   }
 
-  boolean exists(Chunk c) {
+  boolean exists(TaskShard c) {
     return stamp(c) != 0;
   }
 
   /** Its checkpoint did not fit into a value. */
-  void tooLarge(Chunk c, long nowMs) {
+  void tooLarge(TaskShard c, long nowMs) {
     largeUntilMs.put(c, nowMs + LARGE_FOR_MS);
   }
 
   /** No checkpoint of it will be written any more. */
-  void over(Chunk c) {
+  void over(TaskShard c) {
     largeUntilMs.remove(c);
   }
 
   /** Does its checkpoint not fit into a value, as far as is known? */
-  boolean isLarge(Chunk c, int valueBytes, long nowMs) {
+  boolean isLarge(TaskShard c, int valueBytes, long nowMs) {
     if (largeUntilMs.getOrDefault(c, Long.MIN_VALUE) > nowMs) {
       return true;
     }
--- a/src/main/java/org/ploverspindle/jobs/Chunk.java
+++ b/src/main/java/org/ploverspindle/jobs/TaskShard.java
@@ -6,7 +6,7 @@
 import org.ploverspindle.state.Keys;
 
 /** A run of a job's tasks that is checkpointed as a whole. */
-record Chunk(Job job, int index) {
+record TaskShard(Job job, int index) {
   /** The key of its checkpoint. */
   String key() {
     return Keys.progress(job.uid(), index);
@@ -22,10 +22,10 @@
   }
 
   /** The chunks that these tasks of the job are in, each with those that are in it. */
-  static Map<Chunk, BitSet> of(Job job, BitSet tasks) {
-    Map<Chunk, BitSet> chunks = new LinkedHashMap<>();
+  static Map<TaskShard, BitSet> of(Job job, BitSet tasks) {
+    Map<TaskShard, BitSet> chunks = new LinkedHashMap<>();
     for (int t = tasks.nextSetBit(0); t >= 0; t = tasks.nextSetBit(t + 1)) {
-      chunks.computeIfAbsent(new Chunk(job, job.chunkOf(t)), c -> new BitSet()).set(t);
+      chunks.computeIfAbsent(new TaskShard(job, job.chunkOf(t)), c -> new BitSet()).set(t);
     }
     return chunks;
   }
--- a/src/main/java/org/ploverspindle/jobs/Statement.java
+++ b/src/main/java/org/ploverspindle/jobs/TaskStatuses.java
@@ -11,9 +11,9 @@
  * @param done those of the tasks that it says to be done
  * @param placements those that it says to be on machines
  */
-record Statement(Job job, BitSet tasks, BitSet done, List<Placement> placements) {
+record TaskStatuses(Job job, BitSet tasks, BitSet done, List<Placement> placements) {
   /** How these tasks are now. */
-  static Statement of(Job job, BitSet tasks) {
+  static TaskStatuses of(Job job, BitSet tasks) {
     BitSet done = (BitSet) job.done().clone();
     done.and(tasks);
     List<Placement> placements = new ArrayList<>();
@@ -23,6 +23,6 @@
         placements.add(p);
       }
     }
-    return new Statement(job, tasks, done, placements);
+    return new TaskStatuses(job, tasks, done, placements);
   }
 }
--- a/src/main/java/org/ploverspindle/jobs/Batch.java
+++ b/src/main/java/org/ploverspindle/jobs/WriteBatch.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressLog;
+import org.ploverspindle.state.ProgressLogRecord;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
@@ -20,11 +20,11 @@
  * One transaction: in the making, and then what it says, for when its answer comes. It takes what
  * it says out of what is pending.
  */
-final class Batch {
+final class WriteBatch {
   /**
    * Records that speak of jobs not yet covered are rewritten this long before their slot's turn.
    */
-  private static final int EARLY = ProgressLog.SLOTS / 4;
+  private static final int EARLY = ProgressLogRecord.SLOTS / 4;
 
   private static final int MOST_RECORDS = EARLY / 2;
 
@@ -38,17 +38,17 @@
 
   private static final BitSet NO_TASKS = new BitSet();
 
-  private final BatchSources sources;
-  private final LongFunction<LogRecord> newRecord;
+  private final WriteBatchContext sources;
+  private final LongFunction<LogRecordBuilder> newRecord;
   private final int budget;
   private final long firstRecord;
   private final List<Condition> conditions = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
-  private final List<Statement> statements = new ArrayList<>();
+  private final List<TaskStatuses> statements = new ArrayList<>();
   private final List<Job> ended = new ArrayList<>();
-  private final List<Chunk> checkpoints = new ArrayList<>();
-  private final List<Chunk> removed = new ArrayList<>();
-  private final Map<Long, Map<Chunk, BitSet>> records = new LinkedHashMap<>();
+  private final List<TaskShard> checkpoints = new ArrayList<>();
+  private final List<TaskShard> removed = new ArrayList<>();
+  private final Map<Long, Map<TaskShard, BitSet>> records = new LinkedHashMap<>();
   private long nextRecord;
   private int bytes = FIXED_BYTES;
   private int largestValueBytes;
@@ -58,12 +58,12 @@
    * @param firstRecord the number that the log goes on with
    * @param ids makes the id of each record that is tried
    */
-  Batch(BatchSources sources, int budget, long firstRecord, Supplier<String> ids) {
+  WriteBatch(WriteBatchContext sources, int budget, long firstRecord, Supplier<String> ids) {
     this.sources = sources;
     this.budget = budget;
     this.firstRecord = firstRecord;
     this.nextRecord = firstRecord;
-    this.newRecord = n -> new LogRecord(n, ids.get(), this, sources);
+    this.newRecord = n -> new LogRecordBuilder(n, ids.get(), this, sources);
     conditions.add(new Condition(Keys.LEADER, sources.term().leaderStamp()));
   }
 
@@ -79,14 +79,14 @@
     if (endsFirst) {
       ends(Math.max(1, budget - 1));
     }
-    checkpoint(firstRecord - ProgressLog.SLOTS, budget);
+    checkpoint(firstRecord - ProgressLogRecord.SLOTS, budget);
     log(false);
     ends(budget);
     if (clears) {
       log(true);
     }
     checkpoint(
-        firstRecord - ProgressLog.SLOTS + EARLY,
+        firstRecord - ProgressLogRecord.SLOTS + EARLY,
         Math.min(budget, changes.size() + EARLY_CHECKPOINTS));
     removals();
   }
@@ -120,14 +120,14 @@
    * @param forClearing whether also for what is to be cleared alone
    */
   private void log(boolean forClearing) {
-    LogSlots slots = sources.slots();
-    long end = firstRecord + ProgressLog.SLOTS;
+    ProgressLogSlots slots = sources.slots();
+    long end = firstRecord + ProgressLogRecord.SLOTS;
     int count = 0;
     for (long n = nextRecord; n < end && count < MOST_RECORDS && room(budget); n++) {
       if (slots.isDamaged(n)) {
         continue;
       }
-      LogRecord record = newRecord.apply(n);
+      LogRecordBuilder record = newRecord.apply(n);
       if (!record.takesOver(slots.standingAt(n))) {
         continue;
       }
@@ -140,8 +140,8 @@
   }
 
   /** True if there was anything to say. */
-  private boolean sayPending(LogRecord record, boolean forClearing) {
-    boolean any = record.moveOn(firstRecord - ProgressLog.SLOTS + EARLY);
+  private boolean sayPending(LogRecordBuilder record, boolean forClearing) {
+    boolean any = record.moveOn(firstRecord - ProgressLogRecord.SLOTS + EARLY);
     any |= record.sayOf(sources.pending().changes());
     if (any || forClearing) {
       // Last, so that it takes no room from what is waited for.
@@ -150,7 +150,7 @@
     return any;
   }
 
-  private void put(LogRecord record) {
+  private void put(LogRecordBuilder record) {
     long n = record.n();
     int size = record.builder().bytes();
     conditions.add(new Condition(Keys.log(n), sources.slots().stampAt(n)));
@@ -164,7 +164,7 @@
   }
 
   /** Of these tasks, those that this transaction does not say yet. */
-  BitSet unsaid(Chunk c, BitSet tasks) {
+  BitSet unsaid(TaskShard c, BitSet tasks) {
     BitSet open = (BitSet) tasks.clone();
     if (checkpoints.contains(c)) {
       open.clear();
@@ -175,8 +175,8 @@
 
   /** Writes whole what rests on records up to {@code upToRecord}, where it fits. */
   private void checkpoint(long upToRecord, int most) {
-    for (Map<Chunk, BitSet> resting : sources.slots().restingUpTo(upToRecord).values()) {
-      for (Chunk c : resting.keySet()) {
+    for (Map<TaskShard, BitSet> resting : sources.slots().restingUpTo(upToRecord).values()) {
+      for (TaskShard c : resting.keySet()) {
         if (!room(most)) {
           return;
         }
@@ -188,10 +188,10 @@
     }
   }
 
-  private void addCheckpoint(Chunk c) {
+  private void addCheckpoint(TaskShard c) {
     BitSet tasks = new BitSet();
     tasks.set(c.firstTask(), c.endTask());
-    Statement s = Statement.of(c.job(), tasks);
+    TaskStatuses s = TaskStatuses.of(c.job(), tasks);
     // Covers what stands before this transaction's own records; those say the same again.
     JsonNode value = sources.encoder().checkpoint(s, firstRecord - 1);
     int size = Cbor.jsonSize(value);
@@ -208,11 +208,11 @@
   }
 
   private void removals() {
-    Iterator<Chunk> it = sources.pending().removals();
+    Iterator<TaskShard> it = sources.pending().removals();
     while (it.hasNext()
         && changes.size() < budget
         && sources.limits().roomForConditions(conditions.size())) {
-      Chunk c = it.next();
+      TaskShard c = it.next();
       if (sources.pending().isToBeCleared(c.job())) {
         // Without it older records would say where tasks are that are proven gone.
         continue;
@@ -225,8 +225,8 @@
     }
   }
 
-  StateStore.Txn transaction() {
-    return new StateStore.Txn(conditions, changes);
+  StateStore.Transaction transaction() {
+    return new StateStore.Transaction(conditions, changes);
   }
 
   boolean isEmpty() {
@@ -250,7 +250,7 @@
     return firstRecord - 1;
   }
 
-  List<Statement> statements() {
+  List<TaskStatuses> statements() {
     return statements;
   }
 
@@ -259,17 +259,17 @@
     return ended;
   }
 
-  List<Chunk> checkpoints() {
+  List<TaskShard> checkpoints() {
     return checkpoints;
   }
 
   /** Chunks whose checkpoint it removes. */
-  List<Chunk> removed() {
+  List<TaskShard> removed() {
     return removed;
   }
 
   /** By its records: the tasks that they speak of. */
-  Map<Long, Map<Chunk, BitSet>> records() {
+  Map<Long, Map<TaskShard, BitSet>> records() {
     return records;
   }
 
--- a/src/main/java/org/ploverspindle/jobs/BatchSources.java
+++ b/src/main/java/org/ploverspindle/jobs/WriteBatchContext.java
@@ -4,16 +4,16 @@
 import org.ploverspindle.loop.Scheduler;
 
 /** What a transaction is made from. */
-record BatchSources(
+record WriteBatchContext(
     Scheduler scheduler,
     Term term,
     WriteLimits limits,
     ProgressEncoder encoder,
     PendingProgress pending,
-    LogSlots slots,
-    Checkpoints checkpoints) {
+    ProgressLogSlots slots,
+    ShardSnapshots checkpoints) {
   /** Does its checkpoint not fit into a value, as far as is known? */
-  boolean isLarge(Chunk c) {
+  boolean isLarge(TaskShard c) {
     return checkpoints.isLarge(c, limits.valueBytes(), scheduler.nowMs());
   }
 }
--- a/src/main/java/org/ploverspindle/jobs/WriteLimits.java
+++ b/src/main/java/org/ploverspindle/jobs/WriteLimits.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.jobs;
 
-import org.ploverspindle.state.ProgressLog;
+import org.ploverspindle.state.ProgressLogRecord;
 
 /** How much may go into one transaction. The bounds only ever fall. */
 final class WriteLimits {
@@ -43,7 +43,8 @@
 
   /** The first guess at how many tasks of a job fit into a record. */
   int tasksInRecord() {
-    return Math.max(ProgressLog.Builder.tasksThatFit(valueBytes), valueBytes / TYPICAL_TASK_BYTES);
+    return Math.max(
+        ProgressLogRecord.Builder.tasksThatFit(valueBytes), valueBytes / TYPICAL_TASK_BYTES);
   }
 
   /** Is there room for two more conditions, which is as many as a change needs? */
--- a/src/main/java/org/ploverspindle/leadership/HeldReplies.java
+++ b/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
@@ -6,24 +6,25 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 /**
  * Answers to reports that wait a moment, because their machine has room: what is placed there by
  * then goes out in them, where it would wait for the next report. At most one is held for each
  * machine.
  */
-final class HeldReplies {
+final class DelayedResponses {
   /** A report whose answer waits for orders to become durable. */
-  private record HeldReply(Report report, Consumer<ReportHandler.Reply> then, long untilMs) {}
+  private record HeldReply(
+      Heartbeat report, Consumer<HeartbeatHandler.Response> then, long untilMs) {}
 
   private final Scheduler scheduler;
   private final MachineRegistry fleet;
-  private final ReportHandler reportHandler;
+  private final HeartbeatHandler reportHandler;
   private final BooleanSupplier mayDecide;
   private final long holdMs;
   private final Map<String, HeldReply> held = new LinkedHashMap<>();
@@ -32,10 +33,10 @@
    * @param mayDecide whether this leader is sure of its lead: without it nothing is ordered
    * @param holdMs how long an answer waits at most
    */
-  HeldReplies(
+  DelayedResponses(
       Scheduler scheduler,
       MachineRegistry fleet,
-      ReportHandler reportHandler,
+      HeartbeatHandler reportHandler,
       BooleanSupplier mayDecide,
       long holdMs) {
     this.scheduler = scheduler;
@@ -46,7 +47,7 @@
   }
 
   /** Is the report the machine's newest, and could a task be placed there within the wait? */
-  boolean worthHolding(Machine machine, Report report, long nowMs) {
+  boolean worthHolding(Machine machine, Heartbeat report, long nowMs) {
     return machine.tally() == report.tally()
         && machine.tenure() == report.tenure()
         && machine.usable(nowMs, holdMs)
@@ -54,7 +55,7 @@
   }
 
   /** Holds the answer until orders for the machine are durable, or the wait is over. */
-  void hold(Report report, Consumer<ReportHandler.Reply> then, long nowMs) {
+  void hold(Heartbeat report, Consumer<HeartbeatHandler.Response> then, long nowMs) {
     held.put(report.host(), new HeldReply(report, then, nowMs + holdMs));
   }
 
@@ -90,7 +91,7 @@
   private boolean hasOrders(String host) {
     return fleet
         .get(host)
-        .map(machine -> machine.placements().stream().anyMatch(HeldReplies::hasOrder))
+        .map(machine -> machine.placements().stream().anyMatch(DelayedResponses::hasOrder))
         .orElse(true);
   }
 
--- a/src/main/java/org/ploverspindle/leadership/DirectCommands.java
+++ b/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.Set;
 import org.ploverspindle.jobs.Job;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.workers.DirectOrders;
+import org.ploverspindle.workers.DirectCommands;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.ReportHandler;
 import org.ploverspindle.workers.WorkerClient;
 
 /**
@@ -17,11 +17,11 @@
  * hands the report that each one answers with to the report handler. What finds no room among the
  * commands under way goes out in the answer to the machine's next report instead.
  */
-final class DirectCommands {
+final class DirectCommandSender {
   private final Scheduler scheduler;
   private final WorkerClient workers;
-  private final DirectOrders directOrders;
-  private final ReportHandler reportHandler;
+  private final DirectCommands directOrders;
+  private final HeartbeatHandler reportHandler;
   private final int mostUnderWay;
   private int underWay;
   private boolean closed;
@@ -29,12 +29,12 @@
   /**
    * @param mostUnderWay each command under way has a connection of its own, and sockets are counted
    */
-  DirectCommands(
+  DirectCommandSender(
       int mostUnderWay,
       Scheduler scheduler,
       WorkerClient workers,
-      DirectOrders directOrders,
-      ReportHandler reportHandler) {
+      DirectCommands directOrders,
+      HeartbeatHandler reportHandler) {
     this.mostUnderWay = mostUnderWay;
     this.scheduler = scheduler;
     this.workers = workers;
@@ -62,7 +62,7 @@
     Set<Machine> machines = new LinkedHashSet<>();
     for (Placement placement : durable) {
       if (placement.phase() == Placement.Phase.READY
-          && placement.job().urgency().compareTo(Urgency.HIGH) <= 0) {
+          && placement.job().urgency().compareTo(Priority.HIGH) <= 0) {
         machines.add(placement.machine());
       }
     }
@@ -92,10 +92,10 @@
 
   /** Shows the machine its token in this term, without any order. */
   void announceToken(Machine machine, long tenure) {
-    send(new DirectOrders.Command(machine.address(), machine.fence(), tenure, List.of()));
+    send(new DirectCommands.Request(machine.address(), machine.fence(), tenure, List.of()));
   }
 
-  private void send(DirectOrders.Command command) {
+  private void send(DirectCommands.Request command) {
     underWay++;
     workers.order(
         command.address(),
--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -4,10 +4,10 @@
 import java.util.Deque;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import org.ploverspindle.duties.DutyLease;
-import org.ploverspindle.duties.HeldDuty;
-import org.ploverspindle.duties.Holder;
+import org.ploverspindle.duties.HeldRole;
 import org.ploverspindle.duties.LeaseTiming;
+import org.ploverspindle.duties.RoleHolder;
+import org.ploverspindle.duties.RoleLease;
 import org.ploverspindle.loop.Cancellable;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.state.Keys;
@@ -45,9 +45,9 @@
 
   private final Scheduler scheduler;
   private final Replica replica;
-  private final Timing timing;
+  private final SafetyTiming timing;
   private final Listener listener;
-  private final DutyLease lead;
+  private final RoleLease lead;
   private Optional<Term> term = Optional.empty();
   private long pausedUntilMs = Long.MIN_VALUE / 2;
   private long lastResignationMs = Long.MIN_VALUE / 2;
@@ -61,7 +61,7 @@
       StateStore store,
       Replica replica,
       RandomGenerator random,
-      Timing timing,
+      SafetyTiming timing,
       String member,
       Listener listener) {
     this.scheduler = scheduler;
@@ -71,13 +71,13 @@
     replica.listen(this::changed);
     LeaseTiming leaseTiming = new LeaseTiming(timing.stateLeaseMs(), timing.stateLeaseSurelyMs());
     this.lead =
-        new DutyLease(
+        new RoleLease(
             scheduler,
             store,
             replica,
             random,
             leaseTiming,
-            new LeadRecords(),
+            new LeaderRecords(),
             member,
             new LeadEvents());
   }
@@ -94,12 +94,12 @@
 
   /** The leader by the copy, also another node. */
   public Optional<String> leaderName() {
-    return lead.holder().map(Holder::member);
+    return lead.holder().map(RoleHolder::member);
   }
 
   /** The first token of the leader by the copy, also another node's. */
   public Optional<Long> leaderToken() {
-    return lead.holder().map(Holder::epoch);
+    return lead.holder().map(RoleHolder::epoch);
   }
 
   /** May this node decide? Only while its lease certainly lives. */
@@ -130,9 +130,9 @@
   }
 
   /** A term begins and ends with the duty to lead. */
-  private final class LeadEvents implements DutyLease.Listener {
+  private final class LeadEvents implements RoleLease.Listener {
     @Override
-    public void taken(HeldDuty duty) {
+    public void taken(HeldRole duty) {
       Term fresh = new Term(duty.epoch(), duty.stamp(), duty.sinceMs());
       LOG.info("leading with token {}", fresh.token());
       term = Optional.of(fresh);
@@ -140,7 +140,7 @@
     }
 
     @Override
-    public void lost(HeldDuty duty, String cause) {
+    public void lost(HeldRole duty, String cause) {
       Term over = term.orElseThrow();
       term = Optional.empty();
       LOG.info("no longer leading with token {}: {}", over.token(), cause);
@@ -155,7 +155,7 @@
 
   /** Who leads and since when, how long renewals take, and how long nobody led, for people. */
   public String summary() {
-    return new LeadSummary(scheduler.nowMs(), lead).toString();
+    return new LeadershipStatus(scheduler.nowMs(), lead).toString();
   }
 
   /** Another controller says that it leads: ends an older lead of ours, and is looked up. */
--- a/src/main/java/org/ploverspindle/leadership/FencedWorkers.java
+++ b/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.ploverspindle.duties.RefusedActions;
-import org.ploverspindle.workers.Order;
-import org.ploverspindle.workers.Report;
+import org.ploverspindle.duties.FencingRejections;
+import org.ploverspindle.workers.Heartbeat;
 import org.ploverspindle.workers.WorkerClient;
+import org.ploverspindle.workers.WorkerCommand;
 
 /** Direct commands of one term: counts those that a worker refused for a later term's token. */
-final class FencedWorkers implements WorkerClient {
+final class FencedWorkerClient implements WorkerClient {
   private final WorkerClient workers;
   private final Term term;
-  private final RefusedActions refused;
+  private final FencingRejections refused;
 
-  FencedWorkers(WorkerClient workers, Term term, RefusedActions refused) {
+  FencedWorkerClient(WorkerClient workers, Term term, FencingRejections refused) {
     this.workers = workers;
     this.term = term;
     this.refused = refused;
@@ -25,8 +25,8 @@
       String address,
       long token,
       long tenure,
-      List<Order> orders,
-      Consumer<Optional<Report>> then) {
+      List<WorkerCommand> orders,
+      Consumer<Optional<Heartbeat>> then) {
     workers.order(
         address,
         token,
@@ -34,7 +34,7 @@
         orders,
         answer -> {
           if (answer.isPresent() && term.isBefore(answer.get().warrant())) {
-            refused.add(RefusedActions.Kind.WORKER_COMMAND);
+            refused.add(FencingRejections.Kind.WORKER_COMMAND);
           }
           then.accept(answer);
         });
--- a/src/main/java/org/ploverspindle/leadership/TokenAnnouncement.java
+++ b/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
@@ -15,7 +15,7 @@
  * leader, but not its workers, goes on answering them, and would keep the fleet for as long as it
  * may answer without knowing the state. The first report that shows it the higher token ends that.
  */
-final class TokenAnnouncement {
+final class FencingTokenBroadcast {
   private static final long PERIOD_MS = 600;
 
   /** Until then most machines find the new leader by themselves. */
@@ -28,18 +28,18 @@
 
   private final Scheduler scheduler;
   private final Term term;
-  private final Timing timing;
+  private final SafetyTiming timing;
   private final MachineRegistry fleet;
-  private final DirectCommands commands;
+  private final DirectCommandSender commands;
   private final BooleanSupplier mayDecide;
   private final Map<String, Long> announcedMs = new HashMap<>();
 
-  TokenAnnouncement(
+  FencingTokenBroadcast(
       Scheduler scheduler,
       Term term,
-      Timing timing,
+      SafetyTiming timing,
       MachineRegistry fleet,
-      DirectCommands commands,
+      DirectCommandSender commands,
       BooleanSupplier mayDecide) {
     this.scheduler = scheduler;
     this.term = term;
--- a/src/main/java/org/ploverspindle/leadership/ReportIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
@@ -3,40 +3,40 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.ploverspindle.loop.DutyTimes;
 import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.loop.TaskTimings;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.Replica;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.Order;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
+import org.ploverspindle.workers.WorkerCommand;
 
 /** Takes workers' reports in and sees that each is answered, at once or after a moment. */
-final class ReportIntake {
+final class HeartbeatIntake {
   private final Scheduler scheduler;
   private final Replica replica;
   private final MachineRegistry fleet;
-  private final ReportHandler reportHandler;
-  private final HeldReplies heldReplies;
+  private final HeartbeatHandler reportHandler;
+  private final DelayedResponses heldReplies;
   private final SpotDrain spotDrain;
-  private final Reachability reachability;
-  private final DutyTimes times;
+  private final LeaderConnectivity reachability;
+  private final TaskTimings times;
   private final BooleanSupplier mayDecide;
 
   /**
    * @param mayDecide whether this leader is sure of its lead
    */
-  ReportIntake(
+  HeartbeatIntake(
       Scheduler scheduler,
       Replica replica,
       MachineRegistry fleet,
-      ReportHandler reportHandler,
-      HeldReplies heldReplies,
+      HeartbeatHandler reportHandler,
+      DelayedResponses heldReplies,
       SpotDrain spotDrain,
-      Reachability reachability,
-      DutyTimes times,
+      LeaderConnectivity reachability,
+      TaskTimings times,
       BooleanSupplier mayDecide) {
     this.scheduler = scheduler;
     this.replica = replica;
@@ -53,11 +53,12 @@
    * Takes a report in and answers with orders, at the latest when the wait of a held answer is
    * over. The machine's earlier report is answered first, if its answer is held.
    */
-  void report(Report report, Consumer<ReportHandler.Reply> then) {
+  void report(Heartbeat report, Consumer<HeartbeatHandler.Response> then) {
     heldReplies.release(report.host());
     long nowMs = scheduler.nowMs();
     reachability.heard(nowMs);
-    ReportHandler.Reply reply = times.call("reports", () -> reportHandler.take(report, nowMs));
+    HeartbeatHandler.Response reply =
+        times.call("reports", () -> reportHandler.take(report, nowMs));
     Optional<Machine> machine = fleet.get(report.host());
     if (report.recallS().isPresent()) {
       machine.ifPresent(recalled -> spotDrain.drain(recalled, nowMs));
@@ -78,12 +79,12 @@
    * leads. A leader that lost the state service before it had stopped a cancelled job's tasks would
    * otherwise keep their leases alive until too late.
    */
-  private ReportHandler.Reply finalStops(ReportHandler.Reply reply) {
-    return new ReportHandler.Reply(
+  private HeartbeatHandler.Response finalStops(HeartbeatHandler.Response reply) {
+    return new HeartbeatHandler.Response(
         reply.token(), reply.orders().stream().filter(this::isFinalStop).toList());
   }
 
-  private boolean isFinalStop(Order order) {
-    return order instanceof Order.Stop && replica.get(Keys.cancel(order.uid())).isPresent();
+  private boolean isFinalStop(WorkerCommand order) {
+    return order instanceof WorkerCommand.Stop && replica.get(Keys.cancel(order.uid())).isPresent();
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/JobArrivals.java
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -4,14 +4,14 @@
 import java.util.Comparator;
 import java.util.List;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.pipelines.Pipelines;
-import org.ploverspindle.placement.Arrivals;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.placement.ArrivalForecast;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
 
 /**
  * Notes jobs as they begin to wait for room, for the forecast of work, and has what jobs inherit
@@ -24,7 +24,7 @@
   private final Scheduler scheduler;
   private final Pipelines pipelines;
   private final PriorityInheritance inheritance;
-  private final Arrivals arrivals;
+  private final ArrivalForecast arrivals;
   private final TeamUsage teams;
   private final List<Job> newlyReady = new ArrayList<>();
 
@@ -32,7 +32,7 @@
       Scheduler scheduler,
       Pipelines pipelines,
       PriorityInheritance inheritance,
-      Arrivals arrivals,
+      ArrivalForecast arrivals,
       TeamUsage teams) {
     this.scheduler = scheduler;
     this.pipelines = pipelines;
@@ -42,22 +42,22 @@
   }
 
   /** What came under earlier leaders tells how much will come under this one. */
-  void rememberAll(SpecIndex specs) {
+  void rememberAll(AcceptedJobIndex specs) {
     specs.uids().stream()
         .flatMap(uid -> specs.get(uid).stream())
-        .sorted(Comparator.comparingLong(spec -> SpecRecord.acceptedWallMs(spec.value())))
+        .sorted(Comparator.comparingLong(spec -> JobRecord.acceptedWallMs(spec.value())))
         .forEach(this::remember);
   }
 
-  private void remember(SpecIndex.Spec spec) {
+  private void remember(AcceptedJobIndex.AcceptedJob spec) {
     if (pipelines.graph().awaitsOthers(spec.uid())) {
       // It came when it became ready, which nobody has recorded.
       return;
     }
-    long wallMs = SpecRecord.acceptedWallMs(spec.value());
+    long wallMs = JobRecord.acceptedWallMs(spec.value());
     arrivals.came(wallMs);
     if (scheduler.wallMs() - wallMs < REMEMBERED_MS) {
-      SpecRecord.decode(spec.uid(), spec.value())
+      JobRecord.decode(spec.uid(), spec.value())
           .ifPresent(
               record ->
                   arrivals.work(record.spec(), record.spec().dueS(), record.acceptedWallMs()));
@@ -105,7 +105,7 @@
   }
 
   private boolean isPressing(Job job) {
-    if (job.urgency().compareTo(Urgency.HIGH) <= 0) {
+    if (job.urgency().compareTo(Priority.HIGH) <= 0) {
       return true;
     }
     int tasks = job.spec().tasks();
--- a/src/main/java/org/ploverspindle/leadership/JobIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/JobIntake.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.ploverspindle.cloud.Rentals;
+import org.ploverspindle.cloud.Autoscaler;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobTable;
 import org.ploverspindle.jobs.ProgressWriter;
 import org.ploverspindle.loop.Cancellable;
+import org.ploverspindle.loop.CancellableGroup;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.loop.Scope;
 import org.ploverspindle.pipelines.DependencyGraph;
 import org.ploverspindle.pipelines.Pipelines;
+import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
@@ -29,29 +29,29 @@
 
   private final Scheduler scheduler;
   private final Pipelines pipelines;
-  private final SpecIndex specs;
+  private final AcceptedJobIndex specs;
   private final JobTable jobs;
   private final MachineRegistry fleet;
   private final ProgressWriter writer;
   private final JobArrivals arrivals;
   private final TaskProgress progress;
-  private final DirectCommands commands;
-  private final PlacingRounds placing;
-  private final Rentals rentals;
+  private final DirectCommandSender commands;
+  private final SchedulingRounds placing;
+  private final Autoscaler rentals;
   private boolean closed;
 
   JobIntake(
       Scheduler scheduler,
       Pipelines pipelines,
-      SpecIndex specs,
+      AcceptedJobIndex specs,
       JobTable jobs,
       MachineRegistry fleet,
       ProgressWriter writer,
       JobArrivals arrivals,
       TaskProgress progress,
-      DirectCommands commands,
-      PlacingRounds placing,
-      Rentals rentals) {
+      DirectCommandSender commands,
+      SchedulingRounds placing,
+      Autoscaler rentals) {
     this.scheduler = scheduler;
     this.pipelines = pipelines;
     this.specs = specs;
@@ -67,7 +67,7 @@
 
   /** Listens to the records from now on, until cancelled. */
   Cancellable start(Replica replica) {
-    Scope listening = new Scope();
+    CancellableGroup listening = new CancellableGroup();
     listening.add(replica.listen(this::recordChanged));
     listening.add(specs.listen(this::accepted));
     listening.add(pipelines.graph().listen(new GraphEvents()));
@@ -85,7 +85,7 @@
     }
   }
 
-  private void accepted(SpecIndex.Spec spec) {
+  private void accepted(AcceptedJobIndex.AcceptedJob spec) {
     if (closed) {
       return;
     }
@@ -102,7 +102,7 @@
   }
 
   /** All that the job awaited is done: it comes as a new one does. */
-  private void ready(SpecIndex.Spec spec) {
+  private void ready(AcceptedJobIndex.AcceptedJob spec) {
     Optional<Job> known = jobs.get(spec.uid());
     if (known.isPresent()) {
       resume(known.get());
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -2,35 +2,35 @@
 
 import java.util.List;
 import java.util.function.Consumer;
+import org.ploverspindle.cloud.Autoscaler;
 import org.ploverspindle.cloud.Catalogue;
-import org.ploverspindle.cloud.Rentals;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobTable;
 import org.ploverspindle.jobs.ProgressWriter;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.loop.DutyTimes;
+import org.ploverspindle.loop.CancellableGroup;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.loop.Scope;
+import org.ploverspindle.loop.TaskTimings;
 import org.ploverspindle.pipelines.DependencyGraph;
 import org.ploverspindle.pipelines.Pipelines;
-import org.ploverspindle.placement.Aims;
-import org.ploverspindle.placement.Arrivals;
-import org.ploverspindle.placement.Demand;
-import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.placement.ArrivalForecast;
 import org.ploverspindle.placement.Placer;
+import org.ploverspindle.placement.RuntimeEstimates;
+import org.ploverspindle.placement.ScaleOutPlanner;
+import org.ploverspindle.placement.ServiceLevelObjectives;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.settings.SocketBudget;
-import org.ploverspindle.state.LeaderWrites;
-import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
+import org.ploverspindle.state.LeaderWriter;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
-import org.ploverspindle.workers.DirectOrders;
+import org.ploverspindle.state.SnapshotRecord;
+import org.ploverspindle.workers.DirectCommands;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -73,31 +73,31 @@
 
   private final Scheduler scheduler;
   private final Replica replica;
-  private final SpecIndex specs;
+  private final AcceptedJobIndex specs;
   private final DependencyGraph graph;
-  private final Timing timing;
+  private final SafetyTiming timing;
   private final Term term;
   private final Election election;
-  private final DutyTimes times = new DutyTimes();
-  private final Scope duties = new Scope();
-  private final Estimates estimates = new Estimates();
-  private final Arrivals forecast = new Arrivals();
-  private final Aims aims;
+  private final TaskTimings times = new TaskTimings();
+  private final CancellableGroup duties = new CancellableGroup();
+  private final RuntimeEstimates estimates = new RuntimeEstimates();
+  private final ArrivalForecast forecast = new ArrivalForecast();
+  private final ServiceLevelObjectives aims;
   private final TeamUsage teams;
   private final JobTable jobs;
   private final MachineRegistry fleet;
   private final ProgressWriter writer;
   private final TaskProgress progress;
-  private final Reachability reachability;
+  private final LeaderConnectivity reachability;
   private final JobArrivals arrivals;
-  private final PlacingRounds placing;
-  private final Rentals rentals;
-  private final DirectCommands commands;
-  private final HeldReplies heldReplies;
-  private final ReportIntake reports;
+  private final SchedulingRounds placing;
+  private final Autoscaler rentals;
+  private final DirectCommandSender commands;
+  private final DelayedResponses heldReplies;
+  private final HeartbeatIntake reports;
   private final JobIntake intake;
   private final Recovery recovery;
-  private final TokenAnnouncement announcement;
+  private final FencingTokenBroadcast announcement;
   private long attempts;
   private boolean closed;
 
@@ -110,7 +110,7 @@
     this.timing = context.timing();
     this.term = term;
     this.election = election;
-    this.aims = new Aims(context.settings().objectives());
+    this.aims = new ServiceLevelObjectives(context.settings().objectives());
     this.teams = new TeamUsage(context.settings().teams());
     this.jobs = new JobTable(replica, specs, context.catalogue(), teams);
     this.fleet = new MachineRegistry(context.catalogue(), teams, timing, term);
@@ -122,15 +122,15 @@
     this.arrivals =
         new JobArrivals(scheduler, context.pipelines(), newInheritance(), forecast, teams);
     Placer placer = newPlacer(context);
-    this.placing = new PlacingRounds(scheduler, placer, arrivals, times, this::mayDecide);
+    this.placing = new SchedulingRounds(scheduler, placer, arrivals, times, this::mayDecide);
     this.rentals = newRentals(context, newDemand(context, placer));
-    ReportHandler reportHandler = newReportHandler();
-    DirectOrders directOrders = new DirectOrders(fleet, this::mayDecide);
+    HeartbeatHandler reportHandler = newReportHandler();
+    DirectCommands directOrders = new DirectCommands(fleet, this::mayDecide);
     this.commands =
-        new DirectCommands(
+        new DirectCommandSender(
             SocketBudget.of(context.settings()).directCommands(),
             scheduler,
-            new FencedWorkers(context.workers(), term, context.refused()),
+            new FencedWorkerClient(context.workers(), term, context.refused()),
             directOrders,
             reportHandler);
     this.heldReplies = newHeldReplies(context.settings(), reportHandler);
@@ -138,7 +138,7 @@
     this.intake = newJobIntake(context.pipelines());
     this.recovery = new Recovery(replica, graph, jobs, fleet, writer, arrivals);
     this.announcement =
-        new TokenAnnouncement(scheduler, term, timing, fleet, commands, this::mayDecide);
+        new FencingTokenBroadcast(scheduler, term, timing, fleet, commands, this::mayDecide);
   }
 
   // ---- wiring; each of these uses what the constructor has set before
@@ -157,23 +157,23 @@
         new WriterEvents());
   }
 
-  private static ProgressRecord.Host hostName(Catalogue catalogue, Machine machine) {
-    return new ProgressRecord.Host(
+  private static SnapshotRecord.MachineInfo hostName(Catalogue catalogue, Machine machine) {
+    return new SnapshotRecord.MachineInfo(
         machine.host(),
         catalogue.type(machine.type()).name(),
         catalogue.zoneName(machine.zone()),
         machine.spot());
   }
 
-  private Reachability newReachability(Settings settings) {
+  private LeaderConnectivity newReachability(Settings settings) {
     long patientMs = election.changesOften() ? timing.takeoverSilenceMs() + PATIENCE_MARGIN_MS : 0;
-    return new Reachability(fleet, term, settings, this::listRead, patientMs);
+    return new LeaderConnectivity(fleet, term, settings, this::listRead, patientMs);
   }
 
   private PriorityInheritance newInheritance() {
     return new PriorityInheritance(
         graph,
-        uid -> specs.get(uid).flatMap(spec -> SpecRecord.decode(uid, spec.value())),
+        uid -> specs.get(uid).flatMap(spec -> JobRecord.decode(uid, spec.value())),
         jobs,
         estimates,
         aims);
@@ -193,10 +193,10 @@
         progress::placed);
   }
 
-  private RentalDemand newDemand(LeaderContext context, Placer placer) {
+  private ScaleOutDemand newDemand(LeaderContext context, Placer placer) {
     Catalogue catalogue = context.catalogue();
     double drainS = context.policy().drainS();
-    return new RentalDemand(
+    return new ScaleOutDemand(
         scheduler,
         catalogue,
         fleet,
@@ -204,21 +204,21 @@
         estimates,
         forecast,
         arrivals,
-        () -> new Demand(catalogue, teams, estimates, aims, drainS),
+        () -> new ScaleOutPlanner(catalogue, teams, estimates, aims, drainS),
         placer,
         progress,
         reachability,
         this::mayDecide);
   }
 
-  private Rentals newRentals(LeaderContext context, RentalDemand demand) {
-    return new Rentals(
+  private Autoscaler newRentals(LeaderContext context, ScaleOutDemand demand) {
+    return new Autoscaler(
         scheduler,
         context.cloud(),
         context.catalogue(),
         fleet,
         replica,
-        new LeaderWrites(context.store(), replica, context.writes(), term),
+        new LeaderWriter(context.store(), replica, context.writes(), term),
         context.policy(),
         context.settings(),
         context.random(),
@@ -226,8 +226,8 @@
         demand);
   }
 
-  private ReportHandler newReportHandler() {
-    return new ReportHandler(
+  private HeartbeatHandler newReportHandler() {
+    return new HeartbeatHandler(
         fleet,
         term,
         this::mayDecide,
@@ -237,14 +237,14 @@
         progress);
   }
 
-  private HeldReplies newHeldReplies(Settings settings, ReportHandler reportHandler) {
+  private DelayedResponses newHeldReplies(Settings settings, HeartbeatHandler reportHandler) {
     double holdS = Math.min(MOST_HOLD_S, HOLD_PART * settings.workers().reportS());
-    return new HeldReplies(
+    return new DelayedResponses(
         scheduler, fleet, reportHandler, this::mayDecide, Math.round(holdS * MS_PER_S));
   }
 
-  private ReportIntake newReportIntake(ReportHandler reportHandler) {
-    return new ReportIntake(
+  private HeartbeatIntake newReportIntake(HeartbeatHandler reportHandler) {
+    return new HeartbeatIntake(
         scheduler,
         replica,
         fleet,
@@ -349,7 +349,7 @@
    * what is placed there by then goes out at once, where it would wait for the next report. Without
    * a sure lead nothing is ordered.
    */
-  public void report(Report report, Consumer<ReportHandler.Reply> then) {
+  public void report(Heartbeat report, Consumer<HeartbeatHandler.Response> then) {
     reports.report(report, then);
   }
 
@@ -366,7 +366,7 @@
 
   /** Numbers for people. */
   public String summary() {
-    return new LeaderSummary(jobs, fleet, writer, rentals).toString();
+    return new LeaderStatus(jobs, fleet, writer, rentals).toString();
   }
 
   /** Passes on what has become durable, to the parts that waited for it. */
--- a/src/main/java/org/ploverspindle/leadership/Reachability.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
@@ -12,7 +12,7 @@
  * Do the machines reach this leader, and do its answers reach them? A lead that is kept by its
  * lease alone would cost every lease. Nothing is concluded here about any one machine.
  */
-final class Reachability {
+final class LeaderConnectivity {
   /** So many machines do not all fall silent at once by chance; fewer are given more time. */
   private static final int MANY_MACHINES = 20;
 
@@ -54,7 +54,7 @@
    *     back, where several before it found the same: they would go round for good, none staying
    *     long enough to prove by silence that the machines are gone. 0 where none did.
    */
-  Reachability(
+  LeaderConnectivity(
       MachineRegistry fleet,
       Term term,
       Settings settings,
--- a/src/main/java/org/ploverspindle/leadership/LeaderContext.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderContext.java
@@ -2,14 +2,14 @@
 
 import java.util.random.RandomGenerator;
 import org.ploverspindle.cloud.Catalogue;
-import org.ploverspindle.cloud.CloudApi;
-import org.ploverspindle.duties.RefusedActions;
+import org.ploverspindle.cloud.CloudClient;
+import org.ploverspindle.duties.FencingRejections;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.TokenBucket;
 import org.ploverspindle.workers.WorkerClient;
@@ -22,14 +22,14 @@
     Scheduler scheduler,
     StateStore store,
     Replica replica,
-    SpecIndex specs,
+    AcceptedJobIndex specs,
     Pipelines pipelines,
-    CloudApi cloud,
+    CloudClient cloud,
     WorkerClient workers,
     Catalogue catalogue,
     Settings settings,
     Policy policy,
-    Timing timing,
+    SafetyTiming timing,
     RandomGenerator random,
     TokenBucket writes,
-    RefusedActions refused) {}
+    FencingRejections refused) {}
--- a/src/main/java/org/ploverspindle/leadership/LeadRecords.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderRecords.java
@@ -2,13 +2,13 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
-import org.ploverspindle.duties.DutyRecords;
-import org.ploverspindle.duties.Holder;
+import org.ploverspindle.duties.RoleHolder;
+import org.ploverspindle.duties.RoleRecords;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.Keys;
 
 /** The leader's records, in the form that all versions read: an epoch is a term's first token. */
-final class LeadRecords implements DutyRecords {
+final class LeaderRecords implements RoleRecords {
   @Override
   public String name() {
     return "lead";
@@ -25,7 +25,7 @@
   }
 
   @Override
-  public JsonNode encode(Holder holder) {
+  public JsonNode encode(RoleHolder holder) {
     return Cbor.map()
         .put("member", holder.member())
         .put("nonce", holder.nonce())
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public Optional<Holder> decode(JsonNode record) {
+  public Optional<RoleHolder> decode(JsonNode record) {
     if (!record.path("member").isTextual()
         || !record.path("nonce").isTextual()
         || !record.path("token").canConvertToLong()
@@ -42,7 +42,7 @@
       return Optional.empty();
     }
     return Optional.of(
-        new Holder(
+        new RoleHolder(
             record.path("member").asText(),
             record.path("nonce").asText(),
             record.path("token").asLong(),
--- a/src/main/java/org/ploverspindle/leadership/LeaderSummary.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
@@ -1,14 +1,15 @@
 package org.ploverspindle.leadership;
 
 import java.util.Locale;
-import org.ploverspindle.cloud.Rentals;
+import org.ploverspindle.cloud.Autoscaler;
 import org.ploverspindle.jobs.JobTable;
 import org.ploverspindle.jobs.ProgressWriter;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 
 /** What a leader has in hand, in numbers for people. */
-record LeaderSummary(JobTable jobs, MachineRegistry fleet, ProgressWriter writer, Rentals rentals) {
+record LeaderStatus(
+    JobTable jobs, MachineRegistry fleet, ProgressWriter writer, Autoscaler rentals) {
   @Override
   public String toString() {
     int up = 0;
--- a/src/main/java/org/ploverspindle/leadership/LeadSummary.java
+++ b/src/main/java/org/ploverspindle/leadership/LeadershipStatus.java
@@ -3,28 +3,28 @@
 import java.util.Locale;
 import java.util.Optional;
 import org.HdrHistogram.Histogram;
-import org.ploverspindle.duties.DutyLease;
-import org.ploverspindle.duties.HeldDuty;
-import org.ploverspindle.duties.Holder;
+import org.ploverspindle.duties.HeldRole;
+import org.ploverspindle.duties.RoleHolder;
+import org.ploverspindle.duties.RoleLease;
 
 /** One line on the duty to lead, for people. */
-record LeadSummary(long nowMs, DutyLease lead) {
+record LeadershipStatus(long nowMs, RoleLease lead) {
   private static final double MEDIAN = 50;
   private static final double NEARLY_ALL = 99;
   private static final double MS_PER_S = 1_000;
 
   @Override
   public String toString() {
-    Optional<Holder> holder = lead.holder();
+    Optional<RoleHolder> holder = lead.holder();
     return "duty=lead holder="
-        + holder.map(Holder::member).orElse("none")
+        + holder.map(RoleHolder::member).orElse("none")
         + holder.map(known -> " epoch=" + known.epoch()).orElse("")
         + lead.held().map(this::ours).orElse("")
         + histogram(" renewal_ms", lead.renewalMs())
         + histogram(" vacant_ms", lead.vacantMs());
   }
 
-  private String ours(HeldDuty duty) {
+  private String ours(HeldRole duty) {
     return String.format(
         Locale.ROOT,
         " held_s=%.1f renewed_s_ago=%.1f",
--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -10,9 +10,9 @@
 import org.ploverspindle.jobs.JobTable;
 import org.ploverspindle.pipelines.CriticalPath;
 import org.ploverspindle.pipelines.DependencyGraph;
-import org.ploverspindle.placement.Aims;
-import org.ploverspindle.placement.Estimates;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.placement.RuntimeEstimates;
+import org.ploverspindle.placement.ServiceLevelObjectives;
+import org.ploverspindle.state.JobRecord;
 
 /**
  * Tells the jobs in the table what the jobs that need them make of them: the last job's due time
@@ -25,11 +25,11 @@
   private static final long STALE_MS = 5_000;
 
   private final DependencyGraph graph;
-  private final Function<String, Optional<SpecRecord>> records;
+  private final Function<String, Optional<JobRecord>> records;
   private final JobTable jobs;
-  private final Estimates estimates;
-  private final Aims aims;
-  private final Map<String, SpecRecord> known = new HashMap<>();
+  private final RuntimeEstimates estimates;
+  private final ServiceLevelObjectives aims;
+  private final Map<String, JobRecord> known = new HashMap<>();
   private boolean changed = true;
   private boolean any;
   private long workedOutMs = Long.MIN_VALUE / 2;
@@ -39,10 +39,10 @@
    */
   PriorityInheritance(
       DependencyGraph graph,
-      Function<String, Optional<SpecRecord>> records,
+      Function<String, Optional<JobRecord>> records,
       JobTable jobs,
-      Estimates estimates,
-      Aims aims) {
+      RuntimeEstimates estimates,
+      ServiceLevelObjectives aims) {
     this.graph = graph;
     this.records = records;
     this.jobs = jobs;
@@ -88,7 +88,7 @@
     return CriticalPath.of(graph, uid -> record(uid).map(r -> own(r, multiple)));
   }
 
-  private CriticalPath.Own own(SpecRecord record, ToDoubleFunction<JobSpec> multiple) {
+  private CriticalPath.Own own(JobRecord record, ToDoubleFunction<JobSpec> multiple) {
     JobSpec spec = record.spec();
     OptionalLong latestFinish =
         spec.dueS().isPresent()
@@ -99,12 +99,12 @@
     return new CriticalPath.Own(latestFinish, spec.urgency(), estimates.runS(spec));
   }
 
-  private Optional<SpecRecord> record(String uid) {
-    SpecRecord read = known.get(uid);
+  private Optional<JobRecord> record(String uid) {
+    JobRecord read = known.get(uid);
     if (read != null) {
       return Optional.of(read);
     }
-    Optional<SpecRecord> fresh = records.apply(uid);
+    Optional<JobRecord> fresh = records.apply(uid);
     fresh.ifPresent(r -> known.put(uid, r));
     return fresh;
   }
--- a/src/main/java/org/ploverspindle/leadership/Recovery.java
+++ b/src/main/java/org/ploverspindle/leadership/Recovery.java
@@ -6,8 +6,8 @@
 import org.ploverspindle.jobs.ProgressWriter;
 import org.ploverspindle.jobs.RecordedProgress;
 import org.ploverspindle.pipelines.DependencyGraph;
-import org.ploverspindle.state.ProgressRecord;
 import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
@@ -64,7 +64,7 @@
 
   private void rebuild(Job job, RecordedProgress.State recorded, long nowMs) {
     recorded.done().stream().forEach(job::markDone);
-    for (ProgressRecord.Live live : recorded.live().values()) {
+    for (SnapshotRecord.RecordedPlacement live : recorded.live().values()) {
       place(job, live, nowMs);
     }
     if (job.allDone() && !job.cancelled()) {
@@ -72,8 +72,8 @@
     }
   }
 
-  private void place(Job job, ProgressRecord.Live live, long nowMs) {
-    ProgressRecord.Host host = live.host();
+  private void place(Job job, SnapshotRecord.RecordedPlacement live, long nowMs) {
+    SnapshotRecord.MachineInfo host = live.host();
     Optional<Machine> machine =
         fleet.adopt(host.id(), host.type(), host.zone(), host.spot(), nowMs);
     if (machine.isEmpty() || live.task() >= job.spec().tasks()) {
