--- a/src/main/java/org/ploverspindle/leadership/Timing.java
+++ b/src/main/java/org/ploverspindle/leadership/SafetyTiming.java
@@ -9,7 +9,7 @@
  * @param answerMs how long after it last knew the state a leader may go on answering reports
  * @param leaseMs after this much silence a worker's lease has certainly run out
  */
-public record Timing(long stateLeaseMs, long answerMs, long leaseMs) {
+public record SafetyTiming(long stateLeaseMs, long answerMs, long leaseMs) {
   /** Clocks drift apart by at most 0.05 %; we allow for four times as much. */
   private static final double DRIFT = 1.002;
 
@@ -28,7 +28,7 @@
    * Until a dead leader's lease ends, nothing starts: it is as short as the processor allows, whose
    * pauses must not change the lead.
    */
-  public static Timing of(Settings.WorkerLimits workers, double cores) {
+  public static SafetyTiming of(Settings.WorkerLimits workers, double cores) {
     double lease = workers.leaseS() * DRIFT + 0.3;
     // A cancellation told right after the leader last read the state is unknown to it; its last
     // answer renews a lease once more. All of that must end before cancel_s.
@@ -37,7 +37,7 @@
         Math.min(
             LONGEST_STATE_LEASE_MS,
             SHORTEST_STATE_LEASE_MS + Math.round(STATE_LEASE_FOR_SHARE_MS / cores));
-    return new Timing(stateLeaseMs, Math.round(answer * 1000), Math.round(lease * 1000));
+    return new SafetyTiming(stateLeaseMs, Math.round(answer * 1000), Math.round(lease * 1000));
   }
 
   /** From the send of the last answered renewal on, the lease lives at least this long. */
--- a/src/main/java/org/ploverspindle/leadership/RentalDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -7,22 +7,22 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
+import org.ploverspindle.cloud.Autoscaler;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
-import org.ploverspindle.cloud.Rentals;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobTable;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.placement.Arrivals;
-import org.ploverspindle.placement.Demand;
-import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.placement.ArrivalForecast;
 import org.ploverspindle.placement.Placer;
+import org.ploverspindle.placement.RuntimeEstimates;
+import org.ploverspindle.placement.ScaleOutPlanner;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
 
 /** Tells rentals what the leader's work needs: what to rent, and what may go back. */
-final class RentalDemand implements Rentals.Host {
+final class ScaleOutDemand implements Autoscaler.Workload {
   /** A machine that was silent for longer does not count as room. */
   private static final long SILENCE_MS = 60_000;
 
@@ -30,31 +30,31 @@
   private final Catalogue catalogue;
   private final MachineRegistry fleet;
   private final JobTable jobs;
-  private final Estimates estimates;
-  private final Arrivals forecast;
+  private final RuntimeEstimates estimates;
+  private final ArrivalForecast forecast;
   private final JobArrivals arrivals;
-  private final Supplier<Demand> demands;
+  private final Supplier<ScaleOutPlanner> demands;
   private final Placer placer;
   private final TaskProgress progress;
-  private final Reachability reachability;
+  private final LeaderConnectivity reachability;
   private final BooleanSupplier mayDecide;
 
   /**
    * @param demands a fresh calculation for each scan
    * @param mayDecide whether this leader is sure of its lead
    */
-  RentalDemand(
+  ScaleOutDemand(
       Scheduler scheduler,
       Catalogue catalogue,
       MachineRegistry fleet,
       JobTable jobs,
-      Estimates estimates,
-      Arrivals forecast,
+      RuntimeEstimates estimates,
+      ArrivalForecast forecast,
       JobArrivals arrivals,
-      Supplier<Demand> demands,
+      Supplier<ScaleOutPlanner> demands,
       Placer placer,
       TaskProgress progress,
-      Reachability reachability,
+      LeaderConnectivity reachability,
       BooleanSupplier mayDecide) {
     this.scheduler = scheduler;
     this.catalogue = catalogue;
@@ -71,14 +71,15 @@
   }
 
   @Override
-  public List<Demand.Wanted> wanted(List<Demand.Offer> offers, List<Demand.Coming> coming) {
+  public List<ScaleOutPlanner.Request> wanted(
+      List<ScaleOutPlanner.Candidate> offers, List<ScaleOutPlanner.PendingMachine> coming) {
     long nowMs = scheduler.nowMs();
     long wallMs = scheduler.wallMs();
     arrivals.update();
     List<Machine> usable =
         fleet.all().stream().filter(machine -> machine.usable(nowMs, SILENCE_MS)).toList();
-    Demand demand = demands.get();
-    List<Demand.Wanted> wanted =
+    ScaleOutPlanner demand = demands.get();
+    List<ScaleOutPlanner.Request> wanted =
         demand.plan(
             placer.waitingJobs(nowMs, wallMs),
             jobs.all(),
@@ -97,12 +98,12 @@
    * Dear machines that nothing needs any more take no new work that could wait, so that they empty
    * and go back: a busy machine would otherwise stay for as long as any work waits.
    */
-  private void retire(List<Machine> usable, Demand demand) {
+  private void retire(List<Machine> usable, ScaleOutPlanner demand) {
     List<Machine> dear = new ArrayList<>();
     for (Machine machine : usable) {
       machine.retiring(false);
       MachineType type = catalogue.type(machine.type());
-      if (!machine.spot() && type.price(false) > type.price(true) * Demand.DEAR) {
+      if (!machine.spot() && type.price(false) > type.price(true) * ScaleOutPlanner.DEAR) {
         dear.add(machine);
       }
     }
--- a/src/main/java/org/ploverspindle/leadership/PlacingRounds.java
+++ b/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
@@ -1,15 +1,15 @@
 package org.ploverspindle.leadership;
 
 import java.util.function.BooleanSupplier;
-import org.ploverspindle.loop.DutyTimes;
 import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.loop.TaskTimings;
 import org.ploverspindle.placement.Placer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** When waiting tasks are placed, and when running ones are stopped for more pressing ones. */
-final class PlacingRounds {
-  private static final Logger LOG = LoggerFactory.getLogger(PlacingRounds.class);
+final class SchedulingRounds {
+  private static final Logger LOG = LoggerFactory.getLogger(SchedulingRounds.class);
 
   /** What happens within this time after a change is placed together. */
   private static final long SHORTEST_PAUSE_MS = 40;
@@ -23,7 +23,7 @@
   private final Scheduler scheduler;
   private final Placer placer;
   private final JobArrivals arrivals;
-  private final DutyTimes times;
+  private final TaskTimings times;
   private final BooleanSupplier mayDecide;
   private long notBeforeMs = Long.MIN_VALUE;
   private long lastRoundMs;
@@ -33,11 +33,11 @@
   /**
    * @param mayDecide whether this leader is sure of its lead
    */
-  PlacingRounds(
+  SchedulingRounds(
       Scheduler scheduler,
       Placer placer,
       JobArrivals arrivals,
-      DutyTimes times,
+      TaskTimings times,
       BooleanSupplier mayDecide) {
     this.scheduler = scheduler;
     this.placer = placer;
--- a/src/main/java/org/ploverspindle/leadership/SpotDrain.java
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.placement.RuntimeEstimates;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.Placement;
 
@@ -26,9 +26,9 @@
 
   private static final double MS_PER_S = 1_000;
 
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
 
-  SpotDrain(Estimates estimates) {
+  SpotDrain(RuntimeEstimates estimates) {
     this.estimates = estimates;
   }
 
--- a/src/main/java/org/ploverspindle/leadership/TaskProgress.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.ProgressWriter;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.placement.RuntimeEstimates;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,7 +17,7 @@
  * Takes note of what becomes of tasks: has it recorded, has the freed room filled again, and drops
  * jobs that are over.
  */
-final class TaskProgress implements ReportHandler.Listener {
+final class TaskProgress implements HeartbeatHandler.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(TaskProgress.class);
 
   /** Before a task that its machine had no room for, or was too busy for, is placed again. */
@@ -30,7 +30,7 @@
 
   private final Scheduler scheduler;
   private final JobTable jobs;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
   private final ProgressWriter writer;
   private final TaskFailures failures;
   private final Runnable planPlacing;
@@ -41,7 +41,7 @@
   TaskProgress(
       Scheduler scheduler,
       JobTable jobs,
-      Estimates estimates,
+      RuntimeEstimates estimates,
       ProgressWriter writer,
       TaskFailures failures,
       Runnable planPlacing) {
@@ -106,9 +106,9 @@
   }
 
   @Override
-  public void ended(Placement placement, Report.Cause cause, boolean saved, long nowMs) {
+  public void ended(Placement placement, Heartbeat.ExitReason cause, boolean saved, long nowMs) {
     Job job = placement.job();
-    if (cause != Report.Cause.NONE) {
+    if (cause != Heartbeat.ExitReason.NONE) {
       LOG.debug(
           "{}/{} ended on {}: {}{}",
           job.uid(),
@@ -140,7 +140,7 @@
   public void moved(Placement placement) {
     if (!LOG.isDebugEnabled()
         || placement.phase() != Placement.Phase.RUNNING
-        || placement.job().urgency().compareTo(Urgency.HIGH) > 0) {
+        || placement.job().urgency().compareTo(Priority.HIGH) > 0) {
       return;
     }
     long nowMs = scheduler.nowMs();
--- a/src/main/java/org/ploverspindle/loop/Scope.java
+++ b/src/main/java/org/ploverspindle/loop/CancellableGroup.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** A group of cancellable work: cancelling it cancels all, the last added first. */
-public final class Scope implements Cancellable {
+public final class CancellableGroup implements Cancellable {
   private final List<Cancellable> children = new ArrayList<>();
 
   /** Adds work that ends with this scope. */
--- a/src/main/java/org/ploverspindle/loop/EventLoop.java
+++ b/src/main/java/org/ploverspindle/loop/EventLoop.java
@@ -30,7 +30,7 @@
 
   private final ReentrantLock lock = new ReentrantLock();
   private final Condition wake = lock.newCondition();
-  private final Map<Rank, Queue<Runnable>> queues = new EnumMap<>(Rank.class);
+  private final Map<EventPriority, Queue<Runnable>> queues = new EnumMap<>(EventPriority.class);
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final Thread thread;
   private long order;
@@ -38,7 +38,7 @@
   private boolean waiting;
 
   public EventLoop() {
-    for (Rank rank : Rank.values()) {
+    for (EventPriority rank : EventPriority.values()) {
       queues.put(rank, new ArrayDeque<>());
     }
     thread = new Thread(this::run, "decisions");
@@ -60,7 +60,7 @@
   }
 
   /** How many units of work of this rank are waiting. The user API refuses submissions by it. */
-  public int backlog(Rank rank) {
+  public int backlog(EventPriority rank) {
     lock.lock();
     try {
       return queues.get(rank).size();
@@ -70,7 +70,7 @@
   }
 
   @Override
-  public void execute(Rank rank, Runnable work) {
+  public void execute(EventPriority rank, Runnable work) {
     lock.lock();
     try {
       queues.get(rank).add(work);
@@ -152,7 +152,7 @@
   }
 
   private Runnable poll() {
-    Runnable report = queues.get(Rank.REPORT).poll();
+    Runnable report = queues.get(EventPriority.REPORT).poll();
     if (report != null) {
       return report;
     }
@@ -160,12 +160,12 @@
     if (first != null && first.dueMs() <= nowMs()) {
       return timers.poll().work();
     }
-    Runnable decision = queues.get(Rank.DECISION).poll();
+    Runnable decision = queues.get(EventPriority.DECISION).poll();
     if (decision != null) {
       return decision;
     }
-    Runnable submission = queues.get(Rank.SUBMISSION).poll();
-    return submission != null ? submission : queues.get(Rank.POLL).poll();
+    Runnable submission = queues.get(EventPriority.SUBMISSION).poll();
+    return submission != null ? submission : queues.get(EventPriority.POLL).poll();
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/loop/Rank.java
+++ b/src/main/java/org/ploverspindle/loop/EventPriority.java
@@ -1,7 +1,7 @@
 package org.ploverspindle.loop;
 
 /** Priority classes of waiting work, the first one first. */
-public enum Rank {
+public enum EventPriority {
   /** Workers' reports. A late response lets leases expire, which ends running tasks. */
   REPORT,
   /** Decisions, timers, and responses of the state service, the cloud and workers. */
--- a/src/main/java/org/ploverspindle/loop/Duty.java
+++ b/src/main/java/org/ploverspindle/loop/PeriodicTask.java
@@ -1,19 +1,19 @@
 package org.ploverspindle.loop;
 
 /** Periodic work: runs again a period after each run ended, until it is cancelled. */
-final class Duty implements Cancellable {
+final class PeriodicTask implements Cancellable {
   private final Scheduler scheduler;
   private final long periodMs;
   private final Runnable work;
   private boolean cancelled;
 
-  Duty(Scheduler scheduler, long periodMs, Runnable work) {
+  PeriodicTask(Scheduler scheduler, long periodMs, Runnable work) {
     this.scheduler = scheduler;
     this.periodMs = periodMs;
     this.work = work;
   }
 
-  Duty start() {
+  PeriodicTask start() {
     scheduler.schedule(periodMs, this::run);
     return this;
   }
--- a/src/main/java/org/ploverspindle/loop/Scheduler.java
+++ b/src/main/java/org/ploverspindle/loop/Scheduler.java
@@ -12,13 +12,13 @@
   long wallMs();
 
   /** Runs the work once on the thread, in the order that its rank gives. Any thread may call. */
-  void execute(Rank rank, Runnable work);
+  void execute(EventPriority rank, Runnable work);
 
   /** Runs the work once on the thread, not before the delay has passed. */
   Cancellable schedule(long delayMs, Runnable work);
 
   /** Runs the work again and again, a period after each run ended, until it is cancelled. */
   default Cancellable every(long periodMs, Runnable work) {
-    return new Duty(this, periodMs, work).start();
+    return new PeriodicTask(this, periodMs, work).start();
   }
 }
--- a/src/main/java/org/ploverspindle/loop/DutyTimes.java
+++ b/src/main/java/org/ploverspindle/loop/TaskTimings.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 /** How long the decision loop was busy with each duty, for people who ask what a node does. */
-public final class DutyTimes {
+public final class TaskTimings {
   private static final class Sum {
     private long nanos;
     private long most;
--- a/src/main/java/org/ploverspindle/net/Caller.java
+++ b/src/main/java/org/ploverspindle/net/HttpClient.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /** Sends HTTP requests to one target. Outcomes are delivered on the decision loop. */
-public interface Caller {
+public interface HttpClient {
   /**
    * Sends one request.
    *
@@ -11,5 +11,5 @@
    * @param timeoutMs covers waiting for a connection, connecting, sending and reading
    * @param then is called exactly once with the outcome
    */
-  void call(String method, String path, byte[] body, long timeoutMs, Consumer<Reply> then);
+  void call(String method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> then);
 }
--- a/src/main/java/org/ploverspindle/net/Reply.java
+++ b/src/main/java/org/ploverspindle/net/HttpResult.java
@@ -1,16 +1,16 @@
 package org.ploverspindle.net;
 
 /** The outcome of a call: a response, or the reason why there is none. */
-public sealed interface Reply {
+public sealed interface HttpResult {
   /** The target responded, with any HTTP status. */
-  record Answer(int status, byte[] body) implements Reply {}
+  record Response(int status, byte[] body) implements HttpResult {}
 
   /** No response: the request may have been executed, or may yet be executed later. */
-  record Silence(String reason) implements Reply {}
+  record NoResponse(String reason) implements HttpResult {}
 
   /** The target answered with more than is read: asking again in the same way is no use. */
-  record TooLarge(int maxBytes) implements Reply {}
+  record TooLarge(int maxBytes) implements HttpResult {}
 
   /** The request never left this process. */
-  record NotSent(String reason) implements Reply {}
+  record NotSent(String reason) implements HttpResult {}
 }
--- a/src/main/java/org/ploverspindle/net/HttpCaller.java
+++ b/src/main/java/org/ploverspindle/net/UndertowHttpClient.java
@@ -16,7 +16,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
-import org.ploverspindle.loop.Rank;
+import org.ploverspindle.loop.EventPriority;
 import org.ploverspindle.loop.Scheduler;
 import org.xnio.ChannelListeners;
 import org.xnio.IoUtils;
@@ -31,7 +31,7 @@
  * bounded pool of kept-alive connections, a bounded queue of waiting calls, and a time limit for a
  * call as a whole. All state is confined to one I/O thread.
  */
-public final class HttpCaller implements Caller {
+public final class UndertowHttpClient implements HttpClient {
   private static final int MAX_QUEUED = 200;
 
   /** Larger responses count as failed, so that a broken target can't fill the heap. */
@@ -49,7 +49,7 @@
   private final Deque<Call> queue = new ArrayDeque<>();
   private int open;
 
-  public HttpCaller(
+  public UndertowHttpClient(
       Scheduler scheduler,
       XnioIoThread io,
       ByteBufferPool buffers,
@@ -58,7 +58,7 @@
     this(scheduler, io, buffers, address, maxConnections, true);
   }
 
-  private HttpCaller(
+  private UndertowHttpClient(
       Scheduler scheduler,
       XnioIoThread io,
       ByteBufferPool buffers,
@@ -77,13 +77,14 @@
    * A client for a single call: its connection is closed afterwards. For targets of which there are
    * many.
    */
-  public static HttpCaller once(
+  public static UndertowHttpClient once(
       Scheduler scheduler, XnioIoThread io, ByteBufferPool buffers, String address) {
-    return new HttpCaller(scheduler, io, buffers, address, 1, false);
+    return new UndertowHttpClient(scheduler, io, buffers, address, 1, false);
   }
 
   @Override
-  public void call(String method, String path, byte[] body, long timeoutMs, Consumer<Reply> then) {
+  public void call(
+      String method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> then) {
     io.execute(() -> new Call(method, path, body, then).submit(timeoutMs));
   }
 
@@ -107,7 +108,7 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final Consumer<Reply> then;
+    private final Consumer<HttpResult> then;
     private final ByteArrayOutputStream received = new ByteArrayOutputStream(256);
     private XnioExecutor.Key timer;
     private ClientConnection connection;
@@ -115,7 +116,7 @@
     private boolean sent;
     private boolean counted;
 
-    Call(String method, String path, byte[] body, Consumer<Reply> then) {
+    Call(String method, String path, byte[] body, Consumer<HttpResult> then) {
       this.method = method;
       this.path = path;
       this.body = body;
@@ -124,7 +125,7 @@
 
     void submit(long timeoutMs) {
       if (queue.size() >= MAX_QUEUED) {
-        finish(new Reply.NotSent("too many calls wait for " + target));
+        finish(new HttpResult.NotSent("too many calls wait for " + target));
         return;
       }
       timer =
@@ -260,7 +261,7 @@
           }
           received.write(chunk.array(), 0, n);
           if (received.size() > MAX_BODY_BYTES) {
-            end(new Reply.TooLarge(MAX_BODY_BYTES));
+            end(new HttpResult.TooLarge(MAX_BODY_BYTES));
             return;
           }
         }
@@ -278,7 +279,7 @@
               .equalsIgnoreCase(
                   exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
       ClientConnection done = connection;
-      finish(new Reply.Answer(status, received.toByteArray()));
+      finish(new HttpResult.Response(status, received.toByteArray()));
       if (close || !keep) {
         IoUtils.safeClose(done);
       } else {
@@ -298,11 +299,11 @@
         return;
       }
       queue.remove(this);
-      end(sent ? new Reply.Silence(reason) : new Reply.NotSent(reason));
+      end(sent ? new HttpResult.NoResponse(reason) : new HttpResult.NotSent(reason));
     }
 
     /** Ends a call whose connection is of no use any more. */
-    private void end(Reply reply) {
+    private void end(HttpResult reply) {
       finish(reply);
       if (connection != null) {
         IoUtils.safeClose(connection);
@@ -310,7 +311,7 @@
       pump();
     }
 
-    private void finish(Reply reply) {
+    private void finish(HttpResult reply) {
       if (finished) {
         return;
       }
@@ -318,7 +319,7 @@
       if (timer != null) {
         timer.remove();
       }
-      scheduler.execute(Rank.DECISION, () -> then.accept(reply));
+      scheduler.execute(EventPriority.DECISION, () -> then.accept(reply));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/node/Controller.java
+++ b/src/main/java/org/ploverspindle/node/Controller.java
@@ -5,35 +5,35 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.ploverspindle.cloud.Catalogue;
-import org.ploverspindle.cloud.CloudApi;
+import org.ploverspindle.cloud.CloudClient;
 import org.ploverspindle.duties.FencedStore;
-import org.ploverspindle.duties.RefusedActions;
-import org.ploverspindle.front.Answer;
-import org.ploverspindle.front.LeaderHints;
+import org.ploverspindle.duties.FencingRejections;
+import org.ploverspindle.front.ApiResponse;
+import org.ploverspindle.front.LeaderNotifier;
 import org.ploverspindle.front.UserApi;
 import org.ploverspindle.front.UserRequests;
 import org.ploverspindle.leadership.Election;
 import org.ploverspindle.leadership.Leader;
 import org.ploverspindle.leadership.LeaderContext;
+import org.ploverspindle.leadership.SafetyTiming;
 import org.ploverspindle.leadership.Term;
-import org.ploverspindle.leadership.Timing;
+import org.ploverspindle.loop.CancellableGroup;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.loop.Scope;
-import org.ploverspindle.peers.PeerRecord;
+import org.ploverspindle.peers.PeerMessage;
 import org.ploverspindle.peers.Peers;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.MachineTypesRecord;
 import org.ploverspindle.state.ProgressCounts;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.TokenBucket;
-import org.ploverspindle.state.TypesRecord;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportCodec;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatCodec;
 import org.ploverspindle.workers.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -50,17 +50,17 @@
   private final Settings settings;
   private final Scheduler loop;
   private final Replica replica;
-  private final CloudApi cloud;
+  private final CloudClient cloud;
   private final Catalogue catalogue;
-  private final Timing timing;
+  private final SafetyTiming timing;
   private final Election election;
   private final UserRequests requests;
   private final Pipelines pipelines;
   private final TokenBucket writes;
   private final LeaderContext leaderContext;
   private final Peers peers;
-  private final Scope duties = new Scope();
-  private final RefusedActions refused = new RefusedActions();
+  private final CancellableGroup duties = new CancellableGroup();
+  private final FencingRejections refused = new FencingRejections();
   private Optional<Leader> leader = Optional.empty();
   private final StateReachability reach;
   private int strays;
@@ -70,7 +70,7 @@
   public Controller(
       Scheduler loop,
       StateStore store,
-      CloudApi cloud,
+      CloudClient cloud,
       WorkerClient workers,
       Peers peers,
       Settings settings,
@@ -83,7 +83,7 @@
     this.replica = new Replica(loop, store, Keys.PREFIX, 700);
     this.reach = new StateReachability(loop, replica, store, peers, settings.member());
     this.catalogue = new Catalogue(settings.zones());
-    this.timing = Timing.of(settings.workers(), settings.quota().cores());
+    this.timing = SafetyTiming.of(settings.workers(), settings.quota().cores());
     this.writes =
         new TokenBucket(
             loop,
@@ -98,7 +98,7 @@
             loop,
             Math.max(1, settings.writeLimits().writeRps() * ACCEPTING_SHARE),
             Math.max(3, settings.writeLimits().writeRps() * ACCEPTING_SHARE));
-    SpecIndex specs = new SpecIndex(replica);
+    AcceptedJobIndex specs = new AcceptedJobIndex(replica);
     this.pipelines = new Pipelines(loop, replica, specs);
     ProgressCounts counts = new ProgressCounts(replica);
     String nonce = settings.member() + "-" + Long.toString(random.nextLong() >>> 1, 36);
@@ -134,8 +134,8 @@
   }
 
   /** What was written here is news for whoever leads. */
-  private LeaderHints leaderHints() {
-    return new LeaderHints() {
+  private LeaderNotifier leaderHints() {
+    return new LeaderNotifier() {
       @Override
       public void cancelling() {
         // The leader's own replica shows its node's cancellations without a read.
@@ -168,24 +168,24 @@
   private void hintToLeader() {
     election
         .leaderName()
-        .ifPresent(other -> peers.tell(other, new PeerRecord.News(settings.member())));
+        .ifPresent(other -> peers.tell(other, new PeerMessage.StateChanged(settings.member())));
   }
 
   /**
    * A hint from another controller. All that it can do is to have the state service read sooner.
    */
-  public void heard(PeerRecord record) {
-    if (record instanceof PeerRecord.News) {
+  public void heard(PeerMessage record) {
+    if (record instanceof PeerMessage.StateChanged) {
       if (leader.isPresent()) {
         replica.barrier(ok -> {});
       }
-    } else if (record instanceof PeerRecord.Strays strays) {
+    } else if (record instanceof PeerMessage.MisdirectedHeartbeats strays) {
       leader.ifPresent(s -> s.strayed(strays.reports()));
-    } else if (record instanceof PeerRecord.Leading leading) {
+    } else if (record instanceof PeerMessage.Leading leading) {
       election.higherToken(leading.token());
-    } else if (record instanceof PeerRecord.Asking asking) {
+    } else if (record instanceof PeerMessage.ReachabilityProbe asking) {
       reach.asked(asking.member());
-    } else if (record instanceof PeerRecord.Reached) {
+    } else if (record instanceof PeerMessage.ReachabilityReply) {
       reach.reached();
     } else {
       replica.barrier(ok -> {});
@@ -235,7 +235,7 @@
    */
   private void look() {
     if (!catalogue.known()) {
-      TypesRecord.read(replica).ifPresent(catalogue::update);
+      MachineTypesRecord.read(replica).ifPresent(catalogue::update);
     }
     boolean failing = leader.map(Leader::writesFail).orElse(false);
     reach.look(failing);
@@ -274,7 +274,7 @@
     Leader fresh = new Leader(leaderContext, term, election);
     leader = Optional.of(fresh);
     fresh.start();
-    peers.tellAll(new PeerRecord.Leading(settings.member(), term.token()));
+    peers.tellAll(new PeerMessage.Leading(settings.member(), term.token()));
   }
 
   @Override
@@ -282,32 +282,32 @@
     replica.spacing(followerSpacingMs());
     leader.ifPresent(Leader::close);
     leader = Optional.empty();
-    peers.tellAll(new PeerRecord.Resigned(settings.member(), term.token()));
+    peers.tellAll(new PeerMessage.Resigned(settings.member(), term.token()));
   }
 
   // ---- requests of users and workers
 
   @Override
-  public void submit(byte[] body, Consumer<Answer> then) {
+  public void submit(byte[] body, Consumer<ApiResponse> then) {
     requests.submit(body, then);
   }
 
   @Override
-  public void poll(String uid, Consumer<Answer> then) {
+  public void poll(String uid, Consumer<ApiResponse> then) {
     requests.poll(uid, then);
   }
 
   @Override
-  public void withdraw(String uid, Consumer<Answer> then) {
+  public void withdraw(String uid, Consumer<ApiResponse> then) {
     requests.cancel(uid, then);
   }
 
   @Override
-  public void checkin(byte[] body, Consumer<Answer> then) {
-    Optional<Report> report = ReportCodec.decode(body);
+  public void checkin(byte[] body, Consumer<ApiResponse> then) {
+    Optional<Heartbeat> report = HeartbeatCodec.decode(body);
     if (report.isEmpty()) {
       LOG.warn("a malformed report of {} bytes is refused", body.length);
-      then.accept(new Answer(400, new byte[0], 0));
+      then.accept(new ApiResponse(400, new byte[0], 0));
       return;
     }
     Optional<Term> term = election.term();
@@ -322,14 +322,16 @@
     }
     if (loop.nowMs() > election.lastKnownMs() + timing.answerMs()) {
       // Any longer, and a cancellation that we can't know of would come too late for a worker.
-      then.accept(Answer.later(503, "the state is not known", 1));
+      then.accept(ApiResponse.later(503, "the state is not known", 1));
       return;
     }
     leader
         .get()
         .report(
             report.get(),
-            a -> then.accept(new Answer(200, ReportCodec.encodeAnswer(a.token(), a.orders()), 0)));
+            a ->
+                then.accept(
+                    new ApiResponse(200, HeartbeatCodec.encodeAnswer(a.token(), a.orders()), 0)));
   }
 
   private void tellOfStrays() {
@@ -337,7 +339,9 @@
       int reports = strays;
       election
           .leaderName()
-          .ifPresent(l -> peers.tell(l, new PeerRecord.Strays(settings.member(), reports)));
+          .ifPresent(
+              l ->
+                  peers.tell(l, new PeerMessage.MisdirectedHeartbeats(settings.member(), reports)));
       strays = 0;
     }
   }
@@ -346,19 +350,19 @@
    * To the leader. Whose machine has had an answer of that leader's and comes here all the same is
    * a sign that its answers are lost; one that has just come up, or was another leader's, is not.
    */
-  private Answer elsewhere(Report report) {
+  private ApiResponse elsewhere(Heartbeat report) {
     Optional<String> other = election.leaderName().filter(name -> !name.equals(settings.member()));
     boolean led = election.leaderToken().map(t -> report.warrant() >= t).orElse(false);
     strays += other.isPresent() && led ? 1 : 0;
     return other
-        .map(name -> Answer.elsewhere(name))
-        .orElseGet(() -> Answer.later(503, "no leader is known", 1));
+        .map(name -> ApiResponse.elsewhere(name))
+        .orElseGet(() -> ApiResponse.later(503, "no leader is known", 1));
   }
 
   @Override
-  public void status(Consumer<Answer> then) {
+  public void status(Consumer<ApiResponse> then) {
     then.accept(
-        Answer.text(
+        ApiResponse.text(
             "member="
                 + settings.member()
                 + " ready="
@@ -375,7 +379,7 @@
   }
 
   @Override
-  public void jobStatus(String uid, Consumer<Answer> then) {
-    then.accept(Answer.text(requests.explain(uid)));
+  public void jobStatus(String uid, Consumer<ApiResponse> then) {
+    then.accept(ApiResponse.text(requests.explain(uid)));
   }
 }
--- a/src/main/java/org/ploverspindle/node/StateReachability.java
+++ b/src/main/java/org/ploverspindle/node/StateReachability.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Set;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.peers.PeerRecord;
+import org.ploverspindle.peers.PeerMessage;
 import org.ploverspindle.peers.Peers;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
  * Does this controller alone lack the state service? It can't tell an outage from refusals that
@@ -61,7 +61,7 @@
     long now = clock.nowMs();
     if ((failing || staleMs() > STALE_MS) && now - askedMs >= ASK_MS) {
       askedMs = now;
-      peers.tellAll(new PeerRecord.Asking(member));
+      peers.tellAll(new PeerMessage.ReachabilityProbe(member));
     }
   }
 
@@ -77,11 +77,12 @@
     probing = true;
     long stamp = replica.get(Keys.LEADER).map(Entry::stamp).orElse(0L);
     store.txn(
-        new StateStore.Txn(List.of(new Condition(Keys.LEADER, stamp)), List.of()),
+        new StateStore.Transaction(List.of(new Condition(Keys.LEADER, stamp)), List.of()),
         result -> {
           probing = false;
-          if (result instanceof TxnResult.Committed || result instanceof TxnResult.Conflict) {
-            askers.forEach(a -> peers.tell(a, new PeerRecord.Reached(member)));
+          if (result instanceof TransactionResult.Committed
+              || result instanceof TransactionResult.Conflict) {
+            askers.forEach(a -> peers.tell(a, new PeerMessage.ReachabilityReply(member)));
           }
           askers.clear();
         });
--- a/src/main/java/org/ploverspindle/peers/PeerCodec.java
+++ b/src/main/java/org/ploverspindle/peers/PeerCodec.java
@@ -37,7 +37,7 @@
   }
 
   /** The record as a frame: its length, then its body. */
-  public static byte[] encode(PeerRecord record) {
+  public static byte[] encode(PeerMessage record) {
     ByteArrayOutputStream body = new ByteArrayOutputStream(USUAL_BYTES);
     ByteArrayOutputStream framed = new ByteArrayOutputStream(USUAL_BYTES);
     try {
@@ -45,11 +45,11 @@
       out.writeByte(VERSION);
       out.writeByte(kind(record));
       out.writeUTF(record.member());
-      if (record instanceof PeerRecord.Leading leading) {
+      if (record instanceof PeerMessage.Leading leading) {
         out.writeLong(leading.token());
-      } else if (record instanceof PeerRecord.Resigned resigned) {
+      } else if (record instanceof PeerMessage.Resigned resigned) {
         out.writeLong(resigned.token());
-      } else if (record instanceof PeerRecord.Strays strays) {
+      } else if (record instanceof PeerMessage.MisdirectedHeartbeats strays) {
         out.writeInt(strays.reports());
       }
       DataOutputStream frame = new DataOutputStream(framed);
@@ -61,20 +61,20 @@
     return framed.toByteArray();
   }
 
-  private static int kind(PeerRecord record) {
-    if (record instanceof PeerRecord.Leading) {
+  private static int kind(PeerMessage record) {
+    if (record instanceof PeerMessage.Leading) {
       return LEADING;
     }
-    if (record instanceof PeerRecord.Strays) {
+    if (record instanceof PeerMessage.MisdirectedHeartbeats) {
       return STRAYS;
     }
-    if (record instanceof PeerRecord.Asking) {
+    if (record instanceof PeerMessage.ReachabilityProbe) {
       return ASKING;
     }
-    if (record instanceof PeerRecord.Reached) {
+    if (record instanceof PeerMessage.ReachabilityReply) {
       return REACHED;
     }
-    return record instanceof PeerRecord.Resigned ? RESIGNED : NEWS;
+    return record instanceof PeerMessage.Resigned ? RESIGNED : NEWS;
   }
 
   /** The length of the next whole frame's body, or -1 while it is not all there. */
@@ -90,7 +90,7 @@
   }
 
   /** Takes a whole frame; empty for a version or kind that is not known here. */
-  static Optional<PeerRecord> take(ByteBuffer received, int length) throws Broken {
+  static Optional<PeerMessage> take(ByteBuffer received, int length) throws Broken {
     received.getInt();
     byte[] body = new byte[length];
     received.get(body);
@@ -101,12 +101,13 @@
       }
       int kind = in.readUnsignedByte();
       return switch (kind) {
-        case LEADING -> Optional.of(new PeerRecord.Leading(in.readUTF(), in.readLong()));
-        case RESIGNED -> Optional.of(new PeerRecord.Resigned(in.readUTF(), in.readLong()));
-        case NEWS -> Optional.of(new PeerRecord.News(in.readUTF()));
-        case STRAYS -> Optional.of(new PeerRecord.Strays(in.readUTF(), in.readInt()));
-        case ASKING -> Optional.of(new PeerRecord.Asking(in.readUTF()));
-        case REACHED -> Optional.of(new PeerRecord.Reached(in.readUTF()));
+        case LEADING -> Optional.of(new PeerMessage.Leading(in.readUTF(), in.readLong()));
+        case RESIGNED -> Optional.of(new PeerMessage.Resigned(in.readUTF(), in.readLong()));
+        case NEWS -> Optional.of(new PeerMessage.StateChanged(in.readUTF()));
+        case STRAYS ->
+            Optional.of(new PeerMessage.MisdirectedHeartbeats(in.readUTF(), in.readInt()));
+        case ASKING -> Optional.of(new PeerMessage.ReachabilityProbe(in.readUTF()));
+        case REACHED -> Optional.of(new PeerMessage.ReachabilityReply(in.readUTF()));
         default -> Optional.empty();
       };
     } catch (IOException e) {
--- a/src/main/java/org/ploverspindle/peers/PeerServer.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.ploverspindle.loop.Rank;
+import org.ploverspindle.loop.EventPriority;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.settings.Address;
 import org.ploverspindle.settings.Settings;
@@ -35,7 +35,7 @@
   private final XnioIoThread io;
   private final Address at;
   private final int mostConnections;
-  private final Consumer<PeerRecord> listener;
+  private final Consumer<PeerMessage> listener;
   private final Map<String, PeerClient> lines = new LinkedHashMap<>();
   private final Set<StreamConnection> open = new HashSet<>();
   private Optional<AcceptingChannel<StreamConnection>> server = Optional.empty();
@@ -48,7 +48,7 @@
       XnioWorker worker,
       Address at,
       List<Settings.Member> members,
-      Consumer<PeerRecord> listener) {
+      Consumer<PeerMessage> listener) {
     this.scheduler = scheduler;
     this.worker = worker;
     this.io = worker.getIoThread();
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public void tell(String member, PeerRecord record) {
+  public void tell(String member, PeerMessage record) {
     byte[] frame = PeerCodec.encode(record);
     PeerClient line = lines.get(member);
     if (line != null) {
@@ -96,7 +96,7 @@
   }
 
   @Override
-  public void tellAll(PeerRecord record) {
+  public void tellAll(PeerMessage record) {
     byte[] frame = PeerCodec.encode(record);
     io.execute(() -> lines.values().forEach(line -> line.tell(frame)));
   }
@@ -137,7 +137,7 @@
             length >= 0;
             length = PeerCodec.wholeFrame(received)) {
           PeerCodec.take(received, length)
-              .ifPresent(r -> scheduler.execute(Rank.DECISION, () -> listener.accept(r)));
+              .ifPresent(r -> scheduler.execute(EventPriority.DECISION, () -> listener.accept(r)));
         }
         received.compact();
       }
--- a/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
+++ b/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.Function;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.pipelines.DependencyGraph.Vertex;
 
 /**
@@ -24,10 +24,10 @@
    * @param latestFinishMs time of day in milliseconds
    * @param runS estimate of its run time
    */
-  public record Own(OptionalLong latestFinishMs, Urgency urgency, double runS) {}
+  public record Own(OptionalLong latestFinishMs, Priority urgency, double runS) {}
 
   /** A job's effective deadline and urgency: the tightest of its own and its dependents'. */
-  public record PriorityInheritance(OptionalLong latestFinishMs, Urgency urgency) {}
+  public record PriorityInheritance(OptionalLong latestFinishMs, Priority urgency) {}
 
   private CriticalPath() {}
 
@@ -56,13 +56,13 @@
     double[] latestStartMs = new double[vertices.size()];
     while (!work.isEmpty()) {
       Vertex v = work.poll();
-      Own own = jobs.apply(v.uid).orElse(new Own(OptionalLong.empty(), Urgency.BEST_EFFORT, 0));
+      Own own = jobs.apply(v.uid).orElse(new Own(OptionalLong.empty(), Priority.BEST_EFFORT, 0));
       double latestMs = own.latestFinishMs().isPresent() ? own.latestFinishMs().getAsLong() : NEVER;
-      Urgency urgency = own.urgency();
+      Priority urgency = own.urgency();
       for (Vertex d : v.dependents) {
         if (counts(d)) {
           latestMs = Math.min(latestMs, latestStartMs[d.index]);
-          Urgency theirs = passed.get(d.uid).urgency();
+          Priority theirs = passed.get(d.uid).urgency();
           urgency = theirs.compareTo(urgency) < 0 ? theirs : urgency;
         }
       }
--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.ploverspindle.loop.Scheduler;
+import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.DependenciesRecord;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
@@ -23,9 +23,9 @@
   private final Map<String, Long> readyWallMs = new HashMap<>();
 
   /** Jobs of whose lists of dependencies not all parts are read yet, by the lists' names. */
-  private final Map<String, SpecIndex.Spec> incomplete = new HashMap<>();
+  private final Map<String, AcceptedJobIndex.AcceptedJob> incomplete = new HashMap<>();
 
-  public Pipelines(Scheduler scheduler, Replica replica, SpecIndex specs) {
+  public Pipelines(Scheduler scheduler, Replica replica, AcceptedJobIndex specs) {
     this.replica = replica;
     this.graph =
         new DependencyGraph(
@@ -42,14 +42,14 @@
           public void aborted(String uid) {}
         });
     specs.listen(
-        new SpecIndex.Listener() {
+        new AcceptedJobIndex.Listener() {
           @Override
-          public void accepted(SpecIndex.Spec spec) {
+          public void accepted(AcceptedJobIndex.AcceptedJob spec) {
             put(spec);
           }
 
           @Override
-          public void corrected(SpecIndex.Spec spec) {
+          public void corrected(AcceptedJobIndex.AcceptedJob spec) {
             incomplete.values().removeIf(s -> s.uid().equals(spec.uid()));
             put(spec);
           }
@@ -83,13 +83,13 @@
     return graph.uids().stream().filter(this::isWaiting).count();
   }
 
-  private void put(SpecIndex.Spec spec) {
-    SpecRecord.Awaits awaits = SpecRecord.awaits(spec.value());
-    if (awaits instanceof SpecRecord.Awaits.Here here) {
+  private void put(AcceptedJobIndex.AcceptedJob spec) {
+    JobRecord.StoredDependencies awaits = JobRecord.awaits(spec.value());
+    if (awaits instanceof JobRecord.StoredDependencies.Inline here) {
       if (!here.uids().isEmpty() || graph.awaitsOthers(spec.uid())) {
         graph.put(spec.uid(), here.uids());
       }
-    } else if (awaits instanceof SpecRecord.Awaits.Elsewhere elsewhere) {
+    } else if (awaits instanceof JobRecord.StoredDependencies.Separate elsewhere) {
       Optional<List<String>> uids = DependenciesRecord.read(replica, elsewhere);
       if (uids.isPresent()) {
         incomplete.remove(elsewhere.name());
@@ -110,7 +110,7 @@
     } else if (key.startsWith(Keys.CANCELS)) {
       graph.cancelled(key.substring(Keys.CANCELS.length()));
     } else if (key.startsWith(Keys.AWAITS) && !incomplete.isEmpty()) {
-      SpecIndex.Spec spec =
+      AcceptedJobIndex.AcceptedJob spec =
           incomplete.get(key.substring(Keys.AWAITS.length(), key.lastIndexOf('/')));
       if (spec != null) {
         put(spec);
--- a/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
+++ b/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
@@ -24,7 +24,7 @@
   private static final double SPARE_S = 6;
 
   private final Function<Job, OptionalDouble> openSlackS;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
   private final Capacity capacity;
   private final Map<Integer, Capacity> ofTeams;
   private final long nowMs;
@@ -33,7 +33,7 @@
       Function<Job, OptionalDouble> openSlackS,
       Capacity capacity,
       Map<Integer, Capacity> ofTeams,
-      Estimates estimates,
+      RuntimeEstimates estimates,
       long nowMs) {
     this.ofTeams = ofTeams;
     this.nowMs = nowMs;
--- a/src/main/java/org/ploverspindle/placement/Arrivals.java
+++ b/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
 
 /**
  * What has come lately: how often jobs come, and how large the pressing ones are. Times are the
  * accepting nodes' times of day: good enough for a rate, and nothing else rests on them.
  */
-public final class Arrivals {
+public final class ArrivalForecast {
   private static final int KEPT = 24;
   private static final int PRESSING_KEPT = 12;
 
@@ -61,7 +61,7 @@
    * @param dueS when it is due, in seconds from when it came
    */
   public void work(JobSpec spec, OptionalDouble dueS, long wallMs) {
-    if (spec.shape() == Shape.BATCH && dueS.orElse(Double.MAX_VALUE) <= SHORT_WINDOW_S) {
+    if (spec.shape() == JobKind.BATCH && dueS.orElse(Double.MAX_VALUE) <= SHORT_WINDOW_S) {
       double coreSeconds = spec.tasks() * spec.perTask().cores() * spec.expectedS();
       recent.addLast(new Came(wallMs, spec.jobClass(), coreSeconds));
     }
@@ -71,7 +71,7 @@
    * Cores, in thousandths, that would be busy for good if work went on to come as it has. Who has
    * less falls behind: a machine that is rented when work waits comes when it is too late for it.
    */
-  public double coresForRate(Estimates estimates, long wallMs) {
+  public double coresForRate(RuntimeEstimates estimates, long wallMs) {
     recent.removeIf(c -> wallMs - c.wallMs() > RATE_WINDOW_MS);
     double sum = 0;
     for (Came c : recent) {
--- a/src/main/java/org/ploverspindle/placement/Capacity.java
+++ b/src/main/java/org/ploverspindle/placement/Capacity.java
@@ -23,7 +23,7 @@
 
   private final double[] coreSeconds = new double[STEPS + 1];
 
-  Capacity(MachineRegistry fleet, Estimates estimates, long nowMs, long silenceMs) {
+  Capacity(MachineRegistry fleet, RuntimeEstimates estimates, long nowMs, long silenceMs) {
     for (Machine m : fleet.all()) {
       if (m.usable(nowMs, silenceMs)) {
         add(m.free().cores(), 0);
@@ -40,7 +40,7 @@
    *
    * @param room what it leaves now, in thousandths of cores
    */
-  Capacity(Collection<Job> ofTeam, long room, Estimates estimates, long nowMs) {
+  Capacity(Collection<Job> ofTeam, long room, RuntimeEstimates estimates, long nowMs) {
     add(room, 0);
     for (Job job : ofTeam) {
       for (Placement p : job.live()) {
--- a/src/main/java/org/ploverspindle/placement/Placer.java
+++ b/src/main/java/org/ploverspindle/placement/Placer.java
@@ -12,10 +12,10 @@
 import java.util.function.Predicate;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobTable;
-import org.ploverspindle.jobs.Shape;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
@@ -89,9 +89,9 @@
   private final MachineRegistry fleet;
   private final JobTable jobs;
   private final TeamUsage teams;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
   private final LongSupplier nextAttempt;
-  private final Aims aims;
+  private final ServiceLevelObjectives aims;
   private final long silenceMs;
   private final Listener listener;
   private final List<Placement> servedForPatience = new ArrayList<>();
@@ -110,9 +110,9 @@
       MachineRegistry fleet,
       JobTable jobs,
       TeamUsage teams,
-      Estimates estimates,
+      RuntimeEstimates estimates,
       LongSupplier nextAttempt,
-      Aims aims,
+      ServiceLevelObjectives aims,
       long silenceMs,
       Listener listener) {
     this.catalogue = catalogue;
@@ -208,7 +208,7 @@
 
   /** There is time until it must start, and nobody expects it to start at once. */
   private boolean mayWait(Job job, long wallMs) {
-    return job.urgency().compareTo(Urgency.HIGH) > 0
+    return job.urgency().compareTo(Priority.HIGH) > 0
         && !aims.prompt(job)
         && job.dueS().isPresent()
         && slackS(job, wallMs) > MAY_WAIT_S;
@@ -293,7 +293,7 @@
     List<Placement> placed = new ArrayList<>();
     int task = nextTask(job, 0, nowMs);
     int open = job.openTasks(nowMs);
-    int limit = job.spec().shape() == Shape.GANG ? open : Math.min(most, open);
+    int limit = job.spec().shape() == JobKind.GANG ? open : Math.min(most, open);
     while (task >= 0 && placed.size() < limit && teams.room(job.team(), job.perTask()) > 0) {
       Machine best = best(job, usable);
       if (best == null) {
@@ -313,7 +313,7 @@
           && teams.room(job.team(), job.perTask()) > 0
           && takes(job, best));
     }
-    if (job.spec().shape() == Shape.GANG && !job.waiting().isEmpty()) {
+    if (job.spec().shape() == JobKind.GANG && !job.waiting().isEmpty()) {
       // Part of a gang would hold its room and wait for the rest. Nothing was recorded or sent yet.
       placed.forEach(p -> fleet.gone(p, nowMs));
       return List.of();
--- a/src/main/java/org/ploverspindle/placement/Preemption.java
+++ b/src/main/java/org/ploverspindle/placement/Preemption.java
@@ -11,9 +11,9 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
@@ -34,12 +34,16 @@
 
   private final MachineRegistry fleet;
   private final TeamUsage teams;
-  private final Estimates estimates;
-  private final Aims aims;
+  private final RuntimeEstimates estimates;
+  private final ServiceLevelObjectives aims;
   private final long silenceMs;
 
   Preemption(
-      MachineRegistry fleet, TeamUsage teams, Estimates estimates, Aims aims, long silenceMs) {
+      MachineRegistry fleet,
+      TeamUsage teams,
+      RuntimeEstimates estimates,
+      ServiceLevelObjectives aims,
+      long silenceMs) {
     this.fleet = fleet;
     this.teams = teams;
     this.estimates = estimates;
@@ -70,7 +74,7 @@
       Resources perTask,
       BitSet types,
       boolean spot,
-      Urgency urgency,
+      Priority urgency,
       int team,
       boolean within,
       Optional<String> bound) {
@@ -93,7 +97,7 @@
         waiting.stream()
             .filter(
                 j ->
-                    j.urgency().compareTo(Urgency.HIGH) <= 0
+                    j.urgency().compareTo(Priority.HIGH) <= 0
                         || teams.withinGuarantee(j.team(), j.perTask()))
             .toList();
     if (pressing.isEmpty()) {
@@ -214,7 +218,7 @@
    * just begun is the best to stop, as the least work is lost with it.
    */
   private boolean startMatters(Job job) {
-    return aims.prompt(job) || job.urgency().compareTo(Urgency.HIGH) <= 0;
+    return aims.prompt(job) || job.urgency().compareTo(Priority.HIGH) <= 0;
   }
 
   private static double ranS(Placement p, long nowMs) {
--- a/src/main/java/org/ploverspindle/placement/Estimates.java
+++ b/src/main/java/org/ploverspindle/placement/RuntimeEstimates.java
@@ -7,7 +7,7 @@
 import org.ploverspindle.workers.Placement;
 
 /** Owners' estimates, corrected by class from what finished tasks really took. */
-public final class Estimates {
+public final class RuntimeEstimates {
   private static final double WEIGHT = 0.08;
 
   private final Map<String, Double> ratioByClass = new HashMap<>();
--- a/src/main/java/org/ploverspindle/placement/Demand.java
+++ b/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Shape;
 import org.ploverspindle.jobs.TeamUsage;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.Placement;
@@ -25,25 +25,25 @@
  * them first; and as many cores as drain the work in time are enough, since tasks end and make
  * room.
  */
-public final class Demand {
+public final class ScaleOutPlanner {
   /**
    * A group's kind that may be rented from now, and how many machines at most.
    *
    * @param held machines of the type that there are in the zone
    * @param late its machines come late or never at present
    */
-  public record Offer(int type, int zone, boolean spot, int room, int held, boolean late) {}
+  public record Candidate(int type, int zone, boolean spot, int room, int held, boolean late) {}
 
-  public record Wanted(int type, int zone, boolean spot, int count) {}
+  public record Request(int type, int zone, boolean spot, int count) {}
 
   /** A machine that is on its way. */
-  public record Coming(int type, int zone, boolean spot) {}
+  public record PendingMachine(int type, int zone, boolean spot) {}
 
   private static final class Virtual {
-    private final Coming what;
+    private final PendingMachine what;
     private Resources free;
 
-    Virtual(Coming what, Resources free) {
+    Virtual(PendingMachine what, Resources free) {
       this.what = what;
       this.free = free;
     }
@@ -59,11 +59,11 @@
     private double dearAllowed;
   }
 
-  private static final class OpenOffer {
-    private final Offer offer;
+  private static final class OpenCandidate {
+    private final Candidate offer;
     private int taken;
 
-    OpenOffer(Offer offer) {
+    OpenCandidate(Candidate offer) {
       this.offer = offer;
     }
 
@@ -74,11 +74,11 @@
 
   private final Catalogue catalogue;
   private final TeamUsage teams;
-  private final Estimates estimates;
-  private final Aims aims;
+  private final RuntimeEstimates estimates;
+  private final ServiceLevelObjectives aims;
   private final double drainS;
   private final List<Virtual> coming = new ArrayList<>();
-  private final List<OpenOffer> offers = new ArrayList<>();
+  private final List<OpenCandidate> offers = new ArrayList<>();
   private final Map<BitSet, Balance> balances = new LinkedHashMap<>();
   private final BitSet everywhere = new BitSet();
   private double have;
@@ -95,8 +95,12 @@
   /** Part of the time that is left in which dear machines are to finish the work. */
   private static final double DEAR_WINDOW = 0.85;
 
-  public Demand(
-      Catalogue catalogue, TeamUsage teams, Estimates estimates, Aims aims, double drainS) {
+  public ScaleOutPlanner(
+      Catalogue catalogue,
+      TeamUsage teams,
+      RuntimeEstimates estimates,
+      ServiceLevelObjectives aims,
+      double drainS) {
     this.catalogue = catalogue;
     this.teams = teams;
     this.estimates = estimates;
@@ -110,20 +114,20 @@
    * @param expected a job like the next pressing one, which room is kept for
    * @param coresForRate what work that goes on to come as it does keeps busy, in thousandths
    */
-  public List<Wanted> plan(
+  public List<Request> plan(
       List<Job> waiting,
       Collection<Job> all,
       List<Machine> machines,
-      List<Coming> comingNow,
-      List<Offer> offersNow,
+      List<PendingMachine> comingNow,
+      List<Candidate> offersNow,
       Optional<Job> expected,
       double coresForRate,
       long nowMs,
       long wallMs) {
-    for (Coming c : comingNow) {
+    for (PendingMachine c : comingNow) {
       coming.add(new Virtual(c, catalogue.type(c.type()).size()));
     }
-    offersNow.forEach(o -> offers.add(new OpenOffer(o)));
+    offersNow.forEach(o -> offers.add(new OpenCandidate(o)));
     for (Machine m : machines) {
       have += m.size().cores();
     }
@@ -137,10 +141,10 @@
     }
     keepRate(all, coresForRate * RATE_ROOM_DEAR - haveNow());
     expected.ifPresent(job -> keepRoom(job, machines));
-    List<Wanted> wanted = new ArrayList<>();
-    for (OpenOffer o : offers) {
+    List<Request> wanted = new ArrayList<>();
+    for (OpenCandidate o : offers) {
       if (o.taken > 0) {
-        wanted.add(new Wanted(o.offer.type(), o.offer.zone(), o.offer.spot(), o.taken));
+        wanted.add(new Request(o.offer.type(), o.offer.zone(), o.offer.spot(), o.taken));
       }
     }
     return wanted;
@@ -269,7 +273,7 @@
   private double coresNeeded(Job job, boolean covered, long nowMs, long wallMs, boolean dear) {
     double each = job.perTask().cores();
     int open = Math.min(job.openTasks(nowMs), teams.room(job.team(), job.perTask()));
-    if (job.spec().shape() != Shape.BATCH) {
+    if (job.spec().shape() != JobKind.BATCH) {
       return each * (open + job.live().size());
     }
     double runS = Math.max(1, estimates.runS(job));
@@ -354,7 +358,7 @@
       return;
     }
     while (need > 0 && (balance.allowed > 0 || !anywhere || atAnyRate > 0)) {
-      Optional<OpenOffer> offer = cheapest(job, need, false);
+      Optional<OpenCandidate> offer = cheapest(job, need, false);
       boolean tooDear = anywhere && balance.dearAllowed <= 0;
       if (offer.isEmpty() || tooDear && isDear(job, offer.get().offer)) {
         // Where machines come late, some come all the same.
@@ -363,13 +367,14 @@
       if (offer.isEmpty() || tooDear && isDear(job, offer.get().offer)) {
         return;
       }
-      OpenOffer o = offer.get();
+      OpenCandidate o = offer.get();
       o.taken++;
       atAnyRate--;
       Resources size = catalogue.type(o.offer.type()).size();
       rentedCores += size.cores();
       count(group(o.offer.type(), o.offer.zone(), o.offer.spot()), size.cores());
-      Virtual fresh = new Virtual(new Coming(o.offer.type(), o.offer.zone(), o.offer.spot()), size);
+      Virtual fresh =
+          new Virtual(new PendingMachine(o.offer.type(), o.offer.zone(), o.offer.spot()), size);
       coming.add(fresh);
       need -= fill(fresh, job, need);
       anywhere = true;
@@ -387,12 +392,12 @@
   private void keepRate(Collection<Job> all, double missing) {
     Optional<Job> like =
         all.stream()
-            .filter(j -> !j.over() && j.spec().shape() == Shape.BATCH)
-            .filter(j -> j.dueS().orElse(Double.MAX_VALUE) <= Arrivals.SHORT_WINDOW_S)
+            .filter(j -> !j.over() && j.spec().shape() == JobKind.BATCH)
+            .filter(j -> j.dueS().orElse(Double.MAX_VALUE) <= ArrivalForecast.SHORT_WINDOW_S)
             .max(Comparator.comparingLong(Job::sinceWallMs).thenComparing(Job::uid));
     double left = missing;
     while (like.isPresent() && left > 0) {
-      Optional<OpenOffer> offer = cheapest(like.get(), Integer.MAX_VALUE, true);
+      Optional<OpenCandidate> offer = cheapest(like.get(), Integer.MAX_VALUE, true);
       if (offer.isEmpty()) {
         return;
       }
@@ -404,7 +409,7 @@
   }
 
   /** Does a core of it cost far more than of the cheapest kind that the job may use? */
-  private boolean isDear(Job job, Offer offer) {
+  private boolean isDear(Job job, Candidate offer) {
     double least = Double.MAX_VALUE;
     for (int t = 0; t < catalogue.types().size(); t++) {
       if (job.types().get(t)) {
@@ -432,18 +437,18 @@
         need -= fill(v, job, need);
       }
     }
-    Optional<OpenOffer> offer = need > 0 ? cheapest(job, need, true) : Optional.empty();
+    Optional<OpenCandidate> offer = need > 0 ? cheapest(job, need, true) : Optional.empty();
     if (offer.isPresent()) {
-      OpenOffer o = offer.get();
+      OpenCandidate o = offer.get();
       int slots = catalogue.type(o.offer.type()).size().times(job.perTask());
       o.taken += Math.min(o.room(), (need + slots - 1) / slots);
     }
   }
 
   /** Also what is asked for in this plan, of either kind. */
-  private int held(OpenOffer of) {
+  private int held(OpenCandidate of) {
     int held = of.offer.held();
-    for (OpenOffer o : offers) {
+    for (OpenCandidate o : offers) {
       if (o.offer.type() == of.offer.type() && o.offer.zone() == of.offer.zone()) {
         held += o.taken;
       }
@@ -470,10 +475,10 @@
    *
    * @param alsoLate also of groups whose machines come late at present
    */
-  private Optional<OpenOffer> cheapest(Job job, int need, boolean alsoLate) {
-    OpenOffer best = null;
+  private Optional<OpenCandidate> cheapest(Job job, int need, boolean alsoLate) {
+    OpenCandidate best = null;
     double bestCost = Double.MAX_VALUE;
-    for (OpenOffer o : offers) {
+    for (OpenCandidate o : offers) {
       if (o.room() <= 0
           || o.offer.late() && !alsoLate
           || !allowed(job, o.offer.type(), o.offer.zone(), o.offer.spot())) {
--- a/src/main/java/org/ploverspindle/placement/Aims.java
+++ b/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
@@ -9,7 +9,7 @@
 import org.ploverspindle.settings.Settings;
 
 /** What the operators' aims say of classes of jobs, as far as placing heeds it. */
-public final class Aims {
+public final class ServiceLevelObjectives {
   /** Who wants to start within this time can't wait for an image, let alone for a machine. */
   private static final double PROMPT_S = 15;
 
@@ -17,7 +17,7 @@
   private final Map<String, List<Double>> startWithinS = new HashMap<>();
   private final Map<String, List<Double>> finishWithinS = new HashMap<>();
 
-  public Aims(List<Settings.Objective> objectives) {
+  public ServiceLevelObjectives(List<Settings.Objective> objectives) {
     for (Settings.Objective o : objectives) {
       if (o.kind().equals("deadline") && o.times() > 1) {
         add(dueTimes, o, o.times());
--- a/src/main/java/org/ploverspindle/policy/Evaluator.java
+++ b/src/main/java/org/ploverspindle/policy/Evaluator.java
@@ -12,44 +12,44 @@
   }
 
   /** The value of an expression that must be an amount. */
-  double amount(Expr e) throws PolicyError {
+  double amount(Expression e) throws PolicyException {
     if (isCondition(e)) {
-      throw new PolicyError(e.column(), "a comparison is no amount");
+      throw new PolicyException(e.column(), "a comparison is no amount");
     }
     // Both branches of an "if" are checked, also the one that the present settings do not take.
-    if (e instanceof Expr.If choice) {
+    if (e instanceof Expression.If choice) {
       double then = amount(choice.then());
       double otherwise = amount(choice.otherwise());
       return condition(choice.condition()) ? then : otherwise;
     }
-    if (e instanceof Expr.Num num) {
+    if (e instanceof Expression.Num num) {
       return num.value();
     }
-    if (e instanceof Expr.Name name) {
+    if (e instanceof Expression.Name name) {
       Double value = names.get(name.name());
       if (value == null) {
         String known = names.keySet().stream().sorted().collect(Collectors.joining(", "));
-        throw new PolicyError(
+        throw new PolicyException(
             name.column(), "unknown name \"" + name.name() + "\"; known are " + known);
       }
       return value;
     }
-    if (e instanceof Expr.Negate negate) {
+    if (e instanceof Expression.Negate negate) {
       return -amount(negate.of());
     }
-    if (e instanceof Expr.Call call) {
+    if (e instanceof Expression.Call call) {
       return call(call);
     }
-    return arithmetic((Expr.Binary) e);
+    return arithmetic((Expression.Binary) e);
   }
 
-  private static boolean isCondition(Expr e) {
-    return e instanceof Expr.Binary b && "< <= > >= ==".contains(b.op());
+  private static boolean isCondition(Expression e) {
+    return e instanceof Expression.Binary b && "< <= > >= ==".contains(b.op());
   }
 
-  private boolean condition(Expr e) throws PolicyError {
-    if (!(e instanceof Expr.Binary b) || !isCondition(e)) {
-      throw new PolicyError(e.column(), "a comparison is needed here");
+  private boolean condition(Expression e) throws PolicyException {
+    if (!(e instanceof Expression.Binary b) || !isCondition(e)) {
+      throw new PolicyException(e.column(), "a comparison is needed here");
     }
     double left = amount(b.left());
     double right = amount(b.right());
@@ -62,11 +62,11 @@
     };
   }
 
-  private double arithmetic(Expr.Binary b) throws PolicyError {
+  private double arithmetic(Expression.Binary b) throws PolicyException {
     double left = amount(b.left());
     double right = amount(b.right());
     if (b.op().equals("/") && right == 0) {
-      throw new PolicyError(b.column(), "division by zero");
+      throw new PolicyException(b.column(), "division by zero");
     }
     return switch (b.op()) {
       case "+" -> left + right;
@@ -76,14 +76,14 @@
     };
   }
 
-  private double call(Expr.Call call) throws PolicyError {
+  private double call(Expression.Call call) throws PolicyException {
     boolean max = call.function().equals("max");
     if (!max && !call.function().equals("min")) {
-      throw new PolicyError(
+      throw new PolicyException(
           call.column(), "unknown function \"" + call.function() + "\"; known are max, min");
     }
     double result = amount(call.arguments().get(0));
-    for (Expr argument : call.arguments()) {
+    for (Expression argument : call.arguments()) {
       double value = amount(argument);
       result = max ? Math.max(result, value) : Math.min(result, value);
     }
--- a/src/main/java/org/ploverspindle/policy/Parser.java
+++ b/src/main/java/org/ploverspindle/policy/Parser.java
@@ -43,17 +43,17 @@
   private int next;
   private int depth;
 
-  Parser(String line) throws PolicyError {
+  Parser(String line) throws PolicyException {
     tokens = scan(line);
   }
 
-  private static List<Token> scan(String line) throws PolicyError {
+  private static List<Token> scan(String line) throws PolicyException {
     List<Token> tokens = new ArrayList<>();
     Matcher m = TOKEN.matcher(line);
     int at = 0;
     while (at < line.length() && !line.substring(at).isBlank()) {
       if (!m.find(at) || m.start() != at) {
-        throw new PolicyError(at + 1, "unexpected \"" + line.substring(at).strip() + "\"");
+        throw new PolicyException(at + 1, "unexpected \"" + line.substring(at).strip() + "\"");
       }
       Kind kind =
           m.group(NUMBER_GROUP) != null
@@ -90,18 +90,18 @@
     return false;
   }
 
-  private void expect(String text) throws PolicyError {
+  private void expect(String text) throws PolicyException {
     if (!takeIf(text)) {
-      throw new PolicyError(
+      throw new PolicyException(
           peek().column(), "expected \"" + text + "\" and found " + peek().text());
     }
   }
 
   /** The left side: a setting's name, or {@code pool "TYPE" min}. */
-  String target() throws PolicyError {
+  String target() throws PolicyException {
     Token t = take();
     if (t.kind() != Kind.WORD) {
-      throw new PolicyError(t.column(), "a line must begin with a setting's name");
+      throw new PolicyException(t.column(), "a line must begin with a setting's name");
     }
     String target = t.text();
     if (target.equals("pool")) {
@@ -109,7 +109,7 @@
       Token bound = take();
       if (type.kind() != Kind.QUOTED
           || !bound.text().equals("min") && !bound.text().equals("max")) {
-        throw new PolicyError(t.column(), "expected: pool \"TYPE\" min or max");
+        throw new PolicyException(t.column(), "expected: pool \"TYPE\" min or max");
       }
       target = "pool/" + type.text() + "/" + bound.text();
     }
@@ -117,31 +117,31 @@
     return target;
   }
 
-  Expr whole() throws PolicyError {
-    Expr e = expr();
+  Expression whole() throws PolicyException {
+    Expression e = expr();
     if (peek().kind() != Kind.END) {
-      throw new PolicyError(peek().column(), "unexpected " + peek().text());
+      throw new PolicyException(peek().column(), "unexpected " + peek().text());
     }
     return e;
   }
 
-  private Expr expr() throws PolicyError {
+  private Expression expr() throws PolicyException {
     if (++depth > MAX_DEPTH) {
-      throw new PolicyError(peek().column(), "nested too deeply");
+      throw new PolicyException(peek().column(), "nested too deeply");
     }
     try {
       int column = peek().column();
       if (takeIf("if")) {
-        Expr condition = expr();
+        Expression condition = expr();
         expect("then");
-        Expr then = expr();
+        Expression then = expr();
         expect("else");
-        return new Expr.If(condition, then, expr(), column);
+        return new Expression.If(condition, then, expr(), column);
       }
-      Expr left = sum();
+      Expression left = sum();
       for (String op : List.of("<=", ">=", "==", "<", ">")) {
         if (takeIf(op)) {
-          return new Expr.Binary(op, left, sum(), column);
+          return new Expression.Binary(op, left, sum(), column);
         }
       }
       return left;
@@ -150,63 +150,63 @@
     }
   }
 
-  private Expr sum() throws PolicyError {
-    Expr left = product();
+  private Expression sum() throws PolicyException {
+    Expression left = product();
     while (true) {
       int column = peek().column();
       if (takeIf("+")) {
-        left = new Expr.Binary("+", left, product(), column);
+        left = new Expression.Binary("+", left, product(), column);
       } else if (takeIf("-")) {
-        left = new Expr.Binary("-", left, product(), column);
+        left = new Expression.Binary("-", left, product(), column);
       } else {
         return left;
       }
     }
   }
 
-  private Expr product() throws PolicyError {
-    Expr left = unary();
+  private Expression product() throws PolicyException {
+    Expression left = unary();
     while (true) {
       int column = peek().column();
       if (takeIf("*")) {
-        left = new Expr.Binary("*", left, unary(), column);
+        left = new Expression.Binary("*", left, unary(), column);
       } else if (takeIf("/")) {
-        left = new Expr.Binary("/", left, unary(), column);
+        left = new Expression.Binary("/", left, unary(), column);
       } else {
         return left;
       }
     }
   }
 
-  private Expr unary() throws PolicyError {
+  private Expression unary() throws PolicyException {
     Token t = take();
     if (t.kind() == Kind.NUMBER) {
-      return new Expr.Num(Double.parseDouble(t.text()), t.column());
+      return new Expression.Num(Double.parseDouble(t.text()), t.column());
     }
     if (t.kind() == Kind.SIGN && t.text().equals("-")) {
       if (++depth > MAX_DEPTH) {
-        throw new PolicyError(t.column(), "nested too deeply");
+        throw new PolicyException(t.column(), "nested too deeply");
       }
-      Expr of = unary();
+      Expression of = unary();
       depth--;
-      return new Expr.Negate(of, t.column());
+      return new Expression.Negate(of, t.column());
     }
     if (t.kind() == Kind.SIGN && t.text().equals("(")) {
-      Expr inner = expr();
+      Expression inner = expr();
       expect(")");
       return inner;
     }
     if (t.kind() != Kind.WORD) {
-      throw new PolicyError(t.column(), "expected a value and found " + t.text());
+      throw new PolicyException(t.column(), "expected a value and found " + t.text());
     }
     if (!takeIf("(")) {
-      return new Expr.Name(t.text(), t.column());
+      return new Expression.Name(t.text(), t.column());
     }
-    List<Expr> arguments = new ArrayList<>();
+    List<Expression> arguments = new ArrayList<>();
     do {
       arguments.add(expr());
     } while (takeIf(","));
     expect(")");
-    return new Expr.Call(t.text(), arguments, t.column());
+    return new Expression.Call(t.text(), arguments, t.column());
   }
 }
--- a/src/main/java/org/ploverspindle/policy/PolicyError.java
+++ b/src/main/java/org/ploverspindle/policy/PolicyException.java
@@ -1,10 +1,10 @@
 package org.ploverspindle.policy;
 
 /** A problem in one line of a policy, with its column. */
-final class PolicyError extends Exception {
+final class PolicyException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  PolicyError(int column, String message) {
+  PolicyException(int column, String message) {
     super(message + " (column " + column + ")");
   }
 }
--- a/src/main/java/org/ploverspindle/policy/PolicyFile.java
+++ b/src/main/java/org/ploverspindle/policy/PolicyFile.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.ploverspindle.settings.InvalidSettings;
-import org.ploverspindle.settings.Problem;
+import org.ploverspindle.settings.InvalidSettingsException;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.settings.SettingsProblem;
 
 /**
  * Reads a policy: a line a setting, {@code NAME = EXPRESSION} or {@code pool "TYPE" min =
@@ -37,7 +37,7 @@
   private final Evaluator evaluator;
   private final Map<String, Double> values = new LinkedHashMap<>();
   private final Set<String> seen = new HashSet<>();
-  private final List<Problem> problems = new ArrayList<>();
+  private final List<SettingsProblem> problems = new ArrayList<>();
 
   private PolicyFile(String file, Settings settings) {
     this.file = file;
@@ -60,20 +60,21 @@
   }
 
   /** Reads a file. The exception names every problem that was found. */
-  public static Policy load(Path path, Settings settings) throws InvalidSettings {
+  public static Policy load(Path path, Settings settings) throws InvalidSettingsException {
     try {
       return parse(path.toString(), Files.readString(path), settings);
     } catch (NoSuchFileException e) {
-      throw new InvalidSettings(
-          List.of(new Problem(path.toString(), 0, "", "there is no such file")));
+      throw new InvalidSettingsException(
+          List.of(new SettingsProblem(path.toString(), 0, "", "there is no such file")));
     } catch (IOException e) {
-      throw new InvalidSettings(
-          List.of(new Problem(path.toString(), 0, "", "can't be read: " + e.getMessage())));
+      throw new InvalidSettingsException(
+          List.of(new SettingsProblem(path.toString(), 0, "", "can't be read: " + e.getMessage())));
     }
   }
 
   /** Reads a text; {@code file} is the name that problems are reported under. */
-  public static Policy parse(String file, String text, Settings settings) throws InvalidSettings {
+  public static Policy parse(String file, String text, Settings settings)
+      throws InvalidSettingsException {
     PolicyFile reader = new PolicyFile(file, settings);
     List<String> lines = text.lines().toList();
     for (int i = 0; i < lines.size(); i++) {
@@ -81,7 +82,7 @@
     }
     Policy policy = reader.policy();
     if (!reader.problems.isEmpty()) {
-      throw new InvalidSettings(reader.problems);
+      throw new InvalidSettingsException(reader.problems);
     }
     return policy;
   }
@@ -97,15 +98,15 @@
       Parser parser = new Parser(code);
       target = parser.target();
       Range range = range(target);
-      Expr expr = parser.whole();
+      Expression expr = parser.whole();
       if (!seen.add(target)) {
-        throw new PolicyError(1, "stands twice");
+        throw new PolicyException(1, "stands twice");
       }
       double value = evaluator.amount(expr);
       if (value < range.least()
           || value > range.most()
           || range.whole() && value != Math.rint(value)) {
-        throw new PolicyError(
+        throw new PolicyException(
             expr.column(),
             "is "
                 + value
@@ -117,16 +118,16 @@
                 + range.most());
       }
       values.put(target, value);
-    } catch (PolicyError e) {
-      problems.add(new Problem(file, number, target, e.getMessage()));
+    } catch (PolicyException e) {
+      problems.add(new SettingsProblem(file, number, target, e.getMessage()));
     }
   }
 
-  private static Range range(String target) throws PolicyError {
+  private static Range range(String target) throws PolicyException {
     String name = target.startsWith(POOL_PREFIX) ? "pool_max" : target;
     Range range = KNOWN.get(name);
     if (range == null) {
-      throw new PolicyError(
+      throw new PolicyException(
           1,
           "unknown setting; known are "
               + String.join(", ", KNOWN.keySet().stream().sorted().toList()));
@@ -163,7 +164,8 @@
   private void checkBounds(String field, int min, int max) {
     if (min > max) {
       problems.add(
-          new Problem(file, 0, field, "the minimum " + min + " is above the maximum " + max));
+          new SettingsProblem(
+              file, 0, field, "the minimum " + min + " is above the maximum " + max));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/returns/MachineReturns.java
+++ b/src/main/java/org/ploverspindle/returns/MachineTerminations.java
@@ -7,11 +7,11 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.ploverspindle.loop.Scheduler;
-import org.ploverspindle.state.LeaderWrites.CreateOutcome;
+import org.ploverspindle.state.LeaderWriter.CreateOutcome;
 import org.ploverspindle.state.StateStore.Entry;
+import org.ploverspindle.workers.HeartbeatTimeout;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.MachineSilence;
 import org.ploverspindle.workers.Placement;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -21,8 +21,8 @@
  * no list can show the machines any more. A return that was begun is never taken back in its term,
  * and one that is recorded in no term.
  */
-public final class MachineReturns {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineReturns.class);
+public final class MachineTerminations {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineTerminations.class);
 
   private static final long WRITE_RETRY_MS = 500;
   private static final long REMOVE_RETRY_MS = 2_000;
@@ -40,25 +40,25 @@
 
   private final Scheduler scheduler;
   private final MachineRegistry fleet;
-  private final MachineSilence silence;
-  private final ReturnWriter writer;
-  private final ReleaseSender sender;
+  private final HeartbeatTimeout silence;
+  private final TerminationRecordWriter writer;
+  private final TerminationSender sender;
   private final long keepMs;
   private final Consumer<List<Placement>> lost;
-  private final ReturnStatistics statistics = new ReturnStatistics();
-  private final Map<String, PendingReturn> returns = new LinkedHashMap<>();
+  private final TerminationStatistics statistics = new TerminationStatistics();
+  private final Map<String, PendingTermination> returns = new LinkedHashMap<>();
 
   /**
    * @param keepMs for how long a record outlives the cloud's confirmation: as long as a list may
    *     still show the machines
    * @param lost told of tasks that went with a machine
    */
-  public MachineReturns(
+  public MachineTerminations(
       Scheduler scheduler,
       MachineRegistry fleet,
-      MachineSilence silence,
-      ReturnWriter writer,
-      ReleaseSender sender,
+      HeartbeatTimeout silence,
+      TerminationRecordWriter writer,
+      TerminationSender sender,
       long keepMs,
       Consumer<List<Placement>> lost) {
     this.scheduler = scheduler;
@@ -75,7 +75,7 @@
    * the first placement of the term.
    */
   public void inherit(Entry entry) {
-    Optional<ReturnRecord> record = ReturnRecord.decode(entry.value());
+    Optional<TerminationRecord> record = TerminationRecord.decode(entry.value());
     if (record.isEmpty()) {
       LOG.error(
           "the record {} can't be read and is left as it is: machines of earlier terms get no work"
@@ -88,8 +88,8 @@
     List<String> hosts = record.get().hosts();
     returns.put(
         entry.key(),
-        new PendingReturn(
-            entry.key(), record.get(), PendingReturn.Phase.RECORDED, scheduler.nowMs()));
+        new PendingTermination(
+            entry.key(), record.get(), PendingTermination.Phase.RECORDED, scheduler.nowMs()));
     hosts.forEach(fleet::beginReturn);
     statistics.inherited(hosts.size());
     LOG.info("returning {} as an earlier leader recorded", hosts);
@@ -110,7 +110,7 @@
     writer.prepare(hosts, scheduler.nowMs()).forEach(this::add);
   }
 
-  private void add(PendingReturn pending) {
+  private void add(PendingTermination pending) {
     returns.put(pending.key(), pending);
     write(pending);
   }
@@ -126,20 +126,20 @@
     return returns.values().stream()
         .anyMatch(
             pending ->
-                pending.phase() != PendingReturn.Phase.CONFIRMED
+                pending.phase() != PendingTermination.Phase.CONFIRMED
                     && nowMs - pending.sinceMs() > STALLED_MS);
   }
 
   /** Repeats what was not answered, and sends what may be sent by now. To be called each second. */
   public void advance() {
     long nowMs = scheduler.nowMs();
-    for (PendingReturn pending : List.copyOf(returns.values())) {
+    for (PendingTermination pending : List.copyOf(returns.values())) {
       if (!pending.mayWrite(nowMs)) {
         continue;
       }
-      if (pending.phase() == PendingReturn.Phase.RECORDING) {
+      if (pending.phase() == PendingTermination.Phase.RECORDING) {
         write(pending);
-      } else if (pending.phase() == PendingReturn.Phase.CONFIRMED
+      } else if (pending.phase() == PendingTermination.Phase.CONFIRMED
           && nowMs - pending.confirmedMs() >= keepMs
           && writer.hasSpareWrites()) {
         remove(pending);
@@ -148,12 +148,12 @@
     sendDue();
   }
 
-  private void write(PendingReturn pending) {
+  private void write(PendingTermination pending) {
     pending.writing();
     writer.create(pending, outcome -> written(pending, outcome));
   }
 
-  private void written(PendingReturn pending, CreateOutcome outcome) {
+  private void written(PendingTermination pending, CreateOutcome outcome) {
     if (outcome == CreateOutcome.STANDS) {
       pending.recorded();
       sendDue();
@@ -168,7 +168,7 @@
     pending.writeFailed(scheduler.nowMs() + WRITE_RETRY_MS);
   }
 
-  private void remove(PendingReturn pending) {
+  private void remove(PendingTermination pending) {
     pending.writing();
     writer.remove(
         pending,
@@ -183,15 +183,15 @@
 
   private void sendDue() {
     List<String> due = new ArrayList<>();
-    for (PendingReturn pending : returns.values()) {
-      if (pending.phase() == PendingReturn.Phase.RECORDED) {
+    for (PendingTermination pending : returns.values()) {
+      if (pending.phase() == PendingTermination.Phase.RECORDED) {
         pending.unconfirmed().stream()
             .filter(host -> sender.maySend(host) && mayGo(host))
             .forEach(due::add);
       }
     }
-    for (int from = 0; from < due.size(); from += ReleaseClient.MAX_HOSTS_PER_RELEASE) {
-      int end = Math.min(due.size(), from + ReleaseClient.MAX_HOSTS_PER_RELEASE);
+    for (int from = 0; from < due.size(); from += TerminationClient.MAX_HOSTS_PER_RELEASE) {
+      int end = Math.min(due.size(), from + TerminationClient.MAX_HOSTS_PER_RELEASE);
       List<String> hosts = List.copyOf(due.subList(from, end));
       boolean again = hosts.stream().anyMatch(sender::wasSent);
       if (!sender.send(hosts, this::confirmed)) {
@@ -212,7 +212,7 @@
         || silence.isSilent(machine.get(), scheduler.nowMs())) {
       return true;
     }
-    ReturnDrain.drain(machine.get());
+    TerminationDrain.drain(machine.get());
     return false;
   }
 
@@ -221,7 +221,7 @@
     for (String host : hosts) {
       lost.accept(fleet.released(host, nowMs));
     }
-    for (PendingReturn pending : returns.values()) {
+    for (PendingTermination pending : returns.values()) {
       for (String host : hosts) {
         if (pending.unconfirmed().contains(host)) {
           pending.confirmed(host, nowMs);
@@ -234,12 +234,12 @@
   /** Numbers for people. */
   public String summary() {
     return statistics.text(
-        count(PendingReturn.Phase.RECORDING),
-        count(PendingReturn.Phase.RECORDED),
-        count(PendingReturn.Phase.CONFIRMED));
+        count(PendingTermination.Phase.RECORDING),
+        count(PendingTermination.Phase.RECORDED),
+        count(PendingTermination.Phase.CONFIRMED));
   }
 
-  private int count(PendingReturn.Phase phase) {
+  private int count(PendingTermination.Phase phase) {
     return (int) returns.values().stream().filter(pending -> pending.phase() == phase).count();
   }
 }
--- a/src/main/java/org/ploverspindle/returns/PendingReturn.java
+++ b/src/main/java/org/ploverspindle/returns/PendingTermination.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /** One record of a return, and how far the return has come in this term. */
-final class PendingReturn {
+final class PendingTermination {
   /** Steps of a return; it never goes back to an earlier one. */
   enum Phase {
     /** The record may or may not stand; the cloud must not be asked yet. */
@@ -17,7 +17,7 @@
   }
 
   private final String key;
-  private final ReturnRecord record;
+  private final TerminationRecord record;
   private final long sinceMs;
   private final Set<String> unconfirmed;
   private Phase phase;
@@ -25,7 +25,7 @@
   private long writeNotBeforeMs = Long.MIN_VALUE / 2;
   private long confirmedMs;
 
-  PendingReturn(String key, ReturnRecord record, Phase phase, long nowMs) {
+  PendingTermination(String key, TerminationRecord record, Phase phase, long nowMs) {
     this.key = key;
     this.record = record;
     this.phase = phase;
@@ -37,7 +37,7 @@
     return key;
   }
 
-  ReturnRecord record() {
+  TerminationRecord record() {
     return record;
   }
 
--- a/src/main/java/org/ploverspindle/returns/ReleaseClient.java
+++ b/src/main/java/org/ploverspindle/returns/TerminationClient.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /** The operation of the cloud that ends a machine. It is idempotent: unknown names are ignored. */
-public interface ReleaseClient {
+public interface TerminationClient {
   /** Names in one request, by the cloud's protocol. */
   int MAX_HOSTS_PER_RELEASE = 100;
 
--- a/src/main/java/org/ploverspindle/returns/ReturnRecord.java
+++ b/src/main/java/org/ploverspindle/returns/TerminationRecord.java
@@ -9,7 +9,7 @@
 import org.ploverspindle.net.Cbor;
 
 /** The stored form of a return: the names of the machines that go back together. */
-record ReturnRecord(List<String> hosts) {
+record TerminationRecord(List<String> hosts) {
   private static final String HOSTS = "hosts";
 
   JsonNode encode() {
@@ -20,7 +20,7 @@
   }
 
   /** Empty when any part of the value can't be read: part of the machines would be a guess. */
-  static Optional<ReturnRecord> decode(JsonNode value) {
+  static Optional<TerminationRecord> decode(JsonNode value) {
     JsonNode names = value.path(HOSTS);
     if (!names.isArray() || names.isEmpty()) {
       return Optional.empty();
@@ -32,7 +32,7 @@
       }
       hosts.add(name.asText());
     }
-    return Optional.of(new ReturnRecord(List.copyOf(hosts)));
+    return Optional.of(new TerminationRecord(List.copyOf(hosts)));
   }
 
   /**
@@ -40,18 +40,18 @@
    *
    * @param valueBytes the state service's limit for a value in JSON form
    */
-  static List<ReturnRecord> partition(List<String> hosts, int valueBytes) {
-    int emptyBytes = Cbor.jsonSize(new ReturnRecord(List.of()).encode());
-    List<ReturnRecord> records = new ArrayList<>();
+  static List<TerminationRecord> partition(List<String> hosts, int valueBytes) {
+    int emptyBytes = Cbor.jsonSize(new TerminationRecord(List.of()).encode());
+    List<TerminationRecord> records = new ArrayList<>();
     List<String> part = new ArrayList<>();
     int bytes = emptyBytes;
     for (String host : hosts) {
       // Its name in quotes, and a comma.
       int more = Cbor.jsonSize(Cbor.map().textNode(host)) + 1;
       boolean full =
-          part.size() == ReleaseClient.MAX_HOSTS_PER_RELEASE || bytes + more > valueBytes;
+          part.size() == TerminationClient.MAX_HOSTS_PER_RELEASE || bytes + more > valueBytes;
       if (full && !part.isEmpty()) {
-        records.add(new ReturnRecord(List.copyOf(part)));
+        records.add(new TerminationRecord(List.copyOf(part)));
         part.clear();
         bytes = emptyBytes;
       }
@@ -59,7 +59,7 @@
       bytes += more;
     }
     if (!part.isEmpty()) {
-      records.add(new ReturnRecord(List.copyOf(part)));
+      records.add(new TerminationRecord(List.copyOf(part)));
     }
     return records;
   }
--- a/src/main/java/org/ploverspindle/returns/ReturnWriter.java
+++ b/src/main/java/org/ploverspindle/returns/TerminationRecordWriter.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.LeaderWrites;
-import org.ploverspindle.state.LeaderWrites.CreateOutcome;
+import org.ploverspindle.state.LeaderWriter;
+import org.ploverspindle.state.LeaderWriter.CreateOutcome;
 import org.ploverspindle.state.StateStore.Change;
 
 /**
  * Writes and removes the records of returns. A record is created once, under a name that no other
  * leader and no other return of this term uses, and is never changed.
  */
-public final class ReturnWriter {
-  private final LeaderWrites writes;
+public final class TerminationRecordWriter {
+  private final LeaderWriter writes;
   private final long token;
   private final int valueBytes;
   private long counter;
@@ -21,7 +21,7 @@
    * @param token the term's first token, which makes the records' names unique over all terms
    * @param valueBytes the least limit of the state service for a value that was announced
    */
-  public ReturnWriter(LeaderWrites writes, long token, int valueBytes) {
+  public TerminationRecordWriter(LeaderWriter writes, long token, int valueBytes) {
     this.writes = writes;
     this.token = token;
     this.valueBytes = valueBytes;
@@ -32,31 +32,31 @@
     return writes.spare();
   }
 
-  List<PendingReturn> prepare(List<String> hosts, long nowMs) {
-    return ReturnRecord.partition(hosts, valueBytes).stream()
+  List<PendingTermination> prepare(List<String> hosts, long nowMs) {
+    return TerminationRecord.partition(hosts, valueBytes).stream()
         .map(record -> pending(record, nowMs))
         .toList();
   }
 
   /** Two returns in place of one whose record was refused for its size, so never carried out. */
-  List<PendingReturn> halve(PendingReturn refused, long nowMs) {
+  List<PendingTermination> halve(PendingTermination refused, long nowMs) {
     List<String> hosts = refused.hosts();
     int half = hosts.size() / 2;
     return List.of(
-        pending(new ReturnRecord(hosts.subList(0, half)), nowMs),
-        pending(new ReturnRecord(hosts.subList(half, hosts.size())), nowMs));
+        pending(new TerminationRecord(hosts.subList(0, half)), nowMs),
+        pending(new TerminationRecord(hosts.subList(half, hosts.size())), nowMs));
   }
 
-  private PendingReturn pending(ReturnRecord record, long nowMs) {
+  private PendingTermination pending(TerminationRecord record, long nowMs) {
     String key = Keys.machineReturn(token + "-" + ++counter);
-    return new PendingReturn(key, record, PendingReturn.Phase.RECORDING, nowMs);
+    return new PendingTermination(key, record, PendingTermination.Phase.RECORDING, nowMs);
   }
 
-  void create(PendingReturn pending, Consumer<CreateOutcome> then) {
+  void create(PendingTermination pending, Consumer<CreateOutcome> then) {
     writes.create(new Change.Put(pending.key(), pending.record().encode()), then);
   }
 
-  void remove(PendingReturn pending, Consumer<Boolean> then) {
+  void remove(PendingTermination pending, Consumer<Boolean> then) {
     writes.tell(new Change.Remove(pending.key()), then);
   }
 }
--- a/src/main/java/org/ploverspindle/returns/ReleaseSender.java
+++ b/src/main/java/org/ploverspindle/returns/TerminationSender.java
@@ -11,11 +11,11 @@
 /**
  * Sends releases within the budget of calls, and spaces repeats of those that were not answered.
  */
-public final class ReleaseSender {
+public final class TerminationSender {
   private static final long IN_FLIGHT = Long.MAX_VALUE;
 
   private final Scheduler scheduler;
-  private final ReleaseClient cloud;
+  private final TerminationClient cloud;
   private final BooleanSupplier mayCall;
   private final RetryDelay retryDelay;
 
@@ -27,8 +27,11 @@
    *     before each send
    * @param retryDelay before a release without an answer is sent again
    */
-  public ReleaseSender(
-      Scheduler scheduler, ReleaseClient cloud, BooleanSupplier mayCall, RetryDelay retryDelay) {
+  public TerminationSender(
+      Scheduler scheduler,
+      TerminationClient cloud,
+      BooleanSupplier mayCall,
+      RetryDelay retryDelay) {
     this.scheduler = scheduler;
     this.cloud = cloud;
     this.mayCall = mayCall;
@@ -48,7 +51,7 @@
   /**
    * Sends one request, if the lead is sure and the budget allows it.
    *
-   * @param hosts at most {@link ReleaseClient#MAX_HOSTS_PER_RELEASE}
+   * @param hosts at most {@link TerminationClient#MAX_HOSTS_PER_RELEASE}
    * @param confirmed called when the cloud confirmed that they are gone
    * @return whether it was sent
    */
--- a/src/main/java/org/ploverspindle/returns/ReturnStatistics.java
+++ b/src/main/java/org/ploverspindle/returns/TerminationStatistics.java
@@ -4,7 +4,7 @@
 import org.HdrHistogram.Histogram;
 
 /** What became of this term's returns, for people. */
-final class ReturnStatistics {
+final class TerminationStatistics {
   private static final long LONGEST_MS = 3_600_000;
   private static final double MEDIAN = 50;
   private static final double NEARLY_ALL = 99;
--- a/src/main/java/org/ploverspindle/settings/FleetNeeds.java
+++ b/src/main/java/org/ploverspindle/settings/FleetRequirements.java
@@ -16,7 +16,7 @@
  * @param cores mean share of a core while it leads
  * @param reportsPerS reports that come when nothing changes
  */
-public record FleetNeeds(
+public record FleetRequirements(
     int machines, int sockets, double ramMb, double cores, double reportsPerS) {
   /** Half-open connections of machines that were cut off, one for so many machines. */
   private static final int MACHINES_PER_HALF_OPEN = 8;
@@ -33,9 +33,9 @@
   private static final double CORES_PER_REPORT_PER_S = 0.0003;
 
   /** What a fleet of this size needs under these settings. */
-  public static FleetNeeds of(Settings settings, int machines) {
+  public static FleetRequirements of(Settings settings, int machines) {
     double reportsPerS = machines / settings.workers().reportS();
-    return new FleetNeeds(
+    return new FleetRequirements(
         machines,
         SocketBudget.neededFor(
             settings, machines + machines / MACHINES_PER_HALF_OPEN + USER_SOCKETS),
@@ -60,9 +60,9 @@
   }
 
   /** Settings that can't carry the fleet, each with the figure that would. */
-  public List<Sufficiency.Warning> shortages(Settings settings) {
+  public List<LimitChecks.Warning> shortages(Settings settings) {
     Settings.Quota quota = settings.quota();
-    List<Sufficiency.Warning> shortages = new ArrayList<>();
+    List<LimitChecks.Warning> shortages = new ArrayList<>();
     if (quota.maxConnections() < sockets) {
       shortages.add(shortage("max_connections", "%d sockets", quota.maxConnections(), sockets));
     }
@@ -75,8 +75,8 @@
     return shortages;
   }
 
-  private Sufficiency.Warning shortage(String field, String amount, Object given, Object needed) {
-    return new Sufficiency.Warning(
+  private LimitChecks.Warning shortage(String field, String amount, Object given, Object needed) {
+    return new LimitChecks.Warning(
         "params.quota." + field,
         String.format(
             Locale.ROOT,
--- a/src/main/java/org/ploverspindle/settings/Sufficiency.java
+++ b/src/main/java/org/ploverspindle/settings/LimitChecks.java
@@ -9,7 +9,7 @@
  * Limits that are valid and too small for the deployment's size. The service starts with them and
  * keeps the rules; what its users will see is said beforehand.
  */
-public final class Sufficiency {
+public final class LimitChecks {
   /** A leader's renewals, its own looks for news, and as many writes, at the least. */
   private static final double LEADER_RPS = 8;
 
@@ -25,7 +25,7 @@
   /** What remains of the time to cancel for orders and clock drift; see leadership.Timing. */
   private static final double CANCEL_MARGIN_S = 2.5;
 
-  private Sufficiency() {}
+  private LimitChecks() {}
 
   /** A field, and what follows from its value. */
   public record Warning(String field, String consequence) {
--- a/src/main/java/org/ploverspindle/settings/SettingsFile.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsFile.java
@@ -36,7 +36,7 @@
 
   private final String file;
   private final List<String> lines;
-  private final List<Problem> problems = new ArrayList<>();
+  private final List<SettingsProblem> problems = new ArrayList<>();
 
   private SettingsFile(String file, List<String> lines) {
     this.file = file;
@@ -44,28 +44,28 @@
   }
 
   /** Reads a file. The exception names every problem that was found. */
-  public static Settings load(Path path) throws InvalidSettings {
+  public static Settings load(Path path) throws InvalidSettingsException {
     try {
       return parse(path.toString(), Files.readString(path));
     } catch (NoSuchFileException e) {
-      throw new InvalidSettings(
-          List.of(new Problem(path.toString(), 0, "", "there is no such file")));
+      throw new InvalidSettingsException(
+          List.of(new SettingsProblem(path.toString(), 0, "", "there is no such file")));
     } catch (IOException e) {
-      throw new InvalidSettings(
-          List.of(new Problem(path.toString(), 0, "", "can't be read: " + e.getMessage())));
+      throw new InvalidSettingsException(
+          List.of(new SettingsProblem(path.toString(), 0, "", "can't be read: " + e.getMessage())));
     }
   }
 
   /** Reads a text; {@code file} is the name that problems are reported under. */
-  public static Settings parse(String file, String text) throws InvalidSettings {
+  public static Settings parse(String file, String text) throws InvalidSettingsException {
     JsonNode root;
     try {
       root = new ObjectMapper(new TomlFactory()).readTree(text);
     } catch (JsonProcessingException e) {
       JsonLocation at = e.getLocation();
-      throw new InvalidSettings(
+      throw new InvalidSettingsException(
           List.of(
-              new Problem(
+              new SettingsProblem(
                   file,
                   at == null ? 0 : at.getLineNr(),
                   "",
@@ -74,7 +74,7 @@
     SettingsFile reader = new SettingsFile(file, text.lines().toList());
     Settings settings = reader.read(root);
     if (!reader.problems.isEmpty()) {
-      throw new InvalidSettings(reader.problems);
+      throw new InvalidSettingsException(reader.problems);
     }
     return settings;
   }
@@ -310,7 +310,7 @@
         break;
       }
     }
-    problems.add(new Problem(file, line == 0 ? inlineLine(table) : line, field, message));
+    problems.add(new SettingsProblem(file, line == 0 ? inlineLine(table) : line, field, message));
   }
 
   /** Where a table without a header of its own is set: inline, or by dotted keys. */
--- a/src/main/java/org/ploverspindle/settings/Problem.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsProblem.java
@@ -1,7 +1,7 @@
 package org.ploverspindle.settings;
 
 /** Something wrong in a file of settings: where it stands and what is expected. */
-public record Problem(String file, int line, String field, String message) {
+public record SettingsProblem(String file, int line, String field, String message) {
   @Override
   public String toString() {
     String place = line > 0 ? file + ":" + line : file;
--- a/src/main/java/org/ploverspindle/state/SpecIndex.java
+++ b/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
@@ -16,26 +16,26 @@
  * that was written first counts, on every node and for good: it can't be overtaken by one that is
  * executed late, and whoever told its user "accepted" by the other record told the truth.
  */
-public final class SpecIndex {
+public final class AcceptedJobIndex {
   /** An accepted job's record, and the revision that wrote it. */
-  public record Spec(String uid, JsonNode value, long stamp, String key) {
-    private boolean isBefore(Spec other) {
+  public record AcceptedJob(String uid, JsonNode value, long stamp, String key) {
+    private boolean isBefore(AcceptedJob other) {
       return stamp != other.stamp ? stamp < other.stamp : key.compareTo(other.key) < 0;
     }
   }
 
   /** Told of every job that is new here. */
   public interface Listener {
-    void accepted(Spec spec);
+    void accepted(AcceptedJob spec);
 
     /** The record that counts is an earlier one, which came here later; seen only while loading. */
-    default void corrected(Spec spec) {}
+    default void corrected(AcceptedJob spec) {}
   }
 
-  private final Map<String, Spec> specs = new HashMap<>();
+  private final Map<String, AcceptedJob> specs = new HashMap<>();
   private final List<Listener> listeners = new ArrayList<>();
 
-  public SpecIndex(Replica replica) {
+  public AcceptedJobIndex(Replica replica) {
     replica.listen(this::changed);
   }
 
@@ -45,7 +45,7 @@
     return () -> listeners.remove(listener);
   }
 
-  public Optional<Spec> get(String uid) {
+  public Optional<AcceptedJob> get(String uid) {
     return Optional.ofNullable(specs.get(uid));
   }
 
@@ -59,16 +59,16 @@
     }
     Entry e = entry.get();
     if (key.startsWith(Keys.SPECS)) {
-      add(new Spec(key.substring(Keys.SPECS.length()), e.value(), e.stamp(), key));
+      add(new AcceptedJob(key.substring(Keys.SPECS.length()), e.value(), e.stamp(), key));
     } else if (key.startsWith(Keys.BATCHES)) {
       for (Map.Entry<String, JsonNode> job : e.value().properties()) {
-        add(new Spec(job.getKey(), job.getValue(), e.stamp(), key));
+        add(new AcceptedJob(job.getKey(), job.getValue(), e.stamp(), key));
       }
     }
   }
 
-  private void add(Spec spec) {
-    Spec known = specs.get(spec.uid());
+  private void add(AcceptedJob spec) {
+    AcceptedJob known = specs.get(spec.uid());
     if (known != null && !spec.isBefore(known)) {
       return;
     }
--- a/src/main/java/org/ploverspindle/state/DependenciesRecord.java
+++ b/src/main/java/org/ploverspindle/state/DependenciesRecord.java
@@ -54,7 +54,8 @@
   }
 
   /** The whole list by the copy; empty while a part of it is missing. */
-  public static Optional<List<String>> read(Replica replica, SpecRecord.Awaits.Elsewhere where) {
+  public static Optional<List<String>> read(
+      Replica replica, JobRecord.StoredDependencies.Separate where) {
     List<String> uids = new ArrayList<>();
     for (int i = 0; i < where.parts(); i++) {
       Optional<String> ids = replica.text(Keys.awaits(where.name(), i), IDS);
--- a/src/main/java/org/ploverspindle/state/HttpStateStore.java
+++ b/src/main/java/org/ploverspindle/state/HttpStateStore.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.ploverspindle.net.Caller;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.net.Reply;
+import org.ploverspindle.net.HttpClient;
+import org.ploverspindle.net.HttpResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,22 +24,22 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpStateStore.class);
 
-  private final Caller caller;
+  private final HttpClient caller;
 
   /** Answers that were named in the log, once each. */
   private final Set<Integer> told = new HashSet<>();
 
-  public HttpStateStore(Caller caller) {
+  public HttpStateStore(HttpClient caller) {
     this.caller = caller;
   }
 
   @Override
-  public void txn(Txn txn, Consumer<TxnResult> then) {
+  public void txn(Transaction txn, Consumer<TransactionResult> then) {
     caller.call(
         "POST", "/txn", Cbor.write(encode(txn)), TIMEOUT_MS, r -> then.accept(txnResult(r)));
   }
 
-  public static ObjectNode encode(Txn txn) {
+  public static ObjectNode encode(Transaction txn) {
     ObjectNode body = Cbor.map();
     ArrayNode conditions = body.putArray("if");
     for (Condition c : txn.conditions()) {
@@ -58,40 +58,40 @@
     return body;
   }
 
-  private TxnResult txnResult(Reply reply) {
-    if (reply instanceof Reply.NotSent) {
-      return new TxnResult.Refused(0);
+  private TransactionResult txnResult(HttpResult reply) {
+    if (reply instanceof HttpResult.NotSent) {
+      return new TransactionResult.Refused(0);
     }
-    if (!(reply instanceof Reply.Answer answer)) {
-      return new TxnResult.Unknown();
+    if (!(reply instanceof HttpResult.Response answer)) {
+      return new TransactionResult.Unknown();
     }
     Optional<ObjectNode> body = Cbor.readMap(answer.body());
     switch (answer.status()) {
       case 200:
         return body.filter(b -> b.path("ledger").canConvertToLong())
-            .<TxnResult>map(b -> new TxnResult.Committed(b.path("ledger").asLong()))
-            .orElse(new TxnResult.Unknown());
+            .<TransactionResult>map(b -> new TransactionResult.Committed(b.path("ledger").asLong()))
+            .orElse(new TransactionResult.Unknown());
       case 409:
         List<String> failed = new ArrayList<>();
         body.ifPresent(b -> b.path("failed").forEach(f -> failed.add(f.asText())));
-        return new TxnResult.Conflict(failed);
+        return new TransactionResult.Conflict(failed);
       case 400:
         return body.map(b -> b.path("error").asText("")).orElse("").contains("lease")
-            ? new TxnResult.NoSuchHold()
-            : new TxnResult.Refused(400);
+            ? new TransactionResult.NoSuchLease()
+            : new TransactionResult.Refused(400);
       case 429, 503:
-        return new TxnResult.Refused(answer.status());
+        return new TransactionResult.Refused(answer.status());
       default:
         if (told.add(answer.status())) {
           LOG.warn(
               "a write was answered {}, which no page names: it is read back", answer.status());
         }
-        return new TxnResult.Unknown();
+        return new TransactionResult.Unknown();
     }
   }
 
-  private static Optional<ObjectNode> ok(Reply reply) {
-    return reply instanceof Reply.Answer a && a.status() == 200
+  private static Optional<ObjectNode> ok(HttpResult reply) {
+    return reply instanceof HttpResult.Response a && a.status() == 200
         ? Cbor.readMap(a.body())
         : Optional.empty();
   }
@@ -111,7 +111,7 @@
     caller.call("GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(pageResult(r)));
   }
 
-  private static PageResult pageResult(Reply reply) {
+  private static PageResult pageResult(HttpResult reply) {
     Optional<ObjectNode> body = ok(reply);
     if (body.isEmpty() || !body.get().path("entries").isArray()) {
       return new PageResult.Failed();
@@ -125,32 +125,32 @@
   }
 
   @Override
-  public void changesAfter(String prefix, long ledger, Consumer<News> then) {
+  public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
     String path = "/follow?starts=" + escape(prefix) + "&after=" + ledger + "&wait_ms=0";
     caller.call("GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(news(r)));
   }
 
-  private static News news(Reply reply) {
+  private static ChangesResult news(HttpResult reply) {
     // Changes have no size limit, pages have: after a long gap in a busy store the changes alone
     // may be more than is read, and would be so again each time.
-    boolean overflow = reply instanceof Reply.TooLarge;
-    if (overflow || reply instanceof Reply.Answer a && a.status() == 410) {
-      return new News.TooOld();
+    boolean overflow = reply instanceof HttpResult.TooLarge;
+    if (overflow || reply instanceof HttpResult.Response a && a.status() == 410) {
+      return new ChangesResult.TooOld();
     }
     Optional<ObjectNode> body = ok(reply);
     if (body.isEmpty() || !body.get().path("ledger").canConvertToLong()) {
-      return new News.Failed();
+      return new ChangesResult.Failed();
     }
-    List<Changed> changes = new ArrayList<>();
+    List<ChangedEntry> changes = new ArrayList<>();
     for (JsonNode n : body.get().path("news")) {
       boolean put = n.has("put");
       changes.add(
-          new Changed(
+          new ChangedEntry(
               n.path(put ? "put" : "remove").asText(),
               put ? Optional.of(n.path("v")) : Optional.empty(),
               n.path("stamp").asLong()));
     }
-    return new News.Changes(body.get().path("ledger").asLong(), changes);
+    return new ChangesResult.Changes(body.get().path("ledger").asLong(), changes);
   }
 
   @Override
@@ -176,9 +176,9 @@
         EMPTY,
         TIMEOUT_MS,
         r -> {
-          if (r instanceof Reply.Answer a && a.status() == 200) {
+          if (r instanceof HttpResult.Response a && a.status() == 200) {
             then.accept(Renewal.RENEWED);
-          } else if (r instanceof Reply.Answer a && a.status() == 404) {
+          } else if (r instanceof HttpResult.Response a && a.status() == 404) {
             then.accept(Renewal.GONE);
           } else {
             then.accept(Renewal.FAILED);
--- a/src/main/java/org/ploverspindle/state/SpecRecord.java
+++ b/src/main/java/org/ploverspindle/state/JobRecord.java
@@ -7,16 +7,16 @@
 import java.util.Locale;
 import java.util.Optional;
 import java.util.OptionalDouble;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.net.Cbor;
 
 /**
  * A job as it is stored: what was asked, when it came by the accepting node's time of day, and how
  * many tasks one progress record holds (fixed for good, as the settings may change).
  */
-public record SpecRecord(JobSpec spec, long acceptedWallMs, int chunk) {
+public record JobRecord(JobSpec spec, long acceptedWallMs, int chunk) {
   private static final String AWAITS = "awaits";
   private static final String AWAITS_IN = "awaits_in";
 
@@ -40,21 +40,22 @@
   }
 
   /** What the job of a record awaits. */
-  public sealed interface Awaits {
+  public sealed interface StoredDependencies {
     /** Empty for a job that awaits nothing. */
-    record Here(List<String> uids) implements Awaits {}
+    record Inline(List<String> uids) implements StoredDependencies {}
 
-    record Elsewhere(String name, int parts) implements Awaits {}
+    record Separate(String name, int parts) implements StoredDependencies {}
   }
 
-  public static Awaits awaits(JsonNode v) {
+  public static StoredDependencies awaits(JsonNode v) {
     JsonNode elsewhere = v.path(AWAITS_IN);
     if (elsewhere.isObject()) {
-      return new Awaits.Elsewhere(elsewhere.path("key").asText(), elsewhere.path("parts").asInt());
+      return new StoredDependencies.Separate(
+          elsewhere.path("key").asText(), elsewhere.path("parts").asInt());
     }
     List<String> uids = new ArrayList<>();
     v.path(AWAITS).forEach(uid -> uids.add(uid.asText()));
-    return new Awaits.Here(List.copyOf(uids));
+    return new StoredDependencies.Inline(List.copyOf(uids));
   }
 
   private ObjectNode withoutDependencies() {
@@ -90,11 +91,11 @@
 
   /** Alone, for looking at many records. */
   public static boolean isService(JsonNode v) {
-    return v.path("shape").asText().equals(Shape.SERVICE.name().toLowerCase(Locale.ROOT));
+    return v.path("shape").asText().equals(JobKind.SERVICE.name().toLowerCase(Locale.ROOT));
   }
 
   /** Empty when the record can't be read. */
-  public static Optional<SpecRecord> decode(String uid, JsonNode v) {
+  public static Optional<JobRecord> decode(String uid, JsonNode v) {
     try {
       int tasks = v.path("tasks").asInt(0);
       int chunk = v.path("chunk").asInt(0);
@@ -112,8 +113,8 @@
               uid,
               v.path("class").asText(),
               v.path("team").asText(),
-              Shape.valueOf(v.path("shape").asText().toUpperCase(Locale.ROOT)),
-              Urgency.valueOf(v.path("urgency").asText().toUpperCase(Locale.ROOT)),
+              JobKind.valueOf(v.path("shape").asText().toUpperCase(Locale.ROOT)),
+              Priority.valueOf(v.path("urgency").asText().toUpperCase(Locale.ROOT)),
               tasks,
               v.path("cores").asDouble(),
               v.path("accel").asDouble(),
@@ -131,8 +132,8 @@
               v.path("due").isNumber()
                   ? OptionalDouble.of(v.path("due").asDouble())
                   : OptionalDouble.empty(),
-              awaits(v) instanceof Awaits.Here here ? here.uids() : List.of());
-      return Optional.of(new SpecRecord(spec, acceptedWallMs(v), chunk));
+              awaits(v) instanceof StoredDependencies.Inline here ? here.uids() : List.of());
+      return Optional.of(new JobRecord(spec, acceptedWallMs(v), chunk));
     } catch (IllegalArgumentException e) {
       return Optional.empty();
     }
--- a/src/main/java/org/ploverspindle/state/Keys.java
+++ b/src/main/java/org/ploverspindle/state/Keys.java
@@ -38,7 +38,7 @@
   }
 
   public static String log(long n) {
-    return LOG + String.format(Locale.ROOT, "%03d", ProgressLog.slot(n));
+    return LOG + String.format(Locale.ROOT, "%03d", ProgressLogRecord.slot(n));
   }
 
   public static String cancel(String uid) {
--- a/src/main/java/org/ploverspindle/state/LeaderWrites.java
+++ b/src/main/java/org/ploverspindle/state/LeaderWriter.java
@@ -6,12 +6,12 @@
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
  * Single writes of a leader besides progress: bound to the leader key, read back when unanswered.
  */
-public final class LeaderWrites {
+public final class LeaderWriter {
   /** The status of a transaction that is malformed or beyond the limits. */
   private static final int BEYOND_LIMITS = 400;
 
@@ -20,7 +20,7 @@
   private final TokenBucket writes;
   private final Term term;
 
-  public LeaderWrites(StateStore store, Replica replica, TokenBucket writes, Term term) {
+  public LeaderWriter(StateStore store, Replica replica, TokenBucket writes, Term term) {
     this.store = store;
     this.replica = replica;
     this.writes = writes;
@@ -50,9 +50,9 @@
         List.of(new Condition(put.key(), 0)),
         put,
         result -> {
-          if (result instanceof TxnResult.Committed) {
+          if (result instanceof TransactionResult.Committed) {
             then.accept(CreateOutcome.STANDS);
-          } else if (result instanceof TxnResult.Refused refused) {
+          } else if (result instanceof TransactionResult.Refused refused) {
             then.accept(
                 refused.status() == BEYOND_LIMITS
                     ? CreateOutcome.TOO_LARGE
@@ -72,13 +72,13 @@
 
   /** Writes or removes a key whose loss costs nothing but time. */
   public void tell(Change change, Consumer<Boolean> then) {
-    write(List.of(), change, result -> then.accept(result instanceof TxnResult.Committed));
+    write(List.of(), change, result -> then.accept(result instanceof TransactionResult.Committed));
   }
 
-  private void write(List<Condition> conditions, Change change, Consumer<TxnResult> then) {
+  private void write(List<Condition> conditions, Change change, Consumer<TransactionResult> then) {
     List<Condition> all = new ArrayList<>(conditions);
     all.add(new Condition(Keys.LEADER, term.leaderStamp()));
     writes.take(1);
-    store.txn(new StateStore.Txn(all, List.of(change)), then);
+    store.txn(new StateStore.Transaction(all, List.of(change)), then);
   }
 }
--- a/src/main/java/org/ploverspindle/state/TypesRecord.java
+++ b/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
@@ -15,8 +15,8 @@
  * The machine types as last heard from the cloud. Kept so that nodes that all start anew while the
  * cloud is down can still lead, answer workers, and judge submissions.
  */
-public final class TypesRecord {
-  private TypesRecord() {}
+public final class MachineTypesRecord {
+  private MachineTypesRecord() {}
 
   /**
    * The writes that keep the types: one, or several parts where one value can't hold them. Then the
--- a/src/main/java/org/ploverspindle/state/ProgressCounts.java
+++ b/src/main/java/org/ploverspindle/state/ProgressCounts.java
@@ -28,7 +28,8 @@
     }
     if (key.startsWith(Keys.LOG)) {
       long n = entry.get().value().path("n").asLong();
-      ProgressLog.counts(entry.get().value(), (uid, done, running) -> put(uid, n, done, running));
+      ProgressLogRecord.counts(
+          entry.get().value(), (uid, done, running) -> put(uid, n, done, running));
     } else if (key.startsWith(Keys.PROGRESS)) {
       int slash = key.lastIndexOf('/');
       var v = entry.get().value();
--- a/src/main/java/org/ploverspindle/state/ProgressLog.java
+++ b/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Optional;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.state.ProgressRecord.Host;
-import org.ploverspindle.state.ProgressRecord.Live;
+import org.ploverspindle.state.SnapshotRecord.MachineInfo;
+import org.ploverspindle.state.SnapshotRecord.RecordedPlacement;
 
 /**
  * One record of the leader's progress log: what the touched tasks of any number of jobs are now.
@@ -22,7 +22,7 @@
  * @param n place in the log; later records say newer things
  * @param id who wrote it, so that an unanswered write can be recognised
  */
-public record ProgressLog(long n, String id, List<Delta> deltas) {
+public record ProgressLogRecord(long n, String id, List<Delta> deltas) {
 
   /**
    * How the touched tasks of a job are: done, on a machine, or on none.
@@ -30,7 +30,12 @@
    * @param doneCount of the whole job, for display; so is {@code running}
    */
   public record Delta(
-      String uid, int doneCount, int running, BitSet done, BitSet cleared, List<Live> live) {}
+      String uid,
+      int doneCount,
+      int running,
+      BitSet done,
+      BitSet cleared,
+      List<RecordedPlacement> live) {}
 
   /** How many records the log holds; the oldest is replaced once checkpoints cover it. */
   public static final int SLOTS = 256;
@@ -47,7 +52,7 @@
     private final String id;
     private final int maxBytes;
     private final Map<String, Integer> kinds = new LinkedHashMap<>();
-    private final Map<Host, Integer> hosts = new LinkedHashMap<>();
+    private final Map<MachineInfo, Integer> hosts = new LinkedHashMap<>();
     private final List<String> lines = new ArrayList<>();
     private int bytes = FIXED;
 
@@ -68,11 +73,11 @@
       int kindsBefore = kinds.size();
       StringBuilder line = new StringBuilder(64);
       line.append(d.uid()).append('|').append(d.doneCount()).append('|').append(d.running());
-      line.append('|').append(ProgressRecord.ranges(d.done()));
-      line.append('|').append(ProgressRecord.ranges(d.cleared())).append('|');
+      line.append('|').append(SnapshotRecord.ranges(d.done()));
+      line.append('|').append(SnapshotRecord.ranges(d.cleared())).append('|');
       int more = 0;
       for (int i = 0; i < d.live().size(); ) {
-        Live first = d.live().get(i);
+        RecordedPlacement first = d.live().get(i);
         int run = 1;
         while (i + run < d.live().size() && continues(first, d.live().get(i + run), run)) {
           run++;
@@ -113,14 +118,14 @@
       map.values().removeIf(index -> index >= size);
     }
 
-    private static boolean continues(Live first, Live next, int run) {
+    private static boolean continues(RecordedPlacement first, RecordedPlacement next, int run) {
       return next.task() == first.task() + run
           && next.attempt() == first.attempt() + run
           && next.tenure() == first.tenure()
           && next.host().equals(first.host());
     }
 
-    private static String kind(Host h) {
+    private static String kind(MachineInfo h) {
       return h.type() + "," + h.zone() + "," + (h.spot() ? "spot" : "ordinary");
     }
 
@@ -172,7 +177,7 @@
   }
 
   /** Empty when the record can't be read as a whole. */
-  public static Optional<ProgressLog> decode(JsonNode v) {
+  public static Optional<ProgressLogRecord> decode(JsonNode v) {
     if (!v.path("n").canConvertToLong() || !v.path("n").isIntegralNumber()) {
       return Optional.empty();
     }
@@ -182,11 +187,11 @@
     try {
       List<String[]> kinds = new ArrayList<>();
       v.path("kinds").forEach(k -> kinds.add(k.asText().split(",", -1)));
-      List<Host> hosts = new ArrayList<>();
+      List<MachineInfo> hosts = new ArrayList<>();
       for (JsonNode h : v.path("hosts")) {
         String[] f = h.asText().split(",", -1);
         String[] kind = kinds.get(Integer.parseInt(f[1]));
-        hosts.add(new Host(f[0], kind[0], kind[1], kind[2].equals("spot")));
+        hosts.add(new MachineInfo(f[0], kind[0], kind[1], kind[2].equals("spot")));
       }
       List<Delta> deltas = new ArrayList<>();
       for (JsonNode line : v.path("jobs")) {
@@ -196,19 +201,20 @@
                 f[0],
                 Integer.parseInt(f[1]),
                 Integer.parseInt(f[2]),
-                ProgressRecord.ranges(f[3]),
-                ProgressRecord.ranges(f[4]),
+                SnapshotRecord.ranges(f[3]),
+                SnapshotRecord.ranges(f[4]),
                 live(f[5], hosts)));
       }
-      return Optional.of(new ProgressLog(v.path("n").asLong(), v.path("id").asText(), deltas));
+      return Optional.of(
+          new ProgressLogRecord(v.path("n").asLong(), v.path("id").asText(), deltas));
     } catch (NumberFormatException | IndexOutOfBoundsException e) {
       return Optional.empty();
     }
   }
 
-  private static List<Live> live(String text, List<Host> hosts) {
-    List<Live> live = new ArrayList<>();
-    for (String place : ProgressRecord.parts(text)) {
+  private static List<RecordedPlacement> live(String text, List<MachineInfo> hosts) {
+    List<RecordedPlacement> live = new ArrayList<>();
+    for (String place : SnapshotRecord.parts(text)) {
       String[] f = place.split(":", -1);
       int dash = f[0].indexOf('-');
       int from = Integer.parseInt(dash < 0 ? f[0] : f[0].substring(0, dash));
@@ -216,7 +222,7 @@
       long attempt = Long.parseLong(f[1], 36);
       for (int task = from; task <= to; task++) {
         live.add(
-            new Live(
+            new RecordedPlacement(
                 task,
                 attempt + task - from,
                 hosts.get(Integer.parseInt(f[2])),
--- a/src/main/java/org/ploverspindle/state/Replica.java
+++ b/src/main/java/org/ploverspindle/state/Replica.java
@@ -12,9 +12,9 @@
 import org.ploverspindle.loop.Cancellable;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.StateStore.Changed;
+import org.ploverspindle.state.StateStore.ChangedEntry;
+import org.ploverspindle.state.StateStore.ChangesResult;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.News;
 import org.ploverspindle.state.StateStore.PageResult;
 
 /**
@@ -187,17 +187,17 @@
     store.changesAfter(prefix, ledger, news -> received(news, sentMs, served));
   }
 
-  private void received(News news, long sentMs, List<Consumer<Boolean>> served) {
+  private void received(ChangesResult news, long sentMs, List<Consumer<Boolean>> served) {
     busy = false;
-    if (news instanceof News.Changes changes) {
+    if (news instanceof ChangesResult.Changes changes) {
       failures = 0;
-      for (Changed c : changes.changes()) {
+      for (ChangedEntry c : changes.changes()) {
         apply(c);
       }
       ledger = Math.max(ledger, changes.ledger());
       freshAsOfMs = Math.max(freshAsOfMs, sentMs);
       served.forEach(w -> w.accept(true));
-    } else if (news instanceof News.TooOld) {
+    } else if (news instanceof ChangesResult.TooOld) {
       loaded = false;
       waiting.addAll(served);
       hurry = true;
@@ -221,11 +221,11 @@
   public void created(Change.Put put, long ledger) {
     // While it is read anew a page that is older than the key would seem to say that it is gone.
     if (loaded) {
-      apply(new Changed(put.key(), Optional.of(put.value()), ledger));
+      apply(new ChangedEntry(put.key(), Optional.of(put.value()), ledger));
     }
   }
 
-  private void apply(Changed c) {
+  private void apply(ChangedEntry c) {
     Entry known = entries.get(c.key());
     if (known != null && known.stamp() >= c.stamp()) {
       return;
@@ -275,7 +275,7 @@
           for (Entry e : page.entries()) {
             seen.add(e.key());
             lastKey = e.key();
-            apply(new Changed(e.key(), Optional.of(e.value()), e.stamp()));
+            apply(new ChangedEntry(e.key(), Optional.of(e.value()), e.stamp()));
           }
           // Changes made while pages are read are read again from the first page's revision on.
           long base = firstLedger < 0 ? page.ledger() : firstLedger;
--- a/src/main/java/org/ploverspindle/state/ProgressRecord.java
+++ b/src/main/java/org/ploverspindle/state/SnapshotRecord.java
@@ -17,7 +17,7 @@
  * the progress log after {@code upTo} say newer things; an earlier landing's records, which knew no
  * log, are read as from before its beginning.
  */
-public record ProgressRecord(BitSet done, List<Live> live, int running, long upTo) {
+public record SnapshotRecord(BitSet done, List<RecordedPlacement> live, int running, long upTo) {
 
   /** Counts of the whole job, for display. */
   public JsonNode encode(int jobDone, int jobRunning) {
@@ -28,10 +28,10 @@
   }
 
   /** A machine with what a new leader must know of it before it reports or is listed. */
-  public record Host(String id, String type, String zone, boolean spot) {}
+  public record MachineInfo(String id, String type, String zone, boolean spot) {}
 
   /** A task's placement: recorded before its launch is ordered. */
-  public record Live(int task, long attempt, Host host, long tenure) {}
+  public record RecordedPlacement(int task, long attempt, MachineInfo host, long tenure) {}
 
   /** A placement takes at most about this many bytes, with a machine of its own. */
   private static final int LIVE_BYTES = 100;
@@ -42,9 +42,9 @@
   }
 
   public ObjectNode encode() {
-    Map<Host, Integer> hosts = new LinkedHashMap<>();
+    Map<MachineInfo, Integer> hosts = new LinkedHashMap<>();
     StringBuilder places = new StringBuilder();
-    for (Live l : live) {
+    for (RecordedPlacement l : live) {
       int host = hosts.computeIfAbsent(l.host(), h -> hosts.size());
       places
           .append(places.isEmpty() ? "" : ",")
@@ -63,42 +63,42 @@
     v.put("done", ranges(done));
     v.put("live", places.toString());
     ArrayNode names = v.putArray("hosts");
-    for (Host h : hosts.keySet()) {
+    for (MachineInfo h : hosts.keySet()) {
       names.add(h.id() + "," + h.type() + "," + h.zone() + "," + (h.spot() ? "spot" : "ordinary"));
     }
     return v;
   }
 
   /** Empty when the record can't be read. */
-  public static Optional<ProgressRecord> decode(JsonNode v) {
+  public static Optional<SnapshotRecord> decode(JsonNode v) {
     if (!v.path("done").isTextual() || !v.path("live").isTextual()) {
       return Optional.empty();
     }
     try {
       BitSet done = ranges(v.path("done").asText());
-      List<Host> hosts = new ArrayList<>();
+      List<MachineInfo> hosts = new ArrayList<>();
       for (JsonNode h : v.path("hosts")) {
         String[] f = h.asText().split(",", -1);
         if (f.length != 4) {
           return Optional.empty();
         }
-        hosts.add(new Host(f[0], f[1], f[2], f[3].equals("spot")));
+        hosts.add(new MachineInfo(f[0], f[1], f[2], f[3].equals("spot")));
       }
-      List<Live> live = new ArrayList<>();
+      List<RecordedPlacement> live = new ArrayList<>();
       for (String place : parts(v.path("live").asText())) {
         String[] f = place.split(":", -1);
         if (f.length != 4) {
           return Optional.empty();
         }
         live.add(
-            new Live(
+            new RecordedPlacement(
                 Integer.parseInt(f[0]),
                 Long.parseLong(f[1], 36),
                 hosts.get(Integer.parseInt(f[2])),
                 Long.parseLong(f[3])));
       }
       return Optional.of(
-          new ProgressRecord(done, live, v.path("r").asInt(), v.path("upto").asLong(0)));
+          new SnapshotRecord(done, live, v.path("r").asInt(), v.path("upto").asLong(0)));
     } catch (NumberFormatException | IndexOutOfBoundsException e) {
       return Optional.empty();
     }
--- a/src/main/java/org/ploverspindle/state/StateStore.java
+++ b/src/main/java/org/ploverspindle/state/StateStore.java
@@ -25,20 +25,20 @@
     record Remove(String key) implements Change {}
   }
 
-  record Txn(List<Condition> conditions, List<Change> changes) {}
+  record Transaction(List<Condition> conditions, List<Change> changes) {}
 
-  sealed interface TxnResult {
-    record Committed(long ledger) implements TxnResult {}
+  sealed interface TransactionResult {
+    record Committed(long ledger) implements TransactionResult {}
 
-    record Conflict(List<String> keys) implements TxnResult {}
+    record Conflict(List<String> keys) implements TransactionResult {}
 
-    record NoSuchHold() implements TxnResult {}
+    record NoSuchLease() implements TransactionResult {}
 
     /** Certainly not executed: over a limit, or refused. */
-    record Refused(int status) implements TxnResult {}
+    record Refused(int status) implements TransactionResult {}
 
     /** May have been executed, or may yet be: only reading back tells. */
-    record Unknown() implements TxnResult {}
+    record Unknown() implements TransactionResult {}
   }
 
   sealed interface PageResult {
@@ -47,16 +47,16 @@
     record Failed() implements PageResult {}
   }
 
-  sealed interface News {
+  sealed interface ChangesResult {
     /** All changes after the revision asked for. An empty value is a removal. */
-    record Changes(long ledger, List<Changed> changes) implements News {}
+    record Changes(long ledger, List<ChangedEntry> changes) implements ChangesResult {}
 
-    record TooOld() implements News {}
+    record TooOld() implements ChangesResult {}
 
-    record Failed() implements News {}
+    record Failed() implements ChangesResult {}
   }
 
-  record Changed(String key, Optional<JsonNode> value, long stamp) {}
+  record ChangedEntry(String key, Optional<JsonNode> value, long stamp) {}
 
   enum Renewal {
     RENEWED,
@@ -64,11 +64,11 @@
     FAILED
   }
 
-  void txn(Txn txn, Consumer<TxnResult> then);
+  void txn(Transaction txn, Consumer<TransactionResult> then);
 
   void page(String prefix, String after, int size, Consumer<PageResult> then);
 
-  void changesAfter(String prefix, long ledger, Consumer<News> then);
+  void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then);
 
   void openLease(long ttlMs, Consumer<Optional<Long>> then);
 
--- a/src/main/java/org/ploverspindle/workers/OrderBatch.java
+++ b/src/main/java/org/ploverspindle/workers/CommandBatch.java
@@ -7,17 +7,17 @@
  * Orders that go out together, no more than a worker takes at once. What does not fit is ordered
  * with a later answer.
  */
-final class OrderBatch {
+final class CommandBatch {
   /** Before the first order: the token and the frame around the list. */
   private static final int FRAME_BYTES = 40;
 
-  private final List<Order> orders = new ArrayList<>();
+  private final List<WorkerCommand> orders = new ArrayList<>();
   private int bytes = FRAME_BYTES;
 
   /** Adds the order if it fits; false if it does not. */
-  boolean add(Order order) {
-    int size = ReportCodec.size(order);
-    if (bytes + size > ReportCodec.MAX_ORDER_BYTES) {
+  boolean add(WorkerCommand order) {
+    int size = HeartbeatCodec.size(order);
+    if (bytes + size > HeartbeatCodec.MAX_ORDER_BYTES) {
       return false;
     }
     bytes += size;
@@ -25,7 +25,7 @@
     return true;
   }
 
-  List<Order> orders() {
+  List<WorkerCommand> orders() {
     return orders;
   }
 }
--- a/src/main/java/org/ploverspindle/workers/DirectOrders.java
+++ b/src/main/java/org/ploverspindle/workers/DirectCommands.java
@@ -5,14 +5,14 @@
 import java.util.function.BooleanSupplier;
 
 /** Says which orders may go straight to a machine, before its next report. */
-public final class DirectOrders {
+public final class DirectCommands {
   /** Orders for one machine, and what they are sent with. */
-  public record Command(String address, long token, long tenure, List<Order> orders) {
-    static Optional<Command> of(Machine machine, OrderBatch batch) {
+  public record Request(String address, long token, long tenure, List<WorkerCommand> orders) {
+    static Optional<Request> of(Machine machine, CommandBatch batch) {
       return batch.orders().isEmpty()
           ? Optional.empty()
           : Optional.of(
-              new Command(machine.address(), machine.fence(), machine.tenure(), batch.orders()));
+              new Request(machine.address(), machine.fence(), machine.tenure(), batch.orders()));
     }
   }
 
@@ -22,7 +22,7 @@
   /**
    * @param mayDecide whether this leader is sure of its lead: without it nothing is ordered
    */
-  public DirectOrders(MachineRegistry fleet, BooleanSupplier mayDecide) {
+  public DirectCommands(MachineRegistry fleet, BooleanSupplier mayDecide) {
     this.fleet = fleet;
     this.mayDecide = mayDecide;
   }
@@ -32,21 +32,22 @@
    * launch that goes this way may be executed late, so from here on the attempt counts as possibly
    * there until a report shows otherwise under a higher token, or the session ends.
    */
-  public Optional<Command> launches(Machine machine, long nowMs) {
+  public Optional<Request> launches(Machine machine, long nowMs) {
     // Without tokens to spare a late copy of the launch could not be made void.
     if (!mayBeTold(machine) || !fleet.fencesLeft()) {
       return Optional.empty();
     }
-    OrderBatch batch = new OrderBatch();
+    CommandBatch batch = new CommandBatch();
     for (Placement placement : machine.placements()) {
       if (maySend(machine, placement)
           && batch.add(
-              new Order.Launch(placement.job().uid(), placement.task(), placement.attempt()))) {
+              new WorkerCommand.Launch(
+                  placement.job().uid(), placement.task(), placement.attempt()))) {
         placement.sentDirectly(machine.fence(), nowMs);
         machine.sentDirectly(placement.attempt());
       }
     }
-    return Command.of(machine, batch);
+    return Request.of(machine, batch);
   }
 
   private static boolean maySend(Machine machine, Placement placement) {
@@ -63,19 +64,21 @@
    * by then, as a cancellation is never taken back; that a launch still in flight comes after them
    * is seen in the next report.
    */
-  public Optional<Command> cancelledStops(Machine machine) {
+  public Optional<Request> cancelledStops(Machine machine) {
     if (!mayBeTold(machine)) {
       return Optional.empty();
     }
-    OrderBatch batch = new OrderBatch();
+    CommandBatch batch = new CommandBatch();
     for (Placement placement : machine.placements()) {
       if (placement.job().cancelled()
           && !placement.neverSent()
           && placement.tenure() == machine.tenure()) {
-        batch.add(new Order.Stop(placement.job().uid(), placement.task(), placement.attempt(), 0));
+        batch.add(
+            new WorkerCommand.Stop(
+                placement.job().uid(), placement.task(), placement.attempt(), 0));
       }
     }
-    return Command.of(machine, batch);
+    return Request.of(machine, batch);
   }
 
   private boolean mayBeTold(Machine machine) {
--- a/src/main/java/org/ploverspindle/workers/Report.java
+++ b/src/main/java/org/ploverspindle/workers/Heartbeat.java
@@ -4,7 +4,7 @@
 import java.util.OptionalDouble;
 
 /** A worker's report: everything on its machine at one moment. */
-public record Report(
+public record Heartbeat(
     String host,
     String address,
     String type,
@@ -14,7 +14,7 @@
     long tally,
     long warrant,
     OptionalDouble recallS,
-    List<Item> items) {
+    List<TaskStatus> items) {
 
   /** The state of an attempt on the machine. */
   public enum Phase {
@@ -25,7 +25,7 @@
   }
 
   /** Why an attempt ended, or why it did not start. */
-  public enum Cause {
+  public enum ExitReason {
     NONE,
     DONE,
     STOPPED,
@@ -36,7 +36,8 @@
   }
 
   /** An attempt of a task on the machine. */
-  public record Item(String uid, int task, long attempt, Phase phase, Cause cause, boolean saved) {}
+  public record TaskStatus(
+      String uid, int task, long attempt, Phase phase, ExitReason cause, boolean saved) {}
 
   /** Larger is newer, over all sessions. */
   public boolean newerThan(long otherTenure, long otherTally) {
--- a/src/main/java/org/ploverspindle/workers/ReportCodec.java
+++ b/src/main/java/org/ploverspindle/workers/HeartbeatCodec.java
@@ -10,21 +10,21 @@
 import org.ploverspindle.net.Cbor;
 
 /** The wire form of reports and orders. */
-public final class ReportCodec {
+public final class HeartbeatCodec {
   /** What an order takes besides the job's id. */
   private static final int ORDER_BYTES = 90;
 
   /** Orders of one answer, well within 64 KiB in JSON form; the rest goes with later answers. */
   public static final int MAX_ORDER_BYTES = 48 * 1024;
 
-  private ReportCodec() {}
+  private HeartbeatCodec() {}
 
   /** Empty when malformed. */
-  public static Optional<Report> decode(byte[] body) {
-    return Cbor.readMap(body).flatMap(ReportCodec::decode);
+  public static Optional<Heartbeat> decode(byte[] body) {
+    return Cbor.readMap(body).flatMap(HeartbeatCodec::decode);
   }
 
-  private static Optional<Report> decode(ObjectNode b) {
+  private static Optional<Heartbeat> decode(ObjectNode b) {
     if (!text(b, "host")
         || !text(b, "flavour")
         || !text(b, "site")
@@ -34,9 +34,9 @@
         || !list(b)) {
       return Optional.empty();
     }
-    List<Report.Item> items = new ArrayList<>(b.path("pieces").size());
+    List<Heartbeat.TaskStatus> items = new ArrayList<>(b.path("pieces").size());
     for (JsonNode p : b.path("pieces")) {
-      Optional<Report.Item> item = item(p);
+      Optional<Heartbeat.TaskStatus> item = item(p);
       if (item.isEmpty()) {
         return Optional.empty();
       }
@@ -44,7 +44,7 @@
     }
     JsonNode recall = b.path("recall_s");
     return Optional.of(
-        new Report(
+        new Heartbeat(
             b.path("host").asText(),
             b.path("addr").asText(""),
             b.path("flavour").asText(),
@@ -71,7 +71,7 @@
     return n.isIntegralNumber() && n.canConvertToLong() && n.asLong() >= 0;
   }
 
-  private static Optional<Report.Item> item(JsonNode p) {
+  private static Optional<Heartbeat.TaskStatus> item(JsonNode p) {
     String name = p.path("piece").asText("");
     int slash = name.lastIndexOf('/');
     if (slash <= 0 || !count(p, "try")) {
@@ -83,30 +83,30 @@
     } catch (NumberFormatException e) {
       return Optional.empty();
     }
-    Report.Phase phase;
+    Heartbeat.Phase phase;
     switch (p.path("status").asText("")) {
-      case "running" -> phase = Report.Phase.RUNNING;
-      case "saving" -> phase = Report.Phase.SAVING;
-      case "exited" -> phase = Report.Phase.EXITED;
+      case "running" -> phase = Heartbeat.Phase.RUNNING;
+      case "saving" -> phase = Heartbeat.Phase.SAVING;
+      case "exited" -> phase = Heartbeat.Phase.EXITED;
       case "" -> {
         return Optional.empty();
       }
       // Fetching, or a state that a newer worker has: the task is there and does not run yet. To
       // refuse the whole report for it would cost the lease of everything on the machine.
-      default -> phase = Report.Phase.FETCHING;
+      default -> phase = Heartbeat.Phase.FETCHING;
     }
-    Report.Cause cause =
+    Heartbeat.ExitReason cause =
         switch (p.path("cause").asText("")) {
-          case "done" -> Report.Cause.DONE;
-          case "stopped" -> Report.Cause.STOPPED;
-          case "error" -> Report.Cause.ERROR;
-          case "no_room" -> Report.Cause.NO_ROOM;
-          case "busy" -> Report.Cause.BUSY;
-          case "no_such" -> Report.Cause.NO_SUCH;
-          default -> Report.Cause.NONE;
+          case "done" -> Heartbeat.ExitReason.DONE;
+          case "stopped" -> Heartbeat.ExitReason.STOPPED;
+          case "error" -> Heartbeat.ExitReason.ERROR;
+          case "no_room" -> Heartbeat.ExitReason.NO_ROOM;
+          case "busy" -> Heartbeat.ExitReason.BUSY;
+          case "no_such" -> Heartbeat.ExitReason.NO_SUCH;
+          default -> Heartbeat.ExitReason.NONE;
         };
     return Optional.of(
-        new Report.Item(
+        new Heartbeat.TaskStatus(
             name.substring(0, slash),
             task,
             p.path("try").asLong(),
@@ -116,27 +116,27 @@
   }
 
   /** The answer to a report: as many orders, in their order, as the limit on bodies allows. */
-  public static byte[] encodeAnswer(long token, List<Order> orders) {
+  public static byte[] encodeAnswer(long token, List<WorkerCommand> orders) {
     return Cbor.write(encode(Cbor.map().put("warrant", token), orders));
   }
 
   /** Commands that go straight to a worker. */
-  public static byte[] encodeDirect(long token, long tenure, List<Order> orders) {
+  public static byte[] encodeDirect(long token, long tenure, List<WorkerCommand> orders) {
     return Cbor.write(encode(Cbor.map().put("warrant", token).put("tenure", tenure), orders));
   }
 
-  private static ObjectNode encode(ObjectNode body, List<Order> orders) {
+  private static ObjectNode encode(ObjectNode body, List<WorkerCommand> orders) {
     ArrayNode list = body.putArray("orders");
-    for (Order order : orders) {
+    for (WorkerCommand order : orders) {
       ObjectNode o = list.addObject();
       o.put(
           "verb",
-          order instanceof Order.Launch
+          order instanceof WorkerCommand.Launch
               ? "launch"
-              : order instanceof Order.Stop ? "stop" : "forget");
+              : order instanceof WorkerCommand.Stop ? "stop" : "forget");
       o.put("piece", order.uid() + "/" + order.task());
       o.put("try", order.attempt());
-      if (order instanceof Order.Stop stop) {
+      if (order instanceof WorkerCommand.Stop stop) {
         o.put("wind_down_s", stop.windDownS());
       }
     }
@@ -144,7 +144,7 @@
   }
 
   /** About what an order takes in JSON form. */
-  public static int size(Order order) {
+  public static int size(WorkerCommand order) {
     return order.uid().length() + ORDER_BYTES;
   }
 }
--- a/src/main/java/org/ploverspindle/workers/ReportReading.java
+++ b/src/main/java/org/ploverspindle/workers/HeartbeatContext.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /** A report while it is taken in, and the orders that answer it. */
-final class ReportReading {
+final class HeartbeatContext {
   private final MachineRegistry fleet;
   private final Machine machine;
-  private final Report report;
+  private final Heartbeat report;
   private final boolean ours;
   private final boolean direct;
   private final long nowMs;
-  private final OrderBatch batch = new OrderBatch();
+  private final CommandBatch batch = new CommandBatch();
 
   /**
    * @param ours whether the worker had taken a token of this term when it reported
    * @param direct whether the report answers a direct command: it can't be answered itself
    */
-  ReportReading(
+  HeartbeatContext(
       MachineRegistry fleet,
       Machine machine,
-      Report report,
+      Heartbeat report,
       boolean ours,
       boolean direct,
       long nowMs) {
@@ -35,7 +35,7 @@
     return machine;
   }
 
-  Report report() {
+  Heartbeat report() {
     return report;
   }
 
@@ -52,16 +52,16 @@
   }
 
   /** The answer's orders so far. */
-  List<Order> orders() {
+  List<WorkerCommand> orders() {
     return batch.orders();
   }
 
   /** Adds an order to the answer; false if it does not fit and must wait for a later one. */
-  boolean order(Order order) {
+  boolean order(WorkerCommand order) {
     if (!batch.add(order)) {
       return false;
     }
-    if (order instanceof Order.Forget && machine.directOpen(order.attempt())) {
+    if (order instanceof WorkerCommand.Forget && machine.directOpen(order.attempt())) {
       // Once forgotten, a late copy of the launch would start it again: the same answer raises
       // the token, under which that copy is void.
       machine.raise(fleet.nextFence());
--- a/src/main/java/org/ploverspindle/workers/ReportHandler.java
+++ b/src/main/java/org/ploverspindle/workers/HeartbeatHandler.java
@@ -14,11 +14,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes reports in and says what the worker is to do. Beside {@link DirectOrders} it is the only
- * place that lets a launch go out.
+ * Takes reports in and says what the worker is to do. Beside {@link DirectCommandSender} it is the
+ * only place that lets a launch go out.
  */
-public final class ReportHandler {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
+public final class HeartbeatHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
   /** What a report shows, for the other parts of the leader. */
   public interface Listener {
@@ -26,7 +26,7 @@
     void completed(Placement placement, long nowMs);
 
     /** The task ended there without completing, or never arrived; it is gone from its machine. */
-    void ended(Placement placement, Report.Cause cause, boolean saved, long nowMs);
+    void ended(Placement placement, Heartbeat.ExitReason cause, boolean saved, long nowMs);
 
     /** A task that nobody had placed there has completed: its result counts all the same. */
     void completedUnplaced(Job job, int task);
@@ -39,13 +39,13 @@
   public record Owner(int team, Resources takes) {}
 
   /** What goes out in answer to a report. */
-  public record Reply(long token, List<Order> orders) {}
+  public record Response(long token, List<WorkerCommand> orders) {}
 
   private final MachineRegistry fleet;
   private final Term term;
   private final BooleanSupplier mayLaunch;
-  private final ShownTasks shownTasks;
-  private final AbsentTasks absentTasks;
+  private final ReportedTasks shownTasks;
+  private final MissingTasks absentTasks;
 
   /**
    * @param mayLaunch whether this leader is sure of its lead
@@ -53,7 +53,7 @@
    * @param owners what is known of any other job
    * @param durablyDone whether a task's completion is recorded
    */
-  public ReportHandler(
+  public HeartbeatHandler(
       MachineRegistry fleet,
       Term term,
       BooleanSupplier mayLaunch,
@@ -64,21 +64,21 @@
     this.fleet = fleet;
     this.term = term;
     this.mayLaunch = mayLaunch;
-    this.shownTasks = new ShownTasks(fleet, jobs, owners, durablyDone, listener);
-    this.absentTasks = new AbsentTasks(fleet, listener);
+    this.shownTasks = new ReportedTasks(fleet, jobs, owners, durablyDone, listener);
+    this.absentTasks = new MissingTasks(fleet, listener);
   }
 
   /** An answer with no orders, which renews the lease. */
-  public Reply none(String host) {
-    return new Reply(fleet.get(host).map(Machine::fence).orElse(term.token()), List.of());
+  public Response none(String host) {
+    return new Response(fleet.get(host).map(Machine::fence).orElse(term.token()), List.of());
   }
 
-  private Reply reply(Report report, List<Order> orders) {
-    return new Reply(none(report.host()).token(), orders);
+  private Response reply(Heartbeat report, List<WorkerCommand> orders) {
+    return new Response(none(report.host()).token(), orders);
   }
 
   /** Orders for the worker, or none at all when the report tells nothing that can be relied on. */
-  public Reply take(Report report, long nowMs) {
+  public Response take(Heartbeat report, long nowMs) {
     return reply(report, read(report, nowMs, false));
   }
 
@@ -86,11 +86,11 @@
    * What a machine answered to launches that went straight to it. It shows what is there, and can't
    * be answered: what it calls for is ordered with the next report.
    */
-  public void takeDirect(Report report, long nowMs) {
+  public void takeDirect(Heartbeat report, long nowMs) {
     read(report, nowMs, true);
   }
 
-  private List<Order> read(Report report, long nowMs, boolean direct) {
+  private List<WorkerCommand> read(Heartbeat report, long nowMs, boolean direct) {
     if (fleet.wasReleased(report.host()) || fleet.isOld(report)) {
       return List.of();
     }
@@ -110,15 +110,15 @@
     return answer(reading(machine, report, direct, nowMs));
   }
 
-  private ReportReading reading(Machine machine, Report report, boolean direct, long nowMs) {
-    return new ReportReading(fleet, machine, report, term.owns(report.warrant()), direct, nowMs);
+  private HeartbeatContext reading(Machine machine, Heartbeat report, boolean direct, long nowMs) {
+    return new HeartbeatContext(fleet, machine, report, term.owns(report.warrant()), direct, nowMs);
   }
 
-  private List<Order> answer(ReportReading reading) {
+  private List<WorkerCommand> answer(HeartbeatContext reading) {
     Machine machine = reading.machine();
     fleet.clearOrphans(machine);
     Set<Long> shown = new HashSet<>();
-    for (Report.Item item : reading.report().items()) {
+    for (Heartbeat.TaskStatus item : reading.report().items()) {
       Placement placement = machine.placement(item.attempt());
       if (placement != null && isOf(placement, item)) {
         shown.add(item.attempt());
@@ -138,11 +138,11 @@
     return reading.orders();
   }
 
-  private static boolean isOf(Placement placement, Report.Item item) {
+  private static boolean isOf(Placement placement, Heartbeat.TaskStatus item) {
     return placement.job().uid().equals(item.uid()) && placement.task() == item.task();
   }
 
-  private void heard(Machine machine, Report report, long nowMs) {
+  private void heard(Machine machine, Heartbeat report, long nowMs) {
     boolean newSession = report.tenure() > machine.tenure();
     if (newSession && machine.up()) {
       // Its lease ran out although it reports: our answers may not reach it.
@@ -158,7 +158,7 @@
    * What can be ordered by now in answer to a report that was taken before: what has become durable
    * since. Nothing when a newer report came, as its answer is the one that counts.
    */
-  public Reply later(Report report, long nowMs) {
+  public Response later(Heartbeat report, long nowMs) {
     Optional<Machine> found = fleet.get(report.host());
     if (found.isEmpty()
         || found.get().tenure() != report.tenure()
@@ -168,10 +168,10 @@
     return reply(report, answerLater(reading(found.get(), report, false, nowMs)));
   }
 
-  private List<Order> answerLater(ReportReading reading) {
+  private List<WorkerCommand> answerLater(HeartbeatContext reading) {
     Machine machine = reading.machine();
-    for (Report.Item item : reading.report().items()) {
-      if (item.phase() == Report.Phase.EXITED && machine.placement(item.attempt()) == null) {
+    for (Heartbeat.TaskStatus item : reading.report().items()) {
+      if (item.phase() == Heartbeat.Phase.EXITED && machine.placement(item.attempt()) == null) {
         shownTasks.unplaced(reading, item);
       }
     }
@@ -187,15 +187,16 @@
   }
 
   /** The stop was decided after the report was taken. */
-  private static void stopLater(ReportReading reading, Placement placement) {
+  private static void stopLater(HeartbeatContext reading, Placement placement) {
     boolean shownThere =
         reading.report().items().stream()
             .anyMatch(
                 item ->
-                    item.attempt() == placement.attempt() && item.phase() != Report.Phase.EXITED);
+                    item.attempt() == placement.attempt()
+                        && item.phase() != Heartbeat.Phase.EXITED);
     if (shownThere && placement.phase() != Placement.Phase.SAVING) {
       reading.order(
-          new Order.Stop(
+          new WorkerCommand.Stop(
               placement.job().uid(),
               placement.task(),
               placement.attempt(),
@@ -204,8 +205,8 @@
   }
 
   /** Launches what is recorded, was in no answer yet, and is still to run in this session. */
-  private void launch(ReportReading reading) {
-    Report report = reading.report();
+  private void launch(HeartbeatContext reading) {
+    Heartbeat report = reading.report();
     for (Placement placement : List.copyOf(reading.machine().placements())) {
       boolean unwanted =
           placement.job().over() || placement.stopping() || reading.machine().returning();
@@ -217,7 +218,7 @@
         continue;
       }
       if (!reading.order(
-          new Order.Launch(placement.job().uid(), placement.task(), placement.attempt()))) {
+          new WorkerCommand.Launch(placement.job().uid(), placement.task(), placement.attempt()))) {
         return;
       }
       placement.sent(report.tally(), reading.nowMs());
--- a/src/main/java/org/ploverspindle/workers/MachineSilence.java
+++ b/src/main/java/org/ploverspindle/workers/HeartbeatTimeout.java
@@ -6,7 +6,7 @@
  * Whether a machine has missed its reports. A leader that stood still has missed them itself: its
  * own listening counts from the end of its pause. Silence proves nothing about tasks.
  */
-public final class MachineSilence {
+public final class HeartbeatTimeout {
   /** Beyond its report period and a quarter, for a report that is on its way. */
   private static final double MS_PER_REPORT_S = 1_250;
 
@@ -21,7 +21,7 @@
    * @param termStartMs when the leader's term began, on the steady clock
    * @param listeningSinceMs since when the leader has listened without a pause of its own
    */
-  public MachineSilence(double reportS, long termStartMs, LongSupplier listeningSinceMs) {
+  public HeartbeatTimeout(double reportS, long termStartMs, LongSupplier listeningSinceMs) {
     this.silentMs = Math.round(reportS * MS_PER_REPORT_S) + MARGIN_MS;
     this.termStartMs = termStartMs;
     this.listeningSinceMs = listeningSinceMs;
--- a/src/main/java/org/ploverspindle/workers/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/workers/HttpWorkerClient.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.ploverspindle.net.Caller;
-import org.ploverspindle.net.Reply;
+import org.ploverspindle.net.HttpClient;
+import org.ploverspindle.net.HttpResult;
 
 /**
  * Orders to workers over HTTP. Each call has a connection of its own: calls are rare, and hundreds
@@ -16,9 +16,9 @@
   private static final int HTTP_CONFLICT = 409;
   private static final long TIMEOUT_MS = 1_500;
 
-  private final Function<String, Caller> callers;
+  private final Function<String, HttpClient> callers;
 
-  public HttpWorkerClient(Function<String, Caller> callers) {
+  public HttpWorkerClient(Function<String, HttpClient> callers) {
     this.callers = callers;
   }
 
@@ -27,14 +27,14 @@
       String address,
       long token,
       long tenure,
-      List<Order> orders,
-      Consumer<Optional<Report>> then) {
+      List<WorkerCommand> orders,
+      Consumer<Optional<Heartbeat>> then) {
     callers
         .apply(address)
         .call(
             "POST",
             "/do",
-            ReportCodec.encodeDirect(token, tenure, orders),
+            HeartbeatCodec.encodeDirect(token, tenure, orders),
             TIMEOUT_MS,
             r -> then.accept(report(r)));
   }
@@ -42,9 +42,10 @@
   /**
    * A refusal carries a report as well: the session has ended, or a higher token is known there.
    */
-  private static Optional<Report> report(Reply reply) {
-    return reply instanceof Reply.Answer a && (a.status() == HTTP_OK || a.status() == HTTP_CONFLICT)
-        ? ReportCodec.decode(a.body())
+  private static Optional<Heartbeat> report(HttpResult reply) {
+    return reply instanceof HttpResult.Response a
+            && (a.status() == HTTP_OK || a.status() == HTTP_CONFLICT)
+        ? HeartbeatCodec.decode(a.body())
         : Optional.empty();
   }
 }
--- a/src/main/java/org/ploverspindle/workers/Machine.java
+++ b/src/main/java/org/ploverspindle/workers/Machine.java
@@ -11,7 +11,8 @@
 /** A machine as the leader sees it during its term. */
 public final class Machine {
   /** An attempt that a report showed and that nobody has recorded there. */
-  record Orphan(String uid, int task, long attempt, int team, Resources takes, boolean exited) {}
+  record OrphanedTask(
+      String uid, int task, long attempt, int team, Resources takes, boolean exited) {}
 
   private final String host;
   private final int type;
@@ -20,9 +21,9 @@
   private final Resources size;
   private final long knownSinceMs;
   private final Map<Long, Placement> placements = new HashMap<>();
-  private final List<Orphan> orphans = new ArrayList<>();
+  private final List<OrphanedTask> orphans = new ArrayList<>();
   private final LinkedHashSet<String> images = new LinkedHashSet<>();
-  private final FailureRecord failures = new FailureRecord();
+  private final MachineFailureHistory failures = new MachineFailureHistory();
   private Resources used = Resources.NONE;
   private String address = "";
   private long tenure;
@@ -201,7 +202,7 @@
     return confirmed;
   }
 
-  void heard(Report report, long nowMs, boolean underOurToken) {
+  void heard(Heartbeat report, long nowMs, boolean underOurToken) {
     if (lastReportMs < 0) {
       upSinceMs = nowMs;
       cameUp = true;
@@ -264,12 +265,12 @@
     }
   }
 
-  List<Orphan> orphans() {
+  List<OrphanedTask> orphans() {
     return orphans;
   }
 
   void clearOrphans() {
-    for (Orphan o : orphans) {
+    for (OrphanedTask o : orphans) {
       if (!o.exited()) {
         used = used.minus(o.takes());
       }
@@ -277,7 +278,7 @@
     orphans.clear();
   }
 
-  void addOrphan(Orphan o) {
+  void addOrphan(OrphanedTask o) {
     orphans.add(o);
     if (!o.exited()) {
       used = used.plus(o.takes());
@@ -293,7 +294,7 @@
   }
 
   public boolean empty() {
-    return placements.isEmpty() && orphans.stream().allMatch(Orphan::exited);
+    return placements.isEmpty() && orphans.stream().allMatch(OrphanedTask::exited);
   }
 
   public long emptySinceMs() {
@@ -360,7 +361,7 @@
     return listedSinceMs;
   }
 
-  FailureRecord failures() {
+  MachineFailureHistory failures() {
     return failures;
   }
 
--- a/src/main/java/org/ploverspindle/workers/FailureRecord.java
+++ b/src/main/java/org/ploverspindle/workers/MachineFailureHistory.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** What failed on a machine since the last task that completed there, and what follows from it. */
-final class FailureRecord {
+final class MachineFailureHistory {
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   private final Map<String, Integer> failures = new HashMap<>();
--- a/src/main/java/org/ploverspindle/workers/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/workers/MachineRegistry.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.jobs.TeamUsage;
+import org.ploverspindle.leadership.SafetyTiming;
 import org.ploverspindle.leadership.Term;
-import org.ploverspindle.leadership.Timing;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,7 +28,7 @@
 
   private final Catalogue catalogue;
   private final TeamUsage teams;
-  private final Timing timing;
+  private final SafetyTiming timing;
   private final Term term;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Set<String> released = new HashSet<>();
@@ -41,7 +41,7 @@
   /** The newest report that was known of a machine which is no longer kept. */
   private record Seen(long tenure, long tally) {}
 
-  public MachineRegistry(Catalogue catalogue, TeamUsage teams, Timing timing, Term term) {
+  public MachineRegistry(Catalogue catalogue, TeamUsage teams, SafetyTiming timing, Term term) {
     this.catalogue = catalogue;
     this.teams = teams;
     this.timing = timing;
@@ -121,7 +121,7 @@
     teams.remove(p.job().team(), p.job().perTask());
   }
 
-  void orphan(Machine m, Machine.Orphan o) {
+  void orphan(Machine m, Machine.OrphanedTask o) {
     m.addOrphan(o);
     if (!o.exited() && o.team() >= 0) {
       teams.add(o.team(), o.takes());
@@ -129,7 +129,7 @@
   }
 
   void clearOrphans(Machine m) {
-    for (Machine.Orphan o : m.orphans()) {
+    for (Machine.OrphanedTask o : m.orphans()) {
       if (!o.exited() && o.team() >= 0) {
         teams.remove(o.team(), o.takes());
       }
@@ -179,7 +179,7 @@
    * True for a delayed copy of a report that was made before the machine was dropped: it must not
    * bring the machine back as usable.
    */
-  boolean isOld(Report report) {
+  boolean isOld(Heartbeat report) {
     Seen seen = dropped.get(report.host());
     return seen != null && !report.newerThan(seen.tenure(), seen.tally());
   }
--- a/src/main/java/org/ploverspindle/workers/AbsentTasks.java
+++ b/src/main/java/org/ploverspindle/workers/MissingTasks.java
@@ -1,14 +1,14 @@
 package org.ploverspindle.workers;
 
 /** What follows from the placements that a report does not show on their machine. */
-final class AbsentTasks {
+final class MissingTasks {
   /** A machine that lost so many answers one after the other does not hear us. */
   private static final int LOST_ANSWERS_OF_THE_DEAF = 2;
 
   private final MachineRegistry fleet;
-  private final ReportHandler.Listener listener;
+  private final HeartbeatHandler.Listener listener;
 
-  AbsentTasks(MachineRegistry fleet, ReportHandler.Listener listener) {
+  MissingTasks(MachineRegistry fleet, HeartbeatHandler.Listener listener) {
     this.fleet = fleet;
     this.listener = listener;
   }
@@ -16,7 +16,7 @@
   /** The placement is proven gone without having ended on its machine. */
   void gone(Placement placement, long nowMs) {
     fleet.gone(placement, nowMs);
-    listener.ended(placement, Report.Cause.NONE, false, nowMs);
+    listener.ended(placement, Heartbeat.ExitReason.NONE, false, nowMs);
   }
 
   /**
@@ -24,7 +24,7 @@
    * the worker took our token, as an earlier leader's answer may have come after an older one; and,
    * for a launch of ours, made after the answer that held it.
    */
-  void absent(ReportReading reading, Placement placement) {
+  void absent(HeartbeatContext reading, Placement placement) {
     if (placement.neverSent()) {
       if (placement.job().over()) {
         gone(placement, reading.nowMs());
@@ -43,7 +43,7 @@
   }
 
   /** No direct command can bring it any more, but an answer that is under way might. */
-  private void sentAbsent(ReportReading reading, Placement placement) {
+  private void sentAbsent(HeartbeatContext reading, Placement placement) {
     if (placement.neverSent()) {
       if (placement.job().over() || placement.stopping()) {
         gone(placement, reading.nowMs());
@@ -57,13 +57,13 @@
     }
   }
 
-  private static boolean isAnswerOver(ReportReading reading, Placement placement) {
+  private static boolean isAnswerOver(HeartbeatContext reading, Placement placement) {
     return reading.report().tally() > placement.sentTally()
         || placement.sentTally() == Long.MAX_VALUE;
   }
 
   /** The launch went straight there, is not shown, and may still arrive. */
-  private void directAbsent(ReportReading reading, Placement placement) {
+  private void directAbsent(HeartbeatContext reading, Placement placement) {
     if (reading.direct()) {
       return;
     }
@@ -82,7 +82,7 @@
    * The answer with the launch was lost, and answers are never executed late: it can be sent again.
    * A machine that loses one after another does not hear us; its tasks go elsewhere.
    */
-  private void answerLost(ReportReading reading, Placement placement) {
+  private void answerLost(HeartbeatContext reading, Placement placement) {
     if (placement.job().over() || placement.stopping()) {
       gone(placement, reading.nowMs());
       return;
--- a/src/main/java/org/ploverspindle/workers/ShownTasks.java
+++ b/src/main/java/org/ploverspindle/workers/ReportedTasks.java
@@ -7,21 +7,21 @@
 import org.ploverspindle.jobs.Resources;
 
 /** What follows from the attempts that a report shows on its machine. */
-final class ShownTasks {
+final class ReportedTasks {
   private static final int NO_TEAM = -1;
 
   private final MachineRegistry fleet;
   private final Function<String, Optional<Job>> jobs;
-  private final Function<String, Optional<ReportHandler.Owner>> owners;
+  private final Function<String, Optional<HeartbeatHandler.Owner>> owners;
   private final BiPredicate<Job, Integer> durablyDone;
-  private final ReportHandler.Listener listener;
+  private final HeartbeatHandler.Listener listener;
 
-  ShownTasks(
+  ReportedTasks(
       MachineRegistry fleet,
       Function<String, Optional<Job>> jobs,
-      Function<String, Optional<ReportHandler.Owner>> owners,
+      Function<String, Optional<HeartbeatHandler.Owner>> owners,
       BiPredicate<Job, Integer> durablyDone,
-      ReportHandler.Listener listener) {
+      HeartbeatHandler.Listener listener) {
     this.fleet = fleet;
     this.jobs = jobs;
     this.owners = owners;
@@ -30,7 +30,7 @@
   }
 
   /** An attempt that is placed on the machine. */
-  void placed(ReportReading reading, Placement placement, Report.Item item) {
+  void placed(HeartbeatContext reading, Placement placement, Heartbeat.TaskStatus item) {
     switch (item.phase()) {
       case EXITED -> exited(reading, placement, item);
       case FETCHING -> present(reading, placement, Placement.Phase.FETCHING);
@@ -40,7 +40,7 @@
     }
   }
 
-  private void present(ReportReading reading, Placement placement, Placement.Phase phase) {
+  private void present(HeartbeatContext reading, Placement placement, Placement.Phase phase) {
     if (placement.phase() != phase) {
       placement.phase(phase, reading.nowMs());
       listener.moved(placement);
@@ -54,40 +54,41 @@
     }
   }
 
-  private static Order.Stop stop(Placement placement, double windDownS) {
-    return new Order.Stop(placement.job().uid(), placement.task(), placement.attempt(), windDownS);
+  private static WorkerCommand.Stop stop(Placement placement, double windDownS) {
+    return new WorkerCommand.Stop(
+        placement.job().uid(), placement.task(), placement.attempt(), windDownS);
   }
 
-  private void exited(ReportReading reading, Placement placement, Report.Item item) {
+  private void exited(HeartbeatContext reading, Placement placement, Heartbeat.TaskStatus item) {
     fleet.gone(placement, reading.nowMs());
-    if (item.cause() == Report.Cause.DONE) {
+    if (item.cause() == Heartbeat.ExitReason.DONE) {
       reading.machine().failures().completed(placement.runningSinceMs());
       // Forgotten only once the completion is durable: until then the worker is its only record.
       listener.completed(placement, reading.nowMs());
       return;
     }
-    if (item.cause() == Report.Cause.ERROR) {
+    if (item.cause() == Heartbeat.ExitReason.ERROR) {
       reading.machine().failures().failed(item.uid(), reading.nowMs());
     }
-    reading.order(new Order.Forget(item.uid(), item.task(), item.attempt()));
+    reading.order(new WorkerCommand.Forget(item.uid(), item.task(), item.attempt()));
     listener.ended(placement, item.cause(), item.saved(), reading.nowMs());
   }
 
   /** An attempt that is not placed there: it is stopped, or forgotten once its result is safe. */
-  void unplaced(ReportReading reading, Report.Item item) {
+  void unplaced(HeartbeatContext reading, Heartbeat.TaskStatus item) {
     Optional<Job> job = jobs.apply(item.uid());
-    if (item.phase() != Report.Phase.EXITED) {
+    if (item.phase() != Heartbeat.Phase.EXITED) {
       orphan(reading, item, job);
     } else if (mayBeForgotten(item, job)) {
-      reading.order(new Order.Forget(item.uid(), item.task(), item.attempt()));
+      reading.order(new WorkerCommand.Forget(item.uid(), item.task(), item.attempt()));
     }
   }
 
   /**
    * A completion counts whoever placed it, and until it is durable the worker is its only record.
    */
-  private boolean mayBeForgotten(Report.Item item, Optional<Job> known) {
-    if (known.isEmpty() || known.get().over() || item.cause() != Report.Cause.DONE) {
+  private boolean mayBeForgotten(Heartbeat.TaskStatus item, Optional<Job> known) {
+    if (known.isEmpty() || known.get().over() || item.cause() != Heartbeat.ExitReason.DONE) {
       return true;
     }
     Job job = known.get();
@@ -101,15 +102,15 @@
   }
 
   /** It takes room, and counts for its team, until a report shows it no more. */
-  private void orphan(ReportReading reading, Report.Item item, Optional<Job> job) {
-    ReportHandler.Owner owner =
-        job.map(known -> new ReportHandler.Owner(known.team(), known.perTask()))
+  private void orphan(HeartbeatContext reading, Heartbeat.TaskStatus item, Optional<Job> job) {
+    HeartbeatHandler.Owner owner =
+        job.map(known -> new HeartbeatHandler.Owner(known.team(), known.perTask()))
             .or(() -> owners.apply(item.uid()))
-            .orElse(new ReportHandler.Owner(NO_TEAM, Resources.NONE));
+            .orElse(new HeartbeatHandler.Owner(NO_TEAM, Resources.NONE));
     fleet.orphan(
         reading.machine(),
-        new Machine.Orphan(
+        new Machine.OrphanedTask(
             item.uid(), item.task(), item.attempt(), owner.team(), owner.takes(), false));
-    reading.order(new Order.Stop(item.uid(), item.task(), item.attempt(), 0));
+    reading.order(new WorkerCommand.Stop(item.uid(), item.task(), item.attempt(), 0));
   }
 }
--- a/src/main/java/org/ploverspindle/workers/WorkerClient.java
+++ b/src/main/java/org/ploverspindle/workers/WorkerClient.java
@@ -12,5 +12,9 @@
    * later.
    */
   void order(
-      String address, long token, long tenure, List<Order> orders, Consumer<Optional<Report>> then);
+      String address,
+      long token,
+      long tenure,
+      List<WorkerCommand> orders,
+      Consumer<Optional<Heartbeat>> then);
 }
--- a/src/main/java/org/ploverspindle/workers/Order.java
+++ b/src/main/java/org/ploverspindle/workers/WorkerCommand.java
@@ -1,7 +1,7 @@
 package org.ploverspindle.workers;
 
 /** An order to a worker, about one attempt of a task. */
-public sealed interface Order {
+public sealed interface WorkerCommand {
   String uid();
 
   int task();
@@ -9,11 +9,11 @@
   long attempt();
 
   /** Start the attempt. */
-  record Launch(String uid, int task, long attempt) implements Order {}
+  record Launch(String uid, int task, long attempt) implements WorkerCommand {}
 
   /** Stop the attempt; it has {@code windDownS} seconds to save. */
-  record Stop(String uid, int task, long attempt, double windDownS) implements Order {}
+  record Stop(String uid, int task, long attempt, double windDownS) implements WorkerCommand {}
 
   /** Do not report the ended attempt any more. */
-  record Forget(String uid, int task, long attempt) implements Order {}
+  record Forget(String uid, int task, long attempt) implements WorkerCommand {}
 }
--- a/src/test/java/org/ploverspindle/NoHints.java
+++ b/src/test/java/org/ploverspindle/NoHints.java
@@ -1,11 +1,11 @@
 package org.ploverspindle;
 
 import java.util.List;
-import org.ploverspindle.front.LeaderHints;
+import org.ploverspindle.front.LeaderNotifier;
 import org.ploverspindle.state.StateStore.Change;
 
 /** Where nobody leads. */
-public final class NoHints implements LeaderHints {
+public final class NoHints implements LeaderNotifier {
   @Override
   public void cancelling() {}
 
--- a/src/test/java/org/ploverspindle/NoNews.java
+++ b/src/test/java/org/ploverspindle/NoNews.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.leadership.Term;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 /** For tests that do not ask what reports show. */
-public final class NoNews implements ReportHandler.Listener {
+public final class NoNews implements HeartbeatHandler.Listener {
   /** Takes reports in for a leader that is sure of its lead and knows of no job. */
-  public static ReportHandler reportHandler(MachineRegistry fleet, Term term) {
-    return new ReportHandler(
+  public static HeartbeatHandler reportHandler(MachineRegistry fleet, Term term) {
+    return new HeartbeatHandler(
         fleet,
         term,
         () -> true,
@@ -26,7 +26,7 @@
   public void completed(Placement p, long nowMs) {}
 
   @Override
-  public void ended(Placement p, Report.Cause cause, boolean saved, long nowMs) {}
+  public void ended(Placement p, Heartbeat.ExitReason cause, boolean saved, long nowMs) {}
 
   @Override
   public void completedUnplaced(Job job, int task) {}
--- a/src/test/java/org/ploverspindle/Specs.java
+++ b/src/test/java/org/ploverspindle/Specs.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalDouble;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 
 /** Jobs for tests that care about few of their fields. */
 public final class Specs {
@@ -16,7 +16,7 @@
       String uid,
       String jobClass,
       String team,
-      Urgency urgency,
+      Priority urgency,
       int tasks,
       double cores,
       double imageGb,
@@ -26,7 +26,7 @@
         uid,
         jobClass,
         team,
-        Shape.BATCH,
+        JobKind.BATCH,
         urgency,
         tasks,
         cores,
--- a/src/test/java/org/ploverspindle/cloud/BootsTest.java
+++ b/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
@@ -11,33 +11,33 @@
 import org.ploverspindle.NoNews;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
+import org.ploverspindle.leadership.SafetyTiming;
 import org.ploverspindle.leadership.Term;
-import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 /** Machines of a type that takes 30 s by the cloud's word, and what is thought of them. */
-class BootsTest {
+class BootTrackerTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final Settings.WorkerLimits WORKERS = new Settings.WorkerLimits(3, 14, 39);
 
   private final Catalogue catalogue = new Catalogue(List.of("a"));
   private final MachineRegistry fleet;
-  private final ReportHandler reportHandler;
-  private final Boots boots;
-  private final Rentals.Group group = new Rentals.Group(0, 0, true);
+  private final HeartbeatHandler reportHandler;
+  private final BootTracker boots;
+  private final Autoscaler.MachineGroup group = new Autoscaler.MachineGroup(0, 0, true);
 
-  BootsTest() {
+  BootTrackerTest() {
     catalogue.update(
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
-    fleet = new MachineRegistry(catalogue, teams, Timing.of(WORKERS, 1), TERM);
+    fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
     reportHandler = NoNews.reportHandler(fleet, TERM);
-    boots = new Boots(catalogue);
+    boots = new BootTracker(catalogue);
   }
 
   private List<Machine> rented(int from, int count, long atMs) {
@@ -52,7 +52,7 @@
 
   private void comesUp(Machine m, long nowMs) {
     reportHandler.take(
-        new Report(m.host(), "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
+        new Heartbeat(m.host(), "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
         nowMs);
   }
 
--- a/src/test/java/org/ploverspindle/cloud/UselessMachinesTest.java
+++ b/src/test/java/org/ploverspindle/cloud/UnusableMachinesTest.java
@@ -12,18 +12,18 @@
 import org.ploverspindle.NoNews;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
+import org.ploverspindle.leadership.SafetyTiming;
 import org.ploverspindle.leadership.Term;
-import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.loop.EventLoop;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 /** Machines that fell silent: few of them are lost; when most are, it is the leader's own line. */
-class UselessMachinesTest {
+class UnusableMachinesTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final Settings.WorkerLimits WORKERS = new Settings.WorkerLimits(3, 14, 39);
   private static final int MACHINES = 10;
@@ -31,24 +31,25 @@
 
   private final Catalogue catalogue = new Catalogue(List.of("a"));
   private final MachineRegistry fleet;
-  private final ReportHandler handler;
-  private final UselessMachines useless;
+  private final HeartbeatHandler handler;
+  private final UnusableMachines useless;
 
-  UselessMachinesTest() {
+  UnusableMachinesTest() {
     catalogue.update(
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
-    fleet = new MachineRegistry(catalogue, teams, Timing.of(WORKERS, 1), TERM);
+    fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
     handler = NoNews.reportHandler(fleet, TERM);
     Policy policy = new Policy(10, 30, 60, 0, 100, 30, Map.of());
-    Backoffs backoffs = new Backoffs(new EventLoop(), catalogue, policy, new Random(1));
-    useless = new UselessMachines(fleet, new Boots(catalogue), backoffs, 0, WORKERS.leaseS());
+    GroupBackoffs backoffs = new GroupBackoffs(new EventLoop(), catalogue, policy, new Random(1));
+    useless =
+        new UnusableMachines(fleet, new BootTracker(catalogue), backoffs, 0, WORKERS.leaseS());
   }
 
   private void report(int machine, int tally, long nowMs, long warrant) {
     handler.take(
-        new Report(
+        new Heartbeat(
             "i-" + machine,
             "",
             "t",
@@ -63,7 +64,7 @@
   }
 
   private long useless(long nowMs) {
-    FleetHearing hearing = useless.hearing(nowMs);
+    FleetConnectivity hearing = useless.hearing(nowMs);
     return fleet.all().stream().filter(m -> useless.test(m, nowMs, hearing)).count();
   }
 
--- a/src/test/java/org/ploverspindle/front/CancellationsTest.java
+++ b/src/test/java/org/ploverspindle/front/CancellationsTest.java
@@ -18,13 +18,13 @@
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 
 class CancellationsTest {
   private static final int MOST = 5;
 
-  private final HeldStore store = new HeldStore();
+  private final ManualStateStore store = new ManualStateStore();
   private final TokenBucket writes = new TokenBucket(store, 0, 100);
   private final List<Consumer<Boolean>> reads = new ArrayList<>();
   private final Cancellations cancellations =
@@ -97,11 +97,11 @@
     store.run(60_000);
     assertTrue(heard.get("run-0").isEmpty());
     assertFalse(store.holds(Keys.cancel("run-0")));
-    store.answer(new TxnResult.Unknown());
+    store.answer(new TransactionResult.Unknown());
     assertEquals(List.of(Outcome.UNCERTAIN), heard.get("run-0"));
     cancel("run-1");
     store.run(10);
-    store.answer(new TxnResult.Refused(429));
+    store.answer(new TransactionResult.Refused(429));
     assertEquals(List.of(Outcome.REFUSED), heard.get("run-1"));
     cancel("run-2");
     store.run(10);
@@ -172,7 +172,7 @@
     assertEquals(Cancellations.MOST_IN_FLIGHT, store.underWay());
     store.run(60_000);
     assertEquals(Cancellations.MOST_IN_FLIGHT, store.underWay(), "none while no read succeeds");
-    store.answer(new TxnResult.Unknown());
+    store.answer(new TransactionResult.Unknown());
     store.run(Cancellations.NEXT_AFTER_MS);
     assertEquals(Cancellations.MOST_IN_FLIGHT, store.underWay(), "the next one goes out");
   }
--- a/src/test/java/org/ploverspindle/front/HeldStore.java
+++ b/src/test/java/org/ploverspindle/front/ManualStateStore.java
@@ -11,7 +11,7 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 import org.ploverspindle.loop.Cancellable;
-import org.ploverspindle.loop.Rank;
+import org.ploverspindle.loop.EventPriority;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.state.StateStore;
 
@@ -19,7 +19,7 @@
  * A state service, with time, whose transactions wait until the test has them answered: what comes
  * while one is under way is what these tests are about. Reads are answered at once.
  */
-final class HeldStore implements StateStore, Scheduler {
+final class ManualStateStore implements StateStore, Scheduler {
   private record Timer(long atMs, long order, Runnable work) implements Comparable<Timer> {
     @Override
     public int compareTo(Timer o) {
@@ -28,11 +28,11 @@
   }
 
   /** A transaction that was sent and not answered. */
-  record Sent(Txn txn, Consumer<TxnResult> then) {}
+  record Sent(Transaction txn, Consumer<TransactionResult> then) {}
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final Map<String, Long> stamps = new HashMap<>();
-  private final List<Changed> history = new ArrayList<>();
+  private final List<ChangedEntry> history = new ArrayList<>();
   private final Deque<Sent> sent = new ArrayDeque<>();
   private long nowMs;
   private long order;
@@ -53,14 +53,14 @@
   }
 
   /** The oldest transaction without an answer. */
-  Txn oldest() {
+  Transaction oldest() {
     return sent.element().txn();
   }
 
   /** Carries the oldest one out and has it answered. */
-  TxnResult carryOut() {
+  TransactionResult carryOut() {
     Sent s = sent.remove();
-    TxnResult result = execute(s.txn());
+    TransactionResult result = execute(s.txn());
     s.then().accept(result);
     return result;
   }
@@ -68,7 +68,7 @@
   /** Carries the oldest one out; what is returned has it answered. */
   Runnable carryOutAndHold() {
     Sent s = sent.remove();
-    TxnResult result = execute(s.txn());
+    TransactionResult result = execute(s.txn());
     return () -> s.then().accept(result);
   }
 
@@ -79,13 +79,13 @@
   }
 
   /** Has the oldest one answered so, and does not carry it out. */
-  void answer(TxnResult result) {
+  void answer(TransactionResult result) {
     sent.remove().then().accept(result);
   }
 
   /** What somebody else writes. */
   void put(String key, JsonNode value) {
-    execute(new Txn(List.of(), List.of(new Change.Put(key, value))));
+    execute(new Transaction(List.of(), List.of(new Change.Put(key, value))));
   }
 
   boolean holds(String key) {
@@ -96,25 +96,25 @@
     return history.stream().filter(c -> c.key().equals(key)).count();
   }
 
-  private TxnResult execute(Txn txn) {
+  private TransactionResult execute(Transaction txn) {
     List<String> failed =
         txn.conditions().stream()
             .filter(c -> stamps.getOrDefault(c.key(), 0L) != c.stamp())
             .map(Condition::key)
             .toList();
     if (!failed.isEmpty()) {
-      return new TxnResult.Conflict(failed);
+      return new TransactionResult.Conflict(failed);
     }
     ledger++;
     for (Change c : txn.changes()) {
       stamps.put(c.key(), ledger);
-      history.add(new Changed(c.key(), Optional.of(((Change.Put) c).value()), ledger));
+      history.add(new ChangedEntry(c.key(), Optional.of(((Change.Put) c).value()), ledger));
     }
-    return new TxnResult.Committed(ledger);
+    return new TransactionResult.Committed(ledger);
   }
 
   @Override
-  public void txn(Txn txn, Consumer<TxnResult> then) {
+  public void txn(Transaction txn, Consumer<TransactionResult> then) {
     sent.add(new Sent(txn, then));
   }
 
@@ -124,8 +124,9 @@
   }
 
   @Override
-  public void changesAfter(String prefix, long after, Consumer<News> then) {
-    News news = new News.Changes(ledger, history.stream().filter(c -> c.stamp() > after).toList());
+  public void changesAfter(String prefix, long after, Consumer<ChangesResult> then) {
+    ChangesResult news =
+        new ChangesResult.Changes(ledger, history.stream().filter(c -> c.stamp() > after).toList());
     schedule(1, () -> then.accept(news));
   }
 
@@ -155,7 +156,7 @@
   }
 
   @Override
-  public void execute(Rank rank, Runnable work) {
+  public void execute(EventPriority rank, Runnable work) {
     schedule(0, work);
   }
 
--- a/src/test/java/org/ploverspindle/front/SubmissionCodecTest.java
+++ b/src/test/java/org/ploverspindle/front/SubmissionCodecTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.state.JobRecord;
 
 class SubmissionCodecTest {
   private static final String GOOD =
@@ -33,11 +33,10 @@
   void readsTheProtocolsExampleAndItsRecordKeepsAll() throws Exception {
     JobSpec spec = SubmissionCodec.decode(good());
     assertEquals(16, spec.tasks());
-    assertEquals(Shape.BATCH, spec.shape());
+    assertEquals(JobKind.BATCH, spec.shape());
     assertEquals(Optional.empty(), spec.zone());
-    JsonNode stored = Cbor.readMap(Cbor.write(new SpecRecord(spec, 77, 80).encode())).orElseThrow();
-    assertEquals(
-        Optional.of(new SpecRecord(spec, 77, 80)), SpecRecord.decode("run-000412", stored));
+    JsonNode stored = Cbor.readMap(Cbor.write(new JobRecord(spec, 77, 80).encode())).orElseThrow();
+    assertEquals(Optional.of(new JobRecord(spec, 77, 80)), JobRecord.decode("run-000412", stored));
   }
 
   @Test
@@ -101,19 +100,18 @@
   @Test
   void dependenciesCountOnceAndAbsentNullAndEmptyAreNone() throws Exception {
     ObjectNode body = good();
-    JsonNode plain = new SpecRecord(SubmissionCodec.decode(body), 77, 80).encode();
+    JsonNode plain = new JobRecord(SubmissionCodec.decode(body), 77, 80).encode();
     for (String none : new String[] {"null", "[]"}) {
       body.set("awaits", new ObjectMapper().readTree(none));
       JobSpec spec = SubmissionCodec.decode(body);
       assertEquals(List.of(), spec.dependencies());
-      assertEquals(plain, new SpecRecord(spec, 77, 80).encode(), "stored as it always was");
+      assertEquals(plain, new JobRecord(spec, 77, 80).encode(), "stored as it always was");
     }
     body.set("awaits", new ObjectMapper().readTree("[\"run-2\",\"run-1\",\"run-2\"]"));
     JobSpec spec = SubmissionCodec.decode(body);
     assertEquals(List.of("run-2", "run-1"), spec.dependencies());
-    JsonNode stored = Cbor.readMap(Cbor.write(new SpecRecord(spec, 77, 80).encode())).orElseThrow();
-    assertEquals(
-        Optional.of(new SpecRecord(spec, 77, 80)), SpecRecord.decode("run-000412", stored));
+    JsonNode stored = Cbor.readMap(Cbor.write(new JobRecord(spec, 77, 80).encode())).orElseThrow();
+    assertEquals(Optional.of(new JobRecord(spec, 77, 80)), JobRecord.decode("run-000412", stored));
   }
 
   @Test
--- a/src/test/java/org/ploverspindle/front/UserApiTest.java
+++ b/src/test/java/org/ploverspindle/front/UserApiTest.java
@@ -32,33 +32,33 @@
 class UserApiTest {
   private static final class Echo implements UserApi.RequestHandler {
     @Override
-    public void submit(byte[] body, Consumer<Answer> then) {
-      then.accept(Answer.of(201, Cbor.map().put("size", body.length)));
+    public void submit(byte[] body, Consumer<ApiResponse> then) {
+      then.accept(ApiResponse.of(201, Cbor.map().put("size", body.length)));
     }
 
     @Override
-    public void poll(String uid, Consumer<Answer> then) {
-      then.accept(Answer.of(200, Cbor.map().put("uid", uid)));
+    public void poll(String uid, Consumer<ApiResponse> then) {
+      then.accept(ApiResponse.of(200, Cbor.map().put("uid", uid)));
     }
 
     @Override
-    public void withdraw(String uid, Consumer<Answer> then) {
-      then.accept(Answer.later(503, "later", 3));
+    public void withdraw(String uid, Consumer<ApiResponse> then) {
+      then.accept(ApiResponse.later(503, "later", 3));
     }
 
     @Override
-    public void checkin(byte[] body, Consumer<Answer> then) {
-      then.accept(Answer.elsewhere("n2"));
+    public void checkin(byte[] body, Consumer<ApiResponse> then) {
+      then.accept(ApiResponse.elsewhere("n2"));
     }
 
     @Override
-    public void status(Consumer<Answer> then) {
-      then.accept(Answer.text("fine"));
+    public void status(Consumer<ApiResponse> then) {
+      then.accept(ApiResponse.text("fine"));
     }
 
     @Override
-    public void jobStatus(String uid, Consumer<Answer> then) {
-      then.accept(Answer.text(uid + " waits"));
+    public void jobStatus(String uid, Consumer<ApiResponse> then) {
+      then.accept(ApiResponse.text(uid + " waits"));
     }
   }
 
--- a/src/test/java/org/ploverspindle/front/UserRequestsTest.java
+++ b/src/test/java/org/ploverspindle/front/UserRequestsTest.java
@@ -16,17 +16,17 @@
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.settings.Address;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressCounts;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
 import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 
 /** Users' requests that come while a write of earlier ones is under way. */
 class UserRequestsTest {
-  private final HeldStore store = new HeldStore();
+  private final ManualStateStore store = new ManualStateStore();
   private UserRequests requests;
 
   private static Settings settings() {
@@ -53,7 +53,7 @@
   void open() {
     Settings settings = settings();
     Replica replica = new Replica(store, store, Keys.PREFIX, 700);
-    SpecIndex specs = new SpecIndex(replica);
+    AcceptedJobIndex specs = new AcceptedJobIndex(replica);
     ProgressCounts counts = new ProgressCounts(replica);
     Catalogue catalogue = new Catalogue(settings.zones());
     catalogue.update(
@@ -83,7 +83,7 @@
     return statuses;
   }
 
-  private void submit(String uid, Consumer<Answer> then) {
+  private void submit(String uid, Consumer<ApiResponse> then) {
     ObjectNode b = Cbor.map().put("uid", uid).put("jobclass", "c").put("owner", "red");
     b.put("shape", "batch").put("urgency", "normal").put("pieces", 1).put("cores", 1.0);
     b.put("accelerators", 0.0).put("mem_gb", 1.0).put("bundle", "i").put("image_gb", 1.0);
@@ -98,7 +98,7 @@
     return words;
   }
 
-  private static String word(Answer a) {
+  private static String word(ApiResponse a) {
     return Cbor.readMap(a.body()).orElseThrow().path("status").asText();
   }
 
@@ -110,7 +110,7 @@
     store.put(Keys.batch("n1-1"), Cbor.map().set("run-0", Cbor.map().put("tasks", 1)));
     store.put(Keys.cancel("run-0"), Cbor.map());
     List<Integer> behind = submit("run-1");
-    assertEquals(TxnResult.Conflict.class, store.carryOut().getClass());
+    assertEquals(TransactionResult.Conflict.class, store.carryOut().getClass());
     store.run(1_000);
     assertEquals(List.of(200), over);
     assertEquals(1, store.underWay(), "the next one goes out by itself");
@@ -127,7 +127,7 @@
     store.put(written.key(), written.value());
     store.put(Keys.cancel("run-0"), Cbor.map());
     List<String> repeat = words("run-0");
-    store.answer(new TxnResult.Committed(2));
+    store.answer(new TransactionResult.Committed(2));
     store.run(1_000);
     assertEquals(List.of("201 queued"), first);
     assertEquals(List.of("200 aborted"), repeat);
--- a/src/test/java/org/ploverspindle/jobs/LogSlotsTest.java
+++ b/src/test/java/org/ploverspindle/jobs/ProgressLogSlotsTest.java
@@ -11,21 +11,21 @@
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.Specs;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressLog;
+import org.ploverspindle.state.ProgressLogRecord;
 
 /** Where each task's newest statement rests, and what stands in the slots. */
-class LogSlotsTest {
-  private final LogSlots slots = new LogSlots();
+class ProgressLogSlotsTest {
+  private final ProgressLogSlots slots = new ProgressLogSlots();
   private final Job job =
       new Job(
-          Specs.batch("run-1", "c", "t", Urgency.NORMAL, 20, 1, 0, 10, 0),
+          Specs.batch("run-1", "c", "t", Priority.NORMAL, 20, 1, 0, 10, 0),
           0,
           10,
           0,
           new BitSet(),
           -1,
           1);
-  private final Chunk chunk = new Chunk(job, 0);
+  private final TaskShard chunk = new TaskShard(job, 0);
 
   private static BitSet tasks(int... tasks) {
     BitSet set = new BitSet();
@@ -68,7 +68,7 @@
   /** Nothing that still counts may be lost with the record that stood in the slot. */
   @Test
   void aReplacedRecordTakesOnlyTheStatementsOfJobsThatAreGone() {
-    long later = 5 + ProgressLog.SLOTS;
+    long later = 5 + ProgressLogRecord.SLOTS;
     slots.stands(5, 70);
     slots.mention("run-1", 5);
     slots.spoken(chunk, tasks(1), 5);
@@ -91,10 +91,10 @@
   void slotsKeepTheirVersionAndDamage() {
     slots.stands(3, 41);
     slots.markDamaged(Keys.log(4));
-    long later = 3 + ProgressLog.SLOTS;
+    long later = 3 + ProgressLogRecord.SLOTS;
     assertEquals(41, slots.stampAt(later));
     assertEquals(3, slots.standingAt(later));
-    assertTrue(slots.isDamaged(4 + ProgressLog.SLOTS));
+    assertTrue(slots.isDamaged(4 + ProgressLogRecord.SLOTS));
     assertFalse(slots.isDamaged(3));
   }
 }
