--- a/src/test/java/org/ploverspindle/leadership/HeldRepliesTest.java
+++ b/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
@@ -8,22 +8,23 @@
 import java.util.List;
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.workers.Order;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
+import org.ploverspindle.workers.WorkerCommand;
 
 /** When a held answer goes out, and with what. */
-class HeldRepliesTest {
+class DelayedResponsesTest {
   private static final long HOLD_MS = 1_800;
 
-  private final OneMachine site = new OneMachine(OneMachine.spec(60, 0));
-  private final HeldReplies held =
-      new HeldReplies(site.scheduler, site.fleet, site.handler, () -> site.mayDecide, HOLD_MS);
-  private final List<ReportHandler.Reply> replies = new ArrayList<>();
+  private final SingleMachineFixture site =
+      new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
+  private final DelayedResponses held =
+      new DelayedResponses(site.scheduler, site.fleet, site.handler, () -> site.mayDecide, HOLD_MS);
+  private final List<HeartbeatHandler.Response> replies = new ArrayList<>();
 
-  private Report holdOne() {
-    Report report = site.report(OptionalDouble.empty());
+  private Heartbeat holdOne() {
+    Heartbeat report = site.report(OptionalDouble.empty());
     held.hold(report, replies::add, site.nowMs);
     return report;
   }
@@ -34,28 +35,28 @@
     return placement;
   }
 
-  private boolean worthHolding(Report report) {
+  private boolean worthHolding(Heartbeat report) {
     return held.worthHolding(site.machine(), report, site.nowMs);
   }
 
   @Test
   void theNewestReportOfAMachineWithRoomIsWorthHolding() {
-    Report older = site.report(OptionalDouble.empty());
+    Heartbeat older = site.report(OptionalDouble.empty());
     assertTrue(worthHolding(older));
-    Report newer = site.report(OptionalDouble.empty());
+    Heartbeat newer = site.report(OptionalDouble.empty());
     assertFalse(worthHolding(older));
     assertTrue(worthHolding(newer));
   }
 
   @Test
   void aMachineThatIsFullOrTakenBackIsAnsweredAtOnce() {
-    Report report = site.report(OptionalDouble.empty());
+    Heartbeat report = site.report(OptionalDouble.empty());
     for (int i = 0; i < 4; i++) {
       site.place();
     }
     assertFalse(worthHolding(report), "all four cores are taken");
-    OneMachine recalled = new OneMachine(OneMachine.spec(60, 0));
-    Report notice = recalled.report(OptionalDouble.of(20));
+    SingleMachineFixture recalled = new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
+    Heartbeat notice = recalled.report(OptionalDouble.of(20));
     assertFalse(held.worthHolding(recalled.machine(), notice, recalled.nowMs));
   }
 
@@ -68,7 +69,7 @@
     placement.recorded(site.nowMs);
     held.releaseDue();
     assertEquals(
-        List.of(new Order.Launch("job", placement.task(), placement.attempt())),
+        List.of(new WorkerCommand.Launch("job", placement.task(), placement.attempt())),
         replies.get(0).orders());
     assertEquals(Placement.Phase.SENT, placement.phase());
   }
@@ -102,7 +103,7 @@
     site.report(OptionalDouble.empty());
     site.mayDecide = true;
     Placement placement = recorded();
-    held.release(OneMachine.HOST);
+    held.release(SingleMachineFixture.HOST);
     assertEquals(List.of(), replies.get(0).orders());
     assertEquals(Placement.Phase.READY, placement.phase());
   }
@@ -110,8 +111,8 @@
   @Test
   void eachIsAnsweredOnce() {
     holdOne();
-    held.release(OneMachine.HOST);
-    held.release(OneMachine.HOST);
+    held.release(SingleMachineFixture.HOST);
+    held.release(SingleMachineFixture.HOST);
     held.releaseAll();
     assertEquals(1, replies.size());
   }
--- a/src/test/java/org/ploverspindle/leadership/FencedWorkersTest.java
+++ b/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
@@ -7,23 +7,23 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ploverspindle.duties.RefusedActions;
-import org.ploverspindle.workers.Report;
+import org.ploverspindle.duties.FencingRejections;
+import org.ploverspindle.workers.Heartbeat;
 import org.ploverspindle.workers.WorkerClient;
 
 /** A token raised for one machine is of this term; only a later term's refuses a former leader. */
-class FencedWorkersTest {
+class FencedWorkerClientTest {
   private static final Term TERM = new Term(Term.SPAN, 7, 0);
 
   @ParameterizedTest
   @CsvSource({"1048576, 0", "1048600, 0", "2097151, 0", "2097152, 1"})
   void countsCommandsThatALaterTermsTokenRefused(long warrant, long expected) {
-    RefusedActions refused = new RefusedActions();
-    Report report =
-        new Report("i-1", "", "t", "a", true, 1, 1, warrant, OptionalDouble.empty(), List.of());
+    FencingRejections refused = new FencingRejections();
+    Heartbeat report =
+        new Heartbeat("i-1", "", "t", "a", true, 1, 1, warrant, OptionalDouble.empty(), List.of());
     WorkerClient answering =
         (address, token, tenure, orders, then) -> then.accept(Optional.of(report));
-    new FencedWorkers(answering, TERM, refused).order("", TERM.token(), 1, List.of(), r -> {});
-    assertEquals(expected, refused.count(RefusedActions.Kind.WORKER_COMMAND));
+    new FencedWorkerClient(answering, TERM, refused).order("", TERM.token(), 1, List.of(), r -> {});
+    assertEquals(expected, refused.count(FencingRejections.Kind.WORKER_COMMAND));
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/ReachabilityTest.java
+++ b/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
@@ -13,39 +13,42 @@
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.settings.Address;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 /** A leader of 100 machines that report every three seconds, and what it makes of their silence. */
-class ReachabilityTest {
+class LeaderConnectivityTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final int MACHINES = 100;
 
   private final Settings settings = settings();
   private final MachineRegistry fleet;
-  private final ReportHandler reportHandler;
-  private Reachability reach;
+  private final HeartbeatHandler reportHandler;
+  private LeaderConnectivity reach;
   private long tally;
   private boolean listRead;
 
-  ReachabilityTest() {
+  LeaderConnectivityTest() {
     Catalogue catalogue = new Catalogue(List.of("a"));
     catalogue.update(
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     fleet =
         new MachineRegistry(
-            catalogue, new TeamUsage(settings.teams()), Timing.of(settings.workers(), 1), TERM);
+            catalogue,
+            new TeamUsage(settings.teams()),
+            SafetyTiming.of(settings.workers(), 1),
+            TERM);
     reportHandler = NoNews.reportHandler(fleet, TERM);
-    reach = new Reachability(fleet, TERM, settings, () -> listRead, 0);
+    reach = new LeaderConnectivity(fleet, TERM, settings, () -> listRead, 0);
   }
 
   private static Settings settings() {
@@ -72,7 +75,7 @@
   private void reports(int machine, long warrant, long nowMs) {
     reach.heard(nowMs);
     reportHandler.take(
-        new Report(
+        new Heartbeat(
             "i-" + machine,
             "",
             "t",
@@ -143,14 +146,14 @@
     for (int m = 0; m < MACHINES; m++) {
       fleet.adopt("i-" + m, "t", "a", true, 0);
     }
-    JobSpec spec = Specs.batch("run-1", "c", "red", Urgency.NORMAL, MACHINES, 1, 1, 10, 0);
+    JobSpec spec = Specs.batch("run-1", "c", "red", Priority.NORMAL, MACHINES, 1, 1, 10, 0);
     Job job = new Job(spec, 0, MACHINES, 0, new BitSet(), -1, 1);
     for (Machine m : List.copyOf(fleet.all())) {
       int task = job.live().size();
       fleet.place(new Placement(job, task, task + 1, m, 1, Placement.Phase.RECORDED));
     }
     assertTrue(troubled(0, 20_000, false, 7), "the first ones look for a better one soon");
-    reach = new Reachability(fleet, TERM, settings, () -> listRead, 40_000);
+    reach = new LeaderConnectivity(fleet, TERM, settings, () -> listRead, 40_000);
     assertFalse(troubled(0, 39_000, false, 7));
     assertTrue(troubled(39_000, 42_000, false, 7));
   }
@@ -162,7 +165,7 @@
 
   /** Six machines on which earlier leaders recorded tasks; none of them is ever heard. */
   private void recorded() {
-    JobSpec spec = Specs.batch("run-1", "c", "red", Urgency.NORMAL, 6, 4, 1, 20, 0);
+    JobSpec spec = Specs.batch("run-1", "c", "red", Priority.NORMAL, 6, 4, 1, 20, 0);
     Job job = new Job(spec, 0, 80, 0, new BitSet(), -1, 1);
     for (int i = 0; i < 6; i++) {
       Machine m = fleet.adopt("i-" + i, "t", "a", true, 0).orElseThrow();
--- a/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
+++ b/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
@@ -14,27 +14,28 @@
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.loop.EventLoop;
 import org.ploverspindle.pipelines.DependencyGraph;
-import org.ploverspindle.placement.Aims;
-import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.placement.RuntimeEstimates;
+import org.ploverspindle.placement.ServiceLevelObjectives;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
 
 /** A job presses as the jobs that need it do, from when they come until they are over. */
 class PriorityInheritanceTest {
   private static final long ACCEPTED = 5_000_000;
-  private static final Aims AIMS =
-      new Aims(List.of(new Settings.Objective("deadline", "publish", 0.9, 1.5, 0)));
+  private static final ServiceLevelObjectives AIMS =
+      new ServiceLevelObjectives(
+          List.of(new Settings.Objective("deadline", "publish", 0.9, 1.5, 0)));
 
   private final DependencyGraph graph = new DependencyGraph(uid -> false, uid -> false);
-  private final Map<String, SpecRecord> records = new HashMap<>();
+  private final Map<String, JobRecord> records = new HashMap<>();
   private final List<String> read = new ArrayList<>();
-  private final Estimates estimates = new Estimates();
+  private final RuntimeEstimates estimates = new RuntimeEstimates();
   private final JobTable jobs;
   private final PriorityInheritance passedBack;
   private long nowMs = 1_000;
@@ -42,7 +43,7 @@
   PriorityInheritanceTest() {
     Replica none = new Replica(new EventLoop(), null, "x/", 700);
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
-    jobs = new JobTable(none, new SpecIndex(none), new Catalogue(List.of("a")), teams);
+    jobs = new JobTable(none, new AcceptedJobIndex(none), new Catalogue(List.of("a")), teams);
     passedBack =
         new PriorityInheritance(
             graph,
@@ -56,9 +57,9 @@
   }
 
   private void accepted(
-      String uid, String jobClass, Urgency urgency, double runS, double dueS, String... awaits) {
+      String uid, String jobClass, Priority urgency, double runS, double dueS, String... awaits) {
     JobSpec spec = Specs.batch(uid, jobClass, "red", urgency, 2, 1, 1, runS, dueS);
-    records.put(uid, new SpecRecord(spec, ACCEPTED, 50));
+    records.put(uid, new JobRecord(spec, ACCEPTED, 50));
     if (awaits.length > 0) {
       graph.put(uid, List.of(awaits));
     }
@@ -66,7 +67,8 @@
   }
 
   private Job table(String uid) {
-    return jobs.add(new SpecIndex.Spec(uid, records.get(uid).encode(), 1, "k")).orElseThrow();
+    return jobs.add(new AcceptedJobIndex.AcceptedJob(uid, records.get(uid).encode(), 1, "k"))
+        .orElseThrow();
   }
 
   private void update() {
@@ -76,48 +78,48 @@
 
   @Test
   void theLastJobsDueTimeAndUrgencyReachTheFirstUntilItIsCancelled() {
-    accepted("index", "index", Urgency.BEST_EFFORT, 10, 0);
+    accepted("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = table("index");
     update();
-    assertEquals(Urgency.BEST_EFFORT, index.urgency());
+    assertEquals(Priority.BEST_EFFORT, index.urgency());
     assertEquals(OptionalDouble.empty(), index.dueS());
-    accepted("compare", "compare", Urgency.BEST_EFFORT, 25, 0, "index");
-    accepted("draft", "draft", Urgency.NORMAL, 20, 0, "compare");
+    accepted("compare", "compare", Priority.BEST_EFFORT, 25, 0, "index");
+    accepted("draft", "draft", Priority.NORMAL, 20, 0, "compare");
     update();
-    assertEquals(Urgency.NORMAL, index.urgency());
+    assertEquals(Priority.NORMAL, index.urgency());
     assertEquals(OptionalDouble.empty(), index.dueS());
-    accepted("publish", "publish", Urgency.HIGH, 8, 200, "draft");
+    accepted("publish", "publish", Priority.HIGH, 8, 200, "draft");
     update();
-    assertEquals(Urgency.HIGH, index.urgency());
+    assertEquals(Priority.HIGH, index.urgency());
     assertEquals(OptionalDouble.of(200 - 8 - 20 - 25), index.dueS());
     assertEquals(OptionalDouble.of(300 - 8 - 20 - 25), index.lastChanceS());
     graph.cancelled("publish");
     passedBack.changed();
     update();
-    assertEquals(Urgency.NORMAL, index.urgency());
+    assertEquals(Priority.NORMAL, index.urgency());
     assertEquals(OptionalDouble.empty(), index.dueS());
     assertEquals(OptionalDouble.empty(), index.lastChanceS());
   }
 
   @Test
   void theMostUrgentAndTheEarliestCountWhereBranchesMeet() {
-    accepted("index", "index", Urgency.BEST_EFFORT, 10, 0);
+    accepted("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = table("index");
-    accepted("left", "left", Urgency.HIGH, 50, 0, "index");
-    accepted("right", "right", Urgency.NORMAL, 5, 100, "index");
-    accepted("publish", "publish", Urgency.NORMAL, 8, 120, "left", "right");
+    accepted("left", "left", Priority.HIGH, 50, 0, "index");
+    accepted("right", "right", Priority.NORMAL, 5, 100, "index");
+    accepted("publish", "publish", Priority.NORMAL, 8, 120, "left", "right");
     update();
-    assertEquals(Urgency.HIGH, index.urgency());
+    assertEquals(Priority.HIGH, index.urgency());
     assertEquals(OptionalDouble.of(120 - 8 - 50), index.dueS());
     assertEquals(OptionalDouble.of(95), index.lastChanceS(), "no multiple counts for the right");
   }
 
   @Test
   void correctedEstimatesMoveItNowAndThenAndNothingIsReadTwice() {
-    accepted("index", "index", Urgency.BEST_EFFORT, 10, 0);
+    accepted("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = table("index");
-    accepted("compare", "compare", Urgency.BEST_EFFORT, 20, 0, "index");
-    accepted("publish", "publish", Urgency.HIGH, 8, 100, "compare");
+    accepted("compare", "compare", Priority.BEST_EFFORT, 20, 0, "index");
+    accepted("publish", "publish", Priority.HIGH, 8, 100, "compare");
     update();
     assertEquals(OptionalDouble.of(72), index.dueS());
     estimates.observed(table("compare"), 30);
--- a/src/test/java/org/ploverspindle/leadership/OneMachine.java
+++ b/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
@@ -8,23 +8,23 @@
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Shape;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.loop.Cancellable;
-import org.ploverspindle.loop.Rank;
+import org.ploverspindle.loop.EventPriority;
 import org.ploverspindle.loop.Scheduler;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 /** A leader's view of one spot machine with four cores, and of a job of one-core tasks. */
-final class OneMachine {
+final class SingleMachineFixture {
   static final String HOST = "i-1";
   private static final Term TERM = new Term(7, 1, 0);
 
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void execute(Rank rank, Runnable work) {}
+    public void execute(EventPriority rank, Runnable work) {}
 
     @Override
     public Cancellable schedule(long delayMs, Runnable work) {
@@ -51,14 +51,14 @@
 
   final Scheduler scheduler = new StillScheduler();
   final MachineRegistry fleet;
-  final ReportHandler handler;
+  final HeartbeatHandler handler;
   final Job job;
   long nowMs = 1_000;
   boolean mayDecide = true;
   private long attempts;
   private long tally;
 
-  OneMachine(JobSpec spec) {
+  SingleMachineFixture(JobSpec spec) {
     Catalogue catalogue = new Catalogue(List.of("a"));
     catalogue.update(
         List.of(
@@ -66,12 +66,12 @@
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
     fleet =
         new MachineRegistry(
-            catalogue, teams, Timing.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
+            catalogue, teams, SafetyTiming.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
     BitSet types = new BitSet();
     types.set(0);
     job = new Job(spec, 0, 8, 0, types, -1, 1);
     handler =
-        new ReportHandler(
+        new HeartbeatHandler(
             fleet,
             TERM,
             () -> mayDecide,
@@ -90,8 +90,8 @@
         "job",
         "c",
         "red",
-        expectedS > 0 ? Shape.BATCH : Shape.SERVICE,
-        Urgency.HIGH,
+        expectedS > 0 ? JobKind.BATCH : JobKind.SERVICE,
+        Priority.HIGH,
         8,
         1,
         0,
@@ -115,9 +115,9 @@
   }
 
   /** The machine's next report, which the handler takes in. */
-  Report report(OptionalDouble recallS, Report.Item... items) {
-    Report report =
-        new Report(HOST, "", "t", "a", true, 1, ++tally, TERM.token(), recallS, List.of(items));
+  Heartbeat report(OptionalDouble recallS, Heartbeat.TaskStatus... items) {
+    Heartbeat report =
+        new Heartbeat(HOST, "", "t", "a", true, 1, ++tally, TERM.token(), recallS, List.of(items));
     handler.take(report, nowMs);
     return report;
   }
@@ -136,12 +136,12 @@
     Placement placement = place();
     report(
         OptionalDouble.empty(),
-        new Report.Item(
+        new Heartbeat.TaskStatus(
             "job",
             placement.task(),
             placement.attempt(),
-            Report.Phase.RUNNING,
-            Report.Cause.NONE,
+            Heartbeat.Phase.RUNNING,
+            Heartbeat.ExitReason.NONE,
             false));
     return placement;
   }
--- a/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
+++ b/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
@@ -7,17 +7,17 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.placement.Estimates;
+import org.ploverspindle.placement.RuntimeEstimates;
+import org.ploverspindle.workers.Heartbeat;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
 
 /** What a running task is told when its spot machine has only so long left. */
 class SpotDrainTest {
-  private final SpotDrain drain = new SpotDrain(new Estimates());
+  private final SpotDrain drain = new SpotDrain(new RuntimeEstimates());
 
   /** A task that has run for so long, on a machine that has so long left. */
   private Placement drained(JobSpec spec, double ranS, double leftS) {
-    OneMachine site = new OneMachine(spec);
+    SingleMachineFixture site = new SingleMachineFixture(spec);
     site.report(OptionalDouble.empty());
     Placement placement = site.run();
     site.nowMs += Math.round(ranS * 1_000);
@@ -25,60 +25,61 @@
     return placement;
   }
 
-  private void notice(OneMachine site, Placement placement, double leftS) {
+  private void notice(SingleMachineFixture site, Placement placement, double leftS) {
     site.report(
         OptionalDouble.of(leftS),
-        new Report.Item(
+        new Heartbeat.TaskStatus(
             "job",
             placement.task(),
             placement.attempt(),
-            Report.Phase.RUNNING,
-            Report.Cause.NONE,
+            Heartbeat.Phase.RUNNING,
+            Heartbeat.ExitReason.NONE,
             false));
     drain.drain(site.machine(), site.nowMs);
   }
 
   @Test
   void whatEndsInTimeRunsOn() {
-    assertFalse(drained(OneMachine.spec(20, 0), 15, 10).stopping());
-    assertFalse(drained(OneMachine.spec(20, 2), 15, 10).stopping());
+    assertFalse(drained(SingleMachineFixture.spec(20, 0), 15, 10).stopping());
+    assertFalse(drained(SingleMachineFixture.spec(20, 2), 15, 10).stopping());
   }
 
   @Test
   void whatSavesIsGivenTwiceItsCostToSave() {
-    Placement placement = drained(OneMachine.spec(60, 2), 5, 10);
+    Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 10);
     assertTrue(placement.stopping());
     assertEquals(4, placement.windDownS());
   }
 
   @Test
   void aSaveIsGivenNoMoreThanTheNotice() {
-    assertEquals(3, drained(OneMachine.spec(60, 2), 5, 3).windDownS());
+    assertEquals(3, drained(SingleMachineFixture.spec(60, 2), 5, 3).windDownS());
   }
 
   @Test
   void whatCannotSaveInTimeIsStoppedAtOnceToStartElsewhere() {
-    Placement placement = drained(OneMachine.spec(60, 2), 5, 1.5);
+    Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 1.5);
     assertTrue(placement.stopping());
     assertEquals(0, placement.windDownS());
   }
 
   @Test
   void whatNeverSavesIsGivenUpOnlyWhenItsEndIsFarBeyondTheNotice() {
-    assertFalse(drained(OneMachine.spec(20, 0), 8, 10).stopping(), "12 s are left to run");
-    assertTrue(drained(OneMachine.spec(20, 0), 4, 10).stopping(), "16 s are left to run");
+    assertFalse(
+        drained(SingleMachineFixture.spec(20, 0), 8, 10).stopping(), "12 s are left to run");
+    assertTrue(drained(SingleMachineFixture.spec(20, 0), 4, 10).stopping(), "16 s are left to run");
   }
 
   @Test
   void aServiceIsStoppedAtOnce() {
-    Placement placement = drained(OneMachine.spec(0, 0), 500, 30);
+    Placement placement = drained(SingleMachineFixture.spec(0, 0), 500, 30);
     assertTrue(placement.stopping());
     assertEquals(0, placement.windDownS());
   }
 
   @Test
   void laterReportsOfTheNoticeDoNotCutASaveShort() {
-    OneMachine site = new OneMachine(OneMachine.spec(60, 2));
+    SingleMachineFixture site = new SingleMachineFixture(SingleMachineFixture.spec(60, 2));
     site.report(OptionalDouble.empty());
     Placement placement = site.run();
     notice(site, placement, 10);
--- a/src/test/java/org/ploverspindle/loop/EventLoopTest.java
+++ b/src/test/java/org/ploverspindle/loop/EventLoopTest.java
@@ -14,12 +14,12 @@
   /** What waits when there is more than can be done: told by the order in which it is done. */
   @Test
   void reportsGoFirstThenDecisionsThenSubmissionsAndQuestionsLast() throws InterruptedException {
-    List<Rank> done = new ArrayList<>();
+    List<EventPriority> done = new ArrayList<>();
     CountDownLatch all = new CountDownLatch(400);
     Random random = new Random(1);
     try (EventLoop loop = new EventLoop()) {
       for (int i = 0; i < 400; i++) {
-        Rank rank = Rank.values()[random.nextInt(Rank.values().length)];
+        EventPriority rank = EventPriority.values()[random.nextInt(EventPriority.values().length)];
         loop.execute(
             rank,
             () -> {
@@ -30,7 +30,7 @@
       loop.start();
       assertTrue(all.await(30, TimeUnit.SECONDS));
     }
-    List<Rank> sorted = new ArrayList<>(done);
+    List<EventPriority> sorted = new ArrayList<>(done);
     sorted.sort(null);
     assertEquals(sorted, done);
   }
--- a/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
@@ -12,24 +12,24 @@
 import org.junit.jupiter.api.Test;
 
 class PeerCodecTest {
-  private static final List<PeerRecord> ALL =
+  private static final List<PeerMessage> ALL =
       List.of(
-          new PeerRecord.Leading("n-1", 1L << 40),
-          new PeerRecord.Resigned("n-2", 7),
-          new PeerRecord.News("a controller with a long name"),
-          new PeerRecord.Strays("n-3", 1_119),
-          new PeerRecord.Asking("n-4"),
-          new PeerRecord.Reached("n-5"));
+          new PeerMessage.Leading("n-1", 1L << 40),
+          new PeerMessage.Resigned("n-2", 7),
+          new PeerMessage.StateChanged("a controller with a long name"),
+          new PeerMessage.MisdirectedHeartbeats("n-3", 1_119),
+          new PeerMessage.ReachabilityProbe("n-4"),
+          new PeerMessage.ReachabilityReply("n-5"));
 
   /** Records come in pieces of any size, as TCP has it. */
   @Test
   void recordsSurviveAnyCutOfTheStream() throws PeerCodec.Broken {
     Random random = new Random(1);
-    List<PeerRecord> sent = new ArrayList<>();
-    List<PeerRecord> got = new ArrayList<>();
+    List<PeerMessage> sent = new ArrayList<>();
+    List<PeerMessage> got = new ArrayList<>();
     ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_LENGTH);
     for (int i = 0; i < 500; i++) {
-      PeerRecord record = ALL.get(random.nextInt(ALL.size()));
+      PeerMessage record = ALL.get(random.nextInt(ALL.size()));
       sent.add(record);
       byte[] frame = PeerCodec.encode(record);
       for (int from = 0; from < frame.length; ) {
--- a/src/test/java/org/ploverspindle/peers/PeerServerTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerServerTest.java
@@ -22,7 +22,7 @@
 /** Doors of controllers over real sockets on loopback. */
 class PeerServerTest {
   private final EventLoop loop = new EventLoop();
-  private final BlockingQueue<PeerRecord> heard = new LinkedBlockingQueue<>();
+  private final BlockingQueue<PeerMessage> heard = new LinkedBlockingQueue<>();
   private XnioWorker worker;
   private PeerServer hearing;
   private PeerServer telling;
@@ -49,8 +49,8 @@
 
   @Test
   void recordsArriveInOrderAlthoughAnotherPeerRefuses() throws Exception {
-    PeerRecord first = new PeerRecord.Leading("n0", 5);
-    PeerRecord second = new PeerRecord.News("n0");
+    PeerMessage first = new PeerMessage.Leading("n0", 5);
+    PeerMessage second = new PeerMessage.StateChanged("n0");
     telling.tellAll(first);
     telling.tell("n1", second);
     telling.tell("nobody", second);
@@ -65,7 +65,7 @@
       out.write("GET / HTTP/1.1\r\n\r\n".getBytes());
       assertEquals(-1, stranger.getInputStream().read());
     }
-    PeerRecord record = new PeerRecord.Resigned("n0", 9);
+    PeerMessage record = new PeerMessage.Resigned("n0", 9);
     telling.tell("n1", record);
     assertEquals(record, heard.poll(20, TimeUnit.SECONDS));
   }
--- a/src/test/java/org/ploverspindle/peers/HeadPeerRecordsTest.java
+++ b/src/test/java/org/ploverspindle/peers/PipelineVersionPeerMessagesTest.java
@@ -16,31 +16,32 @@
  * both versions talk to each other while an upgrade is under way, and a rename in the code must not
  * change a kind's number or a field.
  */
-class HeadPeerRecordsTest {
-  private static final List<PeerRecord> EVERY_KIND =
+class PipelineVersionPeerMessagesTest {
+  private static final List<PeerMessage> EVERY_KIND =
       List.of(
-          new PeerRecord.Leading("n-1", (1L << 40) + 5),
-          new PeerRecord.Resigned("n-2", (1L << 20) + 7),
-          new PeerRecord.News("n-3"),
-          new PeerRecord.Strays("n-4", 1_119),
-          new PeerRecord.Asking("n-5"),
-          new PeerRecord.Reached("n-6"));
+          new PeerMessage.Leading("n-1", (1L << 40) + 5),
+          new PeerMessage.Resigned("n-2", (1L << 20) + 7),
+          new PeerMessage.StateChanged("n-3"),
+          new PeerMessage.MisdirectedHeartbeats("n-4", 1_119),
+          new PeerMessage.ReachabilityProbe("n-5"),
+          new PeerMessage.ReachabilityReply("n-6"));
 
   private static JsonNode encodedByHead() throws IOException {
-    try (var in = HeadPeerRecordsTest.class.getResourceAsStream("/head-f659783-records.json")) {
+    try (var in =
+        PipelineVersionPeerMessagesTest.class.getResourceAsStream("/head-f659783-records.json")) {
       return new ObjectMapper().readTree(in).path("peers");
     }
   }
 
   @Test
   void everyKindIsInTheFixture() throws Exception {
-    assertEquals(PeerRecord.class.getPermittedSubclasses().length, EVERY_KIND.size());
+    assertEquals(PeerMessage.class.getPermittedSubclasses().length, EVERY_KIND.size());
     assertEquals(EVERY_KIND.size(), encodedByHead().size());
   }
 
   @Test
   void theyAreEncodedInTheSameBytes() throws Exception {
-    for (PeerRecord record : EVERY_KIND) {
+    for (PeerMessage record : EVERY_KIND) {
       assertEquals(
           encodedByHead().path(record.member()).asText(),
           HexFormat.of().formatHex(PeerCodec.encode(record)),
@@ -50,7 +51,7 @@
 
   @Test
   void theyAreReadAsTheSame() throws Exception {
-    for (PeerRecord record : EVERY_KIND) {
+    for (PeerMessage record : EVERY_KIND) {
       String hex = encodedByHead().path(record.member()).asText();
       ByteBuffer received = ByteBuffer.wrap(HexFormat.of().parseHex(hex));
       int length = PeerCodec.wholeFrame(received);
--- a/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
+++ b/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 
 class DependencyGraphTest {
   /** What the graph has to say, worked out slowly from all facts by fixpoints over sets. */
@@ -56,10 +56,10 @@
       return latest;
     }
 
-    Urgency urgency(String uid, Map<String, CriticalPath.Own> own, Set<String> aborted) {
-      Urgency most = own.get(uid).urgency();
+    Priority urgency(String uid, Map<String, CriticalPath.Own> own, Set<String> aborted) {
+      Priority most = own.get(uid).urgency();
       for (String d : liveDependents(uid, aborted)) {
-        Urgency theirs = urgency(d, own, aborted);
+        Priority theirs = urgency(d, own, aborted);
         most = theirs.ordinal() < most.ordinal() ? theirs : most;
       }
       return most;
@@ -199,7 +199,7 @@
               random.nextInt(3) == 0
                   ? OptionalLong.of(random.nextInt(1_000_000))
                   : OptionalLong.empty(),
-              Urgency.values()[random.nextInt(4)],
+              Priority.values()[random.nextInt(4)],
               random.nextInt(200)));
     }
     Map<String, CriticalPath.PriorityInheritance> passed =
@@ -225,7 +225,7 @@
   }
 
   private static final Function<String, Optional<CriticalPath.Own>> BARE =
-      uid -> Optional.of(new CriticalPath.Own(OptionalLong.empty(), Urgency.BEST_EFFORT, 10));
+      uid -> Optional.of(new CriticalPath.Own(OptionalLong.empty(), Priority.BEST_EFFORT, 10));
 
   @Test
   void aDeepPipelineIsWalkedOnceAndWithoutRecursion() {
@@ -240,11 +240,11 @@
         uid ->
             uid.equals(uid(depth))
                 ? Optional.of(
-                    new CriticalPath.Own(OptionalLong.of(1_000_000_000L), Urgency.HIGH, 10))
+                    new CriticalPath.Own(OptionalLong.of(1_000_000_000L), Priority.HIGH, 10))
                 : BARE.apply(uid);
     CriticalPath.PriorityInheritance first = CriticalPath.of(graph, last).get(uid(0));
     assertEquals(OptionalLong.of(1_000_000_000L - 10_000L * depth), first.latestFinishMs());
-    assertEquals(Urgency.HIGH, first.urgency());
+    assertEquals(Priority.HIGH, first.urgency());
     graph.cancelled(uid(depth));
     assertEquals(OptionalLong.empty(), CriticalPath.of(graph, last).get(uid(0)).latestFinishMs());
     graph.cancelled(uid(0));
--- a/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
+++ b/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
@@ -16,22 +16,22 @@
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.leadership.SafetyTiming;
 import org.ploverspindle.leadership.Term;
-import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 class AdmissionOrderTest {
   private static final long NOW = 10_000;
   private static final Term TERM = new Term(7, 1, 0);
 
-  private static Job job(String uid, Urgency urgency, int tasks, double runS, double dueS) {
+  private static Job job(String uid, Priority urgency, int tasks, double runS, double dueS) {
     JobSpec spec = Specs.batch(uid, "c", "red", urgency, tasks, 4, 1, runS, dueS);
     return new Job(spec, 0, 80, 0, new BitSet(), -1, 1);
   }
@@ -47,57 +47,62 @@
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     MachineRegistry fleet =
         new MachineRegistry(
-            catalogue, TEAMS, Timing.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
+            catalogue, TEAMS, SafetyTiming.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
     reportHandler(fleet)
         .take(
-            new Report("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()), NOW);
+            new Heartbeat("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
+            NOW);
     return fleet;
   }
 
-  private static ReportHandler reportHandler(MachineRegistry fleet) {
+  private static HeartbeatHandler reportHandler(MachineRegistry fleet) {
     return NoNews.reportHandler(fleet, TERM);
   }
 
   /** Fills the machine with four running tasks of the urgency and asks for room for a HIGH job. */
-  private static int stoppedFor(Urgency running, double expectedS, long ranMs) {
-    return stoppedFor(running, expectedS, ranMs, new Aims(List.of()));
+  private static int stoppedFor(Priority running, double expectedS, long ranMs) {
+    return stoppedFor(running, expectedS, ranMs, new ServiceLevelObjectives(List.of()));
   }
 
-  private static int stoppedFor(Urgency running, double expectedS, long ranMs, Aims aims) {
+  private static int stoppedFor(
+      Priority running, double expectedS, long ranMs, ServiceLevelObjectives aims) {
     MachineRegistry fleet = fleet();
     var machine = fleet.get("i-1").orElseThrow();
     Job victim = job("run-1", running, 4, expectedS, 500);
     victim.types().set(0);
-    List<Report.Item> items = new java.util.ArrayList<>();
+    List<Heartbeat.TaskStatus> items = new java.util.ArrayList<>();
     for (int task = 0; task < 4; task++) {
       fleet.place(new Placement(victim, task, task + 1, machine, 1, Placement.Phase.RECORDED));
       items.add(
-          new Report.Item("run-1", task, task + 1, Report.Phase.RUNNING, Report.Cause.NONE, false));
+          new Heartbeat.TaskStatus(
+              "run-1", task, task + 1, Heartbeat.Phase.RUNNING, Heartbeat.ExitReason.NONE, false));
     }
     reportHandler(fleet)
-        .take(new Report("i-1", "", "t", "a", true, 1, 2, 7, OptionalDouble.empty(), items), NOW);
-    Job high = job("run-2", Urgency.HIGH, 2, 10, 60);
+        .take(
+            new Heartbeat("i-1", "", "t", "a", true, 1, 2, 7, OptionalDouble.empty(), items), NOW);
+    Job high = job("run-2", Priority.HIGH, 2, 10, 60);
     high.types().set(0);
-    return new Preemption(fleet, TEAMS, new Estimates(), aims, 1_000_000)
+    return new Preemption(fleet, TEAMS, new RuntimeEstimates(), aims, 1_000_000)
         .run(List.of(high), NOW + ranMs);
   }
 
   @Test
   void lowerUrgencyGivesWayTaskByTask() {
-    assertEquals(2, stoppedFor(Urgency.NORMAL, 400, 60_000));
+    assertEquals(2, stoppedFor(Priority.NORMAL, 400, 60_000));
   }
 
   @Test
   void theSameUrgencyIsNotStopped() {
-    assertEquals(0, stoppedFor(Urgency.HIGH, 400, 60_000));
+    assertEquals(0, stoppedFor(Priority.HIGH, 400, 60_000));
   }
 
   @Test
   void whatHasJustBegunOrWillSoonEndIsLeftAlone() {
-    Aims prompt = new Aims(List.of(new Settings.Objective("wait", "c", 0.9, 1, 5)));
-    assertEquals(0, stoppedFor(Urgency.NORMAL, 400, 10_000, prompt));
-    assertEquals(2, stoppedFor(Urgency.NORMAL, 400, 10_000), "nobody waits for its start");
-    assertEquals(0, stoppedFor(Urgency.NORMAL, 65, 60_000));
+    ServiceLevelObjectives prompt =
+        new ServiceLevelObjectives(List.of(new Settings.Objective("wait", "c", 0.9, 1, 5)));
+    assertEquals(0, stoppedFor(Priority.NORMAL, 400, 10_000, prompt));
+    assertEquals(2, stoppedFor(Priority.NORMAL, 400, 10_000), "nobody waits for its start");
+    assertEquals(0, stoppedFor(Priority.NORMAL, 65, 60_000));
   }
 
   private static List<String> order(Job... byStart) {
@@ -110,7 +115,7 @@
           double s = j.spec().dueS().orElseThrow() - j.spec().expectedS();
           return s < 0 ? OptionalDouble.empty() : OptionalDouble.of(s);
         };
-    Estimates estimates = new Estimates();
+    RuntimeEstimates estimates = new RuntimeEstimates();
     Capacity all = new Capacity(fleet(), estimates, NOW, 60_000);
     return new AdmissionOrder(slack, all, ofTeams, estimates, NOW)
         .order(List.of(byStart)).stream().map(Job::uid).toList();
@@ -120,7 +125,7 @@
   void withRoomForAllTheOrderStays() {
     assertEquals(
         List.of("run-1", "run-2"),
-        order(job("run-1", Urgency.NORMAL, 4, 10, 30), job("run-2", Urgency.NORMAL, 4, 10, 60)));
+        order(job("run-1", Priority.NORMAL, 4, 10, 30), job("run-2", Priority.NORMAL, 4, 10, 60)));
   }
 
   @Test
@@ -128,9 +133,9 @@
     assertEquals(
         List.of("run-2", "run-3", "run-1"),
         order(
-            job("run-1", Urgency.NORMAL, 60, 10, 30),
-            job("run-2", Urgency.NORMAL, 4, 10, 32),
-            job("run-3", Urgency.NORMAL, 4, 10, 34)));
+            job("run-1", Priority.NORMAL, 60, 10, 30),
+            job("run-2", Priority.NORMAL, 4, 10, 32),
+            job("run-3", Priority.NORMAL, 4, 10, 34)));
   }
 
   @Test
@@ -138,45 +143,45 @@
     assertEquals(
         List.of("run-3", "run-2", "run-1"),
         order(
-            job("run-1", Urgency.NORMAL, 9, 50, 20),
-            job("run-2", Urgency.NORMAL, 2, 50, 20),
-            job("run-3", Urgency.NORMAL, 4, 10, 60)));
+            job("run-1", Priority.NORMAL, 9, 50, 20),
+            job("run-2", Priority.NORMAL, 2, 50, 20),
+            job("run-3", Priority.NORMAL, 4, 10, 60)));
   }
 
   @Test
   void theLargestOfATeamStepsBackWhenTheTeamsLimitIsWhatMakesOthersLate() {
     Job[] jobs = {
-      job("run-1", Urgency.NORMAL, 8, 10, 30),
-      job("run-2", Urgency.NORMAL, 2, 10, 32),
-      job("run-3", Urgency.NORMAL, 2, 10, 34)
+      job("run-1", Priority.NORMAL, 8, 10, 30),
+      job("run-2", Priority.NORMAL, 2, 10, 32),
+      job("run-3", Priority.NORMAL, 2, 10, 34)
     };
     assertEquals(List.of("run-1", "run-2", "run-3"), order(jobs));
     // All 16 cores of the machine are free, and the team may use four of them.
-    Capacity limited = new Capacity(List.of(), 4_000, new Estimates(), NOW);
+    Capacity limited = new Capacity(List.of(), 4_000, new RuntimeEstimates(), NOW);
     assertEquals(List.of("run-2", "run-3", "run-1"), order(Map.of(0, limited), jobs));
   }
 
   @Test
   void aLowerUrgencyNeverGoesFirst() {
     List<String> order =
-        order(job("run-1", Urgency.HIGH, 90, 50, 20), job("run-2", Urgency.NORMAL, 1, 1, 60));
+        order(job("run-1", Priority.HIGH, 90, 50, 20), job("run-2", Priority.NORMAL, 1, 1, 60));
     assertEquals(List.of("run-1", "run-2"), order);
   }
 
   @Test
   void arrivalsAreOverOnlyAfterALongPause() {
-    Arrivals arrivals = new Arrivals();
+    ArrivalForecast arrivals = new ArrivalForecast();
     for (int i = 0; i < 10; i++) {
       arrivals.came(1_000L * 4 * i);
     }
     assertFalse(arrivals.over(36_000 + 20_000));
     assertTrue(arrivals.over(36_000 + 29_000));
-    assertFalse(new Arrivals().over(1_000_000), "where nothing came nothing is over");
+    assertFalse(new ArrivalForecast().over(1_000_000), "where nothing came nothing is over");
   }
 
   @Test
   void stepsThatBecomeReadyAreNoSubmissionsAndMayStillBeFollowed() {
-    Arrivals arrivals = new Arrivals();
+    ArrivalForecast arrivals = new ArrivalForecast();
     for (int i = 0; i < 10; i++) {
       arrivals.came(1_000L * 4 * i);
     }
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -19,18 +19,18 @@
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.leadership.SafetyTiming;
 import org.ploverspindle.leadership.Term;
-import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.loop.EventLoop;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.workers.Heartbeat;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.Report;
 
 /** What placing goes by: a job's own values, as ever, unless jobs that need it press more. */
 class EffectiveValuesTest {
@@ -45,7 +45,7 @@
 
   private final Catalogue catalogue = new Catalogue(List.of("a"));
   private final TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
-  private final Estimates estimates = new Estimates();
+  private final RuntimeEstimates estimates = new RuntimeEstimates();
   private final JobTable jobs;
   private final Placer placer;
 
@@ -54,18 +54,26 @@
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     Replica none = new Replica(new EventLoop(), null, "x/", 700);
-    jobs = new JobTable(none, new SpecIndex(none), catalogue, teams);
+    jobs = new JobTable(none, new AcceptedJobIndex(none), catalogue, teams);
     Term term = new Term(7, 1, 0);
     MachineRegistry fleet =
         new MachineRegistry(
-            catalogue, teams, Timing.of(new Settings.WorkerLimits(3, 14, 39), 1), term);
+            catalogue, teams, SafetyTiming.of(new Settings.WorkerLimits(3, 14, 39), 1), term);
     NoNews.reportHandler(fleet, term)
         .take(
-            new Report("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
+            new Heartbeat("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
             ACCEPTED);
     placer =
         new Placer(
-            catalogue, fleet, jobs, teams, estimates, () -> 1, new Aims(AIMS), 60_000, p -> {});
+            catalogue,
+            fleet,
+            jobs,
+            teams,
+            estimates,
+            () -> 1,
+            new ServiceLevelObjectives(AIMS),
+            60_000,
+            p -> {});
   }
 
   private static Job job(JobSpec spec) {
@@ -77,7 +85,7 @@
         "run-" + i,
         r.nextBoolean() ? "c" : "d",
         "red",
-        Urgency.values()[r.nextInt(4)],
+        Priority.values()[r.nextInt(4)],
         1 + r.nextInt(9),
         1,
         1,
@@ -120,7 +128,7 @@
             spec.dueS().isPresent()
                 ? OptionalLong.of(ACCEPTED + Math.round(spec.dueS().getAsDouble() * 1000))
                 : OptionalLong.empty();
-        job.passedBack(Urgency.BEST_EFFORT, own, own);
+        job.passedBack(Priority.BEST_EFFORT, own, own);
       }
       double runS = spec.expectedS();
       long wall = ACCEPTED + r.nextInt(700_000);
@@ -136,9 +144,9 @@
 
   @Test
   void dueTimesCountFromAcceptanceAndAllElseFromReadiness() {
-    Job job = job(Specs.batch("run-1", "c", "red", Urgency.NORMAL, 2, 1, 1, 20, 100));
+    Job job = job(Specs.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
     job.readySince(ACCEPTED + 60_000);
-    Aims aims = new Aims(AIMS);
+    ServiceLevelObjectives aims = new ServiceLevelObjectives(AIMS);
     assertEquals(OptionalDouble.of(40), job.dueS());
     assertEquals(OptionalDouble.of(20), aims.startByS(job, 20, 0));
     assertEquals(
@@ -151,17 +159,17 @@
 
   @Test
   void jobsThatNeedItMakeItPressMoreNeverLess() {
-    Job job = job(Specs.batch("run-1", "d", "red", Urgency.NORMAL, 2, 1, 1, 20, 100));
+    Job job = job(Specs.batch("run-1", "d", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
     job.passedBack(
-        Urgency.HIGH, OptionalLong.of(ACCEPTED + 60_000), OptionalLong.of(ACCEPTED + 90_000));
-    Aims aims = new Aims(List.of());
-    assertEquals(Urgency.HIGH, job.urgency());
+        Priority.HIGH, OptionalLong.of(ACCEPTED + 60_000), OptionalLong.of(ACCEPTED + 90_000));
+    ServiceLevelObjectives aims = new ServiceLevelObjectives(List.of());
+    assertEquals(Priority.HIGH, job.urgency());
     assertEquals(OptionalDouble.of(60), job.dueS());
     assertEquals(OptionalDouble.of(40), aims.startByS(job, 20, 0));
     assertEquals(OptionalDouble.of(70), aims.startByS(job, 20, 41), "their last multiple is next");
     assertEquals(OptionalDouble.of(80), aims.startByS(job, 20, 71), "then its own due time");
-    job.passedBack(Urgency.BEST_EFFORT, OptionalLong.of(ACCEPTED + 160_000), OptionalLong.empty());
-    assertEquals(Urgency.NORMAL, job.urgency());
+    job.passedBack(Priority.BEST_EFFORT, OptionalLong.of(ACCEPTED + 160_000), OptionalLong.empty());
+    assertEquals(Priority.NORMAL, job.urgency());
     assertEquals(OptionalDouble.of(100), job.dueS());
     assertEquals(OptionalDouble.empty(), job.lastChanceS());
   }
@@ -170,19 +178,19 @@
   void thePassedBackUrgencyAndDueTimeOrderTheWork() {
     List<Job> waiting = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      JobSpec spec = Specs.batch("run-" + i, "e", "red", Urgency.NORMAL, 2, 1, 1, 20, 0);
-      JobSpec low = Specs.batch("run-" + i, "e", "red", Urgency.BEST_EFFORT, 2, 1, 1, 20, 0);
+      JobSpec spec = Specs.batch("run-" + i, "e", "red", Priority.NORMAL, 2, 1, 1, 20, 0);
+      JobSpec low = Specs.batch("run-" + i, "e", "red", Priority.BEST_EFFORT, 2, 1, 1, 20, 0);
       jobs.add(
-              new SpecIndex.Spec(
-                  "run-" + i, new SpecRecord(i < 2 ? spec : low, ACCEPTED, 50).encode(), i, "k"))
+              new AcceptedJobIndex.AcceptedJob(
+                  "run-" + i, new JobRecord(i < 2 ? spec : low, ACCEPTED, 50).encode(), i, "k"))
           .ifPresent(waiting::add);
     }
     waiting
         .get(3)
-        .passedBack(Urgency.HIGH, OptionalLong.of(ACCEPTED + 90_000), OptionalLong.empty());
+        .passedBack(Priority.HIGH, OptionalLong.of(ACCEPTED + 90_000), OptionalLong.empty());
     waiting
         .get(1)
-        .passedBack(Urgency.NORMAL, OptionalLong.of(ACCEPTED + 90_000), OptionalLong.empty());
+        .passedBack(Priority.NORMAL, OptionalLong.of(ACCEPTED + 90_000), OptionalLong.empty());
     assertEquals(
         List.of("run-3", "run-1", "run-0", "run-2"),
         placer.waitingJobs(ACCEPTED, ACCEPTED).stream().map(Job::uid).toList());
@@ -190,7 +198,7 @@
 
   @Test
   void whatIsOutThoughOthersAreNotDoneCountsAndNothingElseOfItStarts() {
-    Job job = job(Specs.batch("run-1", "c", "red", Urgency.NORMAL, 2, 1, 1, 20, 0));
+    Job job = job(Specs.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 0));
     job.await();
     assertEquals(0, job.openTasks(0));
     job.readySince(ACCEPTED + 1);
--- a/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
+++ b/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
@@ -27,24 +27,24 @@
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Shape;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.leadership.SafetyTiming;
 import org.ploverspindle.leadership.Term;
-import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.loop.EventLoop;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 /** What is kept between looks or counted in steps, against plain sums over everything. */
 class LargeFleetTest {
@@ -58,18 +58,18 @@
       new TeamUsage(
           List.of(
               new Settings.Team("red", 900, 0, 0, 0), new Settings.Team("blue", 4_000, 0, 0, 0)));
-  private final Estimates estimates = new Estimates();
+  private final RuntimeEstimates estimates = new RuntimeEstimates();
   private final Map<String, Job> jobs = new HashMap<>();
   private MachineRegistry fleet;
-  private ReportHandler reportHandler;
+  private HeartbeatHandler reportHandler;
 
-  private Job job(Random r, int i, Urgency urgency, int tasks) {
+  private Job job(Random r, int i, Priority urgency, int tasks) {
     JobSpec spec =
         new JobSpec(
             "run-" + i,
             "class-" + r.nextInt(3),
             r.nextBoolean() ? "red" : "blue",
-            r.nextInt(12) == 0 ? Shape.SERVICE : Shape.BATCH,
+            r.nextInt(12) == 0 ? JobKind.SERVICE : JobKind.BATCH,
             urgency,
             tasks,
             1 + r.nextInt(4),
@@ -110,9 +110,9 @@
             new MachineType("large", Resources.offered(16, 0, 64), 40, 1, 1.1, 0.4, 5, ZONES)));
     fleet =
         new MachineRegistry(
-            catalogue, teams, Timing.of(new Settings.WorkerLimits(5, 26.5, 51.5), 1), TERM);
+            catalogue, teams, SafetyTiming.of(new Settings.WorkerLimits(5, 26.5, 51.5), 1), TERM);
     reportHandler =
-        new ReportHandler(
+        new HeartbeatHandler(
             fleet,
             TERM,
             () -> true,
@@ -122,7 +122,7 @@
             new NoNews());
     List<Job> running = new ArrayList<>();
     for (int i = 0; i < RUNNING; i++) {
-      running.add(job(r, i, Urgency.values()[r.nextInt(4)], 500));
+      running.add(job(r, i, Priority.values()[r.nextInt(4)], 500));
     }
     int[] nextTask = new int[RUNNING];
     long attempt = 1;
@@ -132,7 +132,7 @@
       String zone = ZONES.get(r.nextInt(3));
       long seenMs = NOW - r.nextInt(150_000);
       Machine m = fleet.adopt(host, type, zone, r.nextBoolean(), seenMs).orElseThrow();
-      List<Report.Item> items = new ArrayList<>();
+      List<Heartbeat.TaskStatus> items = new ArrayList<>();
       for (int k = 0; k < 30; k++) {
         Job job = running.get(r.nextInt(RUNNING));
         int task = nextTask[Integer.parseInt(job.uid().substring(4))];
@@ -140,15 +140,21 @@
           nextTask[Integer.parseInt(job.uid().substring(4))]++;
           fleet.place(new Placement(job, task, attempt, m, 1, Placement.Phase.RECORDED));
           items.add(
-              new Report.Item(
-                  job.uid(), task, attempt++, Report.Phase.RUNNING, Report.Cause.NONE, false));
+              new Heartbeat.TaskStatus(
+                  job.uid(),
+                  task,
+                  attempt++,
+                  Heartbeat.Phase.RUNNING,
+                  Heartbeat.ExitReason.NONE,
+                  false));
         }
       }
       reportHandler.take(
-          new Report(host, "", type, zone, m.spot(), 1, 1, 7, OptionalDouble.empty(), items),
+          new Heartbeat(host, "", type, zone, m.spot(), 1, 1, 7, OptionalDouble.empty(), items),
           seenMs);
       reportHandler.take(
-          new Report(host, "", type, zone, m.spot(), 1, 2, 7, OptionalDouble.empty(), items), NOW);
+          new Heartbeat(host, "", type, zone, m.spot(), 1, 2, 7, OptionalDouble.empty(), items),
+          NOW);
     }
   }
 
@@ -188,7 +194,7 @@
         Resources before = promised.getOrDefault(job.team(), Resources.NONE);
         boolean within = teams.withinGuarantee(job.team(), before.plus(job.perTask()));
         boolean presses =
-            job.spec().urgency().compareTo(Urgency.HIGH) <= 0
+            job.spec().urgency().compareTo(Priority.HIGH) <= 0
                 || teams.withinGuarantee(job.team(), job.perTask());
         Machine best = null;
         List<Placement> bestVictims = List.of();
@@ -253,7 +259,7 @@
             && other.team() != job.team()
             && !teams.withinGuarantee(other.team(), Resources.NONE);
     double runS = other.spec().expectedS();
-    boolean fresh = ranS(p) <= 30 && other.spec().urgency().compareTo(Urgency.HIGH) <= 0;
+    boolean fresh = ranS(p) <= 30 && other.spec().urgency().compareTo(Priority.HIGH) <= 0;
     return (lower || borrowed) && !fresh && (runS <= 0 || runS - ranS(p) > 8);
   }
 
@@ -264,11 +270,12 @@
     fill(r, machines);
     List<Job> waiting = new ArrayList<>();
     for (int i = 100; i < 112; i++) {
-      waiting.add(job(r, i, Urgency.values()[r.nextInt(4)], 1 + r.nextInt(20)));
+      waiting.add(job(r, i, Priority.values()[r.nextInt(4)], 1 + r.nextInt(20)));
     }
     int most = Math.max(24, machines / 10);
     TreeSet<String> plain = plainVictims(waiting, most);
-    new Preemption(fleet, teams, estimates, new Aims(List.of()), 60_000).run(waiting, NOW);
+    new Preemption(fleet, teams, estimates, new ServiceLevelObjectives(List.of()), 60_000)
+        .run(waiting, NOW);
     TreeSet<String> real = new TreeSet<>();
     for (Machine m : fleet.all()) {
       m.placements().stream()
@@ -332,20 +339,20 @@
     fill(r, 1_700);
     Counting<Machine> machines = count(fleet, "machines");
     for (Machine m : List.copyOf(fleet.all()).subList(0, 200)) {
-      List<Report.Item> items = new ArrayList<>();
+      List<Heartbeat.TaskStatus> items = new ArrayList<>();
       for (Placement p : m.placements()) {
         items.add(
-            new Report.Item(
+            new Heartbeat.TaskStatus(
                 p.job().uid(),
                 p.task(),
                 p.attempt(),
-                items.isEmpty() ? Report.Phase.EXITED : Report.Phase.RUNNING,
-                items.isEmpty() ? Report.Cause.DONE : Report.Cause.NONE,
+                items.isEmpty() ? Heartbeat.Phase.EXITED : Heartbeat.Phase.RUNNING,
+                items.isEmpty() ? Heartbeat.ExitReason.DONE : Heartbeat.ExitReason.NONE,
                 false));
       }
       machines.seen = 0;
       reportHandler.take(
-          new Report(
+          new Heartbeat(
               m.host(),
               "",
               catalogue.type(m.type()).name(),
@@ -361,10 +368,12 @@
     }
 
     Replica none = new Replica(new EventLoop(), null, "x/", 700);
-    JobTable table = new JobTable(none, new SpecIndex(none), catalogue, teams);
+    JobTable table = new JobTable(none, new AcceptedJobIndex(none), catalogue, teams);
     for (int i = 1_000; i < 3_000; i++) {
-      JobSpec spec = job(r, i, Urgency.values()[r.nextInt(4)], 1 + r.nextInt(9)).spec();
-      table.add(new SpecIndex.Spec(spec.uid(), new SpecRecord(spec, NOW, 50).encode(), i, "k"));
+      JobSpec spec = job(r, i, Priority.values()[r.nextInt(4)], 1 + r.nextInt(9)).spec();
+      table.add(
+          new AcceptedJobIndex.AcceptedJob(
+              spec.uid(), new JobRecord(spec, NOW, 50).encode(), i, "k"));
     }
     Counting<Job> waiting = count(table, "jobs");
     long[] attempt = {1 << 20};
@@ -377,7 +386,7 @@
             teams,
             estimates,
             () -> ++attempt[0],
-            new Aims(List.of()),
+            new ServiceLevelObjectives(List.of()),
             60_000,
             p -> placed[0]++);
     machines.seen = 0;
--- a/src/test/java/org/ploverspindle/placement/PlacerTest.java
+++ b/src/test/java/org/ploverspindle/placement/PlacerTest.java
@@ -19,23 +19,23 @@
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.jobs.JobTable;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Shape;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.leadership.SafetyTiming;
 import org.ploverspindle.leadership.Term;
-import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.loop.EventLoop;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 /** The placer looks only at machines with room and fills each; a plain one looks at all, always. */
 class PlacerTest {
@@ -54,8 +54,8 @@
         "run-" + i,
         "c",
         r.nextBoolean() ? "red" : "blue",
-        Shape.BATCH,
-        Urgency.values()[r.nextInt(4)],
+        JobKind.BATCH,
+        Priority.values()[r.nextInt(4)],
         1 + r.nextInt(20),
         1 + r.nextInt(4),
         0,
@@ -75,13 +75,14 @@
   }
 
   private MachineRegistry fleet(Random r, int machines) {
-    MachineRegistry fleet = new MachineRegistry(catalogue, teams, Timing.of(WORKERS, 1), TERM);
-    ReportHandler reportHandler = NoNews.reportHandler(fleet, TERM);
+    MachineRegistry fleet =
+        new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
+    HeartbeatHandler reportHandler = NoNews.reportHandler(fleet, TERM);
     for (int i = 0; i < machines; i++) {
       String type = r.nextBoolean() ? "small" : "large";
       String zone = r.nextBoolean() ? "a" : "b";
       reportHandler.take(
-          new Report(
+          new Heartbeat(
               "i-" + i,
               "",
               type,
@@ -156,10 +157,11 @@
             new MachineType("large", Resources.offered(16, 0, 64), 40, 1, 1.1, 0.4, 5, zones)));
     MachineRegistry fleet = fleet(r, 5 + r.nextInt(25));
     Replica none = new Replica(new EventLoop(), null, "x/", 700);
-    JobTable jobs = new JobTable(none, new SpecIndex(none), catalogue, teams);
+    JobTable jobs = new JobTable(none, new AcceptedJobIndex(none), catalogue, teams);
     for (int i = 0; i < 14; i++) {
       jobs.add(
-          new SpecIndex.Spec("run-" + i, new SpecRecord(spec(r, i), NOW, 50).encode(), i, "k"));
+          new AcceptedJobIndex.AcceptedJob(
+              "run-" + i, new JobRecord(spec(r, i), NOW, 50).encode(), i, "k"));
     }
     long[] attempt = {0};
     Placer placer =
@@ -168,9 +170,9 @@
             fleet,
             jobs,
             teams,
-            new Estimates(),
+            new RuntimeEstimates(),
             () -> ++attempt[0],
-            new Aims(List.of()),
+            new ServiceLevelObjectives(List.of()),
             60_000,
             p -> placed.put(p.job().uid() + "/" + p.task(), p.machine().host()));
     Map<String, String> expected = plainly(new ArrayList<>(placer.waitingJobs(NOW, NOW)), fleet);
--- a/src/test/java/org/ploverspindle/placement/DemandTest.java
+++ b/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
@@ -14,22 +14,23 @@
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.workers.Machine;
 
-class DemandTest {
+class ScaleOutPlannerTest {
   private static final long NOW = 1_000_000;
-  private static final List<Demand.Offer> OFFERS =
+  private static final List<ScaleOutPlanner.Candidate> OFFERS =
       List.of(
-          new Demand.Offer(0, 0, true, 500, 0, false), new Demand.Offer(1, 0, true, 500, 0, false));
+          new ScaleOutPlanner.Candidate(0, 0, true, 500, 0, false),
+          new ScaleOutPlanner.Candidate(1, 0, true, 500, 0, false));
 
   private final Catalogue catalogue = new Catalogue(List.of("a", "b", "c"));
   private final TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
 
-  DemandTest() {
+  ScaleOutPlannerTest() {
     List<String> zones = List.of("a", "b", "c");
     catalogue.update(
         List.of(
@@ -38,7 +39,7 @@
   }
 
   private static Job job(double cores, int tasks, double runS, double dueS) {
-    JobSpec spec = Specs.batch("run-1", "c", "red", Urgency.NORMAL, tasks, cores, 1, runS, dueS);
+    JobSpec spec = Specs.batch("run-1", "c", "red", Priority.NORMAL, tasks, cores, 1, runS, dueS);
     BitSet types = new BitSet();
     types.set(cores > 4 ? 1 : 0, 2);
     return new Job(spec, NOW, 80, 0, types, -1, 3);
@@ -49,9 +50,9 @@
   }
 
   /** Cores that are asked for, by type, for the one job that waits. */
-  private double[] rented(Job job, List<Machine> machines, Aims aims) {
+  private double[] rented(Job job, List<Machine> machines, ServiceLevelObjectives aims) {
     double[] cores = new double[2];
-    new Demand(catalogue, teams, new Estimates(), aims, 30)
+    new ScaleOutPlanner(catalogue, teams, new RuntimeEstimates(), aims, 30)
         .plan(
             List.of(job), List.of(job), machines, List.of(), OFFERS, Optional.empty(), 0, NOW, NOW)
         .forEach(w -> cores[w.type()] += w.count() * (w.type() == 0 ? 4 : 16));
@@ -60,7 +61,7 @@
 
   @Test
   void coresOfMachinesThatATaskDoesNotFitAreNoHelpToIt() {
-    Aims none = new Aims(List.of());
+    ServiceLevelObjectives none = new ServiceLevelObjectives(List.of());
     List<Machine> small = IntStream.range(0, 200).mapToObj(i -> idle(i, 0)).toList();
     double[] withSmall = rented(job(8, 40, 50, 400), small, none);
     double[] alone = rented(job(8, 40, 50, 400), List.of(), none);
@@ -72,15 +73,17 @@
   @Test
   void coresThatFitAreCounted() {
     List<Machine> large = IntStream.range(0, 40).mapToObj(i -> idle(i, 1)).toList();
-    assertEquals(0, rented(job(8, 40, 50, 400), large, new Aims(List.of()))[1]);
+    assertEquals(0, rented(job(8, 40, 50, 400), large, new ServiceLevelObjectives(List.of()))[1]);
     List<Machine> small = IntStream.range(0, 200).mapToObj(i -> idle(i, 0)).toList();
-    assertEquals(0, rented(job(2, 40, 50, 400), small, new Aims(List.of()))[0]);
+    assertEquals(0, rented(job(2, 40, 50, 400), small, new ServiceLevelObjectives(List.of()))[0]);
   }
 
   @Test
   void aStartWithinATimeNeedsMoreThanALateDueTime() {
-    Aims aims = new Aims(List.of(new Settings.Objective("wait", "c", 0.95, 1, 60)));
-    double patient = rented(job(8, 100, 50, 900), List.of(), new Aims(List.of()))[1];
+    ServiceLevelObjectives aims =
+        new ServiceLevelObjectives(List.of(new Settings.Objective("wait", "c", 0.95, 1, 60)));
+    double patient =
+        rented(job(8, 100, 50, 900), List.of(), new ServiceLevelObjectives(List.of()))[1];
     double prompt = rented(job(8, 100, 50, 900), List.of(), aims)[1];
     assertTrue(prompt >= 3 * patient, prompt + " cores against " + patient);
   }
@@ -88,13 +91,14 @@
   @Test
   void machinesOfATypeAreSpreadOverItsZones() {
     int[] rented = new int[3];
-    List<Demand.Offer> offers =
+    List<ScaleOutPlanner.Candidate> offers =
         List.of(
-            new Demand.Offer(1, 0, true, 450, 30, false),
-            new Demand.Offer(1, 1, true, 450, 0, false),
-            new Demand.Offer(1, 2, true, 4, 0, false));
+            new ScaleOutPlanner.Candidate(1, 0, true, 450, 30, false),
+            new ScaleOutPlanner.Candidate(1, 1, true, 450, 0, false),
+            new ScaleOutPlanner.Candidate(1, 2, true, 4, 0, false));
     Job job = job(8, 100, 50, 60);
-    new Demand(catalogue, teams, new Estimates(), new Aims(List.of()), 30)
+    new ScaleOutPlanner(
+            catalogue, teams, new RuntimeEstimates(), new ServiceLevelObjectives(List.of()), 30)
         .plan(
             List.of(job), List.of(job), List.of(), List.of(), offers, Optional.empty(), 0, NOW, NOW)
         .forEach(w -> rented[w.zone()] += w.count());
@@ -106,11 +110,13 @@
   @Test
   void groupsWhoseMachinesComeLateAreRentedInOnlyWhereNoOtherHelps() {
     Job job = job(2, 100, 50, 60);
-    List<Demand.Offer> offers =
+    List<ScaleOutPlanner.Candidate> offers =
         List.of(
-            new Demand.Offer(0, 0, true, 500, 0, true), new Demand.Offer(1, 0, true, 3, 0, false));
+            new ScaleOutPlanner.Candidate(0, 0, true, 500, 0, true),
+            new ScaleOutPlanner.Candidate(1, 0, true, 3, 0, false));
     int[] rented = new int[2];
-    new Demand(catalogue, teams, new Estimates(), new Aims(List.of()), 30)
+    new ScaleOutPlanner(
+            catalogue, teams, new RuntimeEstimates(), new ServiceLevelObjectives(List.of()), 30)
         .plan(
             List.of(job), List.of(job), List.of(), List.of(), offers, Optional.empty(), 0, NOW, NOW)
         .forEach(w -> rented[w.type()] += w.count());
@@ -120,8 +126,8 @@
 
   @Test
   void theNextAimThatCanStillBeMetSaysByWhenAJobStarts() {
-    Aims aims =
-        new Aims(
+    ServiceLevelObjectives aims =
+        new ServiceLevelObjectives(
             List.of(
                 new Settings.Objective("deadline", "c", 0.9, 2, 0),
                 new Settings.Objective("wait", "c", 0.9, 1, 70),
--- a/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
+++ b/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ploverspindle.settings.InvalidSettings;
+import org.ploverspindle.settings.InvalidSettingsException;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.settings.SettingsFile;
 
@@ -57,17 +57,17 @@
       })
   void refuses(String line, String message) throws Exception {
     Settings settings = settings();
-    InvalidSettings e =
-        assertThrows(InvalidSettings.class, () -> PolicyFile.parse("p", line, settings));
+    InvalidSettingsException e =
+        assertThrows(InvalidSettingsException.class, () -> PolicyFile.parse("p", line, settings));
     assertTrue(e.getMessage().contains(message), e.getMessage());
   }
 
   @Test
   void aMinimumAboveTheMaximumIsRefused() throws Exception {
     Settings settings = settings();
-    InvalidSettings e =
+    InvalidSettingsException e =
         assertThrows(
-            InvalidSettings.class,
+            InvalidSettingsException.class,
             () -> PolicyFile.parse("p", "pool_max = 3\npool \"x\" min = 4", settings));
     assertTrue(e.getMessage().contains("above the maximum"), e.getMessage());
   }
@@ -75,9 +75,9 @@
   @Test
   void everyProblemIsToldWithItsLine() throws Exception {
     Settings settings = settings();
-    InvalidSettings e =
+    InvalidSettingsException e =
         assertThrows(
-            InvalidSettings.class,
+            InvalidSettingsException.class,
             () -> PolicyFile.parse("p", "# a\nscan_s = x\nidle_s = 5\nidle_s = 6\n", settings));
     assertEquals(2, e.problems().size());
     assertEquals(2, e.problems().get(0).line());
@@ -88,7 +88,7 @@
   void deepNestingIsRefusedAndNotFollowed() throws Exception {
     Settings settings = settings();
     String deep = "idle_s = " + "(".repeat(5_000) + "1" + ")".repeat(5_000);
-    assertThrows(InvalidSettings.class, () -> PolicyFile.parse("p", deep, settings));
+    assertThrows(InvalidSettingsException.class, () -> PolicyFile.parse("p", deep, settings));
   }
 
   @Test
--- a/src/test/java/org/ploverspindle/settings/FleetNeedsTest.java
+++ b/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What can't carry a fleet is named with the figure that would, and that figure is enough. */
-class FleetNeedsTest {
+class FleetRequirementsTest {
   private static final int LARGE = 6_000;
 
   private static Settings settings(double cores, double ramMb, int sockets) throws Exception {
@@ -22,8 +22,8 @@
   }
 
   private static List<String> tooSmall(Settings settings) {
-    return FleetNeeds.of(settings, LARGE).shortages(settings).stream()
-        .map(Sufficiency.Warning::field)
+    return FleetRequirements.of(settings, LARGE).shortages(settings).stream()
+        .map(LimitChecks.Warning::field)
         .toList();
   }
 
@@ -37,7 +37,7 @@
 
   @Test
   void theFigureThatIsNamedIsEnoughAndOneLessIsNot() throws Exception {
-    FleetNeeds needs = FleetNeeds.of(settings(1, 1_000, 9_000), LARGE);
+    FleetRequirements needs = FleetRequirements.of(settings(1, 1_000, 9_000), LARGE);
     assertEquals(List.of(), tooSmall(settings(needs.cores(), needs.ramMb(), needs.sockets())));
     assertFalse(tooSmall(settings(1, 1_000, needs.sockets() - 1)).isEmpty());
   }
@@ -45,9 +45,9 @@
   @Test
   void theLargestFleetIsTheLastOneThatIsCarried() throws Exception {
     Settings settings = settings(1, 1_000, 3_000);
-    int most = FleetNeeds.mostMachines(settings);
+    int most = FleetRequirements.mostMachines(settings);
     assertTrue(most > 2_000 && most < 3_000, "3,000 sockets carry " + most);
-    assertEquals(List.of(), FleetNeeds.of(settings, most).shortages(settings));
-    assertFalse(FleetNeeds.of(settings, most + 1).shortages(settings).isEmpty());
+    assertEquals(List.of(), FleetRequirements.of(settings, most).shortages(settings));
+    assertFalse(FleetRequirements.of(settings, most + 1).shortages(settings).isEmpty());
   }
 }
--- a/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
+++ b/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
@@ -17,9 +17,9 @@
   }
 
   private static List<String> problems(String text) {
-    InvalidSettings e =
-        assertThrows(InvalidSettings.class, () -> SettingsFile.parse("s.toml", text));
-    return e.problems().stream().map(Problem::toString).toList();
+    InvalidSettingsException e =
+        assertThrows(InvalidSettingsException.class, () -> SettingsFile.parse("s.toml", text));
+    return e.problems().stream().map(SettingsProblem::toString).toList();
   }
 
   @Test
@@ -64,11 +64,11 @@
 
   @Test
   void limitsThatAreTooSmallAreNamedAndTaken() throws Exception {
-    assertEquals(List.of(), Sufficiency.warnings(SettingsFile.parse("s.toml", sample())));
+    assertEquals(List.of(), LimitChecks.warnings(SettingsFile.parse("s.toml", sample())));
     for (String[] small :
         new String[][] {{"rps", "3.0"}, {"write_rps", "1.0"}, {"value_kb", "1.0"}}) {
       String text = sample().replaceAll("(?m)^" + small[0] + " = .*$", small[0] + " = " + small[1]);
-      List<Sufficiency.Warning> warnings = Sufficiency.warnings(SettingsFile.parse("s.toml", text));
+      List<LimitChecks.Warning> warnings = LimitChecks.warnings(SettingsFile.parse("s.toml", text));
       assertEquals(1, warnings.size(), small[0] + ": " + warnings);
       assertEquals("params.state." + small[0], warnings.get(0).field());
     }
@@ -109,8 +109,8 @@
     assertEquals(
         List.of(
             "params.state.next.rps", "params.state.next.write_rps", "params.state.next.value_kb"),
-        Sufficiency.warnings(SettingsFile.parse("s.toml", small)).stream()
-            .map(Sufficiency.Warning::field)
+        LimitChecks.warnings(SettingsFile.parse("s.toml", small)).stream()
+            .map(LimitChecks.Warning::field)
             .toList());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/BrokenJobsTest.java
+++ b/src/test/java/org/ploverspindle/sim/BrokenJobsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 
 /** Jobs with mistakes among others, on machines some of which are broken as well. */
 class BrokenJobsTest {
@@ -23,10 +23,10 @@
           3_000 + i * 1_000,
           () -> {
             JobSpec spec =
-                EndOfDayTest.job(
+                DayEndCriteriaTest.job(
                     w,
                     mistake ? SimWorker.BROKEN : "a",
-                    mistake ? Urgency.HIGH : Urgency.NORMAL,
+                    mistake ? Priority.HIGH : Priority.NORMAL,
                     mistake ? 200 : 4,
                     1,
                     5,
--- a/src/test/java/org/ploverspindle/sim/CancellationNewsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationDelayTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ploverspindle.Specs;
-import org.ploverspindle.front.Answer;
+import org.ploverspindle.front.ApiResponse;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
@@ -19,7 +19,7 @@
  * How long after a user's acknowledgement the leader knows of a cancellation: what it orders in
  * between is ordered after a confirmed cancellation.
  */
-class CancellationNewsTest {
+class CancellationDelayTest {
   private static final int NODES = 3;
   private static final int FROM_MS = 60_000;
   private static final int JOBS = 120;
@@ -95,7 +95,7 @@
   }
 
   private String submit() {
-    JobSpec spec = Specs.batch(w.newUid(), "c", "blue", Urgency.NORMAL, 1, 1, 0.1, 300, 0);
+    JobSpec spec = Specs.batch(w.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
     w.user(spec);
     return spec.uid();
   }
@@ -105,7 +105,7 @@
     w.cancelAt(node, uid, answer -> confirmed(uid, node, answer));
   }
 
-  private void confirmed(String uid, int node, Answer answer) {
+  private void confirmed(String uid, int node, ApiResponse answer) {
     assertEquals(200, answer.status());
     int leader = w.leader();
     awaitKnown(leader, uid, w.clock.nowMs(), leader == node ? byLeaderMs : byOthersMs);
--- a/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.sim.PlainProgress.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.Txn;
+import org.ploverspindle.state.StateStore.Transaction;
 
 /**
  * Every team is at its limit with jobs that are cancelled; their tasks are proven gone, their
@@ -129,7 +129,7 @@
       for (int i = 0; i < 2 * JOBS_OF_A_TEAM; i++) {
         String team = i % 2 == 0 ? "red" : "blue";
         JobSpec job =
-            Specs.batch(w.newUid(), "c", team, Urgency.NORMAL, 1, 4, 0.1, runS, 0)
+            Specs.batch(w.newUid(), "c", team, Priority.NORMAL, 1, 4, 0.1, runS, 0)
                 .withTypes(List.of("small"));
         jobs.add(job);
         w.user(job);
@@ -187,7 +187,7 @@
 
   private static List<String> recordedLive(SimulatedCluster w, JobSpec job) {
     Kind kind = new Kind(job.uid(), job.tasks(), 10_000);
-    return Stream.of(PlainProgress.read(LowerLimitsTest.all(w.state), kind))
+    return Stream.of(ReferenceProgressRecords.read(LowerLimitsTest.all(w.state), kind))
         .filter(s -> s.startsWith("live"))
         .toList();
   }
@@ -213,7 +213,7 @@
                       w.newUid(),
                       "c",
                       "blue",
-                      Urgency.NORMAL,
+                      Priority.NORMAL,
                       2,
                       0.5,
                       0.1,
@@ -235,7 +235,7 @@
   }
 
   /** Does it say nothing but that placements of cancelled jobs are gone? */
-  private static boolean isForEndsAlone(SimulatedCluster w, Txn txn) {
+  private static boolean isForEndsAlone(SimulatedCluster w, Transaction txn) {
     SortedMap<String, Entry> all = LowerLimitsTest.all(w.state);
     List<String> lines = new ArrayList<>();
     for (Change change : txn.changes()) {
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -20,22 +20,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.ProgressWriter;
 import org.ploverspindle.jobs.RecordedProgress;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.sim.PlainProgress.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressRecord;
 import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.Txn;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.Placement;
@@ -65,7 +65,7 @@
   }
 
   private final SimClock clock = new SimClock();
-  private final SimState state = new SimState(clock, LIMITS);
+  private final SimStateStore state = new SimStateStore(clock, LIMITS);
   private final Random random = new Random(7);
   private double faults;
   private Fate next = Fate.ANSWERED;
@@ -73,7 +73,7 @@
   private long terms;
   private long attempts;
   private int transactions;
-  private final List<TxnResult> lateResults = new ArrayList<>();
+  private final List<TransactionResult> lateResults = new ArrayList<>();
 
   private final class Line extends ReadingStateClient {
     private final SimClock.Process p;
@@ -90,25 +90,25 @@
     }
 
     @Override
-    public void txn(Txn txn, Consumer<TxnResult> then) {
+    public void txn(Transaction txn, Consumer<TransactionResult> then) {
       transactions++;
       switch (fate()) {
         case ANSWERED ->
             clock.at(
                 3,
                 () -> {
-                  TxnResult result = state.txn(txn);
+                  TransactionResult result = state.txn(txn);
                   p.schedule(3, () -> then.accept(result));
                 });
         case ANSWER_LOST -> {
           clock.at(3, () -> state.txn(txn));
-          p.schedule(300, () -> then.accept(new TxnResult.Unknown()));
+          p.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
         }
         case LATE -> {
           clock.at(lateMs, () -> lateResults.add(state.txn(txn)));
-          p.schedule(300, () -> then.accept(new TxnResult.Unknown()));
+          p.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
         }
-        case LOST -> p.schedule(300, () -> then.accept(new TxnResult.Unknown()));
+        case LOST -> p.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
       }
     }
   }
@@ -122,12 +122,12 @@
         Optional.ofNullable(LowerLimitsTest.all(state).get(Keys.LEADER))
             .map(Entry::stamp)
             .orElse(0L);
-    TxnResult result =
+    TransactionResult result =
         state.txn(
-            new Txn(
+            new Transaction(
                 List.of(new Condition(Keys.LEADER, before)),
                 List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
-    return ((TxnResult.Committed) result).ledger();
+    return ((TransactionResult.Committed) result).ledger();
   }
 
   /** A term: what it was told to be recorded, and the tasks of which it places and ends. */
@@ -155,7 +155,7 @@
               LIMITS.txnOps(),
               LIMITS.valueBytes(),
               new Term(1 + terms * Term.SPAN, stamp, p.nowMs()),
-              m -> new ProgressRecord.Host(m.host(), "type-16", "zone-a", true),
+              m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
               this);
       recorded = new RecordedProgress(replica, writer);
     }
@@ -163,7 +163,7 @@
     Job accept(Kind kind) {
       Job job =
           new Job(
-              Specs.batch(kind.uid(), "c", "t", Urgency.NORMAL, kind.tasks(), 1, 0, 10, 0),
+              Specs.batch(kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
               0,
               kind.chunk(),
               0,
@@ -252,7 +252,7 @@
 
   /** The tasks that a reader of the documented forms, of whichever version, takes to be placed. */
   private Set<Integer> recordedLive(Kind kind) {
-    String[] read = PlainProgress.read(LowerLimitsTest.all(state), kind);
+    String[] read = ReferenceProgressRecords.read(LowerLimitsTest.all(state), kind);
     Set<Integer> live = new TreeSet<>();
     for (int t = 0; t < read.length; t++) {
       if (read[t].startsWith("live")) {
@@ -406,7 +406,7 @@
     Leader second = new Leader();
     runFor(6_000);
     assertEquals(1, lateResults.size());
-    assertTrue(lateResults.get(0) instanceof TxnResult.Conflict, lateResults.toString());
+    assertTrue(lateResults.get(0) instanceof TransactionResult.Conflict, lateResults.toString());
     second.end();
     assertNextLeaderCounts(CANCELLED, Set.of(0, 1));
   }
--- a/src/test/java/org/ploverspindle/sim/CutControllerTest.java
+++ b/src/test/java/org/ploverspindle/sim/CutControllerTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.front.Answer;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.front.ApiResponse;
+import org.ploverspindle.jobs.Priority;
 
 /**
  * One controller that lacks something that the others have, or that stood still: who leads then.
@@ -26,7 +26,8 @@
     SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     for (int i = 0; i < 120; i++) {
       w.clock.at(
-          3_000 + i * 1_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.HIGH, 4, 1, 5, 0)));
+          3_000 + i * 1_000,
+          () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 4, 1, 5, 0)));
     }
     return w;
   }
@@ -68,7 +69,7 @@
   void aControllerThatAloneCannotReadSendsItsUsersToTheOthers(int node) {
     SimulatedCluster w = busy(4);
     w.clock.at(40_000, () -> w.refuse(node, SimulatedCluster.Refusal.READS, true));
-    List<Answer> answers = new ArrayList<>();
+    List<ApiResponse> answers = new ArrayList<>();
     long[] cameMs = new long[1];
     w.clock.at(
         48_000,
--- a/src/test/java/org/ploverspindle/sim/EndOfDayTest.java
+++ b/src/test/java/org/ploverspindle/sim/DayEndCriteriaTest.java
@@ -14,17 +14,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 
 /** What is asked at the end of a day, each under the trouble that would break it. */
-class EndOfDayTest {
+class DayEndCriteriaTest {
   private static final int NODES = 3;
 
   static JobSpec job(
       SimulatedCluster w,
       String jobClass,
-      Urgency urgency,
+      Priority urgency,
       int tasks,
       double cores,
       double s,
@@ -43,10 +43,10 @@
   void everyJobIsKnownAndRunsAfterAllControllersRestartAtOnce(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     for (int i = 0; i < 700; i++) {
-      w.clock.at(3_000 + i * 90, () -> w.user(job(w, "small", Urgency.NORMAL, 1, 0.1, 1, 0)));
+      w.clock.at(3_000 + i * 90, () -> w.user(job(w, "small", Priority.NORMAL, 1, 0.1, 1, 0)));
     }
     for (int i = 0; i < 60; i++) {
-      w.clock.at(60_000 + i * 60, () -> w.user(job(w, "long", Urgency.NORMAL, 10, 0.5, 30, 0)));
+      w.clock.at(60_000 + i * 60, () -> w.user(job(w, "long", Priority.NORMAL, 10, 0.5, 30, 0)));
     }
     w.clock.at(70_000, () -> IntStream.range(0, NODES).forEach(n -> w.crash(n, 50 + 900 * n)));
     w.clock.at(72_500, w::troublesAreOver);
@@ -58,9 +58,9 @@
   @Test
   void theLargestJobBeginsAlthoughSmallOnesCouldAlwaysStillBeInTime() {
     SimulatedCluster w = new SimulatedCluster(4, NODES, 10, List.of("a"));
-    w.clock.at(3_000, () -> w.user(job(w, "array", Urgency.NORMAL, 60, 4, 20, 15)));
+    w.clock.at(3_000, () -> w.user(job(w, "array", Priority.NORMAL, 60, 4, 20, 15)));
     for (int i = 0; i < 300; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "array", Urgency.NORMAL, 3, 4, 12, 30)));
+      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "array", Priority.NORMAL, 3, 4, 12, 30)));
     }
     w.clock.runUntil(300_000);
     long begun = w.checker.begunMs("run-000000");
@@ -74,13 +74,13 @@
   void aLowUrgencyBeginsBelowOneThatNeverEnds() {
     SimulatedCluster w = new SimulatedCluster(5, NODES, 2, List.of("a"));
     for (int i = 0; i < 300; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "urgent", Urgency.HIGH, 4, 4, 10, 60)));
+      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "urgent", Priority.HIGH, 4, 4, 10, 60)));
     }
     JobSpec[] low = new JobSpec[1];
     w.clock.at(
         10_000,
         () -> {
-          low[0] = job(w, "archive", Urgency.BEST_EFFORT, 8, 4, 10, 0);
+          low[0] = job(w, "archive", Priority.BEST_EFFORT, 8, 4, 10, 0);
           w.user(low[0]);
         });
     w.clock.runUntil(280_000);
@@ -92,7 +92,7 @@
   void aMachineThatIsNotReachedDrawsNoWorkAndItsTasksRunElsewhere() {
     SimulatedCluster w = new SimulatedCluster(6, NODES, 14, List.of("a"));
     for (int i = 0; i < 120; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "a", Urgency.NORMAL, 4, 1, 5, 0)));
+      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "a", Priority.NORMAL, 4, 1, 5, 0)));
     }
     List<SimWorker> deaf = new ArrayList<>();
     w.clock.at(
@@ -119,7 +119,7 @@
     SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     w.network.copyShare(0.5);
     for (int i = 0; i < 100; i++) {
-      w.clock.at(3_000 + i * 1_200, () -> w.user(job(w, "a", Urgency.HIGH, 6, 1, 6, 0)));
+      w.clock.at(3_000 + i * 1_200, () -> w.user(job(w, "a", Priority.HIGH, 6, 1, 6, 0)));
     }
     Random r = new Random(seed);
     for (int t = 20_000; t < 120_000; t += 12_000) {
@@ -147,8 +147,8 @@
     w.clock.at(
         3_000,
         () -> {
-          spec[0] = job(w, "a", Urgency.NORMAL, 8, 1, 200, 0);
-          spec[1] = job(w, "a", Urgency.NORMAL, 8, 1, 60, 0);
+          spec[0] = job(w, "a", Priority.NORMAL, 8, 1, 200, 0);
+          spec[1] = job(w, "a", Priority.NORMAL, 8, 1, 60, 0);
           w.user(spec[0]);
           w.user(spec[1]);
         });
@@ -183,7 +183,7 @@
   void processesBackWithinAFractionOfASecondAlsoInMidElection(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     for (int i = 0; i < 60; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "a", Urgency.HIGH, 4, 1, 5, 0)));
+      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "a", Priority.HIGH, 4, 1, 5, 0)));
     }
     Random r = new Random(seed);
     w.network.lateShare(0.1);
@@ -224,11 +224,11 @@
                 small.teams(),
                 new Policy(3, 8, 120, 0, 100, 20, Map.of())));
     for (int i = 0; i < 8; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "burst", Urgency.NORMAL, 12, 1, 10, 30)));
+      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "burst", Priority.NORMAL, 12, 1, 10, 30)));
     }
     String[] before = new String[0];
     for (int i = 0; i < 30; i++) {
-      JobSpec step = Specs.after(job(w, "step", Urgency.NORMAL, 1, 1, 5, 0), before);
+      JobSpec step = Specs.after(job(w, "step", Priority.NORMAL, 1, 1, 5, 0), before);
       w.clock.at(3_000 + i * 500, () -> w.user(step));
       before = new String[] {step.uid()};
     }
--- a/src/test/java/org/ploverspindle/sim/DirectStopTest.java
+++ b/src/test/java/org/ploverspindle/sim/DirectStopTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
@@ -36,7 +36,7 @@
       w.clock.at(
           3_000 + i * 500,
           () -> {
-            JobSpec job = EndOfDayTest.job(w, "a", Urgency.NORMAL, 2, 4, 200, 0);
+            JobSpec job = DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 2, 4, 200, 0);
             jobs.add(job);
             w.user(job);
           });
--- a/src/test/java/org/ploverspindle/sim/FaultScenario.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenario.java
@@ -16,9 +16,9 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Stream;
 import org.junit.jupiter.params.provider.Arguments;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
@@ -104,8 +104,8 @@
         cluster.newUid(),
         "class",
         team,
-        Shape.BATCH,
-        Urgency.NORMAL,
+        JobKind.BATCH,
+        Priority.NORMAL,
         tasks,
         cores,
         0,
@@ -155,7 +155,7 @@
         "pressing",
         s.team(),
         s.shape(),
-        Urgency.HIGH,
+        Priority.HIGH,
         s.tasks(),
         s.cores(),
         0,
--- a/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
+++ b/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.duties.FencedStore;
-import org.ploverspindle.duties.RefusedActions;
-import org.ploverspindle.duties.RefusedActions.Kind;
+import org.ploverspindle.duties.FencingRejections;
+import org.ploverspindle.duties.FencingRejections.Kind;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.state.Keys;
@@ -20,13 +20,14 @@
   private static final String KEY = Keys.PREFIX + "k";
 
   private final SimClock clock = new SimClock();
-  private final SimState state = new SimState(clock, new Settings.StateLimits(100, 100, 8, 12));
-  private final RefusedActions refused = new RefusedActions();
+  private final SimStateStore state =
+      new SimStateStore(clock, new Settings.StateLimits(100, 100, 8, 12));
+  private final FencingRejections refused = new FencingRejections();
 
   private void write(StateStore store, String conditionKey, long stamp) {
     Change put = new Change.Put(KEY, Cbor.map());
     store.txn(
-        new StateStore.Txn(List.of(new Condition(conditionKey, stamp)), List.of(put)),
+        new StateStore.Transaction(List.of(new Condition(conditionKey, stamp)), List.of(put)),
         result -> {});
     clock.runUntil(clock.nowMs() + 1_000);
   }
--- a/src/test/java/org/ploverspindle/sim/FixtureStore.java
+++ b/src/test/java/org/ploverspindle/sim/FixtureStore.java
@@ -38,12 +38,12 @@
   }
 
   @Override
-  public void changesAfter(String prefix, long ledger, Consumer<News> then) {
-    then.accept(new News.Changes(LEDGER, List.of()));
+  public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
+    then.accept(new ChangesResult.Changes(LEDGER, List.of()));
   }
 
   @Override
-  public void txn(Txn txn, Consumer<TxnResult> then) {}
+  public void txn(Transaction txn, Consumer<TransactionResult> then) {}
 
   @Override
   public void openLease(long ttlMs, Consumer<Optional<Long>> then) {}
--- a/src/test/java/org/ploverspindle/sim/FleetLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/FleetLimitsTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
@@ -50,7 +50,7 @@
     cluster.clock.at(
         15_000, () -> IntStream.range(0, NODES).forEach(node -> cluster.crash(node, 500)));
     // It fits on no machine that there is.
-    var job = EndOfDayTest.job(cluster, "wide", Urgency.HIGH, 2, 12, 5, 0);
+    var job = DayEndCriteriaTest.job(cluster, "wide", Priority.HIGH, 2, 12, 5, 0);
     cluster.clock.at(20_000, () -> cluster.user(job));
     // Each controller asks for the machine types at its start.
     cluster.clock.runUntil(25_000);
--- a/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
+++ b/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
@@ -42,7 +42,7 @@
   /** Three controllers, and machines that run one job's 80 tasks for 100 s. */
   private static SimulatedCluster busyFleet(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, site(3, 60, List.of("a")));
-    w.clock.at(3_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.NORMAL, 80, 4, 100, 0)));
+    w.clock.at(3_000, () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 80, 4, 100, 0)));
     return w;
   }
 
@@ -139,7 +139,7 @@
     w.clock.at(
         64_000,
         () -> {
-          next[0] = EndOfDayTest.job(w, "b", Urgency.HIGH, 4, 1, 5, 0);
+          next[0] = DayEndCriteriaTest.job(w, "b", Priority.HIGH, 4, 1, 5, 0);
           w.user(next[0]);
         });
     w.clock.runUntil(300_000);
@@ -155,7 +155,7 @@
   @ValueSource(longs = {1, 2, 3})
   void tasksOfMachinesTakenWithoutNoticeStartAgainBeforeTheLeaseWouldEnd(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, site(3, 60, List.of("a"), 3, 20));
-    w.clock.at(3_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.NORMAL, 60, 4, 200, 0)));
+    w.clock.at(3_000, () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 60, 4, 200, 0)));
     int[] before = new int[2];
     w.clock.at(
         90_000,
@@ -205,7 +205,8 @@
                 Policy.DEFAULT));
     for (int i = 0; i < 40; i++) {
       w.clock.at(
-          3_000 + 1_000 * i, () -> w.user(EndOfDayTest.job(w, "a", Urgency.HIGH, 20, 1, 5, 0)));
+          3_000 + 1_000 * i,
+          () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 20, 1, 5, 0)));
     }
     w.clock.at(60_000, () -> w.crash(leaderOf(w), 500));
     w.clock.runUntil(300_000);
@@ -227,10 +228,10 @@
             boolean pressing = r.nextInt(3) == 0;
             int tasks = r.nextInt(50) == 0 ? 500 : 1 + r.nextInt(30);
             w.user(
-                EndOfDayTest.job(
+                DayEndCriteriaTest.job(
                     w,
                     pressing ? "urgent" : "plain",
-                    pressing ? Urgency.HIGH : Urgency.NORMAL,
+                    pressing ? Priority.HIGH : Priority.NORMAL,
                     tasks,
                     1 + r.nextInt(4),
                     5 + r.nextInt(40),
@@ -280,7 +281,7 @@
     // They ask any controller first, and most of them ask others before they find the leader.
     w.cloud.boots("small", 0.05);
     w.cloud.boots("large", 0.05);
-    w.clock.at(3_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.NORMAL, 200, 4, 30, 0)));
+    w.clock.at(3_000, () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 200, 4, 30, 0)));
     int[] first = new int[1];
     w.clock.at(8_000, () -> first[0] = leaderOf(w));
     w.clock.runUntil(120_000);
@@ -295,7 +296,8 @@
     w.cloud.giveUp("large");
     for (int i = 0; i < 20; i++) {
       w.clock.at(
-          3_000 + i * 3_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.NORMAL, 20, 2, 10, 60)));
+          3_000 + i * 3_000,
+          () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 20, 2, 10, 60)));
     }
     w.clock.runUntil(200_000);
     assertEquals(List.of(), w.checker.broken());
@@ -308,7 +310,8 @@
     SimulatedCluster w = new SimulatedCluster(seed, site(3, 200, List.of("a")));
     for (int i = 0; i < 60; i++) {
       w.clock.at(
-          3_000 + i * 4_000, () -> w.user(EndOfDayTest.job(w, "a", Urgency.HIGH, 20, 2, 10, 60)));
+          3_000 + i * 4_000,
+          () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 20, 2, 10, 60)));
     }
     w.cloud.boots("small", 0);
     w.cloud.boots("large", 1);
--- a/src/test/java/org/ploverspindle/sim/InvalidRequests.java
+++ b/src/test/java/org/ploverspindle/sim/InvalidRequests.java
@@ -71,7 +71,7 @@
   }
 
   private ObjectNode good(String uid) {
-    byte[] body = SimulatedCluster.encode(RulesTest.job(uid, random));
+    byte[] body = SimulatedCluster.encode(InvariantsTest.job(uid, random));
     return Cbor.readMap(body).orElseThrow();
   }
 
--- a/src/test/java/org/ploverspindle/sim/Checker.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantChecker.java
@@ -20,7 +20,7 @@
  * The protocol's rules, plainly and slowly, over what truly happens on machines and what users are
  * told. Knows nothing of the code under test.
  */
-final class Checker {
+final class InvariantChecker {
   enum Rule {
     RAN_TWICE,
     QUOTA,
@@ -109,7 +109,7 @@
   /** The largest jobs of a class are to begin within this. */
   private static final long BEGIN_MS = 240_000;
 
-  Checker(SimClock clock, Settings settings) {
+  InvariantChecker(SimClock clock, Settings settings) {
     this.clock = clock;
     this.settings = settings;
   }
@@ -471,7 +471,7 @@
     if (other != null) {
       report(Rule.RAN_TWICE, uid + "/" + task + " starts on " + place + " while on " + other);
     }
-    if (!needed(job).stream().allMatch(Checker::allDone)) {
+    if (!needed(job).stream().allMatch(InvariantChecker::allDone)) {
       report(Rule.TOO_EARLY, uid + "/" + task + " starts before what it needs is done");
     }
     job.roomSinceMs.clear();
@@ -568,7 +568,7 @@
     }
     if (state.equals("aborted")
         && !job.cancelAsked
-        && needed(job).stream().noneMatch(Checker::isCancelled)) {
+        && needed(job).stream().noneMatch(InvariantChecker::isCancelled)) {
       report(Rule.WENT_BACK, uid + " is called cancelled, which nobody asked for");
     }
     if (state.equals("done") && job.done.size() < job.spec.tasks()) {
--- a/src/test/java/org/ploverspindle/sim/CheckerTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
@@ -7,19 +7,21 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.Specs;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Shape;
-import org.ploverspindle.jobs.Urgency;
 
 /** The checker must report each rule when it is broken, and nothing when none is. */
-class CheckerTest {
-  private static final Checker.Place A = new Checker.Place("i-1", "small", "a", false);
-  private static final Checker.Place B = new Checker.Place("i-2", "small", "b", false);
+class InvariantCheckerTest {
+  private static final InvariantChecker.Place A =
+      new InvariantChecker.Place("i-1", "small", "a", false);
+  private static final InvariantChecker.Place B =
+      new InvariantChecker.Place("i-2", "small", "b", false);
 
   private final SimClock clock = new SimClock();
-  private final Checker checker =
-      new Checker(
+  private final InvariantChecker checker =
+      new InvariantChecker(
           clock,
           SimulatedCluster.settings("n0", SimulatedCluster.Site.small(3, 14, List.of("a", "b"))));
 
@@ -28,8 +30,8 @@
         uid,
         "c",
         "red",
-        Shape.BATCH,
-        Urgency.NORMAL,
+        JobKind.BATCH,
+        Priority.NORMAL,
         2,
         cores,
         0,
@@ -48,8 +50,9 @@
         List.of());
   }
 
-  private void only(Checker.Rule rule) {
-    assertEquals(List.of(rule), checker.broken().stream().map(Checker.Broken::rule).toList());
+  private void only(InvariantChecker.Rule rule) {
+    assertEquals(
+        List.of(rule), checker.broken().stream().map(InvariantChecker.Broken::rule).toList());
   }
 
   @Test
@@ -70,7 +73,7 @@
     checker.submitted(spec("run-1", 1, false, false));
     checker.starts("run-1", 0, A);
     checker.starts("run-1", 0, B);
-    only(Checker.Rule.RAN_TWICE);
+    only(InvariantChecker.Rule.RAN_TWICE);
   }
 
   @Test
@@ -78,7 +81,7 @@
     checker.submitted(spec("run-1", 20, false, false));
     checker.starts("run-1", 0, A);
     checker.starts("run-1", 1, A);
-    only(Checker.Rule.QUOTA);
+    only(InvariantChecker.Rule.QUOTA);
   }
 
   @Test
@@ -86,7 +89,7 @@
     checker.submitted(spec("run-1", 1, true, false));
     checker.starts("run-1", 0, A);
     checker.starts("run-1", 1, B);
-    only(Checker.Rule.WRONG_PLACE);
+    only(InvariantChecker.Rule.WRONG_PLACE);
   }
 
   @Test
@@ -94,14 +97,14 @@
     checker.submitted(spec("run-1", 1, false, true));
     checker.starts("run-1", 0, A);
     checker.starts("run-1", 1, A);
-    only(Checker.Rule.WRONG_PLACE);
+    only(InvariantChecker.Rule.WRONG_PLACE);
   }
 
   @Test
   void reportsSpotWhereItIsNotAllowed() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.starts("run-1", 0, new Checker.Place("i-3", "small", "a", true));
-    only(Checker.Rule.WRONG_PLACE);
+    checker.starts("run-1", 0, new InvariantChecker.Place("i-3", "small", "a", true));
+    only(InvariantChecker.Rule.WRONG_PLACE);
   }
 
   @Test
@@ -112,7 +115,7 @@
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
     clock.runUntil(20_001);
     checker.look();
-    only(Checker.Rule.RAN_CANCELLED);
+    only(InvariantChecker.Rule.RAN_CANCELLED);
   }
 
   @Test
@@ -121,13 +124,13 @@
     checker.told("run-1", 201, "queued", true, clock.nowMs());
     clock.runUntil(5);
     checker.told("run-1", 404, "", false, clock.nowMs());
-    only(Checker.Rule.FORGOTTEN);
+    only(InvariantChecker.Rule.FORGOTTEN);
   }
 
   @Test
   void reportsAnInventedJob() {
     checker.told("run-9", 200, "queued", false, clock.nowMs());
-    only(Checker.Rule.INVENTED);
+    only(InvariantChecker.Rule.INVENTED);
   }
 
   @Test
@@ -135,7 +138,7 @@
     checker.submitted(spec("run-1", 1, false, false));
     checker.completes("run-1", 0);
     checker.told("run-1", 200, "done", false, clock.nowMs());
-    only(Checker.Rule.NOT_DONE);
+    only(InvariantChecker.Rule.NOT_DONE);
   }
 
   @Test
@@ -144,14 +147,14 @@
     checker.cancelAsked("run-1");
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
     checker.told("run-1", 200, "running", false, clock.nowMs());
-    only(Checker.Rule.WENT_BACK);
+    only(InvariantChecker.Rule.WENT_BACK);
   }
 
   @Test
   void reportsACancellationNobodyAskedFor() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
-    only(Checker.Rule.WENT_BACK);
+    only(InvariantChecker.Rule.WENT_BACK);
   }
 
   @Test
@@ -166,7 +169,7 @@
     assertEquals(List.of(), checker.broken());
     clock.runUntil(86_000);
     checker.look();
-    only(Checker.Rule.UNANSWERED);
+    only(InvariantChecker.Rule.UNANSWERED);
   }
 
   @Test
@@ -195,8 +198,11 @@
     checker.completes("run-1", 1);
     checker.endOfDay();
     assertEquals(
-        List.of(Checker.Rule.STARVED, Checker.Rule.STARVED, Checker.Rule.STARVED),
-        checker.broken().stream().map(Checker.Broken::rule).toList(),
+        List.of(
+            InvariantChecker.Rule.STARVED,
+            InvariantChecker.Rule.STARVED,
+            InvariantChecker.Rule.STARVED),
+        checker.broken().stream().map(InvariantChecker.Broken::rule).toList(),
         "its class, its team, and its largest");
   }
 
@@ -210,7 +216,7 @@
       checker.completes("run-1", task);
     }
     checker.endOfDay();
-    only(Checker.Rule.STARVED);
+    only(InvariantChecker.Rule.STARVED);
   }
 
   private void accepted(JobSpec spec) {
@@ -225,7 +231,7 @@
     }
   }
 
-  private static void up(Checker checker, Checker.Place place, double cores) {
+  private static void up(InvariantChecker checker, InvariantChecker.Place place, double cores) {
     checker.machineUp(place, Resources.offered(cores, 0, 16), () -> true);
   }
 
@@ -237,7 +243,7 @@
     lookForSeconds(91);
     assertEquals(List.of(), checker.broken());
     lookForSeconds(1);
-    only(Checker.Rule.IDLE_ROOM);
+    only(InvariantChecker.Rule.IDLE_ROOM);
   }
 
   @Test
@@ -247,7 +253,7 @@
     checker.starts("run-1", 0, A);
     checker.troublesAreOver();
     lookForSeconds(95);
-    only(Checker.Rule.IDLE_ROOM);
+    only(InvariantChecker.Rule.IDLE_ROOM);
   }
 
   /** No room, a full machine, the wrong zone, a limit that is reached, or a start now and then. */
@@ -261,9 +267,13 @@
     accepted(spec("run-3", 1, false, true));
     checker.starts("run-3", 0, B);
     checker.machineUp(
-        new Checker.Place("i-4", "small", "b", false), Resources.offered(4, 0, 16), () -> false);
+        new InvariantChecker.Place("i-4", "small", "b", false),
+        Resources.offered(4, 0, 16),
+        () -> false);
     checker.machineUp(
-        new Checker.Place("i-5", "small", "b", true), Resources.offered(4, 0, 16), () -> true);
+        new InvariantChecker.Place("i-5", "small", "b", true),
+        Resources.offered(4, 0, 16),
+        () -> true);
     checker.starts("run-3", 1, A);
     checker.troublesAreOver();
     lookForSeconds(200);
@@ -272,7 +282,7 @@
 
   @Test
   void aTeamAtItsLimitIsNotLeftWaiting() {
-    Checker.Place c = new Checker.Place("i-6", "large", "a", false);
+    InvariantChecker.Place c = new InvariantChecker.Place("i-6", "large", "a", false);
     checker.machineUp(c, Resources.offered(30, 0, 64), () -> true);
     accepted(spec("run-1", 13, false, false));
     checker.starts("run-1", 0, c);
@@ -306,12 +316,14 @@
     checker.starts("run-1", 1, A, 1_500);
     assertEquals(
         List.of(
-            new Checker.LateStart("run-1", 0, -100, 2_000),
-            new Checker.LateStart("run-1", 1, 500, 2_000)),
+            new InvariantChecker.LateStart("run-1", 0, -100, 2_000),
+            new InvariantChecker.LateStart("run-1", 1, 500, 2_000)),
         checker.lateStarts());
     assertEquals(
         List.of(false, true),
-        checker.lateStarts().stream().map(Checker.LateStart::orderedAfterTheWord).toList());
+        checker.lateStarts().stream()
+            .map(InvariantChecker.LateStart::orderedAfterTheWord)
+            .toList());
     assertEquals(List.of(), checker.broken(), "both may still be gone in time");
   }
 
@@ -327,7 +339,7 @@
     checker.look();
     assertEquals(List.of(), checker.broken(), "its lease is over");
     checker.goesOn("run-1", 0, A);
-    only(Checker.Rule.RAN_CANCELLED);
+    only(InvariantChecker.Rule.RAN_CANCELLED);
   }
 
   @Test
@@ -339,7 +351,7 @@
     checker.goesOn("run-1", 0, B);
     assertEquals(List.of(), checker.broken());
     checker.goesOn("run-1", 0, A);
-    only(Checker.Rule.RAN_TWICE);
+    only(InvariantChecker.Rule.RAN_TWICE);
   }
 
   @Test
@@ -350,14 +362,14 @@
     checker.told("run-1", 404, "", false, clock.nowMs());
     assertEquals(List.of(), checker.broken());
     checker.told("run-1", 201, "queued", true, clock.nowMs());
-    only(Checker.Rule.WRONGLY_ACCEPTED);
+    only(InvariantChecker.Rule.WRONGLY_ACCEPTED);
   }
 
   @Test
   void reportsTheWrongRefusal() {
     checker.neverAcceptable("run-1", 400, "lacks a field");
     checker.told("run-1", 422, "", true, clock.nowMs());
-    only(Checker.Rule.WRONG_STATUS);
+    only(InvariantChecker.Rule.WRONG_STATUS);
   }
 
   /** The second job awaits the first. */
@@ -390,7 +402,7 @@
     checker.starts("run-1", 0, A);
     checker.completes("run-1", 0);
     checker.starts("run-2", 0, A);
-    only(Checker.Rule.TOO_EARLY);
+    only(InvariantChecker.Rule.TOO_EARLY);
   }
 
   /** Started too early as well: what is asked here is that it also counts as running on. */
@@ -406,8 +418,8 @@
     clock.runUntil(20_001);
     checker.look();
     assertEquals(
-        List.of(Checker.Rule.TOO_EARLY, Checker.Rule.RAN_CANCELLED),
-        checker.broken().stream().map(Checker.Broken::rule).toList());
+        List.of(InvariantChecker.Rule.TOO_EARLY, InvariantChecker.Rule.RAN_CANCELLED),
+        checker.broken().stream().map(InvariantChecker.Broken::rule).toList());
   }
 
   @Test
@@ -416,7 +428,7 @@
     checker.submissionTold("run-1", 503);
     assertEquals(List.of(), checker.broken());
     checker.submissionTold("run-1", 422);
-    only(Checker.Rule.WRONG_STATUS);
+    only(InvariantChecker.Rule.WRONG_STATUS);
   }
 
   @Test
@@ -429,7 +441,7 @@
     assertEquals(List.of(), checker.broken());
     clock.runUntil(20_001);
     checker.told("run-3", 200, "queued", false, clock.nowMs());
-    only(Checker.Rule.ORPHANED);
+    only(InvariantChecker.Rule.ORPHANED);
   }
 
   @Test
@@ -440,7 +452,7 @@
     checker.told("run-3", 200, "aborted", false, clock.nowMs());
     assertEquals(List.of(), checker.broken());
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
-    only(Checker.Rule.WENT_BACK);
+    only(InvariantChecker.Rule.WENT_BACK);
   }
 
   @Test
@@ -450,6 +462,6 @@
     checker.cancelAsked("run-1");
     checker.told("run-1", 200, "done", false, clock.nowMs());
     checker.told("run-2", 200, "aborted", false, clock.nowMs());
-    only(Checker.Rule.WENT_BACK);
+    only(InvariantChecker.Rule.WENT_BACK);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/RulesSweep.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantsSweep.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many more seeds than the build plays: {@code mvn test -Dtest=RulesSweep -Dseeds=1000}. A seed
- * that fails here gets a name in {@link RulesTest}.
+ * Many more seeds than the build plays: {@code mvn test -Dtest=InvariantsSweep -Dseeds=1000}. A
+ * seed that fails here gets a name in {@link InvariantsTest}.
  */
-class RulesSweep {
+class InvariantsSweep {
   private static final int SEEDS = Integer.getInteger("seeds", 100);
   private static final int FIRST = Integer.getInteger("first", 1);
 
@@ -30,12 +30,12 @@
 
   @Test
   void manySeeds() {
-    sweep(FIRST, SEEDS, seed -> RulesTest.play(seed, 14));
+    sweep(FIRST, SEEDS, seed -> InvariantsTest.play(seed, 14));
   }
 
   @Test
   void manySeedsOfPairs() {
-    sweep(FIRST, SEEDS, seed -> RulesTest.playPairs(seed, 9));
+    sweep(FIRST, SEEDS, seed -> InvariantsTest.playPairs(seed, 9));
   }
 
   @Test
@@ -50,6 +50,8 @@
     sweep(
         0,
         all.length * all.length,
-        n -> RulesTest.playMeeting(FIRST, all[(int) n / all.length], all[(int) n % all.length]));
+        n ->
+            InvariantsTest.playMeeting(
+                FIRST, all[(int) n / all.length], all[(int) n % all.length]));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/RulesTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantsTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 
 /**
  * Random schedules of failures against the real decision code, checked by the plain model of the
  * rules. A seed that ever failed stays here by name.
  */
-class RulesTest {
+class InvariantsTest {
   private static final int NODES = 3;
 
   static JobSpec job(String uid, Random random) {
@@ -29,8 +29,8 @@
         uid,
         "class-" + random.nextInt(2),
         random.nextBoolean() ? "red" : "blue",
-        service ? Shape.SERVICE : Shape.BATCH,
-        Urgency.values()[random.nextInt(4)],
+        service ? JobKind.SERVICE : JobKind.BATCH,
+        Priority.values()[random.nextInt(4)],
         1 + random.nextInt(service ? 3 : 12),
         1 + random.nextInt(4),
         0,
@@ -253,8 +253,8 @@
             w.newUid(),
             "big",
             "blue",
-            Shape.BATCH,
-            Urgency.NORMAL,
+            JobKind.BATCH,
+            Priority.NORMAL,
             JobSpec.MAX_TASKS,
             1,
             0,
--- a/src/test/java/org/ploverspindle/sim/LargeFleetDayTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeFleetDayTest.java
@@ -11,7 +11,7 @@
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 import org.slf4j.Logger;
@@ -92,13 +92,15 @@
     for (int i = 0; i < jobs; i++) {
       boolean early = i < jobs * 3 / 4;
       long atMs = 3_000 + random.nextInt(early ? 20_000 : (int) LOAD_ENDS_MS);
-      Urgency urgency = random.nextInt(3) == 0 ? Urgency.HIGH : Urgency.NORMAL;
+      Priority urgency = random.nextInt(3) == 0 ? Priority.HIGH : Priority.NORMAL;
       int tasks = 10 + random.nextInt(30);
       int cores = 4 + random.nextInt(9);
       int seconds = 20 + random.nextInt(40);
       cluster.clock.at(
           atMs,
-          () -> cluster.user(EndOfDayTest.job(cluster, "c", urgency, tasks, cores, seconds, 200)));
+          () ->
+              cluster.user(
+                  DayEndCriteriaTest.job(cluster, "c", urgency, tasks, cores, seconds, 200)));
     }
   }
 
--- a/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressRecord;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.state.SnapshotRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -47,7 +47,7 @@
   private final List<JobSpec> small = new ArrayList<>();
   private final List<JobSpec> unrecorded = new ArrayList<>();
   private boolean enoughSmallJobs;
-  private final List<Checker.Start> starts = new ArrayList<>();
+  private final List<InvariantChecker.Start> starts = new ArrayList<>();
 
   /** How long ends of other jobs took to be recorded, by when they came. */
   private final List<long[]> endDelays = new ArrayList<>();
@@ -68,7 +68,7 @@
                     new Settings.Team("blue", 100, 0, 0, 0)),
                 new Policy(3, 30, 60, 0, Policy.UNBOUNDED, 30, Map.of())));
     large =
-        Specs.batch(cluster.newUid(), "large", "red", Urgency.NORMAL, TASKS, 0.25, 0.1, TASK_S, 0);
+        Specs.batch(cluster.newUid(), "large", "red", Priority.NORMAL, TASKS, 0.25, 0.1, TASK_S, 0);
     cluster.checker.whenATaskStarts(
         start -> {
           if (start.uid().equals(large.uid())) {
@@ -107,7 +107,7 @@
   }
 
   private Usage usage() {
-    SimState state = cluster.state;
+    SimStateStore state = cluster.state;
     return new Usage(
         cluster.clock.nowMs(),
         checkpoints(),
@@ -125,7 +125,7 @@
     if (enoughSmallJobs) {
       return;
     }
-    JobSpec s = EndOfDayTest.job(cluster, "small", Urgency.HIGH, 4, 1, 5, 60);
+    JobSpec s = DayEndCriteriaTest.job(cluster, "small", Priority.HIGH, 4, 1, 5, 60);
     small.add(s);
     unrecorded.add(s);
     cluster.user(s);
@@ -195,14 +195,14 @@
   /** All its tasks but the last ones are done, and each chunk has its checkpoint. */
   private void accepted(int toDo) {
     cluster.state.stoodBefore(
-        Keys.SPECS + large.uid(), new SpecRecord(large, 1_800_000_000_000L, CHUNK).encode());
+        Keys.SPECS + large.uid(), new JobRecord(large, 1_800_000_000_000L, CHUNK).encode());
     int done = TASKS - toDo;
     for (int chunk = 0; chunk * CHUNK < done; chunk++) {
       BitSet tasks = new BitSet();
       tasks.set(chunk * CHUNK, Math.min(done, (chunk + 1) * CHUNK));
       cluster.state.stoodBefore(
           Keys.progress(large.uid(), chunk),
-          new ProgressRecord(tasks, List.of(), 0, 0).encode(done, 0));
+          new SnapshotRecord(tasks, List.of(), 0, 0).encode(done, 0));
     }
     cluster.user(large);
     for (int task = 0; task < done; task++) {
@@ -220,7 +220,7 @@
     measured("accepted after", usage().since(before));
     runUntil(() -> !starts.isEmpty(), 20_000);
     measured("first start after", usage().since(before));
-    assertEquals(CHUNK, ProgressRecord.chunkFor(LIMITS.valueBytes()));
+    assertEquals(CHUNK, SnapshotRecord.chunkFor(LIMITS.valueBytes()));
 
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= 10_000, 60_000);
     measured("10,000 tasks done after", usage().since(before));
--- a/src/test/java/org/ploverspindle/sim/LeadStatusTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeadershipStatusTest.java
@@ -2,14 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.ploverspindle.jobs.Urgency.HIGH;
+import static org.ploverspindle.jobs.Priority.HIGH;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What {@code status} tells of the lead, asked of who leads and of another controller. */
-class LeadStatusTest {
+class LeadershipStatusTest {
   private static final long LED_MS = 20_000;
 
   private static String status(SimulatedCluster cluster, int node) {
@@ -46,7 +46,8 @@
   void tellsOfReturnsAndOfWhatWasRefused() {
     SimulatedCluster cluster = new SimulatedCluster(4, 3, 4, List.of("a"));
     cluster.cloud.everyBootSucceeds();
-    cluster.clock.at(3_000, () -> cluster.user(EndOfDayTest.job(cluster, "c", HIGH, 4, 4, 5, 0)));
+    cluster.clock.at(
+        3_000, () -> cluster.user(DayEndCriteriaTest.job(cluster, "c", HIGH, 4, 4, 5, 0)));
     cluster.clock.runUntil(10 * LED_MS);
     String text = status(cluster, cluster.leader());
     assertTrue(text.contains(" refused state_writes=0 worker_commands=0"), text);
--- a/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ploverspindle.Specs;
-import org.ploverspindle.front.Answer;
+import org.ploverspindle.front.ApiResponse;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 
 /**
  * The state service's answers to a node's cancellations are lost, at times, or the transactions are
@@ -72,7 +72,7 @@
   }
 
   private static String submit(SimulatedCluster w) {
-    JobSpec spec = Specs.batch(w.newUid(), "c", "blue", Urgency.NORMAL, 1, 1, 0.1, 300, 0);
+    JobSpec spec = Specs.batch(w.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
     w.user(spec);
     return spec.uid();
   }
@@ -84,7 +84,7 @@
     w.cancelAt(node, uid, answer -> answered(w, uid, askedMs, answer));
   }
 
-  private void answered(SimulatedCluster w, String uid, long askedMs, Answer answer) {
+  private void answered(SimulatedCluster w, String uid, long askedMs, ApiResponse answer) {
     if (answer.status() != 200) {
       refused++;
       w.cancel(uid, 0);
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -22,23 +22,23 @@
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.ProgressWriter;
 import org.ploverspindle.jobs.RecordedProgress;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.sim.PlainProgress.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressRecord;
 import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
 import org.ploverspindle.state.StateStore.PageResult;
-import org.ploverspindle.state.StateStore.Txn;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.Placement;
@@ -54,7 +54,7 @@
   private static final Settings.StateLimits LOW = new Settings.StateLimits(1000, 40, 2, 4);
 
   private final SimClock clock = new SimClock();
-  private final SimState state = new SimState(clock, OLD);
+  private final SimStateStore state = new SimStateStore(clock, OLD);
   private final Map<Kind, Truth> jobs = new LinkedHashMap<>();
   private Random random = new Random(1);
   private double faults;
@@ -70,7 +70,7 @@
 
     Truth(int tasks) {
       for (int t = 0; t < tasks; t++) {
-        may.add(new ArrayList<>(List.of(PlainProgress.WAITING)));
+        may.add(new ArrayList<>(List.of(ReferenceProgressRecords.WAITING)));
       }
     }
 
@@ -89,7 +89,7 @@
     }
   }
 
-  static SortedMap<String, Entry> all(SimState state) {
+  static SortedMap<String, Entry> all(SimStateStore state) {
     SortedMap<String, Entry> all = new TreeMap<>();
     ((PageResult.Page) state.page(Keys.PREFIX, "", 1_000_000))
         .entries()
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void txn(Txn txn, Consumer<TxnResult> then) {
+    public void txn(Transaction txn, Consumer<TransactionResult> then) {
       if (bounded) {
         assertTrue(txn.changes().size() <= LOW.txnOps(), "changes " + txn.changes().size());
         assertTrue(txn.conditions().size() <= 4 * LOW.txnOps(), "conditions");
@@ -125,13 +125,13 @@
         if (kind > 0) {
           clock.at(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.txn(txn));
         }
-        p.schedule(300, () -> then.accept(new TxnResult.Unknown()));
+        p.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
       } else {
         clock.at(
             1 + random.nextInt(10),
             () -> {
-              TxnResult result = state.txn(txn);
-              refused += result instanceof TxnResult.Refused r && r.status() == 400 ? 1 : 0;
+              TransactionResult result = state.txn(txn);
+              refused += result instanceof TransactionResult.Refused r && r.status() == 400 ? 1 : 0;
               p.schedule(1 + random.nextInt(10), () -> then.accept(result));
             });
       }
@@ -140,12 +140,12 @@
 
   private long newTerm() {
     long before = Optional.ofNullable(all(state).get(Keys.LEADER)).map(Entry::stamp).orElse(0L);
-    TxnResult result =
+    TransactionResult result =
         state.txn(
-            new Txn(
+            new Transaction(
                 List.of(new Condition(Keys.LEADER, before)),
                 List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
-    if (result instanceof TxnResult.Committed c) {
+    if (result instanceof TransactionResult.Committed c) {
       return c.ledger();
     }
     clock.runUntil(clock.nowMs() + 100);
@@ -161,8 +161,8 @@
   private void cancelled(Kind job) {
     jobs.get(job).over = true;
     while (!(state.txn(
-            new Txn(List.of(), List.of(new Change.Put(Keys.cancel(job.uid()), Cbor.map()))))
-        instanceof TxnResult.Committed)) {
+            new Transaction(List.of(), List.of(new Change.Put(Keys.cancel(job.uid()), Cbor.map()))))
+        instanceof TransactionResult.Committed)) {
       clock.runUntil(clock.nowMs() + 50);
     }
   }
@@ -178,11 +178,12 @@
     for (Kind job : unfinished()) {
       Truth truth = jobs.get(job);
       if (all.containsKey(Keys.done(job.uid()))) {
-        truth.may.forEach(m -> assertTrue(m.contains(PlainProgress.DONE), job + " is not done"));
+        truth.may.forEach(
+            m -> assertTrue(m.contains(ReferenceProgressRecords.DONE), job + " is not done"));
         truth.over = true;
         continue;
       }
-      String[] read = PlainProgress.read(all, job);
+      String[] read = ReferenceProgressRecords.read(all, job);
       for (int t = 0; t < read.length; t++) {
         assertTrue(
             truth.may.get(t).contains(read[t]),
@@ -219,7 +220,7 @@
               limits.txnOps(),
               limits.valueBytes(),
               new Term(1 + terms * Term.SPAN, stamp, p.nowMs()),
-              m -> new ProgressRecord.Host(m.host(), "type-16", "zone-a", true),
+              m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
               this);
       RecordedProgress recorded = new RecordedProgress(replica, writer);
       takeOver()
@@ -250,7 +251,7 @@
     Job add(Kind kind) {
       Job job =
           new Job(
-              Specs.batch(kind.uid(), "c", "t", Urgency.NORMAL, kind.tasks(), 1, 0, 10, 0),
+              Specs.batch(kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
               0,
               kind.chunk(),
               0,
@@ -263,10 +264,12 @@
 
     private String[] texts(Kind kind, RecordedProgress.State read) {
       String[] texts = new String[kind.tasks()];
-      Arrays.fill(texts, PlainProgress.WAITING);
+      Arrays.fill(texts, ReferenceProgressRecords.WAITING);
       read.live()
-          .forEach((t, l) -> texts[t] = PlainProgress.live(l.attempt(), l.host().id(), l.tenure()));
-      read.done().stream().forEach(t -> texts[t] = PlainProgress.DONE);
+          .forEach(
+              (t, l) ->
+                  texts[t] = ReferenceProgressRecords.live(l.attempt(), l.host().id(), l.tenure()));
+      read.done().stream().forEach(t -> texts[t] = ReferenceProgressRecords.DONE);
       return texts;
     }
 
@@ -301,7 +304,7 @@
               new Placement(
                   job, t, (terms << 40) + ++attempts, host(id), 3, Placement.Phase.INTENT);
           job.place(at);
-          truth.may.get(t).add(PlainProgress.live(at.attempt(), id, 3));
+          truth.may.get(t).add(ReferenceProgressRecords.live(at.attempt(), id, 3));
           writer.changed(job, t);
         }
       } else {
@@ -314,7 +317,10 @@
             job.markDone(at.task());
           }
           job.unplace(at);
-          truth.may.get(at.task()).add(done ? PlainProgress.DONE : PlainProgress.WAITING);
+          truth
+              .may
+              .get(at.task())
+              .add(done ? ReferenceProgressRecords.DONE : ReferenceProgressRecords.WAITING);
           writer.changed(job, at.task());
         }
       }
@@ -342,7 +348,8 @@
         leads.forEach(
             (kind, job) -> {
               if (job == at.job() && job.liveAt(at.task()) == at) {
-                String text = PlainProgress.live(at.attempt(), at.machine().host(), at.tenure());
+                String text =
+                    ReferenceProgressRecords.live(at.attempt(), at.machine().host(), at.tenure());
                 jobs.get(kind).known(at.task(), text);
               }
             });
@@ -370,15 +377,15 @@
 
   /** A term of the version in production; once the limits fell, the store takes nothing of it. */
   private void productionLeads(int steps) {
-    PlainProgress.OldWriter old =
-        new PlainProgress.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
+    ReferenceProgressRecords.OldWriter old =
+        new ReferenceProgressRecords.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
     takeOver().forEach(old::knows);
     for (int i = 0; i < steps; i++) {
       List<Kind> kinds = List.copyOf(old.jobs());
       if (kinds.size() < 15) {
-        Kind job = accept(ProgressRecord.chunkFor(OLD.valueBytes()));
+        Kind job = accept(SnapshotRecord.chunkFor(OLD.valueBytes()));
         String[] waiting = new String[job.tasks()];
-        Arrays.fill(waiting, PlainProgress.WAITING);
+        Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
         old.knows(job, waiting);
         continue;
       }
@@ -393,12 +400,14 @@
       for (int k = 0; k < touched; k++) {
         int t = random.nextInt(job.tasks());
         String before = old.state(job)[t];
-        if (!before.equals(PlainProgress.DONE)) {
+        if (!before.equals(ReferenceProgressRecords.DONE)) {
           String host = "i-" + (100_000 + random.nextInt(machines));
           String now =
-              before.equals(PlainProgress.WAITING)
-                  ? PlainProgress.live((terms << 40) + ++attempts, host, 3)
-                  : random.nextInt(3) > 0 ? PlainProgress.DONE : PlainProgress.WAITING;
+              before.equals(ReferenceProgressRecords.WAITING)
+                  ? ReferenceProgressRecords.live((terms << 40) + ++attempts, host, 3)
+                  : random.nextInt(3) > 0
+                      ? ReferenceProgressRecords.DONE
+                      : ReferenceProgressRecords.WAITING;
           old.now(job, t, now);
           jobs.get(job).may.get(t).add(now);
         }
@@ -428,7 +437,7 @@
       int steps = 500 + random.nextInt(3_000);
       for (int i = 0; i < steps; i++) {
         if (leader.leads.size() < 15) {
-          leader.add(accept(ProgressRecord.chunkFor(LOW.valueBytes())));
+          leader.add(accept(SnapshotRecord.chunkFor(LOW.valueBytes())));
         }
         leader.step(true);
         clock.runUntil(clock.nowMs() + 12);
@@ -470,7 +479,8 @@
       w.clock.at(
           3_000 + i * 1_000,
           () -> {
-            JobSpec s = Specs.batch(w.newUid(), "c", "blue", Urgency.NORMAL, tasks, 0.5, 0.1, 5, 0);
+            JobSpec s =
+                Specs.batch(w.newUid(), "c", "blue", Priority.NORMAL, tasks, 0.5, 0.1, 5, 0);
             w.user(named ? s.withTypes(unknown) : s);
           });
     }
@@ -489,28 +499,31 @@
   @Test
   void aRecordTooLargeToBeReplacedIsPassedOverUntilItHasMovedOn() {
     random = new Random(9);
-    PlainProgress.OldWriter old =
-        new PlainProgress.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
-    Kind large = new Kind("run-large", 260, ProgressRecord.chunkFor(OLD.valueBytes()));
-    Kind other = new Kind("run-other", 400, ProgressRecord.chunkFor(OLD.valueBytes()));
+    ReferenceProgressRecords.OldWriter old =
+        new ReferenceProgressRecords.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
+    Kind large = new Kind("run-large", 260, SnapshotRecord.chunkFor(OLD.valueBytes()));
+    Kind other = new Kind("run-other", 400, SnapshotRecord.chunkFor(OLD.valueBytes()));
     for (Kind job : List.of(large, other)) {
       jobs.put(job, new Truth(job.tasks()));
       String[] waiting = new String[job.tasks()];
-      Arrays.fill(waiting, PlainProgress.WAITING);
+      Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
       old.knows(job, waiting);
     }
     for (int t = 0; t < large.tasks(); t++) {
-      old.now(large, t, PlainProgress.live((1L << 40) + ++attempts, "i-" + (200_000 + t), 3));
+      old.now(
+          large,
+          t,
+          ReferenceProgressRecords.live((1L << 40) + ++attempts, "i-" + (200_000 + t), 3));
     }
     for (int i = 0; i < 256; i++) {
       assertTrue(old.write());
-      old.now(other, i, PlainProgress.live(++attempts, "i-" + (300_000 + i), 3));
+      old.now(other, i, ReferenceProgressRecords.live(++attempts, "i-" + (300_000 + i), 3));
       clock.runUntil(clock.nowMs() + 60);
     }
     for (Kind job : List.of(large, other)) {
       jobs.get(job).isNow(old.state(job));
     }
-    jobs.get(other).may.get(255).set(0, PlainProgress.WAITING);
+    jobs.get(other).may.get(255).set(0, ReferenceProgressRecords.WAITING);
     state.limits(LOW);
     for (int term = 0; term < 16; term++) {
       WritingLeader leader = new WritingLeader(LOW, true);
@@ -532,7 +545,7 @@
     state.limits(LOW);
     WritingLeader leader = new WritingLeader(OLD, false);
     for (int i = 0; i < 12; i++) {
-      leader.add(accept(ProgressRecord.chunkFor(OLD.valueBytes())));
+      leader.add(accept(SnapshotRecord.chunkFor(OLD.valueBytes())));
     }
     for (int i = 0; i < 900; i++) {
       leader.step(true);
--- a/src/test/java/org/ploverspindle/sim/MachineReturnsTest.java
+++ b/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
@@ -19,31 +19,31 @@
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.jobs.TeamUsage;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.leadership.SafetyTiming;
 import org.ploverspindle.leadership.Term;
-import org.ploverspindle.leadership.Timing;
 import org.ploverspindle.loop.RetryDelay;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.returns.MachineReturns;
-import org.ploverspindle.returns.ReleaseSender;
-import org.ploverspindle.returns.ReturnWriter;
+import org.ploverspindle.returns.MachineTerminations;
+import org.ploverspindle.returns.TerminationRecordWriter;
+import org.ploverspindle.returns.TerminationSender;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.LeaderWrites;
+import org.ploverspindle.state.LeaderWriter;
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.TokenBucket;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.HeartbeatHandler;
+import org.ploverspindle.workers.HeartbeatTimeout;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.MachineRegistry;
-import org.ploverspindle.workers.MachineSilence;
 import org.ploverspindle.workers.Placement;
-import org.ploverspindle.workers.Report;
-import org.ploverspindle.workers.ReportHandler;
 
 /** One leader's returns, step by step, beside a state service and a cloud that answer or do not. */
-class MachineReturnsTest {
+class MachineTerminationsTest {
   private static final long KEEP_MS = 7_000;
   private static final long SOON_MS = 200;
   private static final String EARLIER = Keys.machineReturn("1-1");
@@ -51,13 +51,14 @@
   private final SimClock clock = new SimClock();
   private final SimClock.Process process = clock.new Process(0, 1, 0);
   private final SimNetwork network = new SimNetwork(clock, new Random(1));
-  private final SimState state = new SimState(clock, new Settings.StateLimits(1_000, 1_000, 8, 12));
+  private final SimStateStore state =
+      new SimStateStore(clock, new Settings.StateLimits(1_000, 1_000, 8, 12));
   private final List<List<String>> requests = new ArrayList<>();
   private final List<Placement> lost = new ArrayList<>();
   private Replica replica;
   private MachineRegistry fleet;
-  private ReportHandler handler;
-  private MachineReturns returns;
+  private HeartbeatHandler handler;
+  private MachineTerminations returns;
   private boolean cloudAnswers = true;
   private boolean mayDecide = true;
   private Term term;
@@ -77,16 +78,17 @@
     catalogue.update(List.of(new MachineType("t", size, 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("blue", 0, 0, 0, 0)));
     Settings.WorkerLimits workers = new Settings.WorkerLimits(3, 14, 39);
-    fleet = new MachineRegistry(catalogue, teams, Timing.of(workers, 1), term);
+    fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(workers, 1), term);
     handler = NoNews.reportHandler(fleet, term);
     TokenBucket plenty = new TokenBucket(process, 1_000, 1_000);
     returns =
-        new MachineReturns(
+        new MachineTerminations(
             process,
             fleet,
-            new MachineSilence(3, term.startMs(), term::startMs),
-            new ReturnWriter(new LeaderWrites(store, replica, plenty, term), term.token(), 8_192),
-            new ReleaseSender(
+            new HeartbeatTimeout(3, term.startMs(), term::startMs),
+            new TerminationRecordWriter(
+                new LeaderWriter(store, replica, plenty, term), term.token(), 8_192),
+            new TerminationSender(
                 process, this::release, () -> mayDecide, new RetryDelay(new Random(3), 700, 600)),
             KEEP_MS,
             lost::addAll);
@@ -100,8 +102,8 @@
   }
 
   private Machine report(String host, int tally) {
-    Report report =
-        new Report(
+    Heartbeat report =
+        new Heartbeat(
             host, "", "t", "a", true, 1, tally, term.token(), OptionalDouble.empty(), List.of());
     handler.take(report, clock.nowMs());
     return fleet.get(host).orElseThrow();
@@ -115,7 +117,8 @@
   private Placement place(Machine machine, Placement.Phase phase) {
     Job job =
         new Job(
-            Specs.saving(Specs.batch("run-1", "c", "blue", Urgency.NORMAL, 1, 1, 0.1, 50, 0), 5, 2),
+            Specs.saving(
+                Specs.batch("run-1", "c", "blue", Priority.NORMAL, 1, 1, 0.1, 50, 0), 5, 2),
             0,
             8,
             0,
@@ -209,8 +212,8 @@
   void nothingIsLaunchedOnAMachineThatReportsAgainAfterItsReturnBegan() {
     Placement placement = place(report("i-1", 1), Placement.Phase.READY);
     returns.begin(List.of(placement.machine()));
-    Report again =
-        new Report(
+    Heartbeat again =
+        new Heartbeat(
             "i-1", "", "t", "a", true, 1, 2, term.token(), OptionalDouble.empty(), List.of());
     assertEquals(List.of(), handler.take(again, clock.nowMs()).orders());
     assertTrue(placement.machine().empty(), "it was never sent");
--- a/src/test/java/org/ploverspindle/sim/HeadTakeOverTest.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
@@ -27,26 +27,26 @@
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.ProgressWriter;
 import org.ploverspindle.jobs.RecordedProgress;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.sim.PlainProgress.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.DependenciesRecord;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.Txn;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 import org.ploverspindle.workers.Machine;
 import org.ploverspindle.workers.Placement;
@@ -58,9 +58,9 @@
  * Whoever takes over reads what a plain reader of the documented forms reads, nothing is placed
  * that waits by those forms, and in the end every job is done or aborted.
  */
-class HeadTakeOverTest {
+class MixedVersionFailoverTest {
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 60, 1, 6);
-  private static final int CHUNK = ProgressRecord.chunkFor(LIMITS.valueBytes());
+  private static final int CHUNK = SnapshotRecord.chunkFor(LIMITS.valueBytes());
   private static final long TENURE = 3;
 
   /** A job is accepted about every so many steps, so that there are always some that wait. */
@@ -69,7 +69,7 @@
   private static final int MOST_ENDS_A_STEP = 3;
 
   private final SimClock clock = new SimClock();
-  private final SimState state = new SimState(clock, LIMITS);
+  private final SimStateStore state = new SimStateStore(clock, LIMITS);
   private final Map<String, Truth> truths = new TreeMap<>();
   private Random random = new Random(1);
   private JsonNode awaitsNothing = Cbor.map();
@@ -110,9 +110,9 @@
   // ---- the state service
 
   /** Waits while the rate of changes refuses. */
-  private TxnResult commit(Txn txn) {
-    TxnResult result = state.txn(txn);
-    while (result instanceof TxnResult.Refused) {
+  private TransactionResult commit(Transaction txn) {
+    TransactionResult result = state.txn(txn);
+    while (result instanceof TransactionResult.Refused) {
       clock.runUntil(clock.nowMs() + 50);
       result = state.txn(txn);
     }
@@ -120,8 +120,9 @@
   }
 
   private void put(String key, JsonNode value) {
-    Txn txn = new Txn(List.of(new Condition(key, 0)), List.of(new Change.Put(key, value)));
-    assertInstanceOf(TxnResult.Committed.class, commit(txn));
+    Transaction txn =
+        new Transaction(List.of(new Condition(key, 0)), List.of(new Change.Put(key, value)));
+    assertInstanceOf(TransactionResult.Committed.class, commit(txn));
   }
 
   /** The state service as a leader of this version reaches it: some answers are lost or late. */
@@ -134,20 +135,20 @@
     }
 
     @Override
-    public void txn(Txn txn, Consumer<TxnResult> then) {
+    public void txn(Transaction txn, Consumer<TransactionResult> then) {
       if (random.nextDouble() < faults) {
         // Never executed, executed unseen, or executed when the next leader may be there.
         int kind = random.nextInt(3);
         if (kind > 0) {
           clock.at(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.txn(txn));
         }
-        process.schedule(300, () -> then.accept(new TxnResult.Unknown()));
+        process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
         return;
       }
       clock.at(
           3,
           () -> {
-            TxnResult result = state.txn(txn);
+            TransactionResult result = state.txn(txn);
             process.schedule(3, () -> then.accept(result));
           });
     }
@@ -156,12 +157,12 @@
   private long newTerm() {
     long before = LowerLimitsTest.all(state).get(Keys.LEADER).stamp();
     JsonNode leader = Cbor.map().put("member", "n0").put("token", 1 + terms++ * Term.SPAN);
-    TxnResult result =
+    TransactionResult result =
         commit(
-            new Txn(
+            new Transaction(
                 List.of(new Condition(Keys.LEADER, before)),
                 List.of(new Change.Put(Keys.LEADER, leader))));
-    return assertInstanceOf(TxnResult.Committed.class, result).ledger();
+    return assertInstanceOf(TransactionResult.Committed.class, result).ledger();
   }
 
   // ---- jobs
@@ -173,24 +174,25 @@
     awaitsNothing = fixture.under("ps1/b/n1-1uy9swvfcl9p-16").get(0).value().path("prepare-1");
     assertTrue(awaitsNothing.isObject());
     SortedMap<String, Entry> all = LowerLimitsTest.all(state);
-    PlainJobs plain = new PlainJobs(all);
+    ReferenceJobRecords plain = new ReferenceJobRecords(all);
     plain
         .jobs()
         .forEach(
             (uid, job) -> {
-              String[] now = PlainProgress.read(all, job.kind());
-              if (plain.status(uid).equals(PlainJobs.DONE)) {
-                Arrays.fill(now, PlainProgress.DONE);
+              String[] now = ReferenceProgressRecords.read(all, job.kind());
+              if (plain.status(uid).equals(ReferenceJobRecords.DONE)) {
+                Arrays.fill(now, ReferenceProgressRecords.DONE);
               }
               truths.put(uid, new Truth(job.kind(), job.awaits(), now));
             });
   }
 
   /** Jobs that are not over: what a new one may await. */
-  private List<String> open(PlainJobs plain) {
+  private List<String> open(ReferenceJobRecords plain) {
     List<String> open = new ArrayList<>();
     for (String uid : plain.jobs().keySet()) {
-      if (Set.of(PlainJobs.WAITING, PlainJobs.READY).contains(plain.status(uid))) {
+      if (Set.of(ReferenceJobRecords.WAITING, ReferenceJobRecords.READY)
+          .contains(plain.status(uid))) {
         open.add(uid);
       }
     }
@@ -199,7 +201,7 @@
 
   /** A node of either version accepts a job, some with lists too long for its record. */
   private void accept(boolean byHead) {
-    PlainJobs plain = new PlainJobs(LowerLimitsTest.all(state));
+    ReferenceJobRecords plain = new ReferenceJobRecords(LowerLimitsTest.all(state));
     List<String> open = open(plain);
     Set<String> awaits = new HashSet<>();
     for (int i = 1 + random.nextInt(3); i > 0 && !open.isEmpty(); i--) {
@@ -217,12 +219,12 @@
         byHead ? acceptedByHead(uid, tasks, list, isLong) : acceptedHere(uid, tasks, list, isLong);
     put("ps1/b/n2-test-" + named, Cbor.map().set(uid, spec));
     String[] waiting = new String[tasks];
-    Arrays.fill(waiting, PlainProgress.WAITING);
+    Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
     truths.put(uid, new Truth(new Kind(uid, tasks, CHUNK), list, waiting));
   }
 
   private JsonNode acceptedByHead(String uid, int tasks, List<String> awaits, boolean isLong) {
-    ObjectNode spec = PlainJobs.spec(awaitsNothing, tasks);
+    ObjectNode spec = ReferenceJobRecords.spec(awaitsNothing, tasks);
     if (isLong) {
       String name = uid + "-0123456789abcdef0123";
       int half = awaits.size() / 2;
@@ -230,7 +232,7 @@
           List.of(awaits.subList(0, half), awaits.subList(half, awaits.size()));
       for (int part = 0; part < parts.size(); part++) {
         JsonNode ids = Cbor.map().put("ids", String.join(",", parts.get(part)));
-        put(PlainJobs.listKey(name, part), ids);
+        put(ReferenceJobRecords.listKey(name, part), ids);
       }
       spec.putObject("awaits_in").put("key", name).put("parts", parts.size());
     } else if (!awaits.isEmpty()) {
@@ -242,9 +244,9 @@
   private JsonNode acceptedHere(String uid, int tasks, List<String> awaits, boolean isLong) {
     JobSpec spec =
         Specs.after(
-            Specs.batch(uid, "class-0", "blue", Urgency.NORMAL, tasks, 1, 1, 5, 0),
+            Specs.batch(uid, "class-0", "blue", Priority.NORMAL, tasks, 1, 1, 5, 0),
             awaits.toArray(String[]::new));
-    SpecRecord record = new SpecRecord(spec, clock.nowMs(), CHUNK);
+    JobRecord record = new JobRecord(spec, clock.nowMs(), CHUNK);
     if (!isLong) {
       return record.encode();
     }
@@ -255,7 +257,7 @@
   }
 
   private void cancelOne() {
-    List<String> open = open(new PlainJobs(LowerLimitsTest.all(state)));
+    List<String> open = open(new ReferenceJobRecords(LowerLimitsTest.all(state)));
     if (open.size() > 12) {
       put("ps1/c/" + open.get(random.nextInt(open.size())), Cbor.map().put("at", 1_800_000_000L));
     }
@@ -266,20 +268,20 @@
   /** Checks the records against what happened; gives what is recorded of the jobs that may run. */
   private Map<Truth, String[]> takeOver(boolean settled) {
     SortedMap<String, Entry> all = LowerLimitsTest.all(state);
-    PlainJobs plain = new PlainJobs(all);
+    ReferenceJobRecords plain = new ReferenceJobRecords(all);
     assertEquals(truths.keySet(), plain.jobs().keySet());
     Map<Truth, String[]> ready = new LinkedHashMap<>();
     truths.forEach(
         (uid, truth) -> {
           assertEquals(truth.awaits, plain.jobs().get(uid).awaits(), uid);
           String status = plain.status(uid);
-          String[] read = PlainProgress.read(all, truth.kind);
-          if (status.equals(PlainJobs.DONE)) {
-            truth.ever.forEach(e -> assertTrue(e.contains(PlainProgress.DONE), uid));
-          } else if (status.equals(PlainJobs.WAITING)) {
+          String[] read = ReferenceProgressRecords.read(all, truth.kind);
+          if (status.equals(ReferenceJobRecords.DONE)) {
+            truth.ever.forEach(e -> assertTrue(e.contains(ReferenceProgressRecords.DONE), uid));
+          } else if (status.equals(ReferenceJobRecords.WAITING)) {
             waitedAtTakeOver++;
-            assertTrue(Arrays.stream(read).allMatch(PlainProgress.WAITING::equals), uid);
-          } else if (status.equals(PlainJobs.READY)) {
+            assertTrue(Arrays.stream(read).allMatch(ReferenceProgressRecords.WAITING::equals), uid);
+          } else if (status.equals(ReferenceJobRecords.READY)) {
             assertHappened(truth, read);
             if (settled) {
               assertArrayEquals(truth.now, read, uid);
@@ -300,7 +302,9 @@
 
   private void assertMayRun(String uid) {
     assertEquals(
-        PlainJobs.READY, new PlainJobs(LowerLimitsTest.all(state)).status(uid), uid + " is placed");
+        ReferenceJobRecords.READY,
+        new ReferenceJobRecords(LowerLimitsTest.all(state)).status(uid),
+        uid + " is placed");
   }
 
   private String newHost() {
@@ -312,7 +316,7 @@
   private final class ThisVersionLeader implements ProgressWriter.Listener {
     private final SimClock.Process process = clock.new Process(0, 1, 0);
     private final Replica replica;
-    private final SpecIndex specs;
+    private final AcceptedJobIndex specs;
     private final Pipelines pipelines;
     private final ProgressWriter writer;
     private final Map<String, Job> leads = new LinkedHashMap<>();
@@ -323,7 +327,7 @@
       long stamp = newTerm();
       Line line = new Line(process);
       replica = new Replica(process, line, Keys.PREFIX, 200);
-      specs = new SpecIndex(replica);
+      specs = new AcceptedJobIndex(replica);
       pipelines = new Pipelines(process, replica, specs);
       replica.start();
       clock.runUntil(clock.nowMs() + 1_000);
@@ -337,13 +341,13 @@
               LIMITS.txnOps(),
               LIMITS.valueBytes(),
               new Term(1 + terms * Term.SPAN, stamp, process.nowMs()),
-              machine -> new ProgressRecord.Host(machine.host(), "type-16", "zone-a", true),
+              machine -> new SnapshotRecord.MachineInfo(machine.host(), "type-16", "zone-a", true),
               this);
       load(new RecordedProgress(replica, writer), takeOver(settledBefore));
     }
 
     private void load(RecordedProgress recorded, Map<Truth, String[]> ready) {
-      PlainJobs plain = new PlainJobs(LowerLimitsTest.all(state));
+      ReferenceJobRecords plain = new ReferenceJobRecords(LowerLimitsTest.all(state));
       truths.keySet().forEach(uid -> assertEquals(plain.status(uid), status(uid), uid));
       ready.forEach(
           (truth, plainly) -> {
@@ -361,17 +365,16 @@
 
     private String status(String uid) {
       if (replica.get(Keys.done(uid)).isPresent()) {
-        return PlainJobs.DONE;
+        return ReferenceJobRecords.DONE;
       }
       if (replica.get(Keys.cancel(uid)).isPresent() || pipelines.graph().isAborted(uid)) {
-        return PlainJobs.ABORTED;
+        return ReferenceJobRecords.ABORTED;
       }
-      return pipelines.isWaiting(uid) ? PlainJobs.WAITING : PlainJobs.READY;
+      return pipelines.isWaiting(uid) ? ReferenceJobRecords.WAITING : ReferenceJobRecords.READY;
     }
 
     private Job add(String uid) {
-      SpecRecord record =
-          SpecRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
+      JobRecord record = JobRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
       Job job = new Job(record.spec(), 0, record.chunk(), 0, new BitSet(), -1, 1);
       leads.put(uid, job);
       everLed.add(uid);
@@ -380,10 +383,12 @@
 
     private String[] texts(Kind kind, RecordedProgress.State read) {
       String[] texts = new String[kind.tasks()];
-      Arrays.fill(texts, PlainProgress.WAITING);
+      Arrays.fill(texts, ReferenceProgressRecords.WAITING);
       read.live()
-          .forEach((t, l) -> texts[t] = PlainProgress.live(l.attempt(), l.host().id(), l.tenure()));
-      read.done().stream().forEach(task -> texts[task] = PlainProgress.DONE);
+          .forEach(
+              (t, l) ->
+                  texts[t] = ReferenceProgressRecords.live(l.attempt(), l.host().id(), l.tenure()));
+      read.done().stream().forEach(task -> texts[task] = ReferenceProgressRecords.DONE);
       return texts;
     }
 
@@ -392,14 +397,15 @@
           id, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
     }
 
-    private Placement placement(Job job, ProgressRecord.Live live, Placement.Phase phase) {
+    private Placement placement(
+        Job job, SnapshotRecord.RecordedPlacement live, Placement.Phase phase) {
       return new Placement(
           job, live.task(), live.attempt(), host(live.host().id()), live.tenure(), phase);
     }
 
     void step() {
       for (String uid : specs.uids()) {
-        if (!everLed.contains(uid) && status(uid).equals(PlainJobs.READY)) {
+        if (!everLed.contains(uid) && status(uid).equals(ReferenceJobRecords.READY)) {
           add(uid);
         }
       }
@@ -420,11 +426,11 @@
       }
       for (int i = random.nextInt(4); i >= 0 && !job.waiting().isEmpty(); i--) {
         int task = job.waiting().nextSetBit(0);
-        ProgressRecord.Host at = new ProgressRecord.Host(newHost(), "", "", true);
-        ProgressRecord.Live live =
-            new ProgressRecord.Live(task, (terms << 40) + ++attempts, at, TENURE);
+        SnapshotRecord.MachineInfo at = new SnapshotRecord.MachineInfo(newHost(), "", "", true);
+        SnapshotRecord.RecordedPlacement live =
+            new SnapshotRecord.RecordedPlacement(task, (terms << 40) + ++attempts, at, TENURE);
         job.place(placement(job, live, Placement.Phase.INTENT));
-        truths.get(uid).now(task, PlainProgress.live(live.attempt(), at.id(), TENURE));
+        truths.get(uid).now(task, ReferenceProgressRecords.live(live.attempt(), at.id(), TENURE));
         writer.changed(job, task);
       }
     }
@@ -441,7 +447,10 @@
           job.markDone(at.task());
         }
         job.unplace(at);
-        truths.get(uid).now(at.task(), done ? PlainProgress.DONE : PlainProgress.WAITING);
+        truths
+            .get(uid)
+            .now(
+                at.task(), done ? ReferenceProgressRecords.DONE : ReferenceProgressRecords.WAITING);
         writer.changed(job, at.task());
       }
     }
@@ -496,8 +505,8 @@
 
   private boolean headLeads(int steps, boolean settledBefore) {
     long stamp = newTerm();
-    PlainProgress.OldWriter head =
-        new PlainProgress.OldWriter(state, stamp, LIMITS.valueBytes(), LIMITS.txnOps());
+    ReferenceProgressRecords.OldWriter head =
+        new ReferenceProgressRecords.OldWriter(state, stamp, LIMITS.valueBytes(), LIMITS.txnOps());
     takeOver(settledBefore).forEach((truth, read) -> head.knows(truth.kind, read.clone()));
     boolean written = true;
     for (int i = 0; i < steps; i++) {
@@ -516,29 +525,30 @@
     return written && head.clean();
   }
 
-  private void learnReady(PlainProgress.OldWriter head) {
-    PlainJobs plain = new PlainJobs(LowerLimitsTest.all(state));
+  private void learnReady(ReferenceProgressRecords.OldWriter head) {
+    ReferenceJobRecords plain = new ReferenceJobRecords(LowerLimitsTest.all(state));
     plain
         .jobs()
         .forEach(
             (uid, job) -> {
               boolean known = head.jobs().contains(job.kind());
-              if (!known && plain.status(uid).equals(PlainJobs.READY)) {
+              if (!known && plain.status(uid).equals(ReferenceJobRecords.READY)) {
                 head.knows(job.kind(), truths.get(uid).now.clone());
               }
             });
   }
 
-  private void headStep(PlainProgress.OldWriter head, Kind kind) {
+  private void headStep(ReferenceProgressRecords.OldWriter head, Kind kind) {
     for (int i = random.nextInt(6); i >= 0; i--) {
       int task = random.nextInt(kind.tasks());
       String before = head.state(kind)[task];
-      if (before.equals(PlainProgress.DONE)) {
+      if (before.equals(ReferenceProgressRecords.DONE)) {
         continue;
       }
-      String now = random.nextInt(5) > 0 ? PlainProgress.DONE : PlainProgress.WAITING;
-      if (before.equals(PlainProgress.WAITING)) {
-        now = PlainProgress.live((terms << 40) + ++attempts, newHost(), TENURE);
+      String now =
+          random.nextInt(5) > 0 ? ReferenceProgressRecords.DONE : ReferenceProgressRecords.WAITING;
+      if (before.equals(ReferenceProgressRecords.WAITING)) {
+        now = ReferenceProgressRecords.live((terms << 40) + ++attempts, newHost(), TENURE);
       }
       head.now(kind, task, now);
       truths.get(kind.uid()).now(task, now);
@@ -546,18 +556,18 @@
   }
 
   /** As documented: done and cancelled exclude each other, under the leader's key. */
-  private void finish(PlainProgress.OldWriter head, long stamp) {
+  private void finish(ReferenceProgressRecords.OldWriter head, long stamp) {
     for (Kind kind : List.copyOf(head.jobs())) {
-      if (Arrays.stream(head.state(kind)).allMatch(PlainProgress.DONE::equals)) {
-        Txn txn =
-            new Txn(
+      if (Arrays.stream(head.state(kind)).allMatch(ReferenceProgressRecords.DONE::equals)) {
+        Transaction txn =
+            new Transaction(
                 List.of(
                     new Condition("ps1/leader", stamp),
                     new Condition("ps1/c/" + kind.uid(), 0),
                     new Condition("ps1/d/" + kind.uid(), 0)),
                 List.of(
                     new Change.Put("ps1/d/" + kind.uid(), Cbor.map().put("tasks", kind.tasks()))));
-        if (commit(txn) instanceof TxnResult.Committed) {
+        if (commit(txn) instanceof TransactionResult.Committed) {
           head.over(kind);
         }
       }
@@ -592,15 +602,17 @@
     last.settle();
     last.stop();
     takeOver(true);
-    PlainJobs plain = new PlainJobs(LowerLimitsTest.all(state));
+    ReferenceJobRecords plain = new ReferenceJobRecords(LowerLimitsTest.all(state));
     assertEquals(List.of(), open(plain), "neither done nor aborted");
     long done =
-        truths.keySet().stream().filter(u -> plain.status(u).equals(PlainJobs.DONE)).count();
+        truths.keySet().stream()
+            .filter(u -> plain.status(u).equals(ReferenceJobRecords.DONE))
+            .count();
     assertTrue(done >= 35 && done < truths.size(), done + " of " + truths.size() + " are done");
     assertTrue(waitedAtTakeOver >= 20, waitedAtTakeOver + " jobs waited at the changes of leaders");
   }
 
   private boolean everythingIsOver() {
-    return open(new PlainJobs(LowerLimitsTest.all(state))).isEmpty();
+    return open(new ReferenceJobRecords(LowerLimitsTest.all(state))).isEmpty();
   }
 }
--- a/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.Specs;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.settings.Settings;
 
 /**
@@ -59,7 +59,7 @@
       }
       Faults[] all = Faults.values();
       for (int i = 0; i < 7; i++) {
-        RulesTest.playPair(
+        InvariantsTest.playPair(
             w,
             r,
             all[r.nextInt(all.length)],
@@ -82,7 +82,7 @@
     }
 
     private void ordinary() {
-      JobSpec spec = RulesTest.job(w.newUid(), r);
+      JobSpec spec = InvariantsTest.job(w.newUid(), r);
       w.user(spec);
       if (spec.expectedS() == 0 || r.nextInt(4) == 0) {
         w.clock.at(2_000 + r.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
@@ -96,8 +96,8 @@
               w.newUid(),
               "step-" + r.nextInt(2),
               r.nextBoolean() ? "red" : "blue",
-              Shape.BATCH,
-              Urgency.values()[r.nextInt(4)],
+              JobKind.BATCH,
+              Priority.values()[r.nextInt(4)],
               small ? 1 : 1 + r.nextInt(6),
               1 + r.nextInt(3),
               0,
@@ -337,7 +337,7 @@
   void aThousandJobsAreAbortedWithTheFirst(String form, boolean outAndNewLeader) {
     Settings.StateLimits wide = new Settings.StateLimits(2_000, 900, 2, 4);
     SimulatedCluster w = new SimulatedCluster(21, site(wide));
-    JobSpec first = Specs.batch(w.newUid(), "first", "blue", Urgency.NORMAL, 2, 1, 0.1, 9_000, 0);
+    JobSpec first = Specs.batch(w.newUid(), "first", "blue", Priority.NORMAL, 2, 1, 0.1, 9_000, 0);
     w.clock.at(3_000, () -> w.user(first));
     w.clock.runUntil(6_000);
     List<String> uids = new ArrayList<>();
@@ -347,7 +347,7 @@
       if (w.checker.isAccepted(before)) {
         JobSpec spec =
             Specs.after(
-                Specs.batch(w.newUid(), "step", "blue", Urgency.HIGH, 1, 1, 0.1, 5, 0), before);
+                Specs.batch(w.newUid(), "step", "blue", Priority.HIGH, 1, 1, 0.1, 5, 0), before);
         w.user(spec);
         uids.add(spec.uid());
       }
--- a/src/test/java/org/ploverspindle/sim/PipelineDoorTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
@@ -16,14 +16,14 @@
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.state.DependenciesRecord;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.SpecRecord;
 import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.StateStore.Txn;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
 
 /** What users of pipelines are told, at several nodes. */
-class PipelineDoorTest {
+class PipelineQueriesTest {
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(200, 60, 8, 12);
   private static final Settings.StateLimits LOWEST = new Settings.StateLimits(60, 20, 2, 4);
 
@@ -254,10 +254,11 @@
     for (int i = 0; i < count; i++) {
       String uid = "a-" + (1_000 + i);
       uids.add(uid);
-      batch.set(uid, new SpecRecord(UserApiCluster.job(uid, List.of()), 1, 20).encode());
+      batch.set(uid, new JobRecord(UserApiCluster.job(uid, List.of()), 1, 20).encode());
       if (i + 1 == count || Cbor.jsonSize(batch) > 1_500) {
         Change put = new Change.Put(Keys.batch("old-" + i), batch.deepCopy());
-        while (!(doors.applied(new Txn(List.of(), List.of(put))) instanceof TxnResult.Committed)) {
+        while (!(doors.applied(new Transaction(List.of(), List.of(put)))
+            instanceof TransactionResult.Committed)) {
           doors.pass(200);
         }
         batch.removeAll();
@@ -338,11 +339,11 @@
     // Lists were on the first page; jobs of this process are on the last.
     for (int i = 0; i < list.parts().size(); i++) {
       Change part = new Change.Put(list.key(i), list.parts().get(i));
-      doors.applied(new Txn(List.of(), List.of(part)));
+      doors.applied(new Transaction(List.of(), List.of(part)));
     }
     ObjectNode job = Cbor.map();
-    job.set("run-1", new SpecRecord(UserApiCluster.job("run-1", List.of()), 1, 20).encode(list));
-    doors.applied(new Txn(List.of(), List.of(new Change.Put(Keys.batch("zz"), job))));
+    job.set("run-1", new JobRecord(UserApiCluster.job("run-1", List.of()), 1, 20).encode(list));
+    doors.applied(new Transaction(List.of(), List.of(new Change.Put(Keys.batch("zz"), job))));
     int unread = 0;
     for (int i = 0; i < 2_000; i++) {
       doors.pass(1);
@@ -365,9 +366,9 @@
       ObjectNode jobs = Cbor.map();
       String awaited = uid(record.charAt(2) - '0');
       jobs.set(
-          "run-7", new SpecRecord(UserApiCluster.job("run-7", List.of(awaited)), 1, 20).encode());
+          "run-7", new JobRecord(UserApiCluster.job("run-7", List.of(awaited)), 1, 20).encode());
       Change put = new Change.Put(Keys.batch(record.substring(0, 1)), jobs);
-      doors.applied(new Txn(List.of(), List.of(put)));
+      doors.applied(new Transaction(List.of(), List.of(put)));
     }
     doors.restart(0);
     doors.pass(3_000);
--- a/src/test/java/org/ploverspindle/sim/PipelineTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.Specs;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Shape;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.StateStore.Txn;
+import org.ploverspindle.state.StateStore.Transaction;
 
 /**
  * Jobs that await others, among stand-ins: what starts when, and what a cancellation takes along.
@@ -30,7 +30,7 @@
 
   private static JobSpec step(
       SimulatedCluster w,
-      Urgency urgency,
+      Priority urgency,
       int tasks,
       double cores,
       double runS,
@@ -49,8 +49,8 @@
             w.newUid(),
             "class-" + r.nextInt(2),
             r.nextBoolean() ? "red" : "blue",
-            Shape.BATCH,
-            Urgency.values()[r.nextInt(4)],
+            JobKind.BATCH,
+            Priority.values()[r.nextInt(4)],
             1 + r.nextInt(6),
             1 + r.nextInt(3),
             0,
@@ -166,7 +166,7 @@
   private static SimulatedCluster busy() {
     SimulatedCluster w = new SimulatedCluster(3, NODES, 2, List.of("a"));
     for (int i = 0; i < 60; i++) {
-      w.clock.at(3_000, () -> w.user(step(w, Urgency.NORMAL, 4, 4, 20, 0)));
+      w.clock.at(3_000, () -> w.user(step(w, Priority.NORMAL, 4, 4, 20, 0)));
     }
     return w;
   }
@@ -174,14 +174,14 @@
   @Test
   void aFirstStepRunsBeforeOtherWorkForTheSakeOfTheLast() {
     SimulatedCluster alone = busy();
-    JobSpec index = step(alone, Urgency.BEST_EFFORT, 4, 4, 10, 0);
+    JobSpec index = step(alone, Priority.BEST_EFFORT, 4, 4, 10, 0);
     alone.clock.at(60_000, () -> alone.user(index));
     alone.clock.runUntil(140_000);
     assertEquals(-1, alone.checker.begunMs(index.uid()), "without a last job it waits");
 
     SimulatedCluster w = busy();
-    JobSpec first = step(w, Urgency.BEST_EFFORT, 4, 4, 10, 0);
-    JobSpec last = step(w, Urgency.HIGH, 1, 1, 5, 60, first.uid());
+    JobSpec first = step(w, Priority.BEST_EFFORT, 4, 4, 10, 0);
+    JobSpec last = step(w, Priority.HIGH, 1, 1, 5, 60, first.uid());
     w.clock.at(60_000, () -> w.user(first));
     w.clock.at(80_000, () -> w.user(last));
     w.clock.runUntil(79_000);
@@ -196,8 +196,8 @@
   @Test
   void itNoLongerDoesOnceTheLastIsCancelled() {
     SimulatedCluster w = busy();
-    JobSpec first = step(w, Urgency.BEST_EFFORT, 80, 4, 10, 0);
-    JobSpec last = step(w, Urgency.HIGH, 1, 1, 5, 600, first.uid());
+    JobSpec first = step(w, Priority.BEST_EFFORT, 80, 4, 10, 0);
+    JobSpec last = step(w, Priority.HIGH, 1, 1, 5, 600, first.uid());
     w.clock.at(60_000, () -> w.user(first));
     w.clock.at(62_000, () -> w.user(last));
     w.clock.at(95_000, () -> w.cancel(last.uid(), 0));
@@ -220,7 +220,7 @@
     List<JobSpec> steps = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       String[] before = i == 0 ? new String[0] : new String[] {steps.get(i - 1).uid()};
-      JobSpec s = step(w, i == 11 ? Urgency.HIGH : Urgency.BEST_EFFORT, 3, 1, 5, 0, before);
+      JobSpec s = step(w, i == 11 ? Priority.HIGH : Priority.BEST_EFFORT, 3, 1, 5, 0, before);
       steps.add(s);
       w.clock.at(20_000 + i * 1_000, () -> w.user(s));
     }
@@ -236,8 +236,8 @@
   @Test
   void theNextStepWaitsForNoReadOfTheState() {
     SimulatedCluster w = new SimulatedCluster(8, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Urgency.NORMAL, 1, 1, 20, 0);
-    JobSpec second = step(w, Urgency.NORMAL, 1, 1, 5, 0, first.uid());
+    JobSpec first = step(w, Priority.NORMAL, 1, 1, 20, 0);
+    JobSpec second = step(w, Priority.NORMAL, 1, 1, 5, 0, first.uid());
     w.clock.at(3_000, () -> w.user(first));
     w.clock.at(6_000, () -> w.user(second));
     w.clock.runUntil(10_000);
@@ -257,13 +257,13 @@
   @Test
   void whatWaitsForOthersHoldsNothingAndIsNoDemand() {
     SimulatedCluster w = new SimulatedCluster(9, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Urgency.NORMAL, 1, 1, 120, 0);
+    JobSpec first = step(w, Priority.NORMAL, 1, 1, 120, 0);
     // Team red may use 24 cores, and 8 are guaranteed.
     JobSpec waits =
         Specs.after(
-            Specs.batch(w.newUid(), "large", "red", Urgency.HIGH, 60, 4, 0.1, 10, 100),
+            Specs.batch(w.newUid(), "large", "red", Priority.HIGH, 60, 4, 0.1, 10, 100),
             first.uid());
-    JobSpec other = Specs.batch(w.newUid(), "o", "red", Urgency.BEST_EFFORT, 6, 4, 0.1, 10, 0);
+    JobSpec other = Specs.batch(w.newUid(), "o", "red", Priority.BEST_EFFORT, 6, 4, 0.1, 10, 0);
     w.clock.at(3_000, () -> w.user(first));
     w.clock.at(6_000, () -> w.user(waits));
     w.clock.at(60_000, () -> w.user(other));
@@ -283,9 +283,9 @@
   @Test
   void readinessIsWorkedOutAgainByEachNewLeader() {
     SimulatedCluster w = new SimulatedCluster(10, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Urgency.NORMAL, 2, 1, 25, 0);
-    JobSpec second = step(w, Urgency.NORMAL, 2, 1, 25, 0, first.uid());
-    JobSpec third = step(w, Urgency.HIGH, 2, 1, 5, 0, first.uid(), second.uid());
+    JobSpec first = step(w, Priority.NORMAL, 2, 1, 25, 0);
+    JobSpec second = step(w, Priority.NORMAL, 2, 1, 25, 0, first.uid());
+    JobSpec third = step(w, Priority.HIGH, 2, 1, 5, 0, first.uid(), second.uid());
     w.clock.at(3_000, () -> w.user(first));
     w.clock.at(5_000, () -> w.user(second));
     w.clock.at(7_000, () -> w.user(third));
@@ -301,22 +301,25 @@
   @Test
   void afterRecordsThatCannotBeNothingNewOfTheJobStarts() {
     SimulatedCluster w = new SimulatedCluster(11, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Urgency.NORMAL, 2, 1, 60, 0);
-    JobSpec second = step(w, Urgency.HIGH, 3, 1, 5, 0, first.uid());
+    JobSpec first = step(w, Priority.NORMAL, 2, 1, 60, 0);
+    JobSpec second = step(w, Priority.HIGH, 3, 1, 5, 0, first.uid());
     w.clock.at(3_000, () -> w.user(first));
     w.clock.at(5_000, () -> w.user(second));
     w.clock.at(
         30_000,
         () -> {
           SimWorker m = w.cloud.workers().get(0);
-          ProgressRecord.Host host =
-              new ProgressRecord.Host(
+          SnapshotRecord.MachineInfo host =
+              new SnapshotRecord.MachineInfo(
                   m.host(), m.place().type(), m.place().zone(), m.place().spot());
-          ProgressRecord record =
-              new ProgressRecord(
-                  new BitSet(), List.of(new ProgressRecord.Live(1, 77, host, 1)), 1, 0);
+          SnapshotRecord record =
+              new SnapshotRecord(
+                  new BitSet(),
+                  List.of(new SnapshotRecord.RecordedPlacement(1, 77, host, 1)),
+                  1,
+                  0);
           Change put = new Change.Put(Keys.progress(second.uid(), 0), record.encode(0, 1));
-          w.state.txn(new Txn(List.of(), List.of(put)));
+          w.state.txn(new Transaction(List.of(), List.of(put)));
           w.crash(w.leader(), 5_000);
         });
     w.clock.runUntil(160_000);
@@ -329,8 +332,8 @@
   @Test
   void whatAwaitsOthersIsNotDoneBeforeThem() {
     SimulatedCluster w = new SimulatedCluster(12, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Urgency.NORMAL, 2, 1, 90, 0);
-    JobSpec second = step(w, Urgency.HIGH, 3, 1, 5, 0, first.uid());
+    JobSpec first = step(w, Priority.NORMAL, 2, 1, 90, 0);
+    JobSpec second = step(w, Priority.HIGH, 3, 1, 5, 0, first.uid());
     w.clock.at(3_000, () -> w.user(first));
     w.clock.at(5_000, () -> w.user(second));
     w.clock.at(
@@ -338,9 +341,9 @@
         () -> {
           BitSet all = new BitSet();
           all.set(0, 3);
-          ProgressRecord record = new ProgressRecord(all, List.of(), 0, 0);
+          SnapshotRecord record = new SnapshotRecord(all, List.of(), 0, 0);
           Change put = new Change.Put(Keys.progress(second.uid(), 0), record.encode(3, 0));
-          w.state.txn(new Txn(List.of(), List.of(put)));
+          w.state.txn(new Transaction(List.of(), List.of(put)));
           w.crash(w.leader(), 5_000);
         });
     w.clock.at(60_000, () -> w.cancel(first.uid(), 0));
--- a/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
@@ -18,7 +18,7 @@
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
-import org.ploverspindle.state.StateStore.Txn;
+import org.ploverspindle.state.StateStore.Transaction;
 
 /**
  * Users of random pipelines at several nodes, with lost and late messages, nodes that lag, restarts
@@ -116,7 +116,7 @@
       if (lists.get(uid).stream().allMatch(d -> keys.contains(Keys.done(d)))
           && acceptedMs.containsKey(uid)) {
         doors.applied(
-            new Txn(
+            new Transaction(
                 List.of(new Condition(Keys.cancel(uid), 0), new Condition(Keys.done(uid), 0)),
                 List.of(new Change.Put(Keys.done(uid), org.ploverspindle.net.Cbor.map()))));
       }
--- a/src/test/java/org/ploverspindle/sim/HeadRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
@@ -25,29 +25,29 @@
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Job;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.ProgressWriter;
 import org.ploverspindle.jobs.RecordedProgress;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.DependenciesRecord;
 import org.ploverspindle.state.HttpStateStore;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressLog;
-import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.MachineTypesRecord;
+import org.ploverspindle.state.ProgressLogRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.Txn;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
-import org.ploverspindle.state.TypesRecord;
 import org.ploverspindle.workers.Placement;
 
 /**
@@ -56,7 +56,7 @@
  * and writes the same again, byte for byte: a rename in the code must not change what is stored,
  * since both versions lead in turn while an upgrade is halted or turned back.
  */
-class HeadRecordsTest {
+class PipelineVersionRecordsTest {
   /** The value limit that the run had: its lists and chunks were cut for it. */
   private static final int VALUE_BYTES = 1024;
 
@@ -68,7 +68,7 @@
   private final class Loaded {
     final FixtureStore store;
     final Replica replica;
-    final SpecIndex specs;
+    final AcceptedJobIndex specs;
     final Pipelines pipelines;
     final RecordedProgress progress;
 
@@ -76,7 +76,7 @@
       SimClock.Process process = clock.new Process(0, 1, 0);
       store = new FixtureStore(records);
       replica = new Replica(process, store, Keys.PREFIX, 700);
-      specs = new SpecIndex(replica);
+      specs = new AcceptedJobIndex(replica);
       pipelines = new Pipelines(process, replica, specs);
       replica.start();
       progress = new RecordedProgress(replica, silentWriter(process, store, replica));
@@ -97,7 +97,7 @@
         4,
         VALUE_BYTES,
         new Term(1, 7, 0),
-        machine -> new ProgressRecord.Host(machine.host(), "", "", true),
+        machine -> new SnapshotRecord.MachineInfo(machine.host(), "", "", true),
         new ProgressWriter.Listener() {
           @Override
           public void durable(List<Placement> placements) {}
@@ -125,7 +125,7 @@
 
   // ---- the same meaning
 
-  private static String text(SpecRecord record) {
+  private static String text(JobRecord record) {
     JobSpec spec = record.spec();
     return String.join(
         " ",
@@ -154,9 +154,10 @@
   }
 
   private static List<String> dependencies(Loaded loaded, String uid) {
-    return SpecRecord.awaits(loaded.spec(uid)) instanceof SpecRecord.Awaits.Elsewhere elsewhere
+    return JobRecord.awaits(loaded.spec(uid))
+            instanceof JobRecord.StoredDependencies.Separate elsewhere
         ? DependenciesRecord.read(loaded.replica, elsewhere).orElseThrow()
-        : SpecRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec().dependencies();
+        : JobRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec().dependencies();
   }
 
   private static String status(Loaded loaded, String uid) {
@@ -170,8 +171,8 @@
     return loaded.pipelines.isWaiting(uid) ? "waiting" : "ready";
   }
 
-  private static String text(ProgressRecord.Live live) {
-    ProgressRecord.Host host = live.host();
+  private static String text(SnapshotRecord.RecordedPlacement live) {
+    SnapshotRecord.MachineInfo host = live.host();
     return String.join(
         " ",
         "" + live.attempt(),
@@ -183,7 +184,7 @@
   }
 
   private static ObjectNode meaning(Loaded loaded, String uid) {
-    SpecRecord record = SpecRecord.decode(uid, loaded.spec(uid)).orElseThrow();
+    JobRecord record = JobRecord.decode(uid, loaded.spec(uid)).orElseThrow();
     ObjectNode meaning = Cbor.map().put("spec", text(record));
     List<String> dependencies = dependencies(loaded, uid);
     if (!dependencies.isEmpty()) {
@@ -244,8 +245,8 @@
   private static void assertSpecsWrittenAlike(Loaded loaded) {
     for (String uid : loaded.specs.uids()) {
       JsonNode stored = loaded.spec(uid);
-      SpecRecord record = SpecRecord.decode(uid, stored).orElseThrow();
-      if (SpecRecord.awaits(stored) instanceof SpecRecord.Awaits.Elsewhere elsewhere) {
+      JobRecord record = JobRecord.decode(uid, stored).orElseThrow();
+      if (JobRecord.awaits(stored) instanceof JobRecord.StoredDependencies.Separate elsewhere) {
         DependenciesRecord list =
             DependenciesRecord.split(uid, dependencies(loaded, uid), VALUE_BYTES);
         assertEquals(elsewhere.name(), list.name());
@@ -264,8 +265,9 @@
 
   private static void assertLogWrittenAlike(FixtureStore store) {
     for (Entry entry : store.under(Keys.LOG)) {
-      ProgressLog record = ProgressLog.decode(entry.value()).orElseThrow();
-      ProgressLog.Builder builder = new ProgressLog.Builder(record.n(), record.id(), VALUE_BYTES);
+      ProgressLogRecord record = ProgressLogRecord.decode(entry.value()).orElseThrow();
+      ProgressLogRecord.Builder builder =
+          new ProgressLogRecord.Builder(record.n(), record.id(), VALUE_BYTES);
       record.deltas().forEach(delta -> assertTrue(builder.add(delta), entry.key()));
       assertEquals(Keys.log(record.n()), entry.key());
       assertSameBytes(entry.value(), builder.value(), entry.key());
@@ -274,7 +276,7 @@
 
   private static void assertCheckpointsWrittenAlike(FixtureStore store) {
     for (Entry entry : store.under(Keys.PROGRESS)) {
-      ProgressRecord record = ProgressRecord.decode(entry.value()).orElseThrow();
+      SnapshotRecord record = SnapshotRecord.decode(entry.value()).orElseThrow();
       JsonNode written =
           record.encode(
               entry.value().path("job_done").asInt(), entry.value().path("job_running").asInt());
@@ -284,8 +286,8 @@
 
   private static void assertTypesWrittenAlike(FixtureStore store) {
     JsonNode stored = store.under(Keys.TYPES).get(0).value();
-    List<MachineType> types = TypesRecord.decode(stored).orElseThrow();
-    assertSameBytes(stored, TypesRecord.encode(types), Keys.TYPES);
+    List<MachineType> types = MachineTypesRecord.decode(stored).orElseThrow();
+    assertSameBytes(stored, MachineTypesRecord.encode(types), Keys.TYPES);
   }
 
   @ParameterizedTest
@@ -315,12 +317,12 @@
                         30,
                         List.of("zone-a", "zone-b")))
             .toList();
-    List<Change.Put> puts = TypesRecord.puts(types, VALUE_BYTES);
+    List<Change.Put> puts = MachineTypesRecord.puts(types, VALUE_BYTES);
     assertEquals(parts.size(), puts.size());
     for (Change.Put put : puts) {
       assertSameBytes(parts.path(put.key()), put.value(), put.key());
     }
-    assertEquals(Optional.of(types), TypesRecord.read(new Loaded(parts).replica));
+    assertEquals(Optional.of(types), MachineTypesRecord.read(new Loaded(parts).replica));
   }
 
   @Test
@@ -333,8 +335,8 @@
       byte[] stored = HexFormat.of().parseHex(bytes.getValue().asText());
       assertEquals(record.toString(), Cbor.readMap(stored).orElseThrow().toString());
     }
-    Txn txn =
-        new Txn(
+    Transaction txn =
+        new Transaction(
             List.of(new Condition(Keys.LEADER, 0), new Condition(Keys.TOKEN, 258)),
             List.of(
                 new Change.Put(Keys.LEADER, records.path(Keys.LEADER), Optional.of(9L)),
@@ -380,7 +382,7 @@
     List<String> uids = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       JobSpec spec =
-          Specs.batch(cluster.newUid(), "class", "blue", Urgency.NORMAL, 6, 2, 0.1, 8, 0);
+          Specs.batch(cluster.newUid(), "class", "blue", Priority.NORMAL, 6, 2, 0.1, 8, 0);
       uids.add(spec.uid());
       cluster.clock.at(3_000 + i * 1_000, () -> cluster.user(spec));
     }
@@ -403,7 +405,7 @@
       Loaded loaded = new Loaded(FixtureStore.fixture(resource).path("records"));
       for (String uid : loaded.specs.uids()) {
         if (dependencies(loaded, uid).isEmpty()) {
-          SpecRecord record = SpecRecord.decode(uid, loaded.spec(uid)).orElseThrow();
+          JobRecord record = JobRecord.decode(uid, loaded.spec(uid)).orElseThrow();
           List<String> fields = new ArrayList<>();
           record.encode().fieldNames().forEachRemaining(fields::add);
           fields.removeAll(optional);
@@ -440,8 +442,8 @@
     for (Entry e : fixture.entries()) {
       Optional<Long> kept = e.key().equals(Keys.LEADER) ? Optional.of(lease) : Optional.empty();
       Change put = new Change.Put(e.key(), e.value(), kept);
-      TxnResult result = cluster.state.txn(new Txn(List.of(), List.of(put)));
-      assertInstanceOf(TxnResult.Committed.class, result);
+      TransactionResult result = cluster.state.txn(new Transaction(List.of(), List.of(put)));
+      assertInstanceOf(TransactionResult.Committed.class, result);
       // Within the stand-in's rate of changes.
       cluster.clock.runUntil(cluster.clock.nowMs() + 20);
     }
@@ -453,7 +455,7 @@
   private static void usersComeBack(SimulatedCluster cluster, Loaded loaded, JsonNode jobs) {
     for (Map.Entry<String, JsonNode> job : jobs.properties()) {
       String uid = job.getKey();
-      JobSpec stored = SpecRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec();
+      JobSpec stored = JobRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec();
       JobSpec spec = Specs.after(stored, dependencies(loaded, uid).toArray(String[]::new));
       cluster.checker.submitted(spec);
       boolean done = job.getValue().path("status").asText().equals("done");
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -18,21 +18,21 @@
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.JobKind;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.ProgressWriter;
 import org.ploverspindle.jobs.RecordedProgress;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Shape;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.leadership.Term;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.ProgressRecord;
+import org.ploverspindle.state.MachineTypesRecord;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
+import org.ploverspindle.state.SnapshotRecord;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.TokenBucket;
-import org.ploverspindle.state.TypesRecord;
 import org.ploverspindle.workers.Placement;
 
 /**
@@ -68,13 +68,13 @@
     SimClock.Process p = clock.new Process(0, 1, 0);
     StateStore store = new FixtureStore(fixture.path("records"));
     Replica replica = new Replica(p, store, Keys.PREFIX, 700);
-    SpecIndex specs = new SpecIndex(replica);
+    AcceptedJobIndex specs = new AcceptedJobIndex(replica);
     replica.start();
     String uid = fixture.path("job").asText();
-    SpecRecord spec = SpecRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
+    JobRecord spec = JobRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
     assertEquals("class-0", spec.spec().jobClass());
-    assertEquals(Shape.BATCH, spec.spec().shape());
-    assertEquals(Urgency.HIGH, spec.spec().urgency());
+    assertEquals(JobKind.BATCH, spec.spec().shape());
+    assertEquals(Priority.HIGH, spec.spec().urgency());
     assertEquals(6, spec.spec().tasks());
     assertEquals(Optional.of("a"), spec.spec().zone());
     assertEquals(Optional.empty(), spec.spec().types());
@@ -86,7 +86,7 @@
         List.of(
             new MachineType("small", Resources.offered(4, 0, 16), 40, 1, 0.3, 0.1, 5, zones),
             new MachineType("large", Resources.offered(16, 2, 64), 40, 1, 1.1, 0.4, 5, zones)),
-        TypesRecord.read(replica).orElseThrow());
+        MachineTypesRecord.read(replica).orElseThrow());
     assertEquals(Optional.of("n2"), replica.text(Keys.LEADER, "member"));
     assertEquals(1048576, replica.get(Keys.TOKEN).orElseThrow().value().path("n").asLong());
     assertTrue(replica.get(Keys.cancel("run-000001")).isPresent());
@@ -101,7 +101,7 @@
             4,
             2048,
             new Term(1, 7, 0),
-            m -> new ProgressRecord.Host(m.host(), "", "", true),
+            m -> new SnapshotRecord.MachineInfo(m.host(), "", "", true),
             new ProgressWriter.Listener() {
               @Override
               public void durable(List<Placement> placements) {}
@@ -120,7 +120,7 @@
         .live()
         .forEach(
             (t, l) -> {
-              ProgressRecord.Host h = l.host();
+              SnapshotRecord.MachineInfo h = l.host();
               live.put(
                   "" + t,
                   String.join(
@@ -192,7 +192,7 @@
       w.clock.at(
           3_000 + i * 700L,
           () -> {
-            JobSpec s = RulesTest.job(w.newUid(), random);
+            JobSpec s = InvariantsTest.job(w.newUid(), random);
             w.user(s);
             if (random.nextInt(6) == 0) {
               w.clock.at(8_000, () -> w.cancel(s.uid(), 0));
--- a/src/test/java/org/ploverspindle/sim/ReadingStateClient.java
+++ b/src/test/java/org/ploverspindle/sim/ReadingStateClient.java
@@ -12,10 +12,10 @@
   private static final long READ_MS = 2;
 
   private final SimClock clock;
-  private final SimState state;
+  private final SimStateStore state;
   private final SimClock.Process process;
 
-  ReadingStateClient(SimClock clock, SimState state, SimClock.Process process) {
+  ReadingStateClient(SimClock clock, SimStateStore state, SimClock.Process process) {
     this.clock = clock;
     this.state = state;
     this.process = process;
@@ -28,11 +28,11 @@
   }
 
   @Override
-  public void changesAfter(String prefix, long ledger, Consumer<News> then) {
+  public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
     clock.at(
         READ_MS,
         () -> {
-          News news = state.changesAfter(prefix, ledger);
+          ChangesResult news = state.changesAfter(prefix, ledger);
           process.schedule(READ_MS, () -> then.accept(news));
         });
   }
--- a/src/test/java/org/ploverspindle/sim/PlainJobs.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceJobRecords.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import org.ploverspindle.sim.PlainProgress.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
  * Accepted jobs and what they await by the documented forms alone, as the version that first had
  * pipelines (f659783) reads and writes them. Shares no code with either version.
  */
-final class PlainJobs {
+final class ReferenceJobRecords {
   static final String WAITING = "waiting";
   static final String READY = "ready";
   static final String ABORTED = "aborted";
@@ -28,7 +28,7 @@
   private final Map<String, PlainJob> jobs = new TreeMap<>();
   private final Map<String, String> statuses = new TreeMap<>();
 
-  PlainJobs(SortedMap<String, Entry> all) {
+  ReferenceJobRecords(SortedMap<String, Entry> all) {
     this.all = all;
     for (Entry batch : all.subMap("ps1/b/", "ps1/b0").values()) {
       for (Map.Entry<String, JsonNode> job : batch.value().properties()) {
--- a/src/test/java/org/ploverspindle/sim/PlainProgress.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
@@ -19,15 +19,15 @@
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.Txn;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
  * The records of progress by their documented forms alone, read slowly and written as the version
  * in production does: log records of any size and whole checkpoints. Shares no code with either
  * version. A task's state is a text: "waiting", "done" or "live attempt host tenure".
  */
-final class PlainProgress {
+final class ReferenceProgressRecords {
   static final String WAITING = "waiting";
   static final String DONE = "done";
   private static final int SLOTS = 256;
@@ -35,7 +35,7 @@
   /** A job as far as its records go. */
   record Kind(String uid, int tasks, int chunk) {}
 
-  private PlainProgress() {}
+  private ReferenceProgressRecords() {}
 
   static String live(long attempt, String host, long tenure) {
     return "live " + attempt + " " + host + " " + tenure;
@@ -119,7 +119,7 @@
 
   /** A leader of the version in production, one write at a time; what is refused stays to write. */
   static final class OldWriter {
-    private final SimState store;
+    private final SimStateStore store;
     private final long leaderStamp;
     private final int valueBytes;
     private final int txnOps;
@@ -128,7 +128,7 @@
     private final Map<Kind, TreeSet<Integer>> dirty = new LinkedHashMap<>();
     private int tries;
 
-    OldWriter(SimState store, long leaderStamp, int valueBytes, int txnOps) {
+    OldWriter(SimStateStore store, long leaderStamp, int valueBytes, int txnOps) {
       this.store = store;
       this.leaderStamp = leaderStamp;
       this.valueBytes = valueBytes;
@@ -170,7 +170,7 @@
         Entry e = all.get(c.key());
         conditions.add(new Condition(c.key(), e == null ? 0 : e.stamp()));
       }
-      return store.txn(new Txn(conditions, changes)) instanceof TxnResult.Committed;
+      return store.txn(new Transaction(conditions, changes)) instanceof TransactionResult.Committed;
     }
 
     /** One record, after the checkpoints that its slot needs. False when the store refused. */
--- a/src/test/java/org/ploverspindle/sim/PlainDuty.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceRole.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 import java.util.Set;
 import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.StateStore.Txn;
+import org.ploverspindle.state.StateStore.Transaction;
 
 /**
  * A duty as the state service sees it: who holds it is who wrote the record last. No clocks, no
  * leases; it counts what must never be accepted.
  */
-final class PlainDuty {
+final class ReferenceRole {
   private final Set<Long> epochs = new HashSet<>();
   private Optional<Long> epoch = Optional.empty();
   private int staleAccepted;
@@ -19,15 +19,15 @@
   private int unconditional;
 
   /** Takes in what was carried out, in its order. */
-  void written(Txn txn) {
+  void written(Transaction txn) {
     for (Change change : txn.changes()) {
-      if (change instanceof Change.Put put && put.key().equals(DutyCluster.HOLDER)) {
+      if (change instanceof Change.Put put && put.key().equals(RoleCluster.HOLDER)) {
         long fresh = put.value().path("epoch").asLong();
         boolean above = epoch.map(last -> fresh > last).orElse(true);
         epochsNotAbove += above && epochs.add(fresh) ? 0 : 1;
         epoch = Optional.of(fresh);
         unconditional += isConditional(txn) ? 0 : 1;
-      } else if (change instanceof Change.Put put && put.key().equals(DutyCluster.ACTION)) {
+      } else if (change instanceof Change.Put put && put.key().equals(RoleCluster.ACTION)) {
         boolean current = Optional.of(put.value().path("epoch").asLong()).equals(epoch);
         accepted += current ? 1 : 0;
         staleAccepted += current ? 0 : 1;
@@ -39,12 +39,12 @@
    * A try that is carried out late must fail: on the holder's record while another one holds the
    * duty, and on the epochs' record when that one has come and gone meanwhile.
    */
-  private static boolean isConditional(Txn txn) {
+  private static boolean isConditional(Transaction txn) {
     boolean nobodyHolds =
         txn.conditions().stream()
-            .anyMatch(c -> c.key().equals(DutyCluster.HOLDER) && c.stamp() == 0);
+            .anyMatch(c -> c.key().equals(RoleCluster.HOLDER) && c.stamp() == 0);
     boolean sameEpochs =
-        txn.conditions().stream().anyMatch(c -> c.key().equals(DutyCluster.EPOCHS));
+        txn.conditions().stream().anyMatch(c -> c.key().equals(RoleCluster.EPOCHS));
     return nobodyHolds && sameEpochs;
   }
 
