--- a/src/test/java/org/ploverspindle/sim/DutyCluster.java
+++ b/src/test/java/org/ploverspindle/sim/RoleCluster.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.SplittableRandom;
-import org.ploverspindle.duties.DutyLease;
-import org.ploverspindle.duties.DutyRecords;
-import org.ploverspindle.duties.HeldDuty;
-import org.ploverspindle.duties.Holder;
+import org.ploverspindle.duties.HeldRole;
 import org.ploverspindle.duties.LeaseTiming;
+import org.ploverspindle.duties.RoleHolder;
+import org.ploverspindle.duties.RoleLease;
+import org.ploverspindle.duties.RoleRecords;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.state.Keys;
@@ -18,13 +18,13 @@
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
  * Controllers that want one duty and write under it again and again, against the stand-in of the
- * state service, where each write that is carried out is held against a {@link PlainDuty}.
+ * state service, where each write that is carried out is held against a {@link ReferenceRole}.
  */
-final class DutyCluster {
+final class RoleCluster {
   static final int MEMBERS = 3;
   static final LeaseTiming TIMING = new LeaseTiming(3_000, 2_940);
   static final String HOLDER = Keys.PREFIX + "duty/test";
@@ -39,19 +39,19 @@
   final SimClock clock = new SimClock();
   final Random random;
   final SimNetwork network;
-  final SimState state;
+  final SimStateStore state;
   final SimStateAccess access;
-  final PlainDuty plain = new PlainDuty();
+  final ReferenceRole plain = new ReferenceRole();
   private final boolean fenced;
   private final List<Member> members = new ArrayList<>();
   private final List<String> wrong = new ArrayList<>();
   private int refused;
 
-  DutyCluster(long seed, boolean fenced) {
+  RoleCluster(long seed, boolean fenced) {
     this.random = new Random(seed);
     this.fenced = fenced;
     this.network = new SimNetwork(clock, random);
-    this.state = new SimState(clock, new Settings.StateLimits(400, 200, 8, 12));
+    this.state = new SimStateStore(clock, new Settings.StateLimits(400, 200, 8, 12));
     this.access = new SimStateAccess(clock, random, network, state, false);
     state.whenWritten(plain::written);
     for (int i = 0; i < MEMBERS; i++) {
@@ -94,7 +94,7 @@
     for (Member member : members) {
       boolean runs = !member.process.dead() && !member.process.standsStill();
       if (runs && !member.jumped && member.duty.surelyHeld()) {
-        Optional<Long> believed = member.duty.held().map(HeldDuty::epoch);
+        Optional<Long> believed = member.duty.held().map(HeldRole::epoch);
         if (!believed.equals(epoch)) {
           wrong.add("at " + clock.nowMs() + " " + believed + " is sure, and " + epoch + " holds");
         }
@@ -104,7 +104,7 @@
   }
 
   /** The records of the duty that is tested. */
-  static final class Records implements DutyRecords {
+  static final class Records implements RoleRecords {
     @Override
     public String name() {
       return "test";
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public JsonNode encode(Holder holder) {
+    public JsonNode encode(RoleHolder holder) {
       return Cbor.map()
           .put("member", holder.member())
           .put("nonce", holder.nonce())
@@ -130,10 +130,10 @@
     }
 
     @Override
-    public Optional<Holder> decode(JsonNode record) {
+    public Optional<RoleHolder> decode(JsonNode record) {
       return record.path("epoch").canConvertToLong()
           ? Optional.of(
-              new Holder(
+              new RoleHolder(
                   record.path("member").asText(),
                   record.path("nonce").asText(),
                   record.path("epoch").asLong(),
@@ -158,10 +158,10 @@
   }
 
   /** One process of a member. */
-  final class Member implements DutyLease.Listener {
+  final class Member implements RoleLease.Listener {
     final SimClock.Process process;
-    final DutyLease duty;
-    final List<HeldDuty> terms = new ArrayList<>();
+    final RoleLease duty;
+    final List<HeldRole> terms = new ArrayList<>();
     private final StateStore store;
     private boolean jumped;
     private boolean quiet;
@@ -171,7 +171,7 @@
       store = access.client(index, new SimLink(clock, network, index, process));
       Replica replica = new Replica(process, store, Keys.PREFIX, 300);
       duty =
-          new DutyLease(
+          new RoleLease(
               process,
               store,
               replica,
@@ -199,19 +199,19 @@
     /** Checks, and sends a moment later: the process may stand still in between. */
     private void act() {
       if (!quiet && duty.surelyHeld()) {
-        HeldDuty held = duty.held().orElseThrow();
+        HeldRole held = duty.held().orElseThrow();
         process.schedule(random.nextInt(CHECK_TO_SEND_MS), () -> send(held));
       }
     }
 
-    private void send(HeldDuty held) {
+    private void send(HeldRole held) {
       List<Condition> conditions =
           fenced ? List.of(new Condition(HOLDER, held.stamp())) : List.of();
       store.txn(
-          new StateStore.Txn(
+          new StateStore.Transaction(
               conditions, List.of(new Change.Put(ACTION, Cbor.map().put("epoch", held.epoch())))),
           result -> {
-            if (result instanceof TxnResult.Conflict) {
+            if (result instanceof TransactionResult.Conflict) {
               refused++;
               duty.end("a write was refused");
             }
@@ -219,12 +219,12 @@
     }
 
     @Override
-    public void taken(HeldDuty held) {
+    public void taken(HeldRole held) {
       terms.add(held);
     }
 
     @Override
-    public void lost(HeldDuty held, String cause) {}
+    public void lost(HeldRole held, String cause) {}
 
     @Override
     public boolean mayTry() {
--- a/src/test/java/org/ploverspindle/sim/DutyLeaseTest.java
+++ b/src/test/java/org/ploverspindle/sim/RoleLeaseTest.java
@@ -10,32 +10,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.duties.HeldDuty;
+import org.ploverspindle.duties.HeldRole;
 import org.ploverspindle.duties.LeaseTiming;
 import org.ploverspindle.net.Cbor;
 
 /** One duty, three controllers: who holds it, and what a former holder can still do. */
-class DutyLeaseTest {
+class RoleLeaseTest {
   private static final long SETTLED_MS = 8_000;
   private static final int RANDOM_FAULTS = 30;
 
-  private static DutyCluster settled(long seed, boolean fenced) {
-    DutyCluster cluster = new DutyCluster(seed, fenced);
+  private static RoleCluster settled(long seed, boolean fenced) {
+    RoleCluster cluster = new RoleCluster(seed, fenced);
     cluster.clock.runUntil(SETTLED_MS);
     assertTrue(cluster.holder().isPresent(), "somebody holds the duty");
     assertEquals(1, cluster.plain.holders(), "equal members do not take it from each other");
     return cluster;
   }
 
-  private static int indexOfHolder(DutyCluster cluster) {
-    DutyCluster.Member holder = cluster.holder().orElseThrow();
-    return IntStream.range(0, DutyCluster.MEMBERS)
+  private static int indexOfHolder(RoleCluster cluster) {
+    RoleCluster.Member holder = cluster.holder().orElseThrow();
+    return IntStream.range(0, RoleCluster.MEMBERS)
         .filter(i -> cluster.member(i) == holder)
         .findFirst()
         .orElseThrow();
   }
 
-  private static void assertKept(DutyCluster cluster) {
+  private static void assertKept(RoleCluster cluster) {
     assertEquals(0, cluster.plain.staleAccepted(), "actions of former holders");
     assertEquals(0, cluster.plain.epochsNotAbove(), "epochs that were used before");
     assertEquals(0, cluster.plain.unconditional(), "tries that could be carried out late");
@@ -43,19 +43,19 @@
   }
 
   /** In each step something else goes wrong, at times two things at once. */
-  private static void randomFaults(DutyCluster cluster) {
+  private static void randomFaults(RoleCluster cluster) {
     for (int i = 0; i < RANDOM_FAULTS; i++) {
       cluster.clock.at(i * 4_000L + cluster.random.nextInt(3_000), () -> fault(cluster));
     }
     cluster.clock.at(RANDOM_FAULTS * 4_000L, () -> cluster.network.lateWrites(0, false));
   }
 
-  private static void fault(DutyCluster cluster) {
+  private static void fault(RoleCluster cluster) {
     int index =
         cluster.holder().isPresent() && cluster.random.nextInt(4) > 0
             ? indexOfHolder(cluster)
-            : cluster.random.nextInt(DutyCluster.MEMBERS);
-    DutyCluster.Member member = cluster.member(index);
+            : cluster.random.nextInt(RoleCluster.MEMBERS);
+    RoleCluster.Member member = cluster.member(index);
     int forMs = 500 + cluster.random.nextInt(7_000);
     switch (cluster.random.nextInt(8)) {
       case 0, 1 -> member.process.freeze(forMs);
@@ -68,13 +68,13 @@
     }
   }
 
-  private static void hold(DutyCluster cluster, int index, long forMs) {
+  private static void hold(RoleCluster cluster, int index, long forMs) {
     cluster.network.hold(SimLink.nodeName(index), SimStateAccess.STATE, true);
     cluster.clock.at(
         forMs, () -> cluster.network.hold(SimLink.nodeName(index), SimStateAccess.STATE, false));
   }
 
-  private static void outage(DutyCluster cluster, long forMs) {
+  private static void outage(RoleCluster cluster, long forMs) {
     cluster.state.outage(true);
     cluster.clock.at(forMs, () -> cluster.state.outage(false));
   }
@@ -83,7 +83,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 512})
   void whateverGoesWrongNoFormerHolderActsAndSomebodyHoldsTheDutyAfterwards(long seed) {
-    DutyCluster cluster = settled(seed, true);
+    RoleCluster cluster = settled(seed, true);
     randomFaults(cluster);
     cluster.clock.runUntil(SETTLED_MS + RANDOM_FAULTS * 4_000L + 25_000);
     assertKept(cluster);
@@ -98,7 +98,7 @@
   void withoutFencingFormerHoldersActAndAreCounted() {
     int stale = 0;
     for (int seed = 1; seed <= 20; seed++) {
-      DutyCluster cluster = settled(seed, false);
+      RoleCluster cluster = settled(seed, false);
       randomFaults(cluster);
       cluster.clock.runUntil(SETTLED_MS + RANDOM_FAULTS * 4_000L);
       stale += cluster.plain.staleAccepted();
@@ -109,14 +109,14 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aHolderPausedPastItsLeaseAndItsSuccessorInTurnHarmNothing(long seed) {
-    DutyCluster cluster = settled(seed, true);
+    RoleCluster cluster = settled(seed, true);
     cluster.holder().orElseThrow().process.freeze(6_000);
     cluster.clock.runUntil(SETTLED_MS + 5_000);
     assertEquals(2, cluster.plain.holders());
     cluster.clock.at(
         500,
         () ->
-            IntStream.range(0, DutyCluster.MEMBERS)
+            IntStream.range(0, RoleCluster.MEMBERS)
                 .mapToObj(cluster::member)
                 .filter(m -> m.duty.surelyHeld())
                 .forEach(m -> m.process.freeze(7_000)));
@@ -129,9 +129,9 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aHolderWhoseClockJumpsBackIsRefusedAtTheReceiver(long seed) {
-    DutyCluster cluster = settled(seed, true);
+    RoleCluster cluster = settled(seed, true);
     int index = indexOfHolder(cluster);
-    DutyCluster.Member former = cluster.member(index);
+    RoleCluster.Member former = cluster.member(index);
     hold(cluster, index, 9_000);
     cluster.clock.at(1_000, () -> former.jump(-60_000));
     cluster.clock.runUntil(SETTLED_MS + 8_900);
@@ -146,7 +146,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void aTryThatIsCarriedOutUnderAnEarlierLeaseIsNotTakenForTheDuty(long seed) {
-    DutyCluster cluster = new DutyCluster(seed, true);
+    RoleCluster cluster = new RoleCluster(seed, true);
     cluster.network.lateWrites(1, false);
     cluster.clock.runUntil(60_000);
     assertKept(cluster);
@@ -159,11 +159,11 @@
   /** It would act on what it believes as soon as its lease were renewed. */
   @Test
   void aFormerHolderLearnsThatItIsNoneAlthoughItSendsNothing() {
-    DutyCluster cluster = settled(11, true);
-    DutyCluster.Member former = cluster.holder().orElseThrow();
+    RoleCluster cluster = settled(11, true);
+    RoleCluster.Member former = cluster.holder().orElseThrow();
     former.keepQuiet();
-    cluster.clock.at(500, () -> former.process.freeze(2 * DutyCluster.TIMING.ttlMs()));
-    cluster.clock.runUntil(SETTLED_MS + 4 * DutyCluster.TIMING.ttlMs());
+    cluster.clock.at(500, () -> former.process.freeze(2 * RoleCluster.TIMING.ttlMs()));
+    cluster.clock.runUntil(SETTLED_MS + 4 * RoleCluster.TIMING.ttlMs());
     assertTrue(former.duty.held().isEmpty());
     assertEquals(0, cluster.refused(), "it had sent nothing");
     assertKept(cluster);
@@ -171,8 +171,8 @@
 
   @Test
   void aHolderWhoseClockJumpsForwardStopsActing() {
-    DutyCluster cluster = settled(4, true);
-    DutyCluster.Member holder = cluster.holder().orElseThrow();
+    RoleCluster cluster = settled(4, true);
+    RoleCluster.Member holder = cluster.holder().orElseThrow();
     holder.jump(10_000);
     assertFalse(holder.duty.surelyHeld());
   }
@@ -180,10 +180,10 @@
   /** It was carried out, so the lease lives; but nobody may count on that. */
   @Test
   void renewalsWhoseAnswersAreLostAreNotCounted() {
-    DutyCluster cluster = settled(5, true);
-    DutyCluster.Member holder = cluster.holder().orElseThrow();
+    RoleCluster cluster = settled(5, true);
+    RoleCluster.Member holder = cluster.holder().orElseThrow();
     cluster.network.mute(SimStateAccess.STATE, true);
-    cluster.clock.runUntil(SETTLED_MS + DutyCluster.TIMING.ttlMs());
+    cluster.clock.runUntil(SETTLED_MS + RoleCluster.TIMING.ttlMs());
     assertFalse(holder.duty.surelyHeld(), "the last answered renewal is too old");
     cluster.network.mute(SimStateAccess.STATE, false);
     cluster.clock.runUntil(SETTLED_MS + 15_000);
@@ -193,12 +193,12 @@
 
   @Test
   void aStateServiceThatIsOutForLongerThanTheLeaseLeavesTheDutyWhereItWas() {
-    DutyCluster cluster = settled(6, true);
-    DutyCluster.Member holder = cluster.holder().orElseThrow();
-    outage(cluster, 4 * DutyCluster.TIMING.ttlMs());
-    cluster.clock.runUntil(SETTLED_MS + 2 * DutyCluster.TIMING.ttlMs());
+    RoleCluster cluster = settled(6, true);
+    RoleCluster.Member holder = cluster.holder().orElseThrow();
+    outage(cluster, 4 * RoleCluster.TIMING.ttlMs());
+    cluster.clock.runUntil(SETTLED_MS + 2 * RoleCluster.TIMING.ttlMs());
     assertFalse(holder.duty.surelyHeld(), "it can't know that nobody else holds it");
-    cluster.clock.runUntil(SETTLED_MS + 6 * DutyCluster.TIMING.ttlMs());
+    cluster.clock.runUntil(SETTLED_MS + 6 * RoleCluster.TIMING.ttlMs());
     assertTrue(holder.duty.surelyHeld());
     assertEquals(1, cluster.plain.holders());
     assertKept(cluster);
@@ -206,9 +206,9 @@
 
   @Test
   void aDutyThatIsGivenUpIsTakenLongBeforeTheLeaseWouldEnd() {
-    DutyCluster cluster = settled(7, true);
+    RoleCluster cluster = settled(7, true);
     cluster.holder().orElseThrow().duty.giveUp("stopping");
-    cluster.clock.runUntil(SETTLED_MS + DutyCluster.TIMING.ttlMs() / 2);
+    cluster.clock.runUntil(SETTLED_MS + RoleCluster.TIMING.ttlMs() / 2);
     assertEquals(2, cluster.plain.holders());
     assertKept(cluster);
   }
@@ -216,28 +216,28 @@
   /** The record of its former process is not its own, and need not run out. */
   @Test
   void aMemberBackWithinASecondHasANewEpochAndDoesNotWaitForItsOldLease() {
-    DutyCluster cluster = settled(8, true);
-    HeldDuty before = cluster.holder().orElseThrow().duty.held().orElseThrow();
+    RoleCluster cluster = settled(8, true);
+    HeldRole before = cluster.holder().orElseThrow().duty.held().orElseThrow();
     cluster.crash(indexOfHolder(cluster), 200);
-    cluster.clock.runUntil(SETTLED_MS + DutyCluster.TIMING.ttlMs() * 2 / 3);
-    HeldDuty after = cluster.holder().orElseThrow().duty.held().orElseThrow();
+    cluster.clock.runUntil(SETTLED_MS + RoleCluster.TIMING.ttlMs() * 2 / 3);
+    HeldRole after = cluster.holder().orElseThrow().duty.held().orElseThrow();
     assertTrue(after.epoch() > before.epoch());
     assertKept(cluster);
   }
 
   @Test
   void nobodyTakesADutyWhoseEpochsCantBeRead() {
-    DutyCluster cluster = new DutyCluster(9, true);
-    cluster.state.stoodBefore(DutyCluster.EPOCHS, Cbor.map().put("last", "seven"));
+    RoleCluster cluster = new RoleCluster(9, true);
+    cluster.state.stoodBefore(RoleCluster.EPOCHS, Cbor.map().put("last", "seven"));
     cluster.clock.runUntil(SETTLED_MS);
     assertTrue(cluster.holder().isEmpty());
-    assertFalse(cluster.state.holds(DutyCluster.HOLDER));
+    assertFalse(cluster.state.holds(RoleCluster.HOLDER));
   }
 
   @Test
   void aHolderThatCantBeReadIsNotReplacedByGuess() {
-    DutyCluster cluster = new DutyCluster(10, true);
-    cluster.state.stoodBefore(DutyCluster.HOLDER, Cbor.map().put("epoch", "seven"));
+    RoleCluster cluster = new RoleCluster(10, true);
+    cluster.state.stoodBefore(RoleCluster.HOLDER, Cbor.map().put("epoch", "seven"));
     cluster.clock.runUntil(SETTLED_MS);
     assertTrue(cluster.holder().isEmpty());
     assertEquals(0, cluster.plain.accepted());
--- a/src/test/java/org/ploverspindle/sim/SimRun.java
+++ b/src/test/java/org/ploverspindle/sim/SimAttempt.java
@@ -1,18 +1,18 @@
 package org.ploverspindle.sim;
 
-import org.ploverspindle.workers.Report;
+import org.ploverspindle.workers.Heartbeat;
 
 /** An attempt on a stand-in's machine, from its launch until it is forgotten. */
-final class SimRun {
+final class SimAttempt {
   final String uid;
   final int task;
   final long attempt;
   final long orderedMs;
-  Report.Phase phase = Report.Phase.FETCHING;
-  Report.Cause cause = Report.Cause.NONE;
+  Heartbeat.Phase phase = Heartbeat.Phase.FETCHING;
+  Heartbeat.ExitReason cause = Heartbeat.ExitReason.NONE;
   boolean saved;
 
-  SimRun(String uid, int task, long attempt, long orderedMs) {
+  SimAttempt(String uid, int task, long attempt, long orderedMs) {
     this.orderedMs = orderedMs;
     this.uid = uid;
     this.task = task;
@@ -21,6 +21,6 @@
 
   /** Does it take its place by the rules: from the moment that it has its image? */
   boolean isOn() {
-    return phase == Report.Phase.RUNNING || phase == Report.Phase.SAVING;
+    return phase == Heartbeat.Phase.RUNNING || phase == Heartbeat.Phase.SAVING;
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimClock.java
+++ b/src/test/java/org/ploverspindle/sim/SimClock.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 import org.ploverspindle.loop.Cancellable;
-import org.ploverspindle.loop.Rank;
+import org.ploverspindle.loop.EventPriority;
 import org.ploverspindle.loop.Scheduler;
 
 /** Simulated time: one queue of events for the whole world, in a fixed order. */
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void execute(Rank rank, Runnable work) {
+    public void execute(EventPriority rank, Runnable work) {
       schedule(0, work);
     }
 
--- a/src/test/java/org/ploverspindle/sim/SimCloud.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloud.java
@@ -10,10 +10,10 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Function;
-import org.ploverspindle.cloud.CloudApi.Host;
-import org.ploverspindle.cloud.CloudApi.HostPage;
-import org.ploverspindle.cloud.CloudApi.HostStatus;
-import org.ploverspindle.cloud.CloudApi.RentResult;
+import org.ploverspindle.cloud.CloudClient.Host;
+import org.ploverspindle.cloud.CloudClient.HostPage;
+import org.ploverspindle.cloud.CloudClient.HostStatus;
+import org.ploverspindle.cloud.CloudClient.ProvisionResult;
 import org.ploverspindle.cloud.MachineType;
 import org.ploverspindle.settings.Settings;
 
@@ -53,10 +53,10 @@
   private final int capacity;
   private final long lagMs;
   final RateLimiter requests;
-  private final Function<Checker.Place, SimWorker> boot;
-  private final ReleaseHistory releases;
+  private final Function<InvariantChecker.Place, SimWorker> boot;
+  private final TerminationHistory releases;
   private final Map<String, Rented> machines = new LinkedHashMap<>();
-  private final Map<String, RentResult.Rented> claims = new HashMap<>();
+  private final Map<String, ProvisionResult.Provisioned> claims = new HashMap<>();
   private final List<Map.Entry<Long, List<Host>>> past = new ArrayList<>();
   private int counter;
   private boolean out;
@@ -71,8 +71,8 @@
       List<MachineType> types,
       int capacity,
       Settings.CloudLimits limits,
-      ReleaseHistory releases,
-      Function<Checker.Place, SimWorker> boot) {
+      TerminationHistory releases,
+      Function<InvariantChecker.Place, SimWorker> boot) {
     this.clock = clock;
     this.random = random;
     this.types = types;
@@ -143,12 +143,12 @@
     return machines.values().stream().filter(r -> r.worker != null).map(r -> r.worker).toList();
   }
 
-  RentResult rent(String claim, String type, String zone, boolean spot, int count) {
+  ProvisionResult rent(String claim, String type, String zone, boolean spot, int count) {
     limit(count, MOST_RENTED);
     if (unknown.contains(type)) {
-      return new RentResult.Malformed();
+      return new ProvisionResult.Malformed();
     }
-    RentResult.Rented before = claims.get(claim);
+    ProvisionResult.Provisioned before = claims.get(claim);
     if (before != null) {
       return before;
     }
@@ -166,9 +166,9 @@
     }
     if (ids.isEmpty()) {
       refused++;
-      return new RentResult.NoCapacity();
+      return new ProvisionResult.NoCapacity();
     }
-    RentResult.Rented result = new RentResult.Rented(ids);
+    ProvisionResult.Provisioned result = new ProvisionResult.Provisioned(ids);
     claims.put(claim, result);
     return result;
   }
@@ -176,7 +176,7 @@
   private void up(Rented r) {
     if (machines.get(r.id) == r) {
       r.status = HostStatus.RUNNING;
-      r.worker = boot.apply(new Checker.Place(r.id, r.type, r.zone, r.spot));
+      r.worker = boot.apply(new InvariantChecker.Place(r.id, r.type, r.zone, r.spot));
     }
   }
 
--- a/src/test/java/org/ploverspindle/sim/SimCloudClient.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloudClient.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.ploverspindle.cloud.CloudApi;
+import org.ploverspindle.cloud.CloudClient;
 import org.ploverspindle.cloud.MachineType;
 
 /** One controller's requests to the simulated cloud. */
-final class SimCloudClient implements CloudApi {
+final class SimCloudClient implements CloudClient {
   static final String CLOUD = "cloud";
 
   private static final long TIMEOUT_MS = 5_000;
@@ -37,11 +37,16 @@
 
   @Override
   public void rent(
-      String claim, String type, String zone, boolean spot, int count, Consumer<RentResult> then) {
+      String claim,
+      String type,
+      String zone,
+      boolean spot,
+      int count,
+      Consumer<ProvisionResult> then) {
     call(
         () -> cloud.rent(claim, type, zone, spot, count),
-        new RentResult.Refused(),
-        new RentResult.Unknown(),
+        new ProvisionResult.Refused(),
+        new ProvisionResult.Unknown(),
         then);
   }
 
--- a/src/test/java/org/ploverspindle/sim/SimDirectCommands.java
+++ b/src/test/java/org/ploverspindle/sim/SimDirectCommands.java
@@ -4,9 +4,9 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.function.Consumer;
-import org.ploverspindle.workers.Order;
-import org.ploverspindle.workers.Report;
+import org.ploverspindle.workers.Heartbeat;
 import org.ploverspindle.workers.WorkerClient;
+import org.ploverspindle.workers.WorkerCommand;
 
 /** Direct commands: executed once, late, twice, or never, as the network has it. */
 final class SimDirectCommands {
@@ -47,10 +47,10 @@
         send(link, address, new Command(token, tenure, orders, clock.nowMs()), then);
   }
 
-  private record Command(long token, long tenure, List<Order> orders, long orderedMs) {}
+  private record Command(long token, long tenure, List<WorkerCommand> orders, long orderedMs) {}
 
   private void send(
-      SimLink link, String address, Command command, Consumer<Optional<Report>> then) {
+      SimLink link, String address, Command command, Consumer<Optional<Heartbeat>> then) {
     long heldMs = network.commandHeldMs();
     Optional<SimWorker> found =
         cloud.workers().stream().filter(w -> w.address().equals(address)).findFirst();
@@ -63,7 +63,7 @@
         worker.host(),
         TIMEOUT_MS,
         reply -> clock.at(heldMs, () -> execute(worker, command, reply)),
-        Optional.<Report>empty(),
+        Optional.<Heartbeat>empty(),
         then);
     if (random.nextInt(REPEATED_ONE_IN) == 0) {
       repeat(worker, command);
@@ -82,7 +82,7 @@
         });
   }
 
-  private void execute(SimWorker worker, Command command, Consumer<Optional<Report>> then) {
+  private void execute(SimWorker worker, Command command, Consumer<Optional<Heartbeat>> then) {
     worker.direct(
         command.token(),
         command.tenure(),
--- a/src/test/java/org/ploverspindle/sim/SimReportDelivery.java
+++ b/src/test/java/org/ploverspindle/sim/SimHeartbeatDelivery.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import org.ploverspindle.front.Answer;
+import org.ploverspindle.front.ApiResponse;
 import org.ploverspindle.node.Controller;
-import org.ploverspindle.workers.Order;
-import org.ploverspindle.workers.Report;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.WorkerCommand;
 
 /** Reports on their way from workers to controllers: once, late, or again, and their answers. */
-final class SimReportDelivery {
+final class SimHeartbeatDelivery {
   private static final int MOST_KEPT = 400;
   private static final int COPY_LEAST_MS = 200;
   private static final int REPEATED_LEAST_MS = 2_000;
@@ -40,7 +40,7 @@
   private int copiesDelivered;
   private int copiesToLeader;
 
-  SimReportDelivery(SimulatedCluster cluster) {
+  SimHeartbeatDelivery(SimulatedCluster cluster) {
     this.cluster = cluster;
     this.random = cluster.random;
   }
@@ -64,7 +64,7 @@
     return (int) (cluster.settings.workers().leaseS() * LATE_MS_PER_LEASE_S);
   }
 
-  void send(SimWorker from, int to, Report report, long serial) {
+  void send(SimWorker from, int to, Heartbeat report, long serial) {
     byte[] body = SimWireCodec.encode(report);
     if (cluster.network.speaks(from.host())) {
       repeat(body);
@@ -118,7 +118,7 @@
                 }));
   }
 
-  private void timed(Controller controller, byte[] body, Consumer<Answer> then) {
+  private void timed(Controller controller, byte[] body, Consumer<ApiResponse> then) {
     long beganNanos = System.nanoTime();
     controller.checkin(body, then);
     reportNanos.recordValue(System.nanoTime() - beganNanos);
@@ -169,18 +169,18 @@
     }
   }
 
-  private void countLost(String host, Answer answer) {
+  private void countLost(String host, ApiResponse answer) {
     if (cluster.network.hears(host)) {
       return;
     }
-    for (Order order : SimWireCodec.orders(SimWireCodec.body(answer))) {
-      if (order instanceof Order.Launch launch) {
+    for (WorkerCommand order : SimWireCodec.orders(SimWireCodec.body(answer))) {
+      if (order instanceof WorkerCommand.Launch launch) {
         lostLaunches.computeIfAbsent(host, h -> new HashSet<>()).add(launch.attempt());
       }
     }
   }
 
-  private static void answered(SimWorker to, long serial, Answer answer, long orderedMs) {
+  private static void answered(SimWorker to, long serial, ApiResponse answer, long orderedMs) {
     ObjectNode body = SimWireCodec.body(answer);
     if (answer.status() == OK) {
       to.answered(serial, body.path("warrant").asLong(), SimWireCodec.orders(body), orderedMs);
--- a/src/test/java/org/ploverspindle/sim/SimPeers.java
+++ b/src/test/java/org/ploverspindle/sim/SimPeers.java
@@ -1,7 +1,7 @@
 package org.ploverspindle.sim;
 
 import java.util.function.BiConsumer;
-import org.ploverspindle.peers.PeerRecord;
+import org.ploverspindle.peers.PeerMessage;
 import org.ploverspindle.peers.Peers;
 
 /** Hints between controllers: each may be lost. */
@@ -9,12 +9,12 @@
   private final SimNetwork network;
   private final int self;
   private final int nodes;
-  private final BiConsumer<Integer, PeerRecord> deliver;
+  private final BiConsumer<Integer, PeerMessage> deliver;
 
   /**
    * @param deliver takes a record that reached the node with this number
    */
-  SimPeers(SimNetwork network, int self, int nodes, BiConsumer<Integer, PeerRecord> deliver) {
+  SimPeers(SimNetwork network, int self, int nodes, BiConsumer<Integer, PeerMessage> deliver) {
     this.network = network;
     this.self = self;
     this.nodes = nodes;
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public void tell(String member, PeerRecord record) {
+  public void tell(String member, PeerMessage record) {
     int to = Integer.parseInt(member.substring(1));
     if (to != self && !network.losesHint()) {
       network.request(SimLink.nodeName(self), member, () -> deliver.accept(to, record), () -> {});
@@ -30,7 +30,7 @@
   }
 
   @Override
-  public void tellAll(PeerRecord record) {
+  public void tellAll(PeerMessage record) {
     for (int to = 0; to < nodes; to++) {
       tell(SimLink.nodeName(to), record);
     }
--- a/src/test/java/org/ploverspindle/sim/SimStateAccess.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateAccess.java
@@ -30,16 +30,16 @@
   private final SimClock clock;
   private final Random random;
   private final SimNetwork network;
-  private final SimState state;
+  private final SimStateStore state;
   private final boolean smallPages;
   private final Set<RefusalOfNode> refusals = new HashSet<>();
   private final Map<Integer, Long> carriedOut = new HashMap<>();
-  private Consumer<StateStore.Txn> sending = txn -> {};
+  private Consumer<StateStore.Transaction> sending = txn -> {};
   private int unansweredWrites;
   private int overtakenWrites;
 
   SimStateAccess(
-      SimClock clock, Random random, SimNetwork network, SimState state, boolean smallPages) {
+      SimClock clock, Random random, SimNetwork network, SimStateStore state, boolean smallPages) {
     this.clock = clock;
     this.random = random;
     this.network = network;
@@ -57,7 +57,7 @@
   }
 
   /** To be told of every transaction as it is sent, before its fate is drawn. */
-  void whenSent(Consumer<StateStore.Txn> then) {
+  void whenSent(Consumer<StateStore.Transaction> then) {
     sending = then;
   }
 
@@ -98,22 +98,24 @@
     }
 
     /** Nobody hears what becomes of it. */
-    private void executeUnanswered(Txn txn, long delayMs, Consumer<TxnResult> then) {
+    private void executeUnanswered(
+        Transaction txn, long delayMs, Consumer<TransactionResult> then) {
       long before = carriedOut.getOrDefault(node, 0L);
       clock.at(
           delayMs,
           () -> {
             if (serves(Refusal.WRITES)) {
               overtakenWrites += carriedOut.getOrDefault(node, 0L) > before ? 1 : 0;
-              unansweredWrites += state.txn(txn) instanceof TxnResult.Committed ? 1 : 0;
+              unansweredWrites += state.txn(txn) instanceof TransactionResult.Committed ? 1 : 0;
             }
           });
       clock.at(
-          TIMEOUT_MS, () -> link.process().schedule(0, () -> then.accept(new TxnResult.Unknown())));
+          TIMEOUT_MS,
+          () -> link.process().schedule(0, () -> then.accept(new TransactionResult.Unknown())));
     }
 
     @Override
-    public void txn(Txn txn, Consumer<TxnResult> then) {
+    public void txn(Transaction txn, Consumer<TransactionResult> then) {
       sending.accept(txn);
       SimNetwork.WriteFate fate = network.writeFate();
       if (fate != SimNetwork.WriteFate.ANSWERED && network.reaches(link.node(), STATE)) {
@@ -125,14 +127,14 @@
       call(
           Refusal.WRITES,
           () -> {
-            TxnResult result = state.txn(txn);
-            if (result instanceof TxnResult.Committed) {
+            TransactionResult result = state.txn(txn);
+            if (result instanceof TransactionResult.Committed) {
               carriedOut.merge(node, 1L, Long::sum);
             }
             return result;
           },
-          new TxnResult.Refused(503),
-          new TxnResult.Unknown(),
+          new TransactionResult.Refused(503),
+          new TransactionResult.Unknown(),
           then);
     }
 
@@ -144,8 +146,8 @@
     }
 
     @Override
-    public void changesAfter(String prefix, long ledger, Consumer<News> then) {
-      News failed = new News.Failed();
+    public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
+      ChangesResult failed = new ChangesResult.Failed();
       call(Refusal.READS, () -> state.changesAfter(prefix, ledger), failed, failed, then);
     }
 
--- a/src/test/java/org/ploverspindle/sim/SimState.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateStore.java
@@ -13,17 +13,17 @@
 import org.ploverspindle.state.HttpStateStore;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.StateStore.Changed;
+import org.ploverspindle.state.StateStore.ChangedEntry;
+import org.ploverspindle.state.StateStore.ChangesResult;
 import org.ploverspindle.state.StateStore.Condition;
 import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.News;
 import org.ploverspindle.state.StateStore.PageResult;
 import org.ploverspindle.state.StateStore.Renewal;
-import org.ploverspindle.state.StateStore.Txn;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
 
 /** Stand-in for the state service, by its published protocol; faults are the network's business. */
-final class SimState {
+final class SimStateStore {
   private record Kept(JsonNode value, long stamp, Optional<Long> hold) {}
 
   private static final int HISTORY = 10_000;
@@ -38,15 +38,15 @@
   private final TreeMap<String, Kept> keys = new TreeMap<>();
   private final Map<Long, Long> holdEndsMs = new HashMap<>();
   private final Map<Long, Long> holdTtlMs = new HashMap<>();
-  private final List<Changed> history = new ArrayList<>();
+  private final List<ChangedEntry> history = new ArrayList<>();
   private long ledger = 1;
   private long nextHold = 1;
   private boolean out;
   private Runnable newTerm = () -> {};
-  private Consumer<Txn> written = txn -> {};
+  private Consumer<Transaction> written = txn -> {};
   private String lostPrefix = "";
 
-  SimState(SimClock clock, Settings.StateLimits limits) {
+  SimStateStore(SimClock clock, Settings.StateLimits limits) {
     this.clock = clock;
     this.limits = limits;
     this.requests = new RateLimiter(clock, limits.rps(), 1);
@@ -59,7 +59,7 @@
   }
 
   /** To be told of every transaction that is carried out and changes something. */
-  void whenWritten(Consumer<Txn> then) {
+  void whenWritten(Consumer<Transaction> then) {
     written = then;
   }
 
@@ -102,7 +102,7 @@
   void stoodBefore(String key, JsonNode value) {
     ledger++;
     keys.put(key, new Kept(value.deepCopy(), ledger, Optional.empty()));
-    history.add(new Changed(key, Optional.of(value.deepCopy()), ledger));
+    history.add(new ChangedEntry(key, Optional.of(value.deepCopy()), ledger));
   }
 
   /** From now on these are the limits; nobody is told. */
@@ -170,7 +170,7 @@
 
   private void remove(String key) {
     if (keys.remove(key) != null) {
-      history.add(new Changed(key, Optional.empty(), ledger));
+      history.add(new ChangedEntry(key, Optional.empty(), ledger));
     }
   }
 
@@ -179,7 +179,7 @@
    * unless the limits fell in this run. Then it is refused, as the service does. Limits that are
    * announced count from the start on, as nobody is told of the moment.
    */
-  private boolean withinLimits(Txn txn) {
+  private boolean withinLimits(Transaction txn) {
     Settings.StateLimits lowest = limits.lowest();
     int bytes = HttpStateStore.encode(txn).toString().length();
     boolean valuesFit =
@@ -201,7 +201,7 @@
     return true;
   }
 
-  private List<String> failedConditions(Txn txn) {
+  private List<String> failedConditions(Transaction txn) {
     List<String> failed = new ArrayList<>();
     for (Condition c : txn.conditions()) {
       Kept kept = keys.get(c.key());
@@ -212,7 +212,7 @@
     return failed;
   }
 
-  private boolean putsUnderEndedLease(Txn txn) {
+  private boolean putsUnderEndedLease(Transaction txn) {
     for (Change change : txn.changes()) {
       if (change instanceof Change.Put put
           && put.lease().isPresent()
@@ -223,19 +223,19 @@
     return false;
   }
 
-  TxnResult txn(Txn txn) {
+  TransactionResult txn(Transaction txn) {
     if (!withinLimits(txn)) {
-      return new TxnResult.Refused(400);
+      return new TransactionResult.Refused(400);
     }
     if (!txn.changes().isEmpty() && !changes.take(txn.changes().size())) {
-      return new TxnResult.Refused(429);
+      return new TransactionResult.Refused(429);
     }
     if (putsUnderEndedLease(txn)) {
-      return new TxnResult.NoSuchHold();
+      return new TransactionResult.NoSuchLease();
     }
     List<String> failed = failedConditions(txn);
     if (!failed.isEmpty()) {
-      return new TxnResult.Conflict(failed);
+      return new TransactionResult.Conflict(failed);
     }
     ledger++;
     for (Change change : txn.changes()) {
@@ -244,7 +244,7 @@
       }
       if (change instanceof Change.Put put) {
         keys.put(put.key(), new Kept(put.value().deepCopy(), ledger, put.lease()));
-        history.add(new Changed(put.key(), Optional.of(put.value().deepCopy()), ledger));
+        history.add(new ChangedEntry(put.key(), Optional.of(put.value().deepCopy()), ledger));
       } else {
         remove(change.key());
       }
@@ -255,7 +255,7 @@
     if (txn.changes().stream().anyMatch(c -> c.key().equals(Keys.TOKEN))) {
       newTerm.run();
     }
-    return new TxnResult.Committed(ledger);
+    return new TransactionResult.Committed(ledger);
   }
 
   PageResult page(String prefix, String after, int size) {
@@ -278,17 +278,17 @@
     return new PageResult.Page(entries, more, ledger);
   }
 
-  News changesAfter(String prefix, long after) {
+  ChangesResult changesAfter(String prefix, long after) {
     if (history.size() > HISTORY && history.get(history.size() - HISTORY).stamp() > after) {
-      return new News.TooOld();
+      return new ChangesResult.TooOld();
     }
-    List<Changed> changes = new ArrayList<>();
+    List<ChangedEntry> changes = new ArrayList<>();
     for (int i = history.size() - 1; i >= 0 && history.get(i).stamp() > after; i--) {
       if (history.get(i).key().startsWith(prefix)) {
         changes.add(0, history.get(i));
       }
     }
-    return new News.Changes(ledger, changes);
+    return new ChangesResult.Changes(ledger, changes);
   }
 
   /** The member that holds the lead, or an empty text. */
--- a/src/test/java/org/ploverspindle/sim/SimUsers.java
+++ b/src/test/java/org/ploverspindle/sim/SimUsers.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.ploverspindle.front.Answer;
+import org.ploverspindle.front.ApiResponse;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.node.Controller;
 
@@ -149,13 +149,13 @@
 
   /** A single submission at the node; whatever comes back is checked. */
   void submitAt(int node, String uid, byte[] body) {
-    Consumer<Answer> then = checked(uid, true, node, answer -> {});
+    Consumer<ApiResponse> then = checked(uid, true, node, answer -> {});
     toNode(node, c -> c.submit(body, then));
   }
 
   /** A single cancellation at the node; whatever comes back is checked. */
-  void cancelAt(int node, String uid, Consumer<Answer> then) {
-    Consumer<Answer> checked = checked(uid, false, node, then);
+  void cancelAt(int node, String uid, Consumer<ApiResponse> then) {
+    Consumer<ApiResponse> checked = checked(uid, false, node, then);
     toNode(node, c -> c.withdraw(uid, checked));
   }
 
@@ -177,8 +177,8 @@
         });
   }
 
-  private Consumer<Answer> checked(
-      String uid, boolean submission, int from, Consumer<Answer> then) {
+  private Consumer<ApiResponse> checked(
+      String uid, boolean submission, int from, Consumer<ApiResponse> then) {
     SimClock.Process process = cluster.process(from);
     long askedMs = clock.nowMs();
     return answer -> {
@@ -195,14 +195,14 @@
     };
   }
 
-  private static boolean isKnown(Answer answer) {
+  private static boolean isKnown(ApiResponse answer) {
     return answer.status() == OK || answer.status() == CREATED;
   }
 
   private void submit(JobSpec spec, int tries) {
     boolean[] accepted = {false};
     int to = anyNode();
-    Consumer<Answer> then =
+    Consumer<ApiResponse> then =
         answer -> {
           cluster.checker.submissionTold(spec.uid(), answer.status());
           if (isKnown(answer)) {
@@ -226,7 +226,7 @@
     cluster.checker.asked(uid);
     int to = anyNode();
     boolean[] over = {false};
-    Consumer<Answer> then =
+    Consumer<ApiResponse> then =
         answer -> {
           String status = SimWireCodec.status(answer);
           over[0] = status.equals("done") || status.equals("aborted");
@@ -245,7 +245,7 @@
     cluster.checker.cancelAsked(uid);
     int to = anyNode();
     boolean[] told = {false};
-    Consumer<Answer> then = answer -> told[0] = answer.status() == OK;
+    Consumer<ApiResponse> then = answer -> told[0] = answer.status() == OK;
     toNode(to, c -> c.withdraw(uid, checked(uid, false, to, then)));
     clock.at(
         POLL_MS,
--- a/src/test/java/org/ploverspindle/sim/SimWireCodec.java
+++ b/src/test/java/org/ploverspindle/sim/SimWireCodec.java
@@ -6,25 +6,25 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import org.ploverspindle.front.Answer;
+import org.ploverspindle.front.ApiResponse;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.workers.Order;
-import org.ploverspindle.workers.Report;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.WorkerCommand;
 
 /** The wire's names as workers and users write and read them. */
 final class SimWireCodec {
   private SimWireCodec() {}
 
-  static ObjectNode body(Answer answer) {
+  static ObjectNode body(ApiResponse answer) {
     return Cbor.readMap(answer.body()).orElse(Cbor.map());
   }
 
-  static String status(Answer answer) {
+  static String status(ApiResponse answer) {
     return body(answer).path("status").asText("");
   }
 
-  static byte[] encode(Report report) {
+  static byte[] encode(Heartbeat report) {
     ObjectNode body = Cbor.map();
     body.put("host", report.host()).put("addr", report.address()).put("flavour", report.type());
     body.put("site", report.zone()).put("loaners", report.spot());
@@ -32,11 +32,11 @@
     body.put("warrant", report.warrant());
     report.recallS().ifPresent(s -> body.put("recall_s", s));
     ArrayNode pieces = body.putArray("pieces");
-    for (Report.Item item : report.items()) {
+    for (Heartbeat.TaskStatus item : report.items()) {
       ObjectNode piece = pieces.addObject();
       piece.put("piece", item.uid() + "/" + item.task()).put("try", item.attempt());
       piece.put("status", item.phase().name().toLowerCase(Locale.ROOT));
-      if (item.cause() != Report.Cause.NONE) {
+      if (item.cause() != Heartbeat.ExitReason.NONE) {
         piece.put("cause", item.cause().name().toLowerCase(Locale.ROOT));
       }
       piece.put("stored", item.saved());
@@ -44,23 +44,24 @@
     return Cbor.write(body);
   }
 
-  static List<Order> orders(ObjectNode body) {
-    List<Order> orders = new ArrayList<>();
+  static List<WorkerCommand> orders(ObjectNode body) {
+    List<WorkerCommand> orders = new ArrayList<>();
     for (JsonNode order : body.path("orders")) {
       orders.add(order(order));
     }
     return orders;
   }
 
-  private static Order order(JsonNode order) {
+  private static WorkerCommand order(JsonNode order) {
     String piece = order.path("piece").asText();
     String uid = piece.substring(0, piece.lastIndexOf('/'));
     int task = Integer.parseInt(piece.substring(piece.lastIndexOf('/') + 1));
     long attempt = order.path("try").asLong();
     return switch (order.path("verb").asText()) {
-      case "launch" -> new Order.Launch(uid, task, attempt);
-      case "stop" -> new Order.Stop(uid, task, attempt, order.path("wind_down_s").asDouble());
-      default -> new Order.Forget(uid, task, attempt);
+      case "launch" -> new WorkerCommand.Launch(uid, task, attempt);
+      case "stop" ->
+          new WorkerCommand.Stop(uid, task, attempt, order.path("wind_down_s").asDouble());
+      default -> new WorkerCommand.Forget(uid, task, attempt);
     };
   }
 
--- a/src/test/java/org/ploverspindle/sim/SimWorker.java
+++ b/src/test/java/org/ploverspindle/sim/SimWorker.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.workers.Order;
-import org.ploverspindle.workers.Report;
+import org.ploverspindle.workers.Heartbeat;
+import org.ploverspindle.workers.WorkerCommand;
 
 /** Stand-in for a worker, by the protocol: sessions, leases, tokens, and one report in flight. */
 final class SimWorker {
@@ -19,7 +19,7 @@
 
   /** How a worker gets a report to a node; the answer may never come. */
   interface Line {
-    void report(SimWorker from, int node, Report report, long serial);
+    void report(SimWorker from, int node, Heartbeat report, long serial);
   }
 
   private static final long ANSWER_LIMIT_MS = 4_000;
@@ -27,13 +27,13 @@
   private final SimClock clock;
   private final Random random;
   private final Settings.WorkerLimits limits;
-  private final Checker checker;
-  private final Checker.Place place;
+  private final InvariantChecker checker;
+  private final InvariantChecker.Place place;
   private final Map<String, JobSpec> specs;
   private final Line line;
   private final int nodes;
   private final double cores;
-  private final Map<Long, SimRun> runs = new LinkedHashMap<>();
+  private final Map<Long, SimAttempt> runs = new LinkedHashMap<>();
   private final SimPause pause;
   private int node;
   private long tenure = 1;
@@ -52,8 +52,8 @@
       SimClock clock,
       Random random,
       Settings.WorkerLimits limits,
-      Checker checker,
-      Checker.Place place,
+      InvariantChecker checker,
+      InvariantChecker.Place place,
       Map<String, JobSpec> specs,
       Line line,
       int nodes,
@@ -105,14 +105,14 @@
   boolean hasTasks() {
     return !gone
         && !leaseIsOver()
-        && runs.values().stream().anyMatch(run -> run.phase != Report.Phase.EXITED);
+        && runs.values().stream().anyMatch(run -> run.phase != Heartbeat.Phase.EXITED);
   }
 
   boolean gone() {
     return gone;
   }
 
-  Checker.Place place() {
+  InvariantChecker.Place place() {
     return place;
   }
 
@@ -142,7 +142,7 @@
       return;
     }
     checkLease();
-    for (SimRun r : runs.values()) {
+    for (SimAttempt r : runs.values()) {
       if (r.isOn()) {
         checker.goesOn(r.uid, r.task, place);
       }
@@ -151,7 +151,11 @@
 
   /** Commands that come straight here; the answer is the report after them. */
   void direct(
-      long token, long ofTenure, List<Order> orders, long orderedMs, Consumer<Report> then) {
+      long token,
+      long ofTenure,
+      List<WorkerCommand> orders,
+      long orderedMs,
+      Consumer<Heartbeat> then) {
     pause.whenOver(
         () -> {
           if (gone) {
@@ -166,13 +170,13 @@
   }
 
   private void killAll() {
-    for (SimRun r : runs.values()) {
+    for (SimAttempt r : runs.values()) {
       leave(r);
     }
     runs.clear();
   }
 
-  private void leave(SimRun r) {
+  private void leave(SimAttempt r) {
     if (r.isOn()) {
       checker.leaves(r.uid, r.task, place);
     }
@@ -228,13 +232,13 @@
     clock.at(ANSWER_LIMIT_MS, () -> pause.whenOver(() -> failed(mine)));
   }
 
-  private Report report() {
+  private Heartbeat report() {
     tally++;
-    List<Report.Item> items = new ArrayList<>();
-    for (SimRun r : runs.values()) {
-      items.add(new Report.Item(r.uid, r.task, r.attempt, r.phase, r.cause, r.saved));
+    List<Heartbeat.TaskStatus> items = new ArrayList<>();
+    for (SimAttempt r : runs.values()) {
+      items.add(new Heartbeat.TaskStatus(r.uid, r.task, r.attempt, r.phase, r.cause, r.saved));
     }
-    return new Report(
+    return new Heartbeat(
         place.host(),
         address(),
         place.type(),
@@ -276,11 +280,11 @@
   /**
    * @param orderedMs when the controller gave the orders
    */
-  void answered(long mine, long token, List<Order> orders, long orderedMs) {
+  void answered(long mine, long token, List<WorkerCommand> orders, long orderedMs) {
     pause.whenOver(() -> takeAnswer(mine, token, orders, orderedMs));
   }
 
-  private void takeAnswer(long mine, long token, List<Order> orders, long orderedMs) {
+  private void takeAnswer(long mine, long token, List<WorkerCommand> orders, long orderedMs) {
     if (inFlight != mine || gone) {
       return;
     }
@@ -298,91 +302,91 @@
     orders.forEach(o -> execute(o, orderedMs));
   }
 
-  private void execute(Order order, long orderedMs) {
-    SimRun known = runs.get(order.attempt());
-    if (order instanceof Order.Launch launch) {
+  private void execute(WorkerCommand order, long orderedMs) {
+    SimAttempt known = runs.get(order.attempt());
+    if (order instanceof WorkerCommand.Launch launch) {
       if (known == null) {
         launch(launch, orderedMs);
       }
-    } else if (order instanceof Order.Stop stop) {
-      if (known != null && known.phase != Report.Phase.EXITED) {
+    } else if (order instanceof WorkerCommand.Stop stop) {
+      if (known != null && known.phase != Heartbeat.Phase.EXITED) {
         stop(known, stop.windDownS());
       }
-    } else if (known != null && known.phase == Report.Phase.EXITED) {
+    } else if (known != null && known.phase == Heartbeat.Phase.EXITED) {
       runs.remove(order.attempt());
     }
   }
 
-  private void launch(Order.Launch o, long orderedMs) {
-    SimRun r = new SimRun(o.uid(), o.task(), o.attempt(), orderedMs);
+  private void launch(WorkerCommand.Launch o, long orderedMs) {
+    SimAttempt r = new SimAttempt(o.uid(), o.task(), o.attempt(), orderedMs);
     JobSpec spec = specs.get(o.uid());
     boolean busy =
         runs.values().stream()
             .anyMatch(
-                x -> x.uid.equals(r.uid) && x.task == r.task && x.phase != Report.Phase.EXITED);
+                x -> x.uid.equals(r.uid) && x.task == r.task && x.phase != Heartbeat.Phase.EXITED);
     double used =
         runs.values().stream()
-            .filter(x -> x.phase != Report.Phase.EXITED)
+            .filter(x -> x.phase != Heartbeat.Phase.EXITED)
             .mapToDouble(x -> specs.get(x.uid).cores())
             .sum();
     runs.put(r.attempt, r);
     if (spec == null) {
-      exit(r, Report.Cause.NO_SUCH);
+      exit(r, Heartbeat.ExitReason.NO_SUCH);
     } else if (busy) {
-      exit(r, Report.Cause.BUSY);
+      exit(r, Heartbeat.ExitReason.BUSY);
     } else if (used + spec.cores() > cores + 1e-9) {
-      exit(r, Report.Cause.NO_ROOM);
+      exit(r, Heartbeat.ExitReason.NO_ROOM);
     } else {
       pause.afterWork(200 + random.nextInt(1_500), () -> begin(r, spec));
     }
   }
 
-  private boolean there(SimRun r) {
+  private boolean there(SimAttempt r) {
     return !gone && runs.get(r.attempt) == r;
   }
 
-  private void begin(SimRun r, JobSpec spec) {
-    if (!there(r) || r.phase != Report.Phase.FETCHING) {
+  private void begin(SimAttempt r, JobSpec spec) {
+    if (!there(r) || r.phase != Heartbeat.Phase.FETCHING) {
       return;
     }
-    r.phase = Report.Phase.RUNNING;
+    r.phase = Heartbeat.Phase.RUNNING;
     checker.starts(r.uid, r.task, place, r.orderedMs);
     if (sick || spec.jobClass().equals(BROKEN)) {
-      pause.afterWork(sick ? 300 : 20, () -> end(r, Report.Cause.ERROR));
+      pause.afterWork(sick ? 300 : 20, () -> end(r, Heartbeat.ExitReason.ERROR));
     } else if (spec.expectedS() > 0) {
-      pause.afterWork(Math.round(spec.expectedS() * 1000), () -> end(r, Report.Cause.DONE));
+      pause.afterWork(Math.round(spec.expectedS() * 1000), () -> end(r, Heartbeat.ExitReason.DONE));
     }
   }
 
-  private void end(SimRun r, Report.Cause cause) {
-    if (there(r) && r.phase == Report.Phase.RUNNING) {
-      if (cause == Report.Cause.DONE) {
+  private void end(SimAttempt r, Heartbeat.ExitReason cause) {
+    if (there(r) && r.phase == Heartbeat.Phase.RUNNING) {
+      if (cause == Heartbeat.ExitReason.DONE) {
         checker.completes(r.uid, r.task);
       }
       exit(r, cause);
     }
   }
 
-  private void exit(SimRun r, Report.Cause cause) {
+  private void exit(SimAttempt r, Heartbeat.ExitReason cause) {
     leave(r);
-    r.phase = Report.Phase.EXITED;
+    r.phase = Heartbeat.Phase.EXITED;
     r.cause = cause;
   }
 
-  private void stop(SimRun r, double windDownS) {
+  private void stop(SimAttempt r, double windDownS) {
     JobSpec spec = specs.get(r.uid);
-    if (r.phase == Report.Phase.RUNNING && spec.saves() && windDownS >= spec.saveCostS()) {
-      r.phase = Report.Phase.SAVING;
+    if (r.phase == Heartbeat.Phase.RUNNING && spec.saves() && windDownS >= spec.saveCostS()) {
+      r.phase = Heartbeat.Phase.SAVING;
       pause.afterWork(
           Math.round(spec.saveCostS() * 1000),
           () -> {
-            if (there(r) && r.phase == Report.Phase.SAVING) {
+            if (there(r) && r.phase == Heartbeat.Phase.SAVING) {
               r.saved = true;
-              exit(r, Report.Cause.STOPPED);
+              exit(r, Heartbeat.ExitReason.STOPPED);
             }
           });
-    } else if (r.phase != Report.Phase.SAVING || windDownS == 0) {
-      exit(r, Report.Cause.STOPPED);
+    } else if (r.phase != Heartbeat.Phase.SAVING || windDownS == 0) {
+      exit(r, Heartbeat.ExitReason.STOPPED);
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -9,12 +9,12 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.ploverspindle.cloud.MachineType;
-import org.ploverspindle.front.Answer;
+import org.ploverspindle.front.ApiResponse;
 import org.ploverspindle.jobs.JobSpec;
 import org.ploverspindle.jobs.Resources;
 import org.ploverspindle.leadership.Term;
 import org.ploverspindle.node.Controller;
-import org.ploverspindle.peers.PeerRecord;
+import org.ploverspindle.peers.PeerMessage;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Address;
 import org.ploverspindle.settings.Settings;
@@ -24,7 +24,7 @@
  * Controllers as they really decide, among stand-ins for all else, in simulated time. It starts and
  * ends their processes and brings faults about; what goes between the parts is in {@link
  * SimStateAccess}, {@link SimCloudClient}, {@link SimDirectCommands}, {@link SimPeers}, {@link
- * SimReportDelivery} and {@link SimUsers}.
+ * SimHeartbeatDelivery} and {@link SimUsers}.
  */
 final class SimulatedCluster {
   static final String STATE = SimStateAccess.STATE;
@@ -40,10 +40,10 @@
   final SimClock clock = new SimClock();
   final Random random;
   final SimNetwork network;
-  final SimState state;
+  final SimStateStore state;
   final SimCloud cloud;
-  final ReleaseHistory releases;
-  final Checker checker;
+  final TerminationHistory releases;
+  final InvariantChecker checker;
   final Settings settings;
   final int nodes;
   private final Site site;
@@ -52,7 +52,7 @@
   private final List<Controller> controllers = new ArrayList<>();
   final SimStateAccess stateAccess;
   final SimDirectCommands directCommands;
-  final SimReportDelivery reports;
+  final SimHeartbeatDelivery reports;
   final SimUsers users;
   private final InvalidRequests invalidRequests;
 
@@ -105,12 +105,12 @@
     this.nodes = site.nodes();
     this.settings = settings("n0", site);
     this.network = new SimNetwork(clock, random);
-    this.state = new SimState(clock, site.state());
-    this.checker = new Checker(clock, settings);
+    this.state = new SimStateStore(clock, site.state());
+    this.checker = new InvariantChecker(clock, settings);
     this.invalidRequests = new InvalidRequests(this);
-    this.reports = new SimReportDelivery(this);
+    this.reports = new SimHeartbeatDelivery(this);
     state.whenATermBegins(reports::deliverKeptReports);
-    this.releases = new ReleaseHistory(clock, state::leader);
+    this.releases = new TerminationHistory(clock, state::leader);
     this.cloud =
         new SimCloud(
             clock, random, types(site), site.capacity(), site.cloud(), releases, this::boot);
@@ -193,7 +193,7 @@
     process.schedule(0, controller::start);
   }
 
-  private void hint(int to, PeerRecord record) {
+  private void hint(int to, PeerMessage record) {
     if (alive(to)) {
       controllers.get(to).heard(record);
     }
@@ -232,7 +232,7 @@
   }
 
   /** What the node answers to a question about the job, put to it at this moment. */
-  void ask(int i, String uid, Consumer<Answer> then) {
+  void ask(int i, String uid, Consumer<ApiResponse> then) {
     controllers.get(i).poll(uid, then);
   }
 
@@ -286,7 +286,7 @@
   }
 
   /** To be told of every transaction as it is sent, before it is known what becomes of it. */
-  void whenATransactionIsSent(Consumer<StateStore.Txn> then) {
+  void whenATransactionIsSent(Consumer<StateStore.Transaction> then) {
     stateAccess.whenSent(then);
   }
 
@@ -297,7 +297,7 @@
 
   // ---- workers
 
-  private SimWorker boot(Checker.Place place) {
+  private SimWorker boot(InvariantChecker.Place place) {
     SimWorker worker =
         new SimWorker(
             clock,
@@ -354,7 +354,7 @@
     users.cancelAt(node, uid, answer -> {});
   }
 
-  void cancelAt(int node, String uid, Consumer<Answer> then) {
+  void cancelAt(int node, String uid, Consumer<ApiResponse> then) {
     users.cancelAt(node, uid, then);
   }
 
--- a/src/test/java/org/ploverspindle/sim/StandInsTest.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatorTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.state.StateStore;
 
 /** The stand-ins' troubles are what they are called: a trouble that does nothing tests nothing. */
-class StandInsTest {
+class SimulatorTest {
   private final SimulatedCluster w = new SimulatedCluster(1, 3, 14, List.of("a"));
 
   /** A job of one task, and the machine that it has been on for a moment. */
@@ -31,7 +31,7 @@
   }
 
   private JobSpec task(double runS) {
-    JobSpec spec = EndOfDayTest.job(w, "a", Urgency.HIGH, 1, 1, runS, 0);
+    JobSpec spec = DayEndCriteriaTest.job(w, "a", Priority.HIGH, 1, 1, runS, 0);
     w.checker.submitted(spec);
     return spec;
   }
@@ -95,7 +95,7 @@
     w.user(spec);
     run(500);
     long soon =
-        w.state.changesAfter("", 0) instanceof StateStore.News.Changes c
+        w.state.changesAfter("", 0) instanceof StateStore.ChangesResult.Changes c
             ? c.changes().stream().filter(x -> speaksOf(x, spec)).count()
             : -1;
     assertEquals(atOnce ? 1 : 0, soon);
@@ -106,7 +106,7 @@
     assertEquals(List.of(spec.uid()), w.checker.toldDone());
   }
 
-  private static boolean speaksOf(StateStore.Changed change, JobSpec spec) {
+  private static boolean speaksOf(StateStore.ChangedEntry change, JobSpec spec) {
     return change.value().map(v -> v.has(spec.uid())).orElse(false);
   }
 
--- a/src/test/java/org/ploverspindle/sim/StaleReportFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/StaleHeartbeatFaultsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Reports that arrive late, after or during a change of the leader. */
-class StaleReportFaultsTest {
+class StaleHeartbeatFaultsTest {
   private enum Combinations implements FaultScenario.Combination {
     STALE_REPORTS_ARRIVE_AS_A_LEADER_TAKES_OVER {
       @Override
--- a/src/test/java/org/ploverspindle/sim/GapTest.java
+++ b/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
@@ -22,7 +22,7 @@
  * reporting to that leader: what it can't know of must end with their leases. Twice, the second
  * time soon after the first.
  */
-class GapTest {
+class StateOutageCancellationTest {
   private static final int NODES = 3;
 
   /** What the state service refuses to the leader alone before it is out for all. */
@@ -81,7 +81,7 @@
             gapMs - 45_000 + i * 1_000 - w.clock.nowMs(),
             () -> {
               // Well longer than the outage: nothing of it ends by itself in time.
-              var spec = EndOfDayTest.job(w, "a", Urgency.NORMAL, 4, 1, 250, 0);
+              var spec = DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 4, 1, 250, 0);
               running.add(spec.uid());
               w.user(spec);
             });
--- a/src/test/java/org/ploverspindle/sim/ReturnFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
@@ -12,17 +12,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.StateStore.Txn;
+import org.ploverspindle.state.StateStore.Transaction;
 
 /**
  * Three controllers return machines between waves of work, and whoever leads is paused past its
  * lease, or ended, at a named step of a return. Work comes while it is away, so that its successor
  * looks for room; then what the former leader had sent, or still sends, arrives.
  */
-class ReturnFaultsTest {
+class TerminationFaultsTest {
   private static final int NODES = 3;
   private static final int MACHINES = 10;
   private static final int WAVES = 10;
@@ -73,7 +73,7 @@
 
     private void submit(int jobs) {
       for (int i = 0; i < jobs; i++) {
-        cluster.user(EndOfDayTest.job(cluster, "wave", Urgency.NORMAL, 3, 4, 4, 0));
+        cluster.user(DayEndCriteriaTest.job(cluster, "wave", Priority.NORMAL, 3, 4, 4, 0));
       }
     }
 
@@ -92,12 +92,12 @@
       cluster.clock.at(PAUSE_MS / 2, () -> submit(8));
     }
 
-    private static boolean isReturn(Txn txn) {
+    private static boolean isReturn(Transaction txn) {
       return txn.changes().stream()
           .anyMatch(c -> c instanceof Change.Put && c.key().startsWith(Keys.RETURNS));
     }
 
-    private void sent(Txn txn) {
+    private void sent(Transaction txn) {
       int leader = cluster.leader();
       if (!isReturn(txn) || leader < 0 || !next().equals(Optional.of(Step.RECORDED_LATE))) {
         return;
@@ -109,7 +109,7 @@
       cluster.clock.at(3_000, () -> cluster.freeze(leader, PAUSE_MS - 3_000));
     }
 
-    private void written(Txn txn) {
+    private void written(Transaction txn) {
       int leader = cluster.leader();
       Optional<Step> step = isReturn(txn) && leader >= 0 ? next() : Optional.empty();
       if (step.isEmpty()
@@ -149,7 +149,7 @@
       cluster.clock.at(PAUSE_MS, () -> cluster.network.hold(name, other, false));
     }
 
-    private void released(ReleaseHistory.Release release) {
+    private void released(TerminationHistory.Release release) {
       Optional<Step> step = next();
       if (step.equals(Optional.of(Step.PAUSED_BEFORE_ANSWER)) && !release.stale()) {
         happens(step.get());
--- a/src/test/java/org/ploverspindle/sim/ReleaseHistory.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationHistory.java
@@ -6,7 +6,7 @@
 import java.util.function.Supplier;
 
 /** The cloud's side of returns: who asked for what, whether it led then, and what was lost. */
-final class ReleaseHistory {
+final class TerminationHistory {
   /**
    * A request that was executed.
    *
@@ -21,7 +21,7 @@
   private final List<Release> releases = new ArrayList<>();
   private Consumer<Release> executed = release -> {};
 
-  ReleaseHistory(SimClock clock, Supplier<String> leader) {
+  TerminationHistory(SimClock clock, Supplier<String> leader) {
     this.clock = clock;
     this.leader = leader;
   }
--- a/src/test/java/org/ploverspindle/sim/GuestTest.java
+++ b/src/test/java/org/ploverspindle/sim/UnguaranteedTeamTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
 /** A team without a guarantee comes with classes that nobody has seen, and users who ask a lot. */
-class GuestTest {
+class UnguaranteedTeamTest {
   private static final Settings.StateLimits STATE = new Settings.StateLimits(80, 30, 16, 24);
 
   private static SimulatedCluster world(long seed) {
@@ -36,7 +36,7 @@
   private static JobSpec guest(
       SimulatedCluster w, String jobClass, int tasks, double cores, double runS) {
     return Specs.batch(
-        w.newUid(), jobClass, "guest", Urgency.BEST_EFFORT, tasks, cores, 0.1, runS, 0);
+        w.newUid(), jobClass, "guest", Priority.BEST_EFFORT, tasks, cores, 0.1, runS, 0);
   }
 
   private static List<JobSpec> homeTeam(SimulatedCluster w) {
@@ -45,7 +45,7 @@
       w.clock.at(
           3_000 + i * 3_000,
           () -> {
-            JobSpec spec = EndOfDayTest.job(w, "a", Urgency.HIGH, 12, 2, 10, 60);
+            JobSpec spec = DayEndCriteriaTest.job(w, "a", Priority.HIGH, 12, 2, 10, 60);
             own.add(spec);
             w.user(spec);
           });
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -14,24 +14,24 @@
 import org.ploverspindle.Specs;
 import org.ploverspindle.cloud.Catalogue;
 import org.ploverspindle.cloud.MachineType;
-import org.ploverspindle.front.Answer;
+import org.ploverspindle.front.ApiResponse;
 import org.ploverspindle.front.UserRequests;
 import org.ploverspindle.jobs.JobSpec;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Urgency;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.settings.Settings;
+import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressCounts;
 import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SpecIndex;
-import org.ploverspindle.state.SpecRecord;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
-import org.ploverspindle.state.StateStore.Txn;
-import org.ploverspindle.state.StateStore.TxnResult;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 
 /** The users' side of several nodes over one state service; nobody leads. */
@@ -42,7 +42,7 @@
   final class Node implements StateStore {
     final SimClock.Process process = clock.new Process(random.nextInt(1_000_000), 1, 0);
     final Replica replica = new Replica(process, this, Keys.PREFIX, 700);
-    final SpecIndex specs = new SpecIndex(replica);
+    final AcceptedJobIndex specs = new AcceptedJobIndex(replica);
     final Pipelines pipelines = new Pipelines(process, replica, specs);
     final UserRequests requests;
     boolean cut;
@@ -94,8 +94,12 @@
     }
 
     @Override
-    public void txn(Txn txn, Consumer<TxnResult> then) {
-      call(() -> applied(txn), new TxnResult.Refused(503), new TxnResult.Unknown(), then);
+    public void txn(Transaction txn, Consumer<TransactionResult> then) {
+      call(
+          () -> applied(txn),
+          new TransactionResult.Refused(503),
+          new TransactionResult.Unknown(),
+          then);
     }
 
     @Override
@@ -105,8 +109,8 @@
     }
 
     @Override
-    public void changesAfter(String prefix, long ledger, Consumer<News> then) {
-      News failed = new News.Failed();
+    public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
+      ChangesResult failed = new ChangesResult.Failed();
       call(() -> state.changesAfter(prefix, ledger), failed, failed, then);
     }
 
@@ -131,7 +135,7 @@
 
   final SimClock clock = new SimClock();
   final Random random;
-  final SimState state;
+  final SimStateStore state;
   final List<Node> nodes = new ArrayList<>();
   final Set<String> written = new HashSet<>();
   private final Settings settings;
@@ -153,7 +157,7 @@
                 small.cloud(),
                 small.teams(),
                 small.policy()));
-    state = new SimState(clock, limits);
+    state = new SimStateStore(clock, limits);
     for (int i = 0; i < count; i++) {
       restart(i);
     }
@@ -170,9 +174,9 @@
     }
   }
 
-  TxnResult applied(Txn txn) {
-    TxnResult result = state.txn(txn);
-    if (result instanceof TxnResult.Committed) {
+  TransactionResult applied(Transaction txn) {
+    TransactionResult result = state.txn(txn);
+    if (result instanceof TransactionResult.Committed) {
       txn.changes().forEach(this::checkListStands);
       changes += txn.changes().size();
       txn.changes().forEach(c -> written.add(c.key()));
@@ -184,7 +188,7 @@
   private void checkListStands(Change change) {
     if (change instanceof Change.Put put && put.key().startsWith(Keys.BATCHES)) {
       for (JsonNode job : put.value()) {
-        if (SpecRecord.awaits(job) instanceof SpecRecord.Awaits.Elsewhere list) {
+        if (JobRecord.awaits(job) instanceof JobRecord.StoredDependencies.Separate list) {
           for (int i = 0; i < list.parts(); i++) {
             String part = Keys.awaits(list.name(), i);
             if (!written.contains(part)) {
@@ -202,18 +206,18 @@
 
   /** As a leader writes it. */
   void done(String uid) {
-    TxnResult result =
+    TransactionResult result =
         applied(
-            new Txn(
+            new Transaction(
                 List.of(new Condition(Keys.done(uid), 0), new Condition(Keys.cancel(uid), 0)),
                 List.of(new Change.Put(Keys.done(uid), Cbor.map().put("tasks", 1)))));
-    if (!(result instanceof TxnResult.Committed)) {
+    if (!(result instanceof TransactionResult.Committed)) {
       throw new IllegalStateException(uid + " is not done: " + result);
     }
   }
 
   static JobSpec job(String uid, List<String> awaits) {
-    JobSpec spec = Specs.batch(uid, "c", "blue", Urgency.NORMAL, 1, 1, 1, 10, 0);
+    JobSpec spec = Specs.batch(uid, "c", "blue", Priority.NORMAL, 1, 1, 1, 10, 0);
     return Specs.after(spec, awaits.toArray(String[]::new));
   }
 
@@ -233,7 +237,7 @@
     nodes.get(node).requests.cancel(uid, heard(then));
   }
 
-  Consumer<Answer> heard(Consumer<Heard> then) {
+  Consumer<ApiResponse> heard(Consumer<Heard> then) {
     long askedMs = clock.nowMs();
     return a ->
         then.accept(
--- a/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.JobSpec;
-import org.ploverspindle.jobs.Urgency;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
@@ -75,7 +75,7 @@
     return TIMINGS.get((int) (seed % TIMINGS.size()));
   }
 
-  private String submit(String team, Urgency urgency, int tasks, double cores, double runS) {
+  private String submit(String team, Priority urgency, int tasks, double cores, double runS) {
     JobSpec spec =
         Specs.batch(cluster.newUid(), "c-" + urgency, team, urgency, tasks, cores, 0.1, runS, 0);
     submitted.add(spec.uid());
@@ -84,7 +84,7 @@
   }
 
   /** One job after another, at a spacing. */
-  private void jobs(int fromMs, int count, int everyMs, Urgency urgency, int tasks, double runS) {
+  private void jobs(int fromMs, int count, int everyMs, Priority urgency, int tasks, double runS) {
     for (int i = 0; i < count; i++) {
       cluster.clock.at(fromMs + i * everyMs, () -> submit("blue", urgency, tasks, 1, runS));
     }
@@ -110,7 +110,7 @@
     assertEquals(List.of(), cluster.checker.broken());
     long lateMs =
         cluster.checker.lateStarts().stream()
-            .mapToLong(Checker.LateStart::orderedAfterMs)
+            .mapToLong(InvariantChecker.LateStart::orderedAfterMs)
             .max()
             .orElse(0);
     assertTrue(
@@ -129,7 +129,7 @@
     startCluster(seed, 10);
     cluster.clock.at(FROM_MS, () -> cluster.network.lateWrites(0.3, true));
     cluster.clock.at(FROM_MS, () -> cluster.closeLooks(true));
-    jobs(FROM_MS, 50, 1_000, Urgency.NORMAL, 2, 8);
+    jobs(FROM_MS, 50, 1_000, Priority.NORMAL, 2, 8);
     cancellations(FROM_MS + 10_000, 12, 4_000);
     cluster.clock.at(35_000, () -> cluster.crash(Math.max(0, cluster.leader()), 1_000));
     cluster.clock.at(70_000, () -> cluster.network.lateWrites(0, true));
@@ -144,10 +144,10 @@
   void overloadOverSlowLinks(long seed) {
     startCluster(seed, 4, 6);
     cluster.clock.at(FROM_MS, () -> cluster.network.lateShare(0.15));
-    jobs(FROM_MS, 20, 1_500, Urgency.NORMAL, 4, 15);
-    jobs(FROM_MS + 500, 10, 4_000, Urgency.HIGH, 3, 6);
+    jobs(FROM_MS, 20, 1_500, Priority.NORMAL, 4, 15);
+    jobs(FROM_MS + 500, 10, 4_000, Priority.HIGH, 3, 6);
     for (int i = 0; i < 6; i++) {
-      cluster.clock.at(FROM_MS + i * 5_000, () -> submit("red", Urgency.CRITICAL, 8, 1, 5));
+      cluster.clock.at(FROM_MS + i * 5_000, () -> submit("red", Priority.CRITICAL, 8, 1, 5));
     }
     cancellations(FROM_MS + 15_000, 6, 6_000);
     long[] waiting = {0};
@@ -162,9 +162,9 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void workersReachNoControllerWhileDirectCommandsArrive(long seed) {
     startCluster(seed, 8);
-    jobs(4_000, 75, 1_000, Urgency.HIGH, 2, 9);
+    jobs(4_000, 75, 1_000, Priority.HIGH, 2, 9);
     // Longer than a lease: they are on those machines until it runs out.
-    jobs(4_500, 10, 1_500, Urgency.HIGH, 2, 60);
+    jobs(4_500, 10, 1_500, Priority.HIGH, 2, 60);
     int unreachableMs = (int) (timing(seed).leaseS() * 1_500);
     Set<String> unreachable = new HashSet<>();
     for (int round = 0; round < 2; round++) {
@@ -194,7 +194,7 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void directCommandsAreDelayedAndTheWorkerResumes(long seed) {
     startCluster(seed, 8);
-    jobs(4_000, 110, 600, Urgency.HIGH, 1, 15);
+    jobs(4_000, 110, 600, Priority.HIGH, 1, 15);
     cluster.network.heldCommands(0.7);
     cluster.clock.at(80_000, () -> cluster.network.heldCommands(0));
     for (int at = FROM_MS; at < 70_000; at += 3_000) {
@@ -243,8 +243,8 @@
       StateServiceFault fault, long seed) {
     startCluster(seed, 14);
     int outMs = (int) (timing(seed).cancelS() * 1_000) + 12_000;
-    jobs(4_000, 20, 700, Urgency.NORMAL, 3, 200);
-    jobs(4_500, 30, 900, Urgency.NORMAL, 1, 6);
+    jobs(4_000, 20, 700, Priority.NORMAL, 3, 200);
+    jobs(4_500, 30, 900, Priority.NORMAL, 1, 6);
     cluster.closeLooks(true);
     cluster.clock.at(30_000, () -> degradeStateService(fault));
     // Up to the very end of the service.
@@ -280,7 +280,7 @@
           // Four a second, many at once: what comes together is written together.
           FROM_MS + i / 24 * 6_000,
           () -> {
-            String uid = submit("blue", Urgency.NORMAL, 1, 0.5, 4);
+            String uid = submit("blue", Priority.NORMAL, 1, 0.5, 4);
             if (cancelled) {
               cluster.clock.at(3_000, () -> cluster.cancel(uid, 0));
             }
@@ -319,7 +319,7 @@
   void staleReportsArriveAfterNewerOnes(long seed) {
     startCluster(seed, 8);
     cluster.network.lateReports(0.5, false);
-    jobs(4_000, 60, 1_100, Urgency.HIGH, 3, 12);
+    jobs(4_000, 60, 1_100, Priority.HIGH, 3, 12);
     int lostAnswersMs = (int) (timing(seed).leaseS() * 1_300);
     int[] sessions = {0};
     for (int at = 20_000; at < 70_000; at += 12_000) {
@@ -349,7 +349,7 @@
   void pollsAtAllNodesWithinMillisecondsOfEachAnswer(long seed) {
     startCluster(seed, 14);
     cluster.closeLooks(true);
-    jobs(FROM_MS, 60, 800, Urgency.NORMAL, 1, 5);
+    jobs(FROM_MS, 60, 800, Priority.NORMAL, 1, 5);
     cancellations(FROM_MS + 3_000, 25, 1_700);
     runAndCheckRules(70_000, 60_000);
     assertAtLeast("answers", 1_200, cluster.users.answers(200));
@@ -365,7 +365,7 @@
       int tasks = 2 + i % 2;
       // A machine has room for one task, so that they run one after another.
       cluster.clock.at(
-          4_000 + i * 1_500, () -> submit("blue", Urgency.NORMAL, tasks, 12, 9 + seed % 3));
+          4_000 + i * 1_500, () -> submit("blue", Priority.NORMAL, tasks, 12, 9 + seed % 3));
     }
     Set<String> across = new HashSet<>();
     for (int at = 30_000; at <= 78_000; at += 12_000) {
@@ -393,7 +393,7 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void leadersCrashBeforeCompletionsAreRecorded(long seed) {
     startCluster(seed, 14);
-    jobs(4_000, 100, 700, Urgency.NORMAL, 2, 9);
+    jobs(4_000, 100, 700, Priority.NORMAL, 2, 9);
     int[] unrecorded = {0};
     for (int at = 30_000; at <= 72_000; at += 14_000) {
       cluster.clock.at(at, () -> crashWithUnrecordedCompletions(unrecorded));
@@ -430,7 +430,7 @@
     cluster.cancelAtEnd(0.6);
     cluster.clock.at(FROM_MS, () -> cluster.network.slow(SimulatedCluster.STATE, 300));
     cluster.clock.at(80_000, () -> cluster.network.slow(SimulatedCluster.STATE, 0));
-    jobs(FROM_MS, 80, 600, Urgency.NORMAL, 2, 5);
+    jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
     long over = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
     assertAtLeast("done", 20, cluster.checker.jobsDone());
@@ -443,7 +443,7 @@
     startCluster(seed, 14);
     cluster.cancelAtEnd(0.6);
     cluster.closeLooks(true);
-    jobs(FROM_MS, 80, 600, Urgency.NORMAL, 2, 5);
+    jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
     long aborted = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
     assertAtLeast("done", 20, cluster.checker.jobsDone());
@@ -455,7 +455,7 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void jobsAreCancelledDuringLeaderChanges(long seed) {
     startCluster(seed, 14);
-    jobs(4_000, 40, 700, Urgency.NORMAL, 2, 250);
+    jobs(4_000, 40, 700, Priority.NORMAL, 2, 250);
     for (int round = 0; round < 2; round++) {
       int at = 36_000 + round * 30_000;
       cancellations(at - 1_500, 12, 500);
@@ -479,7 +479,7 @@
 
   /** The id counts, whatever else the body says, from the moment at which any node knows it. */
   private void submitAndRepeatInvalid() {
-    String uid = submit("blue", Urgency.NORMAL, 1, 1, 6);
+    String uid = submit("blue", Priority.NORMAL, 1, 1, 6);
     ObjectNode body = Cbor.readMap(SimulatedCluster.encode(cluster.spec(uid))).orElseThrow();
     body.remove("cores");
     byte[] lacking = Cbor.write(body);
--- a/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
+++ b/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
@@ -5,12 +5,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.net.Reply;
+import org.ploverspindle.net.HttpResult;
 
 /** What the state service's answers mean. */
 class HttpStateStoreTest {
-  private static List<StateStore.News> newsOf(Reply reply) {
-    List<StateStore.News> received = new ArrayList<>();
+  private static List<StateStore.ChangesResult> newsOf(HttpResult reply) {
+    List<StateStore.ChangesResult> received = new ArrayList<>();
     new HttpStateStore((method, path, body, timeoutMs, then) -> then.accept(reply))
         .changesAfter("x/", 7, received::add);
     return received;
@@ -23,8 +23,12 @@
    */
   @Test
   void changesThatAreTooManyToReadAreReadAsPages() {
-    assertEquals(List.of(new StateStore.News.TooOld()), newsOf(new Reply.TooLarge(1)));
-    assertEquals(List.of(new StateStore.News.TooOld()), newsOf(new Reply.Answer(410, new byte[0])));
-    assertEquals(List.of(new StateStore.News.Failed()), newsOf(new Reply.Silence("lost")));
+    assertEquals(
+        List.of(new StateStore.ChangesResult.TooOld()), newsOf(new HttpResult.TooLarge(1)));
+    assertEquals(
+        List.of(new StateStore.ChangesResult.TooOld()),
+        newsOf(new HttpResult.Response(410, new byte[0])));
+    assertEquals(
+        List.of(new StateStore.ChangesResult.Failed()), newsOf(new HttpResult.NoResponse("lost")));
   }
 }
--- a/src/test/java/org/ploverspindle/state/TypesRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
@@ -12,7 +12,7 @@
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.StateStore.Change;
 
-class TypesRecordTest {
+class MachineTypesRecordTest {
   private static List<MachineType> types(int n) {
     return IntStream.range(0, n)
         .mapToObj(
@@ -32,16 +32,16 @@
   @Test
   void manyTypesAreKeptInPartsThatFitAndFewInTheRecordThatAllVersionsRead() {
     assertEquals(
-        List.of(new Change.Put(Keys.TYPES, TypesRecord.encode(types(3)))),
-        TypesRecord.puts(types(3), 2048));
+        List.of(new Change.Put(Keys.TYPES, MachineTypesRecord.encode(types(3)))),
+        MachineTypesRecord.puts(types(3), 2048));
     for (int n : new int[] {14, 40}) {
-      List<Change.Put> puts = TypesRecord.puts(types(n), 2048);
+      List<Change.Put> puts = MachineTypesRecord.puts(types(n), 2048);
       List<MachineType> read = new ArrayList<>();
       for (int i = 0; i < puts.size(); i++) {
         assertEquals(Keys.types(i), puts.get(i).key());
         assertTrue(Cbor.jsonSize(puts.get(i).value()) <= 2048);
         assertEquals(puts.size(), puts.get(i).value().path("parts").asInt());
-        read.addAll(TypesRecord.decode(puts.get(i).value()).orElseThrow());
+        read.addAll(MachineTypesRecord.decode(puts.get(i).value()).orElseThrow());
       }
       assertEquals(types(n), read);
     }
--- a/src/test/java/org/ploverspindle/state/ProgressLogTest.java
+++ b/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
@@ -13,15 +13,15 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.state.ProgressLog.Delta;
-import org.ploverspindle.state.ProgressRecord.Host;
-import org.ploverspindle.state.ProgressRecord.Live;
+import org.ploverspindle.state.ProgressLogRecord.Delta;
+import org.ploverspindle.state.SnapshotRecord.MachineInfo;
+import org.ploverspindle.state.SnapshotRecord.RecordedPlacement;
 
-class ProgressLogTest {
+class ProgressLogRecordTest {
   private static Delta delta(Random r, String uid, int tasks) {
     BitSet done = new BitSet();
     BitSet cleared = new BitSet();
-    List<Live> live = new ArrayList<>();
+    List<RecordedPlacement> live = new ArrayList<>();
     long attempt = (3L << 44) + r.nextInt(1000);
     for (int t = 0; t < tasks; t++) {
       switch (r.nextInt(5)) {
@@ -32,10 +32,10 @@
           attempt += r.nextInt(4) == 0 ? 5 : 1;
           int host = r.nextInt(6);
           live.add(
-              new Live(
+              new RecordedPlacement(
                   t,
                   attempt,
-                  new Host("i-00023" + host, "type-" + host % 2, "zone", host % 3 == 0),
+                  new MachineInfo("i-00023" + host, "type-" + host % 2, "zone", host % 3 == 0),
                   1 + host));
         }
       }
@@ -47,7 +47,7 @@
   void whatIsWrittenIsRead() {
     for (int seed = 0; seed < 200; seed++) {
       Random r = new Random(seed);
-      ProgressLog.Builder b = new ProgressLog.Builder(seed, "4.7", 64_000);
+      ProgressLogRecord.Builder b = new ProgressLogRecord.Builder(seed, "4.7", 64_000);
       List<Delta> deltas = new ArrayList<>();
       for (int i = 0; i < r.nextInt(6); i++) {
         Delta d = delta(r, "run-" + i, r.nextInt(60));
@@ -55,9 +55,11 @@
         deltas.add(d);
       }
       assertEquals(
-          new ProgressLog(seed, "4.7", deltas), ProgressLog.decode(b.value()).orElseThrow());
+          new ProgressLogRecord(seed, "4.7", deltas),
+          ProgressLogRecord.decode(b.value()).orElseThrow());
       Map<String, String> counts = new HashMap<>();
-      ProgressLog.counts(b.value(), (uid, done, running) -> counts.put(uid, done + "/" + running));
+      ProgressLogRecord.counts(
+          b.value(), (uid, done, running) -> counts.put(uid, done + "/" + running));
       deltas.forEach(d -> assertEquals(d.doneCount() + "/" + d.running(), counts.get(d.uid())));
     }
   }
@@ -66,14 +68,16 @@
   void aRecordNeverGrowsBeyondItsSizeAndTakesAGroupAlone() {
     for (int kb : new int[] {1, 8, 16}) {
       int size = kb * 1024;
-      int group = ProgressLog.Builder.tasksThatFit(size);
+      int group = ProgressLogRecord.Builder.tasksThatFit(size);
       Random r = new Random(kb);
       for (int round = 0; round < 50; round++) {
-        ProgressLog.Builder b = new ProgressLog.Builder(Long.MAX_VALUE / 2, "9999999.99999", size);
-        List<Live> live = new ArrayList<>();
+        ProgressLogRecord.Builder b =
+            new ProgressLogRecord.Builder(Long.MAX_VALUE / 2, "9999999.99999", size);
+        List<RecordedPlacement> live = new ArrayList<>();
         for (int t = 0; t < group; t++) {
-          Host host = new Host("i-" + (100_000 + t), "type-with-a-name", "zone-with-a-name", true);
-          live.add(new Live(99_000 + t, (1L << 60) + t * 7L, host, 1_000 + t));
+          MachineInfo host =
+              new MachineInfo("i-" + (100_000 + t), "type-with-a-name", "zone-with-a-name", true);
+          live.add(new RecordedPlacement(99_000 + t, (1L << 60) + t * 7L, host, 1_000 + t));
         }
         BitSet none = new BitSet();
         assertTrue(b.add(new Delta("run-999999999", 1, 1, none, none, live)), kb + " KB");
@@ -81,26 +85,26 @@
           assertTrue(Cbor.jsonSize(b.value()) <= size);
         }
         assertTrue(Cbor.jsonSize(b.value()) <= size);
-        assertTrue(ProgressLog.decode(b.value()).isPresent());
+        assertTrue(ProgressLogRecord.decode(b.value()).isPresent());
       }
     }
   }
 
   @Test
   void whatCanNotBeReadIsSaidToBe() {
-    ProgressLog.Builder b = new ProgressLog.Builder(5, "1.1", 8_000);
+    ProgressLogRecord.Builder b = new ProgressLogRecord.Builder(5, "1.1", 8_000);
     b.add(delta(new Random(3), "run-1", 20));
     ObjectNode good = (ObjectNode) b.value();
     for (String field : List.of("n", "id", "jobs")) {
       ObjectNode broken = good.deepCopy();
       broken.remove(field);
-      assertFalse(ProgressLog.decode(broken).isPresent(), field);
+      assertFalse(ProgressLogRecord.decode(broken).isPresent(), field);
     }
     ObjectNode noHosts = good.deepCopy();
     noHosts.putArray("hosts");
-    assertFalse(ProgressLog.decode(noHosts).isPresent());
+    assertFalse(ProgressLogRecord.decode(noHosts).isPresent());
     ObjectNode cut = good.deepCopy();
     cut.putArray("jobs").add("run-1|3");
-    assertFalse(ProgressLog.decode(cut).isPresent());
+    assertFalse(ProgressLogRecord.decode(cut).isPresent());
   }
 }
--- a/src/test/java/org/ploverspindle/state/ProgressRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
@@ -10,42 +10,42 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.net.Cbor;
-import org.ploverspindle.state.ProgressRecord.Host;
-import org.ploverspindle.state.ProgressRecord.Live;
+import org.ploverspindle.state.SnapshotRecord.MachineInfo;
+import org.ploverspindle.state.SnapshotRecord.RecordedPlacement;
 
-class ProgressRecordTest {
+class SnapshotRecordTest {
 
   @Test
   void whatIsWrittenIsRead() {
     Random random = new Random(3);
     for (int round = 0; round < 200; round++) {
       BitSet done = new BitSet();
-      List<Live> live = new ArrayList<>();
+      List<RecordedPlacement> live = new ArrayList<>();
       for (int task = 0; task < 60; task++) {
         int fate = random.nextInt(3);
         if (fate == 0) {
           done.set(task);
         } else if (fate == 1) {
-          Host h = new Host("i-" + random.nextInt(9), "t", "z", random.nextBoolean());
-          live.add(new Live(task, random.nextLong() >>> 2, h, random.nextInt(100)));
+          MachineInfo h = new MachineInfo("i-" + random.nextInt(9), "t", "z", random.nextBoolean());
+          live.add(new RecordedPlacement(task, random.nextLong() >>> 2, h, random.nextInt(100)));
         }
       }
-      ProgressRecord record = new ProgressRecord(done, live, live.size(), 0);
+      SnapshotRecord record = new SnapshotRecord(done, live, live.size(), 0);
       byte[] stored = Cbor.write(record.encode());
-      assertEquals(Optional.of(record), ProgressRecord.decode(Cbor.readMap(stored).orElseThrow()));
+      assertEquals(Optional.of(record), SnapshotRecord.decode(Cbor.readMap(stored).orElseThrow()));
     }
   }
 
   @Test
   void theLargestChunkFitsInAValue() {
     for (int kb : new int[] {4, 8, 16}) {
-      List<Live> live = new ArrayList<>();
-      int chunk = ProgressRecord.chunkFor(kb * 1024);
+      List<RecordedPlacement> live = new ArrayList<>();
+      int chunk = SnapshotRecord.chunkFor(kb * 1024);
       for (int task = 0; task < chunk; task++) {
-        Host h = new Host("i-99" + task, "machine-type-16", "some-zone-a1", false);
-        live.add(new Live(99_000 + task, (1L << 40) + task, h, 1234));
+        MachineInfo h = new MachineInfo("i-99" + task, "machine-type-16", "some-zone-a1", false);
+        live.add(new RecordedPlacement(99_000 + task, (1L << 40) + task, h, 1234));
       }
-      int size = Cbor.jsonSize(new ProgressRecord(new BitSet(), live, chunk, 0).encode());
+      int size = Cbor.jsonSize(new SnapshotRecord(new BitSet(), live, chunk, 0).encode());
       assertTrue(size <= kb * 1024, size + " bytes for " + kb + " KiB");
     }
   }
@@ -55,11 +55,11 @@
     for (String live : List.of("1:2", "a:1:0:1", "1:1:7:1")) {
       assertEquals(
           Optional.empty(),
-          ProgressRecord.decode(Cbor.map().put("done", "").put("live", live)),
+          SnapshotRecord.decode(Cbor.map().put("done", "").put("live", live)),
           live);
     }
     assertEquals(
-        Optional.empty(), ProgressRecord.decode(Cbor.map().put("done", "5-2").put("live", "")));
-    assertEquals(Optional.empty(), ProgressRecord.decode(Cbor.map().put("done", 3)));
+        Optional.empty(), SnapshotRecord.decode(Cbor.map().put("done", "5-2").put("live", "")));
+    assertEquals(Optional.empty(), SnapshotRecord.decode(Cbor.map().put("done", 3)));
   }
 }
--- a/src/test/java/org/ploverspindle/workers/FailureDetectorTest.java
+++ b/src/test/java/org/ploverspindle/workers/FailureDetectorTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.Specs;
 import org.ploverspindle.jobs.Job;
+import org.ploverspindle.jobs.Priority;
 import org.ploverspindle.jobs.Resources;
-import org.ploverspindle.jobs.Urgency;
 
 /** A machine is at fault when jobs that run elsewhere fail there; a job, when it runs nowhere. */
 class FailureDetectorTest {
@@ -25,7 +25,7 @@
   private Job job(String uid) {
     Job job =
         new Job(
-            Specs.batch(uid, "c", "red", Urgency.NORMAL, 20, 1, 1, 30, 100),
+            Specs.batch(uid, "c", "red", Priority.NORMAL, 20, 1, 1, 30, 100),
             0,
             80,
             0,
@@ -44,7 +44,7 @@
 
   private void reported(Machine m) {
     m.heard(
-        new Report(m.host(), "", "t", "a", true, 1, now, 1, OptionalDouble.empty(), List.of()),
+        new Heartbeat(m.host(), "", "t", "a", true, 1, now, 1, OptionalDouble.empty(), List.of()),
         now,
         true);
   }
