--- a/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
@@ -76,9 +76,9 @@
    * that was called done or cancelled must not be called queued for it.
    */
   private void addConditions(PendingAcceptance creation) {
-    conditions.add(new Condition(Keys.cancel(creation.uid()), 0));
-    conditions.add(new Condition(Keys.done(creation.uid()), 0));
-    creation.guards().forEach(guard -> conditions.add(new Condition(Keys.cancel(guard), 0)));
+    conditions.add(new Condition(Keys.cancellation(creation.uid()), 0));
+    conditions.add(new Condition(Keys.completion(creation.uid()), 0));
+    creation.guards().forEach(guard -> conditions.add(new Condition(Keys.cancellation(guard), 0)));
     bytes += FRAME_BYTES + GUARD_BYTES * creation.guards().size();
   }
 
--- a/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
@@ -108,7 +108,7 @@
       return;
     }
     if (creations.size() >= MOST_WAITING) {
-      submission.then().accept(ApiResponse.later(TOO_MANY, "too many submissions at once", 2));
+      submission.then().accept(ApiResponse.retryLater(TOO_MANY, "too many submissions at once", 2));
       return;
     }
     PendingAcceptance creation = PendingAcceptance.of(submission, guards);
@@ -146,13 +146,13 @@
     }
     flushedMs = nowMs;
     AcceptanceBatch batch = new AcceptanceBatch(valueBytes, txnOps);
-    batch.fill(creations, Math.max(1, budget), () -> Keys.batch(nonce + "-" + ++batches));
+    batch.fill(creations, Math.max(1, budget), () -> Keys.jobBatch(nonce + "-" + ++batches));
     batch.creations().forEach(creation -> sent.add(creation.uid()));
     creating = true;
     if (!beyond) {
       writes.take(batch.size());
     }
-    store.txn(batch.txn(), result -> answered(batch.creations(), result));
+    store.commit(batch.txn(), result -> answered(batch.creations(), result));
   }
 
   private void giveUpLateOnes() {
@@ -160,7 +160,7 @@
         && scheduler.nowMs() - creations.peek().cameMs() > CREATE_LIMIT_MS) {
       PendingAcceptance late = creations.poll();
       pending.remove(late.uid());
-      late.answerAll(ApiResponse.later(UNAVAILABLE, "the state service is busy", 2));
+      late.answerAll(ApiResponse.retryLater(UNAVAILABLE, "the state service is busy", 2));
     }
   }
 
@@ -219,7 +219,8 @@
     // All nodes together ask for more than the service gives: the leader's writes go first.
     writes.take(REFUSED_COST);
     refusedMs = scheduler.nowMs();
-    batch.forEach(c -> c.answerAll(ApiResponse.later(UNAVAILABLE, "the state service refuses", 1)));
+    batch.forEach(
+        c -> c.answerAll(ApiResponse.retryLater(UNAVAILABLE, "the state service refuses", 1)));
   }
 
   /** Some of the batch are over already and are answered so; the others are tried again. */
--- a/src/main/java/org/ploverspindle/api/ApiResponse.java
+++ b/src/main/java/org/ploverspindle/api/ApiResponse.java
@@ -15,7 +15,7 @@
   }
 
   /** Another node is the one to ask. */
-  public static ApiResponse elsewhere(String member) {
+  public static ApiResponse redirectToLeader(String member) {
     return of(421, Cbor.map().put("steward", member));
   }
 
@@ -30,11 +30,11 @@
    */
   ApiResponse after(long ageMs, long keepsMs) {
     boolean tells = status < 300 || status == 404;
-    return tells && ageMs > keepsMs ? later(503, "the answer is no longer new", 1) : this;
+    return tells && ageMs > keepsMs ? retryLater(503, "the answer is no longer new", 1) : this;
   }
 
   /** Can't be done now: said at once, with when to come back. */
-  public static ApiResponse later(int status, String message, int afterS) {
+  public static ApiResponse retryLater(int status, String message, int afterS) {
     return new ApiResponse(status, Cbor.write(Cbor.map().put("error", message)), afterS);
   }
 }
--- a/src/main/java/org/ploverspindle/api/Cancellations.java
+++ b/src/main/java/org/ploverspindle/api/Cancellations.java
@@ -149,7 +149,7 @@
     List<Change.Put> cancellations = cancellations(sent);
     StateStore.Transaction txn =
         new StateStore.Transaction(conditions(sent), List.copyOf(cancellations));
-    store.txn(txn, result -> answered(sent, cancellations, result));
+    store.commit(txn, result -> answered(sent, cancellations, result));
     listener.sent();
     plan();
   }
@@ -165,7 +165,8 @@
   private List<Change.Put> cancellations(InFlight sent) {
     List<Change.Put> cancellations = new ArrayList<>();
     for (String uid : sent.askers.keySet()) {
-      cancellations.add(new Change.Put(Keys.cancel(uid), Cbor.map().put("at", scheduler.wallMs())));
+      cancellations.add(
+          new Change.Put(Keys.cancellation(uid), Cbor.map().put("at", scheduler.wallMs())));
     }
     return cancellations;
   }
@@ -174,15 +175,15 @@
   private static List<Condition> conditions(InFlight sent) {
     List<Condition> conditions = new ArrayList<>();
     for (String uid : sent.askers.keySet()) {
-      conditions.add(new Condition(Keys.done(uid), 0));
-      conditions.add(new Condition(Keys.cancel(uid), 0));
+      conditions.add(new Condition(Keys.completion(uid), 0));
+      conditions.add(new Condition(Keys.cancellation(uid), 0));
     }
     return conditions;
   }
 
   private void answered(InFlight sent, List<Change.Put> cancellations, TransactionResult result) {
     if (result instanceof TransactionResult.Committed committed) {
-      listener.committed(cancellations, committed.ledger());
+      listener.committed(cancellations, committed.revision());
     }
     settle(sent, outcome(result));
   }
--- a/src/main/java/org/ploverspindle/api/DependenciesWriter.java
+++ b/src/main/java/org/ploverspindle/api/DependenciesWriter.java
@@ -127,7 +127,7 @@
     }
     busy = true;
     long nextMs = scheduler.nowMs() + Math.round(sent.size() * perPartMs);
-    store.txn(
+    store.commit(
         new StateStore.Transaction(conditions, changes), r -> answered(upload, sent, nextMs, r));
   }
 
@@ -144,7 +144,7 @@
       goOnIn(AGAIN_MS);
     } else {
       // Some stand already, or may yet come to stand: what is read says which are missing.
-      replica.barrier(ok -> goOnIn(ok ? nextMs - scheduler.nowMs() : AGAIN_MS));
+      replica.readBarrier(ok -> goOnIn(ok ? nextMs - scheduler.nowMs() : AGAIN_MS));
     }
   }
 
--- a/src/main/java/org/ploverspindle/api/Feasibility.java
+++ b/src/main/java/org/ploverspindle/api/Feasibility.java
@@ -22,7 +22,7 @@
 
   /** Without the machine types nothing can be decided. */
   boolean isDecidable() {
-    return catalogue.known();
+    return catalogue.isKnown();
   }
 
   /** Why the job can never run, if so. */
@@ -31,7 +31,7 @@
     if (team.isEmpty()) {
       return Optional.of("unknown team");
     }
-    int counted = spec.shape() == JobKind.BATCH ? 1 : spec.tasks();
+    int counted = spec.kind() == JobKind.BATCH ? 1 : spec.tasks();
     if (isBeyond(team.get().coresMax(), spec.cores() * counted)
         || isBeyond(team.get().acceleratorsMax(), spec.accelerators() * counted)) {
       return Optional.of("more than the team's limit");
--- a/src/main/java/org/ploverspindle/api/JobStatusReader.java
+++ b/src/main/java/org/ploverspindle/api/JobStatusReader.java
@@ -29,7 +29,7 @@
 
   /** The answer to who asks when the replica can't be read in time. */
   static ApiResponse notNow() {
-    return ApiResponse.later(UNAVAILABLE, "the state can't be read now", 1);
+    return ApiResponse.retryLater(UNAVAILABLE, "the state can't be read now", 1);
   }
 
   boolean isKnown(String uid) {
@@ -67,7 +67,7 @@
   }
 
   boolean isDone(String uid) {
-    return replica.get(Keys.done(uid)).isPresent();
+    return replica.get(Keys.completion(uid)).isPresent();
   }
 
   /** Done or cancelled: it stays so, and no newer answer can differ. */
@@ -81,7 +81,7 @@
    * records of a job counts.
    */
   boolean isAborted(String uid) {
-    return replica.get(Keys.cancel(uid)).isPresent()
-        || replica.loaded() && pipelines.graph().isAborted(uid);
+    return replica.get(Keys.cancellation(uid)).isPresent()
+        || replica.isLoaded() && pipelines.graph().isAborted(uid);
   }
 }
--- a/src/main/java/org/ploverspindle/api/LinearizableReads.java
+++ b/src/main/java/org/ploverspindle/api/LinearizableReads.java
@@ -21,12 +21,12 @@
 
   /** Calls with true at the barrier, or with false when it can't be had in the user's time. */
   void barrier(Consumer<Boolean> then) {
-    barrier(replica::barrier, then);
+    barrier(replica::readBarrier, then);
   }
 
   /** The same for who has time. */
-  void patientBarrier(Consumer<Boolean> then) {
-    barrier(replica::patientBarrier, then);
+  void lowPriorityBarrier(Consumer<Boolean> then) {
+    barrier(replica::lowPriorityReadBarrier, then);
   }
 
   private void barrier(Consumer<Consumer<Boolean>> read, Consumer<Boolean> then) {
@@ -56,11 +56,11 @@
   }
 
   boolean isLoaded() {
-    return replica.loaded();
+    return replica.isLoaded();
   }
 
   /** Has the replica read, for those who come later. */
   void refresh() {
-    replica.barrier(fresh -> {});
+    replica.readBarrier(fresh -> {});
   }
 }
--- a/src/main/java/org/ploverspindle/api/QueryService.java
+++ b/src/main/java/org/ploverspindle/api/QueryService.java
@@ -34,7 +34,7 @@
       then.accept(JobStatusReader.notNow());
     } else {
       // Polls come every few seconds for each job, and nobody waits for one to go on.
-      reads.patientBarrier(
+      reads.lowPriorityBarrier(
           fresh ->
               then.accept(
                   fresh
--- a/src/main/java/org/ploverspindle/api/SubmissionService.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionService.java
@@ -97,7 +97,7 @@
       return;
     }
     if (!feasibility.isDecidable()) {
-      then.accept(ApiResponse.later(UNAVAILABLE, "the machine types are not known yet", 2));
+      then.accept(ApiResponse.retryLater(UNAVAILABLE, "the machine types are not known yet", 2));
       return;
     }
     Submission submission = submission(spec, then);
@@ -181,7 +181,8 @@
     if (lists.isFull()) {
       submission
           .then()
-          .accept(ApiResponse.later(TOO_MANY, "too many long lists at once", MANY_LISTS_RETRY_S));
+          .accept(
+              ApiResponse.retryLater(TOO_MANY, "too many long lists at once", MANY_LISTS_RETRY_S));
       return;
     }
     boolean[] answered = {false};
@@ -205,7 +206,7 @@
     } else {
       submission
           .then()
-          .accept(ApiResponse.later(UNAVAILABLE, "the list of jobs is not stored yet", 1));
+          .accept(ApiResponse.retryLater(UNAVAILABLE, "the list of jobs is not stored yet", 1));
     }
   }
 
--- a/src/main/java/org/ploverspindle/api/UserApi.java
+++ b/src/main/java/org/ploverspindle/api/UserApi.java
@@ -73,14 +73,14 @@
 
     void poll(String uid, Consumer<ApiResponse> then);
 
-    void withdraw(String uid, Consumer<ApiResponse> then);
+    void cancel(String uid, Consumer<ApiResponse> then);
 
-    void checkin(byte[] body, Consumer<ApiResponse> then);
+    void heartbeat(byte[] body, Consumer<ApiResponse> then);
 
     void status(Consumer<ApiResponse> then);
 
     /** What is known of one job, and what it awaits, for people. */
-    void jobStatus(String uid, Consumer<ApiResponse> then);
+    void explainJob(String uid, Consumer<ApiResponse> then);
   }
 
   private final EventLoop loop;
@@ -136,7 +136,7 @@
     switch (path) {
       case "/checkin" -> {
         if (allow(exchange, method, Methods.POST)) {
-          body(exchange, (bytes, then) -> handler.checkin(bytes, then), EventPriority.REPORT);
+          body(exchange, (bytes, then) -> handler.heartbeat(bytes, then), EventPriority.HEARTBEAT);
         }
       }
       case "/ready" -> {
@@ -145,7 +145,7 @@
               exchange,
               ready.getAsBoolean()
                   ? ApiResponse.error(200, "")
-                  : ApiResponse.later(503, "not ready", 1));
+                  : ApiResponse.retryLater(503, "not ready", 1));
         }
       }
       case "/status" -> {
@@ -157,7 +157,7 @@
               EventPriority.SUBMISSION,
               then ->
                   job.ifPresentOrElse(
-                      uid -> handler.jobStatus(uid, then), () -> handler.status(then)));
+                      uid -> handler.explainJob(uid, then), () -> handler.status(then)));
         }
       }
       case JOBS -> {
@@ -177,13 +177,13 @@
     String rest = path.substring(JOBS.length() + 1);
     int slash = rest.indexOf('/');
     if (slash < 0) {
-      if (allow(exchange, method, Methods.GET) && admitted(exchange, EventPriority.POLL)) {
-        hand(exchange, EventPriority.POLL, then -> handler.poll(rest, then));
+      if (allow(exchange, method, Methods.GET) && admitted(exchange, EventPriority.QUERY)) {
+        hand(exchange, EventPriority.QUERY, then -> handler.poll(rest, then));
       }
     } else if (rest.substring(slash).equals("/withdraw")) {
       if (allow(exchange, method, Methods.POST) && admitted(exchange, EventPriority.SUBMISSION)) {
         String uid = rest.substring(0, slash);
-        body(exchange, (bytes, then) -> handler.withdraw(uid, then), EventPriority.SUBMISSION);
+        body(exchange, (bytes, then) -> handler.cancel(uid, then), EventPriority.SUBMISSION);
       }
     } else {
       send(exchange, ApiResponse.error(404, "no such path"));
@@ -204,13 +204,13 @@
     if (connections() > mostWithUsers) {
       // The sockets that are left are for workers: who can't report loses its tasks.
       exchange.setPersistent(false);
-      send(exchange, ApiResponse.later(503, "no connections are left", 2));
+      send(exchange, ApiResponse.retryLater(503, "no connections are left", 2));
       return false;
     }
     if (loop.backlog(rank) < maxUserWork) {
       return true;
     }
-    send(exchange, ApiResponse.later(429, "too much to do", 2));
+    send(exchange, ApiResponse.retryLater(429, "too much to do", 2));
     return false;
   }
 
@@ -241,7 +241,7 @@
 
   private void hand(
       HttpServerExchange exchange, EventPriority rank, Consumer<Consumer<ApiResponse>> work) {
-    long keepsMs = rank == EventPriority.REPORT ? REPORT_KEEPS_MS : ANSWER_KEEPS_MS;
+    long keepsMs = rank == EventPriority.HEARTBEAT ? REPORT_KEEPS_MS : ANSWER_KEEPS_MS;
     Runnable task = () -> work.accept(a -> reply(exchange, a, keepsMs));
     if (exchange.isInIoThread()) {
       exchange.dispatch(SameThreadExecutor.INSTANCE, () -> loop.execute(rank, task));
--- a/src/main/java/org/ploverspindle/api/UserRequests.java
+++ b/src/main/java/org/ploverspindle/api/UserRequests.java
@@ -72,7 +72,7 @@
             lists,
             writer,
             valueBytes,
-            SnapshotRecord.chunkFor(limits.valueBytes()));
+            SnapshotRecord.shardSizeFor(limits.valueBytes()));
     this.queries = new QueryService(reads, states, pipelines);
     this.cancellations =
         new CancellationService(
--- a/src/main/java/org/ploverspindle/api/package-info.java
+++ b/src/main/java/org/ploverspindle/api/package-info.java
@@ -6,7 +6,7 @@
  * Nothing is answered before it is durable. Owns: the listening socket for users and workers, the
  * wire names of submissions ({@code SubmissionCodec}).
  *
- * <p>May depend on: {@code state}, {@code jobs}, {@code pipelines}, {@code cloud.Catalogue}, {@code
- * net}, {@code loop}, {@code settings}. Knows no leader: every controller answers users.
+ * <p>May depend on: {@code state}, {@code cluster}, {@code pipelines}, {@code model}, {@code net},
+ * {@code eventloop}, {@code settings}. Knows no leader: every controller answers users.
  */
 package org.ploverspindle.api;
--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -82,7 +82,7 @@
   }
 
   private void heard(PeerMessage record) {
-    controller.heard(record);
+    controller.handlePeerMessage(record);
   }
 
   void start() throws IOException {
--- a/src/main/java/org/ploverspindle/cloud/Autoscaler.java
+++ b/src/main/java/org/ploverspindle/cloud/Autoscaler.java
@@ -63,17 +63,17 @@
   /** What the rest of the leader has to do with rentals. */
   public interface Workload {
     /** What to rent, given what may be rented and what is on its way. */
-    List<ScaleOutPlanner.Request> wanted(
+    List<ScaleOutPlanner.Request> scaleOutRequests(
         List<ScaleOutPlanner.Candidate> offers, List<ScaleOutPlanner.PendingMachine> coming);
 
     /** True when jobs have stopped coming: idle machines wait for nobody. */
-    boolean quiet();
+    boolean isQuiet();
 
     /**
      * For idle machines, one after the other: true when it is not needed as room for the next
      * pressing job, given those that were said to be spare before.
      */
-    Predicate<Machine> spare();
+    Predicate<Machine> surplus();
 
     /** For one machine after the other: true when work waits that could be put on it. */
     Predicate<Machine> needed();
@@ -84,7 +84,7 @@
     /** Tasks that went with a machine. */
     void lost(List<Placement> placements);
 
-    boolean mayDecide();
+    boolean isAuthoritative();
   }
 
   private final Scheduler scheduler;
@@ -96,16 +96,16 @@
   private final Policy policy;
   private final Settings settings;
   private final Term term;
-  private final Workload host;
+  private final Workload workload;
   private final TokenBucket budget;
 
   private final GroupBackoffs backoffs;
   private final ScaleOutLimits quota;
-  private final ProvisioningIntents claims;
+  private final ProvisioningIntents intents;
   private final Pools pools;
   private final BootTracker boots;
-  private final MachineTerminations returns;
-  private final ScaleInPlanner returnSelection;
+  private final MachineTerminations terminations;
+  private final ScaleInPlanner scaleInPlanner;
   private final MachineList list;
   private final Map<String, JsonNode> writtenBounds = new HashMap<>();
   private final CancellableGroup duties = new CancellableGroup();
@@ -134,7 +134,7 @@
     this.policy = policy;
     this.settings = settings;
     this.term = term;
-    this.host = host;
+    this.workload = host;
     double rps = settings.cloudLimits().rps();
     // Listing leaves one call for a rental: with room for one call alone it would never begin, and
     // nothing is rented before the first list.
@@ -143,21 +143,21 @@
     this.backoffs = new GroupBackoffs(scheduler, catalogue, policy, random);
     RetryDelay retryDelay = new RetryDelay(random, RETRY_MS, RETRY_JITTER_MS);
     this.quota = new ScaleOutLimits(backoffs, policy, settings, rps * CLOUD_SHARE);
-    this.claims =
+    this.intents =
         new ProvisioningIntents(
             scheduler,
             cloud,
             fleet,
-            new ProvisioningIntentRecords(catalogue, writes, term.token()),
+            new ProvisioningIntentRecords(catalogue, writes, term.fencingToken()),
             quota,
             this::mayCall,
             retryDelay);
-    this.pools = new Pools(catalogue, fleet, claims, backoffs, policy);
+    this.pools = new Pools(catalogue, fleet, intents, backoffs, policy);
     HeartbeatTimeout silence =
         new HeartbeatTimeout(
             settings.workers().reportS(), term.startMs(), () -> host.listeningSinceMs());
-    this.returns = newReturns(silence, retryDelay);
-    this.returnSelection = newReturnSelection();
+    this.terminations = newReturns(silence, retryDelay);
+    this.scaleInPlanner = newReturnSelection();
     this.list =
         new MachineList(
             scheduler,
@@ -168,13 +168,13 @@
             budget,
             rps * CLOUD_SHARE,
             silence,
-            host::mayDecide,
+            host::isAuthoritative,
             this::listed);
   }
 
   /** Takes a call to the cloud from its budget, if the lead is sure. */
   private boolean mayCall() {
-    return host.mayDecide() && budget.tryTake(1);
+    return workload.isAuthoritative() && budget.tryTake(1);
   }
 
   private MachineTerminations newReturns(HeartbeatTimeout silence, RetryDelay retryDelay) {
@@ -185,10 +185,11 @@
         scheduler,
         fleet,
         silence,
-        new TerminationRecordWriter(writes, term.token(), settings.writeLimits().valueBytes()),
+        new TerminationRecordWriter(
+            writes, term.fencingToken(), settings.writeLimits().valueBytes()),
         new TerminationSender(scheduler, cloud, this::mayCall, retryDelay),
         keepMs,
-        host::lost);
+        workload::lost);
   }
 
   private ScaleInPlanner newReturnSelection() {
@@ -196,9 +197,9 @@
         scheduler,
         fleet,
         new UnusableMachines(fleet, boots, backoffs, term.startMs(), settings.workers().leaseS()),
-        new IdleMachines(pools, policy, host),
-        returns,
-        host::mayDecide);
+        new IdleMachines(pools, policy, workload),
+        terminations,
+        workload::isAuthoritative);
   }
 
   /**
@@ -206,45 +207,45 @@
    * the first placement of the term.
    */
   public Cancellable start() {
-    replica.under(Keys.RETURNS).values().forEach(returns::inherit);
-    for (Entry e : replica.under(Keys.CLAIMS).values()) {
-      claims.inherit(e);
+    replica.withPrefix(Keys.TERMINATIONS).values().forEach(terminations::inherit);
+    for (Entry e : replica.withPrefix(Keys.PROVISIONING_INTENTS).values()) {
+      intents.inherit(e);
     }
-    inherited = !claims.isEmpty();
-    for (Entry e : replica.under(Keys.BOUNDS).values()) {
+    inherited = !intents.isEmpty();
+    for (Entry e : replica.withPrefix(Keys.BOUNDS).values()) {
       writtenBounds.put(e.key(), e.value());
       backoffs.read(e, catalogue.typeIndex(e.key().substring(Keys.BOUNDS.length())));
     }
     duties.add(scheduler.every(Math.round(policy.scanS() * 1000), this::scan));
-    duties.add(scheduler.every(RETURNS_PERIOD_MS, returnSelection::look));
+    duties.add(scheduler.every(RETURNS_PERIOD_MS, scaleInPlanner::run));
     duties.add(scheduler.every(60_000, this::refreshTypes));
-    duties.add(scheduler.every(500, claims::pursue));
+    duties.add(scheduler.every(500, intents::retryUnanswered));
     duties.add(list.start());
     refreshTypes();
     return duties;
   }
 
   /** Was the whole list of machines read in this term? */
-  public boolean listRead() {
+  public boolean isMachineListRead() {
     return list.wasRead();
   }
 
   /** The next scan need not be waited for: nothing is up and work waits. */
   public void scanSoon() {
-    if (list.wasRead() && claims.isEmpty() && fleet.all().isEmpty()) {
+    if (list.wasRead() && intents.isEmpty() && fleet.all().isEmpty()) {
       scan();
     }
   }
 
   /** What has become of returns in this term, for people. */
-  public String returnSummary() {
-    return returns.summary();
+  public String scaleInStatus() {
+    return terminations.summary();
   }
 
   // ---- the scan
 
   private boolean rebuilt() {
-    if (!list.wasRead() || claims.areOpen()) {
+    if (!list.wasRead() || intents.haveUnanswered()) {
       return false;
     }
     // Machines report in their own time: before most did, room that exists would be rented again.
@@ -254,10 +255,10 @@
   }
 
   private void scan() {
-    if (!host.mayDecide() || !rebuilt()) {
+    if (!workload.isAuthoritative() || !rebuilt()) {
       return;
     }
-    boots.look(fleet.all(), scheduler.nowMs());
+    boots.observe(fleet.all(), scheduler.nowMs());
     List<ScaleOutPlanner.Candidate> offers = new ArrayList<>();
     Map<MachineGroup, Integer> forMinimum = new LinkedHashMap<>();
     for (int t = 0; t < catalogue.types().size(); t++) {
@@ -288,16 +289,16 @@
             coming.add(new ScaleOutPlanner.PendingMachine(g.type(), g.zone(), g.spot()));
           }
         });
-    for (ScaleOutPlanner.Request w : host.wanted(offers, coming)) {
+    for (ScaleOutPlanner.Request w : workload.scaleOutRequests(offers, coming)) {
       toRent.merge(new MachineGroup(w.type(), w.zone(), w.spot()), w.count(), Integer::sum);
     }
     toRent.forEach(
         (g, n) -> {
           int left = Math.min(n, quota.most(g));
-          for (; left > 0; left -= ProvisioningIntents.MAX_PER_RENTAL) {
-            claims.rent(
+          for (; left > 0; left -= ProvisioningIntents.MAX_MACHINES_PER_REQUEST) {
+            intents.provision(
                 g,
-                Math.min(ProvisioningIntents.MAX_PER_RENTAL, left),
+                Math.min(ProvisioningIntents.MAX_MACHINES_PER_REQUEST, left),
                 "work waits or a minimum is open");
           }
         });
@@ -307,16 +308,21 @@
     if (room > 0 && !backoffs.backedOff(g)) {
       offers.add(
           new ScaleOutPlanner.Candidate(
-              g.type(), g.zone(), g.spot(), Math.min(room, quota.most(g)), held, boots.areBad(g)));
+              g.type(),
+              g.zone(),
+              g.spot(),
+              Math.min(room, quota.most(g)),
+              held,
+              boots.isBootingBadly(g)));
     }
   }
 
   /** Machines that boot as expected, and rentals in flight. */
   private List<ScaleOutPlanner.PendingMachine> coming() {
-    List<ScaleOutPlanner.PendingMachine> coming = claims.coming();
+    List<ScaleOutPlanner.PendingMachine> coming = intents.pendingMachines();
     long now = scheduler.nowMs();
     for (Machine m : fleet.all()) {
-      if (!m.up() && !m.leaving() && !boots.isOverdue(m, now)) {
+      if (!m.isUp() && !m.isDecommissioning() && !boots.isOverdue(m, now)) {
         coming.add(new ScaleOutPlanner.PendingMachine(m.type(), m.zone(), m.spot()));
       }
     }
@@ -338,9 +344,9 @@
       return;
     }
     String key = Keys.bounds(catalogue.type(type).name());
-    if (!v.equals(writtenBounds.get(key)) && writes.spare()) {
+    if (!v.equals(writtenBounds.get(key)) && writes.hasSpareBudget()) {
       writtenBounds.put(key, v);
-      writes.tell(
+      writes.writeBestEffort(
           new Change.Put(key, v),
           ok -> {
             if (!ok) {
@@ -364,13 +370,13 @@
       return;
     }
     typesBusy = true;
-    cloud.types(
+    cloud.listMachineTypes(
         answer -> {
           typesBusy = false;
           answer.ifPresent(
               types -> {
                 catalogue.update(types);
-                if (!typesRecorded && writes.spare() && host.mayDecide()) {
+                if (!typesRecorded && writes.hasSpareBudget() && workload.isAuthoritative()) {
                   typesRecorded = true;
                   record(
                       MachineTypesRecord.puts(
@@ -382,7 +388,7 @@
 
   private void record(List<Change.Put> rest) {
     if (!rest.isEmpty()) {
-      writes.tell(
+      writes.writeBestEffort(
           rest.get(0),
           ok -> {
             typesRecorded = ok;
--- a/src/main/java/org/ploverspindle/cloud/BootTracker.java
+++ b/src/main/java/org/ploverspindle/cloud/BootTracker.java
@@ -65,18 +65,18 @@
   }
 
   /** Looks at the machines anew: which have come up since the last look, and which are overdue. */
-  void look(Collection<Machine> machines, long nowMs) {
+  void observe(Collection<Machine> machines, long nowMs) {
     for (Record r : records.values()) {
       r.overdue = 0;
       r.forgetBefore(nowMs - REMEMBERED_MS);
     }
     for (Machine m : machines) {
-      if (!m.up()) {
-        if (!m.leaving() && isOverdue(m, nowMs)) {
+      if (!m.isUp()) {
+        if (!m.isDecommissioning() && isOverdue(m, nowMs)) {
           of(m).overdue++;
         }
-      } else if (m.takeCameUp() && m.rentedSinceMs() >= 0) {
-        double ratio = (m.upSinceMs() - m.rentedSinceMs()) / 1000.0 / bootS(m);
+      } else if (m.takeJustCameUp() && m.provisionedSinceMs() >= 0) {
+        double ratio = (m.upSinceMs() - m.provisionedSinceMs()) / 1000.0 / bootS(m);
         of(m).add(new Came(nowMs, ratio));
       }
     }
@@ -116,7 +116,7 @@
    * Machines of the group are overdue, and more of them than have come up lately: whoever is
    * pressed for time had better get another one.
    */
-  boolean areBad(Autoscaler.MachineGroup g) {
+  boolean isBootingBadly(Autoscaler.MachineGroup g) {
     Record r = records.get(g);
     return r != null && r.overdue >= SOME && r.overdue > r.came.size();
   }
--- a/src/main/java/org/ploverspindle/cloud/CloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/CloudClient.java
@@ -51,14 +51,14 @@
   }
 
   /** Asks for the machine types on offer. */
-  void types(Consumer<Optional<List<MachineType>>> then);
+  void listMachineTypes(Consumer<Optional<List<MachineType>>> then);
 
   /**
    * Rents up to {@code count} machines. A repeat under the same claim rents nothing more and
    * returns the same machines.
    */
-  void rent(
-      String claim,
+  void provision(
+      String intentName,
       String type,
       String zone,
       boolean spot,
@@ -66,5 +66,5 @@
       Consumer<ProvisionResult> then);
 
   /** Asks for the page of the list that follows the machine {@code after}; empty for the first. */
-  void hosts(String after, Consumer<Optional<HostPage>> then);
+  void listMachines(String after, Consumer<Optional<HostPage>> then);
 }
--- a/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
+++ b/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
@@ -23,13 +23,13 @@
   }
 
   /** When many machines do not hear, it is our own line that is broken. */
-  boolean fewAreDeaf() {
+  boolean fewAreUnreachable() {
     count();
     return deaf * 2 <= fleet.all().size();
   }
 
   /** When most machines are silent, it is we who are cut off, not they who died. */
-  boolean mostReport() {
+  boolean mostSendHeartbeats() {
     count();
     return heard * 2 >= up;
   }
@@ -40,9 +40,9 @@
     }
     counted = true;
     for (Machine machine : fleet.all()) {
-      deaf += machine.deafSinceMs() >= 0 ? 1 : 0;
-      up += machine.up() ? 1 : 0;
-      heard += machine.up() && nowMs - machine.lastReportMs() < leaseMs ? 1 : 0;
+      deaf += machine.unreachableSinceMs() >= 0 ? 1 : 0;
+      up += machine.isUp() ? 1 : 0;
+      heard += machine.isUp() && nowMs - machine.lastHeartbeatMs() < leaseMs ? 1 : 0;
     }
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
@@ -46,8 +46,8 @@
   }
 
   @Override
-  public void types(Consumer<Optional<List<MachineType>>> then) {
-    caller.call(
+  public void listMachineTypes(Consumer<Optional<List<MachineType>>> then) {
+    caller.send(
         "GET",
         "/flavors",
         EMPTY,
@@ -85,7 +85,7 @@
   }
 
   @Override
-  public void rent(
+  public void provision(
       String claim,
       String type,
       String zone,
@@ -99,7 +99,7 @@
             .put("site", zone)
             .put("loaners", spot)
             .put("how_many", count);
-    caller.call("POST", "/rentals", Cbor.write(body), TIMEOUT_MS, r -> then.accept(rented(r)));
+    caller.send("POST", "/rentals", Cbor.write(body), TIMEOUT_MS, r -> then.accept(rented(r)));
   }
 
   private ProvisionResult rented(HttpResult reply) {
@@ -134,10 +134,10 @@
   }
 
   @Override
-  public void release(List<String> hosts, Consumer<Boolean> then) {
+  public void terminate(List<String> hosts, Consumer<Boolean> then) {
     ObjectNode body = Cbor.map();
     hosts.forEach(body.putArray("hosts")::add);
-    caller.call(
+    caller.send(
         "POST",
         "/rentals/release",
         Cbor.write(body),
@@ -146,12 +146,12 @@
   }
 
   @Override
-  public void hosts(String after, Consumer<Optional<HostPage>> then) {
+  public void listMachines(String after, Consumer<Optional<HostPage>> then) {
     String path =
         "/rentals?page="
             + PAGE
             + (after.isEmpty() ? "" : "&after=" + URLEncoder.encode(after, StandardCharsets.UTF_8));
-    caller.call(
+    caller.send(
         "GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(ok(r).flatMap(HttpCloudClient::readPage)));
   }
 
--- a/src/main/java/org/ploverspindle/cloud/IdleMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/IdleMachines.java
@@ -33,7 +33,7 @@
     private final long nowMs;
     // Made once for all machines: each looks at all jobs or all machines.
     private final Predicate<Machine> needed = host.needed();
-    private final Predicate<Machine> spare = host.spare();
+    private final Predicate<Machine> spare = host.surplus();
     private final Map<Integer, List<AdaptiveSizing.Group>> groups = new HashMap<>();
     private final Map<Autoscaler.MachineGroup, Integer> found = new HashMap<>();
 
@@ -59,13 +59,13 @@
     }
 
     private boolean isIdle(Machine machine) {
-      if (!machine.up() || !machine.empty() || machine.leaving()) {
+      if (!machine.isUp() || !machine.isEmpty() || machine.isDecommissioning()) {
         return false;
       }
-      if (machine.retiring()) {
+      if (machine.isScaleInCandidate()) {
         return nowMs - machine.emptySinceMs() >= RETIRING_IDLE_MS;
       }
-      double waitS = host.quiet() ? Math.min(policy.idleS(), QUIET_IDLE_S) : policy.idleS();
+      double waitS = host.isQuiet() ? Math.min(policy.idleS(), QUIET_IDLE_S) : policy.idleS();
       // Work may wait for a machine that has only just come up, or whose jobs are put off.
       return nowMs - machine.emptySinceMs() >= waitS * MS_PER_S
           && !needed.test(machine)
--- a/src/main/java/org/ploverspindle/cloud/MachineList.java
+++ b/src/main/java/org/ploverspindle/cloud/MachineList.java
@@ -142,7 +142,7 @@
   }
 
   private void ask(Reading list) {
-    cloud.hosts(
+    cloud.listMachines(
         list.after,
         answer -> answer.ifPresentOrElse(page -> received(list, page), () -> failed(list)));
   }
@@ -203,14 +203,14 @@
 
   private static void update(Machine machine, CloudClient.Host listed, long nowMs) {
     machine.listedAt(nowMs);
-    if (listed.status() == CloudClient.HostStatus.BOOTING && !machine.up()) {
+    if (listed.status() == CloudClient.HostStatus.BOOTING && !machine.isUp()) {
       // The list is older than now by its lag, so this is not before the rental.
-      machine.rentedAt(nowMs - Math.round(listed.ageS() * MS_PER_S));
+      machine.provisionedAt(nowMs - Math.round(listed.ageS() * MS_PER_S));
     }
-    machine.addressListed(listed.address());
-    if (listed.status() == CloudClient.HostStatus.FAILED && !machine.leaving()) {
+    machine.setListedAddress(listed.address());
+    if (listed.status() == CloudClient.HostStatus.FAILED && !machine.isDecommissioning()) {
       // It has stopped by itself; the answer to its release proves that all on it is gone.
-      machine.condemn();
+      machine.markUnusable();
     }
   }
 
@@ -227,15 +227,18 @@
         continue;
       }
       int missed = missedLists.merge(machine.host(), 1, Integer::sum);
-      if (!machine.leaving() && isGone(machine, nowMs, list.askedMs)) {
+      if (!machine.isDecommissioning() && isGone(machine, nowMs, list.askedMs)) {
         LOG.info("machine {} is silent and no longer listed: taken", machine.host());
-        machine.condemn();
+        machine.markUnusable();
       }
       boolean old = nowMs - machine.knownSinceMs() > lagS * DROP_MS_PER_LAG_S + DROP_MARGIN_MS;
-      if (missed >= MISSED_LISTS && old && machine.empty() && nowMs > fleet.leaseOverMs(machine)) {
+      if (missed >= MISSED_LISTS
+          && old
+          && machine.isEmpty()
+          && nowMs > fleet.leaseExpiryMs(machine)) {
         LOG.info("machine {} is neither listed nor heard of: dropped", machine.host());
         missedLists.remove(machine.host());
-        fleet.drop(machine);
+        fleet.forget(machine);
       }
     }
   }
@@ -250,10 +253,10 @@
     long oldestListMs =
         Math.round(settings.cloudLimits().listLagS() * OLDEST_MS_PER_LAG_S) + OLDEST_MARGIN_MS;
     // One that an earlier leader placed tasks on was rented before this term, if it was not listed.
-    long listedMs = machine.listed() ? machine.listedSinceMs() : term.startMs() + oldestListMs;
+    long listedMs = machine.isListed() ? machine.listedSinceMs() : term.startMs() + oldestListMs;
     boolean recorded =
-        machine.listed()
-            || machine.lastKnownTenure() > 0 && machine.knownSinceMs() <= term.startMs();
-    return recorded && askedMs - listedMs > oldestListMs && silence.isSilent(machine, nowMs);
+        machine.isListed()
+            || machine.lastKnownAgentEpoch() > 0 && machine.knownSinceMs() <= term.startMs();
+    return recorded && askedMs - listedMs > oldestListMs && silence.isExpired(machine, nowMs);
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/Pools.java
+++ b/src/main/java/org/ploverspindle/cloud/Pools.java
@@ -37,7 +37,7 @@
   List<AdaptiveSizing.Group> groups(int type) {
     int[] held = new int[catalogue.zoneCount()];
     for (Machine m : fleet.all()) {
-      if (m.type() == type && !m.leaving()) {
+      if (m.type() == type && !m.isDecommissioning()) {
         held[m.zone()]++;
       }
     }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
@@ -37,7 +37,7 @@
   }
 
   static String name(Entry entry) {
-    return entry.key().substring(Keys.CLAIMS.length());
+    return entry.key().substring(Keys.PROVISIONING_INTENTS.length());
   }
 
   /** Empty when the value can't be read, or its type or zone is not known. */
@@ -60,11 +60,11 @@
     value.put("zone", catalogue.zoneName(group.zone()));
     value.put("spot", group.spot());
     value.put("count", demanded.count());
-    writes.create(new Change.Put(Keys.claim(name), value), then);
+    writes.create(new Change.Put(Keys.provisioningIntent(name), value), then);
   }
 
   void remove(String name, Consumer<Boolean> then) {
-    writes.tell(new Change.Remove(Keys.claim(name)), then);
+    writes.writeBestEffort(new Change.Remove(Keys.provisioningIntent(name)), then);
   }
 
   String typeName(Autoscaler.MachineGroup group) {
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
@@ -23,7 +23,7 @@
  */
 final class ProvisioningIntents {
   private static final Logger LOG = LoggerFactory.getLogger(ProvisioningIntents.class);
-  static final int MAX_PER_RENTAL = 50;
+  static final int MAX_MACHINES_PER_REQUEST = 50;
   private static final long OPEN_MS = 30_000;
 
   private static final int REMOVE_RETRY_MS = 2_000;
@@ -58,7 +58,7 @@
   private final ScaleOutLimits quota;
   private final BooleanSupplier mayCall;
   private final RetryDelay retryDelay;
-  private final Map<String, Intent> claims = new LinkedHashMap<>();
+  private final Map<String, Intent> intents = new LinkedHashMap<>();
 
   /**
    * @param mayCall takes a call to the cloud from its budget, if the lead is sure; asked last
@@ -83,23 +83,23 @@
   }
 
   boolean isEmpty() {
-    return claims.isEmpty();
+    return intents.isEmpty();
   }
 
   /**
    * A claim that stands recorded has no answer yet: machines may be rented that nobody knows. After
    * a while of no answers it counts as held and on its way, and others are asked for beside it.
    */
-  boolean areOpen() {
+  boolean haveUnanswered() {
     long now = scheduler.nowMs();
-    return claims.values().stream()
+    return intents.values().stream()
         .anyMatch(c -> c.recorded && c.hosts.isEmpty() && now - c.sinceMs < OPEN_MS);
   }
 
   /** What is asked for and not known yet, machine by machine. */
-  List<ScaleOutPlanner.PendingMachine> coming() {
+  List<ScaleOutPlanner.PendingMachine> pendingMachines() {
     List<ScaleOutPlanner.PendingMachine> coming = new ArrayList<>();
-    for (Intent c : claims.values()) {
+    for (Intent c : intents.values()) {
       for (int i = 0; c.hosts.isEmpty() && i < c.count; i++) {
         coming.add(
             new ScaleOutPlanner.PendingMachine(c.group.type(), c.group.zone(), c.group.spot()));
@@ -111,7 +111,7 @@
   /** Machines of the type in the zone that are asked for and not known yet. */
   int inFlight(int type, int zone) {
     int n = 0;
-    for (Intent c : claims.values()) {
+    for (Intent c : intents.values()) {
       if (c.hosts.isEmpty() && c.group.type() == type && c.group.zone() == zone) {
         n += c.count;
       }
@@ -127,16 +127,16 @@
       return;
     }
     String name = ProvisioningIntentRecords.name(entry);
-    claims.put(name, new Intent(name, demanded.get(), true, scheduler.nowMs()));
+    intents.put(name, new Intent(name, demanded.get(), true, scheduler.nowMs()));
   }
 
   /** Records a claim, and asks for it once the record stands. */
-  void rent(Autoscaler.MachineGroup group, int count, String cause) {
+  void provision(Autoscaler.MachineGroup group, int count, String cause) {
     String name = records.newName();
     ProvisioningIntentRecords.Requested demanded =
         new ProvisioningIntentRecords.Requested(group, count);
     Intent claim = new Intent(name, demanded, false, scheduler.nowMs());
-    claims.put(name, claim);
+    intents.put(name, claim);
     LOG.info(
         "renting {} {} {} in {} as {}: {}",
         count,
@@ -150,23 +150,23 @@
         name,
         demanded,
         outcome -> {
-          if (outcome == LeaderWriter.CreateOutcome.STANDS) {
+          if (outcome == LeaderWriter.CreateOutcome.CREATED) {
             claim.recorded = true;
-            ask(claim);
+            request(claim);
           } else {
-            claims.remove(name);
+            intents.remove(name);
           }
         });
   }
 
-  private void ask(Intent claim) {
+  private void request(Intent claim) {
     if (claim.asked || !mayCall.getAsBoolean()) {
       return;
     }
     claim.asked = true;
     claim.askedMs = scheduler.nowMs();
     Autoscaler.MachineGroup group = claim.group;
-    cloud.rent(
+    cloud.provision(
         claim.name,
         records.typeName(group),
         records.zoneName(group),
@@ -182,11 +182,11 @@
       // Asked for again for ever, it would keep all other rentals waiting.
       LOG.error("the cloud does not take {} as it is: {} backs off", claim.name, claim.group);
       quota.notFilled(claim.group);
-      removeClaim(claim);
+      removeIntent(claim);
     } else if (result instanceof CloudClient.ProvisionResult.NoCapacity) {
       LOG.info("no capacity for {}", claim.name);
       quota.notFilled(claim.group);
-      removeClaim(claim);
+      removeIntent(claim);
     } else {
       // No answer, or a refusal: the same claim is asked for again, which rents once at most.
       scheduler.schedule(retryDelay.nextMs(), () -> claim.asked = false);
@@ -202,7 +202,7 @@
       quota.filled(g);
     }
     for (String id : hosts) {
-      if (!fleet.wasReleased(id)) {
+      if (!fleet.wasTerminated(id)) {
         fleet
             .adopt(id, records.typeName(g), records.zoneName(g), g.spot(), scheduler.nowMs())
             .filter(m -> claim.byUs)
@@ -212,26 +212,26 @@
   }
 
   private static void rentedByUs(Machine machine, Intent claim) {
-    machine.rentedAt(claim.askedMs);
+    machine.provisionedAt(claim.askedMs);
     machine.endQuarantine();
   }
 
   /** Asks for what has no answer yet, and drops the records of what is known by now. */
-  void pursue() {
-    for (Intent c : List.copyOf(claims.values())) {
+  void retryUnanswered() {
+    for (Intent c : List.copyOf(intents.values())) {
       if (c.recorded && c.hosts.isEmpty()) {
-        ask(c);
+        request(c);
       } else if (c.hosts.isPresent() && c.hosts.get().stream().allMatch(this::seen)) {
-        removeClaim(c);
+        removeIntent(c);
       }
     }
   }
 
   private boolean seen(String id) {
-    return fleet.get(id).map(m -> m.up() || m.listed()).orElse(true);
+    return fleet.get(id).map(m -> m.isUp() || m.isListed()).orElse(true);
   }
 
-  private void removeClaim(Intent claim) {
+  private void removeIntent(Intent claim) {
     if (claim.removing) {
       return;
     }
@@ -240,7 +240,7 @@
         claim.name,
         gone -> {
           if (gone) {
-            claims.remove(claim.name);
+            intents.remove(claim.name);
           } else {
             scheduler.schedule(REMOVE_RETRY_MS, () -> claim.removing = false);
             if (claim.hosts.isEmpty()) {
--- a/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
@@ -48,7 +48,7 @@
   }
 
   /** Begins the returns that are due, and carries on with those that were begun. */
-  void look() {
+  void run() {
     if (!mayDecide.getAsBoolean()) {
       return;
     }
@@ -62,13 +62,13 @@
         Math.max(TerminationClient.MAX_HOSTS_PER_RELEASE, fleet.all().size() / PART_PER_LOOK);
     boolean idleMayGo = mayReturnIdle(nowMs);
     Predicate<Machine> isIdle = idleMayGo ? idle.look(nowMs) : machine -> false;
-    FleetConnectivity hearing = useless.hearing(nowMs);
+    FleetConnectivity hearing = useless.connectivity(nowMs);
     List<Machine> selected = new ArrayList<>();
     for (Machine machine : fleet.all()) {
       if (selected.size() >= most) {
         break;
       }
-      if (machine.returning()) {
+      if (machine.isTerminating()) {
         continue;
       }
       if (useless.test(machine, nowMs, hearing)) {
--- a/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
@@ -36,7 +36,7 @@
     // Each is recorded before it is asked for, and the leader's other writes must not wait for it.
     double records = settings.writeLimits().writeRps() * policy.scanS() * RECORDS_SHARE;
     this.mostPerScan =
-        ProvisioningIntents.MAX_PER_RENTAL * Math.max(1, (int) Math.min(calls, records));
+        ProvisioningIntents.MAX_MACHINES_PER_REQUEST * Math.max(1, (int) Math.min(calls, records));
   }
 
   /**
@@ -44,7 +44,7 @@
    * at once were refused together, and their ten records held up a second's placements.
    */
   int most(Autoscaler.MachineGroup group) {
-    return edges.contains(group) ? ProvisioningIntents.MAX_PER_RENTAL : mostPerScan;
+    return edges.contains(group) ? ProvisioningIntents.MAX_MACHINES_PER_REQUEST : mostPerScan;
   }
 
   /** A rental of the group was refused, or filled in part: the group backs off. */
--- a/src/main/java/org/ploverspindle/cloud/UnusableMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/UnusableMachines.java
@@ -40,20 +40,20 @@
     this.leaseMs = leaseS * MS_PER_S;
   }
 
-  FleetConnectivity hearing(long nowMs) {
+  FleetConnectivity connectivity(long nowMs) {
     return new FleetConnectivity(fleet, leaseMs, nowMs);
   }
 
   boolean test(Machine machine, long nowMs, FleetConnectivity hearing) {
-    if (machine.leaving()) {
+    if (machine.isDecommissioning()) {
       return true;
     }
-    if (!machine.up()) {
+    if (!machine.isUp()) {
       return isStuck(machine, nowMs);
     }
-    return machine.empty()
-        && (machine.draining()
-            || machine.recalled()
+    return machine.isEmpty()
+        && (machine.isDraining()
+            || machine.hasSpotNotice()
             || isDeaf(machine, nowMs, hearing)
             || isLost(machine, nowMs, hearing));
   }
@@ -63,11 +63,11 @@
     if (!machine.placements().isEmpty()) {
       return false;
     }
-    if (machine.draining() || machine.recalled()) {
+    if (machine.isDraining() || machine.hasSpotNotice()) {
       return true;
     }
     // One that an earlier leader knew may be up and cut off: its lease must be over as well.
-    boolean silent = nowMs - termStartMs > fleet.leaseOverMs(machine) - machine.knownSinceMs();
+    boolean silent = nowMs - termStartMs > fleet.leaseExpiryMs(machine) - machine.knownSinceMs();
     if (!silent || !boots.isStuck(machine, nowMs)) {
       return false;
     }
@@ -81,13 +81,14 @@
 
   /** It reports and nothing we say reaches it: paid for and of no use. */
   private boolean isDeaf(Machine machine, long nowMs, FleetConnectivity hearing) {
-    return machine.deafSinceMs() >= 0
-        && nowMs - machine.deafSinceMs() >= leaseMs * DEAF_LEASES
-        && hearing.fewAreDeaf();
+    return machine.unreachableSinceMs() >= 0
+        && nowMs - machine.unreachableSinceMs() >= leaseMs * DEAF_LEASES
+        && hearing.fewAreUnreachable();
   }
 
   /** Its lease ran out a while ago, and it did not report again. */
   private boolean isLost(Machine machine, long nowMs, FleetConnectivity hearing) {
-    return nowMs > fleet.leaseOverMs(machine) + SILENCE_BEYOND_LEASE_MS && hearing.mostReport();
+    return nowMs > fleet.leaseExpiryMs(machine) + SILENCE_BEYOND_LEASE_MS
+        && hearing.mostSendHeartbeats();
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/package-info.java
+++ b/src/main/java/org/ploverspindle/cloud/package-info.java
@@ -7,8 +7,8 @@
  * backoff marks, the wire names of the cloud's interface ({@link
  * org.ploverspindle.cloud.HttpCloudClient HttpCloudClient}).
  *
- * <p>May depend on: {@code sizing}, {@code placement} for demand, {@code workers}, {@code jobs},
- * {@code state}, {@code net}, {@code loop}, {@code policy}, {@code settings}, and {@code
+ * <p>May depend on: {@code sizing}, {@code placement} for demand, {@code cluster}, {@code cluster},
+ * {@code state}, {@code net}, {@code eventloop}, {@code policy}, {@code settings}, and {@code
  * leadership.Term}.
  */
 package org.ploverspindle.cloud;
--- a/src/main/java/org/ploverspindle/cluster/CommandBatch.java
+++ b/src/main/java/org/ploverspindle/cluster/CommandBatch.java
@@ -11,7 +11,7 @@
   /** Before the first order: the token and the frame around the list. */
   private static final int FRAME_BYTES = 40;
 
-  private final List<WorkerCommand> orders = new ArrayList<>();
+  private final List<WorkerCommand> commands = new ArrayList<>();
   private int bytes = FRAME_BYTES;
 
   /** Adds the order if it fits; false if it does not. */
@@ -21,11 +21,11 @@
       return false;
     }
     bytes += size;
-    orders.add(order);
+    commands.add(order);
     return true;
   }
 
-  List<WorkerCommand> orders() {
-    return orders;
+  List<WorkerCommand> commands() {
+    return commands;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/DirectCommands.java
+++ b/src/main/java/org/ploverspindle/cluster/DirectCommands.java
@@ -7,12 +7,17 @@
 /** Says which orders may go straight to a machine, before its next report. */
 public final class DirectCommands {
   /** Orders for one machine, and what they are sent with. */
-  public record Request(String address, long token, long tenure, List<WorkerCommand> orders) {
+  public record Request(
+      String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
     static Optional<Request> of(Machine machine, CommandBatch batch) {
-      return batch.orders().isEmpty()
+      return batch.commands().isEmpty()
           ? Optional.empty()
           : Optional.of(
-              new Request(machine.address(), machine.fence(), machine.tenure(), batch.orders()));
+              new Request(
+                  machine.address(),
+                  machine.fencingToken(),
+                  machine.agentEpoch(),
+                  batch.commands()));
     }
   }
 
@@ -34,7 +39,7 @@
    */
   public Optional<Request> launches(Machine machine, long nowMs) {
     // Without tokens to spare a late copy of the launch could not be made void.
-    if (!mayBeTold(machine) || !fleet.fencesLeft()) {
+    if (!mayBeTold(machine) || !fleet.hasFencingTokensLeft()) {
       return Optional.empty();
     }
     CommandBatch batch = new CommandBatch();
@@ -43,8 +48,8 @@
           && batch.add(
               new WorkerCommand.Launch(
                   placement.job().uid(), placement.task(), placement.attempt()))) {
-        placement.sentDirectly(machine.fence(), nowMs);
-        machine.sentDirectly(placement.attempt());
+        placement.markSentDirectly(machine.fencingToken(), nowMs);
+        machine.recordDirectLaunch(placement.attempt());
       }
     }
     return Request.of(machine, batch);
@@ -52,10 +57,10 @@
 
   private static boolean maySend(Machine machine, Placement placement) {
     return placement.phase() == Placement.Phase.READY
-        && placement.tenure() == machine.tenure()
-        && !placement.job().over()
+        && placement.agentEpoch() == machine.agentEpoch()
+        && !placement.job().isTerminal()
         && !placement.stopping()
-        && !machine.returning();
+        && !machine.isTerminating();
   }
 
   /**
@@ -72,7 +77,7 @@
     for (Placement placement : machine.placements()) {
       if (placement.job().cancelled()
           && !placement.neverSent()
-          && placement.tenure() == machine.tenure()) {
+          && placement.agentEpoch() == machine.agentEpoch()) {
         batch.add(
             new WorkerCommand.Stop(
                 placement.job().uid(), placement.task(), placement.attempt(), 0));
@@ -82,6 +87,6 @@
   }
 
   private boolean mayBeTold(Machine machine) {
-    return machine.hears() && !machine.address().isEmpty() && mayDecide.getAsBoolean();
+    return machine.receivesCommands() && !machine.address().isEmpty() && mayDecide.getAsBoolean();
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/FailureDetector.java
+++ b/src/main/java/org/ploverspindle/cluster/FailureDetector.java
@@ -47,12 +47,12 @@
     }
     if (accusers > 0) {
       machine.failures().suspect();
-      machine.failures().shun(nowMs + SHUN_MS * Math.min(MOST_COUNTED, failures));
-    } else if (!job.looksBroken(nowMs)) {
+      machine.failures().cordon(nowMs + SHUN_MS * Math.min(MOST_COUNTED, failures));
+    } else if (!job.isFailingEverywhere(nowMs)) {
       // Until somebody shows whose fault it is: a broken machine is empty, and would draw all work.
       machine
           .failures()
-          .shun(nowMs + DOUBT_MS * Math.min(MOST_DOUBTS, machine.failures().byJob().size()));
+          .cordon(nowMs + DOUBT_MS * Math.min(MOST_DOUBTS, machine.failures().byJob().size()));
     }
     return accusers >= JOBS || accusers > 0 && failures >= FAILURES;
   }
--- a/src/main/java/org/ploverspindle/cluster/Heartbeat.java
+++ b/src/main/java/org/ploverspindle/cluster/Heartbeat.java
@@ -10,17 +10,17 @@
     String type,
     String zone,
     boolean spot,
-    long tenure,
-    long tally,
-    long warrant,
-    OptionalDouble recallS,
-    List<TaskStatus> items) {
+    long agentEpoch,
+    long sequence,
+    long fencingToken,
+    OptionalDouble spotNoticeS,
+    List<TaskStatus> tasks) {
 
   /** The state of an attempt on the machine. */
   public enum Phase {
     FETCHING,
     RUNNING,
-    SAVING,
+    CHECKPOINTING,
     EXITED
   }
 
@@ -37,10 +37,15 @@
 
   /** An attempt of a task on the machine. */
   public record TaskStatus(
-      String uid, int task, long attempt, Phase phase, ExitReason cause, boolean saved) {}
+      String uid,
+      int task,
+      long attempt,
+      Phase phase,
+      ExitReason exitReason,
+      boolean checkpointed) {}
 
   /** Larger is newer, over all sessions. */
-  public boolean newerThan(long otherTenure, long otherTally) {
-    return tenure != otherTenure ? tenure > otherTenure : tally > otherTally;
+  public boolean isNewerThan(long otherAgentEpoch, long otherSequence) {
+    return agentEpoch != otherAgentEpoch ? agentEpoch > otherAgentEpoch : sequence > otherSequence;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
@@ -86,7 +86,7 @@
     Heartbeat.Phase phase;
     switch (p.path("status").asText("")) {
       case "running" -> phase = Heartbeat.Phase.RUNNING;
-      case "saving" -> phase = Heartbeat.Phase.SAVING;
+      case "saving" -> phase = Heartbeat.Phase.CHECKPOINTING;
       case "exited" -> phase = Heartbeat.Phase.EXITED;
       case "" -> {
         return Optional.empty();
@@ -116,12 +116,12 @@
   }
 
   /** The answer to a report: as many orders, in their order, as the limit on bodies allows. */
-  public static byte[] encodeAnswer(long token, List<WorkerCommand> orders) {
+  public static byte[] encodeResponse(long token, List<WorkerCommand> orders) {
     return Cbor.write(encode(Cbor.map().put("warrant", token), orders));
   }
 
   /** Commands that go straight to a worker. */
-  public static byte[] encodeDirect(long token, long tenure, List<WorkerCommand> orders) {
+  public static byte[] encodeDirectCommand(long token, long tenure, List<WorkerCommand> orders) {
     return Cbor.write(encode(Cbor.map().put("warrant", token).put("tenure", tenure), orders));
   }
 
@@ -137,7 +137,7 @@
       o.put("piece", order.uid() + "/" + order.task());
       o.put("try", order.attempt());
       if (order instanceof WorkerCommand.Stop stop) {
-        o.put("wind_down_s", stop.windDownS());
+        o.put("wind_down_s", stop.gracePeriodS());
       }
     }
     return body;
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
@@ -6,14 +6,14 @@
 final class HeartbeatContext {
   private final MachineRegistry fleet;
   private final Machine machine;
-  private final Heartbeat report;
-  private final boolean ours;
+  private final Heartbeat heartbeat;
+  private final boolean underOwnToken;
   private final boolean direct;
   private final long nowMs;
   private final CommandBatch batch = new CommandBatch();
 
   /**
-   * @param ours whether the worker had taken a token of this term when it reported
+   * @param underOwnToken whether the worker had taken a token of this term when it reported
    * @param direct whether the report answers a direct command: it can't be answered itself
    */
   HeartbeatContext(
@@ -25,8 +25,8 @@
       long nowMs) {
     this.fleet = fleet;
     this.machine = machine;
-    this.report = report;
-    this.ours = ours;
+    this.heartbeat = report;
+    this.underOwnToken = ours;
     this.direct = direct;
     this.nowMs = nowMs;
   }
@@ -35,12 +35,12 @@
     return machine;
   }
 
-  Heartbeat report() {
-    return report;
+  Heartbeat heartbeat() {
+    return heartbeat;
   }
 
-  boolean ours() {
-    return ours;
+  boolean underOwnToken() {
+    return underOwnToken;
   }
 
   boolean direct() {
@@ -52,19 +52,19 @@
   }
 
   /** The answer's orders so far. */
-  List<WorkerCommand> orders() {
-    return batch.orders();
+  List<WorkerCommand> commands() {
+    return batch.commands();
   }
 
   /** Adds an order to the answer; false if it does not fit and must wait for a later one. */
-  boolean order(WorkerCommand order) {
+  boolean addCommand(WorkerCommand order) {
     if (!batch.add(order)) {
       return false;
     }
-    if (order instanceof WorkerCommand.Forget && machine.directOpen(order.attempt())) {
+    if (order instanceof WorkerCommand.Forget && machine.isDirectLaunchPending(order.attempt())) {
       // Once forgotten, a late copy of the launch would start it again: the same answer raises
       // the token, under which that copy is void.
-      machine.raise(fleet.nextFence());
+      machine.raiseFencingToken(fleet.nextFencingToken());
     }
     return true;
   }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
@@ -28,17 +28,17 @@
     void ended(Placement placement, Heartbeat.ExitReason cause, boolean saved, long nowMs);
 
     /** A task that nobody had placed there has completed: its result counts all the same. */
-    void completedUnplaced(Job job, int task);
+    void completedUnrecorded(Job job, int task);
 
     /** Its place is as recorded, but what is shown of it has changed. */
-    void moved(Placement placement);
+    void changed(Placement placement);
   }
 
   /** What is known of a job that is not in the table: whose it is and what a task takes. */
-  public record Owner(int team, Resources takes) {}
+  public record Owner(int team, Resources resources) {}
 
   /** What goes out in answer to a report. */
-  public record Response(long token, List<WorkerCommand> orders) {}
+  public record Response(long fencingToken, List<WorkerCommand> commands) {}
 
   private final MachineRegistry fleet;
   private final Term term;
@@ -68,29 +68,30 @@
   }
 
   /** An answer with no orders, which renews the lease. */
-  public Response none(String host) {
-    return new Response(fleet.get(host).map(Machine::fence).orElse(term.token()), List.of());
+  public Response emptyResponse(String host) {
+    return new Response(
+        fleet.get(host).map(Machine::fencingToken).orElse(term.fencingToken()), List.of());
   }
 
-  private Response reply(Heartbeat report, List<WorkerCommand> orders) {
-    return new Response(none(report.host()).token(), orders);
+  private Response response(Heartbeat report, List<WorkerCommand> orders) {
+    return new Response(emptyResponse(report.host()).fencingToken(), orders);
   }
 
   /** Orders for the worker, or none at all when the report tells nothing that can be relied on. */
-  public Response take(Heartbeat report, long nowMs) {
-    return reply(report, read(report, nowMs, false));
+  public Response handle(Heartbeat report, long nowMs) {
+    return response(report, read(report, nowMs, false));
   }
 
   /**
    * What a machine answered to launches that went straight to it. It shows what is there, and can't
    * be answered: what it calls for is ordered with the next report.
    */
-  public void takeDirect(Heartbeat report, long nowMs) {
+  public void handleDirectResponse(Heartbeat report, long nowMs) {
     read(report, nowMs, true);
   }
 
   private List<WorkerCommand> read(Heartbeat report, long nowMs, boolean direct) {
-    if (fleet.wasReleased(report.host()) || fleet.isOld(report)) {
+    if (fleet.wasTerminated(report.host()) || fleet.isStale(report)) {
       return List.of();
     }
     Optional<Machine> found =
@@ -102,7 +103,7 @@
     Machine machine = found.get();
     // A report that was held up on the way is older than what we know: its list of tasks would
     // call running ones gone. It is answered, as silence could cost the lease, and not believed.
-    if (machine.up() && !report.newerThan(machine.tenure(), machine.tally())) {
+    if (machine.isUp() && !report.isNewerThan(machine.agentEpoch(), machine.lastSequence())) {
       return List.of();
     }
     heard(machine, report, nowMs);
@@ -110,31 +111,32 @@
   }
 
   private HeartbeatContext reading(Machine machine, Heartbeat report, boolean direct, long nowMs) {
-    return new HeartbeatContext(fleet, machine, report, term.owns(report.warrant()), direct, nowMs);
+    return new HeartbeatContext(
+        fleet, machine, report, term.owns(report.fencingToken()), direct, nowMs);
   }
 
   private List<WorkerCommand> answer(HeartbeatContext reading) {
     Machine machine = reading.machine();
     fleet.clearOrphans(machine);
     Set<Long> shown = new HashSet<>();
-    for (Heartbeat.TaskStatus item : reading.report().items()) {
+    for (Heartbeat.TaskStatus item : reading.heartbeat().tasks()) {
       Placement placement = machine.placement(item.attempt());
       if (placement != null && isOf(placement, item)) {
         shown.add(item.attempt());
-        shownTasks.placed(reading, placement, item);
+        shownTasks.handlePlaced(reading, placement, item);
       } else {
-        shownTasks.unplaced(reading, item);
+        shownTasks.handleUnplaced(reading, item);
       }
     }
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!shown.contains(placement.attempt())) {
-        absentTasks.absent(reading, placement);
+        absentTasks.handle(reading, placement);
       }
     }
-    if (reading.ours() && !reading.direct() && mayLaunch.getAsBoolean()) {
+    if (reading.underOwnToken() && !reading.direct() && mayLaunch.getAsBoolean()) {
       launch(reading);
     }
-    return reading.orders();
+    return reading.commands();
   }
 
   private static boolean isOf(Placement placement, Heartbeat.TaskStatus item) {
@@ -142,12 +144,12 @@
   }
 
   private void heard(Machine machine, Heartbeat report, long nowMs) {
-    boolean newSession = report.tenure() > machine.tenure();
-    if (newSession && machine.up()) {
+    boolean newSession = report.agentEpoch() > machine.agentEpoch();
+    if (newSession && machine.isUp()) {
       // Its lease ran out although it reports: our answers may not reach it.
-      machine.suspectDeaf(fleet.nextFence(), nowMs);
+      machine.markUnreachable(fleet.nextFencingToken(), nowMs);
     }
-    machine.heard(report, nowMs, term.owns(report.warrant()));
+    machine.recordHeartbeat(report, nowMs, term.owns(report.fencingToken()));
     if (newSession) {
       endOlderSessions(machine, nowMs);
     }
@@ -157,80 +159,80 @@
    * What can be ordered by now in answer to a report that was taken before: what has become durable
    * since. Nothing when a newer report came, as its answer is the one that counts.
    */
-  public Response later(Heartbeat report, long nowMs) {
+  public Response handleDelayed(Heartbeat report, long nowMs) {
     Optional<Machine> found = fleet.get(report.host());
     if (found.isEmpty()
-        || found.get().tenure() != report.tenure()
-        || found.get().tally() != report.tally()) {
-      return none(report.host());
+        || found.get().agentEpoch() != report.agentEpoch()
+        || found.get().lastSequence() != report.sequence()) {
+      return emptyResponse(report.host());
     }
-    return reply(report, answerLater(reading(found.get(), report, false, nowMs)));
+    return response(report, answerLater(reading(found.get(), report, false, nowMs)));
   }
 
   private List<WorkerCommand> answerLater(HeartbeatContext reading) {
     Machine machine = reading.machine();
-    for (Heartbeat.TaskStatus item : reading.report().items()) {
+    for (Heartbeat.TaskStatus item : reading.heartbeat().tasks()) {
       if (item.phase() == Heartbeat.Phase.EXITED && machine.placement(item.attempt()) == null) {
-        shownTasks.unplaced(reading, item);
+        shownTasks.handleUnplaced(reading, item);
       }
     }
     for (Placement placement : List.copyOf(machine.placements())) {
-      if (placement.stopping() || placement.job().over()) {
+      if (placement.stopping() || placement.job().isTerminal()) {
         stopLater(reading, placement);
       }
     }
-    if (reading.ours() && mayLaunch.getAsBoolean()) {
+    if (reading.underOwnToken() && mayLaunch.getAsBoolean()) {
       launch(reading);
     }
-    return reading.orders();
+    return reading.commands();
   }
 
   /** The stop was decided after the report was taken. */
   private static void stopLater(HeartbeatContext reading, Placement placement) {
     boolean shownThere =
-        reading.report().items().stream()
+        reading.heartbeat().tasks().stream()
             .anyMatch(
                 item ->
                     item.attempt() == placement.attempt()
                         && item.phase() != Heartbeat.Phase.EXITED);
-    if (shownThere && placement.phase() != Placement.Phase.SAVING) {
-      reading.order(
+    if (shownThere && placement.phase() != Placement.Phase.CHECKPOINTING) {
+      reading.addCommand(
           new WorkerCommand.Stop(
               placement.job().uid(),
               placement.task(),
               placement.attempt(),
-              placement.job().over() ? 0 : placement.windDownS()));
+              placement.job().isTerminal() ? 0 : placement.gracePeriodS()));
     }
   }
 
   /** Launches what is recorded, was in no answer yet, and is still to run in this session. */
   private void launch(HeartbeatContext reading) {
-    Heartbeat report = reading.report();
+    Heartbeat report = reading.heartbeat();
     for (Placement placement : List.copyOf(reading.machine().placements())) {
       boolean unwanted =
-          placement.job().over() || placement.stopping() || reading.machine().returning();
+          placement.job().isTerminal() || placement.stopping() || reading.machine().isTerminating();
       if (placement.phase() != Placement.Phase.READY || unwanted && placement.directToken() >= 0) {
         continue;
       }
-      if (unwanted || placement.tenure() != report.tenure()) {
+      if (unwanted || placement.agentEpoch() != report.agentEpoch()) {
         absentTasks.gone(placement, reading.nowMs());
         continue;
       }
-      if (!reading.order(
+      if (!reading.addCommand(
           new WorkerCommand.Launch(placement.job().uid(), placement.task(), placement.attempt()))) {
         return;
       }
-      placement.sent(report.tally(), reading.nowMs());
+      placement.markSent(report.sequence(), reading.nowMs());
     }
   }
 
   /** A new session began with nothing on the machine: what was placed in older ones is gone. */
   private void endOlderSessions(Machine machine, long nowMs) {
     for (Placement placement : List.copyOf(machine.placements())) {
-      if (placement.tenure() < machine.tenure()) {
+      if (placement.agentEpoch() < machine.agentEpoch()) {
         absentTasks.gone(placement, nowMs);
       }
     }
-    machine.forgetImages();
+    machine.clearImages();
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatTimeout.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatTimeout.java
@@ -28,9 +28,9 @@
   }
 
   /** Has it been silent for longer than a machine that reports can be? */
-  public boolean isSilent(Machine machine, long nowMs) {
+  public boolean isExpired(Machine machine, long nowMs) {
     long heardMs =
-        machine.up() ? machine.lastReportMs() : Math.max(machine.knownSinceMs(), termStartMs);
+        machine.isUp() ? machine.lastHeartbeatMs() : Math.max(machine.knownSinceMs(), termStartMs);
     return nowMs - Math.max(heardMs, listeningSinceMs.getAsLong()) > silentMs;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
@@ -23,7 +23,7 @@
   }
 
   @Override
-  public void order(
+  public void send(
       String address,
       long token,
       long tenure,
@@ -31,10 +31,10 @@
       Consumer<Optional<Heartbeat>> then) {
     callers
         .apply(address)
-        .call(
+        .send(
             "POST",
             "/do",
-            HeartbeatCodec.encodeDirect(token, tenure, orders),
+            HeartbeatCodec.encodeDirectCommand(token, tenure, orders),
             TIMEOUT_MS,
             r -> then.accept(report(r)));
   }
--- a/src/main/java/org/ploverspindle/cluster/Job.java
+++ b/src/main/java/org/ploverspindle/cluster/Job.java
@@ -15,8 +15,8 @@
 
 /** A job as the leader sees it during its term. */
 public final class Job {
-  private static final long FIRST_HOLD_MS = 1_000;
-  private static final long LONGEST_HOLD_MS = 60_000;
+  private static final long FIRST_RETRY_DELAY_MS = 1_000;
+  private static final long LONGEST_RETRY_DELAY_MS = 60_000;
 
   /** A task that runs for this much longer than others ran before they failed does not fail. */
   private static final long RUNS_MS = 2_000;
@@ -24,29 +24,29 @@
   private final JobSpec spec;
   private final Resources perTask;
   private final long acceptedWallMs;
-  private final int chunkSize;
+  private final int shardSize;
   private final int team;
   private final BitSet types;
   private final int zone;
-  private final BitSet done = new BitSet();
-  private final BitSet waiting = new BitSet();
-  private final Map<Integer, Placement> live = new HashMap<>();
-  private final int[] liveInZone;
+  private final BitSet completedTasks = new BitSet();
+  private final BitSet pendingTasks = new BitSet();
+  private final Map<Integer, Placement> activePlacements = new HashMap<>();
+  private final int[] placementsInZone;
   private final Map<Integer, Long> notBeforeMs = new HashMap<>();
   private final Set<String> failedOn = new HashSet<>();
-  private long heldUntilMs = Long.MIN_VALUE / 2;
+  private long retryNotBeforeMs = Long.MIN_VALUE / 2;
   private long longestFailedMs;
-  private int tries;
+  private int retries;
   private int failures;
   private int completions;
   private boolean cancelled;
   private boolean finished;
-  private boolean blocked;
-  private boolean awaiting;
-  private long sinceWallMs;
-  private Priority urgency;
-  private OptionalLong latestFinishWallMs = OptionalLong.empty();
-  private OptionalLong lastChanceWallMs = OptionalLong.empty();
+  private boolean quarantined;
+  private boolean blockedOnDependencies;
+  private long eligibleSinceWallMs;
+  private Priority priority;
+  private OptionalLong inheritedDeadlineWallMs = OptionalLong.empty();
+  private OptionalLong latestDeadlineWallMs = OptionalLong.empty();
 
   /**
    * @param types allowed machine types by index; those that a task fits
@@ -63,14 +63,14 @@
     this.spec = spec;
     this.perTask = spec.perTask();
     this.acceptedWallMs = acceptedWallMs;
-    this.chunkSize = chunkSize;
+    this.shardSize = chunkSize;
     this.team = team;
     this.types = types;
     this.zone = zone;
-    this.liveInZone = new int[zoneCount];
-    this.sinceWallMs = acceptedWallMs;
-    this.urgency = spec.urgency();
-    waiting.set(0, spec.tasks());
+    this.placementsInZone = new int[zoneCount];
+    this.eligibleSinceWallMs = acceptedWallMs;
+    this.priority = spec.priority();
+    pendingTasks.set(0, spec.tasks());
   }
 
   public JobSpec spec() {
@@ -89,16 +89,16 @@
     return team;
   }
 
-  public int chunkSize() {
-    return chunkSize;
+  public int shardSize() {
+    return shardSize;
   }
 
-  public int chunkOf(int task) {
-    return task / chunkSize;
+  public int shardOf(int task) {
+    return task / shardSize;
   }
 
-  public int chunks() {
-    return (spec.tasks() + chunkSize - 1) / chunkSize;
+  public int shardCount() {
+    return (spec.tasks() + shardSize - 1) / shardSize;
   }
 
   public long acceptedWallMs() {
@@ -109,56 +109,57 @@
    * When it could first run: its acceptance, or the end of the last job that it awaited. Waits,
    * patience and its turn under a guarantee count from here; due times count from the acceptance.
    */
-  public long sinceWallMs() {
-    return sinceWallMs;
+  public long eligibleSinceWallMs() {
+    return eligibleSinceWallMs;
   }
 
   /** How urgent it is: as its user says, or as any job that needs it. */
-  public Priority urgency() {
-    return urgency;
+  public Priority priority() {
+    return priority;
   }
 
   /**
-   * When it is due, in seconds from {@link #sinceWallMs}: by its own due time, or earlier if the
-   * jobs that need it are due. Negative if that was over before it could run.
+   * When it is due, in seconds from {@link #eligibleSinceWallMs}: by its own due time, or earlier
+   * if the jobs that need it are due. Negative if that was over before it could run.
    */
-  public OptionalDouble dueS() {
-    return latestFinishWallMs.isPresent()
-        ? OptionalDouble.of((latestFinishWallMs.getAsLong() - sinceWallMs) / 1000.0)
-        : ownDueS(1);
+  public OptionalDouble deadlineS() {
+    return inheritedDeadlineWallMs.isPresent()
+        ? OptionalDouble.of((inheritedDeadlineWallMs.getAsLong() - eligibleSinceWallMs) / 1000.0)
+        : ownDeadlineS(1);
   }
 
   /** The same for the last multiple of due times that counts for the jobs that need it. */
-  public OptionalDouble lastChanceS() {
-    return lastChanceWallMs.isPresent()
-        ? OptionalDouble.of((lastChanceWallMs.getAsLong() - sinceWallMs) / 1000.0)
+  public OptionalDouble latestDeadlineS() {
+    return latestDeadlineWallMs.isPresent()
+        ? OptionalDouble.of((latestDeadlineWallMs.getAsLong() - eligibleSinceWallMs) / 1000.0)
         : OptionalDouble.empty();
   }
 
   /** A multiple of its own due time, counted from its acceptance, in seconds from readiness. */
-  public OptionalDouble ownDueS(double times) {
-    return spec.dueS().isPresent()
+  public OptionalDouble ownDeadlineS(double times) {
+    return spec.deadlineS().isPresent()
         ? OptionalDouble.of(
-            spec.dueS().getAsDouble() * times - (sinceWallMs - acceptedWallMs) / 1000.0)
+            spec.deadlineS().getAsDouble() * times
+                - (eligibleSinceWallMs - acceptedWallMs) / 1000.0)
         : OptionalDouble.empty();
   }
 
   /** All that it awaited is done. */
-  public void readySince(long wallMs) {
-    awaiting = false;
-    sinceWallMs = wallMs;
+  public void markReady(long wallMs) {
+    blockedOnDependencies = false;
+    eligibleSinceWallMs = wallMs;
   }
 
   /**
    * Records say that tasks of it are out, though what it awaits is not done: they count until they
    * are gone, and none is started.
    */
-  public void await() {
-    awaiting = true;
+  public void blockOnDependencies() {
+    blockedOnDependencies = true;
   }
 
-  public boolean awaiting() {
-    return awaiting;
+  public boolean blockedOnDependencies() {
+    return blockedOnDependencies;
   }
 
   /**
@@ -167,18 +168,18 @@
    * @param latestFinish by when it must be done, so that all that need it can be done when due
    * @param lastChance the same for the last multiples of their due times that count
    */
-  public void passedBack(Priority mostUrgent, OptionalLong latestFinish, OptionalLong lastChance) {
-    urgency = mostUrgent.compareTo(spec.urgency()) < 0 ? mostUrgent : spec.urgency();
-    latestFinishWallMs = beforeOwn(latestFinish);
-    lastChanceWallMs = latestFinishWallMs.isPresent() ? lastChance : OptionalLong.empty();
+  public void inherit(Priority mostUrgent, OptionalLong latestFinish, OptionalLong lastChance) {
+    priority = mostUrgent.compareTo(spec.priority()) < 0 ? mostUrgent : spec.priority();
+    inheritedDeadlineWallMs = beforeOwn(latestFinish);
+    latestDeadlineWallMs = inheritedDeadlineWallMs.isPresent() ? lastChance : OptionalLong.empty();
   }
 
   private OptionalLong beforeOwn(OptionalLong wallMs) {
     boolean earlier =
         wallMs.isPresent()
-            && (spec.dueS().isEmpty()
+            && (spec.deadlineS().isEmpty()
                 || wallMs.getAsLong()
-                    < acceptedWallMs + Math.round(spec.dueS().getAsDouble() * 1000));
+                    < acceptedWallMs + Math.round(spec.deadlineS().getAsDouble() * 1000));
     return earlier ? wallMs : OptionalLong.empty();
   }
 
@@ -190,24 +191,24 @@
     return zone;
   }
 
-  public BitSet done() {
-    return done;
+  public BitSet completedTasks() {
+    return completedTasks;
   }
 
-  public BitSet waiting() {
-    return waiting;
+  public BitSet pendingTasks() {
+    return pendingTasks;
   }
 
-  public Collection<Placement> live() {
-    return live.values();
+  public Collection<Placement> activePlacements() {
+    return activePlacements.values();
   }
 
-  public Placement liveAt(int task) {
-    return live.get(task);
+  public Placement activePlacement(int task) {
+    return activePlacements.get(task);
   }
 
-  public int liveInZone(int z) {
-    return liveInZone[z];
+  public int placementsInZone(int z) {
+    return placementsInZone[z];
   }
 
   /** May one more task be in the zone, given where the others are? */
@@ -216,52 +217,54 @@
       return false;
     }
     if (spec.oneZone()) {
-      for (int other = 0; other < liveInZone.length; other++) {
-        if (other != z && liveInZone[other] > 0) {
+      for (int other = 0; other < placementsInZone.length; other++) {
+        if (other != z && placementsInZone[other] > 0) {
           return false;
         }
       }
     }
-    return !spec.apart() || liveInZone[z] < (spec.tasks() + 1) / 2;
+    return !spec.spreadOverZones() || placementsInZone[z] < (spec.tasks() + 1) / 2;
   }
 
   /** How many more tasks the zone may take at once. */
-  public int zoneRoom(int z) {
+  public int zoneCapacity(int z) {
     if (!zoneAllowed(z)) {
       return 0;
     }
-    return spec.apart() ? (spec.tasks() + 1) / 2 - liveInZone[z] : Integer.MAX_VALUE;
+    return spec.spreadOverZones()
+        ? (spec.tasks() + 1) / 2 - placementsInZone[z]
+        : Integer.MAX_VALUE;
   }
 
-  public void place(Placement p) {
-    waiting.clear(p.task());
-    live.put(p.task(), p);
-    liveInZone[p.machine().zone()]++;
+  public void addPlacement(Placement p) {
+    pendingTasks.clear(p.task());
+    activePlacements.put(p.task(), p);
+    placementsInZone[p.machine().zone()]++;
   }
 
   /**
    * The task is proven gone from its place; it waits again unless it is done or nobody wants it.
    */
-  public void unplace(Placement p) {
-    if (live.remove(p.task(), p)) {
-      liveInZone[p.machine().zone()]--;
-      if (!done.get(p.task()) && !cancelled) {
-        waiting.set(p.task());
+  public void removePlacement(Placement p) {
+    if (activePlacements.remove(p.task(), p)) {
+      placementsInZone[p.machine().zone()]--;
+      if (!completedTasks.get(p.task()) && !cancelled) {
+        pendingTasks.set(p.task());
       }
     }
   }
 
-  public void markDone(int task) {
-    if (!done.get(task)) {
-      done.set(task);
+  public void markCompleted(int task) {
+    if (!completedTasks.get(task)) {
+      completedTasks.set(task);
       completions++;
     }
-    waiting.clear(task);
+    pendingTasks.clear(task);
     notBeforeMs.remove(task);
   }
 
-  public boolean allDone() {
-    return done.cardinality() == spec.tasks();
+  public boolean allTasksCompleted() {
+    return completedTasks.cardinality() == spec.tasks();
   }
 
   public int completions() {
@@ -270,7 +273,7 @@
 
   public void cancel() {
     cancelled = true;
-    waiting.clear();
+    pendingTasks.clear();
   }
 
   public boolean cancelled() {
@@ -280,7 +283,7 @@
   /** The job's end is durable. */
   public void finish() {
     finished = true;
-    waiting.clear();
+    pendingTasks.clear();
   }
 
   public boolean finished() {
@@ -288,30 +291,30 @@
   }
 
   /** Part of its progress can't be read: starting any task could run one twice. */
-  public void block() {
-    blocked = true;
-    waiting.clear();
+  public void quarantine() {
+    quarantined = true;
+    pendingTasks.clear();
   }
 
-  public boolean blocked() {
-    return blocked;
+  public boolean quarantined() {
+    return quarantined;
   }
 
-  public boolean over() {
+  public boolean isTerminal() {
     return cancelled || finished;
   }
 
   /** Cancelled, and proven to be nowhere. */
-  public boolean isGone() {
-    return cancelled && !finished && live.isEmpty();
+  public boolean isFullyStopped() {
+    return cancelled && !finished && activePlacements.isEmpty();
   }
 
   /** Puts off the task after it ended without completing there. */
-  public void putOff(int task, long untilMs) {
+  public void backOff(int task, long untilMs) {
     notBeforeMs.put(task, untilMs);
   }
 
-  public boolean isPutOff(int task, long nowMs) {
+  public boolean isBackedOff(int task, long nowMs) {
     Long until = notBeforeMs.get(task);
     if (until == null) {
       return false;
@@ -333,9 +336,10 @@
     failedOn.add(host);
     longestFailedMs = Math.max(longestFailedMs, ranMs);
     // What began together and fails together is one try.
-    if (!works(nowMs) && !held(nowMs)) {
-      heldUntilMs = nowMs + Math.min(LONGEST_HOLD_MS, FIRST_HOLD_MS << Math.min(10, tries));
-      tries++;
+    if (!isKnownToRun(nowMs) && !isRetryDelayed(nowMs)) {
+      retryNotBeforeMs =
+          nowMs + Math.min(LONGEST_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS << Math.min(10, retries));
+      retries++;
     }
   }
 
@@ -347,12 +351,12 @@
    * Has it never failed, or shown that it can run: by a task that completed, or by one that runs on
    * for well longer than those that failed had?
    */
-  public boolean works(long nowMs) {
+  public boolean isKnownToRun(long nowMs) {
     if (failures == 0 || completions > 0) {
       return true;
     }
     long enoughMs = longestFailedMs * 3 / 2 + RUNS_MS;
-    for (Placement p : live.values()) {
+    for (Placement p : activePlacements.values()) {
       if (p.runningSinceMs() >= 0
           && nowMs - p.runningSinceMs() >= enoughMs
           && !failedOn.contains(p.machine().host())) {
@@ -363,26 +367,26 @@
   }
 
   /** Failed on several machines, and runs nowhere: the job is at fault, not the machines. */
-  public boolean looksBroken(long nowMs) {
-    return failedOn.size() >= 2 && !works(nowMs);
+  public boolean isFailingEverywhere(long nowMs) {
+    return failedOn.size() >= 2 && !isKnownToRun(nowMs);
   }
 
   public int failures() {
     return failures;
   }
 
-  private boolean held(long nowMs) {
-    return heldUntilMs > nowMs;
+  private boolean isRetryDelayed(long nowMs) {
+    return retryNotBeforeMs > nowMs;
   }
 
   /** How many of its waiting tasks may be put on machines now. */
-  public int openTasks(long nowMs) {
-    if (waiting.isEmpty() || awaiting) {
+  public int schedulableTasks(long nowMs) {
+    if (pendingTasks.isEmpty() || blockedOnDependencies) {
       return 0;
     }
-    if (works(nowMs) || spec.shape() == JobKind.GANG && !held(nowMs)) {
-      return waiting.cardinality();
+    if (isKnownToRun(nowMs) || spec.kind() == JobKind.GANG && !isRetryDelayed(nowMs)) {
+      return pendingTasks.cardinality();
     }
-    return held(nowMs) || !live.isEmpty() ? 0 : 1;
+    return isRetryDelayed(nowMs) || !activePlacements.isEmpty() ? 0 : 1;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/JobTable.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTable.java
@@ -55,10 +55,10 @@
   /** Adds the job of a record, if it is readable, not done, and not known yet. */
   public Optional<Job> add(AcceptedJobIndex.AcceptedJob accepted) {
     String uid = accepted.uid();
-    if (jobs.containsKey(uid) || replica.get(Keys.done(uid)).isPresent()) {
+    if (jobs.containsKey(uid) || replica.get(Keys.completion(uid)).isPresent()) {
       return Optional.empty();
     }
-    boolean cancelled = replica.get(Keys.cancel(uid)).isPresent();
+    boolean cancelled = replica.get(Keys.cancellation(uid)).isPresent();
     Optional<JobRecord> record = JobRecord.decode(uid, accepted.value());
     if (record.isEmpty()) {
       LOG.error("what {} says of {} can't be read and is left as it is", accepted.key(), uid);
@@ -74,7 +74,7 @@
         new Job(
             spec,
             record.get().acceptedWallMs(),
-            record.get().chunk(),
+            record.get().shardSize(),
             team.get(),
             fitting(spec),
             spec.zone().map(catalogue::zone).orElse(-1),
--- a/src/main/java/org/ploverspindle/cluster/Machine.java
+++ b/src/main/java/org/ploverspindle/cluster/Machine.java
@@ -12,7 +12,7 @@
 public final class Machine {
   /** An attempt that a report showed and that nobody has recorded there. */
   record OrphanedTask(
-      String uid, int task, long attempt, int team, Resources takes, boolean exited) {}
+      String uid, int task, long attempt, int team, Resources resources, boolean exited) {}
 
   private final String host;
   private final int type;
@@ -26,27 +26,27 @@
   private final MachineFailureHistory failures = new MachineFailureHistory();
   private Resources used = Resources.NONE;
   private String address = "";
-  private long tenure;
-  private long tally;
-  private long lastReportMs = -1;
+  private long agentEpoch;
+  private long lastSequence;
+  private long lastHeartbeatMs = -1;
   private long upSinceMs = -1;
-  private boolean cameUp;
-  private long rentedSinceMs = -1;
-  private boolean confirmed;
+  private boolean justCameUp;
+  private long provisionedSinceMs = -1;
+  private boolean hasAcceptedToken;
   private long emptySinceMs;
-  private long recalledAtMs = -1;
-  private double recallS;
-  private boolean draining;
-  private boolean condemned;
-  private boolean returning;
-  private boolean retiring;
+  private long spotNoticeAtMs = -1;
+  private double spotNoticeS;
+  private boolean isDraining;
+  private boolean unusable;
+  private boolean isTerminating;
+  private boolean isScaleInCandidate;
   private long quarantinedUntilMs = Long.MIN_VALUE / 2;
-  private boolean listed;
+  private boolean isListed;
   private long listedSinceMs;
-  private long fence;
-  private boolean hears;
-  private long deafSinceMs = -1;
-  private final Map<Long, Long> direct = new HashMap<>();
+  private long fencingToken;
+  private boolean receivesCommands;
+  private long unreachableSinceMs = -1;
+  private final Map<Long, Long> directLaunches = new HashMap<>();
 
   public Machine(
       String host, int type, int zone, boolean spot, Resources size, long nowMs, long fence) {
@@ -57,52 +57,52 @@
     this.size = size;
     this.knownSinceMs = nowMs;
     this.emptySinceMs = nowMs;
-    this.fence = fence;
+    this.fencingToken = fence;
   }
 
   /** The token that this machine's answers carry. */
-  public long fence() {
-    return fence;
+  public long fencingToken() {
+    return fencingToken;
   }
 
   /**
    * From now on its answers carry this token. Whatever was sent straight to it before is void once
    * it has shown the new one, and until then it is not known to hear us.
    */
-  void raise(long token) {
-    fence = token;
+  void raiseFencingToken(long token) {
+    fencingToken = token;
   }
 
   /** True when, in this session, it has shown a token of ours that was raised since. */
-  public boolean hears() {
-    return hears;
+  public boolean receivesCommands() {
+    return receivesCommands;
   }
 
   /** Nothing we say seems to arrive: it gets no work until it shows the token raised for this. */
-  void suspectDeaf(long token, long nowMs) {
-    if (hears || deafSinceMs < 0) {
-      raise(token);
+  void markUnreachable(long token, long nowMs) {
+    if (receivesCommands || unreachableSinceMs < 0) {
+      raiseFencingToken(token);
     }
-    hears = false;
-    if (deafSinceMs < 0) {
-      deafSinceMs = nowMs;
+    receivesCommands = false;
+    if (unreachableSinceMs < 0) {
+      unreachableSinceMs = nowMs;
     }
   }
 
   /** Since when it has reported and not heard, or -1. */
-  public long deafSinceMs() {
-    return deafSinceMs;
+  public long unreachableSinceMs() {
+    return unreachableSinceMs;
   }
 
   /** A launch went straight to it and is not to be forgotten under the same token. */
-  void sentDirectly(long attempt) {
-    direct.put(attempt, fence);
+  void recordDirectLaunch(long attempt) {
+    directLaunches.put(attempt, fencingToken);
   }
 
   /** Could a launch of this attempt that went straight there still be executed? */
-  boolean directOpen(long attempt) {
-    Long token = direct.get(attempt);
-    return token != null && token >= fence;
+  boolean isDirectLaunchPending(long attempt) {
+    Long token = directLaunches.get(attempt);
+    return token != null && token >= fencingToken;
   }
 
   public String host() {
@@ -138,58 +138,58 @@
   }
 
   /** What the list says, for a machine that has not reported in this term. */
-  public void addressListed(String listedAddress) {
+  public void setListedAddress(String listedAddress) {
     if (address.isEmpty()) {
       address = listedAddress;
     }
   }
 
   /** The session that it is known to have been in: its own word, or that of earlier leaders. */
-  public long lastKnownTenure() {
-    long known = tenure;
+  public long lastKnownAgentEpoch() {
+    long known = agentEpoch;
     for (Placement p : placements.values()) {
-      known = Math.max(known, p.tenure());
+      known = Math.max(known, p.agentEpoch());
     }
     return known;
   }
 
-  public long tenure() {
-    return tenure;
+  public long agentEpoch() {
+    return agentEpoch;
   }
 
-  public long tally() {
-    return tally;
+  public long lastSequence() {
+    return lastSequence;
   }
 
   /** False until the machine has reported in this term. */
-  public boolean up() {
-    return lastReportMs >= 0;
+  public boolean isUp() {
+    return lastHeartbeatMs >= 0;
   }
 
-  public long lastReportMs() {
-    return lastReportMs;
+  public long lastHeartbeatMs() {
+    return lastHeartbeatMs;
   }
 
   /** True once after its first report in this term. */
-  public boolean takeCameUp() {
-    boolean before = cameUp;
-    cameUp = false;
+  public boolean takeJustCameUp() {
+    boolean before = justCameUp;
+    justCameUp = false;
     return before;
   }
 
   /** It was rented no later than this, by our own rental or by its age in the list. */
-  public void rentedAt(long atMs) {
-    rentedSinceMs = rentedSinceMs < 0 ? atMs : Math.min(rentedSinceMs, atMs);
+  public void provisionedAt(long atMs) {
+    provisionedSinceMs = provisionedSinceMs < 0 ? atMs : Math.min(provisionedSinceMs, atMs);
   }
 
   /** When it was rented, or -1 if that is not known. */
-  public long rentedSinceMs() {
-    return rentedSinceMs;
+  public long provisionedSinceMs() {
+    return provisionedSinceMs;
   }
 
   /** Since when it has been on its way, as far as is known. */
   public long bootingSinceMs() {
-    return rentedSinceMs < 0 ? knownSinceMs : rentedSinceMs;
+    return provisionedSinceMs < 0 ? knownSinceMs : provisionedSinceMs;
   }
 
   /** When it reported first in this term, or -1. */
@@ -198,45 +198,45 @@
   }
 
   /** The worker has accepted this term's token: from now on it drops older leaders' answers. */
-  public boolean confirmed() {
-    return confirmed;
+  public boolean hasAcceptedToken() {
+    return hasAcceptedToken;
   }
 
-  void heard(Heartbeat report, long nowMs, boolean underOurToken) {
-    if (lastReportMs < 0) {
+  void recordHeartbeat(Heartbeat report, long nowMs, boolean underOurToken) {
+    if (lastHeartbeatMs < 0) {
       upSinceMs = nowMs;
-      cameUp = true;
+      justCameUp = true;
       // It has just come up: it was not idle while it booted.
       emptySinceMs = nowMs;
     }
-    tenure = report.tenure();
-    tally = report.tally();
-    lastReportMs = nowMs;
-    confirmed |= underOurToken;
-    if (underOurToken && report.warrant() >= fence) {
-      hears = true;
-      deafSinceMs = -1;
+    agentEpoch = report.agentEpoch();
+    lastSequence = report.sequence();
+    lastHeartbeatMs = nowMs;
+    hasAcceptedToken |= underOurToken;
+    if (underOurToken && report.fencingToken() >= fencingToken) {
+      receivesCommands = true;
+      unreachableSinceMs = -1;
     }
-    if (underOurToken && !direct.isEmpty()) {
-      direct.values().removeIf(token -> token < report.warrant());
+    if (underOurToken && !directLaunches.isEmpty()) {
+      directLaunches.values().removeIf(token -> token < report.fencingToken());
     }
     if (!report.address().isEmpty()) {
       address = report.address();
     }
-    if (report.recallS().isPresent()) {
-      if (recalledAtMs < 0) {
-        recalledAtMs = nowMs;
+    if (report.spotNoticeS().isPresent()) {
+      if (spotNoticeAtMs < 0) {
+        spotNoticeAtMs = nowMs;
       }
-      recallS = report.recallS().getAsDouble();
+      spotNoticeS = report.spotNoticeS().getAsDouble();
     }
   }
 
-  public boolean recalled() {
-    return recalledAtMs >= 0;
+  public boolean hasSpotNotice() {
+    return spotNoticeAtMs >= 0;
   }
 
-  public double recallS() {
-    return recallS;
+  public double spotNoticeS() {
+    return spotNoticeS;
   }
 
   public Collection<Placement> placements() {
@@ -272,7 +272,7 @@
   void clearOrphans() {
     for (OrphanedTask o : orphans) {
       if (!o.exited()) {
-        used = used.minus(o.takes());
+        used = used.minus(o.resources());
       }
     }
     orphans.clear();
@@ -281,7 +281,7 @@
   void addOrphan(OrphanedTask o) {
     orphans.add(o);
     if (!o.exited()) {
-      used = used.plus(o.takes());
+      used = used.plus(o.resources());
     }
   }
 
@@ -289,11 +289,11 @@
     return images.contains(image);
   }
 
-  void forgetImages() {
+  void clearImages() {
     images.clear();
   }
 
-  public boolean empty() {
+  public boolean isEmpty() {
     return placements.isEmpty() && orphans.stream().allMatch(OrphanedTask::exited);
   }
 
@@ -301,40 +301,40 @@
     return emptySinceMs;
   }
 
-  public boolean draining() {
-    return draining;
+  public boolean isDraining() {
+    return isDraining;
   }
 
   public void drain() {
-    draining = true;
+    isDraining = true;
   }
 
   /** It is dear and not needed: only what is pressed for time is put there. */
-  public boolean retiring() {
-    return retiring;
+  public boolean isScaleInCandidate() {
+    return isScaleInCandidate;
   }
 
-  public void retiring(boolean now) {
-    retiring = now;
+  public void isScaleInCandidate(boolean now) {
+    isScaleInCandidate = now;
   }
 
   /** True when it takes no more work and is not held any more: it goes back, sooner or later. */
-  public boolean leaving() {
-    return condemned || returning;
+  public boolean isDecommissioning() {
+    return unusable || isTerminating;
   }
 
   /** The cloud's list shows that it is of no use any more: it is to be returned. */
-  public void condemn() {
-    condemned = true;
+  public void markUnusable() {
+    unusable = true;
   }
 
   /** Its return has begun: there is no way back in this term, nor in any once it is recorded. */
-  public boolean returning() {
-    return returning;
+  public boolean isTerminating() {
+    return isTerminating;
   }
 
-  void beginReturn() {
-    returning = true;
+  void beginTermination() {
+    isTerminating = true;
   }
 
   /** It may be one that a record names which can't be read: it gets no work until then. */
@@ -347,13 +347,13 @@
     quarantinedUntilMs = Long.MIN_VALUE / 2;
   }
 
-  public boolean listed() {
-    return listed;
+  public boolean isListed() {
+    return isListed;
   }
 
   public void listedAt(long nowMs) {
-    listedSinceMs = listed ? listedSinceMs : nowMs;
-    listed = true;
+    listedSinceMs = isListed ? listedSinceMs : nowMs;
+    isListed = true;
   }
 
   /** When a list named it first in this term; only if one did. */
@@ -371,15 +371,15 @@
   }
 
   /** May new tasks be put here? */
-  public boolean usable(long nowMs, long silenceMs) {
-    return hears
-        && !draining
-        && !leaving()
-        && recalledAtMs < 0
-        && !failures.isShunned(nowMs)
+  public boolean isSchedulable(long nowMs, long heartbeatTimeoutMs) {
+    return receivesCommands
+        && !isDraining
+        && !isDecommissioning()
+        && spotNoticeAtMs < 0
+        && !failures.isCordoned(nowMs)
         && nowMs >= quarantinedUntilMs
         // After failures one task at a time is the trial: a whole job there would fail whole.
         && (!failures.isSuspect() || placements.isEmpty())
-        && nowMs - lastReportMs <= silenceMs;
+        && nowMs - lastHeartbeatMs <= heartbeatTimeoutMs;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/MachineFailureHistory.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineFailureHistory.java
@@ -33,11 +33,11 @@
   }
 
   /** No new tasks for a while. */
-  void shun(long untilMs) {
+  void cordon(long untilMs) {
     shunnedUntilMs = Math.max(shunnedUntilMs, untilMs);
   }
 
-  boolean isShunned(long nowMs) {
+  boolean isCordoned(long nowMs) {
     return nowMs < shunnedUntilMs;
   }
 
--- a/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
@@ -23,22 +23,22 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
   /** When a term has used this many tokens, nothing goes out any more that needs another. */
-  private static final long USABLE_TOKENS = Term.SPAN * 3 / 4;
+  private static final long USABLE_TOKENS = Term.TOKENS_PER_TERM * 3 / 4;
 
   private final Catalogue catalogue;
   private final TeamUsage teams;
   private final SafetyTiming timing;
   private final Term term;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
-  private final Set<String> released = new HashSet<>();
-  private final Set<String> returning = new HashSet<>();
-  private final Map<String, Seen> dropped = new HashMap<>();
-  private long fences;
-  private long removed;
+  private final Set<String> confirmTermination = new HashSet<>();
+  private final Set<String> terminating = new HashSet<>();
+  private final Map<String, Seen> forgotten = new HashMap<>();
+  private long raisedTokens;
+  private long removedCount;
   private long quarantineUntilMs = Long.MIN_VALUE / 2;
 
   /** The newest report that was known of a machine which is no longer kept. */
-  private record Seen(long tenure, long tally) {}
+  private record Seen(long agentEpoch, long sequence) {}
 
   public MachineRegistry(Catalogue catalogue, TeamUsage teams, SafetyTiming timing, Term term) {
     this.catalogue = catalogue;
@@ -56,13 +56,13 @@
   }
 
   /** How many machines were returned or dropped in the term. */
-  public long removed() {
-    return removed;
+  public long removedCount() {
+    return removedCount;
   }
 
   /** True for machines whose return the cloud confirmed: a report or list that names one is old. */
-  public boolean wasReleased(String host) {
-    return released.contains(host);
+  public boolean wasTerminated(String host) {
+    return confirmTermination.contains(host);
   }
 
   /** Adds a machine that a rental, a list or a report names; empty if its type is unknown. */
@@ -75,16 +75,22 @@
     Optional<Integer> z = catalogue.zoneIndex(zone);
     if (t.isEmpty()
         || z.isEmpty()
-        || released.contains(host)
+        || confirmTermination.contains(host)
         || host.indexOf(':') >= 0
         || host.indexOf(',') >= 0) {
       return Optional.empty();
     }
     Machine m =
         new Machine(
-            host, t.get(), z.get(), spot, catalogue.type(t.get()).size(), nowMs, term.token());
-    if (returning.contains(host)) {
-      m.beginReturn();
+            host,
+            t.get(),
+            z.get(),
+            spot,
+            catalogue.type(t.get()).size(),
+            nowMs,
+            term.fencingToken());
+    if (terminating.contains(host)) {
+      m.beginTermination();
     }
     m.quarantine(quarantineUntilMs);
     machines.put(host, m);
@@ -95,9 +101,9 @@
    * The return of a machine begins, known or not: from now on nothing is placed on it in this term,
    * under whatever sign it appears.
    */
-  public void beginReturn(String host) {
-    returning.add(host);
-    get(host).ifPresent(Machine::beginReturn);
+  public void beginTermination(String host) {
+    terminating.add(host);
+    get(host).ifPresent(Machine::beginTermination);
   }
 
   /** Machines that this term did not rent get no new work until then. */
@@ -107,41 +113,41 @@
   }
 
   /** Puts a task on a machine: from now on it counts for the machine, its job and its team. */
-  public void place(Placement p) {
+  public void addPlacement(Placement p) {
     p.machine().add(p);
-    p.job().place(p);
+    p.job().addPlacement(p);
     teams.add(p.job().team(), p.job().perTask());
   }
 
   /** The one way for a placement to end: only with proof that the task is not on the machine. */
-  public void gone(Placement p, long nowMs) {
+  public void removePlacement(Placement p, long nowMs) {
     p.machine().remove(p, nowMs);
-    p.job().unplace(p);
+    p.job().removePlacement(p);
     teams.remove(p.job().team(), p.job().perTask());
   }
 
-  void orphan(Machine m, Machine.OrphanedTask o) {
+  void addOrphan(Machine m, Machine.OrphanedTask o) {
     m.addOrphan(o);
     if (!o.exited() && o.team() >= 0) {
-      teams.add(o.team(), o.takes());
+      teams.add(o.team(), o.resources());
     }
   }
 
   void clearOrphans(Machine m) {
     for (Machine.OrphanedTask o : m.orphans()) {
       if (!o.exited() && o.team() >= 0) {
-        teams.remove(o.team(), o.takes());
+        teams.remove(o.team(), o.resources());
       }
     }
     m.clearOrphans();
   }
 
   /** All that is on the machine is proven gone. */
-  public List<Placement> allGone(Machine m, long nowMs) {
+  public List<Placement> removeAllPlacements(Machine m, long nowMs) {
     List<Placement> lost = List.copyOf(m.placements());
-    lost.forEach(p -> gone(p, nowMs));
+    lost.forEach(p -> removePlacement(p, nowMs));
     clearOrphans(m);
-    m.forgetImages();
+    m.clearImages();
     return lost;
   }
 
@@ -150,27 +156,27 @@
    *
    * @return the tasks that were recorded there
    */
-  public List<Placement> released(String host, long nowMs) {
-    released.add(host);
-    returning.remove(host);
+  public List<Placement> confirmTermination(String host, long nowMs) {
+    confirmTermination.add(host);
+    terminating.remove(host);
     Optional<Machine> machine = get(host);
     if (machine.isEmpty()) {
       return List.of();
     }
-    List<Placement> lost = allGone(machine.get(), nowMs);
+    List<Placement> lost = removeAllPlacements(machine.get(), nowMs);
     remove(machine.get());
     return lost;
   }
 
   /** The machine is not listed any more and its lease is over. */
-  public void drop(Machine m) {
+  public void forget(Machine m) {
     remove(m);
-    dropped.put(m.host(), new Seen(m.tenure(), m.tally()));
+    forgotten.put(m.host(), new Seen(m.agentEpoch(), m.lastSequence()));
   }
 
   private void remove(Machine machine) {
     if (machines.remove(machine.host()) != null) {
-      removed++;
+      removedCount++;
     }
   }
 
@@ -178,19 +184,19 @@
    * True for a delayed copy of a report that was made before the machine was dropped: it must not
    * bring the machine back as usable.
    */
-  boolean isOld(Heartbeat report) {
-    Seen seen = dropped.get(report.host());
-    return seen != null && !report.newerThan(seen.tenure(), seen.tally());
+  boolean isStale(Heartbeat report) {
+    Seen seen = forgotten.get(report.host());
+    return seen != null && !report.isNewerThan(seen.agentEpoch(), seen.sequence());
   }
 
   /** A token for one machine, higher than all that were given in this term. */
-  long nextFence() {
-    return term.token() + Math.min(Term.SPAN - 1, ++fences);
+  long nextFencingToken() {
+    return term.fencingToken() + Math.min(Term.TOKENS_PER_TERM - 1, ++raisedTokens);
   }
 
   /** False when the term's tokens come to their end: then nothing may go out that needs more. */
-  public boolean fencesLeft() {
-    return fences < USABLE_TOKENS;
+  public boolean hasFencingTokensLeft() {
+    return raisedTokens < USABLE_TOKENS;
   }
 
   /**
@@ -198,19 +204,21 @@
    * shown our token, an earlier leader that can't reach the state service may still be answering
    * it: the lease is counted from the last moment at which that can happen.
    */
-  public long leaseOverMs(Machine m) {
-    long ours = (m.up() ? m.lastReportMs() : m.knownSinceMs()) + timing.leaseMs();
-    return m.confirmed() ? ours : Math.max(ours, term.startMs() + timing.takeoverSilenceMs());
+  public long leaseExpiryMs(Machine m) {
+    long ours = (m.isUp() ? m.lastHeartbeatMs() : m.knownSinceMs()) + timing.agentLeaseMs();
+    return m.hasAcceptedToken()
+        ? ours
+        : Math.max(ours, term.startMs() + timing.takeoverSilenceMs());
   }
 
   /** Ends the placements of machines that were silent for longer than their lease. */
-  public List<Placement> expire(long nowMs) {
+  public List<Placement> expireLeases(long nowMs) {
     List<Placement> lost = new ArrayList<>();
     for (Machine m : machines.values()) {
-      if (!(m.placements().isEmpty() && m.orphans().isEmpty()) && nowMs > leaseOverMs(m)) {
+      if (!(m.placements().isEmpty() && m.orphans().isEmpty()) && nowMs > leaseExpiryMs(m)) {
         LOG.info(
             "machine {} was silent for its lease: {} tasks gone", m.host(), m.placements().size());
-        lost.addAll(allGone(m, nowMs));
+        lost.addAll(removeAllPlacements(m, nowMs));
       }
     }
     return lost;
--- a/src/main/java/org/ploverspindle/cluster/MissingTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/MissingTasks.java
@@ -15,7 +15,7 @@
 
   /** The placement is proven gone without having ended on its machine. */
   void gone(Placement placement, long nowMs) {
-    fleet.gone(placement, nowMs);
+    fleet.removePlacement(placement, nowMs);
     listener.ended(placement, Heartbeat.ExitReason.NONE, false, nowMs);
   }
 
@@ -24,28 +24,29 @@
    * the worker took our token, as an earlier leader's answer may have come after an older one; and,
    * for a launch of ours, made after the answer that held it.
    */
-  void absent(HeartbeatContext reading, Placement placement) {
+  void handle(HeartbeatContext reading, Placement placement) {
     if (placement.neverSent()) {
-      if (placement.job().over()) {
+      if (placement.job().isTerminal()) {
         gone(placement, reading.nowMs());
       }
       return;
     }
-    if (!reading.ours()) {
+    if (!reading.underOwnToken()) {
       return;
     }
-    if (placement.directToken() >= 0 && reading.report().warrant() <= placement.directToken()) {
+    if (placement.directToken() >= 0
+        && reading.heartbeat().fencingToken() <= placement.directToken()) {
       directAbsent(reading, placement);
       return;
     }
-    placement.directVoid();
+    placement.voidDirectLaunch();
     sentAbsent(reading, placement);
   }
 
   /** No direct command can bring it any more, but an answer that is under way might. */
   private void sentAbsent(HeartbeatContext reading, Placement placement) {
     if (placement.neverSent()) {
-      if (placement.job().over() || placement.stopping()) {
+      if (placement.job().isTerminal() || placement.stopping()) {
         gone(placement, reading.nowMs());
       }
     } else if (placement.phase() != Placement.Phase.SENT) {
@@ -58,8 +59,8 @@
   }
 
   private static boolean isAnswerOver(HeartbeatContext reading, Placement placement) {
-    return reading.report().tally() > placement.sentTally()
-        || placement.sentTally() == Long.MAX_VALUE;
+    return reading.heartbeat().sequence() > placement.sentSequence()
+        || placement.sentSequence() == Long.MAX_VALUE;
   }
 
   /** The launch went straight there, is not shown, and may still arrive. */
@@ -68,13 +69,13 @@
       return;
     }
     Machine machine = reading.machine();
-    if (placement.job().over() || placement.stopping()) {
-      if (machine.fence() <= placement.directToken()) {
-        machine.raise(fleet.nextFence());
+    if (placement.job().isTerminal() || placement.stopping()) {
+      if (machine.fencingToken() <= placement.directToken()) {
+        machine.raiseFencingToken(fleet.nextFencingToken());
       }
     } else if (placement.phase() == Placement.Phase.SENT && isAnswerOver(reading, placement)) {
       // The same launch in an answer does no harm where the direct one arrives as well.
-      placement.lost();
+      placement.markResponseLost();
     }
   }
 
@@ -83,13 +84,13 @@
    * A machine that loses one after another does not hear us; its tasks go elsewhere.
    */
   private void answerLost(HeartbeatContext reading, Placement placement) {
-    if (placement.job().over() || placement.stopping()) {
+    if (placement.job().isTerminal() || placement.stopping()) {
       gone(placement, reading.nowMs());
       return;
     }
-    placement.lost();
-    if (placement.lostAnswers() >= LOST_ANSWERS_OF_THE_DEAF) {
-      reading.machine().suspectDeaf(fleet.nextFence(), reading.nowMs());
+    placement.markResponseLost();
+    if (placement.lostResponses() >= LOST_ANSWERS_OF_THE_DEAF) {
+      reading.machine().markUnreachable(fleet.nextFencingToken(), reading.nowMs());
       gone(placement, reading.nowMs());
     }
   }
--- a/src/main/java/org/ploverspindle/cluster/Placement.java
+++ b/src/main/java/org/ploverspindle/cluster/Placement.java
@@ -14,24 +14,24 @@
     /** The launch was in an answer that may have arrived. */
     SENT,
     /** Found in the records of an earlier leader: presumed there until a report says. */
-    RECORDED,
+    RECOVERED,
     FETCHING,
     RUNNING,
-    SAVING
+    CHECKPOINTING
   }
 
   private final Job job;
   private final int task;
   private final long attempt;
   private final Machine machine;
-  private final long tenure;
+  private final long agentEpoch;
   private Phase phase;
-  private long sentTally;
+  private long sentSequence;
   private long runningSinceMs = -1;
   private boolean stopping;
-  private double windDownS;
+  private double gracePeriodS;
   private long directToken = -1;
-  private int lostAnswers;
+  private int lostResponses;
   private long recordedMs = -1;
   private long sentMs = -1;
 
@@ -40,7 +40,7 @@
     this.task = task;
     this.attempt = attempt;
     this.machine = machine;
-    this.tenure = tenure;
+    this.agentEpoch = tenure;
     this.phase = phase;
   }
 
@@ -60,8 +60,8 @@
     return machine;
   }
 
-  public long tenure() {
-    return tenure;
+  public long agentEpoch() {
+    return agentEpoch;
   }
 
   public Phase phase() {
@@ -76,7 +76,7 @@
   }
 
   /** The intent is durable. */
-  public void recorded(long nowMs) {
+  public void markRecorded(long nowMs) {
     if (phase == Phase.INTENT) {
       phase = Phase.READY;
       recordedMs = nowMs;
@@ -105,37 +105,37 @@
     return directToken;
   }
 
-  void sentDirectly(long token, long nowMs) {
+  void markSentDirectly(long token, long nowMs) {
     sentMs = sentMs < 0 ? nowMs : sentMs;
     directToken = token;
     phase = Phase.SENT;
-    sentTally = Long.MAX_VALUE;
+    sentSequence = Long.MAX_VALUE;
   }
 
   /** The machine has seen a higher token: what went straight to it is void. */
-  void directVoid() {
+  void voidDirectLaunch() {
     directToken = -1;
   }
 
-  void sent(long tally, long nowMs) {
+  void markSent(long tally, long nowMs) {
     sentMs = sentMs < 0 ? nowMs : sentMs;
     phase = Phase.SENT;
-    sentTally = tally;
+    sentSequence = tally;
   }
 
   /** The answer that held the launch did not arrive: the next one holds it again. */
-  void lost() {
+  void markResponseLost() {
     phase = Phase.READY;
-    lostAnswers++;
+    lostResponses++;
   }
 
   /** How often an answer with its launch was lost. */
-  int lostAnswers() {
-    return lostAnswers;
+  int lostResponses() {
+    return lostResponses;
   }
 
-  long sentTally() {
-    return sentTally;
+  long sentSequence() {
+    return sentSequence;
   }
 
   /** When it was first seen running, or -1. */
@@ -147,13 +147,13 @@
     return stopping;
   }
 
-  public double windDownS() {
-    return windDownS;
+  public double gracePeriodS() {
+    return gracePeriodS;
   }
 
   /** Asks for a stop; a second one may only shorten the time to save. */
   public void stop(double newWindDownS) {
-    windDownS = stopping ? Math.min(windDownS, newWindDownS) : newWindDownS;
+    gracePeriodS = stopping ? Math.min(gracePeriodS, newWindDownS) : newWindDownS;
     stopping = true;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
@@ -29,12 +29,12 @@
   }
 
   /** An attempt that is placed on the machine. */
-  void placed(HeartbeatContext reading, Placement placement, Heartbeat.TaskStatus item) {
+  void handlePlaced(HeartbeatContext reading, Placement placement, Heartbeat.TaskStatus item) {
     switch (item.phase()) {
       case EXITED -> exited(reading, placement, item);
       case FETCHING -> present(reading, placement, Placement.Phase.FETCHING);
       case RUNNING -> present(reading, placement, Placement.Phase.RUNNING);
-      case SAVING -> present(reading, placement, Placement.Phase.SAVING);
+      case CHECKPOINTING -> present(reading, placement, Placement.Phase.CHECKPOINTING);
       default -> throw new IllegalStateException("a phase without a meaning");
     }
   }
@@ -42,14 +42,14 @@
   private void present(HeartbeatContext reading, Placement placement, Placement.Phase phase) {
     if (placement.phase() != phase) {
       placement.phase(phase, reading.nowMs());
-      listener.moved(placement);
+      listener.changed(placement);
     }
-    if (placement.job().over()) {
-      reading.order(stop(placement, 0));
+    if (placement.job().isTerminal()) {
+      reading.addCommand(stop(placement, 0));
     } else if (placement.stopping()
-        && (phase != Placement.Phase.SAVING || placement.windDownS() == 0)) {
+        && (phase != Placement.Phase.CHECKPOINTING || placement.gracePeriodS() == 0)) {
       // A task that saves is told again only to make it end: repeating the order is not needed.
-      reading.order(stop(placement, placement.windDownS()));
+      reading.addCommand(stop(placement, placement.gracePeriodS()));
     }
   }
 
@@ -59,27 +59,27 @@
   }
 
   private void exited(HeartbeatContext reading, Placement placement, Heartbeat.TaskStatus item) {
-    fleet.gone(placement, reading.nowMs());
-    if (item.cause() == Heartbeat.ExitReason.DONE) {
+    fleet.removePlacement(placement, reading.nowMs());
+    if (item.exitReason() == Heartbeat.ExitReason.DONE) {
       reading.machine().failures().completed(placement.runningSinceMs());
       // Forgotten only once the completion is durable: until then the worker is its only record.
       listener.completed(placement, reading.nowMs());
       return;
     }
-    if (item.cause() == Heartbeat.ExitReason.ERROR) {
+    if (item.exitReason() == Heartbeat.ExitReason.ERROR) {
       reading.machine().failures().failed(item.uid(), reading.nowMs());
     }
-    reading.order(new WorkerCommand.Forget(item.uid(), item.task(), item.attempt()));
-    listener.ended(placement, item.cause(), item.saved(), reading.nowMs());
+    reading.addCommand(new WorkerCommand.Forget(item.uid(), item.task(), item.attempt()));
+    listener.ended(placement, item.exitReason(), item.checkpointed(), reading.nowMs());
   }
 
   /** An attempt that is not placed there: it is stopped, or forgotten once its result is safe. */
-  void unplaced(HeartbeatContext reading, Heartbeat.TaskStatus item) {
+  void handleUnplaced(HeartbeatContext reading, Heartbeat.TaskStatus item) {
     Optional<Job> job = jobs.apply(item.uid());
     if (item.phase() != Heartbeat.Phase.EXITED) {
       orphan(reading, item, job);
     } else if (mayBeForgotten(item, job)) {
-      reading.order(new WorkerCommand.Forget(item.uid(), item.task(), item.attempt()));
+      reading.addCommand(new WorkerCommand.Forget(item.uid(), item.task(), item.attempt()));
     }
   }
 
@@ -87,15 +87,17 @@
    * A completion counts whoever placed it, and until it is durable the worker is its only record.
    */
   private boolean mayBeForgotten(Heartbeat.TaskStatus item, Optional<Job> known) {
-    if (known.isEmpty() || known.get().over() || item.cause() != Heartbeat.ExitReason.DONE) {
+    if (known.isEmpty()
+        || known.get().isTerminal()
+        || item.exitReason() != Heartbeat.ExitReason.DONE) {
       return true;
     }
     Job job = known.get();
     if (item.task() >= job.spec().tasks()) {
       return true;
     }
-    if (!job.done().get(item.task())) {
-      listener.completedUnplaced(job, item.task());
+    if (!job.completedTasks().get(item.task())) {
+      listener.completedUnrecorded(job, item.task());
     }
     return durablyDone.test(job, item.task());
   }
@@ -106,10 +108,10 @@
         job.map(known -> new HeartbeatHandler.Owner(known.team(), known.perTask()))
             .or(() -> owners.apply(item.uid()))
             .orElse(new HeartbeatHandler.Owner(NO_TEAM, Resources.NONE));
-    fleet.orphan(
+    fleet.addOrphan(
         reading.machine(),
         new Machine.OrphanedTask(
-            item.uid(), item.task(), item.attempt(), owner.team(), owner.takes(), false));
-    reading.order(new WorkerCommand.Stop(item.uid(), item.task(), item.attempt(), 0));
+            item.uid(), item.task(), item.attempt(), owner.team(), owner.resources(), false));
+    reading.addCommand(new WorkerCommand.Stop(item.uid(), item.task(), item.attempt(), 0));
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/TeamUsage.java
+++ b/src/main/java/org/ploverspindle/cluster/TeamUsage.java
@@ -38,14 +38,14 @@
   }
 
   /** How many more such tasks the team's limit allows. */
-  public int room(int team, Resources perTask) {
+  public int tasksWithinLimit(int team, Resources perTask) {
     Settings.Team t = teams.get(team);
     return Math.min(
-        room(t.coresMax(), cores[team], perTask.cores()),
-        room(t.acceleratorsMax(), accelerators[team], perTask.accelerators()));
+        tasksWithinLimit(t.coresMax(), cores[team], perTask.cores()),
+        tasksWithinLimit(t.acceleratorsMax(), accelerators[team], perTask.accelerators()));
   }
 
-  private static int room(double limit, long used, long each) {
+  private static int tasksWithinLimit(double limit, long used, long each) {
     if (limit <= 0 || each <= 0) {
       return Integer.MAX_VALUE;
     }
@@ -71,7 +71,7 @@
   }
 
   /** Cores, in thousandths, that the team's limit leaves; empty when it has none. */
-  public OptionalLong coreRoom(int team) {
+  public OptionalLong coresWithinLimit(int team) {
     double limit = teams.get(team).coresMax();
     return limit <= 0
         ? OptionalLong.empty()
--- a/src/main/java/org/ploverspindle/cluster/WorkerClient.java
+++ b/src/main/java/org/ploverspindle/cluster/WorkerClient.java
@@ -11,10 +11,10 @@
    * empty value when there was no response: the orders may have been executed, or may be executed
    * later.
    */
-  void order(
+  void send(
       String address,
-      long token,
-      long tenure,
-      List<WorkerCommand> orders,
+      long fencingToken,
+      long agentEpoch,
+      List<WorkerCommand> commands,
       Consumer<Optional<Heartbeat>> then);
 }
--- a/src/main/java/org/ploverspindle/cluster/WorkerCommand.java
+++ b/src/main/java/org/ploverspindle/cluster/WorkerCommand.java
@@ -12,7 +12,7 @@
   record Launch(String uid, int task, long attempt) implements WorkerCommand {}
 
   /** Stop the attempt; it has {@code windDownS} seconds to save. */
-  record Stop(String uid, int task, long attempt, double windDownS) implements WorkerCommand {}
+  record Stop(String uid, int task, long attempt, double gracePeriodS) implements WorkerCommand {}
 
   /** Do not report the ended attempt any more. */
   record Forget(String uid, int task, long attempt) implements WorkerCommand {}
--- a/src/main/java/org/ploverspindle/controller/Controller.java
+++ b/src/main/java/org/ploverspindle/controller/Controller.java
@@ -62,8 +62,8 @@
   private final CancellableGroup duties = new CancellableGroup();
   private final FencingRejections refused = new FencingRejections();
   private Optional<Leader> leader = Optional.empty();
-  private final StateReachability reach;
-  private int strays;
+  private final StateReachability stateReachability;
+  private int misdirected;
   private boolean started;
   private volatile boolean ready;
 
@@ -81,7 +81,7 @@
     this.cloud = cloud;
     this.peers = peers;
     this.replica = new Replica(loop, store, Keys.PREFIX, 700);
-    this.reach = new StateReachability(loop, replica, store, peers, settings.member());
+    this.stateReachability = new StateReachability(loop, replica, store, peers, settings.member());
     this.catalogue = new Catalogue(settings.zones());
     this.timing = SafetyTiming.of(settings.workers(), settings.quota().cores());
     this.writes =
@@ -148,7 +148,7 @@
       public void cancelled(List<Change.Put> cancellations, long ledger) {
         if (leader.isPresent()) {
           // It starts nothing of a job whose user is about to be told that it is cancelled.
-          cancellations.forEach(put -> replica.created(put, ledger));
+          cancellations.forEach(put -> replica.applyCreated(put, ledger));
         } else {
           hintToLeader();
         }
@@ -157,7 +157,7 @@
       @Override
       public void accepted() {
         if (leader.isPresent()) {
-          replica.barrier(ok -> {});
+          replica.readBarrier(ok -> {});
         } else {
           hintToLeader();
         }
@@ -168,27 +168,27 @@
   private void hintToLeader() {
     election
         .leaderName()
-        .ifPresent(other -> peers.tell(other, new PeerMessage.StateChanged(settings.member())));
+        .ifPresent(other -> peers.send(other, new PeerMessage.StateChanged(settings.member())));
   }
 
   /**
    * A hint from another controller. All that it can do is to have the state service read sooner.
    */
-  public void heard(PeerMessage record) {
+  public void handlePeerMessage(PeerMessage record) {
     if (record instanceof PeerMessage.StateChanged) {
       if (leader.isPresent()) {
-        replica.barrier(ok -> {});
+        replica.readBarrier(ok -> {});
       }
     } else if (record instanceof PeerMessage.MisdirectedHeartbeats strays) {
-      leader.ifPresent(s -> s.strayed(strays.reports()));
+      leader.ifPresent(s -> s.misdirectedHeartbeats(strays.count()));
     } else if (record instanceof PeerMessage.Leading leading) {
-      election.higherToken(leading.token());
+      election.observeToken(leading.token());
     } else if (record instanceof PeerMessage.ReachabilityProbe asking) {
-      reach.asked(asking.member());
+      stateReachability.probed(asking.member());
     } else if (record instanceof PeerMessage.ReachabilityReply) {
-      reach.reached();
+      stateReachability.peerReached();
     } else {
-      replica.barrier(ok -> {});
+      replica.readBarrier(ok -> {});
     }
   }
 
@@ -207,10 +207,10 @@
   }
 
   public void start() {
-    replica.spacing(followerSpacingMs());
+    replica.setReadInterval(followerSpacingMs());
     duties.add(replica.start());
-    duties.add(loop.every(500, this::look));
-    duties.add(loop.every(1_000, this::tellOfStrays));
+    duties.add(loop.every(500, this::updateReadiness));
+    duties.add(loop.every(1_000, this::reportMisdirected));
     learnTypes();
   }
 
@@ -233,35 +233,36 @@
    * A node leads only when it knows the machine types: without them no record can be understood. It
    * takes users only while it can answer them, unless nobody can.
    */
-  private void look() {
-    if (!catalogue.known()) {
+  private void updateReadiness() {
+    if (!catalogue.isKnown()) {
       MachineTypesRecord.read(replica).ifPresent(catalogue::update);
     }
-    boolean failing = leader.map(Leader::writesFail).orElse(false);
-    reach.look(failing);
-    if (!started && replica.loaded() && catalogue.known()) {
+    boolean failing = leader.map(Leader::isFailingToWrite).orElse(false);
+    stateReachability.check(failing);
+    if (!started && replica.isLoaded() && catalogue.isKnown()) {
       started = true;
       duties.add(election.start());
     }
-    boolean now = started && !reach.isAloneWithout();
+    boolean now = started && !stateReachability.isAloneWithout();
     if (now != ready) {
       LOG.info(now ? "ready" : "not ready: others reach the state service, and this one does not");
       ready = now;
     }
-    if (reach.othersReachIt() && (failing || election.mayDecide() && reach.isAloneWithout())) {
+    if (stateReachability.othersReachIt()
+        && (failing || election.isAuthoritative() && stateReachability.isAloneWithout())) {
       // The lease is renewed and nothing else is answered: the lead would be kept for nothing.
       election.resignAndPause("the state service serves others, and refuses this leader");
     }
   }
 
   private void learnTypes() {
-    cloud.types(
+    cloud.listMachineTypes(
         answer -> {
           answer.ifPresent(catalogue::update);
-          if (!catalogue.known()) {
+          if (!catalogue.isKnown()) {
             loop.schedule(1_500, this::learnTypes);
           } else {
-            look();
+            updateReadiness();
           }
         });
   }
@@ -269,20 +270,20 @@
   // ---- leading
 
   @Override
-  public void leading(Term term) {
-    replica.spacing(leaderSpacingMs());
+  public void elected(Term term) {
+    replica.setReadInterval(leaderSpacingMs());
     Leader fresh = new Leader(leaderContext, term, election);
     leader = Optional.of(fresh);
     fresh.start();
-    peers.tellAll(new PeerMessage.Leading(settings.member(), term.token()));
+    peers.broadcast(new PeerMessage.Leading(settings.member(), term.fencingToken()));
   }
 
   @Override
   public void ended(Term term, String cause) {
-    replica.spacing(followerSpacingMs());
+    replica.setReadInterval(followerSpacingMs());
     leader.ifPresent(Leader::close);
     leader = Optional.empty();
-    peers.tellAll(new PeerMessage.Resigned(settings.member(), term.token()));
+    peers.broadcast(new PeerMessage.Resigned(settings.member(), term.fencingToken()));
   }
 
   // ---- requests of users and workers
@@ -298,12 +299,12 @@
   }
 
   @Override
-  public void withdraw(String uid, Consumer<ApiResponse> then) {
+  public void cancel(String uid, Consumer<ApiResponse> then) {
     requests.cancel(uid, then);
   }
 
   @Override
-  public void checkin(byte[] body, Consumer<ApiResponse> then) {
+  public void heartbeat(byte[] body, Consumer<ApiResponse> then) {
     Optional<Heartbeat> report = HeartbeatCodec.decode(body);
     if (report.isEmpty()) {
       LOG.warn("a malformed report of {} bytes is refused", body.length);
@@ -312,37 +313,38 @@
     }
     Optional<Term> term = election.term();
     if (leader.isEmpty() || term.isEmpty()) {
-      then.accept(elsewhere(report.get()));
+      then.accept(redirect(report.get()));
       return;
     }
-    if (term.get().isBefore(report.get().warrant())) {
+    if (term.get().isBefore(report.get().fencingToken())) {
       election.deposed("a worker has seen a higher token");
-      then.accept(elsewhere(report.get()));
+      then.accept(redirect(report.get()));
       return;
     }
-    if (loop.nowMs() > election.lastKnownMs() + timing.answerMs()) {
+    if (loop.nowMs() > election.lastConfirmedMs() + timing.heartbeatGraceMs()) {
       // Any longer, and a cancellation that we can't know of would come too late for a worker.
-      then.accept(ApiResponse.later(503, "the state is not known", 1));
+      then.accept(ApiResponse.retryLater(503, "the state is not known", 1));
       return;
     }
     leader
         .get()
-        .report(
+        .handleHeartbeat(
             report.get(),
             a ->
                 then.accept(
-                    new ApiResponse(200, HeartbeatCodec.encodeAnswer(a.token(), a.orders()), 0)));
+                    new ApiResponse(
+                        200, HeartbeatCodec.encodeResponse(a.fencingToken(), a.commands()), 0)));
   }
 
-  private void tellOfStrays() {
-    if (strays > 0) {
-      int reports = strays;
+  private void reportMisdirected() {
+    if (misdirected > 0) {
+      int reports = misdirected;
       election
           .leaderName()
           .ifPresent(
               l ->
-                  peers.tell(l, new PeerMessage.MisdirectedHeartbeats(settings.member(), reports)));
-      strays = 0;
+                  peers.send(l, new PeerMessage.MisdirectedHeartbeats(settings.member(), reports)));
+      misdirected = 0;
     }
   }
 
@@ -350,13 +352,13 @@
    * To the leader. Whose machine has had an answer of that leader's and comes here all the same is
    * a sign that its answers are lost; one that has just come up, or was another leader's, is not.
    */
-  private ApiResponse elsewhere(Heartbeat report) {
+  private ApiResponse redirect(Heartbeat report) {
     Optional<String> other = election.leaderName().filter(name -> !name.equals(settings.member()));
-    boolean led = election.leaderToken().map(t -> report.warrant() >= t).orElse(false);
-    strays += other.isPresent() && led ? 1 : 0;
+    boolean led = election.leaderToken().map(t -> report.fencingToken() >= t).orElse(false);
+    misdirected += other.isPresent() && led ? 1 : 0;
     return other
-        .map(name -> ApiResponse.elsewhere(name))
-        .orElseGet(() -> ApiResponse.later(503, "no leader is known", 1));
+        .map(name -> ApiResponse.redirectToLeader(name))
+        .orElseGet(() -> ApiResponse.retryLater(503, "no leader is known", 1));
   }
 
   @Override
@@ -371,7 +373,9 @@
                 + election.leaderName().orElse("none")
                 + " waiting="
                 + pipelines.waiting()
-                + leader.map(s -> " token=" + s.term().token() + " " + s.summary()).orElse("")
+                + leader
+                    .map(s -> " token=" + s.term().fencingToken() + " " + s.summary())
+                    .orElse("")
                 + "\n"
                 + election.summary()
                 + " "
@@ -379,7 +383,7 @@
   }
 
   @Override
-  public void jobStatus(String uid, Consumer<ApiResponse> then) {
+  public void explainJob(String uid, Consumer<ApiResponse> then) {
     then.accept(ApiResponse.text(requests.explain(uid)));
   }
 }
--- a/src/main/java/org/ploverspindle/controller/StateReachability.java
+++ b/src/main/java/org/ploverspindle/controller/StateReachability.java
@@ -57,16 +57,16 @@
   /**
    * @param failing this controller's writes are not carried out
    */
-  void look(boolean failing) {
+  void check(boolean failing) {
     long now = clock.nowMs();
     if ((failing || staleMs() > STALE_MS) && now - askedMs >= ASK_MS) {
       askedMs = now;
-      peers.tellAll(new PeerMessage.ReachabilityProbe(member));
+      peers.broadcast(new PeerMessage.ReachabilityProbe(member));
     }
   }
 
   /** Another controller asks whether the state service is there: a comparison shows it. */
-  void asked(String from) {
+  void probed(String from) {
     if (staleMs() > FRESH_MS) {
       return;
     }
@@ -75,21 +75,21 @@
       return;
     }
     probing = true;
-    long stamp = replica.get(Keys.LEADER).map(Entry::stamp).orElse(0L);
-    store.txn(
+    long stamp = replica.get(Keys.LEADER).map(Entry::modRevision).orElse(0L);
+    store.commit(
         new StateStore.Transaction(List.of(new Condition(Keys.LEADER, stamp)), List.of()),
         result -> {
           probing = false;
           if (result instanceof TransactionResult.Committed
               || result instanceof TransactionResult.Conflict) {
-            askers.forEach(a -> peers.tell(a, new PeerMessage.ReachabilityReply(member)));
+            askers.forEach(a -> peers.send(a, new PeerMessage.ReachabilityReply(member)));
           }
           askers.clear();
         });
   }
 
   /** Another controller reads and writes the state service. */
-  void reached() {
+  void peerReached() {
     othersMs = clock.nowMs();
   }
 
--- a/src/main/java/org/ploverspindle/eventloop/EventLoop.java
+++ b/src/main/java/org/ploverspindle/eventloop/EventLoop.java
@@ -152,7 +152,7 @@
   }
 
   private Runnable poll() {
-    Runnable report = queues.get(EventPriority.REPORT).poll();
+    Runnable report = queues.get(EventPriority.HEARTBEAT).poll();
     if (report != null) {
       return report;
     }
@@ -165,7 +165,7 @@
       return decision;
     }
     Runnable submission = queues.get(EventPriority.SUBMISSION).poll();
-    return submission != null ? submission : queues.get(EventPriority.POLL).poll();
+    return submission != null ? submission : queues.get(EventPriority.QUERY).poll();
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
+++ b/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
@@ -47,15 +47,15 @@
   }
 
   /** Is the report the machine's newest, and could a task be placed there within the wait? */
-  boolean worthHolding(Machine machine, Heartbeat report, long nowMs) {
-    return machine.tally() == report.tally()
-        && machine.tenure() == report.tenure()
-        && machine.usable(nowMs, holdMs)
+  boolean isWorthDelaying(Machine machine, Heartbeat report, long nowMs) {
+    return machine.lastSequence() == report.sequence()
+        && machine.agentEpoch() == report.agentEpoch()
+        && machine.isSchedulable(nowMs, holdMs)
         && machine.free().cores() > 0;
   }
 
   /** Holds the answer until orders for the machine are durable, or the wait is over. */
-  void hold(Heartbeat report, Consumer<HeartbeatHandler.Response> then, long nowMs) {
+  void delay(Heartbeat report, Consumer<HeartbeatHandler.Response> then, long nowMs) {
     held.put(report.host(), new HeldReply(report, then, nowMs + holdMs));
   }
 
@@ -67,8 +67,8 @@
           .then()
           .accept(
               mayDecide.getAsBoolean()
-                  ? reportHandler.later(reply.report(), scheduler.nowMs())
-                  : reportHandler.none(host));
+                  ? reportHandler.handleDelayed(reply.report(), scheduler.nowMs())
+                  : reportHandler.emptyResponse(host));
     }
   }
 
@@ -97,6 +97,6 @@
 
   private static boolean hasOrder(Placement placement) {
     return placement.phase() == Placement.Phase.READY
-        || !placement.neverSent() && (placement.stopping() || placement.job().over());
+        || !placement.neverSent() && (placement.stopping() || placement.job().isTerminal());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
+++ b/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
@@ -62,7 +62,7 @@
     Set<Machine> machines = new LinkedHashSet<>();
     for (Placement placement : durable) {
       if (placement.phase() == Placement.Phase.READY
-          && placement.job().urgency().compareTo(Priority.HIGH) <= 0) {
+          && placement.job().priority().compareTo(Priority.HIGH) <= 0) {
         machines.add(placement.machine());
       }
     }
@@ -80,7 +80,7 @@
    */
   void stop(Job cancelled) {
     Set<Machine> machines = new LinkedHashSet<>();
-    cancelled.live().forEach(placement -> machines.add(placement.machine()));
+    cancelled.activePlacements().forEach(placement -> machines.add(placement.machine()));
     for (Machine machine : machines) {
       // Launches of pressing jobs have the other half to themselves.
       if (underWay >= mostUnderWay / 2) {
@@ -92,20 +92,21 @@
 
   /** Shows the machine its token in this term, without any order. */
   void announceToken(Machine machine, long tenure) {
-    send(new DirectCommands.Request(machine.address(), machine.fence(), tenure, List.of()));
+    send(new DirectCommands.Request(machine.address(), machine.fencingToken(), tenure, List.of()));
   }
 
   private void send(DirectCommands.Request command) {
     underWay++;
-    workers.order(
+    workers.send(
         command.address(),
-        command.token(),
-        command.tenure(),
-        command.orders(),
+        command.fencingToken(),
+        command.agentEpoch(),
+        command.commands(),
         answer -> {
           underWay--;
           if (!closed) {
-            answer.ifPresent(report -> reportHandler.takeDirect(report, scheduler.nowMs()));
+            answer.ifPresent(
+                report -> reportHandler.handleDirectResponse(report, scheduler.nowMs()));
           }
         });
   }
--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -39,7 +39,7 @@
   /** What the rest of the process is told; always on the loop. */
   public interface Listener {
     /** The term began; the copy holds all that earlier leaders wrote. */
-    void leading(Term term);
+    void elected(Term term);
 
     /** The term is over: nothing may be decided any more. */
     void ended(Term term, String cause);
@@ -70,8 +70,8 @@
     this.replica = replica;
     this.timing = timing;
     this.listener = listener;
-    replica.listen(this::changed);
-    LeaseTiming leaseTiming = new LeaseTiming(timing.stateLeaseMs(), timing.stateLeaseSurelyMs());
+    replica.addListener(this::changed);
+    LeaseTiming leaseTiming = new LeaseTiming(timing.stateLeaseMs(), timing.stateLeaseValidMs());
     this.lead =
         new RoleLease(
             scheduler,
@@ -105,12 +105,12 @@
   }
 
   /** May this node decide? Only while its lease certainly lives. */
-  public boolean mayDecide() {
-    return lead.surelyHeld();
+  public boolean isAuthoritative() {
+    return lead.isCertainlyHeld();
   }
 
   /** When the leader key was last known to be ours. */
-  public long lastKnownMs() {
+  public long lastConfirmedMs() {
     return Math.min(lead.lastRenewalMs(), replica.freshAsOfMs());
   }
 
@@ -134,23 +134,23 @@
   /** A term begins and ends with the duty to lead. */
   private final class LeadEvents implements RoleLease.Listener {
     @Override
-    public void taken(HeldRole duty) {
-      Term fresh = new Term(duty.epoch(), duty.stamp(), duty.sinceMs());
-      LOG.info("leading with token {}", fresh.token());
+    public void acquired(HeldRole duty) {
+      Term fresh = new Term(duty.epoch(), duty.modRevision(), duty.sinceMs());
+      LOG.info("leading with token {}", fresh.fencingToken());
       term = Optional.of(fresh);
-      listener.leading(fresh);
+      listener.elected(fresh);
     }
 
     @Override
     public void lost(HeldRole duty, String cause) {
       Term over = term.orElseThrow();
       term = Optional.empty();
-      LOG.info("no longer leading with token {}: {}", over.token(), cause);
+      LOG.info("no longer leading with token {}: {}", over.fencingToken(), cause);
       listener.ended(over, cause);
     }
 
     @Override
-    public boolean mayTry() {
+    public boolean mayAcquire() {
       return !pausesAfterResigning();
     }
   }
@@ -161,18 +161,18 @@
   }
 
   /** Another controller says that it leads: ends an older lead of ours, and is looked up. */
-  public void higherToken(long token) {
+  public void observeToken(long token) {
     if (term.isPresent() && term.get().isBefore(token)) {
       deposed("another controller has a higher token");
     } else {
-      replica.barrier(ok -> {});
+      replica.readBarrier(ok -> {});
     }
   }
 
   /** Called with any sign that a newer leader exists. */
   public void deposed(String cause) {
     lead.end(cause);
-    replica.barrier(ok -> {});
+    replica.readBarrier(ok -> {});
   }
 
   /**
@@ -198,6 +198,6 @@
 
   /** Gives the lead up at once, so that others need not wait for the lease to end. */
   public void resign() {
-    lead.giveUp("resigned");
+    lead.release("resigned");
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
+++ b/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
@@ -22,19 +22,19 @@
   }
 
   @Override
-  public void order(
+  public void send(
       String address,
       long token,
       long tenure,
       List<WorkerCommand> orders,
       Consumer<Optional<Heartbeat>> then) {
-    workers.order(
+    workers.send(
         address,
         token,
         tenure,
         orders,
         answer -> {
-          if (answer.isPresent() && term.isBefore(answer.get().warrant())) {
+          if (answer.isPresent() && term.isBefore(answer.get().fencingToken())) {
             refused.add(FencingRejections.Kind.WORKER_COMMAND);
           }
           then.accept(answer);
--- a/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
+++ b/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
@@ -60,7 +60,7 @@
     long nowMs = scheduler.nowMs();
     long ageMs = nowMs - term.startMs();
     // No earlier leader answers any more once it has not known the state for so long.
-    if (!mayDecide.getAsBoolean() || ageMs < FIRST_AFTER_MS || ageMs > timing.answerMs()) {
+    if (!mayDecide.getAsBoolean() || ageMs < FIRST_AFTER_MS || ageMs > timing.heartbeatGraceMs()) {
       return;
     }
     int left = MOST_AT_ONCE;
@@ -68,7 +68,7 @@
       if (left == 0 || !commands.hasRoom()) {
         return;
       }
-      long tenure = machine.lastKnownTenure();
+      long tenure = machine.lastKnownAgentEpoch();
       if (isSilent(machine) && tenure > 0 && isDue(machine, nowMs)) {
         announcedMs.put(machine.host(), nowMs);
         commands.announceToken(machine, tenure);
@@ -78,7 +78,7 @@
   }
 
   private static boolean isSilent(Machine machine) {
-    return !machine.up() && !machine.leaving() && !machine.address().isEmpty();
+    return !machine.isUp() && !machine.isDecommissioning() && !machine.address().isEmpty();
   }
 
   private boolean isDue(Machine machine, long nowMs) {
--- a/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
@@ -53,22 +53,22 @@
    * Takes a report in and answers with orders, at the latest when the wait of a held answer is
    * over. The machine's earlier report is answered first, if its answer is held.
    */
-  void report(Heartbeat report, Consumer<HeartbeatHandler.Response> then) {
+  void accept(Heartbeat report, Consumer<HeartbeatHandler.Response> then) {
     heldReplies.release(report.host());
     long nowMs = scheduler.nowMs();
-    reachability.heard(nowMs);
+    reachability.recordHeartbeat(nowMs);
     HeartbeatHandler.Response reply =
-        times.call("reports", () -> reportHandler.take(report, nowMs));
+        times.call("reports", () -> reportHandler.handle(report, nowMs));
     Optional<Machine> machine = fleet.get(report.host());
-    if (report.recallS().isPresent()) {
+    if (report.spotNoticeS().isPresent()) {
       machine.ifPresent(recalled -> spotDrain.drain(recalled, nowMs));
     }
     if (!mayDecide.getAsBoolean()) {
       then.accept(finalStops(reply));
-    } else if (reply.orders().isEmpty()
+    } else if (reply.commands().isEmpty()
         && machine.isPresent()
-        && heldReplies.worthHolding(machine.get(), report, nowMs)) {
-      heldReplies.hold(report, then, nowMs);
+        && heldReplies.isWorthDelaying(machine.get(), report, nowMs)) {
+      heldReplies.delay(report, then, nowMs);
     } else {
       then.accept(reply);
     }
@@ -81,10 +81,11 @@
    */
   private HeartbeatHandler.Response finalStops(HeartbeatHandler.Response reply) {
     return new HeartbeatHandler.Response(
-        reply.token(), reply.orders().stream().filter(this::isFinalStop).toList());
+        reply.fencingToken(), reply.commands().stream().filter(this::isFinalStop).toList());
   }
 
   private boolean isFinalStop(WorkerCommand order) {
-    return order instanceof WorkerCommand.Stop && replica.get(Keys.cancel(order.uid())).isPresent();
+    return order instanceof WorkerCommand.Stop
+        && replica.get(Keys.cancellation(order.uid())).isPresent();
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/JobArrivals.java
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -42,7 +42,7 @@
   }
 
   /** What came under earlier leaders tells how much will come under this one. */
-  void rememberAll(AcceptedJobIndex specs) {
+  void loadRecentArrivals(AcceptedJobIndex specs) {
     specs.uids().stream()
         .flatMap(uid -> specs.get(uid).stream())
         .sorted(Comparator.comparingLong(spec -> JobRecord.acceptedWallMs(spec.value())))
@@ -55,18 +55,19 @@
       return;
     }
     long wallMs = JobRecord.acceptedWallMs(spec.value());
-    arrivals.came(wallMs);
+    arrivals.recordSubmission(wallMs);
     if (scheduler.wallMs() - wallMs < REMEMBERED_MS) {
       JobRecord.decode(spec.uid(), spec.value())
           .ifPresent(
               record ->
-                  arrivals.work(record.spec(), record.spec().dueS(), record.acceptedWallMs()));
+                  arrivals.recordWork(
+                      record.spec(), record.spec().deadlineS(), record.acceptedWallMs()));
     }
   }
 
   /** From when on the job counts as waiting for room: all its dependencies are done. */
   void ready(Job job) {
-    job.readySince(pipelines.readyWallMs(job.uid()).orElse(job.acceptedWallMs()));
+    job.markReady(pipelines.readyWallMs(job.uid()).orElse(job.acceptedWallMs()));
   }
 
   /**
@@ -94,23 +95,23 @@
   /** A job begins to wait for room. */
   void arrived(Job job) {
     if (pipelines.graph().awaitsOthers(job.uid())) {
-      arrivals.becameReady(job.sinceWallMs());
+      arrivals.recordReady(job.eligibleSinceWallMs());
     } else {
-      arrivals.came(job.sinceWallMs());
+      arrivals.recordSubmission(job.eligibleSinceWallMs());
     }
-    arrivals.work(job.spec(), job.dueS(), job.sinceWallMs());
+    arrivals.recordWork(job.spec(), job.deadlineS(), job.eligibleSinceWallMs());
     if (isPressing(job)) {
-      arrivals.pressing(job);
+      arrivals.recordHighPriority(job);
     }
   }
 
   private boolean isPressing(Job job) {
-    if (job.urgency().compareTo(Priority.HIGH) <= 0) {
+    if (job.priority().compareTo(Priority.HIGH) <= 0) {
       return true;
     }
     int tasks = job.spec().tasks();
     Resources perTask = job.perTask();
     Resources whole = new Resources(perTask.cores() * tasks, perTask.accelerators() * tasks, 0);
-    return teams.guarantees(job.team(), whole) && job.dueS().isEmpty();
+    return teams.guarantees(job.team(), whole) && job.deadlineS().isEmpty();
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/JobIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/JobIntake.java
@@ -68,8 +68,8 @@
   /** Listens to the records from now on, until cancelled. */
   Cancellable start(Replica replica) {
     CancellableGroup listening = new CancellableGroup();
-    listening.add(replica.listen(this::recordChanged));
-    listening.add(specs.listen(this::accepted));
+    listening.add(replica.addListener(this::recordChanged));
+    listening.add(specs.addListener(this::accepted));
     listening.add(pipelines.graph().listen(new GraphEvents()));
     return listening;
   }
@@ -80,8 +80,8 @@
   }
 
   private void recordChanged(String key, Optional<Entry> entry) {
-    if (!closed && entry.isPresent() && key.startsWith(Keys.CANCELS)) {
-      jobs.get(key.substring(Keys.CANCELS.length())).ifPresent(this::cancel);
+    if (!closed && entry.isPresent() && key.startsWith(Keys.CANCELLATIONS)) {
+      jobs.get(key.substring(Keys.CANCELLATIONS.length())).ifPresent(this::cancel);
     }
   }
 
@@ -119,18 +119,18 @@
 
   /** A job whose tasks were recorded before what it awaits was done: it may run on now. */
   private void resume(Job job) {
-    if (!job.awaiting()) {
+    if (!job.blockedOnDependencies()) {
       return;
     }
     arrivals.ready(job);
-    if (!job.over()) {
+    if (!job.isTerminal()) {
       writer.changed(job, 0);
     }
   }
 
   private void workWaits() {
     rentals.scanSoon();
-    placing.plan();
+    placing.schedule();
   }
 
   private void cancel(Job job) {
@@ -139,15 +139,15 @@
     }
     job.cancel();
     long nowMs = scheduler.nowMs();
-    for (Placement placement : List.copyOf(job.live())) {
+    for (Placement placement : List.copyOf(job.activePlacements())) {
       if (placement.neverSent()) {
-        fleet.gone(placement, nowMs);
+        fleet.removePlacement(placement, nowMs);
       }
     }
-    LOG.info("job {} is cancelled with {} tasks out", job.uid(), job.live().size());
+    LOG.info("job {} is cancelled with {} tasks out", job.uid(), job.activePlacements().size());
     commands.stop(job);
-    progress.tidy(job);
-    placing.plan();
+    progress.cleanUp(job);
+    placing.schedule();
   }
 
   private final class GraphEvents implements DependencyGraph.Listener {
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -124,10 +124,10 @@
     this.arrivals =
         new JobArrivals(scheduler, context.pipelines(), newInheritance(), forecast, teams);
     Placer placer = newPlacer(context);
-    this.placing = new SchedulingRounds(scheduler, placer, arrivals, times, this::mayDecide);
+    this.placing = new SchedulingRounds(scheduler, placer, arrivals, times, this::isAuthoritative);
     this.rentals = newRentals(context, newDemand(context, placer));
     HeartbeatHandler reportHandler = newReportHandler();
-    DirectCommands directOrders = new DirectCommands(fleet, this::mayDecide);
+    DirectCommands directOrders = new DirectCommands(fleet, this::isAuthoritative);
     this.commands =
         new DirectCommandSender(
             SocketBudget.of(context.settings()).directCommands(),
@@ -140,7 +140,7 @@
     this.intake = newJobIntake(context.pipelines());
     this.recovery = new Recovery(replica, graph, jobs, fleet, writer, arrivals);
     this.announcement =
-        new FencingTokenBroadcast(scheduler, term, timing, fleet, commands, this::mayDecide);
+        new FencingTokenBroadcast(scheduler, term, timing, fleet, commands, this::isAuthoritative);
   }
 
   // ---- wiring; each of these uses what the constructor has set before
@@ -210,7 +210,7 @@
         placer,
         progress,
         reachability,
-        this::mayDecide);
+        this::isAuthoritative);
   }
 
   private Autoscaler newRentals(LeaderContext context, ScaleOutDemand demand) {
@@ -232,7 +232,7 @@
     return new HeartbeatHandler(
         fleet,
         term,
-        this::mayDecide,
+        this::isAuthoritative,
         jobs::get,
         new TaskOwners(specs, teams)::of,
         writer::isDurablyDone,
@@ -242,7 +242,7 @@
   private DelayedResponses newHeldReplies(Settings settings, HeartbeatHandler reportHandler) {
     double holdS = Math.min(MOST_HOLD_S, HOLD_PART * settings.workers().reportS());
     return new DelayedResponses(
-        scheduler, fleet, reportHandler, this::mayDecide, Math.round(holdS * MS_PER_S));
+        scheduler, fleet, reportHandler, this::isAuthoritative, Math.round(holdS * MS_PER_S));
   }
 
   private HeartbeatIntake newReportIntake(HeartbeatHandler reportHandler) {
@@ -255,7 +255,7 @@
         new SpotDrain(estimates),
         reachability,
         times,
-        this::mayDecide);
+        this::isAuthoritative);
   }
 
   private JobIntake newJobIntake(Pipelines pipelines) {
@@ -269,7 +269,7 @@
   /** Rebuilds what earlier leaders recorded, and begins to lead. */
   public void start() {
     long nowMs = scheduler.nowMs();
-    arrivals.rememberAll(specs);
+    arrivals.loadRecentArrivals(specs);
     boolean logDamaged = recovery.restore(nowMs);
     arrivals.update();
     if (logDamaged) {
@@ -280,10 +280,10 @@
         "took over {} jobs and {} machines under token {}",
         jobs.all().size(),
         fleet.all().size(),
-        term.token());
+        term.fencingToken());
     startDuties();
-    List.copyOf(jobs.all()).forEach(progress::tidy);
-    placing.plan();
+    List.copyOf(jobs.all()).forEach(progress::cleanUp);
+    placing.schedule();
   }
 
   private void startDuties() {
@@ -310,33 +310,33 @@
 
   private void tick() {
     long nowMs = scheduler.nowMs();
-    if (!fleet.fencesLeft()) {
+    if (!fleet.hasFencingTokensLeft()) {
       // A new term has new tokens; nothing else changes, as a leader takes over from itself.
       election.resign();
       return;
     }
-    if (mayDecide()) {
-      progress.lost(fleet.expire(nowMs));
-      placing.plan();
-      reachability.trouble(nowMs).ifPresent(election::resignAndPause);
+    if (isAuthoritative()) {
+      progress.lost(fleet.expireLeases(nowMs));
+      placing.schedule();
+      reachability.reasonToStepDown(nowMs).ifPresent(election::resignAndPause);
     }
   }
 
-  private boolean mayDecide() {
-    return !closed && election.mayDecide();
+  private boolean isAuthoritative() {
+    return !closed && election.isAuthoritative();
   }
 
   private boolean listRead() {
-    return rentals.listRead();
+    return rentals.isMachineListRead();
   }
 
   private void planPlacing() {
-    placing.plan();
+    placing.schedule();
   }
 
   /** Unique over all leaders: the token is part of it. */
   private long nextAttempt() {
-    return term.token() << ATTEMPT_BITS | ++attempts;
+    return term.fencingToken() << ATTEMPT_BITS | ++attempts;
   }
 
   // ---- what the controller asks of its leader
@@ -351,19 +351,19 @@
    * what is placed there by then goes out at once, where it would wait for the next report. Without
    * a sure lead nothing is ordered.
    */
-  public void report(Heartbeat report, Consumer<HeartbeatHandler.Response> then) {
-    reports.report(report, then);
+  public void handleHeartbeat(Heartbeat report, Consumer<HeartbeatHandler.Response> then) {
+    reports.accept(report, then);
   }
 
   /** So many reports came to another controller, which sends the machines here. */
-  public void strayed(int count) {
-    reachability.strayed(scheduler.nowMs(), count);
+  public void misdirectedHeartbeats(int count) {
+    reachability.misdirectedHeartbeats(scheduler.nowMs(), count);
   }
 
   /** Have this leader's writes come to nothing for a good while? */
-  public boolean writesFail() {
+  public boolean isFailingToWrite() {
     long sinceMs = writer.failingSinceMs();
-    return mayDecide() && sinceMs >= 0 && scheduler.nowMs() - sinceMs > USELESS_MS;
+    return isAuthoritative() && sinceMs >= 0 && scheduler.nowMs() - sinceMs > USELESS_MS;
   }
 
   /** Numbers for people. */
@@ -382,7 +382,7 @@
     @Override
     public void finished(Job job) {
       LOG.info("job {} is done", job.uid());
-      progress.tidy(job);
+      progress.cleanUp(job);
       // The write has been carried out: what awaits it need not wait for the next read.
       graph.done(job.uid());
     }
--- a/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
@@ -42,7 +42,7 @@
   private final long withinMs;
   private final long hushMs;
   private final long unheardMs;
-  private final Deque<Strays> strays = new ArrayDeque<>();
+  private final Deque<Strays> misdirected = new ArrayDeque<>();
   private final Deque<Removals> removals = new ArrayDeque<>();
   private long lastHeardMs;
   private long lastLookMs;
@@ -73,13 +73,13 @@
     this.listeningSinceMs = term.startMs();
   }
 
-  void heard(long nowMs) {
+  void recordHeartbeat(long nowMs) {
     lastHeardMs = nowMs;
   }
 
   /** So many reports of machines that had our answers before came to another controller. */
-  void strayed(long nowMs, int reports) {
-    strays.addLast(new Strays(nowMs, reports));
+  void misdirectedHeartbeats(long nowMs, int reports) {
+    misdirected.addLast(new Strays(nowMs, reports));
   }
 
   /** Since when this leader has listened without a pause. */
@@ -93,14 +93,14 @@
    * <p>A process that stood still finds reports that it has not read, and machines that gave it up
    * meanwhile: what it missed says nothing about them or about its lines, so it listens anew first.
    */
-  Optional<String> trouble(long nowMs) {
+  Optional<String> reasonToStepDown(long nowMs) {
     if (nowMs - lastLookMs > PAUSE_MS) {
       listeningSinceMs = nowMs;
-      strays.clear();
+      misdirected.clear();
     }
     lastLookMs = nowMs;
-    strays.removeIf(s -> nowMs - s.atMs() > withinMs);
-    removals.addLast(new Removals(nowMs, fleet.removed()));
+    misdirected.removeIf(s -> nowMs - s.atMs() > withinMs);
+    removals.addLast(new Removals(nowMs, fleet.removedCount()));
     while (nowMs - removals.getFirst().atMs() > LATEST_REPORT_MS) {
       removals.removeFirst();
     }
@@ -123,17 +123,17 @@
     if (nowMs - listeningSinceMs < 2 * withinMs) {
       return false;
     }
-    int reports = strayed();
+    int reports = misdirectedHeartbeats();
     int up = 0;
     int old = 0;
     int hear = 0;
     for (Machine m : fleet.all()) {
-      if (m.up() && nowMs - m.lastReportMs() < 2 * withinMs) {
+      if (m.isUp() && nowMs - m.lastHeartbeatMs() < 2 * withinMs) {
         up++;
         // Those that have just come up have not had the time to show what they heard.
         boolean settled = nowMs - m.upSinceMs() >= 2 * withinMs;
         old += settled ? 1 : 0;
-        hear += settled && m.hears() ? 1 : 0;
+        hear += settled && m.receivesCommands() ? 1 : 0;
       }
     }
     return up >= MANY_MACHINES && reports * 5 > up * 3 || old >= MANY_MACHINES && hear * 5 < old;
@@ -144,12 +144,12 @@
    * that were held up on the way, also of machines that are gone by now: after a zone of a thousand
    * machines had been cut off and returned, a fleet of 70 was given up for their late reports.
    */
-  private int strayed() {
+  private int misdirectedHeartbeats() {
     int reports = 0;
-    for (Strays s : strays) {
+    for (Strays s : misdirected) {
       reports += s.reports();
     }
-    long removed = fleet.removed() - removals.getFirst().total();
+    long removed = fleet.removedCount() - removals.getFirst().total();
     return Math.max(0, reports - (int) (removed * LATE_SHARE));
   }
 
@@ -163,15 +163,15 @@
     int expected = 0;
     int heard = 0;
     for (Machine m : fleet.all()) {
-      heard += m.up() && nowMs - m.lastReportMs() < withinMs ? 1 : 0;
-      expected += m.up() || !m.placements().isEmpty() && mayExist(m) ? 1 : 0;
+      heard += m.isUp() && nowMs - m.lastHeartbeatMs() < withinMs ? 1 : 0;
+      expected += m.isUp() || !m.placements().isEmpty() && mayExist(m) ? 1 : 0;
     }
     mostHeard = Math.max(mostHeard, heard);
     if (expected < MANY_MACHINES) {
       long enoughMs = mostHeard * 2 <= expected ? unheardMs : 2 * withinMs;
       return expected >= SOME_MACHINES && nowMs - lastHeardMs >= enoughMs;
     }
-    if (nowMs - lastHeardMs >= hushMs && strayed() * 3 > expected) {
+    if (nowMs - lastHeardMs >= hushMs && misdirectedHeartbeats() * 3 > expected) {
       return true;
     }
     if (mostHeard * 2 <= expected) {
@@ -187,6 +187,6 @@
    * would stand back before it had listened for long enough to call their tasks gone.
    */
   private boolean mayExist(Machine m) {
-    return m.listed() || !listRead.getAsBoolean();
+    return m.isListed() || !listRead.getAsBoolean();
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/LeaderRecords.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderRecords.java
@@ -53,7 +53,7 @@
   /** The last token of the term: whoever reads this, the next term begins above it. */
   @Override
   public JsonNode encodeEpochs(long taken) {
-    return Cbor.map().put("n", taken + Term.SPAN - 1);
+    return Cbor.map().put("n", taken + Term.TOKENS_PER_TERM - 1);
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
@@ -15,7 +15,7 @@
     int up = 0;
     int placed = 0;
     for (Machine machine : fleet.all()) {
-      up += machine.up() ? 1 : 0;
+      up += machine.isUp() ? 1 : 0;
       placed += machine.placements().size();
     }
     return String.format(
@@ -26,6 +26,6 @@
         up,
         placed,
         writer.backlog(),
-        rentals.returnSummary());
+        rentals.scaleInStatus());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -75,7 +75,7 @@
             jobs.get(uid)
                 .ifPresent(
                     job ->
-                        job.passedBack(
+                        job.inherit(
                             p.urgency(),
                             p.latestFinishMs(),
                             lastChance.get(uid).latestFinishMs())));
@@ -91,12 +91,13 @@
   private CriticalPath.Own own(JobRecord record, ToDoubleFunction<JobSpec> multiple) {
     JobSpec spec = record.spec();
     OptionalLong latestFinish =
-        spec.dueS().isPresent()
+        spec.deadlineS().isPresent()
             ? OptionalLong.of(
                 record.acceptedWallMs()
-                    + Math.round(spec.dueS().getAsDouble() * multiple.applyAsDouble(spec) * 1000))
+                    + Math.round(
+                        spec.deadlineS().getAsDouble() * multiple.applyAsDouble(spec) * 1000))
             : OptionalLong.empty();
-    return new CriticalPath.Own(latestFinish, spec.urgency(), estimates.runS(spec));
+    return new CriticalPath.Own(latestFinish, spec.priority(), estimates.runS(spec));
   }
 
   private Optional<JobRecord> record(String uid) {
--- a/src/main/java/org/ploverspindle/leadership/Recovery.java
+++ b/src/main/java/org/ploverspindle/leadership/Recovery.java
@@ -53,7 +53,7 @@
     for (Job job : jobs.loadAll(uid -> graph.isReady(uid) || recorded.speaksOf(uid))) {
       if (!graph.isReady(job.uid())) {
         LOG.error("tasks of job {} are recorded before what it awaits is done", job.uid());
-        job.await();
+        job.blockOnDependencies();
       } else if (graph.awaitsOthers(job.uid())) {
         arrivals.ready(job);
       }
@@ -63,33 +63,33 @@
   }
 
   private void rebuild(Job job, RecordedProgress.State recorded, long nowMs) {
-    recorded.done().stream().forEach(job::markDone);
+    recorded.done().stream().forEach(job::markCompleted);
     for (SnapshotRecord.RecordedPlacement live : recorded.live().values()) {
       place(job, live, nowMs);
     }
-    if (job.allDone() && !job.cancelled()) {
+    if (job.allTasksCompleted() && !job.cancelled()) {
       writer.changed(job, 0);
     }
   }
 
   private void place(Job job, SnapshotRecord.RecordedPlacement live, long nowMs) {
-    SnapshotRecord.MachineInfo host = live.host();
+    SnapshotRecord.MachineInfo host = live.machine();
     Optional<Machine> machine =
         fleet.adopt(host.id(), host.type(), host.zone(), host.spot(), nowMs);
     if (machine.isEmpty() || live.task() >= job.spec().tasks()) {
       // Where the task is can't be kept in view: were its job run, it could run in two places.
       LOG.error("job {} has a record of a machine or task that can't be: it is not run", job.uid());
-      job.block();
+      job.quarantine();
       return;
     }
-    fleet.place(
+    fleet.addPlacement(
         new Placement(
             job,
             live.task(),
             live.attempt(),
             machine.get(),
-            live.tenure(),
-            Placement.Phase.RECORDED));
+            live.agentEpoch(),
+            Placement.Phase.RECOVERED));
     // Another attempt of it may have completed, as a report that came late showed.
     TaskProgress.stopIfDone(job, live.task());
   }
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -71,17 +71,17 @@
   }
 
   @Override
-  public List<ScaleOutPlanner.Request> wanted(
+  public List<ScaleOutPlanner.Request> scaleOutRequests(
       List<ScaleOutPlanner.Candidate> offers, List<ScaleOutPlanner.PendingMachine> coming) {
     long nowMs = scheduler.nowMs();
     long wallMs = scheduler.wallMs();
     arrivals.update();
     List<Machine> usable =
-        fleet.all().stream().filter(machine -> machine.usable(nowMs, SILENCE_MS)).toList();
+        fleet.all().stream().filter(machine -> machine.isSchedulable(nowMs, SILENCE_MS)).toList();
     ScaleOutPlanner demand = demands.get();
     List<ScaleOutPlanner.Request> wanted =
         demand.plan(
-            placer.waitingJobs(nowMs, wallMs),
+            placer.pendingJobs(nowMs, wallMs),
             jobs.all(),
             usable,
             coming,
@@ -101,39 +101,40 @@
   private void retire(List<Machine> usable, ScaleOutPlanner demand) {
     List<Machine> dear = new ArrayList<>();
     for (Machine machine : usable) {
-      machine.retiring(false);
+      machine.isScaleInCandidate(false);
       MachineType type = catalogue.type(machine.type());
-      if (!machine.spot() && type.price(false) > type.price(true) * ScaleOutPlanner.DEAR) {
+      if (!machine.spot()
+          && type.price(false) > type.price(true) * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO) {
         dear.add(machine);
       }
     }
     dear.sort(Comparator.comparingLong(machine -> -machine.free().cores()));
     for (Machine machine : dear) {
-      machine.retiring(demand.isDearSurplus(machine));
+      machine.isScaleInCandidate(demand.isExpensiveSurplus(machine));
     }
   }
 
   @Override
   public Predicate<Machine> needed() {
-    return placer.wanted(scheduler.nowMs());
+    return placer.usefulMachines(scheduler.nowMs());
   }
 
   @Override
-  public boolean quiet() {
-    return forecast.over(scheduler.wallMs());
+  public boolean isQuiet() {
+    return forecast.submissionsStopped(scheduler.wallMs());
   }
 
   /** Without its room the next pressing job would wait for a machine to boot. */
   @Override
-  public Predicate<Machine> spare() {
+  public Predicate<Machine> surplus() {
     Optional<Job> next = expected();
     return next.isPresent() ? new SpareRoom(next.get()) : machine -> true;
   }
 
   private Optional<Job> expected() {
-    return forecast.nothingFollows(scheduler.wallMs())
+    return forecast.arrivalsStopped(scheduler.wallMs())
         ? Optional.empty()
-        : forecast.typicalPressing();
+        : forecast.typicalHighPriorityJob();
   }
 
   @Override
@@ -147,7 +148,7 @@
   }
 
   @Override
-  public boolean mayDecide() {
+  public boolean isAuthoritative() {
     return mayDecide.getAsBoolean();
   }
 
@@ -178,7 +179,7 @@
     }
 
     private int fitting(Machine machine) {
-      return machine.usable(scheduler.nowMs(), SILENCE_MS) && Placer.allows(next, machine)
+      return machine.isSchedulable(scheduler.nowMs(), SILENCE_MS) && Placer.allows(next, machine)
           ? machine.free().times(next.perTask())
           : 0;
     }
--- a/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
+++ b/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
@@ -57,7 +57,7 @@
   }
 
   /** Has waiting tasks placed soon; calls before the round begins are served by that one. */
-  void plan() {
+  void schedule() {
     if (planned || closed) {
       return;
     }
--- a/src/main/java/org/ploverspindle/leadership/SpotDrain.java
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -34,7 +34,7 @@
 
   /** Called with each report that shows the notice; what is stopping already is left alone. */
   void drain(Machine machine, long nowMs) {
-    double leftS = machine.recallS();
+    double leftS = machine.spotNoticeS();
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!placement.stopping()) {
         stopIfLate(placement, leftS, nowMs);
@@ -48,8 +48,8 @@
       return;
     }
     JobSpec spec = placement.job().spec();
-    double saveS = spec.saveCostS();
-    if (spec.saves() && leftS > saveS) {
+    double saveS = spec.checkpointCostS();
+    if (spec.isCheckpointed() && leftS > saveS) {
       placement.stop(Math.max(saveS + SAVE_MARGIN_S, Math.min(leftS, saveS * SAVE_ALLOWANCE)));
     } else if (restS > leftS * HOPELESS_RATIO) {
       placement.stop(0);
--- a/src/main/java/org/ploverspindle/leadership/TaskFailures.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskFailures.java
@@ -39,18 +39,18 @@
   void failed(Placement placement, long nowMs) {
     Job job = placement.job();
     Machine machine = placement.machine();
-    boolean lookedBroken = job.looksBroken(nowMs);
+    boolean lookedBroken = job.isFailingEverywhere(nowMs);
     long sinceMs = placement.runningSinceMs();
     job.failedOn(machine.host(), sinceMs < 0 ? 0 : nowMs - sinceMs, nowMs);
-    if (job.works(nowMs)) {
+    if (job.isKnownToRun(nowMs)) {
       long retryMs = Math.min(LONGEST_RETRY_MS, RETRY_STEP_MS * (1 + job.failures()));
-      job.putOff(placement.task(), nowMs + retryMs);
+      job.backOff(placement.task(), nowMs + retryMs);
     }
-    if (detector.failed(machine, job, nowMs) && !machine.draining()) {
+    if (detector.failed(machine, job, nowMs) && !machine.isDraining()) {
       LOG.info("machine {} fails tasks of jobs that run elsewhere: it is returned", machine.host());
       machine.drain();
     }
-    if (!lookedBroken && job.looksBroken(nowMs)) {
+    if (!lookedBroken && job.isFailingEverywhere(nowMs)) {
       LOG.info(
           "job {} fails on several machines and runs nowhere: one task is tried now and then",
           job.uid());
@@ -60,7 +60,7 @@
   /** A job that is no longer in the table has shown that it can run if it was done. */
   private boolean works(String uid) {
     return jobs.get(uid)
-        .map(job -> job.works(scheduler.nowMs()))
-        .orElseGet(() -> replica.get(Keys.done(uid)).isPresent());
+        .map(job -> job.isKnownToRun(scheduler.nowMs()))
+        .orElseGet(() -> replica.get(Keys.completion(uid)).isPresent());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/TaskProgress.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -66,11 +66,11 @@
   }
 
   /** Drops a job that is over as soon as none of its tasks can be anywhere. */
-  void tidy(Job job) {
+  void cleanUp(Job job) {
     if (job.cancelled()) {
       writer.cancelledTasksEnded(job);
     }
-    if (job.over() && job.live().isEmpty()) {
+    if (job.isTerminal() && job.activePlacements().isEmpty()) {
       writer.over(job);
       jobs.remove(job);
     }
@@ -78,8 +78,8 @@
 
   /** Stops an attempt that goes on although its task is done, by a report of another one. */
   static void stopIfDone(Job job, int task) {
-    Placement placement = job.liveAt(task);
-    if (placement != null && job.done().get(task)) {
+    Placement placement = job.activePlacement(task);
+    if (placement != null && job.completedTasks().get(task)) {
       placement.stop(0);
     }
   }
@@ -90,16 +90,16 @@
     if (sinceMs >= 0) {
       estimates.observed(placement.job(), (nowMs - sinceMs) / MS_PER_S);
     }
-    completedUnplaced(placement.job(), placement.task());
+    completedUnrecorded(placement.job(), placement.task());
   }
 
   @Override
-  public void completedUnplaced(Job job, int task) {
-    if (job.over()) {
-      tidy(job);
+  public void completedUnrecorded(Job job, int task) {
+    if (job.isTerminal()) {
+      cleanUp(job);
       return;
     }
-    job.markDone(task);
+    job.markCompleted(task);
     stopIfDone(job, task);
     writer.changed(job, task);
     planPlacing.run();
@@ -119,16 +119,16 @@
     }
     switch (cause) {
       case ERROR -> failures.failed(placement, nowMs);
-      case NO_ROOM, BUSY -> job.putOff(placement.task(), nowMs + REFUSED_RETRY_MS);
-      case NO_SUCH -> job.putOff(placement.task(), nowMs + UNKNOWN_RETRY_MS);
+      case NO_ROOM, BUSY -> job.backOff(placement.task(), nowMs + REFUSED_RETRY_MS);
+      case NO_SUCH -> job.backOff(placement.task(), nowMs + UNKNOWN_RETRY_MS);
       default -> {}
     }
     ended(placement);
   }
 
   private void ended(Placement placement) {
-    if (placement.job().over()) {
-      tidy(placement.job());
+    if (placement.job().isTerminal()) {
+      cleanUp(placement.job());
     } else {
       writer.changed(placement.job(), placement.task());
     }
@@ -137,10 +137,10 @@
 
   /** For people who ask why a pressing task waited. */
   @Override
-  public void moved(Placement placement) {
+  public void changed(Placement placement) {
     if (!LOG.isDebugEnabled()
         || placement.phase() != Placement.Phase.RUNNING
-        || placement.job().urgency().compareTo(Priority.HIGH) > 0) {
+        || placement.job().priority().compareTo(Priority.HIGH) > 0) {
       return;
     }
     long nowMs = scheduler.nowMs();
@@ -148,7 +148,7 @@
         "{}/{} runs {} ms after it could first; {} ms after its record, {} ms after its launch",
         placement.job().uid(),
         placement.task(),
-        scheduler.wallMs() - placement.job().sinceWallMs(),
+        scheduler.wallMs() - placement.job().eligibleSinceWallMs(),
         nowMs - placement.recordedMs(),
         nowMs - placement.sentMs());
   }
--- a/src/main/java/org/ploverspindle/leases/FencedStore.java
+++ b/src/main/java/org/ploverspindle/leases/FencedStore.java
@@ -23,8 +23,8 @@
   }
 
   @Override
-  public void txn(Transaction txn, Consumer<TransactionResult> then) {
-    store.txn(
+  public void commit(Transaction txn, Consumer<TransactionResult> then) {
+    store.commit(
         txn,
         result -> {
           if (result instanceof TransactionResult.Conflict conflict
@@ -36,13 +36,13 @@
   }
 
   @Override
-  public void page(String prefix, String after, int size, Consumer<PageResult> then) {
-    store.page(prefix, after, size, then);
+  public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
+    store.readPage(prefix, after, size, then);
   }
 
   @Override
-  public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
-    store.changesAfter(prefix, ledger, then);
+  public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
+    store.readChanges(prefix, ledger, then);
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/leases/LeaseTiming.java
+++ b/src/main/java/org/ploverspindle/leases/LeaseTiming.java
@@ -4,24 +4,24 @@
  * For how long a lease lives.
  *
  * @param ttlMs how long the state service keeps it when it is not renewed
- * @param surelyMs how long it certainly lives by this process's clock, from the sending of the last
+ * @param validMs how long it certainly lives by this process's clock, from the sending of the last
  *     renewal that was answered: less than {@code ttlMs} by what clocks drift apart
  */
-public record LeaseTiming(long ttlMs, long surelyMs) {
+public record LeaseTiming(long ttlMs, long validMs) {
   /** A renewal goes out when this part of the lease has passed. */
   private static final int RENEWALS_PER_LEASE = 4;
 
   /** Checks that a renewal that is lost can be repeated before the lease is over. */
   public LeaseTiming {
-    long leastMs = RENEWALS_PER_LEASE * (ttlMs - surelyMs);
-    if (surelyMs >= ttlMs || ttlMs < leastMs) {
+    long leastMs = RENEWALS_PER_LEASE * (ttlMs - validMs);
+    if (validMs >= ttlMs || ttlMs < leastMs) {
       throw new IllegalArgumentException(
           "a lease of "
               + ttlMs
               + " ms, of which "
-              + surelyMs
+              + validMs
               + " ms are sure, allows no renewals: it must be above the sure time and "
-              + Math.max(leastMs, surelyMs + 1)
+              + Math.max(leastMs, validMs + 1)
               + " ms at least");
     }
   }
@@ -32,6 +32,6 @@
 
   /** Beyond this age a lease that was not renewed is not used for taking a duty. */
   long freshMs() {
-    return surelyMs / 2;
+    return validMs / 2;
   }
 }
--- a/src/main/java/org/ploverspindle/leases/RoleLease.java
+++ b/src/main/java/org/ploverspindle/leases/RoleLease.java
@@ -33,13 +33,13 @@
   /** What the process is told; always on the loop. */
   public interface Listener {
     /** The duty is held; the replica has all that earlier holders wrote. */
-    void taken(HeldRole duty);
+    void acquired(HeldRole duty);
 
     /** The duty is over: nothing may be done under it any more. */
     void lost(HeldRole duty, String cause);
 
     /** May this process try to take the duty now? Asked before each try. */
-    boolean mayTry();
+    boolean mayAcquire();
   }
 
   private final Scheduler scheduler;
@@ -77,7 +77,7 @@
     this.member = member;
     this.nonce = Long.toString(random.nextLong() >>> 1, Character.MAX_RADIX);
     this.listener = listener;
-    replica.listen(this::changed);
+    replica.addListener(this::changed);
   }
 
   /** The duty, if this process holds it as far as it knows. */
@@ -89,8 +89,8 @@
    * Does this process certainly hold the duty, if its clock is right? To be asked last before each
    * send; the receiver's check is the proof.
    */
-  public boolean surelyHeld() {
-    return held.isPresent() && lease.surelyLives();
+  public boolean isCertainlyHeld() {
+    return held.isPresent() && lease.isCertainlyValid();
   }
 
   /** When the lease was last known to live, on the steady clock. */
@@ -115,7 +115,7 @@
 
   /** Renews the lease or tries to take the duty. To be called many times within a lease. */
   public void tick() {
-    if (!replica.loaded()) {
+    if (!replica.isLoaded()) {
       return;
     }
     if (held.isPresent()) {
@@ -130,7 +130,7 @@
   }
 
   private void tryToTake() {
-    if (acquiring || scheduler.nowMs() < earliestTryMs || !listener.mayTry()) {
+    if (acquiring || scheduler.nowMs() < earliestTryMs || !listener.mayAcquire()) {
       return;
     }
     // Only who tries needs a lease: renewals of all others would use up shared requests.
@@ -145,13 +145,13 @@
       tellUnreadable(records.epochKey());
       return;
     }
-    take(epoch.get(), epochs.map(Entry::stamp).orElse(0L), lease.id().orElseThrow());
+    take(epoch.get(), epochs.map(Entry::modRevision).orElse(0L), lease.id().orElseThrow());
   }
 
   private void take(long epoch, long epochStamp, long leaseId) {
     acquiring = true;
     JsonNode record = records.encode(new RoleHolder(member, nonce, epoch, leaseId));
-    store.txn(
+    store.commit(
         new StateStore.Transaction(
             List.of(
                 new Condition(records.holderKey(), 0),
@@ -165,7 +165,7 @@
           }
           // Whatever was answered, the replica tells who holds the duty: an unanswered try may
           // have been carried out.
-          replica.barrier(
+          replica.readBarrier(
               read -> {
                 acquiring = false;
                 earliestTryMs =
@@ -191,7 +191,7 @@
       tellUnreadable(key);
       end("the record of the holder can't be read");
     } else if (isOurs(holder.get())) {
-      takenAt(entry.get().stamp(), holder.get());
+      takenAt(entry.get().modRevision(), holder.get());
     } else {
       closeIfAbandoned(holder.get());
       end("another controller holds the duty: " + holder.get().member());
@@ -222,30 +222,33 @@
   }
 
   private void takenAt(long stamp, RoleHolder ours) {
-    if (held.isPresent() && held.get().stamp() == stamp) {
+    if (held.isPresent() && held.get().modRevision() == stamp) {
       return;
     }
     end("the record of the holder is a newer one");
     HeldRole fresh = new HeldRole(ours.epoch(), stamp, scheduler.nowMs());
     // One more read after our record stood: then the replica has every write of earlier holders,
     // and later ones fail on their condition.
-    replica.barrier(read -> begin(fresh, ours.lease(), read));
+    replica.readBarrier(read -> begin(fresh, ours.lease(), read));
   }
 
   /** Meanwhile another one may have taken the duty, or this process have given it up. */
   private void begin(HeldRole fresh, long leaseId, boolean read) {
     boolean stands =
-        replica.get(records.holderKey()).map(e -> e.stamp() == fresh.stamp()).orElse(false);
+        replica
+            .get(records.holderKey())
+            .map(e -> e.modRevision() == fresh.modRevision())
+            .orElse(false);
     boolean leased = lease.id().map(id -> id == leaseId).orElse(false);
     if (!stands || !leased || held.isPresent()) {
       return;
     }
     if (!read) {
-      replica.barrier(again -> begin(fresh, leaseId, again));
+      replica.readBarrier(again -> begin(fresh, leaseId, again));
       return;
     }
     held = Optional.of(fresh);
-    listener.taken(fresh);
+    listener.acquired(fresh);
   }
 
   /** Ends the duty here on a sign that it is over; the record is left to its lease. */
@@ -258,7 +261,7 @@
   }
 
   /** Gives the duty up at once, so that others need not wait for the lease to end. */
-  public void giveUp(String cause) {
+  public void release(String cause) {
     lease.close();
     end(cause);
   }
--- a/src/main/java/org/ploverspindle/leases/StateLease.java
+++ b/src/main/java/org/ploverspindle/leases/StateLease.java
@@ -41,8 +41,8 @@
   }
 
   /** Does the lease certainly live, if this process's clock is right? */
-  boolean surelyLives() {
-    return scheduler.nowMs() < sentMs + timing.surelyMs();
+  boolean isCertainlyValid() {
+    return scheduler.nowMs() < sentMs + timing.validMs();
   }
 
   /** Is enough of the lease left to take a duty under it? */
--- a/src/main/java/org/ploverspindle/leases/package-info.java
+++ b/src/main/java/org/ploverspindle/leases/package-info.java
@@ -5,8 +5,8 @@
  * grows with each holder. Owns: this process's leases, and what it knows of holding a duty. That
  * knowledge is never the proof that an action is allowed: each receiver checks the holder's version
  * or epoch itself, since a process may stop between its own check and its send, and its clock may
- * jump. See docs/duties.md.
+ * jump. See docs/leases.md.
  *
- * <p>May depend on: {@code loop} and {@code state}.
+ * <p>May depend on: {@code eventloop} and {@code state}.
  */
 package org.ploverspindle.leases;
--- a/src/main/java/org/ploverspindle/model/Catalogue.java
+++ b/src/main/java/org/ploverspindle/model/Catalogue.java
@@ -35,7 +35,7 @@
   }
 
   /** False until the machine types are known; before that nobody can say what fits. */
-  public boolean known() {
+  public boolean isKnown() {
     return !types.isEmpty();
   }
 
--- a/src/main/java/org/ploverspindle/model/JobSpec.java
+++ b/src/main/java/org/ploverspindle/model/JobSpec.java
@@ -15,8 +15,8 @@
     String uid,
     String jobClass,
     String team,
-    JobKind shape,
-    Priority urgency,
+    JobKind kind,
+    Priority priority,
     int tasks,
     double cores,
     double accelerators,
@@ -24,14 +24,14 @@
     Optional<List<String>> types,
     Optional<String> zone,
     boolean oneZone,
-    boolean apart,
+    boolean spreadOverZones,
     boolean spot,
     String image,
     double imageGb,
     double expectedS,
-    double saveEveryS,
-    double saveCostS,
-    OptionalDouble dueS,
+    double checkpointIntervalS,
+    double checkpointCostS,
+    OptionalDouble deadlineS,
     List<String> dependencies) {
 
   public static final int MAX_TASKS = 100_000;
@@ -46,8 +46,8 @@
         uid,
         jobClass,
         team,
-        shape,
-        urgency,
+        kind,
+        priority,
         tasks,
         cores,
         accelerators,
@@ -55,18 +55,18 @@
         Optional.of(allowed),
         zone,
         oneZone,
-        apart,
+        spreadOverZones,
         spot,
         image,
         imageGb,
         expectedS,
-        saveEveryS,
-        saveCostS,
-        dueS,
+        checkpointIntervalS,
+        checkpointCostS,
+        deadlineS,
         dependencies);
   }
 
-  public boolean saves() {
-    return saveEveryS > 0;
+  public boolean isCheckpointed() {
+    return checkpointIntervalS > 0;
   }
 }
--- a/src/main/java/org/ploverspindle/model/SafetyTiming.java
+++ b/src/main/java/org/ploverspindle/model/SafetyTiming.java
@@ -6,10 +6,11 @@
  * The times that the safety argument rests on (docs/safety.md), all on this node's steady clock.
  *
  * @param stateLeaseMs how long a lease lives in the state service when it is not renewed
- * @param answerMs how long after it last knew the state a leader may go on answering reports
- * @param leaseMs after this much silence a worker's lease has certainly run out
+ * @param heartbeatGraceMs how long after it last knew the state a leader may go on answering
+ *     reports
+ * @param agentLeaseMs after this much silence a worker's lease has certainly run out
  */
-public record SafetyTiming(long stateLeaseMs, long answerMs, long leaseMs) {
+public record SafetyTiming(long stateLeaseMs, long heartbeatGraceMs, long agentLeaseMs) {
   /** Clocks drift apart by at most 0.05 %; we allow for four times as much. */
   private static final double DRIFT = 1.002;
 
@@ -41,12 +42,12 @@
   }
 
   /** From the send of the last answered renewal on, the lease lives at least this long. */
-  public long stateLeaseSurelyMs() {
+  public long stateLeaseValidMs() {
     return Math.round(stateLeaseMs / DRIFT) - 50;
   }
 
   /** After this long in a term no earlier leader's answers keep any lease alive. */
   public long takeoverSilenceMs() {
-    return Math.round((answerMs + leaseMs) * DRIFT) + 300;
+    return Math.round((heartbeatGraceMs + agentLeaseMs) * DRIFT) + 300;
   }
 }
--- a/src/main/java/org/ploverspindle/model/Term.java
+++ b/src/main/java/org/ploverspindle/model/Term.java
@@ -5,15 +5,15 @@
  * term has many tokens, so that one machine's can be raised alone: what was sent to it under a
  * lower one is then void. All of a term are lower than the first of the next.
  */
-public record Term(long token, long leaderStamp, long startMs) {
+public record Term(long fencingToken, long leaderRevision, long startMs) {
   /** How many tokens a term has. */
-  public static final long SPAN = 1L << 20;
+  public static final long TOKENS_PER_TERM = 1L << 20;
 
-  public boolean owns(long warrant) {
-    return warrant >= token && warrant < token + SPAN;
+  public boolean owns(long fencingToken) {
+    return fencingToken >= fencingToken && fencingToken < fencingToken + TOKENS_PER_TERM;
   }
 
-  public boolean isBefore(long warrant) {
-    return warrant >= token + SPAN;
+  public boolean isBefore(long fencingToken) {
+    return fencingToken >= fencingToken + TOKENS_PER_TERM;
   }
 }
--- a/src/main/java/org/ploverspindle/net/UndertowHttpClient.java
+++ b/src/main/java/org/ploverspindle/net/UndertowHttpClient.java
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public void call(
+  public void send(
       String method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> then) {
     io.execute(() -> new Call(method, path, body, then).submit(timeoutMs));
   }
--- a/src/main/java/org/ploverspindle/net/package-info.java
+++ b/src/main/java/org/ploverspindle/net/package-info.java
@@ -6,6 +6,6 @@
  * connections to each target and the bounded queue of requests that wait for one. Knows nothing of
  * what the requests mean.
  *
- * <p>May depend on: {@code loop}, on which replies arrive.
+ * <p>May depend on: {@code eventloop}, on which replies arrive.
  */
 package org.ploverspindle.net;
--- a/src/main/java/org/ploverspindle/peers/PeerClient.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -42,7 +42,7 @@
     this.address = new InetSocketAddress(address.host(), address.port());
   }
 
-  void tell(byte[] frame) {
+  void send(byte[] frame) {
     if (waiting.size() >= MOST_WAITING) {
       // The peer does not take what it is told; older hints are worth no more than this one.
       drop("it takes nothing");
--- a/src/main/java/org/ploverspindle/peers/PeerCodec.java
+++ b/src/main/java/org/ploverspindle/peers/PeerCodec.java
@@ -50,7 +50,7 @@
       } else if (record instanceof PeerMessage.Resigned resigned) {
         out.writeLong(resigned.token());
       } else if (record instanceof PeerMessage.MisdirectedHeartbeats strays) {
-        out.writeInt(strays.reports());
+        out.writeInt(strays.count());
       }
       DataOutputStream frame = new DataOutputStream(framed);
       frame.writeInt(body.size());
--- a/src/main/java/org/ploverspindle/peers/PeerMessage.java
+++ b/src/main/java/org/ploverspindle/peers/PeerMessage.java
@@ -22,7 +22,7 @@
    * before. A worker that gets no responses from its leader tries other controllers, so this is a
    * sign that the leader can't be reached.
    */
-  record MisdirectedHeartbeats(String member, int reports) implements PeerMessage {}
+  record MisdirectedHeartbeats(String member, int count) implements PeerMessage {}
 
   /** The member can't reach the state service and asks whether others can. */
   record ReachabilityProbe(String member) implements PeerMessage {}
--- a/src/main/java/org/ploverspindle/peers/PeerServer.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -87,18 +87,18 @@
   }
 
   @Override
-  public void tell(String member, PeerMessage record) {
+  public void send(String member, PeerMessage record) {
     byte[] frame = PeerCodec.encode(record);
     PeerClient line = lines.get(member);
     if (line != null) {
-      io.execute(() -> line.tell(frame));
+      io.execute(() -> line.send(frame));
     }
   }
 
   @Override
-  public void tellAll(PeerMessage record) {
+  public void broadcast(PeerMessage record) {
     byte[] frame = PeerCodec.encode(record);
-    io.execute(() -> lines.values().forEach(line -> line.tell(frame)));
+    io.execute(() -> lines.values().forEach(line -> line.send(frame)));
   }
 
   private void accept(AcceptingChannel<StreamConnection> channel) {
--- a/src/main/java/org/ploverspindle/peers/package-info.java
+++ b/src/main/java/org/ploverspindle/peers/package-info.java
@@ -6,6 +6,6 @@
  * any of them costs time and never correctness. Owns: the peer connections, the wire format and its
  * version.
  *
- * <p>May depend on: {@code loop} and {@code settings}.
+ * <p>May depend on: {@code eventloop} and {@code settings}.
  */
 package org.ploverspindle.peers;
--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -29,8 +29,8 @@
     this.replica = replica;
     this.graph =
         new DependencyGraph(
-            uid -> replica.get(Keys.done(uid)).isPresent(),
-            uid -> replica.get(Keys.cancel(uid)).isPresent());
+            uid -> replica.get(Keys.completion(uid)).isPresent(),
+            uid -> replica.get(Keys.cancellation(uid)).isPresent());
     graph.listen(
         new DependencyGraph.Listener() {
           @Override
@@ -41,7 +41,7 @@
           @Override
           public void aborted(String uid) {}
         });
-    specs.listen(
+    specs.addListener(
         new AcceptedJobIndex.Listener() {
           @Override
           public void accepted(AcceptedJobIndex.AcceptedJob spec) {
@@ -54,7 +54,7 @@
             put(spec);
           }
         });
-    replica.listen(this::changed);
+    replica.addListener(this::changed);
   }
 
   /** The graph, which changes with the replica. */
@@ -75,7 +75,9 @@
    * True when the job is neither over nor ready. Such a job takes part in no limit and no demand.
    */
   public boolean isWaiting(String uid) {
-    return !graph.isReady(uid) && !graph.isAborted(uid) && replica.get(Keys.done(uid)).isEmpty();
+    return !graph.isReady(uid)
+        && !graph.isAborted(uid)
+        && replica.get(Keys.completion(uid)).isEmpty();
   }
 
   /** How many jobs wait for their dependencies. */
@@ -84,7 +86,7 @@
   }
 
   private void put(AcceptedJobIndex.AcceptedJob spec) {
-    JobRecord.StoredDependencies awaits = JobRecord.awaits(spec.value());
+    JobRecord.StoredDependencies awaits = JobRecord.storedDependencies(spec.value());
     if (awaits instanceof JobRecord.StoredDependencies.Inline here) {
       if (!here.uids().isEmpty() || graph.awaitsOthers(spec.uid())) {
         graph.put(spec.uid(), here.uids());
@@ -105,13 +107,13 @@
     if (entry.isEmpty()) {
       return;
     }
-    if (key.startsWith(Keys.DONES)) {
-      graph.done(key.substring(Keys.DONES.length()));
-    } else if (key.startsWith(Keys.CANCELS)) {
-      graph.cancelled(key.substring(Keys.CANCELS.length()));
-    } else if (key.startsWith(Keys.AWAITS) && !incomplete.isEmpty()) {
+    if (key.startsWith(Keys.COMPLETIONS)) {
+      graph.done(key.substring(Keys.COMPLETIONS.length()));
+    } else if (key.startsWith(Keys.CANCELLATIONS)) {
+      graph.cancelled(key.substring(Keys.CANCELLATIONS.length()));
+    } else if (key.startsWith(Keys.DEPENDENCIES) && !incomplete.isEmpty()) {
       AcceptedJobIndex.AcceptedJob spec =
-          incomplete.get(key.substring(Keys.AWAITS.length(), key.lastIndexOf('/')));
+          incomplete.get(key.substring(Keys.DEPENDENCIES.length(), key.lastIndexOf('/')));
       if (spec != null) {
         put(spec);
       }
--- a/src/main/java/org/ploverspindle/pipelines/package-info.java
+++ b/src/main/java/org/ploverspindle/pipelines/package-info.java
@@ -5,6 +5,6 @@
  * deadlines and urgency backwards along the critical path. Owns: the dependency graph, which every
  * controller keeps because users' answers need it. Nothing that is derived here is stored.
  *
- * <p>May depend on: {@code state}, {@code loop}, and {@code jobs.Priority}.
+ * <p>May depend on: {@code state}, {@code eventloop}, and {@code model}.
  */
 package org.ploverspindle.pipelines;
--- a/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
+++ b/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
@@ -44,7 +44,7 @@
 
   /** Core seconds of the job's tasks that wait and may start. */
   private double work(Job job) {
-    return job.openTasks(nowMs) * job.perTask().cores() * estimates.runS(job);
+    return job.schedulableTasks(nowMs) * job.perTask().cores() * estimates.runS(job);
   }
 
   /** The same jobs; within an urgency, those that can be in time come first. */
@@ -54,7 +54,7 @@
     Map<Integer, Double> teamBefore = new HashMap<>();
     for (int from = 0; from < byStart.size(); ) {
       int to = from;
-      while (to < byStart.size() && byStart.get(to).urgency() == byStart.get(from).urgency()) {
+      while (to < byStart.size() && byStart.get(to).priority() == byStart.get(from).priority()) {
         to++;
       }
       List<Job> inTime = new ArrayList<>();
