--- a/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
+++ b/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
@@ -35,16 +35,16 @@
   private final Deque<Came> recent = new ArrayDeque<>();
   private final Deque<Long> submissions = new ArrayDeque<>();
   private final Deque<Long> starters = new ArrayDeque<>();
-  private final Deque<Job> pressing = new ArrayDeque<>();
+  private final Deque<Job> recordHighPriority = new ArrayDeque<>();
 
   /** A user submitted a job that could run at once. */
-  public void came(long wallMs) {
+  public void recordSubmission(long wallMs) {
     keep(submissions, wallMs);
     keep(starters, wallMs);
   }
 
   /** A job that awaited others could run from then on. */
-  public void becameReady(long wallMs) {
+  public void recordReady(long wallMs) {
     keep(starters, wallMs);
   }
 
@@ -60,8 +60,8 @@
    *
    * @param dueS when it is due, in seconds from when it came
    */
-  public void work(JobSpec spec, OptionalDouble dueS, long wallMs) {
-    if (spec.shape() == JobKind.BATCH && dueS.orElse(Double.MAX_VALUE) <= SHORT_WINDOW_S) {
+  public void recordWork(JobSpec spec, OptionalDouble deadlineS, long wallMs) {
+    if (spec.kind() == JobKind.BATCH && deadlineS.orElse(Double.MAX_VALUE) <= SHORT_WINDOW_S) {
       double coreSeconds = spec.tasks() * spec.perTask().cores() * spec.expectedS();
       recent.addLast(new Came(wallMs, spec.jobClass(), coreSeconds));
     }
@@ -81,20 +81,20 @@
   }
 
   /** A job that should start at once: of high urgency, or covered by a guarantee. */
-  public void pressing(Job job) {
-    pressing.addLast(job);
-    if (pressing.size() > PRESSING_KEPT) {
-      pressing.removeFirst();
+  public void recordHighPriority(Job job) {
+    recordHighPriority.addLast(job);
+    if (recordHighPriority.size() > PRESSING_KEPT) {
+      recordHighPriority.removeFirst();
     }
   }
 
   /** True when users submitted jobs before and have stopped; pipelines may still go on. */
-  public boolean over(long wallMs) {
+  public boolean submissionsStopped(long wallMs) {
     return isOver(submissions, wallMs);
   }
 
   /** True when jobs that could run came before, and neither users nor pipelines bring any more. */
-  public boolean nothingFollows(long wallMs) {
+  public boolean arrivalsStopped(long wallMs) {
     return isOver(starters, wallMs);
   }
 
@@ -109,11 +109,11 @@
   }
 
   /** A pressing job of middling size among the last ones; the next is thought to be like it. */
-  public Optional<Job> typicalPressing() {
-    if (pressing.size() < 3) {
+  public Optional<Job> typicalHighPriorityJob() {
+    if (recordHighPriority.size() < 3) {
       return Optional.empty();
     }
-    List<Job> bySize = new ArrayList<>(pressing);
+    List<Job> bySize = new ArrayList<>(recordHighPriority);
     bySize.sort(Comparator.comparingLong(j -> j.perTask().cores() * j.spec().tasks()));
     return Optional.of(bySize.get(bySize.size() * 3 / 5));
   }
--- a/src/main/java/org/ploverspindle/placement/Capacity.java
+++ b/src/main/java/org/ploverspindle/placement/Capacity.java
@@ -25,10 +25,10 @@
 
   Capacity(MachineRegistry fleet, RuntimeEstimates estimates, long nowMs, long silenceMs) {
     for (Machine m : fleet.all()) {
-      if (m.usable(nowMs, silenceMs)) {
+      if (m.isSchedulable(nowMs, silenceMs)) {
         add(m.free().cores(), 0);
         for (Placement p : m.placements()) {
-          add(p.job().perTask().cores(), estimates.restS(p, nowMs));
+          add(p.job().perTask().cores(), estimates.remainingS(p, nowMs));
         }
       }
     }
@@ -43,8 +43,8 @@
   Capacity(Collection<Job> ofTeam, long room, RuntimeEstimates estimates, long nowMs) {
     add(room, 0);
     for (Job job : ofTeam) {
-      for (Placement p : job.live()) {
-        add(job.perTask().cores(), estimates.restS(p, nowMs));
+      for (Placement p : job.activePlacements()) {
+        add(job.perTask().cores(), estimates.remainingS(p, nowMs));
       }
     }
     sum();
--- a/src/main/java/org/ploverspindle/placement/Placer.java
+++ b/src/main/java/org/ploverspindle/placement/Placer.java
@@ -34,7 +34,7 @@
   private record Ranked(Job job, boolean beyondGuarantee, double slackS) {
     static final Comparator<Ranked> ORDER =
         (a, b) -> {
-          int byUrgency = a.job.urgency().compareTo(b.job.urgency());
+          int byUrgency = a.job.priority().compareTo(b.job.priority());
           if (byUrgency != 0) {
             return byUrgency;
           }
@@ -127,22 +127,22 @@
   }
 
   /** Jobs with tasks that could start now, in the order in which they are served. */
-  public List<Job> waitingJobs(long nowMs, long wallMs) {
+  public List<Job> pendingJobs(long nowMs, long wallMs) {
     List<Ranked> waiting = new ArrayList<>();
     for (Job job : jobs.all()) {
-      if (!job.over() && !job.blocked() && job.openTasks(nowMs) > 0) {
+      if (!job.isTerminal() && !job.quarantined() && job.schedulableTasks(nowMs) > 0) {
         waiting.add(
             new Ranked(
                 job,
                 !teams.withinGuarantee(job.team(), job.perTask()),
-                openSlackS(job, wallMs).orElse(Double.MAX_VALUE)));
+                remainingSlackS(job, wallMs).orElse(Double.MAX_VALUE)));
       }
     }
     waiting.sort(Ranked.ORDER);
     List<Job> byStart = new ArrayList<>(waiting.size());
     waiting.forEach(r -> byStart.add(r.job()));
     return new AdmissionOrder(
-            j -> openSlackS(j, wallMs), capacity(nowMs), teamCapacity, estimates, nowMs)
+            j -> remainingSlackS(j, wallMs), capacity(nowMs), teamCapacity, estimates, nowMs)
         .order(byStart);
   }
 
@@ -155,7 +155,7 @@
       Map<Integer, List<Job>> byTeam = new HashMap<>();
       jobs.all().forEach(j -> byTeam.computeIfAbsent(j.team(), t -> new ArrayList<>()).add(j));
       for (Map.Entry<Integer, List<Job>> e : byTeam.entrySet()) {
-        OptionalLong room = teams.coreRoom(e.getKey());
+        OptionalLong room = teams.coresWithinLimit(e.getKey());
         if (room.isPresent()) {
           teamCapacity.put(
               e.getKey(), new Capacity(e.getValue(), room.getAsLong(), estimates, nowMs));
@@ -167,8 +167,8 @@
 
   /** Seconds until the job must run to be done when due; those without a due time come last. */
   double slackS(Job job, long wallMs) {
-    double waitedS = (wallMs - job.sinceWallMs()) / 1000.0;
-    return job.dueS().orElse(1e6) - waitedS - estimates.runS(job);
+    double waitedS = (wallMs - job.eligibleSinceWallMs()) / 1000.0;
+    return job.deadlineS().orElse(1e6) - waitedS - estimates.runS(job);
   }
 
   /**
@@ -176,14 +176,16 @@
    * end within a time that the class's aims name. Empty when none can be. Estimates are wrong by
    * half, so a job that is a little late by its estimate is not given up.
    */
-  OptionalDouble openSlackS(Job job, long wallMs) {
+  OptionalDouble remainingSlackS(Job job, long wallMs) {
     double runS = estimates.runS(job);
-    double waitedS = (wallMs - job.sinceWallMs()) / 1000.0;
+    double waitedS = (wallMs - job.eligibleSinceWallMs()) / 1000.0;
     OptionalDouble byS = aims.startByS(job, runS, waitedS - DOUBT * runS - 2);
     if (byS.isPresent()) {
       return OptionalDouble.of(byS.getAsDouble() - waitedS);
     }
-    return job.dueS().isPresent() ? OptionalDouble.empty() : OptionalDouble.of(slackS(job, wallMs));
+    return job.deadlineS().isPresent()
+        ? OptionalDouble.empty()
+        : OptionalDouble.of(slackS(job, wallMs));
   }
 
   public void run(long nowMs, long wallMs) {
@@ -191,16 +193,16 @@
     // those with room are looked at for each job.
     List<Machine> withRoom = new ArrayList<>();
     for (Machine m : fleet.all()) {
-      if (m.free().cores() > 0 && m.usable(nowMs, silenceMs)) {
+      if (m.free().cores() > 0 && m.isSchedulable(nowMs, silenceMs)) {
         withRoom.add(m);
       }
     }
     if (withRoom.isEmpty()) {
       return;
     }
-    List<Job> waiting = waitingJobs(nowMs, wallMs);
+    List<Job> waiting = pendingJobs(nowMs, wallMs);
     servePatient(waiting, withRoom, nowMs, wallMs);
-    List<Machine> lasting = withRoom.stream().filter(m -> !m.retiring()).toList();
+    List<Machine> lasting = withRoom.stream().filter(m -> !m.isScaleInCandidate()).toList();
     for (Job job : waiting) {
       place(job, mayWait(job, wallMs) ? lasting : withRoom, nowMs, Integer.MAX_VALUE);
     }
@@ -208,9 +210,9 @@
 
   /** There is time until it must start, and nobody expects it to start at once. */
   private boolean mayWait(Job job, long wallMs) {
-    return job.urgency().compareTo(Priority.HIGH) > 0
-        && !aims.prompt(job)
-        && job.dueS().isPresent()
+    return job.priority().compareTo(Priority.HIGH) > 0
+        && !aims.requiresPromptStart(job)
+        && job.deadlineS().isPresent()
         && slackS(job, wallMs) > MAY_WAIT_S;
   }
 
@@ -218,13 +220,13 @@
    * Could a task that waits be put on the machine, were it usable by now? Asked about one machine
    * after the other: the jobs are gone through once.
    */
-  public Predicate<Machine> wanted(long nowMs) {
+  public Predicate<Machine> usefulMachines(long nowMs) {
     List<Job> open = new ArrayList<>();
     for (Job job : jobs.all()) {
-      if (!job.over()
-          && !job.blocked()
-          && job.openTasks(nowMs) > 0
-          && teams.room(job.team(), job.perTask()) > 0) {
+      if (!job.isTerminal()
+          && !job.quarantined()
+          && job.schedulableTasks(nowMs) > 0
+          && teams.tasksWithinLimit(job.team(), job.perTask()) > 0) {
         open.add(job);
       }
     }
@@ -238,24 +240,24 @@
   private void servePatient(List<Job> waiting, List<Machine> withRoom, long nowMs, long wallMs) {
     List<Job> patient = new ArrayList<>();
     for (Job job : waiting) {
-      if (starves(job, wallMs) || wallMs - job.sinceWallMs() > AGED_MS) {
+      if (isStarving(job, wallMs) || wallMs - job.eligibleSinceWallMs() > AGED_MS) {
         patient.add(job);
       }
     }
     if (patient.isEmpty()) {
       return;
     }
-    servedForPatience.removeIf(p -> p.job().liveAt(p.task()) != p);
+    servedForPatience.removeIf(p -> p.job().activePlacement(p.task()) != p);
     double share = 0;
     for (Machine m : fleet.all()) {
-      share += m.usable(nowMs, silenceMs) ? m.size().cores() * PATIENCE_SHARE : 0;
+      share += m.isSchedulable(nowMs, silenceMs) ? m.size().cores() * PATIENCE_SHARE : 0;
     }
     for (Placement p : servedForPatience) {
       share -= p.job().perTask().cores();
     }
     patient.sort(
-        Comparator.comparing((Job j) -> !starves(j, wallMs))
-            .thenComparingDouble(j -> starves(j, wallMs) ? -work(j) : j.sinceWallMs())
+        Comparator.comparing((Job j) -> !isStarving(j, wallMs))
+            .thenComparingDouble(j -> isStarving(j, wallMs) ? -work(j) : j.eligibleSinceWallMs())
             .thenComparing(Job::uid));
     for (Job job : patient) {
       double each = Math.max(1, job.perTask().cores());
@@ -263,7 +265,7 @@
       if (servedForPatience.isEmpty()) {
         most = Math.max(1, most);
       }
-      if (starves(job, wallMs)) {
+      if (isStarving(job, wallMs)) {
         most = Math.min(most, 1 + job.spec().tasks() / BEGIN_PART);
       }
       if (most > 0) {
@@ -279,22 +281,26 @@
   }
 
   /** Nothing of it has begun for too long. */
-  static boolean starves(Job job, long wallMs) {
-    return job.live().isEmpty() && job.done().isEmpty() && wallMs - job.sinceWallMs() > PATIENCE_MS;
+  static boolean isStarving(Job job, long wallMs) {
+    return job.activePlacements().isEmpty()
+        && job.completedTasks().isEmpty()
+        && wallMs - job.eligibleSinceWallMs() > PATIENCE_MS;
   }
 
   /** Makes room for pressing jobs that found none; says how many tasks are stopped for them. */
   public int preempt(long nowMs, long wallMs) {
     return new Preemption(fleet, teams, estimates, aims, silenceMs)
-        .run(waitingJobs(nowMs, wallMs), nowMs);
+        .run(pendingJobs(nowMs, wallMs), nowMs);
   }
 
   private List<Placement> place(Job job, List<Machine> usable, long nowMs, int most) {
     List<Placement> placed = new ArrayList<>();
     int task = nextTask(job, 0, nowMs);
-    int open = job.openTasks(nowMs);
-    int limit = job.spec().shape() == JobKind.GANG ? open : Math.min(most, open);
-    while (task >= 0 && placed.size() < limit && teams.room(job.team(), job.perTask()) > 0) {
+    int open = job.schedulableTasks(nowMs);
+    int limit = job.spec().kind() == JobKind.GANG ? open : Math.min(most, open);
+    while (task >= 0
+        && placed.size() < limit
+        && teams.tasksWithinLimit(job.team(), job.perTask()) > 0) {
       Machine best = best(job, usable);
       if (best == null) {
         break;
@@ -304,18 +310,23 @@
       do {
         Placement p =
             new Placement(
-                job, task, nextAttempt.getAsLong(), best, best.tenure(), Placement.Phase.INTENT);
-        fleet.place(p);
+                job,
+                task,
+                nextAttempt.getAsLong(),
+                best,
+                best.agentEpoch(),
+                Placement.Phase.INTENT);
+        fleet.addPlacement(p);
         placed.add(p);
         task = nextTask(job, task + 1, nowMs);
       } while (task >= 0
           && placed.size() < limit
-          && teams.room(job.team(), job.perTask()) > 0
+          && teams.tasksWithinLimit(job.team(), job.perTask()) > 0
           && takes(job, best));
     }
-    if (job.spec().shape() == JobKind.GANG && !job.waiting().isEmpty()) {
+    if (job.spec().kind() == JobKind.GANG && !job.pendingTasks().isEmpty()) {
       // Part of a gang would hold its room and wait for the rest. Nothing was recorded or sent yet.
-      placed.forEach(p -> fleet.gone(p, nowMs));
+      placed.forEach(p -> fleet.removePlacement(p, nowMs));
       return List.of();
     }
     placed.forEach(listener::placed);
@@ -323,8 +334,10 @@
   }
 
   private static int nextTask(Job job, int from, long nowMs) {
-    for (int t = job.waiting().nextSetBit(from); t >= 0; t = job.waiting().nextSetBit(t + 1)) {
-      if (!job.isPutOff(t, nowMs)) {
+    for (int t = job.pendingTasks().nextSetBit(from);
+        t >= 0;
+        t = job.pendingTasks().nextSetBit(t + 1)) {
+      if (!job.isBackedOff(t, nowMs)) {
         return t;
       }
     }
@@ -338,8 +351,8 @@
   private Machine best(Job job, List<Machine> usable) {
     Machine best = null;
     double bestScore = Double.MAX_VALUE;
-    boolean exposed = !job.spec().saves() && estimates.runS(job) > SHORT_S;
-    double perFetchS = aims.prompt(job) ? CORES_PER_FETCH_S_PROMPT : CORES_PER_FETCH_S;
+    boolean exposed = !job.spec().isCheckpointed() && estimates.runS(job) > SHORT_S;
+    double perFetchS = aims.requiresPromptStart(job) ? CORES_PER_FETCH_S_PROMPT : CORES_PER_FETCH_S;
     for (Machine m : usable) {
       if (!takes(job, m)) {
         continue;
@@ -349,7 +362,7 @@
               ? 0
               : job.spec().imageGb() / Math.max(0.01, catalogue.type(m.type()).fetchGbPerS());
       double score = m.free().cores() / 1000.0 + fetchS * perFetchS;
-      if (m.spot() == exposed && !m.retiring()) {
+      if (m.spot() == exposed && !m.isScaleInCandidate()) {
         score += WRONG_KIND_CORES;
       }
       if (job.hasFailedOn(m.host())) {
--- a/src/main/java/org/ploverspindle/placement/Preemption.java
+++ b/src/main/java/org/ploverspindle/placement/Preemption.java
@@ -79,12 +79,12 @@
       boolean within,
       Optional<String> bound) {
     static Like of(Job job, boolean within) {
-      boolean bound = job.zone() >= 0 || job.spec().oneZone() || job.spec().apart();
+      boolean bound = job.zone() >= 0 || job.spec().oneZone() || job.spec().spreadOverZones();
       return new Like(
           job.perTask(),
           job.types(),
           job.spec().spot(),
-          job.urgency(),
+          job.priority(),
           job.team(),
           within,
           bound ? Optional.of(job.uid()) : Optional.empty());
@@ -97,7 +97,7 @@
         waiting.stream()
             .filter(
                 j ->
-                    j.urgency().compareTo(Priority.HIGH) <= 0
+                    j.priority().compareTo(Priority.HIGH) <= 0
                         || teams.withinGuarantee(j.team(), j.perTask()))
             .toList();
     if (pressing.isEmpty()) {
@@ -105,7 +105,7 @@
     }
     List<Room> rooms = new ArrayList<>();
     for (Machine m : fleet.all()) {
-      if (m.usable(nowMs, silenceMs)) {
+      if (m.isSchedulable(nowMs, silenceMs)) {
         rooms.add(new Room(m));
       }
     }
@@ -114,7 +114,8 @@
     Set<Like> hopeless = new HashSet<>();
     int stopped = 0;
     for (Job job : pressing) {
-      int tasks = Math.min(job.openTasks(nowMs), teams.room(job.team(), job.perTask()));
+      int tasks =
+          Math.min(job.schedulableTasks(nowMs), teams.tasksWithinLimit(job.team(), job.perTask()));
       if (tasks <= 0 || stopped >= mostTasks) {
         continue;
       }
@@ -135,7 +136,7 @@
         promised.merge(job.team(), job.perTask(), Resources::plus);
         Room room = plan.room();
         for (Placement p : plan.victims()) {
-          p.stop(p.job().spec().saves() ? p.job().spec().saveCostS() + 1 : 0);
+          p.stop(p.job().spec().isCheckpointed() ? p.job().spec().checkpointCostS() + 1 : 0);
           room.free = room.free.plus(p.job().perTask());
           stopped++;
         }
@@ -198,7 +199,7 @@
 
   private boolean mayStop(Job job, Placement p, boolean within, long nowMs) {
     Job other = p.job();
-    boolean lower = other.urgency().compareTo(job.urgency()) > 0;
+    boolean lower = other.priority().compareTo(job.priority()) > 0;
     boolean borrowed =
         within
             && other.team() != job.team()
@@ -218,7 +219,7 @@
    * just begun is the best to stop, as the least work is lost with it.
    */
   private boolean startMatters(Job job) {
-    return aims.prompt(job) || job.urgency().compareTo(Priority.HIGH) <= 0;
+    return aims.requiresPromptStart(job) || job.priority().compareTo(Priority.HIGH) <= 0;
   }
 
   private static double ranS(Placement p, long nowMs) {
@@ -227,7 +228,8 @@
 
   /** Core seconds that are done again after a stop now. */
   private static double lost(Placement p, long nowMs) {
-    double lostS = p.job().spec().saves() ? p.job().spec().saveCostS() : ranS(p, nowMs);
+    double lostS =
+        p.job().spec().isCheckpointed() ? p.job().spec().checkpointCostS() : ranS(p, nowMs);
     return lostS * p.job().perTask().cores() / 1000.0;
   }
 }
--- a/src/main/java/org/ploverspindle/placement/RuntimeEstimates.java
+++ b/src/main/java/org/ploverspindle/placement/RuntimeEstimates.java
@@ -36,7 +36,7 @@
    * How long what is placed goes on, in seconds. What has run for longer than its estimate has a
    * fifth of it left; a replica, which ends when it is cancelled, goes on for ever.
    */
-  double restS(Placement p, long nowMs) {
+  double remainingS(Placement p, long nowMs) {
     if (p.job().spec().expectedS() <= 0) {
       return Double.MAX_VALUE;
     }
--- a/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
@@ -30,9 +30,10 @@
    * A group's kind that may be rented from now, and how many machines at most.
    *
    * @param held machines of the type that there are in the zone
-   * @param late its machines come late or never at present
+   * @param bootsLate its machines come late or never at present
    */
-  public record Candidate(int type, int zone, boolean spot, int room, int held, boolean late) {}
+  public record Candidate(
+      int type, int zone, boolean spot, int room, int held, boolean bootsLate) {}
 
   public record Request(int type, int zone, boolean spot, int count) {}
 
@@ -85,7 +86,7 @@
   private double rentedCores;
 
   /** A machine whose core costs this much more than the cheapest that there is counts as dear. */
-  public static final double DEAR = 1.5;
+  public static final double EXPENSIVE_PRICE_RATIO = 1.5;
 
   /** Work comes in lumps: for what keeps so many cores busy on average, this much more is held. */
   private static final double RATE_ROOM = 1.3;
@@ -137,7 +138,7 @@
     everywhere.set(0, catalogue.types().size() * catalogue.zoneCount() * 2);
     balance(all, machines, coresForRate, nowMs, wallMs);
     for (Job job : waiting) {
-      serve(job, machines, Placer.starves(job, wallMs), nowMs);
+      serve(job, machines, Placer.isStarving(job, wallMs), nowMs);
     }
     keepRate(all, coresForRate * RATE_ROOM_DEAR - haveNow());
     expected.ifPresent(job -> keepRoom(job, machines));
@@ -181,7 +182,7 @@
     for (Job job : all) {
       BitSet groups = groups(job);
       usable.put(job, groups);
-      if (!job.over() && !job.blocked()) {
+      if (!job.isTerminal() && !job.quarantined()) {
         balances.computeIfAbsent(groups, g -> new Balance());
         boolean covered = guaranteed.contains(job);
         needs.put(
@@ -243,7 +244,7 @@
    * Can the machine go, as more would be there without it than is needed even at a high price? If
    * so, it is counted as gone.
    */
-  public boolean isDearSurplus(Machine m) {
+  public boolean isExpensiveSurplus(Machine m) {
     int group = group(m.type(), m.zone(), m.spot());
     for (Map.Entry<BitSet, Balance> e : balances.entrySet()) {
       if (e.getKey().get(group) && -e.getValue().dearAllowed < m.size().cores()) {
@@ -272,18 +273,19 @@
    */
   private double coresNeeded(Job job, boolean covered, long nowMs, long wallMs, boolean dear) {
     double each = job.perTask().cores();
-    int open = Math.min(job.openTasks(nowMs), teams.room(job.team(), job.perTask()));
-    if (job.spec().shape() != JobKind.BATCH) {
-      return each * (open + job.live().size());
+    int open =
+        Math.min(job.schedulableTasks(nowMs), teams.tasksWithinLimit(job.team(), job.perTask()));
+    if (job.spec().kind() != JobKind.BATCH) {
+      return each * (open + job.activePlacements().size());
     }
     double runS = Math.max(1, estimates.runS(job));
     double leftS = open * runS;
-    for (Placement p : job.live()) {
+    for (Placement p : job.activePlacements()) {
       double ranS = p.runningSinceMs() < 0 ? 0 : (nowMs - p.runningSinceMs()) / 1000.0;
       leftS += Math.max(runS * 0.1, runS - ranS);
     }
     double horizon = Math.max(runS, horizonS(job, covered, wallMs, dear));
-    return each * Math.min(open + job.live().size(), leftS / horizon);
+    return each * Math.min(open + job.activePlacements().size(), leftS / horizon);
   }
 
   /**
@@ -293,15 +295,15 @@
    * come too late without them: work that can wait waits for cheap ones.
    */
   private double horizonS(Job job, boolean guaranteed, long wallMs, boolean dear) {
-    if (guaranteed || job.dueS().isEmpty()) {
+    if (guaranteed || job.deadlineS().isEmpty()) {
       return drainS;
     }
-    double waitedS = (wallMs - job.sinceWallMs()) / 1000.0;
-    double leftS = job.dueS().getAsDouble() - waitedS;
+    double waitedS = (wallMs - job.eligibleSinceWallMs()) / 1000.0;
+    double leftS = job.deadlineS().getAsDouble() - waitedS;
     double horizonS = leftS < drainS ? leftS : Math.max(drainS, leftS * (dear ? DEAR_WINDOW : 0.5));
     OptionalDouble lastStartS = aims.lastStartS(job);
     double startLeftS = lastStartS.orElse(0) - waitedS;
-    if (startLeftS > 0 && !job.waiting().isEmpty()) {
+    if (startLeftS > 0 && !job.pendingTasks().isEmpty()) {
       // The last ones start when all others have run: that is one run before the work is through.
       double startedS = startLeftS * (dear ? DEAR_WINDOW : 0.7) + estimates.runS(job);
       horizonS = Math.min(horizonS, Math.max(drainS, startedS));
@@ -314,15 +316,15 @@
     Set<Job> covered = new HashSet<>();
     Map<Integer, Resources> asked = new HashMap<>();
     all.stream()
-        .filter(j -> !j.over() && !j.awaiting())
-        .sorted(Comparator.comparingLong(Job::sinceWallMs).thenComparing(Job::uid))
+        .filter(j -> !j.isTerminal() && !j.blockedOnDependencies())
+        .sorted(Comparator.comparingLong(Job::eligibleSinceWallMs).thenComparing(Job::uid))
         .forEach(
             j -> {
               // What fails everywhere must not use up what its team is guaranteed.
               long tasks =
-                  j.works(nowMs)
-                      ? j.spec().tasks() - j.done().cardinality()
-                      : Math.max(1, j.live().size());
+                  j.isKnownToRun(nowMs)
+                      ? j.spec().tasks() - j.completedTasks().cardinality()
+                      : Math.max(1, j.activePlacements().size());
               Resources r =
                   new Resources(j.perTask().cores() * tasks, j.perTask().accelerators() * tasks, 0);
               Resources sum = asked.merge(j.team(), r, Resources::plus);
@@ -339,7 +341,8 @@
    *     dear one.
    */
   private void serve(Job job, List<Machine> machines, boolean starves, long nowMs) {
-    int need = Math.min(job.openTasks(nowMs), teams.room(job.team(), job.perTask()));
+    int need =
+        Math.min(job.schedulableTasks(nowMs), teams.tasksWithinLimit(job.team(), job.perTask()));
     for (Virtual v : coming) {
       if (need <= 0) {
         return;
@@ -392,9 +395,9 @@
   private void keepRate(Collection<Job> all, double missing) {
     Optional<Job> like =
         all.stream()
-            .filter(j -> !j.over() && j.spec().shape() == JobKind.BATCH)
-            .filter(j -> j.dueS().orElse(Double.MAX_VALUE) <= ArrivalForecast.SHORT_WINDOW_S)
-            .max(Comparator.comparingLong(Job::sinceWallMs).thenComparing(Job::uid));
+            .filter(j -> !j.isTerminal() && j.spec().kind() == JobKind.BATCH)
+            .filter(j -> j.deadlineS().orElse(Double.MAX_VALUE) <= ArrivalForecast.SHORT_WINDOW_S)
+            .max(Comparator.comparingLong(Job::eligibleSinceWallMs).thenComparing(Job::uid));
     double left = missing;
     while (like.isPresent() && left > 0) {
       Optional<OpenCandidate> offer = cheapest(like.get(), Integer.MAX_VALUE, true);
@@ -416,7 +419,7 @@
         least = Math.min(least, pricePerTask(job, t, job.spec().spot()));
       }
     }
-    return pricePerTask(job, offer.type(), offer.spot()) > least * DEAR;
+    return pricePerTask(job, offer.type(), offer.spot()) > least * EXPENSIVE_PRICE_RATIO;
   }
 
   private double pricePerTask(Job job, int type, boolean spot) {
@@ -480,7 +483,7 @@
     double bestCost = Double.MAX_VALUE;
     for (OpenCandidate o : offers) {
       if (o.room() <= 0
-          || o.offer.late() && !alsoLate
+          || o.offer.bootsLate() && !alsoLate
           || !allowed(job, o.offer.type(), o.offer.zone(), o.offer.spot())) {
         continue;
       }
--- a/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
+++ b/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
@@ -45,11 +45,11 @@
    */
   OptionalDouble startByS(Job job, double runS, double atLeastS) {
     double best = Double.MAX_VALUE;
-    best = earlier(best, job.dueS(), runS, atLeastS);
-    best = earlier(best, job.lastChanceS(), runS, atLeastS);
-    best = earlier(best, job.ownDueS(1), runS, atLeastS);
+    best = earlier(best, job.deadlineS(), runS, atLeastS);
+    best = earlier(best, job.latestDeadlineS(), runS, atLeastS);
+    best = earlier(best, job.ownDeadlineS(1), runS, atLeastS);
     for (double times : of(dueTimes, job)) {
-      best = earlier(best, job.ownDueS(times), runS, atLeastS);
+      best = earlier(best, job.ownDeadlineS(times), runS, atLeastS);
     }
     for (double withinS : of(finishWithinS, job)) {
       best = earlier(best, withinS - runS, atLeastS);
@@ -93,7 +93,7 @@
   }
 
   /** Should its tasks start at once? */
-  public boolean prompt(Job job) {
+  public boolean requiresPromptStart(Job job) {
     return of(startWithinS, job).stream().anyMatch(s -> s <= PROMPT_S);
   }
 }
--- a/src/main/java/org/ploverspindle/placement/package-info.java
+++ b/src/main/java/org/ploverspindle/placement/package-info.java
@@ -5,6 +5,6 @@
  * and computes what would have to be rented. Owns: the estimates and the arrival statistics of a
  * term. It proposes; durable writes and orders to workers are made elsewhere.
  *
- * <p>May depend on: {@code jobs}, {@code workers}, {@code settings}, {@code cloud.Catalogue}.
+ * <p>May depend on: {@code cluster}, {@code cluster}, {@code settings}, {@code model}.
  */
 package org.ploverspindle.placement;
--- a/src/main/java/org/ploverspindle/progress/DurableTasks.java
+++ b/src/main/java/org/ploverspindle/progress/DurableTasks.java
@@ -36,7 +36,7 @@
 
   /** The statement stands, and is the newest of its tasks. */
   void committed(TaskStatuses s) {
-    if (!s.job().over()) {
+    if (!s.job().isTerminal()) {
       done.computeIfAbsent(s.job(), j -> new BitSet()).or(s.done());
     }
     BitSet tasks = live.get(s.job());
@@ -52,7 +52,7 @@
   /** The tasks that a record may say to be on a machine although they are on none. */
   BitSet recordedButGone(Job job) {
     BitSet tasks = (BitSet) live.getOrDefault(job, new BitSet()).clone();
-    job.live().forEach(p -> tasks.clear(p.task()));
+    job.activePlacements().forEach(p -> tasks.clear(p.task()));
     return tasks;
   }
 
--- a/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
+++ b/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
@@ -46,12 +46,12 @@
   boolean takesOver(long old) {
     for (Map.Entry<TaskShard, BitSet> e : sources.slots().restingOn(old).entrySet()) {
       TaskShard c = e.getKey();
-      if (c.job().isGone() && !isNeeded(c, old)) {
+      if (c.job().isFullyStopped() && !isNeeded(c, old)) {
         continue;
       }
       BitSet open = batch.unsaid(c, e.getValue());
       open.andNot(tasksSaid.getOrDefault(c, NO_TASKS));
-      if (!open.isEmpty() && (c.job().blocked() || !say(c.job(), open))) {
+      if (!open.isEmpty() && (c.job().quarantined() || !say(c.job(), open))) {
         return false;
       }
     }
@@ -60,7 +60,7 @@
 
   /** Does anything older speak of the chunk, so that it would count without the record? */
   private boolean isNeeded(TaskShard c, long record) {
-    return !c.job().blocked()
+    return !c.job().quarantined()
         && (sources.checkpoints().exists(c)
             || sources.slots().isMentionedBefore(c.job().uid(), record));
   }
@@ -71,7 +71,7 @@
     for (Map<TaskShard, BitSet> resting : sources.slots().restingUpTo(upTo).values()) {
       for (Map.Entry<TaskShard, BitSet> e : resting.entrySet()) {
         TaskShard c = e.getKey();
-        if (!c.job().blocked() && !c.job().isGone() && sources.isLarge(c)) {
+        if (!c.job().quarantined() && !c.job().isFullyStopped() && sources.isLarge(c)) {
           BitSet open = batch.unsaid(c, e.getValue());
           open.andNot(tasksSaid.getOrDefault(c, NO_TASKS));
           any |= !open.isEmpty();
--- a/src/main/java/org/ploverspindle/progress/PendingProgress.java
+++ b/src/main/java/org/ploverspindle/progress/PendingProgress.java
@@ -74,7 +74,7 @@
   Map<Job, BitSet> changes() {
     changed
         .entrySet()
-        .removeIf(e -> e.getKey().blocked() || e.getKey().finished() || e.getValue().isEmpty());
+        .removeIf(e -> e.getKey().quarantined() || e.getKey().finished() || e.getValue().isEmpty());
     return changed;
   }
 
--- a/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
@@ -25,7 +25,12 @@
     s.placements().forEach(p -> cleared.clear(p.task()));
     Job job = s.job();
     return new ProgressLogRecord.Delta(
-        job.uid(), job.done().cardinality(), job.live().size(), s.done(), cleared, live(s));
+        job.uid(),
+        job.completedTasks().cardinality(),
+        job.activePlacements().size(),
+        s.done(),
+        cleared,
+        live(s));
   }
 
   /** For a checkpoint that covers all records up to {@code upTo}. */
@@ -33,7 +38,7 @@
     List<SnapshotRecord.RecordedPlacement> live = live(s);
     Job job = s.job();
     return new SnapshotRecord(s.done(), live, live.size(), upTo)
-        .encode(job.done().cardinality(), job.live().size());
+        .encode(job.completedTasks().cardinality(), job.activePlacements().size());
   }
 
   private List<SnapshotRecord.RecordedPlacement> live(TaskStatuses s) {
@@ -42,6 +47,6 @@
 
   private SnapshotRecord.RecordedPlacement live(Placement p) {
     return new SnapshotRecord.RecordedPlacement(
-        p.task(), p.attempt(), hostNames.apply(p.machine()), p.tenure());
+        p.task(), p.attempt(), hostNames.apply(p.machine()), p.agentEpoch());
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
@@ -48,7 +48,7 @@
   /** What stands under this key of the log can't be read. */
   void markDamaged(String key) {
     for (int slot = 0; slot < ProgressLogRecord.SLOTS; slot++) {
-      if (Keys.log(slot).equals(key)) {
+      if (Keys.progressLog(slot).equals(key)) {
         damaged.set(slot);
       }
     }
@@ -150,7 +150,7 @@
     long old = standing[slot];
     if (old < n) {
       List.copyOf(restingOn(old).keySet()).stream()
-          .filter(c -> c.job().isGone())
+          .filter(c -> c.job().isFullyStopped())
           .forEach(c -> drop(c, old));
     }
   }
--- a/src/main/java/org/ploverspindle/progress/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressWriter.java
@@ -131,7 +131,7 @@
 
   /** A record of the log stands in its slot. */
   public void loadedSlot(Entry entry, long n) {
-    slots.stands(n, entry.stamp());
+    slots.stands(n, entry.modRevision());
     nextRecord = Math.max(nextRecord, n + 1);
   }
 
@@ -176,7 +176,10 @@
   public void changed(Job job, int task) {
     // A job is not done before what it awaits is: it might still be aborted with that. And while an
     // attempt of a done task may still be somewhere, it is recorded: it takes its room.
-    if (job.allDone() && job.live().isEmpty() && !job.cancelled() && !job.awaiting()) {
+    if (job.allTasksCompleted()
+        && job.activePlacements().isEmpty()
+        && !job.cancelled()
+        && !job.blockedOnDependencies()) {
       pending.ending(job);
     } else {
       pending.changed(job, task);
@@ -189,7 +192,7 @@
    * Call it after their proof alone.
    */
   public void cancelledTasksEnded(Job job) {
-    if (job.blocked()) {
+    if (job.quarantined()) {
       // What can't be read may speak of any task: its records stay as they are.
       return;
     }
@@ -204,7 +207,7 @@
   private void findWhatToClear() {
     for (Job job : endedOf) {
       BitSet gone = durable.recordedButGone(job);
-      if (job.isGone()) {
+      if (job.isFullyStopped()) {
         gone.or(uncoveredByRemoval(job));
       }
       if (!gone.isEmpty()) {
@@ -218,7 +221,7 @@
   private BitSet uncoveredByRemoval(Job job) {
     BitSet tasks = new BitSet();
     if (slots.isMentioned(job.uid())) {
-      for (int i = 0; i < job.chunks(); i++) {
+      for (int i = 0; i < job.shardCount(); i++) {
         TaskShard c = new TaskShard(job, i);
         if (checkpoints.exists(c)) {
           tasks.set(c.firstTask(), c.endTask());
@@ -241,7 +244,7 @@
   public void over(Job job) {
     pending.forgetChanges(job);
     durable.forgetDone(job);
-    boolean readAgain = job.isGone() && !job.blocked();
+    boolean readAgain = job.isFullyStopped() && !job.quarantined();
     if (readAgain) {
       cancelledTasksEnded(job);
     } else {
@@ -249,7 +252,7 @@
       pending.forgetClearing(job);
       durable.forgetLive(job);
     }
-    for (int i = 0; i < job.chunks(); i++) {
+    for (int i = 0; i < job.shardCount(); i++) {
       TaskShard c = new TaskShard(job, i);
       if (!readAgain) {
         slots.covered(c, Long.MAX_VALUE);
@@ -314,7 +317,7 @@
       return;
     }
     WriteBatch batch =
-        new WriteBatch(sources, budget, nextRecord, () -> term.token() + "." + ++tries);
+        new WriteBatch(sources, budget, nextRecord, () -> term.fencingToken() + "." + ++tries);
     // Removed checkpoints may uncover what has to be cleared, in the same transaction at the
     // latest.
     batch.fill(endsWaited, clearingIsDue || pending.hasRemovals());
@@ -336,7 +339,7 @@
     writes.take(batch.changes());
     long sentMs = scheduler.nowMs();
     LOG.debug("writing {}; {} left", batch, pending.jobsWithChanges());
-    store.txn(
+    store.commit(
         batch.transaction(),
         r -> {
           LOG.debug("written after {} ms", scheduler.nowMs() - sentMs);
@@ -352,7 +355,7 @@
     if (result instanceof TransactionResult.Committed committed) {
       failures = 0;
       failingSinceMs = -1;
-      committed(batch, committed.ledger());
+      committed(batch, committed.revision());
       plan(GATHER_MS);
       return;
     }
@@ -388,9 +391,9 @@
   /** Whatever the transaction said is to be written again, as it will be then. */
   private void again(WriteBatch batch) {
     for (TaskStatuses s : batch.statements()) {
-      if (s.job().isGone()) {
+      if (s.job().isFullyStopped()) {
         cancelledTasksEnded(s.job());
-      } else if (!s.job().over() || !s.job().live().isEmpty()) {
+      } else if (!s.job().isTerminal() || !s.job().activePlacements().isEmpty()) {
         pending.changed(s.job(), s.tasks());
       }
     }
@@ -420,7 +423,7 @@
     List<Placement> placements = new ArrayList<>();
     for (TaskStatuses s : batch.statements()) {
       durable.committed(s);
-      s.placements().forEach(p -> p.recorded(scheduler.nowMs()));
+      s.placements().forEach(p -> p.markRecorded(scheduler.nowMs()));
       placements.addAll(s.placements());
     }
     batch.removed().forEach(checkpoints::removed);
@@ -442,7 +445,7 @@
   /** After no answer or a conflict only reading back tells what stands there now. */
   private void readBack(WriteBatch batch, TransactionResult result) {
     busy = true;
-    replica.barrier(
+    replica.readBarrier(
         ok -> {
           busy = false;
           if (closed) {
@@ -456,7 +459,8 @@
   }
 
   private void wasReadBack(WriteBatch batch, TransactionResult result) {
-    boolean ours = replica.get(Keys.LEADER).map(e -> e.stamp() == term.leaderStamp()).orElse(false);
+    boolean ours =
+        replica.get(Keys.LEADER).map(e -> e.modRevision() == term.leaderRevision()).orElse(false);
     if (!ours) {
       listener.deposed("the leader key changed under a write");
       return;
@@ -466,24 +470,24 @@
     batch.removed().forEach(this::readStamp);
     pending.keepRemovable(checkpoints);
     for (Job job : batch.ended()) {
-      if (replica.get(Keys.done(job.uid())).isPresent()) {
+      if (replica.get(Keys.completion(job.uid())).isPresent()) {
         finish(job);
       }
     }
     // A record of an earlier try, executed late, may stand in a slot. What it said is written again
     // by the next; only its place in the log is taken.
-    replica.under(Keys.LOG).values().forEach(this::taken);
+    replica.withPrefix(Keys.PROGRESS_LOG).values().forEach(this::taken);
   }
 
   private void readStamp(TaskShard c) {
-    checkpoints.stands(c, replica.get(c.key()).map(Entry::stamp).orElse(0L));
+    checkpoints.stands(c, replica.get(c.key()).map(Entry::modRevision).orElse(0L));
   }
 
   /** If a record of an unanswered write stands, what it speaks of rests on it. */
   private void taken(Entry e) {
     Optional<ProgressLogRecord> record = ProgressLogRecord.decode(e.value());
-    long n = record.map(ProgressLogRecord::n).orElse(-1L);
-    if (n < 0 || !Keys.log(n).equals(e.key()) || slots.stampAt(n) == e.stamp()) {
+    long n = record.map(ProgressLogRecord::sequence).orElse(-1L);
+    if (n < 0 || !Keys.progressLog(n).equals(e.key()) || slots.stampAt(n) == e.modRevision()) {
       return;
     }
     for (ProgressLogRecord.Delta d : record.get().deltas()) {
@@ -495,9 +499,9 @@
   }
 
   private static BitSet tasksOf(ProgressLogRecord.Delta d) {
-    BitSet tasks = (BitSet) d.done().clone();
+    BitSet tasks = (BitSet) d.completed().clone();
     tasks.or(d.cleared());
-    d.live().forEach(l -> tasks.set(l.task()));
+    d.placements().forEach(l -> tasks.set(l.task()));
     return tasks;
   }
 
--- a/src/main/java/org/ploverspindle/progress/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/progress/RecordedProgress.java
@@ -36,10 +36,10 @@
     this.replica = replica;
     this.writer = writer;
     List<ProgressLogRecord> records = new ArrayList<>();
-    for (Entry e : replica.under(Keys.LOG).values()) {
+    for (Entry e : replica.withPrefix(Keys.PROGRESS_LOG).values()) {
       Optional<ProgressLogRecord> record = ProgressLogRecord.decode(e.value());
-      if (record.isPresent() && Keys.log(record.get().n()).equals(e.key())) {
-        writer.loadedSlot(e, record.get().n());
+      if (record.isPresent() && Keys.progressLog(record.get().sequence()).equals(e.key())) {
+        writer.loadedSlot(e, record.get().sequence());
         records.add(record.get());
       } else {
         LOG.error("the record {} can't be read: nothing starts until every lease is over", e.key());
@@ -47,7 +47,7 @@
         logDamaged = true;
       }
     }
-    records.sort(Comparator.comparingLong(ProgressLogRecord::n));
+    records.sort(Comparator.comparingLong(ProgressLogRecord::sequence));
     for (ProgressLogRecord record : records) {
       record.deltas().stream()
           .map(ProgressLogRecord.Delta::uid)
@@ -63,32 +63,32 @@
 
   /** Does any record speak of the job's tasks? */
   public boolean speaksOf(String uid) {
-    return logByJob.containsKey(uid) || !replica.under(Keys.progressOf(uid)).isEmpty();
+    return logByJob.containsKey(uid) || !replica.withPrefix(Keys.snapshotsOf(uid)).isEmpty();
   }
 
   /** The job's progress; the job is blocked if a checkpoint of it can't be read. */
   public State of(Job job) {
     State state = new State(new BitSet(), new TreeMap<>());
-    long[] upTo = new long[job.chunks()];
-    for (Entry e : replica.under(Keys.progressOf(job.uid())).values()) {
+    long[] upTo = new long[job.shardCount()];
+    for (Entry e : replica.withPrefix(Keys.snapshotsOf(job.uid())).values()) {
       Optional<SnapshotRecord> record = SnapshotRecord.decode(e.value());
       int chunk = chunkOf(e.key());
-      if (record.isEmpty() || chunk < 0 || chunk >= job.chunks()) {
+      if (record.isEmpty() || chunk < 0 || chunk >= job.shardCount()) {
         LOG.error(
             "the record {} can't be read; its job is not run and it is left as it is", e.key());
-        job.block();
+        job.quarantine();
         continue;
       }
-      writer.loadedCheckpoint(job, chunk, e.stamp());
-      upTo[chunk] = record.get().upTo();
+      writer.loadedCheckpoint(job, chunk, e.modRevision());
+      upTo[chunk] = record.get().coveredUpTo();
       state.done.or(record.get().done());
-      record.get().live().forEach(l -> state.live.put(l.task(), l));
+      record.get().placements().forEach(l -> state.live.put(l.task(), l));
     }
     for (ProgressLogRecord record : logByJob.getOrDefault(job.uid(), List.of())) {
       for (ProgressLogRecord.Delta d : record.deltas()) {
         if (d.uid().equals(job.uid())) {
-          writer.loadedMention(job, record.n());
-          apply(job, record.n(), d, upTo, state);
+          writer.loadedMention(job, record.sequence());
+          apply(job, record.sequence(), d, upTo, state);
         }
       }
     }
@@ -100,7 +100,7 @@
 
   private void apply(Job job, long n, ProgressLogRecord.Delta d, long[] upTo, State state) {
     BitSet newer = new BitSet();
-    d.done().stream()
+    d.completed().stream()
         .filter(t -> newer(job, t, n, upTo))
         .forEach(
             t -> {
@@ -115,19 +115,19 @@
               newer.set(t);
               state.live.remove(t);
             });
-    for (SnapshotRecord.RecordedPlacement l : d.live()) {
+    for (SnapshotRecord.RecordedPlacement l : d.placements()) {
       if (newer(job, l.task(), n, upTo)) {
         newer.set(l.task());
         state.live.put(l.task(), l);
       }
     }
-    if (!job.blocked()) {
+    if (!job.quarantined()) {
       writer.loadedUncovered(job, newer, n);
     }
   }
 
   private static boolean newer(Job job, int task, long n, long[] upTo) {
-    return task < job.spec().tasks() && n > upTo[job.chunkOf(task)];
+    return task < job.spec().tasks() && n > upTo[job.shardOf(task)];
   }
 
   private static int chunkOf(String key) {
--- a/src/main/java/org/ploverspindle/progress/ShardSnapshots.java
+++ b/src/main/java/org/ploverspindle/progress/ShardSnapshots.java
@@ -47,12 +47,12 @@
     if (largeUntilMs.getOrDefault(c, Long.MIN_VALUE) > nowMs) {
       return true;
     }
-    if (c.job().chunkSize() * LEAST_LIVE_BYTES <= valueBytes) {
+    if (c.job().shardSize() * LEAST_LIVE_BYTES <= valueBytes) {
       return false;
     }
     int live = 0;
     for (int t = c.firstTask(); t < c.endTask(); t++) {
-      live += c.job().liveAt(t) == null ? 0 : 1;
+      live += c.job().activePlacement(t) == null ? 0 : 1;
     }
     return live * LEAST_LIVE_BYTES > valueBytes;
   }
--- a/src/main/java/org/ploverspindle/progress/TaskStatuses.java
+++ b/src/main/java/org/ploverspindle/progress/TaskStatuses.java
@@ -15,11 +15,11 @@
 record TaskStatuses(Job job, BitSet tasks, BitSet done, List<Placement> placements) {
   /** How these tasks are now. */
   static TaskStatuses of(Job job, BitSet tasks) {
-    BitSet done = (BitSet) job.done().clone();
+    BitSet done = (BitSet) job.completedTasks().clone();
     done.and(tasks);
     List<Placement> placements = new ArrayList<>();
     for (int t = tasks.nextSetBit(0); t >= 0; t = tasks.nextSetBit(t + 1)) {
-      Placement p = job.liveAt(t);
+      Placement p = job.activePlacement(t);
       if (p != null) {
         placements.add(p);
       }
--- a/src/main/java/org/ploverspindle/progress/WriteBatch.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatch.java
@@ -65,7 +65,7 @@
     this.firstRecord = firstRecord;
     this.nextRecord = firstRecord;
     this.newRecord = n -> new LogRecordBuilder(n, ids.get(), this, sources);
-    conditions.add(new Condition(Keys.LEADER, sources.term().leaderStamp()));
+    conditions.add(new Condition(Keys.LEADER, sources.term().leaderRevision()));
   }
 
   /**
@@ -106,10 +106,10 @@
         continue;
       }
       // Cancelled and done exclude each other: each is written only if the other is absent.
-      conditions.add(new Condition(Keys.cancel(job.uid()), 0));
-      conditions.add(new Condition(Keys.done(job.uid()), 0));
+      conditions.add(new Condition(Keys.cancellation(job.uid()), 0));
+      conditions.add(new Condition(Keys.completion(job.uid()), 0));
       changes.add(
-          new Change.Put(Keys.done(job.uid()), Cbor.map().put("tasks", job.spec().tasks())));
+          new Change.Put(Keys.completion(job.uid()), Cbor.map().put("tasks", job.spec().tasks())));
       bytes += END_BYTES;
       ended.add(job);
     }
@@ -154,8 +154,8 @@
   private void put(LogRecordBuilder record) {
     long n = record.n();
     int size = record.builder().bytes();
-    conditions.add(new Condition(Keys.log(n), sources.slots().stampAt(n)));
-    changes.add(new Change.Put(Keys.log(n), record.builder().value()));
+    conditions.add(new Condition(Keys.progressLog(n), sources.slots().stampAt(n)));
+    changes.add(new Change.Put(Keys.progressLog(n), record.builder().value()));
     bytes += size + CHANGE_BYTES;
     largestValueBytes = Math.max(largestValueBytes, size);
     records.put(n, record.tasksSaid());
@@ -181,7 +181,8 @@
         if (!room(most)) {
           return;
         }
-        boolean wanted = !checkpoints.contains(c) && !c.job().blocked() && !c.job().isGone();
+        boolean wanted =
+            !checkpoints.contains(c) && !c.job().quarantined() && !c.job().isFullyStopped();
         if (wanted && !sources.isLarge(c)) {
           addCheckpoint(c);
         }
--- a/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
+++ b/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
@@ -90,7 +90,7 @@
         entry.key(),
         new PendingTermination(
             entry.key(), record.get(), PendingTermination.Phase.RECORDED, scheduler.nowMs()));
-    hosts.forEach(fleet::beginReturn);
+    hosts.forEach(fleet::beginTermination);
     statistics.inherited(hosts.size());
     LOG.info("returning {} as an earlier leader recorded", hosts);
   }
@@ -106,7 +106,7 @@
     List<String> hosts = machines.stream().map(Machine::host).toList();
     LOG.info("returning {}", hosts);
     statistics.began(hosts.size());
-    hosts.forEach(fleet::beginReturn);
+    hosts.forEach(fleet::beginTermination);
     writer.prepare(hosts, scheduler.nowMs()).forEach(this::add);
   }
 
@@ -154,7 +154,7 @@
   }
 
   private void written(PendingTermination pending, CreateOutcome outcome) {
-    if (outcome == CreateOutcome.STANDS) {
+    if (outcome == CreateOutcome.CREATED) {
       pending.recorded();
       sendDue();
       return;
@@ -208,8 +208,8 @@
   private boolean mayGo(String host) {
     Optional<Machine> machine = fleet.get(host);
     if (machine.isEmpty()
-        || machine.get().empty()
-        || silence.isSilent(machine.get(), scheduler.nowMs())) {
+        || machine.get().isEmpty()
+        || silence.isExpired(machine.get(), scheduler.nowMs())) {
       return true;
     }
     TerminationDrain.drain(machine.get());
@@ -219,7 +219,7 @@
   private void confirmed(List<String> hosts) {
     long nowMs = scheduler.nowMs();
     for (String host : hosts) {
-      lost.accept(fleet.released(host, nowMs));
+      lost.accept(fleet.confirmTermination(host, nowMs));
     }
     for (PendingTermination pending : returns.values()) {
       for (String host : hosts) {
--- a/src/main/java/org/ploverspindle/scalein/TerminationClient.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationClient.java
@@ -12,5 +12,5 @@
    * Returns machines. True means that they and all tasks on them are gone; false that the request
    * may or may not have been executed, or may yet be.
    */
-  void release(List<String> hosts, Consumer<Boolean> then);
+  void terminate(List<String> hosts, Consumer<Boolean> then);
 }
--- a/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
@@ -20,7 +20,7 @@
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!placement.stopping()) {
         JobSpec spec = placement.job().spec();
-        placement.stop(spec.saves() ? spec.saveCostS() + SAVE_MARGIN_S : 0);
+        placement.stop(spec.isCheckpointed() ? spec.checkpointCostS() + SAVE_MARGIN_S : 0);
       }
     }
   }
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
@@ -29,7 +29,7 @@
 
   /** True when a write that can wait need not wait. */
   boolean hasSpareWrites() {
-    return writes.spare();
+    return writes.hasSpareBudget();
   }
 
   List<PendingTermination> prepare(List<String> hosts, long nowMs) {
@@ -48,7 +48,7 @@
   }
 
   private PendingTermination pending(TerminationRecord record, long nowMs) {
-    String key = Keys.machineReturn(token + "-" + ++counter);
+    String key = Keys.termination(token + "-" + ++counter);
     return new PendingTermination(key, record, PendingTermination.Phase.RECORDING, nowMs);
   }
 
@@ -57,6 +57,6 @@
   }
 
   void remove(PendingTermination pending, Consumer<Boolean> then) {
-    writes.tell(new Change.Remove(pending.key()), then);
+    writes.writeBestEffort(new Change.Remove(pending.key()), then);
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/TerminationSender.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationSender.java
@@ -60,7 +60,7 @@
       return false;
     }
     hosts.forEach(host -> notBeforeMs.put(host, IN_FLIGHT));
-    cloud.release(hosts, gone -> answered(hosts, gone, confirmed));
+    cloud.terminate(hosts, gone -> answered(hosts, gone, confirmed));
     return true;
   }
 
--- a/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
+++ b/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
@@ -18,9 +18,11 @@
  */
 public final class AcceptedJobIndex {
   /** An accepted job's record, and the revision that wrote it. */
-  public record AcceptedJob(String uid, JsonNode value, long stamp, String key) {
+  public record AcceptedJob(String uid, JsonNode value, long modRevision, String key) {
     private boolean isBefore(AcceptedJob other) {
-      return stamp != other.stamp ? stamp < other.stamp : key.compareTo(other.key) < 0;
+      return modRevision != other.modRevision
+          ? modRevision < other.modRevision
+          : key.compareTo(other.key) < 0;
     }
   }
 
@@ -36,11 +38,11 @@
   private final List<Listener> listeners = new ArrayList<>();
 
   public AcceptedJobIndex(Replica replica) {
-    replica.listen(this::changed);
+    replica.addListener(this::changed);
   }
 
   /** Cancelled with the term of whoever listens. */
-  public Cancellable listen(Listener listener) {
+  public Cancellable addListener(Listener listener) {
     listeners.add(listener);
     return () -> listeners.remove(listener);
   }
@@ -58,11 +60,11 @@
       return;
     }
     Entry e = entry.get();
-    if (key.startsWith(Keys.SPECS)) {
-      add(new AcceptedJob(key.substring(Keys.SPECS.length()), e.value(), e.stamp(), key));
-    } else if (key.startsWith(Keys.BATCHES)) {
+    if (key.startsWith(Keys.JOBS)) {
+      add(new AcceptedJob(key.substring(Keys.JOBS.length()), e.value(), e.modRevision(), key));
+    } else if (key.startsWith(Keys.JOB_BATCHES)) {
       for (Map.Entry<String, JsonNode> job : e.value().properties()) {
-        add(new AcceptedJob(job.getKey(), job.getValue(), e.stamp(), key));
+        add(new AcceptedJob(job.getKey(), job.getValue(), e.modRevision(), key));
       }
     }
   }
--- a/src/main/java/org/ploverspindle/state/DependenciesRecord.java
+++ b/src/main/java/org/ploverspindle/state/DependenciesRecord.java
@@ -50,7 +50,7 @@
   }
 
   public String key(int part) {
-    return Keys.awaits(name, part);
+    return Keys.dependencies(name, part);
   }
 
   /** The whole list by the copy; empty while a part of it is missing. */
@@ -58,7 +58,7 @@
       Replica replica, JobRecord.StoredDependencies.Separate where) {
     List<String> uids = new ArrayList<>();
     for (int i = 0; i < where.parts(); i++) {
-      Optional<String> ids = replica.text(Keys.awaits(where.name(), i), IDS);
+      Optional<String> ids = replica.text(Keys.dependencies(where.name(), i), IDS);
       if (ids.isEmpty()) {
         return Optional.empty();
       }
--- a/src/main/java/org/ploverspindle/state/HttpStateStore.java
+++ b/src/main/java/org/ploverspindle/state/HttpStateStore.java
@@ -34,8 +34,8 @@
   }
 
   @Override
-  public void txn(Transaction txn, Consumer<TransactionResult> then) {
-    caller.call(
+  public void commit(Transaction txn, Consumer<TransactionResult> then) {
+    caller.send(
         "POST", "/txn", Cbor.write(encode(txn)), TIMEOUT_MS, r -> then.accept(txnResult(r)));
   }
 
@@ -43,7 +43,7 @@
     ObjectNode body = Cbor.map();
     ArrayNode conditions = body.putArray("if");
     for (Condition c : txn.conditions()) {
-      conditions.addObject().put("path", c.key()).put("stamp", c.stamp());
+      conditions.addObject().put("path", c.key()).put("stamp", c.modRevision());
     }
     ArrayNode apply = body.putArray("apply");
     for (Change change : txn.changes()) {
@@ -101,14 +101,14 @@
   }
 
   @Override
-  public void page(String prefix, String after, int size, Consumer<PageResult> then) {
+  public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
     String path =
         "/kv?starts="
             + escape(prefix)
             + (after.isEmpty() ? "" : "&after=" + escape(after))
             + "&page="
             + size;
-    caller.call("GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(pageResult(r)));
+    caller.send("GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(pageResult(r)));
   }
 
   private static PageResult pageResult(HttpResult reply) {
@@ -125,9 +125,9 @@
   }
 
   @Override
-  public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
-    String path = "/follow?starts=" + escape(prefix) + "&after=" + ledger + "&wait_ms=0";
-    caller.call("GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(news(r)));
+  public void readChanges(String prefix, long revision, Consumer<ChangesResult> then) {
+    String path = "/follow?starts=" + escape(prefix) + "&after=" + revision + "&wait_ms=0";
+    caller.send("GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(news(r)));
   }
 
   private static ChangesResult news(HttpResult reply) {
@@ -155,7 +155,7 @@
 
   @Override
   public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
-    caller.call(
+    caller.send(
         "POST",
         "/holds",
         Cbor.write(Cbor.map().put("ttl_ms", ttlMs)),
@@ -170,7 +170,7 @@
 
   @Override
   public void renewLease(long lease, Consumer<Renewal> then) {
-    caller.call(
+    caller.send(
         "POST",
         "/holds/" + lease + "/extend",
         EMPTY,
@@ -188,6 +188,6 @@
 
   @Override
   public void closeLease(long lease) {
-    caller.call("DELETE", "/holds/" + lease, EMPTY, TIMEOUT_MS, r -> {});
+    caller.send("DELETE", "/holds/" + lease, EMPTY, TIMEOUT_MS, r -> {});
   }
 }
--- a/src/main/java/org/ploverspindle/state/JobRecord.java
+++ b/src/main/java/org/ploverspindle/state/JobRecord.java
@@ -16,9 +16,9 @@
  * A job as it is stored: what was asked, when it came by the accepting node's time of day, and how
  * many tasks one progress record holds (fixed for good, as the settings may change).
  */
-public record JobRecord(JobSpec spec, long acceptedWallMs, int chunk) {
-  private static final String AWAITS = "awaits";
-  private static final String AWAITS_IN = "awaits_in";
+public record JobRecord(JobSpec spec, long acceptedWallMs, int shardSize) {
+  private static final String DEPENDENCIES = "awaits";
+  private static final String DEPENDENCIES_KEY = "awaits_in";
 
   /**
    * Jobs that await nothing are written as they always were, to the letter: an earlier version may
@@ -27,7 +27,7 @@
   public ObjectNode encode() {
     ObjectNode v = withoutDependencies();
     if (!spec.dependencies().isEmpty()) {
-      spec.dependencies().forEach(v.putArray(AWAITS)::add);
+      spec.dependencies().forEach(v.putArray(DEPENDENCIES)::add);
     }
     return v;
   }
@@ -35,7 +35,9 @@
   /** With the dependencies in records of their own, which are written before this one. */
   public ObjectNode encode(DependenciesRecord elsewhere) {
     ObjectNode v = withoutDependencies();
-    v.putObject(AWAITS_IN).put("key", elsewhere.name()).put("parts", elsewhere.parts().size());
+    v.putObject(DEPENDENCIES_KEY)
+        .put("key", elsewhere.name())
+        .put("parts", elsewhere.parts().size());
     return v;
   }
 
@@ -47,14 +49,14 @@
     record Separate(String name, int parts) implements StoredDependencies {}
   }
 
-  public static StoredDependencies awaits(JsonNode v) {
-    JsonNode elsewhere = v.path(AWAITS_IN);
+  public static StoredDependencies storedDependencies(JsonNode v) {
+    JsonNode elsewhere = v.path(DEPENDENCIES_KEY);
     if (elsewhere.isObject()) {
       return new StoredDependencies.Separate(
           elsewhere.path("key").asText(), elsewhere.path("parts").asInt());
     }
     List<String> uids = new ArrayList<>();
-    v.path(AWAITS).forEach(uid -> uids.add(uid.asText()));
+    v.path(DEPENDENCIES).forEach(uid -> uids.add(uid.asText()));
     return new StoredDependencies.Inline(List.copyOf(uids));
   }
 
@@ -62,8 +64,8 @@
     ObjectNode v = Cbor.map();
     v.put("class", spec.jobClass());
     v.put("team", spec.team());
-    v.put("shape", spec.shape().name().toLowerCase(Locale.ROOT));
-    v.put("urgency", spec.urgency().name().toLowerCase(Locale.ROOT));
+    v.put("shape", spec.kind().name().toLowerCase(Locale.ROOT));
+    v.put("urgency", spec.priority().name().toLowerCase(Locale.ROOT));
     v.put("tasks", spec.tasks());
     v.put("cores", spec.cores());
     v.put("accel", spec.accelerators());
@@ -71,16 +73,16 @@
     spec.types().ifPresent(types -> types.forEach(v.putArray("types")::add));
     spec.zone().ifPresent(z -> v.put("zone", z));
     v.put("one_zone", spec.oneZone());
-    v.put("apart", spec.apart());
+    v.put("apart", spec.spreadOverZones());
     v.put("spot", spec.spot());
     v.put("image", spec.image());
     v.put("image_gb", spec.imageGb());
     v.put("expected", spec.expectedS());
-    v.put("save_every", spec.saveEveryS());
-    v.put("save_cost", spec.saveCostS());
-    spec.dueS().ifPresent(d -> v.put("due", d));
+    v.put("save_every", spec.checkpointIntervalS());
+    v.put("save_cost", spec.checkpointCostS());
+    spec.deadlineS().ifPresent(d -> v.put("due", d));
     v.put("at", acceptedWallMs);
-    v.put("chunk", chunk);
+    v.put("chunk", shardSize);
     return v;
   }
 
@@ -132,7 +134,9 @@
               v.path("due").isNumber()
                   ? OptionalDouble.of(v.path("due").asDouble())
                   : OptionalDouble.empty(),
-              awaits(v) instanceof StoredDependencies.Inline here ? here.uids() : List.of());
+              storedDependencies(v) instanceof StoredDependencies.Inline here
+                  ? here.uids()
+                  : List.of());
       return Optional.of(new JobRecord(spec, acceptedWallMs(v), chunk));
     } catch (IllegalArgumentException e) {
       return Optional.empty();
--- a/src/main/java/org/ploverspindle/state/LeaderWriter.java
+++ b/src/main/java/org/ploverspindle/state/LeaderWriter.java
@@ -28,14 +28,14 @@
   }
 
   /** True when the writer's share allows more that can wait. */
-  public boolean spare() {
+  public boolean hasSpareBudget() {
     return writes.available() >= 2;
   }
 
   /** What is known of a key that was to be created. */
   public enum CreateOutcome {
     /** It stands, with the value that was given. */
-    STANDS,
+    CREATED,
     /** It was certainly not created. */
     REFUSED,
     /** It was certainly not created, as it is beyond the state service's limits. */
@@ -51,17 +51,17 @@
         put,
         result -> {
           if (result instanceof TransactionResult.Committed) {
-            then.accept(CreateOutcome.STANDS);
+            then.accept(CreateOutcome.CREATED);
           } else if (result instanceof TransactionResult.Refused refused) {
             then.accept(
                 refused.status() == BEYOND_LIMITS
                     ? CreateOutcome.TOO_LARGE
                     : CreateOutcome.REFUSED);
           } else {
-            replica.barrier(
+            replica.readBarrier(
                 read ->
                     then.accept(
-                        read && stands(put) ? CreateOutcome.STANDS : CreateOutcome.UNKNOWN));
+                        read && stands(put) ? CreateOutcome.CREATED : CreateOutcome.UNKNOWN));
           }
         });
   }
@@ -71,14 +71,14 @@
   }
 
   /** Writes or removes a key whose loss costs nothing but time. */
-  public void tell(Change change, Consumer<Boolean> then) {
+  public void writeBestEffort(Change change, Consumer<Boolean> then) {
     write(List.of(), change, result -> then.accept(result instanceof TransactionResult.Committed));
   }
 
   private void write(List<Condition> conditions, Change change, Consumer<TransactionResult> then) {
     List<Condition> all = new ArrayList<>(conditions);
-    all.add(new Condition(Keys.LEADER, term.leaderStamp()));
+    all.add(new Condition(Keys.LEADER, term.leaderRevision()));
     writes.take(1);
-    store.txn(new StateStore.Transaction(all, List.of(change)), then);
+    store.commit(new StateStore.Transaction(all, List.of(change)), then);
   }
 }
--- a/src/main/java/org/ploverspindle/state/ProgressCounts.java
+++ b/src/main/java/org/ploverspindle/state/ProgressCounts.java
@@ -15,7 +15,7 @@
   private final Map<String, Counts> counts = new HashMap<>();
 
   public ProgressCounts(Replica replica) {
-    replica.listen(this::changed);
+    replica.addListener(this::changed);
   }
 
   public Counts of(String uid) {
@@ -26,20 +26,20 @@
     if (entry.isEmpty()) {
       return;
     }
-    if (key.startsWith(Keys.LOG)) {
+    if (key.startsWith(Keys.PROGRESS_LOG)) {
       long n = entry.get().value().path("n").asLong();
       ProgressLogRecord.counts(
           entry.get().value(), (uid, done, running) -> put(uid, n, done, running));
-    } else if (key.startsWith(Keys.PROGRESS)) {
+    } else if (key.startsWith(Keys.SNAPSHOTS)) {
       int slash = key.lastIndexOf('/');
       var v = entry.get().value();
       put(
-          key.substring(Keys.PROGRESS.length(), slash),
+          key.substring(Keys.SNAPSHOTS.length(), slash),
           v.path("upto").asLong(0),
           v.path("job_done").asInt(v.path("n").asInt()),
           v.path("job_running").asInt(v.path("r").asInt()));
-    } else if (key.startsWith(Keys.DONES)) {
-      counts.remove(key.substring(Keys.DONES.length()));
+    } else if (key.startsWith(Keys.COMPLETIONS)) {
+      counts.remove(key.substring(Keys.COMPLETIONS.length()));
     }
   }
 
--- a/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
+++ b/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
@@ -19,10 +19,10 @@
  * since the last one. It says how tasks are, not what happened to them: applying it again, or
  * together with a newer checkpoint, does no harm.
  *
- * @param n place in the log; later records say newer things
+ * @param sequence place in the log; later records say newer things
  * @param id who wrote it, so that an unanswered write can be recognised
  */
-public record ProgressLogRecord(long n, String id, List<Delta> deltas) {
+public record ProgressLogRecord(long sequence, String id, List<Delta> deltas) {
 
   /**
    * How the touched tasks of a job are: done, on a machine, or on none.
@@ -33,9 +33,9 @@
       String uid,
       int doneCount,
       int running,
-      BitSet done,
+      BitSet completed,
       BitSet cleared,
-      List<RecordedPlacement> live) {}
+      List<RecordedPlacement> placements) {}
 
   /** How many records the log holds; the oldest is replaced once checkpoints cover it. */
   public static final int SLOTS = 256;
@@ -73,24 +73,25 @@
       int kindsBefore = kinds.size();
       StringBuilder line = new StringBuilder(64);
       line.append(d.uid()).append('|').append(d.doneCount()).append('|').append(d.running());
-      line.append('|').append(SnapshotRecord.ranges(d.done()));
+      line.append('|').append(SnapshotRecord.ranges(d.completed()));
       line.append('|').append(SnapshotRecord.ranges(d.cleared())).append('|');
       int more = 0;
-      for (int i = 0; i < d.live().size(); ) {
-        RecordedPlacement first = d.live().get(i);
+      for (int i = 0; i < d.placements().size(); ) {
+        RecordedPlacement first = d.placements().get(i);
         int run = 1;
-        while (i + run < d.live().size() && continues(first, d.live().get(i + run), run)) {
+        while (i + run < d.placements().size()
+            && continues(first, d.placements().get(i + run), run)) {
           run++;
         }
-        Integer known = hosts.get(first.host());
+        Integer known = hosts.get(first.machine());
         if (known == null) {
           known = hosts.size();
-          hosts.put(first.host(), known);
-          String kind = kind(first.host());
+          hosts.put(first.machine(), known);
+          String kind = kind(first.machine());
           if (kinds.putIfAbsent(kind, kinds.size()) == null) {
             more += kind.length() + 3;
           }
-          more += first.host().id().length() + 6;
+          more += first.machine().id().length() + 6;
         }
         if (i > 0) {
           line.append(',');
@@ -100,7 +101,7 @@
           line.append('-').append(first.task() + run - 1);
         }
         line.append(':').append(Long.toString(first.attempt(), 36)).append(':').append(known);
-        line.append(':').append(first.tenure());
+        line.append(':').append(first.agentEpoch());
         i += run;
       }
       more += line.length() + 3;
@@ -121,8 +122,8 @@
     private static boolean continues(RecordedPlacement first, RecordedPlacement next, int run) {
       return next.task() == first.task() + run
           && next.attempt() == first.attempt() + run
-          && next.tenure() == first.tenure()
-          && next.host().equals(first.host());
+          && next.agentEpoch() == first.agentEpoch()
+          && next.machine().equals(first.machine());
     }
 
     private static String kind(MachineInfo h) {
--- a/src/main/java/org/ploverspindle/state/Replica.java
+++ b/src/main/java/org/ploverspindle/state/Replica.java
@@ -45,23 +45,23 @@
   private final long idlePeriodMs;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final List<Listener> listeners = new ArrayList<>();
-  private List<Consumer<Boolean>> waiting = new ArrayList<>();
-  private boolean loaded;
+  private List<Consumer<Boolean>> waitingReaders = new ArrayList<>();
+  private boolean isLoaded;
   private boolean busy;
   private Optional<Cancellable> planned = Optional.empty();
   private long plannedMs;
 
   /** Somebody waits who should not wait for long. */
-  private boolean hurry;
+  private boolean urgentReadWaiting;
 
   /** Until then this node's share of requests is used up by the reads that went out. */
   private long spentUntilMs = Long.MIN_VALUE / 2;
 
-  private long ledger;
+  private long revision;
   private long lastSentMs = Long.MIN_VALUE / 2;
   private long freshAsOfMs = Long.MIN_VALUE / 2;
   private int failures;
-  private long spacingMs = FIRST_SPACING_MS;
+  private long readIntervalMs = FIRST_SPACING_MS;
 
   public Replica(Scheduler scheduler, StateStore store, String prefix, long idlePeriodMs) {
     this.scheduler = scheduler;
@@ -71,7 +71,7 @@
   }
 
   /** Cancelled with the term of whoever listens: a leader that was must not be kept for ever. */
-  public Cancellable listen(Listener listener) {
+  public Cancellable addListener(Listener listener) {
     listeners.add(listener);
     return () -> listeners.remove(listener);
   }
@@ -82,8 +82,8 @@
   }
 
   /** Reads go out this far apart on average: this node's share of the state service's requests. */
-  public void spacing(long ms) {
-    spacingMs = ms;
+  public void setReadInterval(long ms) {
+    readIntervalMs = ms;
   }
 
   private void readIfIdle() {
@@ -96,8 +96,8 @@
     }
   }
 
-  public boolean loaded() {
-    return loaded;
+  public boolean isLoaded() {
+    return isLoaded;
   }
 
   /** When the last answered read was sent: the copy holds all that was true then. */
@@ -109,7 +109,7 @@
     return Optional.ofNullable(entries.get(key));
   }
 
-  public SortedMap<String, Entry> under(String keyPrefix) {
+  public SortedMap<String, Entry> withPrefix(String keyPrefix) {
     return entries.subMap(keyPrefix, keyPrefix + Character.MAX_VALUE);
   }
 
@@ -117,9 +117,9 @@
    * Calls {@code then} once the copy has reached a state read after this call, or with false when
    * it could not be read.
    */
-  public void barrier(Consumer<Boolean> then) {
-    waiting.add(then);
-    hurry = true;
+  public void readBarrier(Consumer<Boolean> then) {
+    waitingReaders.add(then);
+    urgentReadWaiting = true;
     planRead();
   }
 
@@ -127,8 +127,8 @@
    * The same for who has time: questions come all the while, and the reads that each would have at
    * once are left to those whose users wait to go on.
    */
-  public void patientBarrier(Consumer<Boolean> then) {
-    waiting.add(then);
+  public void lowPriorityReadBarrier(Consumer<Boolean> then) {
+    waitingReaders.add(then);
     planRead();
   }
 
@@ -162,29 +162,29 @@
   private long dueMs() {
     if (failures > 0) {
       // Wider apart while reads fail: polls must not use up the requests that leadership needs.
-      return lastSentMs + Math.min(600, spacingMs * (1 + failures));
+      return lastSentMs + Math.min(600, readIntervalMs * (1 + failures));
     }
-    if (hurry) {
-      return spentUntilMs - BURST * spacingMs;
+    if (urgentReadWaiting) {
+      return spentUntilMs - BURST * readIntervalMs;
     }
-    return lastSentMs + Math.min(600, PATIENT_SPACINGS * spacingMs);
+    return lastSentMs + Math.min(600, PATIENT_SPACINGS * readIntervalMs);
   }
 
   private void read() {
     if (busy) {
       return;
     }
-    if (!loaded) {
+    if (!isLoaded) {
       reload();
       return;
     }
     busy = true;
     sending();
     long sentMs = lastSentMs;
-    List<Consumer<Boolean>> served = waiting;
-    waiting = new ArrayList<>();
-    hurry = false;
-    store.changesAfter(prefix, ledger, news -> received(news, sentMs, served));
+    List<Consumer<Boolean>> served = waitingReaders;
+    waitingReaders = new ArrayList<>();
+    urgentReadWaiting = false;
+    store.readChanges(prefix, revision, news -> received(news, sentMs, served));
   }
 
   private void received(ChangesResult news, long sentMs, List<Consumer<Boolean>> served) {
@@ -194,19 +194,19 @@
       for (ChangedEntry c : changes.changes()) {
         apply(c);
       }
-      ledger = Math.max(ledger, changes.ledger());
+      revision = Math.max(revision, changes.revision());
       freshAsOfMs = Math.max(freshAsOfMs, sentMs);
       served.forEach(w -> w.accept(true));
     } else if (news instanceof ChangesResult.TooOld) {
-      loaded = false;
-      waiting.addAll(served);
-      hurry = true;
+      isLoaded = false;
+      waitingReaders.addAll(served);
+      urgentReadWaiting = true;
       reload();
     } else {
       failures++;
       served.forEach(w -> w.accept(false));
     }
-    if (!waiting.isEmpty()) {
+    if (!waitingReaders.isEmpty()) {
       planRead();
     }
   }
@@ -216,22 +216,22 @@
    * reads, which bring it again. Only for keys that are created once and never change: a reader of
    * the replica must not conclude anything from what such a key is shown without.
    *
-   * @param ledger the revision of the transaction
+   * @param revision the revision of the transaction
    */
-  public void created(Change.Put put, long ledger) {
+  public void applyCreated(Change.Put put, long revision) {
     // While it is read anew a page that is older than the key would seem to say that it is gone.
-    if (loaded) {
-      apply(new ChangedEntry(put.key(), Optional.of(put.value()), ledger));
+    if (isLoaded) {
+      apply(new ChangedEntry(put.key(), Optional.of(put.value()), revision));
     }
   }
 
   private void apply(ChangedEntry c) {
     Entry known = entries.get(c.key());
-    if (known != null && known.stamp() >= c.stamp()) {
+    if (known != null && known.modRevision() >= c.modRevision()) {
       return;
     }
     if (c.value().isPresent()) {
-      Entry entry = new Entry(c.key(), c.value().get(), c.stamp());
+      Entry entry = new Entry(c.key(), c.value().get(), c.modRevision());
       entries.put(c.key(), entry);
       notifyAll(c.key(), Optional.of(entry));
     } else if (known != null) {
@@ -248,7 +248,7 @@
 
   private void sending() {
     lastSentMs = scheduler.nowMs();
-    spentUntilMs = Math.max(spentUntilMs, lastSentMs) + spacingMs;
+    spentUntilMs = Math.max(spentUntilMs, lastSentMs) + readIntervalMs;
   }
 
   private void reload() {
@@ -262,7 +262,7 @@
   }
 
   private void loadPage(String after, long firstLedger, Set<String> seen, long sentMs) {
-    store.page(
+    store.readPage(
         prefix,
         after,
         PAGE,
@@ -275,10 +275,10 @@
           for (Entry e : page.entries()) {
             seen.add(e.key());
             lastKey = e.key();
-            apply(new ChangedEntry(e.key(), Optional.of(e.value()), e.stamp()));
+            apply(new ChangedEntry(e.key(), Optional.of(e.value()), e.modRevision()));
           }
           // Changes made while pages are read are read again from the first page's revision on.
-          long base = firstLedger < 0 ? page.ledger() : firstLedger;
+          long base = firstLedger < 0 ? page.revision() : firstLedger;
           if (page.hasNext() && !page.entries().isEmpty()) {
             loadPage(lastKey, base, seen, sentMs);
           } else {
@@ -290,14 +290,14 @@
   private void reloadFailed() {
     busy = false;
     failures++;
-    List<Consumer<Boolean>> served = waiting;
-    waiting = new ArrayList<>();
+    List<Consumer<Boolean>> served = waitingReaders;
+    waitingReaders = new ArrayList<>();
     served.forEach(w -> w.accept(false));
     // Backs off: a service that just came back must not be met by all nodes' reloads at once.
     scheduler.schedule(
         Math.min(2_000, 200L * failures),
         () -> {
-          if (!loaded) {
+          if (!isLoaded) {
             reload();
           }
         });
@@ -308,9 +308,9 @@
       entries.remove(gone);
       notifyAll(gone, Optional.empty());
     }
-    ledger = base;
+    revision = base;
     busy = false;
-    loaded = true;
+    isLoaded = true;
     failures = 0;
     freshAsOfMs = Math.max(freshAsOfMs, sentMs);
     // Everybody waiting asked before this load ended, not before it began: read once more.
--- a/src/main/java/org/ploverspindle/state/SnapshotRecord.java
+++ b/src/main/java/org/ploverspindle/state/SnapshotRecord.java
@@ -17,7 +17,8 @@
  * the progress log after {@code upTo} say newer things; an earlier landing's records, which knew no
  * log, are read as from before its beginning.
  */
-public record SnapshotRecord(BitSet done, List<RecordedPlacement> live, int running, long upTo) {
+public record SnapshotRecord(
+    BitSet done, List<RecordedPlacement> placements, int running, long coveredUpTo) {
 
   /** Counts of the whole job, for display. */
   public JsonNode encode(int jobDone, int jobRunning) {
@@ -31,21 +32,21 @@
   public record MachineInfo(String id, String type, String zone, boolean spot) {}
 
   /** A task's placement: recorded before its launch is ordered. */
-  public record RecordedPlacement(int task, long attempt, MachineInfo host, long tenure) {}
+  public record RecordedPlacement(int task, long attempt, MachineInfo machine, long agentEpoch) {}
 
   /** A placement takes at most about this many bytes, with a machine of its own. */
   private static final int LIVE_BYTES = 100;
 
   /** How many tasks one record may hold so that it always fits in a value. */
-  public static int chunkFor(int valueBytes) {
+  public static int shardSizeFor(int valueBytes) {
     return Math.max(8, (Math.min(valueBytes, 16 * 1024) - 250) / LIVE_BYTES);
   }
 
   public ObjectNode encode() {
     Map<MachineInfo, Integer> hosts = new LinkedHashMap<>();
     StringBuilder places = new StringBuilder();
-    for (RecordedPlacement l : live) {
-      int host = hosts.computeIfAbsent(l.host(), h -> hosts.size());
+    for (RecordedPlacement l : placements) {
+      int host = hosts.computeIfAbsent(l.machine(), h -> hosts.size());
       places
           .append(places.isEmpty() ? "" : ",")
           .append(l.task())
@@ -54,12 +55,12 @@
           .append(':')
           .append(host)
           .append(':')
-          .append(l.tenure());
+          .append(l.agentEpoch());
     }
     ObjectNode v = Cbor.map();
     v.put("n", done.cardinality());
     v.put("r", running);
-    v.put("upto", upTo);
+    v.put("upto", coveredUpTo);
     v.put("done", ranges(done));
     v.put("live", places.toString());
     ArrayNode names = v.putArray("hosts");
--- a/src/main/java/org/ploverspindle/state/StateStore.java
+++ b/src/main/java/org/ploverspindle/state/StateStore.java
@@ -8,10 +8,10 @@
 /** The state service as this program sees it; answers arrive on the decision loop. */
 public interface StateStore {
 
-  record Entry(String key, JsonNode value, long stamp) {}
+  record Entry(String key, JsonNode value, long modRevision) {}
 
   /** A key's version that must hold; 0: the key does not exist. */
-  record Condition(String key, long stamp) {}
+  record Condition(String key, long modRevision) {}
 
   sealed interface Change {
     String key();
@@ -28,7 +28,7 @@
   record Transaction(List<Condition> conditions, List<Change> changes) {}
 
   sealed interface TransactionResult {
-    record Committed(long ledger) implements TransactionResult {}
+    record Committed(long revision) implements TransactionResult {}
 
     record Conflict(List<String> keys) implements TransactionResult {}
 
@@ -42,21 +42,21 @@
   }
 
   sealed interface PageResult {
-    record Page(List<Entry> entries, boolean hasNext, long ledger) implements PageResult {}
+    record Page(List<Entry> entries, boolean hasNext, long revision) implements PageResult {}
 
     record Failed() implements PageResult {}
   }
 
   sealed interface ChangesResult {
     /** All changes after the revision asked for. An empty value is a removal. */
-    record Changes(long ledger, List<ChangedEntry> changes) implements ChangesResult {}
+    record Changes(long revision, List<ChangedEntry> changes) implements ChangesResult {}
 
     record TooOld() implements ChangesResult {}
 
     record Failed() implements ChangesResult {}
   }
 
-  record ChangedEntry(String key, Optional<JsonNode> value, long stamp) {}
+  record ChangedEntry(String key, Optional<JsonNode> value, long modRevision) {}
 
   enum Renewal {
     RENEWED,
@@ -64,11 +64,11 @@
     FAILED
   }
 
-  void txn(Transaction txn, Consumer<TransactionResult> then);
+  void commit(Transaction txn, Consumer<TransactionResult> then);
 
-  void page(String prefix, String after, int size, Consumer<PageResult> then);
+  void readPage(String prefix, String after, int size, Consumer<PageResult> then);
 
-  void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then);
+  void readChanges(String prefix, long revision, Consumer<ChangesResult> then);
 
   void openLease(long ttlMs, Consumer<Optional<Long>> then);
 
--- a/src/main/java/org/ploverspindle/state/package-info.java
+++ b/src/main/java/org/ploverspindle/state/package-info.java
@@ -7,7 +7,7 @@
  * stored fields, and the formats' versions. Records of earlier versions are read as well; stored
  * bytes never change by a renaming in code.
  *
- * <p>May depend on: {@code net}, {@code loop}, and the values that are stored ({@code jobs.JobSpec}
- * and its parts, {@code cloud.MachineType}, {@code leadership.Term}). Decides nothing.
+ * <p>May depend on: {@code net}, {@code eventloop}, and the values that are stored ({@code model}).
+ * Decides nothing.
  */
 package org.ploverspindle.state;
--- a/src/test/java/org/ploverspindle/Specs.java
+++ b/src/test/java/org/ploverspindle/JobSpecFixtures.java
@@ -8,8 +8,8 @@
 import org.ploverspindle.model.Priority;
 
 /** Jobs for tests that care about few of their fields. */
-public final class Specs {
-  private Specs() {}
+public final class JobSpecFixtures {
+  private JobSpecFixtures() {}
 
   /** Independent tasks that may run anywhere, also on spot machines, and never save. */
   public static JobSpec batch(
@@ -53,7 +53,7 @@
 
   /** The same job, but it awaits others. */
   public static JobSpec after(JobSpec s, String... dependencies) {
-    return copy(s, s.saveEveryS(), s.saveCostS(), List.of(dependencies));
+    return copy(s, s.checkpointIntervalS(), s.checkpointCostS(), List.of(dependencies));
   }
 
   private static JobSpec copy(
@@ -62,8 +62,8 @@
         s.uid(),
         s.jobClass(),
         s.team(),
-        s.shape(),
-        s.urgency(),
+        s.kind(),
+        s.priority(),
         s.tasks(),
         s.cores(),
         s.accelerators(),
@@ -71,14 +71,14 @@
         s.types(),
         s.zone(),
         s.oneZone(),
-        s.apart(),
+        s.spreadOverZones(),
         s.spot(),
         s.image(),
         s.imageGb(),
         s.expectedS(),
         saveEveryS,
         saveCostS,
-        s.dueS(),
+        s.deadlineS(),
         dependencies);
   }
 }
--- a/src/test/java/org/ploverspindle/NoNews.java
+++ b/src/test/java/org/ploverspindle/NoOpHeartbeatListener.java
@@ -9,7 +9,7 @@
 import org.ploverspindle.model.Term;
 
 /** For tests that do not ask what reports show. */
-public final class NoNews implements HeartbeatHandler.Listener {
+public final class NoOpHeartbeatListener implements HeartbeatHandler.Listener {
   /** Takes reports in for a leader that is sure of its lead and knows of no job. */
   public static HeartbeatHandler reportHandler(MachineRegistry fleet, Term term) {
     return new HeartbeatHandler(
@@ -19,7 +19,7 @@
         uid -> Optional.empty(),
         uid -> Optional.empty(),
         (job, task) -> false,
-        new NoNews());
+        new NoOpHeartbeatListener());
   }
 
   @Override
@@ -29,8 +29,8 @@
   public void ended(Placement p, Heartbeat.ExitReason cause, boolean saved, long nowMs) {}
 
   @Override
-  public void completedUnplaced(Job job, int task) {}
+  public void completedUnrecorded(Job job, int task) {}
 
   @Override
-  public void moved(Placement p) {}
+  public void changed(Placement p) {}
 }
--- a/src/test/java/org/ploverspindle/NoHints.java
+++ b/src/test/java/org/ploverspindle/NoOpLeaderNotifier.java
@@ -5,7 +5,7 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /** Where nobody leads. */
-public final class NoHints implements LeaderNotifier {
+public final class NoOpLeaderNotifier implements LeaderNotifier {
   @Override
   public void cancelling() {}
 
--- a/src/test/java/org/ploverspindle/api/CancellationsTest.java
+++ b/src/test/java/org/ploverspindle/api/CancellationsTest.java
@@ -52,7 +52,7 @@
 
   private List<String> cancelledByTheOldest() {
     return store.oldest().changes().stream()
-        .map(c -> c.key().substring(Keys.CANCELS.length()))
+        .map(c -> c.key().substring(Keys.CANCELLATIONS.length()))
         .toList();
   }
 
@@ -96,7 +96,7 @@
     cancel("run-0");
     store.run(60_000);
     assertTrue(heard.get("run-0").isEmpty());
-    assertFalse(store.holds(Keys.cancel("run-0")));
+    assertFalse(store.holds(Keys.cancellation("run-0")));
     store.answer(new TransactionResult.Unknown());
     assertEquals(List.of(Outcome.UNCERTAIN), heard.get("run-0"));
     cancel("run-1");
@@ -107,7 +107,7 @@
     store.run(10);
     store.carryOut();
     assertEquals(List.of(Outcome.STANDS), heard.get("run-2"));
-    assertTrue(store.holds(Keys.cancel("run-2")));
+    assertTrue(store.holds(Keys.cancellation("run-2")));
   }
 
   @Test
@@ -115,13 +115,13 @@
     cancel("run-0");
     store.run(10);
     List<Condition> conditions = store.oldest().conditions();
-    assertTrue(conditions.contains(new Condition(Keys.done("run-0"), 0)));
-    assertTrue(conditions.contains(new Condition(Keys.cancel("run-0"), 0)));
+    assertTrue(conditions.contains(new Condition(Keys.completion("run-0"), 0)));
+    assertTrue(conditions.contains(new Condition(Keys.cancellation("run-0"), 0)));
   }
 
   @Test
   void oneThatConflictsDoesNotFailTheOthersForGood() {
-    store.put(Keys.done("run-1"), Cbor.map());
+    store.put(Keys.completion("run-1"), Cbor.map());
     IntStream.range(0, 3).forEach(i -> cancel("run-" + i));
     store.run(10);
     store.carryOut();
@@ -133,7 +133,7 @@
     store.carryOut();
     assertEquals(List.of(Outcome.UNCERTAIN, Outcome.STANDS), heard.get("run-0"));
     assertEquals(List.of(Outcome.UNCERTAIN, Outcome.STANDS), heard.get("run-2"));
-    assertFalse(store.holds(Keys.cancel("run-1")));
+    assertFalse(store.holds(Keys.cancellation("run-1")));
   }
 
   @Test
@@ -244,7 +244,7 @@
     assertEquals(
         List.of(Outcome.READ_BACK, lateOneFirst ? Outcome.UNCERTAIN : Outcome.STANDS),
         heard.get("run-0"));
-    assertEquals(1, store.timesWritten(Keys.cancel("run-0")));
+    assertEquals(1, store.timesWritten(Keys.cancellation("run-0")));
   }
 
   @Test
@@ -252,9 +252,9 @@
     cancel("run-0");
     store.run(10);
     Runnable late = store.holdUp();
-    store.put(Keys.done("run-0"), Cbor.map());
+    store.put(Keys.completion("run-0"), Cbor.map());
     late.run();
-    assertFalse(store.holds(Keys.cancel("run-0")));
+    assertFalse(store.holds(Keys.cancellation("run-0")));
   }
 
   @Test
--- a/src/test/java/org/ploverspindle/api/ManualStateStore.java
+++ b/src/test/java/org/ploverspindle/api/ManualStateStore.java
@@ -99,7 +99,7 @@
   private TransactionResult execute(Transaction txn) {
     List<String> failed =
         txn.conditions().stream()
-            .filter(c -> stamps.getOrDefault(c.key(), 0L) != c.stamp())
+            .filter(c -> stamps.getOrDefault(c.key(), 0L) != c.modRevision())
             .map(Condition::key)
             .toList();
     if (!failed.isEmpty()) {
@@ -114,19 +114,20 @@
   }
 
   @Override
-  public void txn(Transaction txn, Consumer<TransactionResult> then) {
+  public void commit(Transaction txn, Consumer<TransactionResult> then) {
     sent.add(new Sent(txn, then));
   }
 
   @Override
-  public void page(String prefix, String after, int size, Consumer<PageResult> then) {
+  public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
     schedule(1, () -> then.accept(new PageResult.Page(List.of(), false, 0)));
   }
 
   @Override
-  public void changesAfter(String prefix, long after, Consumer<ChangesResult> then) {
+  public void readChanges(String prefix, long after, Consumer<ChangesResult> then) {
     ChangesResult news =
-        new ChangesResult.Changes(ledger, history.stream().filter(c -> c.stamp() > after).toList());
+        new ChangesResult.Changes(
+            ledger, history.stream().filter(c -> c.modRevision() > after).toList());
     schedule(1, () -> then.accept(news));
   }
 
--- a/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
+++ b/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
@@ -33,7 +33,7 @@
   void readsTheProtocolsExampleAndItsRecordKeepsAll() throws Exception {
     JobSpec spec = SubmissionCodec.decode(good());
     assertEquals(16, spec.tasks());
-    assertEquals(JobKind.BATCH, spec.shape());
+    assertEquals(JobKind.BATCH, spec.kind());
     assertEquals(Optional.empty(), spec.zone());
     JsonNode stored = Cbor.readMap(Cbor.write(new JobRecord(spec, 77, 80).encode())).orElseThrow();
     assertEquals(Optional.of(new JobRecord(spec, 77, 80)), JobRecord.decode("run-000412", stored));
@@ -47,7 +47,7 @@
     body.remove("flavours");
     JobSpec spec = SubmissionCodec.decode(body);
     assertEquals(Optional.empty(), spec.types());
-    assertEquals(false, spec.dueS().isPresent());
+    assertEquals(false, spec.deadlineS().isPresent());
   }
 
   @ParameterizedTest
--- a/src/test/java/org/ploverspindle/api/UserApiTest.java
+++ b/src/test/java/org/ploverspindle/api/UserApiTest.java
@@ -42,13 +42,13 @@
     }
 
     @Override
-    public void withdraw(String uid, Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.later(503, "later", 3));
+    public void cancel(String uid, Consumer<ApiResponse> then) {
+      then.accept(ApiResponse.retryLater(503, "later", 3));
     }
 
     @Override
-    public void checkin(byte[] body, Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.elsewhere("n2"));
+    public void heartbeat(byte[] body, Consumer<ApiResponse> then) {
+      then.accept(ApiResponse.redirectToLeader("n2"));
     }
 
     @Override
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void jobStatus(String uid, Consumer<ApiResponse> then) {
+    public void explainJob(String uid, Consumer<ApiResponse> then) {
       then.accept(ApiResponse.text(uid + " waits"));
     }
   }
--- a/src/test/java/org/ploverspindle/api/UserRequestsTest.java
+++ b/src/test/java/org/ploverspindle/api/UserRequestsTest.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.NoHints;
+import org.ploverspindle.NoOpLeaderNotifier;
 import org.ploverspindle.model.Catalogue;
 import org.ploverspindle.model.MachineType;
 import org.ploverspindle.model.Resources;
@@ -72,7 +72,7 @@
             settings,
             new TokenBucket(store, 100, 100),
             "n0-1",
-            new NoHints());
+            new NoOpLeaderNotifier());
     replica.start();
     store.run(1_000);
   }
@@ -107,8 +107,8 @@
     List<Integer> over = submit("run-0");
     store.run(10);
     // Another node accepted it meanwhile, and its user called it off.
-    store.put(Keys.batch("n1-1"), Cbor.map().set("run-0", Cbor.map().put("tasks", 1)));
-    store.put(Keys.cancel("run-0"), Cbor.map());
+    store.put(Keys.jobBatch("n1-1"), Cbor.map().set("run-0", Cbor.map().put("tasks", 1)));
+    store.put(Keys.cancellation("run-0"), Cbor.map());
     List<Integer> behind = submit("run-1");
     assertEquals(TransactionResult.Conflict.class, store.carryOut().getClass());
     store.run(1_000);
@@ -125,7 +125,7 @@
     store.run(10);
     Change.Put written = (Change.Put) store.oldest().changes().get(0);
     store.put(written.key(), written.value());
-    store.put(Keys.cancel("run-0"), Cbor.map());
+    store.put(Keys.cancellation("run-0"), Cbor.map());
     List<String> repeat = words("run-0");
     store.answer(new TransactionResult.Committed(2));
     store.run(1_000);
@@ -142,7 +142,7 @@
     List<String> first = words("run-0");
     store.run(10);
     Runnable answer = store.carryOutAndHold();
-    store.put(Keys.cancel("run-0"), Cbor.map());
+    store.put(Keys.cancellation("run-0"), Cbor.map());
     List<String> repeat = words("run-0");
     answer.run();
     store.run(1_000);
--- a/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
+++ b/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.NoNews;
+import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.Machine;
@@ -38,7 +38,7 @@
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
     fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
-    reportHandler = NoNews.reportHandler(fleet, TERM);
+    reportHandler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
     boots = new BootTracker(catalogue);
   }
 
@@ -46,14 +46,14 @@
     List<Machine> machines = new ArrayList<>();
     for (int i = from; i < from + count; i++) {
       Machine m = fleet.adopt("i-" + i, "t", "a", true, atMs).orElseThrow();
-      m.rentedAt(atMs);
+      m.provisionedAt(atMs);
       machines.add(m);
     }
     return machines;
   }
 
   private void comesUp(Machine m, long nowMs) {
-    reportHandler.take(
+    reportHandler.handle(
         new Heartbeat(m.host(), "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
         nowMs);
   }
@@ -62,8 +62,8 @@
   void machinesThatComeAsTheyShouldSpeakForTheirGroup() {
     rented(0, 10, 0).forEach(m -> comesUp(m, 35_000));
     List<Machine> odd = rented(10, 2, 0);
-    boots.look(fleet.all(), 60_000);
-    assertFalse(boots.areBad(group), "two of twelve are the odd ones");
+    boots.observe(fleet.all(), 60_000);
+    assertFalse(boots.isBootingBadly(group), "two of twelve are the odd ones");
     assertTrue(boots.isOverdue(odd.get(0), 60_000));
     assertFalse(boots.isStuck(odd.get(0), 100_000));
     assertTrue(boots.isStuck(odd.get(0), 106_000));
@@ -72,27 +72,27 @@
   @Test
   void aGroupOfWhichNoneComesIsBadAndItsMachinesAreNotWaitedFor() {
     List<Machine> none = rented(0, 10, 0);
-    boots.look(fleet.all(), 50_000);
-    assertFalse(boots.areBad(group));
-    boots.look(fleet.all(), 57_000);
-    assertTrue(boots.areBad(group));
+    boots.observe(fleet.all(), 50_000);
+    assertFalse(boots.isBootingBadly(group));
+    boots.observe(fleet.all(), 57_000);
+    assertTrue(boots.isBootingBadly(group));
     assertTrue(none.stream().allMatch(m -> boots.isOverdue(m, 57_000)));
     rented(10, 12, 60_000).forEach(m -> comesUp(m, 90_000));
-    boots.look(fleet.all(), 90_000);
-    assertFalse(boots.areBad(group), "boots are well again");
+    boots.observe(fleet.all(), 90_000);
+    assertFalse(boots.isBootingBadly(group), "boots are well again");
   }
 
   @Test
   void whereMachinesComeLateTheOthersAreWaitedForAsLong() {
     List<Machine> late = rented(0, 10, 0);
-    boots.look(fleet.all(), 80_000);
+    boots.observe(fleet.all(), 80_000);
     assertTrue(boots.isOverdue(late.get(9), 80_000));
     late.subList(0, 3).forEach(m -> comesUp(m, 90_000));
-    boots.look(fleet.all(), 90_000);
+    boots.observe(fleet.all(), 90_000);
     assertFalse(boots.isOverdue(late.get(9), 110_000), "three times as long is usual now");
     assertFalse(boots.isStuck(late.get(9), 125_000));
     assertTrue(boots.isStuck(late.get(9), 135_000));
-    boots.look(fleet.all(), 300_000);
+    boots.observe(fleet.all(), 300_000);
     assertTrue(boots.isOverdue(late.get(9), 300_000), "and is forgotten in time");
   }
 
@@ -101,8 +101,8 @@
     Machine m = fleet.adopt("i-1", "t", "a", true, 0).orElseThrow();
     comesUp(m, 4_000);
     List<Machine> mine = rented(10, 3, 0);
-    boots.look(fleet.all(), 57_000);
+    boots.observe(fleet.all(), 57_000);
     assertEquals(3, mine.stream().filter(x -> boots.isOverdue(x, 57_000)).count());
-    assertTrue(boots.areBad(group));
+    assertTrue(boots.isBootingBadly(group));
   }
 }
--- a/src/test/java/org/ploverspindle/cloud/UnusableMachinesTest.java
+++ b/src/test/java/org/ploverspindle/cloud/UnusableMachinesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ploverspindle.NoNews;
+import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.Machine;
@@ -42,7 +42,7 @@
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
     fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
-    handler = NoNews.reportHandler(fleet, TERM);
+    handler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
     Policy policy = new Policy(10, 30, 60, 0, 100, 30, Map.of());
     GroupBackoffs backoffs = new GroupBackoffs(new EventLoop(), catalogue, policy, new Random(1));
     useless =
@@ -50,7 +50,7 @@
   }
 
   private void report(int machine, int tally, long nowMs, long warrant) {
-    handler.take(
+    handler.handle(
         new Heartbeat(
             "i-" + machine,
             "",
@@ -66,7 +66,7 @@
   }
 
   private long useless(long nowMs) {
-    FleetConnectivity hearing = useless.hearing(nowMs);
+    FleetConnectivity hearing = useless.connectivity(nowMs);
     return fleet.all().stream().filter(m -> useless.test(m, nowMs, hearing)).count();
   }
 
@@ -74,10 +74,10 @@
   @CsvSource({"3, 3", "5, 5", "6, 0", "10, 0"})
   void silentMachinesGoBackUnlessMostAreSilent(int silent, int expected) {
     for (int i = 0; i < MACHINES; i++) {
-      report(i, 1, 1_000, TERM.token());
+      report(i, 1, 1_000, TERM.fencingToken());
     }
     for (int i = silent; i < MACHINES; i++) {
-      report(i, 2, SILENT_MS, TERM.token());
+      report(i, 2, SILENT_MS, TERM.fencingToken());
     }
     assertEquals(expected, useless(SILENT_MS));
     assertEquals(0, useless(20_000), "their next session may begin late");
@@ -85,17 +85,17 @@
 
   @Test
   void machinesThatTheListCondemnedGoAndThoseUnderReturnTakeNoWork() {
-    report(0, 1, 1_000, TERM.token());
-    report(1, 1, 1_000, TERM.token());
+    report(0, 1, 1_000, TERM.fencingToken());
+    report(1, 1, 1_000, TERM.fencingToken());
     Machine condemned = fleet.get("i-0").orElseThrow();
-    condemned.condemn();
+    condemned.markUnusable();
     assertEquals(1, useless(2_000));
-    fleet.beginReturn("i-1");
+    fleet.beginTermination("i-1");
     Machine returning = fleet.get("i-1").orElseThrow();
     assertEquals(
         List.of(false, false),
         List.of(condemned, returning).stream()
-            .map(machine -> machine.usable(2_000, 5_000))
+            .map(machine -> machine.isSchedulable(2_000, 5_000))
             .toList());
   }
 }
--- a/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
+++ b/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.model.Resources;
 
@@ -19,12 +19,12 @@
   private final Map<String, Job> jobs = new HashMap<>();
   private long now = 100_000;
   private final FailureDetector blame =
-      new FailureDetector(uid -> jobs.containsKey(uid) && jobs.get(uid).works(now));
+      new FailureDetector(uid -> jobs.containsKey(uid) && jobs.get(uid).isKnownToRun(now));
 
   private Job job(String uid) {
     Job job =
         new Job(
-            Specs.batch(uid, "c", "red", Priority.NORMAL, 20, 1, 1, 30, 100),
+            JobSpecFixtures.batch(uid, "c", "red", Priority.NORMAL, 20, 1, 1, 30, 100),
             0,
             80,
             0,
@@ -42,7 +42,7 @@
   }
 
   private void reported(Machine m) {
-    m.heard(
+    m.recordHeartbeat(
         new Heartbeat(m.host(), "", "t", "a", true, 1, now, 1, OptionalDouble.empty(), List.of()),
         now,
         true);
@@ -63,10 +63,10 @@
       for (int t = 0; t < 5; t++) {
         assertFalse(fails(broken, m));
       }
-      shunned += m.usable(now, 5_000) ? 0 : 1;
+      shunned += m.isSchedulable(now, 5_000) ? 0 : 1;
     }
     assertTrue(shunned <= 1, shunned + " machines are shunned for one job's mistake");
-    assertTrue(broken.looksBroken(now));
+    assertTrue(broken.isFailingEverywhere(now));
   }
 
   @Test
@@ -74,11 +74,11 @@
     Machine sick = machine("i-1");
     Job first = job("run-1");
     Job second = job("run-2");
-    first.markDone(0);
+    first.markCompleted(0);
     assertFalse(fails(first, sick));
-    assertFalse(sick.usable(now + 9_000, 20_000));
+    assertFalse(sick.isSchedulable(now + 9_000, 20_000));
     assertFalse(fails(second, sick), "the second job may be the one at fault");
-    second.markDone(0);
+    second.markCompleted(0);
     assertTrue(fails(second, sick));
   }
 
@@ -86,7 +86,7 @@
   void manyFailuresOfOneJobThatCompletesElsewhereAreEnough() {
     Machine sick = machine("i-1");
     Job job = job("run-1");
-    job.markDone(3);
+    job.markCompleted(3);
     assertFalse(fails(job, sick));
     assertFalse(fails(job, sick));
     assertTrue(fails(job, sick));
@@ -101,8 +101,8 @@
     assertFalse(fails(broken, sick));
     Job good = job("run-2");
     assertFalse(fails(good, sick));
-    assertFalse(sick.usable(now, 5_000), "in doubt it draws no more work for a moment");
-    good.markDone(1);
+    assertFalse(sick.isSchedulable(now, 5_000), "in doubt it draws no more work for a moment");
+    good.markCompleted(1);
     fails(good, sick);
     assertTrue(fails(good, sick));
   }
@@ -124,8 +124,8 @@
     int tries = 0;
     long last = now;
     for (long end = now + 600_000; now < end; now += 250) {
-      if (broken.openTasks(now) > 0) {
-        assertEquals(tries == 0 ? 20 : 1, broken.openTasks(now));
+      if (broken.schedulableTasks(now) > 0) {
+        assertEquals(tries == 0 ? 20 : 1, broken.schedulableTasks(now));
         broken.failedOn("i-" + tries % 7, 0, now);
         tries++;
         assertTrue(now - last <= 61_000, "it waited for " + (now - last));
@@ -133,7 +133,8 @@
       }
     }
     assertTrue(tries >= 12 && tries <= 17, tries + " tries in ten minutes");
-    broken.markDone(0);
-    assertEquals(19, broken.openTasks(now), "what has shown that it runs is not held any more");
+    broken.markCompleted(0);
+    assertEquals(
+        19, broken.schedulableTasks(now), "what has shown that it runs is not held any more");
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
+++ b/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
@@ -25,18 +25,18 @@
 
   private Heartbeat holdOne() {
     Heartbeat report = site.report(OptionalDouble.empty());
-    held.hold(report, replies::add, site.nowMs);
+    held.delay(report, replies::add, site.nowMs);
     return report;
   }
 
   private Placement recorded() {
     Placement placement = site.place();
-    placement.recorded(site.nowMs);
+    placement.markRecorded(site.nowMs);
     return placement;
   }
 
   private boolean worthHolding(Heartbeat report) {
-    return held.worthHolding(site.machine(), report, site.nowMs);
+    return held.isWorthDelaying(site.machine(), report, site.nowMs);
   }
 
   @Test
@@ -57,7 +57,7 @@
     assertFalse(worthHolding(report), "all four cores are taken");
     SingleMachineFixture recalled = new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
     Heartbeat notice = recalled.report(OptionalDouble.of(20));
-    assertFalse(held.worthHolding(recalled.machine(), notice, recalled.nowMs));
+    assertFalse(held.isWorthDelaying(recalled.machine(), notice, recalled.nowMs));
   }
 
   @Test
@@ -66,11 +66,11 @@
     Placement placement = site.place();
     held.releaseDue();
     assertEquals(List.of(), replies);
-    placement.recorded(site.nowMs);
+    placement.markRecorded(site.nowMs);
     held.releaseDue();
     assertEquals(
         List.of(new WorkerCommand.Launch("job", placement.task(), placement.attempt())),
-        replies.get(0).orders());
+        replies.get(0).commands());
     assertEquals(Placement.Phase.SENT, placement.phase());
   }
 
@@ -82,7 +82,7 @@
     assertEquals(0, replies.size());
     site.nowMs += 1;
     held.releaseDue();
-    assertEquals(List.of(), replies.get(0).orders());
+    assertEquals(List.of(), replies.get(0).commands());
   }
 
   /** A leader that is not sure of its lead would launch what another one has placed elsewhere. */
@@ -92,7 +92,7 @@
     Placement placement = recorded();
     site.mayDecide = false;
     held.releaseDue();
-    assertEquals(List.of(), replies.get(0).orders());
+    assertEquals(List.of(), replies.get(0).commands());
     assertEquals(Placement.Phase.READY, placement.phase());
   }
 
@@ -104,7 +104,7 @@
     site.mayDecide = true;
     Placement placement = recorded();
     held.release(SingleMachineFixture.HOST);
-    assertEquals(List.of(), replies.get(0).orders());
+    assertEquals(List.of(), replies.get(0).commands());
     assertEquals(Placement.Phase.READY, placement.phase());
   }
 
--- a/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
+++ b/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
@@ -14,7 +14,7 @@
 
 /** A token raised for one machine is of this term; only a later term's refuses a former leader. */
 class FencedWorkerClientTest {
-  private static final Term TERM = new Term(Term.SPAN, 7, 0);
+  private static final Term TERM = new Term(Term.TOKENS_PER_TERM, 7, 0);
 
   @ParameterizedTest
   @CsvSource({"1048576, 0", "1048600, 0", "2097151, 0", "2097152, 1"})
@@ -24,7 +24,8 @@
         new Heartbeat("i-1", "", "t", "a", true, 1, 1, warrant, OptionalDouble.empty(), List.of());
     WorkerClient answering =
         (address, token, tenure, orders, then) -> then.accept(Optional.of(report));
-    new FencedWorkerClient(answering, TERM, refused).order("", TERM.token(), 1, List.of(), r -> {});
+    new FencedWorkerClient(answering, TERM, refused)
+        .send("", TERM.fencingToken(), 1, List.of(), r -> {});
     assertEquals(expected, refused.count(FencingRejections.Kind.WORKER_COMMAND));
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
+++ b/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.NoNews;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
+import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.Job;
@@ -49,7 +49,7 @@
             new TeamUsage(settings.teams()),
             SafetyTiming.of(settings.workers(), 1),
             TERM);
-    reportHandler = NoNews.reportHandler(fleet, TERM);
+    reportHandler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
     reach = new LeaderConnectivity(fleet, TERM, settings, () -> listRead, 0);
   }
 
@@ -75,8 +75,8 @@
 
   /** All report, each at its own moment of the three seconds before. */
   private void reports(int machine, long warrant, long nowMs) {
-    reach.heard(nowMs);
-    reportHandler.take(
+    reach.recordHeartbeat(nowMs);
+    reportHandler.handle(
         new Heartbeat(
             "i-" + machine,
             "",
@@ -99,7 +99,7 @@
         reports((int) (t / 30 % MACHINES), warrant, t);
       }
       if (t % 390 == 0) {
-        trouble |= reach.trouble(t).isPresent();
+        trouble |= reach.reasonToStepDown(t).isPresent();
       }
     }
     return trouble;
@@ -120,23 +120,23 @@
   @Test
   void machinesThatAskOthersMeanwhileMakeItClearSooner() {
     troubled(0, 30_000, true, 7);
-    reach.strayed(31_500, 40);
+    reach.misdirectedHeartbeats(31_500, 40);
     assertTrue(troubled(30_000, 32_500, false, 7));
   }
 
   @Test
   void strayReportsAloneAreNoTroubleWhileTheirSendersAreHeardAndFew() {
     troubled(0, 30_000, true, 7);
-    reach.strayed(30_000, 40);
+    reach.misdirectedHeartbeats(30_000, 40);
     assertFalse(troubled(30_000, 36_000, true, 7));
-    reach.strayed(36_000, 70);
+    reach.misdirectedHeartbeats(36_000, 70);
     assertTrue(troubled(36_000, 37_000, true, 7), "most of them have had answers and ask others");
   }
 
   @Test
   void whoStoodStillListensAnewBeforeItCallsAnybodySilent() {
     troubled(0, 30_000, true, 7);
-    reach.strayed(33_000, 300);
+    reach.misdirectedHeartbeats(33_000, 300);
     // It stood still; what came meanwhile is not read yet.
     assertFalse(troubled(35_100, 38_000, false, 7));
     assertFalse(troubled(38_010, 60_000, true, 7));
@@ -148,11 +148,12 @@
     for (int m = 0; m < MACHINES; m++) {
       fleet.adopt("i-" + m, "t", "a", true, 0);
     }
-    JobSpec spec = Specs.batch("run-1", "c", "red", Priority.NORMAL, MACHINES, 1, 1, 10, 0);
+    JobSpec spec =
+        JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, MACHINES, 1, 1, 10, 0);
     Job job = new Job(spec, 0, MACHINES, 0, new BitSet(), -1, 1);
     for (Machine m : List.copyOf(fleet.all())) {
-      int task = job.live().size();
-      fleet.place(new Placement(job, task, task + 1, m, 1, Placement.Phase.RECORDED));
+      int task = job.activePlacements().size();
+      fleet.addPlacement(new Placement(job, task, task + 1, m, 1, Placement.Phase.RECOVERED));
     }
     assertTrue(troubled(0, 20_000, false, 7), "the first ones look for a better one soon");
     reach = new LeaderConnectivity(fleet, TERM, settings, () -> listRead, 40_000);
@@ -167,11 +168,11 @@
 
   /** Six machines on which earlier leaders recorded tasks; none of them is ever heard. */
   private void recorded() {
-    JobSpec spec = Specs.batch("run-1", "c", "red", Priority.NORMAL, 6, 4, 1, 20, 0);
+    JobSpec spec = JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 6, 4, 1, 20, 0);
     Job job = new Job(spec, 0, 80, 0, new BitSet(), -1, 1);
     for (int i = 0; i < 6; i++) {
       Machine m = fleet.adopt("i-" + i, "t", "a", true, 0).orElseThrow();
-      fleet.place(new Placement(job, i, 100 + i, m, 1, Placement.Phase.RECORDED));
+      fleet.addPlacement(new Placement(job, i, 100 + i, m, 1, Placement.Phase.RECOVERED));
     }
   }
 
@@ -196,7 +197,7 @@
     troubled(0, 30_000, true, 7);
     for (int i = 0; i < 10 * MACHINES; i++) {
       Machine gone = fleet.adopt("gone-" + i, "t", "a", true, 30_000).orElseThrow();
-      fleet.released(gone.host(), 30_000);
+      fleet.confirmTermination(gone.host(), 30_000);
     }
     assertFalse(troubledByStrays(30_000, 60_000), "they are of machines that are gone");
     assertTrue(troubledByStrays(120_000, 150_000), "no late ones come any more");
@@ -207,10 +208,10 @@
     for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
       reports((int) (nowMs / 30 % MACHINES), 7, nowMs);
       if (nowMs % 120 == 0) {
-        reach.strayed(nowMs, 2);
+        reach.misdirectedHeartbeats(nowMs, 2);
       }
       if (nowMs % 390 == 0) {
-        trouble |= reach.trouble(nowMs).isPresent();
+        trouble |= reach.reasonToStepDown(nowMs).isPresent();
       }
     }
     return trouble;
--- a/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
+++ b/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.JobTable;
 import org.ploverspindle.cluster.TeamUsage;
@@ -58,7 +58,7 @@
 
   private void accepted(
       String uid, String jobClass, Priority urgency, double runS, double dueS, String... awaits) {
-    JobSpec spec = Specs.batch(uid, jobClass, "red", urgency, 2, 1, 1, runS, dueS);
+    JobSpec spec = JobSpecFixtures.batch(uid, jobClass, "red", urgency, 2, 1, 1, runS, dueS);
     records.put(uid, new JobRecord(spec, ACCEPTED, 50));
     if (awaits.length > 0) {
       graph.put(uid, List.of(awaits));
@@ -81,24 +81,24 @@
     accepted("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = table("index");
     update();
-    assertEquals(Priority.BEST_EFFORT, index.urgency());
-    assertEquals(OptionalDouble.empty(), index.dueS());
+    assertEquals(Priority.BEST_EFFORT, index.priority());
+    assertEquals(OptionalDouble.empty(), index.deadlineS());
     accepted("compare", "compare", Priority.BEST_EFFORT, 25, 0, "index");
     accepted("draft", "draft", Priority.NORMAL, 20, 0, "compare");
     update();
-    assertEquals(Priority.NORMAL, index.urgency());
-    assertEquals(OptionalDouble.empty(), index.dueS());
+    assertEquals(Priority.NORMAL, index.priority());
+    assertEquals(OptionalDouble.empty(), index.deadlineS());
     accepted("publish", "publish", Priority.HIGH, 8, 200, "draft");
     update();
-    assertEquals(Priority.HIGH, index.urgency());
-    assertEquals(OptionalDouble.of(200 - 8 - 20 - 25), index.dueS());
-    assertEquals(OptionalDouble.of(300 - 8 - 20 - 25), index.lastChanceS());
+    assertEquals(Priority.HIGH, index.priority());
+    assertEquals(OptionalDouble.of(200 - 8 - 20 - 25), index.deadlineS());
+    assertEquals(OptionalDouble.of(300 - 8 - 20 - 25), index.latestDeadlineS());
     graph.cancelled("publish");
     passedBack.changed();
     update();
-    assertEquals(Priority.NORMAL, index.urgency());
-    assertEquals(OptionalDouble.empty(), index.dueS());
-    assertEquals(OptionalDouble.empty(), index.lastChanceS());
+    assertEquals(Priority.NORMAL, index.priority());
+    assertEquals(OptionalDouble.empty(), index.deadlineS());
+    assertEquals(OptionalDouble.empty(), index.latestDeadlineS());
   }
 
   @Test
@@ -109,9 +109,10 @@
     accepted("right", "right", Priority.NORMAL, 5, 100, "index");
     accepted("publish", "publish", Priority.NORMAL, 8, 120, "left", "right");
     update();
-    assertEquals(Priority.HIGH, index.urgency());
-    assertEquals(OptionalDouble.of(120 - 8 - 50), index.dueS());
-    assertEquals(OptionalDouble.of(95), index.lastChanceS(), "no multiple counts for the right");
+    assertEquals(Priority.HIGH, index.priority());
+    assertEquals(OptionalDouble.of(120 - 8 - 50), index.deadlineS());
+    assertEquals(
+        OptionalDouble.of(95), index.latestDeadlineS(), "no multiple counts for the right");
   }
 
   @Test
@@ -121,13 +122,13 @@
     accepted("compare", "compare", Priority.BEST_EFFORT, 20, 0, "index");
     accepted("publish", "publish", Priority.HIGH, 8, 100, "compare");
     update();
-    assertEquals(OptionalDouble.of(72), index.dueS());
+    assertEquals(OptionalDouble.of(72), index.deadlineS());
     estimates.observed(table("compare"), 30);
     update();
-    assertEquals(OptionalDouble.of(72), index.dueS(), "not worked out at every turn");
+    assertEquals(OptionalDouble.of(72), index.deadlineS(), "not worked out at every turn");
     nowMs += 5_000;
     update();
-    assertEquals(OptionalDouble.of(62), index.dueS());
+    assertEquals(OptionalDouble.of(62), index.deadlineS());
     assertEquals(3, read.size(), "each record once");
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
+++ b/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalDouble;
-import org.ploverspindle.NoNews;
+import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.Job;
@@ -80,7 +80,7 @@
             uid -> Optional.of(job),
             uid -> Optional.empty(),
             (j, task) -> false,
-            new NoNews());
+            new NoOpHeartbeatListener());
   }
 
   /**
@@ -119,8 +119,9 @@
   /** The machine's next report, which the handler takes in. */
   Heartbeat report(OptionalDouble recallS, Heartbeat.TaskStatus... items) {
     Heartbeat report =
-        new Heartbeat(HOST, "", "t", "a", true, 1, ++tally, TERM.token(), recallS, List.of(items));
-    handler.take(report, nowMs);
+        new Heartbeat(
+            HOST, "", "t", "a", true, 1, ++tally, TERM.fencingToken(), recallS, List.of(items));
+    handler.handle(report, nowMs);
     return report;
   }
 
@@ -129,7 +130,7 @@
     int task = (int) attempts;
     Placement placement =
         new Placement(job, task, ++attempts, machine(), 1, Placement.Phase.INTENT);
-    fleet.place(placement);
+    fleet.addPlacement(placement);
     return placement;
   }
 
--- a/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
+++ b/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
@@ -48,19 +48,19 @@
   void whatSavesIsGivenTwiceItsCostToSave() {
     Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 10);
     assertTrue(placement.stopping());
-    assertEquals(4, placement.windDownS());
+    assertEquals(4, placement.gracePeriodS());
   }
 
   @Test
   void aSaveIsGivenNoMoreThanTheNotice() {
-    assertEquals(3, drained(SingleMachineFixture.spec(60, 2), 5, 3).windDownS());
+    assertEquals(3, drained(SingleMachineFixture.spec(60, 2), 5, 3).gracePeriodS());
   }
 
   @Test
   void whatCannotSaveInTimeIsStoppedAtOnceToStartElsewhere() {
     Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 1.5);
     assertTrue(placement.stopping());
-    assertEquals(0, placement.windDownS());
+    assertEquals(0, placement.gracePeriodS());
   }
 
   @Test
@@ -74,7 +74,7 @@
   void aServiceIsStoppedAtOnce() {
     Placement placement = drained(SingleMachineFixture.spec(0, 0), 500, 30);
     assertTrue(placement.stopping());
-    assertEquals(0, placement.windDownS());
+    assertEquals(0, placement.gracePeriodS());
   }
 
   @Test
@@ -85,6 +85,6 @@
     notice(site, placement, 10);
     site.nowMs += 8_500;
     notice(site, placement, 1.5);
-    assertEquals(4, placement.windDownS());
+    assertEquals(4, placement.gracePeriodS());
   }
 }
--- a/src/test/java/org/ploverspindle/peers/PeerServerTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerServerTest.java
@@ -51,9 +51,9 @@
   void recordsArriveInOrderAlthoughAnotherPeerRefuses() throws Exception {
     PeerMessage first = new PeerMessage.Leading("n0", 5);
     PeerMessage second = new PeerMessage.StateChanged("n0");
-    telling.tellAll(first);
-    telling.tell("n1", second);
-    telling.tell("nobody", second);
+    telling.broadcast(first);
+    telling.send("n1", second);
+    telling.send("nobody", second);
     assertEquals(first, heard.poll(20, TimeUnit.SECONDS));
     assertEquals(second, heard.poll(20, TimeUnit.SECONDS));
   }
@@ -66,7 +66,7 @@
       assertEquals(-1, stranger.getInputStream().read());
     }
     PeerMessage record = new PeerMessage.Resigned("n0", 9);
-    telling.tell("n1", record);
+    telling.send("n1", record);
     assertEquals(record, heard.poll(20, TimeUnit.SECONDS));
   }
 }
--- a/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
+++ b/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
@@ -10,8 +10,8 @@
 import java.util.OptionalDouble;
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.NoNews;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
+import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.Job;
@@ -32,7 +32,7 @@
   private static final Term TERM = new Term(7, 1, 0);
 
   private static Job job(String uid, Priority urgency, int tasks, double runS, double dueS) {
-    JobSpec spec = Specs.batch(uid, "c", "red", urgency, tasks, 4, 1, runS, dueS);
+    JobSpec spec = JobSpecFixtures.batch(uid, "c", "red", urgency, tasks, 4, 1, runS, dueS);
     return new Job(spec, 0, 80, 0, new BitSet(), -1, 1);
   }
 
@@ -49,14 +49,14 @@
         new MachineRegistry(
             catalogue, TEAMS, SafetyTiming.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
     reportHandler(fleet)
-        .take(
+        .handle(
             new Heartbeat("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
             NOW);
     return fleet;
   }
 
   private static HeartbeatHandler reportHandler(MachineRegistry fleet) {
-    return NoNews.reportHandler(fleet, TERM);
+    return NoOpHeartbeatListener.reportHandler(fleet, TERM);
   }
 
   /** Fills the machine with four running tasks of the urgency and asks for room for a HIGH job. */
@@ -72,13 +72,14 @@
     victim.types().set(0);
     List<Heartbeat.TaskStatus> items = new java.util.ArrayList<>();
     for (int task = 0; task < 4; task++) {
-      fleet.place(new Placement(victim, task, task + 1, machine, 1, Placement.Phase.RECORDED));
+      fleet.addPlacement(
+          new Placement(victim, task, task + 1, machine, 1, Placement.Phase.RECOVERED));
       items.add(
           new Heartbeat.TaskStatus(
               "run-1", task, task + 1, Heartbeat.Phase.RUNNING, Heartbeat.ExitReason.NONE, false));
     }
     reportHandler(fleet)
-        .take(
+        .handle(
             new Heartbeat("i-1", "", "t", "a", true, 1, 2, 7, OptionalDouble.empty(), items), NOW);
     Job high = job("run-2", Priority.HIGH, 2, 10, 60);
     high.types().set(0);
@@ -112,7 +113,7 @@
   private static List<String> order(Map<Integer, Capacity> ofTeams, Job... byStart) {
     Function<Job, OptionalDouble> slack =
         j -> {
-          double s = j.spec().dueS().orElseThrow() - j.spec().expectedS();
+          double s = j.spec().deadlineS().orElseThrow() - j.spec().expectedS();
           return s < 0 ? OptionalDouble.empty() : OptionalDouble.of(s);
         };
     RuntimeEstimates estimates = new RuntimeEstimates();
@@ -172,24 +173,25 @@
   void arrivalsAreOverOnlyAfterALongPause() {
     ArrivalForecast arrivals = new ArrivalForecast();
     for (int i = 0; i < 10; i++) {
-      arrivals.came(1_000L * 4 * i);
+      arrivals.recordSubmission(1_000L * 4 * i);
     }
-    assertFalse(arrivals.over(36_000 + 20_000));
-    assertTrue(arrivals.over(36_000 + 29_000));
-    assertFalse(new ArrivalForecast().over(1_000_000), "where nothing came nothing is over");
+    assertFalse(arrivals.submissionsStopped(36_000 + 20_000));
+    assertTrue(arrivals.submissionsStopped(36_000 + 29_000));
+    assertFalse(
+        new ArrivalForecast().submissionsStopped(1_000_000), "where nothing came nothing is over");
   }
 
   @Test
   void stepsThatBecomeReadyAreNoSubmissionsAndMayStillBeFollowed() {
     ArrivalForecast arrivals = new ArrivalForecast();
     for (int i = 0; i < 10; i++) {
-      arrivals.came(1_000L * 4 * i);
+      arrivals.recordSubmission(1_000L * 4 * i);
     }
     for (int i = 0; i < 10; i++) {
-      arrivals.becameReady(36_000 + 1_000L * 4 * i);
+      arrivals.recordReady(36_000 + 1_000L * 4 * i);
     }
-    assertTrue(arrivals.over(36_000 + 29_000), "users have stopped");
-    assertFalse(arrivals.nothingFollows(36_000 + 29_000), "the pipelines have not");
-    assertTrue(arrivals.nothingFollows(72_000 + 29_000));
+    assertTrue(arrivals.submissionsStopped(36_000 + 29_000), "users have stopped");
+    assertFalse(arrivals.arrivalsStopped(36_000 + 29_000), "the pipelines have not");
+    assertTrue(arrivals.arrivalsStopped(72_000 + 29_000));
   }
 }
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.NoNews;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
+import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.JobTable;
@@ -59,8 +59,8 @@
     MachineRegistry fleet =
         new MachineRegistry(
             catalogue, teams, SafetyTiming.of(new Settings.WorkerLimits(3, 14, 39), 1), term);
-    NoNews.reportHandler(fleet, term)
-        .take(
+    NoOpHeartbeatListener.reportHandler(fleet, term)
+        .handle(
             new Heartbeat("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
             ACCEPTED);
     placer =
@@ -81,7 +81,7 @@
   }
 
   private static JobSpec random(Random r, int i) {
-    return Specs.batch(
+    return JobSpecFixtures.batch(
         "run-" + i,
         r.nextBoolean() ? "c" : "d",
         "red",
@@ -97,10 +97,10 @@
   private static OptionalDouble plainOpenSlackS(JobSpec s, double runS, long wallMs) {
     double waitedS = (wallMs - ACCEPTED) / 1000.0;
     List<Double> startBy = new ArrayList<>();
-    if (s.dueS().isPresent()) {
-      startBy.add(s.dueS().getAsDouble() - runS);
+    if (s.deadlineS().isPresent()) {
+      startBy.add(s.deadlineS().getAsDouble() - runS);
       for (double times : s.jobClass().equals("c") ? List.of(1.5, 2.0) : List.<Double>of()) {
-        startBy.add(s.dueS().getAsDouble() * times - runS);
+        startBy.add(s.deadlineS().getAsDouble() * times - runS);
       }
     }
     startBy.add(s.jobClass().equals("c") ? 70 : 300 - runS);
@@ -112,7 +112,7 @@
     if (first.isPresent()) {
       return OptionalDouble.of(first.getAsDouble() - waitedS);
     }
-    return s.dueS().isPresent() ? first : OptionalDouble.of(1e6 - waitedS - runS);
+    return s.deadlineS().isPresent() ? first : OptionalDouble.of(1e6 - waitedS - runS);
   }
 
   @ParameterizedTest
@@ -125,83 +125,84 @@
       if (r.nextBoolean()) {
         // In a pipeline whose other jobs ask for nothing more.
         OptionalLong own =
-            spec.dueS().isPresent()
-                ? OptionalLong.of(ACCEPTED + Math.round(spec.dueS().getAsDouble() * 1000))
+            spec.deadlineS().isPresent()
+                ? OptionalLong.of(ACCEPTED + Math.round(spec.deadlineS().getAsDouble() * 1000))
                 : OptionalLong.empty();
-        job.passedBack(Priority.BEST_EFFORT, own, own);
+        job.inherit(Priority.BEST_EFFORT, own, own);
       }
       double runS = spec.expectedS();
       long wall = ACCEPTED + r.nextInt(700_000);
-      assertEquals(spec.urgency(), job.urgency());
-      assertEquals(spec.dueS(), job.dueS());
-      assertEquals(ACCEPTED, job.sinceWallMs());
+      assertEquals(spec.priority(), job.priority());
+      assertEquals(spec.deadlineS(), job.deadlineS());
+      assertEquals(ACCEPTED, job.eligibleSinceWallMs());
       assertEquals(
-          spec.dueS().orElse(1e6) - (wall - ACCEPTED) / 1000.0 - runS, placer.slackS(job, wall));
-      assertEquals(plainOpenSlackS(spec, runS, wall), placer.openSlackS(job, wall));
-      assertEquals(wall - ACCEPTED > 90_000, Placer.starves(job, wall));
+          spec.deadlineS().orElse(1e6) - (wall - ACCEPTED) / 1000.0 - runS,
+          placer.slackS(job, wall));
+      assertEquals(plainOpenSlackS(spec, runS, wall), placer.remainingSlackS(job, wall));
+      assertEquals(wall - ACCEPTED > 90_000, Placer.isStarving(job, wall));
     }
   }
 
   @Test
   void dueTimesCountFromAcceptanceAndAllElseFromReadiness() {
-    Job job = job(Specs.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
-    job.readySince(ACCEPTED + 60_000);
+    Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
+    job.markReady(ACCEPTED + 60_000);
     ServiceLevelObjectives aims = new ServiceLevelObjectives(AIMS);
-    assertEquals(OptionalDouble.of(40), job.dueS());
+    assertEquals(OptionalDouble.of(40), job.deadlineS());
     assertEquals(OptionalDouble.of(20), aims.startByS(job, 20, 0));
     assertEquals(
         OptionalDouble.of(70), aims.startByS(job, 20, 21), "a start counts from readiness");
     assertEquals(OptionalDouble.of(120), aims.startByS(job, 20, 71), "twice the due time does not");
     assertEquals(15, placer.slackS(job, ACCEPTED + 65_000));
-    assertTrue(!Placer.starves(job, ACCEPTED + 149_000), "nobody ages while it waits for others");
-    assertTrue(Placer.starves(job, ACCEPTED + 151_000));
+    assertTrue(
+        !Placer.isStarving(job, ACCEPTED + 149_000), "nobody ages while it waits for others");
+    assertTrue(Placer.isStarving(job, ACCEPTED + 151_000));
   }
 
   @Test
   void jobsThatNeedItMakeItPressMoreNeverLess() {
-    Job job = job(Specs.batch("run-1", "d", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
-    job.passedBack(
+    Job job = job(JobSpecFixtures.batch("run-1", "d", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
+    job.inherit(
         Priority.HIGH, OptionalLong.of(ACCEPTED + 60_000), OptionalLong.of(ACCEPTED + 90_000));
     ServiceLevelObjectives aims = new ServiceLevelObjectives(List.of());
-    assertEquals(Priority.HIGH, job.urgency());
-    assertEquals(OptionalDouble.of(60), job.dueS());
+    assertEquals(Priority.HIGH, job.priority());
+    assertEquals(OptionalDouble.of(60), job.deadlineS());
     assertEquals(OptionalDouble.of(40), aims.startByS(job, 20, 0));
     assertEquals(OptionalDouble.of(70), aims.startByS(job, 20, 41), "their last multiple is next");
     assertEquals(OptionalDouble.of(80), aims.startByS(job, 20, 71), "then its own due time");
-    job.passedBack(Priority.BEST_EFFORT, OptionalLong.of(ACCEPTED + 160_000), OptionalLong.empty());
-    assertEquals(Priority.NORMAL, job.urgency());
-    assertEquals(OptionalDouble.of(100), job.dueS());
-    assertEquals(OptionalDouble.empty(), job.lastChanceS());
+    job.inherit(Priority.BEST_EFFORT, OptionalLong.of(ACCEPTED + 160_000), OptionalLong.empty());
+    assertEquals(Priority.NORMAL, job.priority());
+    assertEquals(OptionalDouble.of(100), job.deadlineS());
+    assertEquals(OptionalDouble.empty(), job.latestDeadlineS());
   }
 
   @Test
   void thePassedBackUrgencyAndDueTimeOrderTheWork() {
     List<Job> waiting = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      JobSpec spec = Specs.batch("run-" + i, "e", "red", Priority.NORMAL, 2, 1, 1, 20, 0);
-      JobSpec low = Specs.batch("run-" + i, "e", "red", Priority.BEST_EFFORT, 2, 1, 1, 20, 0);
+      JobSpec spec = JobSpecFixtures.batch("run-" + i, "e", "red", Priority.NORMAL, 2, 1, 1, 20, 0);
+      JobSpec low =
+          JobSpecFixtures.batch("run-" + i, "e", "red", Priority.BEST_EFFORT, 2, 1, 1, 20, 0);
       jobs.add(
               new AcceptedJobIndex.AcceptedJob(
                   "run-" + i, new JobRecord(i < 2 ? spec : low, ACCEPTED, 50).encode(), i, "k"))
           .ifPresent(waiting::add);
     }
-    waiting
-        .get(3)
-        .passedBack(Priority.HIGH, OptionalLong.of(ACCEPTED + 90_000), OptionalLong.empty());
+    waiting.get(3).inherit(Priority.HIGH, OptionalLong.of(ACCEPTED + 90_000), OptionalLong.empty());
     waiting
         .get(1)
-        .passedBack(Priority.NORMAL, OptionalLong.of(ACCEPTED + 90_000), OptionalLong.empty());
+        .inherit(Priority.NORMAL, OptionalLong.of(ACCEPTED + 90_000), OptionalLong.empty());
     assertEquals(
         List.of("run-3", "run-1", "run-0", "run-2"),
-        placer.waitingJobs(ACCEPTED, ACCEPTED).stream().map(Job::uid).toList());
+        placer.pendingJobs(ACCEPTED, ACCEPTED).stream().map(Job::uid).toList());
   }
 
   @Test
   void whatIsOutThoughOthersAreNotDoneCountsAndNothingElseOfItStarts() {
-    Job job = job(Specs.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 0));
-    job.await();
-    assertEquals(0, job.openTasks(0));
-    job.readySince(ACCEPTED + 1);
-    assertEquals(2, job.openTasks(0));
+    Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 0));
+    job.blockOnDependencies();
+    assertEquals(0, job.schedulableTasks(0));
+    job.markReady(ACCEPTED + 1);
+    assertEquals(2, job.schedulableTasks(0));
   }
 }
--- a/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
+++ b/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.NoNews;
+import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.Job;
@@ -119,7 +119,7 @@
             u -> Optional.ofNullable(jobs.get(u)),
             u -> Optional.empty(),
             (j, t) -> false,
-            new NoNews());
+            new NoOpHeartbeatListener());
     List<Job> running = new ArrayList<>();
     for (int i = 0; i < RUNNING; i++) {
       running.add(job(r, i, Priority.values()[r.nextInt(4)], 500));
@@ -138,7 +138,7 @@
         int task = nextTask[Integer.parseInt(job.uid().substring(4))];
         if (task < 500 && job.perTask().fitsIn(m.free()) && Placer.allows(job, m)) {
           nextTask[Integer.parseInt(job.uid().substring(4))]++;
-          fleet.place(new Placement(job, task, attempt, m, 1, Placement.Phase.RECORDED));
+          fleet.addPlacement(new Placement(job, task, attempt, m, 1, Placement.Phase.RECOVERED));
           items.add(
               new Heartbeat.TaskStatus(
                   job.uid(),
@@ -149,10 +149,10 @@
                   false));
         }
       }
-      reportHandler.take(
+      reportHandler.handle(
           new Heartbeat(host, "", type, zone, m.spot(), 1, 1, 7, OptionalDouble.empty(), items),
           seenMs);
-      reportHandler.take(
+      reportHandler.handle(
           new Heartbeat(host, "", type, zone, m.spot(), 1, 2, 7, OptionalDouble.empty(), items),
           NOW);
     }
@@ -164,7 +164,7 @@
     for (Machine m : fleet.all()) {
       sum += m.free().cores() * withinS;
       for (Placement p : m.placements()) {
-        sum += p.job().perTask().cores() * Math.max(0, withinS - estimates.restS(p, NOW));
+        sum += p.job().perTask().cores() * Math.max(0, withinS - estimates.remainingS(p, NOW));
       }
     }
     return sum;
@@ -190,11 +190,11 @@
     Map<Integer, Resources> promised = new HashMap<>();
     TreeSet<String> stopped = new TreeSet<>();
     for (Job job : waiting) {
-      for (int i = 0; i < job.waiting().cardinality() && stopped.size() < most; i++) {
+      for (int i = 0; i < job.pendingTasks().cardinality() && stopped.size() < most; i++) {
         Resources before = promised.getOrDefault(job.team(), Resources.NONE);
         boolean within = teams.withinGuarantee(job.team(), before.plus(job.perTask()));
         boolean presses =
-            job.spec().urgency().compareTo(Priority.HIGH) <= 0
+            job.spec().priority().compareTo(Priority.HIGH) <= 0
                 || teams.withinGuarantee(job.team(), job.perTask());
         Machine best = null;
         List<Placement> bestVictims = List.of();
@@ -246,20 +246,20 @@
   }
 
   private static double lost(Placement p) {
-    return (p.job().spec().saves() ? p.job().spec().saveCostS() : ranS(p))
+    return (p.job().spec().isCheckpointed() ? p.job().spec().checkpointCostS() : ranS(p))
         * p.job().perTask().cores()
         / 1000.0;
   }
 
   private boolean mayStop(Job job, Placement p, boolean within) {
     Job other = p.job();
-    boolean lower = other.spec().urgency().compareTo(job.spec().urgency()) > 0;
+    boolean lower = other.spec().priority().compareTo(job.spec().priority()) > 0;
     boolean borrowed =
         within
             && other.team() != job.team()
             && !teams.withinGuarantee(other.team(), Resources.NONE);
     double runS = other.spec().expectedS();
-    boolean fresh = ranS(p) <= 30 && other.spec().urgency().compareTo(Priority.HIGH) <= 0;
+    boolean fresh = ranS(p) <= 30 && other.spec().priority().compareTo(Priority.HIGH) <= 0;
     return (lower || borrowed) && !fresh && (runS <= 0 || runS - ranS(p) > 8);
   }
 
@@ -351,7 +351,7 @@
                 false));
       }
       machines.seen = 0;
-      reportHandler.take(
+      reportHandler.handle(
           new Heartbeat(
               m.host(),
               "",
@@ -398,7 +398,7 @@
     waiting.seen = 0;
     placer.run(NOW + 40, NOW + 40);
     assertTrue(machines.seen <= 2 * 1_700, machines.seen + " machines looked at in the next run");
-    Predicate<Machine> wanted = placer.wanted(NOW);
+    Predicate<Machine> wanted = placer.usefulMachines(NOW);
     waiting.seen = 0;
     fleet.all().forEach(wanted::test);
     assertEquals(0, waiting.seen, "the jobs are gone through once for all idle machines");
--- a/src/test/java/org/ploverspindle/placement/PlacerTest.java
+++ b/src/test/java/org/ploverspindle/placement/PlacerTest.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.NoNews;
+import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.Job;
@@ -77,11 +77,11 @@
   private MachineRegistry fleet(Random r, int machines) {
     MachineRegistry fleet =
         new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
-    HeartbeatHandler reportHandler = NoNews.reportHandler(fleet, TERM);
+    HeartbeatHandler reportHandler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
     for (int i = 0; i < machines; i++) {
       String type = r.nextBoolean() ? "small" : "large";
       String zone = r.nextBoolean() ? "a" : "b";
-      reportHandler.take(
+      reportHandler.handle(
           new Heartbeat(
               "i-" + i,
               "",
@@ -122,11 +122,11 @@
                   && (job.spec().spot() || !m.spot())
                   && (job.zone() < 0 || job.zone() == m.zone())
                   && (!job.spec().oneZone() || here == all)
-                  && (!job.spec().apart() || here < (job.spec().tasks() + 1) / 2)
+                  && (!job.spec().spreadOverZones() || here < (job.spec().tasks() + 1) / 2)
                   && job.perTask().fitsIn(free.get(m));
           boolean has = images.getOrDefault(m, Set.of()).contains(job.spec().image());
           double score = free.get(m).cores() / 1000.0 + (has ? 0 : job.spec().imageGb() * 2);
-          boolean losesMuch = job.spec().saveEveryS() == 0 && job.spec().expectedS() > 20;
+          boolean losesMuch = job.spec().checkpointIntervalS() == 0 && job.spec().expectedS() > 20;
           score += losesMuch == m.spot() ? 20 : 0;
           if (allowed && score < bestScore) {
             best = m;
@@ -175,7 +175,7 @@
             new ServiceLevelObjectives(List.of()),
             60_000,
             p -> placed.put(p.job().uid() + "/" + p.task(), p.machine().host()));
-    Map<String, String> expected = plainly(new ArrayList<>(placer.waitingJobs(NOW, NOW)), fleet);
+    Map<String, String> expected = plainly(new ArrayList<>(placer.pendingJobs(NOW, NOW)), fleet);
     placer.run(NOW, NOW);
     assertTrue(expected.size() > 10, "something is placed");
     assertEquals(expected, placed);
--- a/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
+++ b/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
@@ -9,7 +9,7 @@
 import java.util.OptionalDouble;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.cluster.TeamUsage;
@@ -39,7 +39,8 @@
   }
 
   private static Job job(double cores, int tasks, double runS, double dueS) {
-    JobSpec spec = Specs.batch("run-1", "c", "red", Priority.NORMAL, tasks, cores, 1, runS, dueS);
+    JobSpec spec =
+        JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, tasks, cores, 1, runS, dueS);
     BitSet types = new BitSet();
     types.set(cores > 4 ? 1 : 0, 2);
     return new Job(spec, NOW, 80, 0, types, -1, 3);
@@ -139,7 +140,7 @@
     assertEquals(OptionalDouble.of(140), aims.startByS(job, 20, 71));
     assertEquals(OptionalDouble.of(280), aims.startByS(job, 20, 141));
     assertEquals(OptionalDouble.empty(), aims.startByS(job, 20, 281));
-    assertTrue(aims.prompt(job));
+    assertTrue(aims.requiresPromptStart(job));
     assertEquals(OptionalDouble.of(70), aims.lastStartS(job));
   }
 }
--- a/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
+++ b/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.state.Keys;
@@ -20,7 +20,7 @@
   private final ProgressLogSlots slots = new ProgressLogSlots();
   private final Job job =
       new Job(
-          Specs.batch("run-1", "c", "t", Priority.NORMAL, 20, 1, 0, 10, 0),
+          JobSpecFixtures.batch("run-1", "c", "t", Priority.NORMAL, 20, 1, 0, 10, 0),
           0,
           10,
           0,
@@ -92,7 +92,7 @@
   @Test
   void slotsKeepTheirVersionAndDamage() {
     slots.stands(3, 41);
-    slots.markDamaged(Keys.log(4));
+    slots.markDamaged(Keys.progressLog(4));
     long later = 3 + ProgressLogRecord.SLOTS;
     assertEquals(41, slots.stampAt(later));
     assertEquals(3, slots.standingAt(later));
--- a/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.policy.Policy;
@@ -129,7 +129,7 @@
       for (int i = 0; i < 2 * JOBS_OF_A_TEAM; i++) {
         String team = i % 2 == 0 ? "red" : "blue";
         JobSpec job =
-            Specs.batch(w.newUid(), "c", team, Priority.NORMAL, 1, 4, 0.1, runS, 0)
+            JobSpecFixtures.batch(w.newUid(), "c", team, Priority.NORMAL, 1, 4, 0.1, runS, 0)
                 .withTypes(List.of("small"));
         jobs.add(job);
         w.user(job);
@@ -209,7 +209,7 @@
           3_000 + i * 1_000,
           () ->
               w.user(
-                  Specs.batch(
+                  JobSpecFixtures.batch(
                       w.newUid(),
                       "c",
                       "blue",
@@ -231,7 +231,7 @@
   }
 
   private static boolean isProgress(Change change) {
-    return change.key().startsWith(Keys.LOG) || change.key().startsWith(Keys.PROGRESS);
+    return change.key().startsWith(Keys.PROGRESS_LOG) || change.key().startsWith(Keys.SNAPSHOTS);
   }
 
   /** Does it say nothing but that placements of cancelled jobs are gone? */
@@ -239,7 +239,7 @@
     SortedMap<String, Entry> all = LowerLimitsTest.all(w.state);
     List<String> lines = new ArrayList<>();
     for (Change change : txn.changes()) {
-      if (!(change instanceof Change.Put put) || !put.key().startsWith(Keys.LOG)) {
+      if (!(change instanceof Change.Put put) || !put.key().startsWith(Keys.PROGRESS_LOG)) {
         return false;
       }
       put.value().path("jobs").forEach(line -> lines.add(line.asText()));
@@ -247,6 +247,7 @@
     return !lines.isEmpty()
         && lines.stream()
             .map(line -> line.split("\\|", -1))
-            .allMatch(f -> all.containsKey(Keys.cancel(f[0])) && f[3].isEmpty() && f[5].isEmpty());
+            .allMatch(
+                f -> all.containsKey(Keys.cancellation(f[0])) && f[3].isEmpty() && f[5].isEmpty());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.cluster.Placement;
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void txn(Transaction txn, Consumer<TransactionResult> then) {
+    public void commit(Transaction txn, Consumer<TransactionResult> then) {
       transactions++;
       switch (fate()) {
         case ANSWERED ->
@@ -120,14 +120,14 @@
   private long newTerm() {
     long before =
         Optional.ofNullable(LowerLimitsTest.all(state).get(Keys.LEADER))
-            .map(Entry::stamp)
+            .map(Entry::modRevision)
             .orElse(0L);
     TransactionResult result =
         state.txn(
             new Transaction(
                 List.of(new Condition(Keys.LEADER, before)),
                 List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
-    return ((TransactionResult.Committed) result).ledger();
+    return ((TransactionResult.Committed) result).revision();
   }
 
   /** A term: what it was told to be recorded, and the tasks of which it places and ends. */
@@ -145,7 +145,7 @@
       Replica replica = new Replica(p, line, Keys.PREFIX, 700);
       replica.start();
       runFor(1_000);
-      assertTrue(replica.loaded());
+      assertTrue(replica.isLoaded());
       writer =
           new ProgressWriter(
               p,
@@ -154,7 +154,7 @@
               new TokenBucket(p, 100, 40),
               LIMITS.txnOps(),
               LIMITS.valueBytes(),
-              new Term(1 + terms * Term.SPAN, stamp, p.nowMs()),
+              new Term(1 + terms * Term.TOKENS_PER_TERM, stamp, p.nowMs()),
               m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
               this);
       recorded = new RecordedProgress(replica, writer);
@@ -163,7 +163,8 @@
     Job accept(Kind kind) {
       Job job =
           new Job(
-              Specs.batch(kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
+              JobSpecFixtures.batch(
+                  kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
               0,
               kind.chunk(),
               0,
@@ -181,8 +182,8 @@
         job.cancel();
       }
       RecordedProgress.State read = recorded.of(job);
-      read.done().stream().forEach(job::markDone);
-      read.live().values().forEach(l -> place(job, l.task(), l.attempt(), l.host().id()));
+      read.done().stream().forEach(job::markCompleted);
+      read.live().values().forEach(l -> place(job, l.task(), l.attempt(), l.machine().id()));
       if (cancelled) {
         tidy(job);
       }
@@ -193,7 +194,7 @@
       Machine m =
           machines.computeIfAbsent(
               host, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
-      job.place(new Placement(job, task, attempt, m, 3, Placement.Phase.RECORDED));
+      job.addPlacement(new Placement(job, task, attempt, m, 3, Placement.Phase.RECOVERED));
     }
 
     void place(Job job, int... tasks) {
@@ -211,7 +212,7 @@
     /** Proven gone. */
     void ended(Job job, int... tasks) {
       for (int t : tasks) {
-        job.unplace(job.liveAt(t));
+        job.removePlacement(job.activePlacement(t));
         if (job.cancelled()) {
           tidy(job);
         } else {
@@ -222,7 +223,7 @@
 
     private void tidy(Job job) {
       writer.cancelledTasksEnded(job);
-      if (job.live().isEmpty()) {
+      if (job.activePlacements().isEmpty()) {
         writer.over(job);
         jobs.remove(job.uid());
       }
@@ -334,7 +335,7 @@
     leader.place(job, 0, 1);
     runFor(SHORT_MS);
     next = Fate.LOST;
-    job.markDone(1);
+    job.markCompleted(1);
     leader.ended(job, 1);
     runFor(100);
     leader.cancel(job);
@@ -352,7 +353,8 @@
     first.end();
     Leader second = new Leader();
     Job again = second.takeOver(CANCELLED, true);
-    assertEquals(3, again.live().size(), "what nothing durable says is not taken for granted");
+    assertEquals(
+        3, again.activePlacements().size(), "what nothing durable says is not taken for granted");
     second.ended(again, 0, 1, 5);
     runFor(QUIET_MS);
     second.end();
@@ -414,10 +416,10 @@
   /** Ends so many tasks of the other job, each in a record of its own. */
   private void records(Leader leader, Job other, int count) {
     for (int i = 0; i < count; i++) {
-      int task = other.waiting().nextSetBit(0);
+      int task = other.pendingTasks().nextSetBit(0);
       leader.place(other, task);
       runFor(30);
-      other.markDone(task);
+      other.markCompleted(task);
       leader.ended(other, task);
       runFor(30);
     }
@@ -476,7 +478,7 @@
 
   private boolean hasCheckpoint(Kind kind) {
     return LowerLimitsTest.all(state).keySet().stream()
-        .anyMatch(k -> k.startsWith(Keys.progressOf(kind.uid())));
+        .anyMatch(k -> k.startsWith(Keys.snapshotsOf(kind.uid())));
   }
 
   @Test
@@ -526,7 +528,7 @@
       assertEquals(0, leader.writer.backlog(), "still to be written");
       for (Map.Entry<Kind, Job> e : leads.entrySet()) {
         Set<Integer> live = new TreeSet<>();
-        e.getValue().live().forEach(p -> live.add(p.task()));
+        e.getValue().activePlacements().forEach(p -> live.add(p.task()));
         assertEquals(live, recordedLive(e.getKey()), e.getKey() + " after term " + term);
       }
       assertTrue(!leader.deposed);
@@ -537,16 +539,16 @@
 
   private void step(Leader leader, Job job, Kind kind, Map<Kind, Boolean> cancelled) {
     int what = random.nextInt(100);
-    if (what < 4 && !job.cancelled() && !job.live().isEmpty()) {
+    if (what < 4 && !job.cancelled() && !job.activePlacements().isEmpty()) {
       cancelled.put(kind, true);
       leader.cancel(job);
-    } else if (what < 55 && !job.waiting().isEmpty()) {
-      leader.place(job, job.waiting().nextSetBit(0));
-    } else if (!job.live().isEmpty()) {
-      Placement p = job.live().iterator().next();
+    } else if (what < 55 && !job.pendingTasks().isEmpty()) {
+      leader.place(job, job.pendingTasks().nextSetBit(0));
+    } else if (!job.activePlacements().isEmpty()) {
+      Placement p = job.activePlacements().iterator().next();
       // One task stays, so that the job is not done: its end is another matter.
-      if (!job.cancelled() && job.done().cardinality() + 1 < kind.tasks()) {
-        job.markDone(p.task());
+      if (!job.cancelled() && job.completedTasks().cardinality() + 1 < kind.tasks()) {
+        job.markCompleted(p.task());
       }
       leader.ended(job, p.task());
     }
--- a/src/test/java/org/ploverspindle/sim/DayEndCriteriaTest.java
+++ b/src/test/java/org/ploverspindle/sim/DayEndCriteriaTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.policy.Policy;
@@ -29,7 +29,7 @@
       double cores,
       double s,
       double dueS) {
-    return Specs.batch(w.newUid(), jobClass, "blue", urgency, tasks, cores, 0.1, s, dueS);
+    return JobSpecFixtures.batch(w.newUid(), jobClass, "blue", urgency, tasks, cores, 0.1, s, dueS);
   }
 
   private static void assertRulesKept(SimulatedCluster w) {
@@ -228,7 +228,7 @@
     }
     String[] before = new String[0];
     for (int i = 0; i < 30; i++) {
-      JobSpec step = Specs.after(job(w, "step", Priority.NORMAL, 1, 1, 5, 0), before);
+      JobSpec step = JobSpecFixtures.after(job(w, "step", Priority.NORMAL, 1, 1, 5, 0), before);
       w.clock.at(3_000 + i * 500, () -> w.user(step));
       before = new String[] {step.uid()};
     }
--- a/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
+++ b/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
@@ -26,7 +26,7 @@
 
   private void write(StateStore store, String conditionKey, long stamp) {
     Change put = new Change.Put(KEY, Cbor.map());
-    store.txn(
+    store.commit(
         new StateStore.Transaction(List.of(new Condition(conditionKey, stamp)), List.of(put)),
         result -> {});
     clock.runUntil(clock.nowMs() + 1_000);
--- a/src/test/java/org/ploverspindle/sim/FixtureStore.java
+++ b/src/test/java/org/ploverspindle/sim/FixtureStore.java
@@ -33,17 +33,17 @@
   }
 
   @Override
-  public void page(String prefix, String after, int size, Consumer<PageResult> then) {
+  public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
     then.accept(new PageResult.Page(under(prefix), false, LEDGER));
   }
 
   @Override
-  public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
+  public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
     then.accept(new ChangesResult.Changes(LEDGER, List.of()));
   }
 
   @Override
-  public void txn(Transaction txn, Consumer<TransactionResult> then) {}
+  public void commit(Transaction txn, Consumer<TransactionResult> then) {}
 
   @Override
   public void openLease(long ttlMs, Consumer<Optional<Long>> then) {}
--- a/src/test/java/org/ploverspindle/sim/InvariantChecker.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantChecker.java
@@ -200,7 +200,7 @@
     boolean zoneOk = s.zone().map(z -> z.equals(place.zone())).orElse(true);
     long sameZone = job.on.values().stream().filter(p -> p.zone().equals(place.zone())).count();
     boolean together = !s.oneZone() || sameZone == job.on.size();
-    boolean apart = !s.apart() || sameZone < (s.tasks() + 1) / 2;
+    boolean apart = !s.spreadOverZones() || sameZone < (s.tasks() + 1) / 2;
     return typeOk && zoneOk && together && apart && (s.spot() || !place.spot());
   }
 
--- a/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
@@ -375,8 +375,8 @@
   /** The second job awaits the first. */
   private void pipeline() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.submitted(Specs.after(spec("run-2", 1, false, false), "run-1"));
-    checker.submitted(Specs.after(spec("run-3", 1, false, false), "run-2"));
+    checker.submitted(JobSpecFixtures.after(spec("run-2", 1, false, false), "run-1"));
+    checker.submitted(JobSpecFixtures.after(spec("run-3", 1, false, false), "run-2"));
     List.of("run-1", "run-2", "run-3")
         .forEach(u -> checker.told(u, 201, "queued", true, clock.nowMs()));
   }
--- a/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
@@ -12,7 +12,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.policy.Policy;
@@ -68,7 +68,8 @@
                     new Settings.Team("blue", 100, 0, 0, 0)),
                 new Policy(3, 30, 60, 0, Policy.UNBOUNDED, 30, Map.of())));
     large =
-        Specs.batch(cluster.newUid(), "large", "red", Priority.NORMAL, TASKS, 0.25, 0.1, TASK_S, 0);
+        JobSpecFixtures.batch(
+            cluster.newUid(), "large", "red", Priority.NORMAL, TASKS, 0.25, 0.1, TASK_S, 0);
     cluster.checker.whenATaskStarts(
         start -> {
           if (start.uid().equals(large.uid())) {
@@ -111,7 +112,7 @@
     return new Usage(
         cluster.clock.nowMs(),
         checkpoints(),
-        state.bytesUnder(Keys.PROGRESS),
+        state.bytesUnder(Keys.SNAPSHOTS),
         state.keysUnder(Keys.PREFIX),
         state.bytesUnder(Keys.PREFIX),
         state.requests.asked(),
@@ -135,7 +136,7 @@
   private void lookForEnds() {
     for (Iterator<JobSpec> it = unrecorded.iterator(); it.hasNext(); ) {
       JobSpec s = it.next();
-      if (cluster.state.holds(Keys.done(s.uid()))) {
+      if (cluster.state.holds(Keys.completion(s.uid()))) {
         long endedMs = cluster.checker.doneMs(s.uid());
         endDelays.add(new long[] {endedMs, cluster.clock.nowMs() - endedMs});
         it.remove();
@@ -178,7 +179,7 @@
   }
 
   private int checkpoints() {
-    return cluster.state.keysUnder(Keys.PROGRESS);
+    return cluster.state.keysUnder(Keys.SNAPSHOTS);
   }
 
   private void assertWithinTheRules(long refusedAtFirst) {
@@ -195,13 +196,13 @@
   /** All its tasks but the last ones are done, and each chunk has its checkpoint. */
   private void accepted(int toDo) {
     cluster.state.stoodBefore(
-        Keys.SPECS + large.uid(), new JobRecord(large, 1_800_000_000_000L, CHUNK).encode());
+        Keys.JOBS + large.uid(), new JobRecord(large, 1_800_000_000_000L, CHUNK).encode());
     int done = TASKS - toDo;
     for (int chunk = 0; chunk * CHUNK < done; chunk++) {
       BitSet tasks = new BitSet();
       tasks.set(chunk * CHUNK, Math.min(done, (chunk + 1) * CHUNK));
       cluster.state.stoodBefore(
-          Keys.progress(large.uid(), chunk),
+          Keys.snapshot(large.uid(), chunk),
           new SnapshotRecord(tasks, List.of(), 0, 0).encode(done, 0));
     }
     cluster.user(large);
@@ -220,7 +221,7 @@
     measured("accepted after", usage().since(before));
     runUntil(() -> !starts.isEmpty(), 20_000);
     measured("first start after", usage().since(before));
-    assertEquals(CHUNK, SnapshotRecord.chunkFor(LIMITS.valueBytes()));
+    assertEquals(CHUNK, SnapshotRecord.shardSizeFor(LIMITS.valueBytes()));
 
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= 10_000, 60_000);
     measured("10,000 tasks done after", usage().since(before));
@@ -247,7 +248,7 @@
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= TASKS - 2_500, 60_000);
     takeOver();
     runUntil(() -> cluster.checker.isDone(large.uid()), 120_000);
-    runUntil(() -> cluster.state.holds(Keys.done(large.uid())), 20_000);
+    runUntil(() -> cluster.state.holds(Keys.completion(large.uid())), 20_000);
     Usage done = usage();
     measured("done after", done.since(begin));
     removed(done);
--- a/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.api.ApiResponse;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
@@ -72,7 +72,8 @@
   }
 
   private static String submit(SimulatedCluster w) {
-    JobSpec spec = Specs.batch(w.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
+    JobSpec spec =
+        JobSpecFixtures.batch(w.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
     w.user(spec);
     return spec.uid();
   }
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.cluster.Placement;
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void txn(Transaction txn, Consumer<TransactionResult> then) {
+    public void commit(Transaction txn, Consumer<TransactionResult> then) {
       if (bounded) {
         assertTrue(txn.changes().size() <= LOW.txnOps(), "changes " + txn.changes().size());
         assertTrue(txn.conditions().size() <= 4 * LOW.txnOps(), "conditions");
@@ -139,14 +139,15 @@
   }
 
   private long newTerm() {
-    long before = Optional.ofNullable(all(state).get(Keys.LEADER)).map(Entry::stamp).orElse(0L);
+    long before =
+        Optional.ofNullable(all(state).get(Keys.LEADER)).map(Entry::modRevision).orElse(0L);
     TransactionResult result =
         state.txn(
             new Transaction(
                 List.of(new Condition(Keys.LEADER, before)),
                 List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
     if (result instanceof TransactionResult.Committed c) {
-      return c.ledger();
+      return c.revision();
     }
     clock.runUntil(clock.nowMs() + 100);
     return newTerm();
@@ -161,7 +162,8 @@
   private void cancelled(Kind job) {
     jobs.get(job).over = true;
     while (!(state.txn(
-            new Transaction(List.of(), List.of(new Change.Put(Keys.cancel(job.uid()), Cbor.map()))))
+            new Transaction(
+                List.of(), List.of(new Change.Put(Keys.cancellation(job.uid()), Cbor.map()))))
         instanceof TransactionResult.Committed)) {
       clock.runUntil(clock.nowMs() + 50);
     }
@@ -177,7 +179,7 @@
     Map<Kind, String[]> recorded = new LinkedHashMap<>();
     for (Kind job : unfinished()) {
       Truth truth = jobs.get(job);
-      if (all.containsKey(Keys.done(job.uid()))) {
+      if (all.containsKey(Keys.completion(job.uid()))) {
         truth.may.forEach(
             m -> assertTrue(m.contains(ReferenceProgressRecords.DONE), job + " is not done"));
         truth.over = true;
@@ -210,7 +212,7 @@
       Replica replica = new Replica(p, line, Keys.PREFIX, 700);
       replica.start();
       clock.runUntil(clock.nowMs() + 1_000);
-      assertTrue(replica.loaded());
+      assertTrue(replica.isLoaded());
       writer =
           new ProgressWriter(
               p,
@@ -219,7 +221,7 @@
               new TokenBucket(p, LOW.writeRps() * 0.65, LOW.writeRps() * 0.4),
               limits.txnOps(),
               limits.valueBytes(),
-              new Term(1 + terms * Term.SPAN, stamp, p.nowMs()),
+              new Term(1 + terms * Term.TOKENS_PER_TERM, stamp, p.nowMs()),
               m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
               this);
       RecordedProgress recorded = new RecordedProgress(replica, writer);
@@ -229,20 +231,20 @@
                 Job job = add(kind);
                 RecordedProgress.State read = recorded.of(job);
                 assertArrayEquals(plain, texts(kind, read), kind.toString());
-                read.done().stream().forEach(job::markDone);
+                read.done().stream().forEach(job::markCompleted);
                 read.live()
                     .values()
                     .forEach(
                         l ->
-                            job.place(
+                            job.addPlacement(
                                 new Placement(
                                     job,
                                     l.task(),
                                     l.attempt(),
-                                    host(l.host().id()),
-                                    l.tenure(),
-                                    Placement.Phase.RECORDED)));
-                if (job.allDone()) {
+                                    host(l.machine().id()),
+                                    l.agentEpoch(),
+                                    Placement.Phase.RECOVERED)));
+                if (job.allTasksCompleted()) {
                   writer.changed(job, 0);
                 }
               });
@@ -251,7 +253,8 @@
     Job add(Kind kind) {
       Job job =
           new Job(
-              Specs.batch(kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
+              JobSpecFixtures.batch(
+                  kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
               0,
               kind.chunk(),
               0,
@@ -268,7 +271,8 @@
       read.live()
           .forEach(
               (t, l) ->
-                  texts[t] = ReferenceProgressRecords.live(l.attempt(), l.host().id(), l.tenure()));
+                  texts[t] =
+                      ReferenceProgressRecords.live(l.attempt(), l.machine().id(), l.agentEpoch()));
       read.done().stream().forEach(t -> texts[t] = ReferenceProgressRecords.DONE);
       return texts;
     }
@@ -290,33 +294,35 @@
       int what = random.nextInt(100);
       if (what == 0 && placing && random.nextInt(4) == 0) {
         job.cancel();
-        List.copyOf(job.live()).forEach(job::unplace);
+        List.copyOf(job.activePlacements()).forEach(job::removePlacement);
         writer.over(job);
         leads.remove(kind);
         cancelled(kind);
       } else if (what < 60 && placing) {
         String id = "i-" + (100_000 + random.nextInt(machines));
         int most = random.nextInt(60) == 0 ? 60 : 1 + random.nextInt(3);
-        for (int i = 0; i < most && !job.waiting().isEmpty(); i++) {
-          int t = job.waiting().nextSetBit(random.nextInt(kind.tasks()));
-          t = t < 0 ? job.waiting().nextSetBit(0) : t;
+        for (int i = 0; i < most && !job.pendingTasks().isEmpty(); i++) {
+          int t = job.pendingTasks().nextSetBit(random.nextInt(kind.tasks()));
+          t = t < 0 ? job.pendingTasks().nextSetBit(0) : t;
           Placement at =
               new Placement(
                   job, t, (terms << 40) + ++attempts, host(id), 3, Placement.Phase.INTENT);
-          job.place(at);
+          job.addPlacement(at);
           truth.may.get(t).add(ReferenceProgressRecords.live(at.attempt(), id, 3));
           writer.changed(job, t);
         }
       } else {
         List<Placement> there =
-            job.live().stream().filter(x -> x.phase() != Placement.Phase.INTENT).toList();
+            job.activePlacements().stream()
+                .filter(x -> x.phase() != Placement.Phase.INTENT)
+                .toList();
         if (!there.isEmpty()) {
           Placement at = there.get(random.nextInt(there.size()));
           boolean done = random.nextInt(3) > 0;
           if (done) {
-            job.markDone(at.task());
+            job.markCompleted(at.task());
           }
-          job.unplace(at);
+          job.removePlacement(at);
           truth
               .may
               .get(at.task())
@@ -347,9 +353,10 @@
       for (Placement at : placements) {
         leads.forEach(
             (kind, job) -> {
-              if (job == at.job() && job.liveAt(at.task()) == at) {
+              if (job == at.job() && job.activePlacement(at.task()) == at) {
                 String text =
-                    ReferenceProgressRecords.live(at.attempt(), at.machine().host(), at.tenure());
+                    ReferenceProgressRecords.live(
+                        at.attempt(), at.machine().host(), at.agentEpoch());
                 jobs.get(kind).known(at.task(), text);
               }
             });
@@ -383,7 +390,7 @@
     for (int i = 0; i < steps; i++) {
       List<Kind> kinds = List.copyOf(old.jobs());
       if (kinds.size() < 15) {
-        Kind job = accept(SnapshotRecord.chunkFor(OLD.valueBytes()));
+        Kind job = accept(SnapshotRecord.shardSizeFor(OLD.valueBytes()));
         String[] waiting = new String[job.tasks()];
         Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
         old.knows(job, waiting);
@@ -437,7 +444,7 @@
       int steps = 500 + random.nextInt(3_000);
       for (int i = 0; i < steps; i++) {
         if (leader.leads.size() < 15) {
-          leader.add(accept(SnapshotRecord.chunkFor(LOW.valueBytes())));
+          leader.add(accept(SnapshotRecord.shardSizeFor(LOW.valueBytes())));
         }
         leader.step(true);
         clock.runUntil(clock.nowMs() + 12);
@@ -480,7 +487,8 @@
           3_000 + i * 1_000,
           () -> {
             JobSpec s =
-                Specs.batch(w.newUid(), "c", "blue", Priority.NORMAL, tasks, 0.5, 0.1, 5, 0);
+                JobSpecFixtures.batch(
+                    w.newUid(), "c", "blue", Priority.NORMAL, tasks, 0.5, 0.1, 5, 0);
             w.user(named ? s.withTypes(unknown) : s);
           });
     }
@@ -501,8 +509,8 @@
     random = new Random(9);
     ReferenceProgressRecords.OldWriter old =
         new ReferenceProgressRecords.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
-    Kind large = new Kind("run-large", 260, SnapshotRecord.chunkFor(OLD.valueBytes()));
-    Kind other = new Kind("run-other", 400, SnapshotRecord.chunkFor(OLD.valueBytes()));
+    Kind large = new Kind("run-large", 260, SnapshotRecord.shardSizeFor(OLD.valueBytes()));
+    Kind other = new Kind("run-other", 400, SnapshotRecord.shardSizeFor(OLD.valueBytes()));
     for (Kind job : List.of(large, other)) {
       jobs.put(job, new Truth(job.tasks()));
       String[] waiting = new String[job.tasks()];
@@ -536,7 +544,7 @@
       leader.end();
     }
     takeOver();
-    long n = all(state).get(Keys.log(1)).value().path("n").asLong();
+    long n = all(state).get(Keys.progressLog(1)).value().path("n").asLong();
     assertTrue(n > 257, "the slot of the large record holds " + n);
   }
 
@@ -545,7 +553,7 @@
     state.limits(LOW);
     WritingLeader leader = new WritingLeader(OLD, false);
     for (int i = 0; i < 12; i++) {
-      leader.add(accept(SnapshotRecord.chunkFor(OLD.valueBytes())));
+      leader.add(accept(SnapshotRecord.shardSizeFor(OLD.valueBytes())));
     }
     for (int i = 0; i < 900; i++) {
       leader.step(true);
--- a/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
@@ -14,8 +14,8 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.NoNews;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
+import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.HeartbeatTimeout;
@@ -46,7 +46,7 @@
 class MachineTerminationsTest {
   private static final long KEEP_MS = 7_000;
   private static final long SOON_MS = 200;
-  private static final String EARLIER = Keys.machineReturn("1-1");
+  private static final String EARLIER = Keys.termination("1-1");
 
   private final SimClock clock = new SimClock();
   private final SimClock.Process process = clock.new Process(0, 1, 0);
@@ -72,14 +72,18 @@
     replica = new Replica(process, store, Keys.PREFIX, 700);
     replica.start();
     clock.runUntil(SOON_MS);
-    term = new Term(2 * Term.SPAN, replica.get(Keys.LEADER).orElseThrow().stamp(), clock.nowMs());
+    term =
+        new Term(
+            2 * Term.TOKENS_PER_TERM,
+            replica.get(Keys.LEADER).orElseThrow().modRevision(),
+            clock.nowMs());
     Catalogue catalogue = new Catalogue(List.of("a"));
     Resources size = Resources.offered(4, 0, 16);
     catalogue.update(List.of(new MachineType("t", size, 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("blue", 0, 0, 0, 0)));
     Settings.WorkerLimits workers = new Settings.WorkerLimits(3, 14, 39);
     fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(workers, 1), term);
-    handler = NoNews.reportHandler(fleet, term);
+    handler = NoOpHeartbeatListener.reportHandler(fleet, term);
     TokenBucket plenty = new TokenBucket(process, 1_000, 1_000);
     returns =
         new MachineTerminations(
@@ -87,7 +91,7 @@
             fleet,
             new HeartbeatTimeout(3, term.startMs(), term::startMs),
             new TerminationRecordWriter(
-                new LeaderWriter(store, replica, plenty, term), term.token(), 8_192),
+                new LeaderWriter(store, replica, plenty, term), term.fencingToken(), 8_192),
             new TerminationSender(
                 process, this::release, () -> mayDecide, new RetryDelay(new Random(3), 700, 600)),
             KEEP_MS,
@@ -104,21 +108,32 @@
   private Machine report(String host, int tally) {
     Heartbeat report =
         new Heartbeat(
-            host, "", "t", "a", true, 1, tally, term.token(), OptionalDouble.empty(), List.of());
-    handler.take(report, clock.nowMs());
+            host,
+            "",
+            "t",
+            "a",
+            true,
+            1,
+            tally,
+            term.fencingToken(),
+            OptionalDouble.empty(),
+            List.of());
+    handler.handle(report, clock.nowMs());
     return fleet.get(host).orElseThrow();
   }
 
   /** A task that is recorded on the machine, and saves its progress when it is told to stop. */
   private Placement place(Machine machine) {
-    return place(machine, Placement.Phase.RECORDED);
+    return place(machine, Placement.Phase.RECOVERED);
   }
 
   private Placement place(Machine machine, Placement.Phase phase) {
     Job job =
         new Job(
-            Specs.saving(
-                Specs.batch("run-1", "c", "blue", Priority.NORMAL, 1, 1, 0.1, 50, 0), 5, 2),
+            JobSpecFixtures.saving(
+                JobSpecFixtures.batch("run-1", "c", "blue", Priority.NORMAL, 1, 1, 0.1, 50, 0),
+                5,
+                2),
             0,
             8,
             0,
@@ -126,7 +141,7 @@
             0,
             1);
     Placement placement = new Placement(job, 0, 9, machine, 1, phase);
-    fleet.place(placement);
+    fleet.addPlacement(placement);
     return placement;
   }
 
@@ -138,24 +153,26 @@
     ObjectNode value = Cbor.map();
     List.of(hosts).forEach(value.putArray("hosts")::add);
     state.stoodBefore(EARLIER, value);
-    replica.barrier(read -> {});
+    replica.readBarrier(read -> {});
     run(SOON_MS);
-    replica.under(Keys.RETURNS).values().forEach(returns::inherit);
+    replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inherit);
   }
 
   @Test
   void theCloudIsAskedOnceTheRecordStandsAndTheRecordOutlivesTheAnswer() {
     Machine machine = report("i-1", 1);
     returns.begin(List.of(machine));
-    assertTrue(machine.returning() && !machine.usable(clock.nowMs(), 9_000), "from the sending on");
+    assertTrue(
+        machine.isTerminating() && !machine.isSchedulable(clock.nowMs(), 9_000),
+        "from the sending on");
     assertEquals(List.of(), requests);
     run(SOON_MS);
     assertEquals(List.of(List.of("i-1")), requests);
-    assertTrue(fleet.wasReleased("i-1"));
+    assertTrue(fleet.wasTerminated("i-1"));
     run(KEEP_MS - 2 * SOON_MS);
-    assertEquals(1, state.keysUnder(Keys.RETURNS), "a list may still show the machine");
+    assertEquals(1, state.keysUnder(Keys.TERMINATIONS), "a list may still show the machine");
     run(4_000);
-    assertEquals(0, state.keysUnder(Keys.RETURNS));
+    assertEquals(0, state.keysUnder(Keys.TERMINATIONS));
     assertEquals(1, requests.size());
   }
 
@@ -167,8 +184,8 @@
     network.lateWrites(0, false);
     mayDecide = false;
     run(20_000);
-    assertEquals(1, state.keysUnder(Keys.RETURNS), "it was carried out late");
-    assertTrue(machine.returning());
+    assertEquals(1, state.keysUnder(Keys.TERMINATIONS), "it was carried out late");
+    assertTrue(machine.isTerminating());
     assertEquals(List.of(), requests, "nothing is sent without a sure lead");
     mayDecide = true;
     run(3_000);
@@ -195,7 +212,7 @@
   void aSuccessorCompletesTheReturnAndNoListBringsTheMachineBack() {
     cloudAnswers = false;
     inherit("i-1", "i-2");
-    assertTrue(report("i-1", 1).leaving(), "also one that was not known before");
+    assertTrue(report("i-1", 1).isDecommissioning(), "also one that was not known before");
     run(10_000);
     assertTrue(requests.size() > 3, "repeated until it is answered: " + requests.size());
     assertTrue(returns.summary().contains("inherited=2"), returns.summary());
@@ -204,7 +221,7 @@
     assertTrue(fleet.adopt("i-1", "t", "a", true, clock.nowMs()).isEmpty());
     assertTrue(fleet.adopt("i-2", "t", "a", true, clock.nowMs()).isEmpty());
     run(KEEP_MS + 3_000);
-    assertEquals(0, state.keysUnder(Keys.RETURNS));
+    assertEquals(0, state.keysUnder(Keys.TERMINATIONS));
   }
 
   /** It was taken for gone, and reports again between the record and the release. */
@@ -214,9 +231,18 @@
     returns.begin(List.of(placement.machine()));
     Heartbeat again =
         new Heartbeat(
-            "i-1", "", "t", "a", true, 1, 2, term.token(), OptionalDouble.empty(), List.of());
-    assertEquals(List.of(), handler.take(again, clock.nowMs()).orders());
-    assertTrue(placement.machine().empty(), "it was never sent");
+            "i-1",
+            "",
+            "t",
+            "a",
+            true,
+            1,
+            2,
+            term.fencingToken(),
+            OptionalDouble.empty(),
+            List.of());
+    assertEquals(List.of(), handler.handle(again, clock.nowMs()).commands());
+    assertTrue(placement.machine().isEmpty(), "it was never sent");
     run(SOON_MS);
     assertEquals(List.of(List.of("i-1")), requests);
   }
@@ -228,8 +254,8 @@
     inherit("i-1");
     run(2_000);
     assertEquals(List.of(), requests);
-    assertTrue(placement.stopping() && placement.windDownS() > 2, "it saves first");
-    fleet.gone(placement, clock.nowMs());
+    assertTrue(placement.stopping() && placement.gracePeriodS() > 2, "it saves first");
+    fleet.removePlacement(placement, clock.nowMs());
     run(2_000);
     assertEquals(List.of(List.of("i-1")), requests);
 
@@ -246,18 +272,18 @@
   void aRecordThatCantBeReadKeepsMachinesOfEarlierTermsOutOfWorkForAWhile() {
     Machine before = report("i-1", 1);
     state.stoodBefore(EARLIER, Cbor.map().put("hosts", "i-1"));
-    replica.barrier(read -> {});
+    replica.readBarrier(read -> {});
     run(SOON_MS);
-    replica.under(Keys.RETURNS).values().forEach(returns::inherit);
+    replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inherit);
     Machine ours = report("i-9", 1);
     ours.endQuarantine();
-    assertFalse(before.usable(clock.nowMs(), 9_000));
-    assertFalse(report("i-2", 1).usable(clock.nowMs(), 9_000));
-    assertTrue(ours.usable(clock.nowMs(), 9_000), "rented in this term");
+    assertFalse(before.isSchedulable(clock.nowMs(), 9_000));
+    assertFalse(report("i-2", 1).isSchedulable(clock.nowMs(), 9_000));
+    assertTrue(ours.isSchedulable(clock.nowMs(), 9_000), "rented in this term");
     run(310_000);
-    assertTrue(report("i-1", 2).usable(clock.nowMs(), 9_000));
+    assertTrue(report("i-1", 2).isSchedulable(clock.nowMs(), 9_000));
     assertEquals(List.of(), requests);
-    assertEquals(1, state.keysUnder(Keys.RETURNS));
+    assertEquals(1, state.keysUnder(Keys.TERMINATIONS));
   }
 
   @Test
--- a/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
@@ -24,7 +24,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.cluster.Placement;
@@ -60,7 +60,7 @@
  */
 class MixedVersionFailoverTest {
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 60, 1, 6);
-  private static final int CHUNK = SnapshotRecord.chunkFor(LIMITS.valueBytes());
+  private static final int CHUNK = SnapshotRecord.shardSizeFor(LIMITS.valueBytes());
   private static final long TENURE = 3;
 
   /** A job is accepted about every so many steps, so that there are always some that wait. */
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public void txn(Transaction txn, Consumer<TransactionResult> then) {
+    public void commit(Transaction txn, Consumer<TransactionResult> then) {
       if (random.nextDouble() < faults) {
         // Never executed, executed unseen, or executed when the next leader may be there.
         int kind = random.nextInt(3);
@@ -155,14 +155,15 @@
   }
 
   private long newTerm() {
-    long before = LowerLimitsTest.all(state).get(Keys.LEADER).stamp();
-    JsonNode leader = Cbor.map().put("member", "n0").put("token", 1 + terms++ * Term.SPAN);
+    long before = LowerLimitsTest.all(state).get(Keys.LEADER).modRevision();
+    JsonNode leader =
+        Cbor.map().put("member", "n0").put("token", 1 + terms++ * Term.TOKENS_PER_TERM);
     TransactionResult result =
         commit(
             new Transaction(
                 List.of(new Condition(Keys.LEADER, before)),
                 List.of(new Change.Put(Keys.LEADER, leader))));
-    return assertInstanceOf(TransactionResult.Committed.class, result).ledger();
+    return assertInstanceOf(TransactionResult.Committed.class, result).revision();
   }
 
   // ---- jobs
@@ -243,8 +244,8 @@
 
   private JsonNode acceptedHere(String uid, int tasks, List<String> awaits, boolean isLong) {
     JobSpec spec =
-        Specs.after(
-            Specs.batch(uid, "class-0", "blue", Priority.NORMAL, tasks, 1, 1, 5, 0),
+        JobSpecFixtures.after(
+            JobSpecFixtures.batch(uid, "class-0", "blue", Priority.NORMAL, tasks, 1, 1, 5, 0),
             awaits.toArray(String[]::new));
     JobRecord record = new JobRecord(spec, clock.nowMs(), CHUNK);
     if (!isLong) {
@@ -331,7 +332,7 @@
       pipelines = new Pipelines(process, replica, specs);
       replica.start();
       clock.runUntil(clock.nowMs() + 1_000);
-      assertTrue(replica.loaded());
+      assertTrue(replica.isLoaded());
       writer =
           new ProgressWriter(
               process,
@@ -340,7 +341,7 @@
               new TokenBucket(process, LIMITS.writeRps() * 0.65, LIMITS.writeRps() * 0.4),
               LIMITS.txnOps(),
               LIMITS.valueBytes(),
-              new Term(1 + terms * Term.SPAN, stamp, process.nowMs()),
+              new Term(1 + terms * Term.TOKENS_PER_TERM, stamp, process.nowMs()),
               machine -> new SnapshotRecord.MachineInfo(machine.host(), "type-16", "zone-a", true),
               this);
       load(new RecordedProgress(replica, writer), takeOver(settledBefore));
@@ -354,20 +355,22 @@
             Job job = add(truth.kind.uid());
             RecordedProgress.State read = recorded.of(job);
             assertArrayEquals(plainly, texts(truth.kind, read), truth.kind.uid());
-            read.done().stream().forEach(job::markDone);
+            read.done().stream().forEach(job::markCompleted);
             read.live()
-                .forEach((task, live) -> job.place(placement(job, live, Placement.Phase.RECORDED)));
-            if (job.allDone()) {
+                .forEach(
+                    (task, live) ->
+                        job.addPlacement(placement(job, live, Placement.Phase.RECOVERED)));
+            if (job.allTasksCompleted()) {
               writer.changed(job, 0);
             }
           });
     }
 
     private String status(String uid) {
-      if (replica.get(Keys.done(uid)).isPresent()) {
+      if (replica.get(Keys.completion(uid)).isPresent()) {
         return ReferenceJobRecords.DONE;
       }
-      if (replica.get(Keys.cancel(uid)).isPresent() || pipelines.graph().isAborted(uid)) {
+      if (replica.get(Keys.cancellation(uid)).isPresent() || pipelines.graph().isAborted(uid)) {
         return ReferenceJobRecords.ABORTED;
       }
       return pipelines.isWaiting(uid) ? ReferenceJobRecords.WAITING : ReferenceJobRecords.READY;
@@ -375,7 +378,7 @@
 
     private Job add(String uid) {
       JobRecord record = JobRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
-      Job job = new Job(record.spec(), 0, record.chunk(), 0, new BitSet(), -1, 1);
+      Job job = new Job(record.spec(), 0, record.shardSize(), 0, new BitSet(), -1, 1);
       leads.put(uid, job);
       everLed.add(uid);
       return job;
@@ -387,7 +390,8 @@
       read.live()
           .forEach(
               (t, l) ->
-                  texts[t] = ReferenceProgressRecords.live(l.attempt(), l.host().id(), l.tenure()));
+                  texts[t] =
+                      ReferenceProgressRecords.live(l.attempt(), l.machine().id(), l.agentEpoch()));
       read.done().stream().forEach(task -> texts[task] = ReferenceProgressRecords.DONE);
       return texts;
     }
@@ -400,7 +404,7 @@
     private Placement placement(
         Job job, SnapshotRecord.RecordedPlacement live, Placement.Phase phase) {
       return new Placement(
-          job, live.task(), live.attempt(), host(live.host().id()), live.tenure(), phase);
+          job, live.task(), live.attempt(), host(live.machine().id()), live.agentEpoch(), phase);
     }
 
     void step() {
@@ -421,15 +425,15 @@
     }
 
     private void place(String uid, Job job) {
-      if (!job.waiting().isEmpty()) {
+      if (!job.pendingTasks().isEmpty()) {
         assertMayRun(uid);
       }
-      for (int i = random.nextInt(4); i >= 0 && !job.waiting().isEmpty(); i--) {
-        int task = job.waiting().nextSetBit(0);
+      for (int i = random.nextInt(4); i >= 0 && !job.pendingTasks().isEmpty(); i--) {
+        int task = job.pendingTasks().nextSetBit(0);
         SnapshotRecord.MachineInfo at = new SnapshotRecord.MachineInfo(newHost(), "", "", true);
         SnapshotRecord.RecordedPlacement live =
             new SnapshotRecord.RecordedPlacement(task, (terms << 40) + ++attempts, at, TENURE);
-        job.place(placement(job, live, Placement.Phase.INTENT));
+        job.addPlacement(placement(job, live, Placement.Phase.INTENT));
         truths.get(uid).now(task, ReferenceProgressRecords.live(live.attempt(), at.id(), TENURE));
         writer.changed(job, task);
       }
@@ -437,16 +441,16 @@
 
     private void end(String uid, Job job) {
       List<Placement> there =
-          job.live().stream()
+          job.activePlacements().stream()
               .filter(x -> x.phase() != Placement.Phase.INTENT)
               .limit(MOST_ENDS_A_STEP)
               .toList();
       for (Placement at : there) {
         boolean done = random.nextInt(5) > 0;
         if (done) {
-          job.markDone(at.task());
+          job.markCompleted(at.task());
         }
-        job.unplace(at);
+        job.removePlacement(at);
         truths
             .get(uid)
             .now(
--- a/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
@@ -114,7 +114,7 @@
               saves ? 1 : 0,
               r.nextBoolean() ? OptionalDouble.of(90) : OptionalDouble.empty(),
               List.of());
-      return Specs.after(spec, awaits.toArray(String[]::new));
+      return JobSpecFixtures.after(spec, awaits.toArray(String[]::new));
     }
 
     /** For each step the numbers of the steps before it that it awaits. */
@@ -337,7 +337,8 @@
   void aThousandJobsAreAbortedWithTheFirst(String form, boolean outAndNewLeader) {
     Settings.StateLimits wide = new Settings.StateLimits(2_000, 900, 2, 4);
     SimulatedCluster w = new SimulatedCluster(21, site(wide));
-    JobSpec first = Specs.batch(w.newUid(), "first", "blue", Priority.NORMAL, 2, 1, 0.1, 9_000, 0);
+    JobSpec first =
+        JobSpecFixtures.batch(w.newUid(), "first", "blue", Priority.NORMAL, 2, 1, 0.1, 9_000, 0);
     w.clock.at(3_000, () -> w.user(first));
     w.clock.runUntil(6_000);
     List<String> uids = new ArrayList<>();
@@ -346,8 +347,9 @@
           form.equals("DEEP") && !uids.isEmpty() ? uids.get(uids.size() - 1) : first.uid();
       if (w.checker.isAccepted(before)) {
         JobSpec spec =
-            Specs.after(
-                Specs.batch(w.newUid(), "step", "blue", Priority.HIGH, 1, 1, 0.1, 5, 0), before);
+            JobSpecFixtures.after(
+                JobSpecFixtures.batch(w.newUid(), "step", "blue", Priority.HIGH, 1, 1, 0.1, 5, 0),
+                before);
         w.user(spec);
         uids.add(spec.uid());
       }
--- a/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
@@ -153,7 +153,7 @@
     List<UserApiCluster.Heard> withdrawn = new ArrayList<>();
     doors.withdraw(0, uid(0), withdrawn::add);
     // The barrier before the cancellation may take as long as the reads are apart.
-    while (doors.written.stream().noneMatch(k -> k.startsWith(Keys.CANCELS))) {
+    while (doors.written.stream().noneMatch(k -> k.startsWith(Keys.CANCELLATIONS))) {
       doors.pass(1);
     }
     doors.pass(laterMs);
@@ -256,7 +256,7 @@
       uids.add(uid);
       batch.set(uid, new JobRecord(UserApiCluster.job(uid, List.of()), 1, 20).encode());
       if (i + 1 == count || Cbor.jsonSize(batch) > 1_500) {
-        Change put = new Change.Put(Keys.batch("old-" + i), batch.deepCopy());
+        Change put = new Change.Put(Keys.jobBatch("old-" + i), batch.deepCopy());
         while (!(doors.applied(new Transaction(List.of(), List.of(put)))
             instanceof TransactionResult.Committed)) {
           doors.pass(200);
@@ -269,7 +269,7 @@
   }
 
   private static long parts(UserApiCluster doors) {
-    return doors.written.stream().filter(k -> k.startsWith(Keys.AWAITS)).count();
+    return doors.written.stream().filter(k -> k.startsWith(Keys.DEPENDENCIES)).count();
   }
 
   /** A user's tries, each at another node, a second after the last was answered. */
@@ -333,7 +333,7 @@
     assertTrue(list.parts().size() > 5);
     doors.restart(0);
     UserApiCluster.Node loading = doors.nodes.get(0);
-    while (loading.replica.under(Keys.PREFIX).isEmpty()) {
+    while (loading.replica.withPrefix(Keys.PREFIX).isEmpty()) {
       doors.pass(1);
     }
     // Lists were on the first page; jobs of this process are on the last.
@@ -343,7 +343,7 @@
     }
     ObjectNode job = Cbor.map();
     job.set("run-1", new JobRecord(UserApiCluster.job("run-1", List.of()), 1, 20).encode(list));
-    doors.applied(new Transaction(List.of(), List.of(new Change.Put(Keys.batch("zz"), job))));
+    doors.applied(new Transaction(List.of(), List.of(new Change.Put(Keys.jobBatch("zz"), job))));
     int unread = 0;
     for (int i = 0; i < 2_000; i++) {
       doors.pass(1);
@@ -367,7 +367,7 @@
       String awaited = uid(record.charAt(2) - '0');
       jobs.set(
           "run-7", new JobRecord(UserApiCluster.job("run-7", List.of(awaited)), 1, 20).encode());
-      Change put = new Change.Put(Keys.batch(record.substring(0, 1)), jobs);
+      Change put = new Change.Put(Keys.jobBatch(record.substring(0, 1)), jobs);
       doors.applied(new Transaction(List.of(), List.of(put)));
     }
     doors.restart(0);
--- a/src/test/java/org/ploverspindle/sim/PipelineTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
@@ -36,8 +36,9 @@
       double runS,
       double dueS,
       String... awaits) {
-    JobSpec spec = Specs.batch(w.newUid(), "step", "blue", urgency, tasks, cores, 0.1, runS, dueS);
-    return Specs.after(spec, awaits);
+    JobSpec spec =
+        JobSpecFixtures.batch(w.newUid(), "step", "blue", urgency, tasks, cores, 0.1, runS, dueS);
+    return JobSpecFixtures.after(spec, awaits);
   }
 
   // ---- random pipelines under random troubles
@@ -67,7 +68,7 @@
             saves ? 1 : 0,
             r.nextBoolean() ? OptionalDouble.of(90) : OptionalDouble.empty(),
             List.of());
-    return Specs.after(spec, awaits.toArray(String[]::new));
+    return JobSpecFixtures.after(spec, awaits.toArray(String[]::new));
   }
 
   /** One after another, each as soon as all before are accepted, or the last once they are over. */
@@ -260,10 +261,11 @@
     JobSpec first = step(w, Priority.NORMAL, 1, 1, 120, 0);
     // Team red may use 24 cores, and 8 are guaranteed.
     JobSpec waits =
-        Specs.after(
-            Specs.batch(w.newUid(), "large", "red", Priority.HIGH, 60, 4, 0.1, 10, 100),
+        JobSpecFixtures.after(
+            JobSpecFixtures.batch(w.newUid(), "large", "red", Priority.HIGH, 60, 4, 0.1, 10, 100),
             first.uid());
-    JobSpec other = Specs.batch(w.newUid(), "o", "red", Priority.BEST_EFFORT, 6, 4, 0.1, 10, 0);
+    JobSpec other =
+        JobSpecFixtures.batch(w.newUid(), "o", "red", Priority.BEST_EFFORT, 6, 4, 0.1, 10, 0);
     w.clock.at(3_000, () -> w.user(first));
     w.clock.at(6_000, () -> w.user(waits));
     w.clock.at(60_000, () -> w.user(other));
@@ -318,7 +320,7 @@
                   List.of(new SnapshotRecord.RecordedPlacement(1, 77, host, 1)),
                   1,
                   0);
-          Change put = new Change.Put(Keys.progress(second.uid(), 0), record.encode(0, 1));
+          Change put = new Change.Put(Keys.snapshot(second.uid(), 0), record.encode(0, 1));
           w.state.txn(new Transaction(List.of(), List.of(put)));
           w.crash(w.leader(), 5_000);
         });
@@ -342,7 +344,7 @@
           BitSet all = new BitSet();
           all.set(0, 3);
           SnapshotRecord record = new SnapshotRecord(all, List.of(), 0, 0);
-          Change put = new Change.Put(Keys.progress(second.uid(), 0), record.encode(3, 0));
+          Change put = new Change.Put(Keys.snapshot(second.uid(), 0), record.encode(3, 0));
           w.state.txn(new Transaction(List.of(), List.of(put)));
           w.crash(w.leader(), 5_000);
         });
--- a/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
@@ -113,12 +113,14 @@
 
     /** Ends a job whose dependencies are done, as a leader does. */
     private void end(String uid, Set<String> keys) {
-      if (lists.get(uid).stream().allMatch(d -> keys.contains(Keys.done(d)))
+      if (lists.get(uid).stream().allMatch(d -> keys.contains(Keys.completion(d)))
           && acceptedMs.containsKey(uid)) {
         doors.applied(
             new Transaction(
-                List.of(new Condition(Keys.cancel(uid), 0), new Condition(Keys.done(uid), 0)),
-                List.of(new Change.Put(Keys.done(uid), org.ploverspindle.net.Cbor.map()))));
+                List.of(
+                    new Condition(Keys.cancellation(uid), 0),
+                    new Condition(Keys.completion(uid), 0)),
+                List.of(new Change.Put(Keys.completion(uid), org.ploverspindle.net.Cbor.map()))));
       }
     }
 
@@ -159,11 +161,11 @@
       doors.pass(20_000);
       Set<String> cancelled = new HashSet<>();
       lists.keySet().stream()
-          .filter(uid -> doors.written.contains(Keys.cancel(uid)))
+          .filter(uid -> doors.written.contains(Keys.cancellation(uid)))
           .forEach(cancelled::add);
       for (String uid : lists.keySet()) {
         String state = "queued";
-        if (doors.written.contains(Keys.done(uid))) {
+        if (doors.written.contains(Keys.completion(uid))) {
           state = "done";
         } else if (needsOneOf(uid, cancelled)) {
           state = "aborted";
@@ -175,7 +177,7 @@
           if (h.status() == 200) {
             assertEquals(state, h.state(), uid + " at " + i);
             boolean ready =
-                lists.get(uid).stream().allMatch(d -> doors.written.contains(Keys.done(d)));
+                lists.get(uid).stream().allMatch(d -> doors.written.contains(Keys.completion(d)));
             assertEquals(ready, doors.nodes.get(i).pipelines.graph().isReady(uid));
           }
         }
