--- a/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.Placement;
 import org.ploverspindle.model.JobSpec;
@@ -132,8 +132,8 @@
         spec.uid(),
         spec.jobClass(),
         spec.team(),
-        spec.shape().name(),
-        spec.urgency().name(),
+        spec.kind().name(),
+        spec.priority().name(),
         "" + spec.tasks(),
         "" + spec.cores(),
         "" + spec.accelerators(),
@@ -141,30 +141,30 @@
         spec.types().map(types -> String.join(",", types)).orElse(ABSENT),
         spec.zone().orElse(ABSENT),
         "" + spec.oneZone(),
-        "" + spec.apart(),
+        "" + spec.spreadOverZones(),
         "" + spec.spot(),
         spec.image(),
         "" + spec.imageGb(),
         "" + spec.expectedS(),
-        "" + spec.saveEveryS(),
-        "" + spec.saveCostS(),
-        spec.dueS().isPresent() ? "" + spec.dueS().getAsDouble() : ABSENT,
+        "" + spec.checkpointIntervalS(),
+        "" + spec.checkpointCostS(),
+        spec.deadlineS().isPresent() ? "" + spec.deadlineS().getAsDouble() : ABSENT,
         "" + record.acceptedWallMs(),
-        "" + record.chunk());
+        "" + record.shardSize());
   }
 
   private static List<String> dependencies(Loaded loaded, String uid) {
-    return JobRecord.awaits(loaded.spec(uid))
+    return JobRecord.storedDependencies(loaded.spec(uid))
             instanceof JobRecord.StoredDependencies.Separate elsewhere
         ? DependenciesRecord.read(loaded.replica, elsewhere).orElseThrow()
         : JobRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec().dependencies();
   }
 
   private static String status(Loaded loaded, String uid) {
-    if (loaded.replica.get(Keys.done(uid)).isPresent()) {
+    if (loaded.replica.get(Keys.completion(uid)).isPresent()) {
       return "done";
     }
-    boolean cancelled = loaded.replica.get(Keys.cancel(uid)).isPresent();
+    boolean cancelled = loaded.replica.get(Keys.cancellation(uid)).isPresent();
     if (cancelled || loaded.pipelines.graph().isAborted(uid)) {
       return "aborted";
     }
@@ -172,7 +172,7 @@
   }
 
   private static String text(SnapshotRecord.RecordedPlacement live) {
-    SnapshotRecord.MachineInfo host = live.host();
+    SnapshotRecord.MachineInfo host = live.machine();
     return String.join(
         " ",
         "" + live.attempt(),
@@ -180,7 +180,7 @@
         host.type(),
         host.zone(),
         "" + host.spot(),
-        "" + live.tenure());
+        "" + live.agentEpoch());
   }
 
   private static ObjectNode meaning(Loaded loaded, String uid) {
@@ -191,7 +191,7 @@
       meaning.put("awaits", String.join(" ", dependencies));
     }
     meaning.put("status", status(loaded, uid));
-    Job job = new Job(record.spec(), 0, record.chunk(), 0, new BitSet(), 0, 2);
+    Job job = new Job(record.spec(), 0, record.shardSize(), 0, new BitSet(), 0, 2);
     RecordedProgress.State state = loaded.progress.of(job);
     if (!state.done().isEmpty()) {
       meaning.put("done", state.done().toString());
@@ -217,7 +217,8 @@
     assertEquals(loaded.specs.uids(), expected.keySet());
     assertEquals(Optional.of("n0"), loaded.replica.text(Keys.LEADER, "member"));
     assertEquals(
-        Term.SPAN, loaded.replica.get(Keys.TOKEN).orElseThrow().value().path("n").asLong());
+        Term.TOKENS_PER_TERM,
+        loaded.replica.get(Keys.TOKEN).orElseThrow().value().path("n").asLong());
   }
 
   @Test
@@ -228,13 +229,13 @@
             Keys.LEADER,
             Keys.TOKEN,
             Keys.TYPES,
-            Keys.BATCHES,
-            Keys.AWAITS,
-            Keys.CANCELS,
-            Keys.DONES,
-            Keys.PROGRESS,
-            Keys.LOG,
-            Keys.CLAIMS,
+            Keys.JOB_BATCHES,
+            Keys.DEPENDENCIES,
+            Keys.CANCELLATIONS,
+            Keys.COMPLETIONS,
+            Keys.SNAPSHOTS,
+            Keys.PROGRESS_LOG,
+            Keys.PROVISIONING_INTENTS,
             Keys.BOUNDS)) {
       assertTrue(!store.under(prefix).isEmpty(), prefix);
     }
@@ -246,7 +247,8 @@
     for (String uid : loaded.specs.uids()) {
       JsonNode stored = loaded.spec(uid);
       JobRecord record = JobRecord.decode(uid, stored).orElseThrow();
-      if (JobRecord.awaits(stored) instanceof JobRecord.StoredDependencies.Separate elsewhere) {
+      if (JobRecord.storedDependencies(stored)
+          instanceof JobRecord.StoredDependencies.Separate elsewhere) {
         DependenciesRecord list =
             DependenciesRecord.split(uid, dependencies(loaded, uid), VALUE_BYTES);
         assertEquals(elsewhere.name(), list.name());
@@ -264,18 +266,18 @@
   }
 
   private static void assertLogWrittenAlike(FixtureStore store) {
-    for (Entry entry : store.under(Keys.LOG)) {
+    for (Entry entry : store.under(Keys.PROGRESS_LOG)) {
       ProgressLogRecord record = ProgressLogRecord.decode(entry.value()).orElseThrow();
       ProgressLogRecord.Builder builder =
-          new ProgressLogRecord.Builder(record.n(), record.id(), VALUE_BYTES);
+          new ProgressLogRecord.Builder(record.sequence(), record.id(), VALUE_BYTES);
       record.deltas().forEach(delta -> assertTrue(builder.add(delta), entry.key()));
-      assertEquals(Keys.log(record.n()), entry.key());
+      assertEquals(Keys.progressLog(record.sequence()), entry.key());
       assertSameBytes(entry.value(), builder.value(), entry.key());
     }
   }
 
   private static void assertCheckpointsWrittenAlike(FixtureStore store) {
-    for (Entry entry : store.under(Keys.PROGRESS)) {
+    for (Entry entry : store.under(Keys.SNAPSHOTS)) {
       SnapshotRecord record = SnapshotRecord.decode(entry.value()).orElseThrow();
       JsonNode written =
           record.encode(
@@ -341,7 +343,7 @@
             List.of(
                 new Change.Put(Keys.LEADER, records.path(Keys.LEADER), Optional.of(9L)),
                 new Change.Put(Keys.TOKEN, records.path(Keys.TOKEN)),
-                new Change.Remove(Keys.claim("r-1-1"))));
+                new Change.Remove(Keys.provisioningIntent("r-1-1"))));
     assertEquals(fixture.path("transaction").asText(), hex(HttpStateStore.encode(txn)));
   }
 
@@ -358,7 +360,13 @@
   }
 
   private static final List<String> FORMS =
-      List.of(Keys.LEADER, Keys.TOKEN, Keys.CANCELS, Keys.DONES, Keys.CLAIMS, Keys.BOUNDS);
+      List.of(
+          Keys.LEADER,
+          Keys.TOKEN,
+          Keys.CANCELLATIONS,
+          Keys.COMPLETIONS,
+          Keys.PROVISIONING_INTENTS,
+          Keys.BOUNDS);
 
   private static void addForm(String key, JsonNode value, Map<String, Set<String>> forms) {
     for (String prefix : FORMS) {
@@ -382,7 +390,8 @@
     List<String> uids = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       JobSpec spec =
-          Specs.batch(cluster.newUid(), "class", "blue", Priority.NORMAL, 6, 2, 0.1, 8, 0);
+          JobSpecFixtures.batch(
+              cluster.newUid(), "class", "blue", Priority.NORMAL, 6, 2, 0.1, 8, 0);
       uids.add(spec.uid());
       cluster.clock.at(3_000 + i * 1_000, () -> cluster.user(spec));
     }
@@ -456,7 +465,8 @@
     for (Map.Entry<String, JsonNode> job : jobs.properties()) {
       String uid = job.getKey();
       JobSpec stored = JobRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec();
-      JobSpec spec = Specs.after(stored, dependencies(loaded, uid).toArray(String[]::new));
+      JobSpec spec =
+          JobSpecFixtures.after(stored, dependencies(loaded, uid).toArray(String[]::new));
       cluster.checker.submitted(spec);
       boolean done = job.getValue().path("status").asText().equals("done");
       BitSet tasks = new BitSet();
@@ -467,7 +477,7 @@
         tasks.or(loaded.progress.of(rebuilt).done());
       }
       tasks.stream().forEach(task -> cluster.checker.completes(uid, task));
-      if (loaded.replica.get(Keys.cancel(uid)).isPresent()) {
+      if (loaded.replica.get(Keys.cancellation(uid)).isPresent()) {
         cluster.checker.cancelAsked(uid);
       }
       cluster.clock.at(NODES_START_MS, () -> cluster.user(spec));
@@ -498,6 +508,6 @@
       assertEquals(-1, cluster.checker.begunMs(aborted));
     }
     assertTrue(cluster.cloud.rented() >= 18, "what the claim asks for is learnt by its name");
-    assertTrue(!LowerLimitsTest.all(cluster.state).containsKey(Keys.claim("r-1-97")));
+    assertTrue(!LowerLimitsTest.all(cluster.state).containsKey(Keys.provisioningIntent("r-1-97")));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -73,14 +73,14 @@
     String uid = fixture.path("job").asText();
     JobRecord spec = JobRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
     assertEquals("class-0", spec.spec().jobClass());
-    assertEquals(JobKind.BATCH, spec.spec().shape());
-    assertEquals(Priority.HIGH, spec.spec().urgency());
+    assertEquals(JobKind.BATCH, spec.spec().kind());
+    assertEquals(Priority.HIGH, spec.spec().priority());
     assertEquals(6, spec.spec().tasks());
     assertEquals(Optional.of("a"), spec.spec().zone());
     assertEquals(Optional.empty(), spec.spec().types());
     assertEquals(18.0, spec.spec().expectedS());
     assertEquals(1800000084923L, spec.acceptedWallMs());
-    assertEquals(79, spec.chunk());
+    assertEquals(79, spec.shardSize());
     List<String> zones = List.of("a", "b");
     assertEquals(
         List.of(
@@ -89,8 +89,8 @@
         MachineTypesRecord.read(replica).orElseThrow());
     assertEquals(Optional.of("n2"), replica.text(Keys.LEADER, "member"));
     assertEquals(1048576, replica.get(Keys.TOKEN).orElseThrow().value().path("n").asLong());
-    assertTrue(replica.get(Keys.cancel("run-000001")).isPresent());
-    assertTrue(replica.get(Keys.done("run-000002")).isPresent());
+    assertTrue(replica.get(Keys.cancellation("run-000001")).isPresent());
+    assertTrue(replica.get(Keys.completion("run-000002")).isPresent());
 
     ProgressWriter writer =
         new ProgressWriter(
@@ -112,7 +112,7 @@
               @Override
               public void deposed(String cause) {}
             });
-    Job job = new Job(spec.spec(), 0, spec.chunk(), 0, new BitSet(), 0, 2);
+    Job job = new Job(spec.spec(), 0, spec.shardSize(), 0, new BitSet(), 0, 2);
     RecordedProgress.State state = new RecordedProgress(replica, writer).of(job);
     assertEquals(fixture.path("done").asText(), state.done().toString());
     Map<String, String> live = new TreeMap<>();
@@ -120,7 +120,7 @@
         .live()
         .forEach(
             (t, l) -> {
-              SnapshotRecord.MachineInfo h = l.host();
+              SnapshotRecord.MachineInfo h = l.machine();
               live.put(
                   "" + t,
                   String.join(
@@ -130,7 +130,7 @@
                       h.type(),
                       h.zone(),
                       "" + h.spot(),
-                      "" + l.tenure()));
+                      "" + l.agentEpoch()));
             });
     Map<String, String> expected = new TreeMap<>();
     fixture.path("live").properties().forEach(e -> expected.put(e.getKey(), e.getValue().asText()));
@@ -206,13 +206,13 @@
       LowerLimitsTest.all(w.state)
           .forEach(
               (key, e) -> {
-                if (!Long.valueOf(e.stamp()).equals(seen.put(key, e.stamp()))) {
+                if (!Long.valueOf(e.modRevision()).equals(seen.put(key, e.modRevision()))) {
                   forms(key, e.value(), now);
                 }
               });
     }
     // Returns are recorded since; versions that don't know them pass over their keys.
-    assertEquals(Set.of(Set.of("hosts array")), now.remove(kind(Keys.RETURNS)));
+    assertEquals(Set.of(Set.of("hosts array")), now.remove(kind(Keys.TERMINATIONS)));
     assertEquals(production, now);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ReadingStateClient.java
+++ b/src/test/java/org/ploverspindle/sim/ReadingStateClient.java
@@ -22,13 +22,13 @@
   }
 
   @Override
-  public void page(String prefix, String after, int size, Consumer<PageResult> then) {
+  public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
     clock.at(
         READ_MS, () -> process.execute(null, () -> then.accept(state.page(prefix, after, size))));
   }
 
   @Override
-  public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
+  public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
     clock.at(
         READ_MS,
         () -> {
--- a/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
@@ -168,7 +168,7 @@
           new ArrayList<>(List.of(new Condition("ps1/leader", leaderStamp)));
       for (Change c : changes) {
         Entry e = all.get(c.key());
-        conditions.add(new Condition(c.key(), e == null ? 0 : e.stamp()));
+        conditions.add(new Condition(c.key(), e == null ? 0 : e.modRevision()));
       }
       return store.txn(new Transaction(conditions, changes)) instanceof TransactionResult.Committed;
     }
--- a/src/test/java/org/ploverspindle/sim/ReferenceRole.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceRole.java
@@ -42,7 +42,7 @@
   private static boolean isConditional(Transaction txn) {
     boolean nobodyHolds =
         txn.conditions().stream()
-            .anyMatch(c -> c.key().equals(RoleCluster.HOLDER) && c.stamp() == 0);
+            .anyMatch(c -> c.key().equals(RoleCluster.HOLDER) && c.modRevision() == 0);
     boolean sameEpochs =
         txn.conditions().stream().anyMatch(c -> c.key().equals(RoleCluster.EPOCHS));
     return nobodyHolds && sameEpochs;
--- a/src/test/java/org/ploverspindle/sim/RoleCluster.java
+++ b/src/test/java/org/ploverspindle/sim/RoleCluster.java
@@ -93,7 +93,7 @@
     Optional<Long> epoch = state.holds(HOLDER) ? plain.epoch() : Optional.empty();
     for (Member member : members) {
       boolean runs = !member.process.dead() && !member.process.standsStill();
-      if (runs && !member.jumped && member.duty.surelyHeld()) {
+      if (runs && !member.jumped && member.duty.isCertainlyHeld()) {
         Optional<Long> believed = member.duty.held().map(HeldRole::epoch);
         if (!believed.equals(epoch)) {
           wrong.add("at " + clock.nowMs() + " " + believed + " is sure, and " + epoch + " holds");
@@ -198,7 +198,7 @@
 
     /** Checks, and sends a moment later: the process may stand still in between. */
     private void act() {
-      if (!quiet && duty.surelyHeld()) {
+      if (!quiet && duty.isCertainlyHeld()) {
         HeldRole held = duty.held().orElseThrow();
         process.schedule(random.nextInt(CHECK_TO_SEND_MS), () -> send(held));
       }
@@ -206,8 +206,8 @@
 
     private void send(HeldRole held) {
       List<Condition> conditions =
-          fenced ? List.of(new Condition(HOLDER, held.stamp())) : List.of();
-      store.txn(
+          fenced ? List.of(new Condition(HOLDER, held.modRevision())) : List.of();
+      store.commit(
           new StateStore.Transaction(
               conditions, List.of(new Change.Put(ACTION, Cbor.map().put("epoch", held.epoch())))),
           result -> {
@@ -219,7 +219,7 @@
     }
 
     @Override
-    public void taken(HeldRole held) {
+    public void acquired(HeldRole held) {
       terms.add(held);
     }
 
@@ -227,7 +227,7 @@
     public void lost(HeldRole held, String cause) {}
 
     @Override
-    public boolean mayTry() {
+    public boolean mayAcquire() {
       return true;
     }
   }
--- a/src/test/java/org/ploverspindle/sim/RoleLeaseTest.java
+++ b/src/test/java/org/ploverspindle/sim/RoleLeaseTest.java
@@ -64,7 +64,7 @@
       case 4 -> cluster.network.lateWrites(0.2, cluster.random.nextBoolean());
       case 5 -> hold(cluster, index, forMs);
       case 6 -> outage(cluster, forMs);
-      default -> member.duty.giveUp("told to");
+      default -> member.duty.release("told to");
     }
   }
 
@@ -118,7 +118,7 @@
         () ->
             IntStream.range(0, RoleCluster.MEMBERS)
                 .mapToObj(cluster::member)
-                .filter(m -> m.duty.surelyHeld())
+                .filter(m -> m.duty.isCertainlyHeld())
                 .forEach(m -> m.process.freeze(7_000)));
     cluster.clock.runUntil(SETTLED_MS + 30_000);
     assertTrue(cluster.plain.holders() >= 3, cluster.plain.holders() + " holders");
@@ -135,7 +135,7 @@
     hold(cluster, index, 9_000);
     cluster.clock.at(1_000, () -> former.jump(-60_000));
     cluster.clock.runUntil(SETTLED_MS + 8_900);
-    assertTrue(former.duty.surelyHeld(), "it believes that it holds the duty");
+    assertTrue(former.duty.isCertainlyHeld(), "it believes that it holds the duty");
     assertEquals(2, cluster.plain.holders());
     cluster.clock.runUntil(SETTLED_MS + 20_000);
     assertTrue(cluster.refused() > 0, "it was refused");
@@ -174,7 +174,7 @@
     RoleCluster cluster = settled(4, true);
     RoleCluster.Member holder = cluster.holder().orElseThrow();
     holder.jump(10_000);
-    assertFalse(holder.duty.surelyHeld());
+    assertFalse(holder.duty.isCertainlyHeld());
   }
 
   /** It was carried out, so the lease lives; but nobody may count on that. */
@@ -184,7 +184,7 @@
     RoleCluster.Member holder = cluster.holder().orElseThrow();
     cluster.network.mute(SimStateAccess.STATE, true);
     cluster.clock.runUntil(SETTLED_MS + RoleCluster.TIMING.ttlMs());
-    assertFalse(holder.duty.surelyHeld(), "the last answered renewal is too old");
+    assertFalse(holder.duty.isCertainlyHeld(), "the last answered renewal is too old");
     cluster.network.mute(SimStateAccess.STATE, false);
     cluster.clock.runUntil(SETTLED_MS + 15_000);
     assertKept(cluster);
@@ -197,9 +197,9 @@
     RoleCluster.Member holder = cluster.holder().orElseThrow();
     outage(cluster, 4 * RoleCluster.TIMING.ttlMs());
     cluster.clock.runUntil(SETTLED_MS + 2 * RoleCluster.TIMING.ttlMs());
-    assertFalse(holder.duty.surelyHeld(), "it can't know that nobody else holds it");
+    assertFalse(holder.duty.isCertainlyHeld(), "it can't know that nobody else holds it");
     cluster.clock.runUntil(SETTLED_MS + 6 * RoleCluster.TIMING.ttlMs());
-    assertTrue(holder.duty.surelyHeld());
+    assertTrue(holder.duty.isCertainlyHeld());
     assertEquals(1, cluster.plain.holders());
     assertKept(cluster);
   }
@@ -207,7 +207,7 @@
   @Test
   void aDutyThatIsGivenUpIsTakenLongBeforeTheLeaseWouldEnd() {
     RoleCluster cluster = settled(7, true);
-    cluster.holder().orElseThrow().duty.giveUp("stopping");
+    cluster.holder().orElseThrow().duty.release("stopping");
     cluster.clock.runUntil(SETTLED_MS + RoleCluster.TIMING.ttlMs() / 2);
     assertEquals(2, cluster.plain.holders());
     assertKept(cluster);
--- a/src/test/java/org/ploverspindle/sim/SimAttempt.java
+++ b/src/test/java/org/ploverspindle/sim/SimAttempt.java
@@ -21,6 +21,6 @@
 
   /** Does it take its place by the rules: from the moment that it has its image? */
   boolean isOn() {
-    return phase == Heartbeat.Phase.RUNNING || phase == Heartbeat.Phase.SAVING;
+    return phase == Heartbeat.Phase.RUNNING || phase == Heartbeat.Phase.CHECKPOINTING;
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimCloudClient.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloudClient.java
@@ -31,12 +31,12 @@
   }
 
   @Override
-  public void types(Consumer<Optional<List<MachineType>>> then) {
+  public void listMachineTypes(Consumer<Optional<List<MachineType>>> then) {
     call(() -> Optional.of(cloud.types()), Optional.empty(), Optional.empty(), then);
   }
 
   @Override
-  public void rent(
+  public void provision(
       String claim,
       String type,
       String zone,
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public void release(List<String> hosts, Consumer<Boolean> then) {
+  public void terminate(List<String> hosts, Consumer<Boolean> then) {
     call(
         () -> {
           cloud.release(hosts, link.node());
@@ -63,7 +63,7 @@
   }
 
   @Override
-  public void hosts(String after, Consumer<Optional<HostPage>> then) {
+  public void listMachines(String after, Consumer<Optional<HostPage>> then) {
     call(() -> Optional.of(cloud.list(after)), Optional.empty(), Optional.empty(), then);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimHeartbeatDelivery.java
+++ b/src/test/java/org/ploverspindle/sim/SimHeartbeatDelivery.java
@@ -92,7 +92,7 @@
         COPY_LEAST_MS + random.nextInt(lateSpreadMs()),
         () -> {
           if (cluster.alive(node)) {
-            cluster.controller(node).checkin(body, answer -> {});
+            cluster.controller(node).heartbeat(body, answer -> {});
           }
         });
   }
@@ -120,7 +120,7 @@
 
   private void timed(Controller controller, byte[] body, Consumer<ApiResponse> then) {
     long beganNanos = System.nanoTime();
-    controller.checkin(body, then);
+    controller.heartbeat(body, then);
     reportNanos.recordValue(System.nanoTime() - beganNanos);
   }
 
@@ -164,7 +164,7 @@
               0,
               () -> {
                 copiesToLeader += controller.leads() ? 1 : 0;
-                controller.checkin(body, answer -> {});
+                controller.heartbeat(body, answer -> {});
               });
     }
   }
--- a/src/test/java/org/ploverspindle/sim/SimPeers.java
+++ b/src/test/java/org/ploverspindle/sim/SimPeers.java
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public void tell(String member, PeerMessage record) {
+  public void send(String member, PeerMessage record) {
     int to = Integer.parseInt(member.substring(1));
     if (to != self && !network.losesHint()) {
       network.request(SimLink.nodeName(self), member, () -> deliver.accept(to, record), () -> {});
@@ -30,9 +30,9 @@
   }
 
   @Override
-  public void tellAll(PeerMessage record) {
+  public void broadcast(PeerMessage record) {
     for (int to = 0; to < nodes; to++) {
-      tell(SimLink.nodeName(to), record);
+      send(SimLink.nodeName(to), record);
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimStateAccess.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateAccess.java
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void txn(Transaction txn, Consumer<TransactionResult> then) {
+    public void commit(Transaction txn, Consumer<TransactionResult> then) {
       sending.accept(txn);
       SimNetwork.WriteFate fate = network.writeFate();
       if (fate != SimNetwork.WriteFate.ANSWERED && network.reaches(link.node(), STATE)) {
@@ -139,14 +139,14 @@
     }
 
     @Override
-    public void page(String prefix, String after, int size, Consumer<PageResult> then) {
+    public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
       PageResult failed = new PageResult.Failed();
       int page = smallPages ? Math.min(size, SMALL_PAGE) : size;
       call(Refusal.READS, () -> state.page(prefix, after, page), failed, failed, then);
     }
 
     @Override
-    public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
+    public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
       ChangesResult failed = new ChangesResult.Failed();
       call(Refusal.READS, () -> state.changesAfter(prefix, ledger), failed, failed, then);
     }
--- a/src/test/java/org/ploverspindle/sim/SimStateStore.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateStore.java
@@ -205,7 +205,7 @@
     List<String> failed = new ArrayList<>();
     for (Condition c : txn.conditions()) {
       Kept kept = keys.get(c.key());
-      if ((kept == null ? 0 : kept.stamp()) != c.stamp()) {
+      if ((kept == null ? 0 : kept.stamp()) != c.modRevision()) {
         failed.add(c.key());
       }
     }
@@ -279,11 +279,11 @@
   }
 
   ChangesResult changesAfter(String prefix, long after) {
-    if (history.size() > HISTORY && history.get(history.size() - HISTORY).stamp() > after) {
+    if (history.size() > HISTORY && history.get(history.size() - HISTORY).modRevision() > after) {
       return new ChangesResult.TooOld();
     }
     List<ChangedEntry> changes = new ArrayList<>();
-    for (int i = history.size() - 1; i >= 0 && history.get(i).stamp() > after; i--) {
+    for (int i = history.size() - 1; i >= 0 && history.get(i).modRevision() > after; i--) {
       if (history.get(i).key().startsWith(prefix)) {
         changes.add(0, history.get(i));
       }
--- a/src/test/java/org/ploverspindle/sim/SimUsers.java
+++ b/src/test/java/org/ploverspindle/sim/SimUsers.java
@@ -156,7 +156,7 @@
   /** A single cancellation at the node; whatever comes back is checked. */
   void cancelAt(int node, String uid, Consumer<ApiResponse> then) {
     Consumer<ApiResponse> checked = checked(uid, false, node, then);
-    toNode(node, c -> c.withdraw(uid, checked));
+    toNode(node, c -> c.cancel(uid, checked));
   }
 
   private int anyNode() {
@@ -246,7 +246,7 @@
     int to = anyNode();
     boolean[] told = {false};
     Consumer<ApiResponse> then = answer -> told[0] = answer.status() == OK;
-    toNode(to, c -> c.withdraw(uid, checked(uid, false, to, then)));
+    toNode(to, c -> c.cancel(uid, checked(uid, false, to, then)));
     clock.at(
         POLL_MS,
         () -> {
--- a/src/test/java/org/ploverspindle/sim/SimWireCodec.java
+++ b/src/test/java/org/ploverspindle/sim/SimWireCodec.java
@@ -28,18 +28,18 @@
     ObjectNode body = Cbor.map();
     body.put("host", report.host()).put("addr", report.address()).put("flavour", report.type());
     body.put("site", report.zone()).put("loaners", report.spot());
-    body.put("tenure", report.tenure()).put("tally", report.tally());
-    body.put("warrant", report.warrant());
-    report.recallS().ifPresent(s -> body.put("recall_s", s));
+    body.put("tenure", report.agentEpoch()).put("tally", report.sequence());
+    body.put("warrant", report.fencingToken());
+    report.spotNoticeS().ifPresent(s -> body.put("recall_s", s));
     ArrayNode pieces = body.putArray("pieces");
-    for (Heartbeat.TaskStatus item : report.items()) {
+    for (Heartbeat.TaskStatus item : report.tasks()) {
       ObjectNode piece = pieces.addObject();
       piece.put("piece", item.uid() + "/" + item.task()).put("try", item.attempt());
       piece.put("status", item.phase().name().toLowerCase(Locale.ROOT));
-      if (item.cause() != Heartbeat.ExitReason.NONE) {
-        piece.put("cause", item.cause().name().toLowerCase(Locale.ROOT));
+      if (item.exitReason() != Heartbeat.ExitReason.NONE) {
+        piece.put("cause", item.exitReason().name().toLowerCase(Locale.ROOT));
       }
-      piece.put("stored", item.saved());
+      piece.put("stored", item.checkpointed());
     }
     return Cbor.write(body);
   }
@@ -69,17 +69,19 @@
     ObjectNode body = Cbor.map();
     body.put("uid", spec.uid()).put("jobclass", spec.jobClass()).put("owner", spec.team());
     body.put("shape", spec.expectedS() > 0 ? "batch" : "daemon");
-    body.put("urgency", spec.urgency().name().toLowerCase(Locale.ROOT));
+    body.put("urgency", spec.priority().name().toLowerCase(Locale.ROOT));
     body.put("pieces", spec.tasks());
     body.put("cores", spec.cores()).put("accelerators", spec.accelerators());
     body.put("mem_gb", spec.memoryGb());
     spec.types().ifPresent(types -> types.forEach(body.putArray("flavours")::add));
     spec.zone().ifPresent(zone -> body.put("site", zone));
-    body.put("one_zone", spec.oneZone()).put("apart", spec.apart()).put("loaners", spec.spot());
+    body.put("one_zone", spec.oneZone())
+        .put("apart", spec.spreadOverZones())
+        .put("loaners", spec.spot());
     body.put("bundle", spec.image()).put("image_gb", spec.imageGb());
     body.put("expected_s", spec.expectedS());
-    body.put("save_every_s", spec.saveEveryS()).put("save_cost_s", spec.saveCostS());
-    spec.dueS().ifPresent(due -> body.put("due_s", due));
+    body.put("save_every_s", spec.checkpointIntervalS()).put("save_cost_s", spec.checkpointCostS());
+    spec.deadlineS().ifPresent(due -> body.put("due_s", due));
     if (!spec.dependencies().isEmpty()) {
       spec.dependencies().forEach(body.putArray("awaits")::add);
     }
--- a/src/test/java/org/ploverspindle/sim/SimWorker.java
+++ b/src/test/java/org/ploverspindle/sim/SimWorker.java
@@ -310,7 +310,7 @@
       }
     } else if (order instanceof WorkerCommand.Stop stop) {
       if (known != null && known.phase != Heartbeat.Phase.EXITED) {
-        stop(known, stop.windDownS());
+        stop(known, stop.gracePeriodS());
       }
     } else if (known != null && known.phase == Heartbeat.Phase.EXITED) {
       runs.remove(order.attempt());
@@ -375,17 +375,19 @@
 
   private void stop(SimAttempt r, double windDownS) {
     JobSpec spec = specs.get(r.uid);
-    if (r.phase == Heartbeat.Phase.RUNNING && spec.saves() && windDownS >= spec.saveCostS()) {
-      r.phase = Heartbeat.Phase.SAVING;
+    if (r.phase == Heartbeat.Phase.RUNNING
+        && spec.isCheckpointed()
+        && windDownS >= spec.checkpointCostS()) {
+      r.phase = Heartbeat.Phase.CHECKPOINTING;
       pause.afterWork(
-          Math.round(spec.saveCostS() * 1000),
+          Math.round(spec.checkpointCostS() * 1000),
           () -> {
-            if (there(r) && r.phase == Heartbeat.Phase.SAVING) {
+            if (there(r) && r.phase == Heartbeat.Phase.CHECKPOINTING) {
               r.saved = true;
               exit(r, Heartbeat.ExitReason.STOPPED);
             }
           });
-    } else if (r.phase != Heartbeat.Phase.SAVING || windDownS == 0) {
+    } else if (r.phase != Heartbeat.Phase.CHECKPOINTING || windDownS == 0) {
       exit(r, Heartbeat.ExitReason.STOPPED);
     }
   }
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -195,7 +195,7 @@
 
   private void hint(int to, PeerMessage record) {
     if (alive(to)) {
-      controllers.get(to).heard(record);
+      controllers.get(to).handlePeerMessage(record);
     }
   }
 
@@ -224,7 +224,7 @@
 
   /** How many terms there have been. */
   long terms() {
-    return (state.highestToken() + Term.SPAN - 1) / Term.SPAN;
+    return (state.highestToken() + Term.TOKENS_PER_TERM - 1) / Term.TOKENS_PER_TERM;
   }
 
   boolean ready(int i) {
@@ -239,7 +239,7 @@
   /** Does the node's replica show the job as cancelled? Asking changes nothing there. */
   boolean knowsCancelled(int i, String uid) {
     String[] text = {""};
-    controllers.get(i).jobStatus(uid, a -> text[0] = new String(a.body(), StandardCharsets.UTF_8));
+    controllers.get(i).explainJob(uid, a -> text[0] = new String(a.body(), StandardCharsets.UTF_8));
     return text[0].contains(uid + " is aborted");
   }
 
--- a/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
@@ -94,7 +94,7 @@
 
     private static boolean isReturn(Transaction txn) {
       return txn.changes().stream()
-          .anyMatch(c -> c instanceof Change.Put && c.key().startsWith(Keys.RETURNS));
+          .anyMatch(c -> c instanceof Change.Put && c.key().startsWith(Keys.TERMINATIONS));
     }
 
     private void sent(Transaction txn) {
@@ -177,7 +177,7 @@
     assertEquals(List.of(), cluster.checker.broken(), what);
     assertEquals(0, cluster.checker.neverBegun(), what);
     assertEquals(0, cluster.cloud.size(), what + ": machines that are idle and not returned");
-    assertEquals(0, cluster.state.keysUnder(Keys.RETURNS), what + ": records that are left");
+    assertEquals(0, cluster.state.keysUnder(Keys.TERMINATIONS), what + ": records that are left");
   }
 
   @ParameterizedTest
@@ -215,7 +215,7 @@
     int withTasks = 0;
     for (long seed = 1; seed <= 4; seed++) {
       Day day = new Day(seed, List.of(Step.PAUSED_AFTER_SEND));
-      day.cluster.state.losesUnder(Keys.RETURNS);
+      day.cluster.state.losesUnder(Keys.TERMINATIONS);
       withTasks += day.play().cluster.releases.withTasks().size();
     }
     assertTrue(withTasks > 0, "a counter that never counts shows nothing");
--- a/src/test/java/org/ploverspindle/sim/UnguaranteedTeamTest.java
+++ b/src/test/java/org/ploverspindle/sim/UnguaranteedTeamTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.policy.Policy;
@@ -35,7 +35,7 @@
 
   private static JobSpec guest(
       SimulatedCluster w, String jobClass, int tasks, double cores, double runS) {
-    return Specs.batch(
+    return JobSpecFixtures.batch(
         w.newUid(), jobClass, "guest", Priority.BEST_EFFORT, tasks, cores, 0.1, runS, 0);
   }
 
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.ploverspindle.NoHints;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
+import org.ploverspindle.NoOpLeaderNotifier;
 import org.ploverspindle.api.ApiResponse;
 import org.ploverspindle.api.UserRequests;
 import org.ploverspindle.model.Catalogue;
@@ -66,9 +66,9 @@
               settings,
               new TokenBucket(process, Math.max(1, share), Math.max(3, share)),
               "n" + i,
-              new NoHints());
+              new NoOpLeaderNotifier());
       // What a node of seven has of sixty requests a second.
-      replica.spacing(220);
+      replica.setReadInterval(220);
       replica.start();
     }
 
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void txn(Transaction txn, Consumer<TransactionResult> then) {
+    public void commit(Transaction txn, Consumer<TransactionResult> then) {
       call(
           () -> applied(txn),
           new TransactionResult.Refused(503),
@@ -103,13 +103,13 @@
     }
 
     @Override
-    public void page(String prefix, String after, int size, Consumer<PageResult> then) {
+    public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
       PageResult failed = new PageResult.Failed();
       call(() -> state.page(prefix, after, size), failed, failed, then);
     }
 
     @Override
-    public void changesAfter(String prefix, long ledger, Consumer<ChangesResult> then) {
+    public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
       ChangesResult failed = new ChangesResult.Failed();
       call(() -> state.changesAfter(prefix, ledger), failed, failed, then);
     }
@@ -186,11 +186,12 @@
 
   /** A job may be seen by anybody as soon as it is written: its list must be there before. */
   private void checkListStands(Change change) {
-    if (change instanceof Change.Put put && put.key().startsWith(Keys.BATCHES)) {
+    if (change instanceof Change.Put put && put.key().startsWith(Keys.JOB_BATCHES)) {
       for (JsonNode job : put.value()) {
-        if (JobRecord.awaits(job) instanceof JobRecord.StoredDependencies.Separate list) {
+        if (JobRecord.storedDependencies(job)
+            instanceof JobRecord.StoredDependencies.Separate list) {
           for (int i = 0; i < list.parts(); i++) {
-            String part = Keys.awaits(list.name(), i);
+            String part = Keys.dependencies(list.name(), i);
             if (!written.contains(part)) {
               throw new IllegalStateException("a job is written before " + part);
             }
@@ -209,16 +210,18 @@
     TransactionResult result =
         applied(
             new Transaction(
-                List.of(new Condition(Keys.done(uid), 0), new Condition(Keys.cancel(uid), 0)),
-                List.of(new Change.Put(Keys.done(uid), Cbor.map().put("tasks", 1)))));
+                List.of(
+                    new Condition(Keys.completion(uid), 0),
+                    new Condition(Keys.cancellation(uid), 0)),
+                List.of(new Change.Put(Keys.completion(uid), Cbor.map().put("tasks", 1)))));
     if (!(result instanceof TransactionResult.Committed)) {
       throw new IllegalStateException(uid + " is not done: " + result);
     }
   }
 
   static JobSpec job(String uid, List<String> awaits) {
-    JobSpec spec = Specs.batch(uid, "c", "blue", Priority.NORMAL, 1, 1, 1, 10, 0);
-    return Specs.after(spec, awaits.toArray(String[]::new));
+    JobSpec spec = JobSpecFixtures.batch(uid, "c", "blue", Priority.NORMAL, 1, 1, 1, 10, 0);
+    return JobSpecFixtures.after(spec, awaits.toArray(String[]::new));
   }
 
   static ObjectNode body(String uid, List<String> awaits) {
--- a/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.Specs;
+import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.net.Cbor;
@@ -77,7 +77,8 @@
 
   private String submit(String team, Priority urgency, int tasks, double cores, double runS) {
     JobSpec spec =
-        Specs.batch(cluster.newUid(), "c-" + urgency, team, urgency, tasks, cores, 0.1, runS, 0);
+        JobSpecFixtures.batch(
+            cluster.newUid(), "c-" + urgency, team, urgency, tasks, cores, 0.1, runS, 0);
     submitted.add(spec.uid());
     cluster.user(spec);
     return spec.uid();
--- a/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
+++ b/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
@@ -12,7 +12,7 @@
   private static List<StateStore.ChangesResult> newsOf(HttpResult reply) {
     List<StateStore.ChangesResult> received = new ArrayList<>();
     new HttpStateStore((method, path, body, timeoutMs, then) -> then.accept(reply))
-        .changesAfter("x/", 7, received::add);
+        .readChanges("x/", 7, received::add);
     return received;
   }
 
--- a/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
@@ -40,7 +40,7 @@
   void theLargestChunkFitsInAValue() {
     for (int kb : new int[] {4, 8, 16}) {
       List<RecordedPlacement> live = new ArrayList<>();
-      int chunk = SnapshotRecord.chunkFor(kb * 1024);
+      int chunk = SnapshotRecord.shardSizeFor(kb * 1024);
       for (int task = 0; task < chunk; task++) {
         MachineInfo h = new MachineInfo("i-99" + task, "machine-type-16", "some-zone-a1", false);
         live.add(new RecordedPlacement(99_000 + task, (1L << 40) + task, h, 1234));
