--- a/src/main/java/org/ploverspindle/cloud/Autoscaler.java
+++ b/src/main/java/org/ploverspindle/cloud/Autoscaler.java
@@ -274,8 +274,7 @@
         offer(offers, new MachineGroup(t, z, false), room, groups.get(z).held());
         int missing = Math.min(room, bounds.get(z).min() - groups.get(z).held());
         if (missing > 0) {
-          // The minimum stands for what the pool must always have: ordinary machines where
-          // possible.
+          // The minimum must always be there: on-demand machines where possible.
           boolean spot = backoffs.backedOff(new MachineGroup(t, z, false));
           forMinimum.put(new MachineGroup(t, z, spot), missing);
         }
--- a/src/test/java/org/ploverspindle/JobSpecFixtures.java
+++ b/src/test/java/org/ploverspindle/JobSpecFixtures.java
@@ -1,9 +1,6 @@
 package org.ploverspindle;
 
 import java.util.List;
-import java.util.Optional;
-import java.util.OptionalDouble;
-import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 
@@ -11,7 +8,7 @@
 public final class JobSpecFixtures {
   private JobSpecFixtures() {}
 
-  /** Independent tasks that may run anywhere, also on spot machines, and never save. */
+  /** Independent tasks that may run anywhere, also on spot machines, and write no checkpoints. */
   public static JobSpec batch(
       String uid,
       String jobClass,
@@ -22,63 +19,25 @@
       double imageGb,
       double runS,
       double dueS) {
-    return new JobSpec(
-        uid,
-        jobClass,
-        team,
-        JobKind.BATCH,
-        urgency,
-        tasks,
-        cores,
-        0,
-        1,
-        Optional.empty(),
-        Optional.empty(),
-        false,
-        false,
-        true,
-        "image",
-        imageGb,
-        runS,
-        0,
-        0,
-        dueS > 0 ? OptionalDouble.of(dueS) : OptionalDouble.empty(),
-        List.of());
+    return JobSpecBuilder.job(uid)
+        .jobClass(jobClass)
+        .team(team)
+        .priority(urgency)
+        .tasks(tasks)
+        .cores(cores)
+        .image("image", imageGb)
+        .runsForS(runS)
+        .deadlineS(dueS)
+        .build();
   }
 
-  /** The same job, but its tasks save their progress. */
+  /** The same job, but its tasks write checkpoints. */
   public static JobSpec saving(JobSpec s, double saveEveryS, double saveCostS) {
-    return copy(s, saveEveryS, saveCostS, s.dependencies());
+    return JobSpecBuilder.from(s).checkpoints(saveEveryS, saveCostS).build();
   }
 
-  /** The same job, but it awaits others. */
+  /** The same job, but it depends on others. */
   public static JobSpec after(JobSpec s, String... dependencies) {
-    return copy(s, s.checkpointIntervalS(), s.checkpointCostS(), List.of(dependencies));
-  }
-
-  private static JobSpec copy(
-      JobSpec s, double saveEveryS, double saveCostS, List<String> dependencies) {
-    return new JobSpec(
-        s.uid(),
-        s.jobClass(),
-        s.team(),
-        s.kind(),
-        s.priority(),
-        s.tasks(),
-        s.cores(),
-        s.accelerators(),
-        s.memoryGb(),
-        s.types(),
-        s.zone(),
-        s.oneZone(),
-        s.spreadOverZones(),
-        s.spot(),
-        s.image(),
-        s.imageGb(),
-        s.expectedS(),
-        saveEveryS,
-        saveCostS,
-        s.deadlineS(),
-        dependencies);
+    return JobSpecBuilder.from(s).dependsOn(List.of(dependencies)).build();
   }
 }
--- a/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
+++ b/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ploverspindle.JobSpecBuilder;
 import org.ploverspindle.NoOpHeartbeatListener;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
@@ -65,28 +66,20 @@
 
   private Job job(Random r, int i, Priority urgency, int tasks) {
     JobSpec spec =
-        new JobSpec(
-            "run-" + i,
-            "class-" + r.nextInt(3),
-            r.nextBoolean() ? "red" : "blue",
-            r.nextInt(12) == 0 ? JobKind.SERVICE : JobKind.BATCH,
-            urgency,
-            tasks,
-            1 + r.nextInt(4),
-            0,
-            1 + r.nextInt(8),
-            Optional.empty(),
-            r.nextInt(6) == 0 ? Optional.of("b") : Optional.empty(),
-            false,
-            false,
-            r.nextInt(4) > 0,
-            "image",
-            1,
-            r.nextInt(12) == 0 ? 0 : 5 + r.nextInt(200),
-            r.nextBoolean() ? 15 : 0,
-            2,
-            OptionalDouble.of(300),
-            List.of());
+        JobSpecBuilder.job("run-" + i)
+            .jobClass("class-" + r.nextInt(3))
+            .team(r.nextBoolean() ? "red" : "blue")
+            .kind(r.nextInt(12) == 0 ? JobKind.SERVICE : JobKind.BATCH)
+            .priority(urgency)
+            .tasks(tasks)
+            .cores(1 + r.nextInt(4))
+            .memoryGb(1 + r.nextInt(8))
+            .zone(r.nextInt(6) == 0 ? Optional.of("b") : Optional.empty())
+            .spot(r.nextInt(4) > 0)
+            .runsForS(r.nextInt(12) == 0 ? 0 : 5 + r.nextInt(200))
+            .checkpoints(r.nextBoolean() ? 15 : 0, 2)
+            .deadlineS(300)
+            .build();
     BitSet types = new BitSet();
     types.set(0, 2);
     Job job =
--- a/src/test/java/org/ploverspindle/sim/FaultScenario.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenario.java
@@ -9,14 +9,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.OptionalDouble;
 import java.util.Random;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import java.util.stream.Stream;
 import org.junit.jupiter.params.provider.Arguments;
-import org.ploverspindle.model.JobKind;
+import org.ploverspindle.JobSpecBuilder;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.policy.Policy;
@@ -100,78 +99,32 @@
   }
 
   JobSpec job(String team, int tasks, double cores, double runS) {
-    return new JobSpec(
-        cluster.newUid(),
-        "class",
-        team,
-        JobKind.BATCH,
-        Priority.NORMAL,
-        tasks,
-        cores,
-        0,
-        1,
-        cores >= 4 ? Optional.of(List.of("small")) : Optional.empty(),
-        Optional.empty(),
-        false,
-        false,
-        true,
-        "image",
-        0.1,
-        runS,
-        0,
-        0,
-        OptionalDouble.empty(),
-        List.of());
-  }
-
-  JobSpec bound(JobSpec s, String zone, boolean together, boolean apart) {
-    return new JobSpec(
-        s.uid(),
-        s.jobClass(),
-        s.team(),
-        s.kind(),
-        s.priority(),
-        s.tasks(),
-        s.cores(),
-        0,
-        1,
-        s.types(),
-        zone.isEmpty() ? Optional.empty() : Optional.of(zone),
-        together,
-        apart,
-        true,
-        "image",
-        0.1,
-        s.expectedS(),
-        0,
-        0,
-        OptionalDouble.empty(),
-        List.of());
-  }
-
-  JobSpec urgent(JobSpec s) {
-    return new JobSpec(
-        s.uid(),
-        "pressing",
-        s.team(),
-        s.kind(),
-        Priority.HIGH,
-        s.tasks(),
-        s.cores(),
-        0,
-        1,
-        s.types(),
-        Optional.empty(),
-        false,
-        false,
-        true,
-        "image",
-        0.1,
-        s.expectedS(),
-        0,
-        0,
-        OptionalDouble.of(30),
-        List.of());
+    JobSpecBuilder job =
+        JobSpecBuilder.job(cluster.newUid())
+            .team(team)
+            .tasks(tasks)
+            .cores(cores)
+            .image("image", 0.1)
+            .runsForS(runS);
+    return (cores >= 4 ? job.types("small") : job).build();
+  }
+
+  /** The same job with constraints on zones; an empty zone is any. */
+  JobSpec bound(JobSpec spec, String zone, boolean oneZone, boolean spreadOverZones) {
+    return JobSpecBuilder.from(spec)
+        .zone(zone.isEmpty() ? Optional.empty() : Optional.of(zone))
+        .oneZone(oneZone)
+        .spreadOverZones(spreadOverZones)
+        .build();
+  }
+
+  /** The same job with a high priority and a deadline. */
+  JobSpec urgent(JobSpec spec) {
+    return JobSpecBuilder.from(spec)
+        .jobClass("pressing")
+        .priority(Priority.HIGH)
+        .deadlineS(30)
+        .build();
   }
 
   /** Both teams' jobs, one after another. */
--- a/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
@@ -3,13 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import java.util.Optional;
-import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
+import org.ploverspindle.JobSpecBuilder;
 import org.ploverspindle.JobSpecFixtures;
-import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.JobSpec;
-import org.ploverspindle.model.Priority;
 import org.ploverspindle.model.Resources;
 
 /** The checker must report each rule when it is broken, and nothing when none is. */
@@ -25,29 +22,16 @@
           clock,
           SimulatedCluster.settings("n0", SimulatedCluster.Site.small(3, 14, List.of("a", "b"))));
 
-  private static JobSpec spec(String uid, double cores, boolean oneZone, boolean apart) {
-    return new JobSpec(
-        uid,
-        "c",
-        "red",
-        JobKind.BATCH,
-        Priority.NORMAL,
-        2,
-        cores,
-        0,
-        1,
-        Optional.empty(),
-        Optional.empty(),
-        oneZone,
-        apart,
-        false,
-        "i",
-        1,
-        5,
-        0,
-        0,
-        OptionalDouble.empty(),
-        List.of());
+  private static JobSpec spec(String uid, double cores, boolean oneZone, boolean spread) {
+    return JobSpecBuilder.job(uid)
+        .team("red")
+        .tasks(2)
+        .cores(cores)
+        .oneZone(oneZone)
+        .spreadOverZones(spread)
+        .spot(false)
+        .runsForS(5)
+        .build();
   }
 
   private void only(InvariantChecker.Rule rule) {
--- a/src/test/java/org/ploverspindle/sim/InvariantsTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantsTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ploverspindle.JobSpecBuilder;
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
@@ -249,28 +250,7 @@
   void anArrayOfTheLargestSizeIsTakenAndWorkedOn() {
     SimulatedCluster w = new SimulatedCluster(5, NODES, 14, List.of("a", "b"));
     JobSpec big =
-        new JobSpec(
-            w.newUid(),
-            "big",
-            "blue",
-            JobKind.BATCH,
-            Priority.NORMAL,
-            JobSpec.MAX_TASKS,
-            1,
-            0,
-            1,
-            Optional.empty(),
-            Optional.empty(),
-            false,
-            false,
-            true,
-            "image",
-            1,
-            2,
-            0,
-            0,
-            OptionalDouble.empty(),
-            List.of());
+        JobSpecBuilder.job(w.newUid()).jobClass("big").tasks(JobSpec.MAX_TASKS).runsForS(2).build();
     w.clock.at(3_000, () -> w.user(big));
     w.clock.at(40_000, () -> w.crash(0, 1_000));
     w.clock.at(45_000, () -> w.crash(1, 1_000));
--- a/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
@@ -9,14 +9,12 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Optional;
-import java.util.OptionalDouble;
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.JobSpecFixtures;
-import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.settings.Settings;
@@ -90,31 +88,7 @@
     }
 
     private JobSpec step(boolean small, List<String> awaits) {
-      boolean saves = r.nextInt(3) == 0;
-      JobSpec spec =
-          new JobSpec(
-              w.newUid(),
-              "step-" + r.nextInt(2),
-              r.nextBoolean() ? "red" : "blue",
-              JobKind.BATCH,
-              Priority.values()[r.nextInt(4)],
-              small ? 1 : 1 + r.nextInt(6),
-              1 + r.nextInt(3),
-              0,
-              1 + r.nextInt(4),
-              Optional.empty(),
-              Optional.empty(),
-              r.nextInt(5) == 0,
-              r.nextInt(5) == 0,
-              r.nextInt(4) > 0,
-              "image-" + r.nextInt(3),
-              1,
-              1 + r.nextInt(8),
-              saves ? 3 : 0,
-              saves ? 1 : 0,
-              r.nextBoolean() ? OptionalDouble.of(90) : OptionalDouble.empty(),
-              List.of());
-      return JobSpecFixtures.after(spec, awaits.toArray(String[]::new));
+      return RandomPipelineSteps.step(w.newUid(), "step-", small ? 1 : 6, r, awaits);
     }
 
     /** For each step the numbers of the steps before it that it awaits. */
--- a/src/test/java/org/ploverspindle/sim/PipelineTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineTest.java
@@ -6,14 +6,11 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
-import java.util.Optional;
-import java.util.OptionalDouble;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.JobSpecFixtures;
-import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.state.Keys;
@@ -44,31 +41,7 @@
   // ---- random pipelines under random troubles
 
   private static JobSpec random(SimulatedCluster w, Random r, List<String> awaits) {
-    boolean saves = r.nextInt(3) == 0;
-    JobSpec spec =
-        new JobSpec(
-            w.newUid(),
-            "class-" + r.nextInt(2),
-            r.nextBoolean() ? "red" : "blue",
-            JobKind.BATCH,
-            Priority.values()[r.nextInt(4)],
-            1 + r.nextInt(6),
-            1 + r.nextInt(3),
-            0,
-            1 + r.nextInt(4),
-            Optional.empty(),
-            Optional.empty(),
-            r.nextInt(5) == 0,
-            r.nextInt(5) == 0,
-            r.nextInt(4) > 0,
-            "image-" + r.nextInt(3),
-            1,
-            1 + r.nextInt(8),
-            saves ? 3 : 0,
-            saves ? 1 : 0,
-            r.nextBoolean() ? OptionalDouble.of(90) : OptionalDouble.empty(),
-            List.of());
-    return JobSpecFixtures.after(spec, awaits.toArray(String[]::new));
+    return RandomPipelineSteps.step(w.newUid(), "class-", 6, r, awaits);
   }
 
   /** One after another, each as soon as all before are accepted, or the last once they are over. */
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/RandomPipelineSteps.java
@@ -0,0 +1,38 @@
+package org.ploverspindle.sim;
+
+import java.util.List;
+import java.util.Random;
+import org.ploverspindle.JobSpecBuilder;
+import org.ploverspindle.model.JobSpec;
+import org.ploverspindle.model.Priority;
+
+/** Jobs of random pipelines. The draws and their order are fixed, as seeds name whole days. */
+final class RandomPipelineSteps {
+  private RandomPipelineSteps() {}
+
+  /**
+   * A random job that depends on others.
+   *
+   * @param maxTasks no number of tasks is drawn where this is 1
+   */
+  static JobSpec step(
+      String uid, String classPrefix, int maxTasks, Random random, List<String> dependencies) {
+    boolean checkpoints = random.nextInt(3) == 0;
+    return JobSpecBuilder.job(uid)
+        .jobClass(classPrefix + random.nextInt(2))
+        .team(random.nextBoolean() ? "red" : "blue")
+        .priority(Priority.values()[random.nextInt(4)])
+        .tasks(maxTasks == 1 ? 1 : 1 + random.nextInt(maxTasks))
+        .cores(1 + random.nextInt(3))
+        .memoryGb(1 + random.nextInt(4))
+        .oneZone(random.nextInt(5) == 0)
+        .spreadOverZones(random.nextInt(5) == 0)
+        .spot(random.nextInt(4) > 0)
+        .image("image-" + random.nextInt(3), 1)
+        .runsForS(1 + random.nextInt(8))
+        .checkpoints(checkpoints ? 3 : 0, checkpoints ? 1 : 0)
+        .deadlineS(random.nextBoolean() ? 90 : 0)
+        .dependsOn(dependencies)
+        .build();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/ServiceCheck.java
@@ -0,0 +1,64 @@
+package org.ploverspindle.sim;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import java.util.function.Predicate;
+import java.util.function.ToLongFunction;
+import org.ploverspindle.sim.InvariantChecker.Rule;
+
+/**
+ * Of each class, of each team, and of the largest jobs of each class at least half is served, and
+ * the largest began in time. Cancelled jobs count for nobody.
+ *
+ * @param mayRun whether neither the job nor what it depends on was cancelled, and all that is done
+ * @param readyMs when the job could first run
+ */
+record ServiceCheck(
+    Predicate<ObservedJob> mayRun,
+    ToLongFunction<ObservedJob> readyMs,
+    BiConsumer<Rule, String> report) {
+  /** The largest jobs of a class are to begin within this. */
+  private static final long BEGIN_MS = 240_000;
+
+  void check(Collection<ObservedJob> jobs) {
+    Map<String, List<ObservedJob>> groups = new LinkedHashMap<>();
+    Map<String, Integer> largest = new HashMap<>();
+    for (ObservedJob job : jobs) {
+      largest.merge(job.spec.jobClass(), job.spec.tasks(), Math::max);
+    }
+    for (ObservedJob job : jobs) {
+      if (!mayRun.test(job) || job.acceptedMs == Long.MAX_VALUE) {
+        continue;
+      }
+      String jobClass = job.spec.jobClass();
+      groups.computeIfAbsent("class " + jobClass, k -> new ArrayList<>()).add(job);
+      groups.computeIfAbsent("team " + job.spec.team(), k -> new ArrayList<>()).add(job);
+      if (job.spec.tasks() * 2 >= largest.get(jobClass)) {
+        groups.computeIfAbsent("largest of " + jobClass, k -> new ArrayList<>()).add(job);
+        checkBegun(job);
+      }
+    }
+    groups.forEach(this::checkServed);
+  }
+
+  private void checkBegun(ObservedJob job) {
+    if (job.begunMs < 0 || job.begunMs - readyMs.applyAsLong(job) > BEGIN_MS) {
+      report.accept(Rule.STARVED, job.spec.uid() + ", one of the largest, began at " + job.begunMs);
+    }
+  }
+
+  private void checkServed(String name, List<ObservedJob> members) {
+    long served =
+        members.stream()
+            .filter(job -> job.spec.expectedS() > 0 ? job.allDone() : job.begunMs >= 0)
+            .count();
+    if (served * 2 < members.size()) {
+      report.accept(Rule.STARVED, name + ": " + served + " of " + members.size() + " served");
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/UnknownJobAnswers.java
@@ -0,0 +1,39 @@
+package org.ploverspindle.sim;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import org.ploverspindle.sim.InvariantChecker.Rule;
+
+/** What users may be answered about ids under which nobody submitted an acceptable job. */
+final class UnknownJobAnswers {
+  private record Refusal(int status, String why) {}
+
+  private static final Refusal NOT_FOUND = new Refusal(404, "nobody submitted it");
+
+  private final BiConsumer<Rule, String> report;
+  private final Map<String, Refusal> refusals = new HashMap<>();
+
+  UnknownJobAnswers(BiConsumer<Rule, String> report) {
+    this.report = report;
+  }
+
+  /** A submission under this id is to be refused with the status. */
+  void refuse(String uid, int status, String why) {
+    refusals.put(uid, new Refusal(status, why));
+  }
+
+  void check(String uid, int status, boolean submission) {
+    Refusal refusal = refusals.getOrDefault(uid, NOT_FOUND);
+    String what = uid + " (" + refusal.why + ") is answered " + status;
+    if (status == 200 || status == 201) {
+      report.accept(submission ? Rule.WRONGLY_ACCEPTED : Rule.INVENTED, what);
+    } else if (!isRetryable(status) && status != (submission ? refusal.status : 404)) {
+      report.accept(Rule.WRONG_STATUS, what);
+    }
+  }
+
+  private static boolean isRetryable(int status) {
+    return status == 429 || status == 503 || status == 504;
+  }
+}
