--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
@@ -0,0 +1,135 @@
+package org.ploverspindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.HashSet;
+import java.util.Set;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.ploverspindle.model.Priority;
+
+/** Cancellations and ends of tasks that meet each other, or a change of the leader. */
+class CancellationRaceTest extends UserFaultsDay {
+  /** Less than a leader whose writes fail keeps the lead, and about a report period. */
+  private static final int UNRECORDED_FOR_MS = 4_500;
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void tasksOfSmallJobsEndFarApartAcrossLeaderChanges(long seed) {
+    startCluster(seed, 3);
+    for (int i = 0; i < 10; i++) {
+      int tasks = 2 + i % 2;
+      // A machine has room for one task, so that they run one after another.
+      cluster.clock.at(
+          4_000 + i * 1_500, () -> submit("blue", Priority.NORMAL, tasks, 12, 9 + seed % 3));
+    }
+    Set<String> across = new HashSet<>();
+    for (int at = 30_000; at <= 78_000; at += 12_000) {
+      cluster.clock.at(
+          at,
+          () -> {
+            submitted.stream()
+                .filter(uid -> cluster.checker.tasksDone(uid) > 0 && !cluster.checker.isDone(uid))
+                .forEach(across::add);
+            cluster.crash(Math.max(0, cluster.leader()), 400);
+          });
+    }
+    runAndCheckRules(100_000, 200_000);
+    assertAtLeast("jobs with a task done and one to go at a change", 2, across.size());
+    assertAtLeast("terms", 4, cluster.terms());
+    assertEquals(10, cluster.checker.jobsDone());
+    assertEquals(25, cluster.checker.starts(), "what was done is not done again");
+  }
+
+  /**
+   * The leader receives reports of completed tasks while its writes are refused, and crashes before
+   * it could record them: until then the worker is the only record, and must not be told to forget.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void leadersCrashBeforeCompletionsAreRecorded(long seed) {
+    startCluster(seed, 14);
+    jobs(4_000, 100, 700, Priority.NORMAL, 2, 9);
+    int[] unrecorded = {0};
+    for (int at = 30_000; at <= 72_000; at += 14_000) {
+      cluster.clock.at(at, () -> crashWithUnrecordedCompletions(unrecorded));
+    }
+    runAndCheckRules(80_000, 120_000);
+    assertAtLeast("tasks completed while nothing could be recorded", 5, unrecorded[0]);
+    assertAtLeast("terms", 4, cluster.terms());
+    assertEquals(100, cluster.checker.jobsDone());
+    assertEquals(200, cluster.checker.starts(), "what was done is not done again");
+  }
+
+  private void crashWithUnrecordedCompletions(int[] unrecorded) {
+    int leader = Math.max(0, cluster.leader());
+    int before = tasksDone();
+    cluster.refuse(leader, SimulatedCluster.Refusal.WRITES, true);
+    cluster.clock.at(
+        UNRECORDED_FOR_MS,
+        () -> {
+          unrecorded[0] += tasksDone() - before;
+          cluster.crash(leader, 400);
+          cluster.refuse(leader, SimulatedCluster.Refusal.WRITES, false);
+        });
+  }
+
+  private int tasksDone() {
+    return submitted.stream().mapToInt(cluster.checker::tasksDone).sum();
+  }
+
+  /** The service's latency leaves time for the end to be recorded before the cancellation is. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void cancellationRacesWithTheEndOfTheLastTaskWhileTheStateServiceIsSlow(long seed) {
+    startCluster(seed, 14);
+    cluster.cancelAtEnd(0.6);
+    cluster.clock.at(FROM_MS, () -> cluster.network.slow(SimulatedCluster.STATE, 300));
+    cluster.clock.at(80_000, () -> cluster.network.slow(SimulatedCluster.STATE, 0));
+    jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
+    runAndCheckRules(80_000, 60_000);
+    long over = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
+    assertAtLeast("done", 20, cluster.checker.jobsDone());
+    assertAtLeast("cancelled though all its tasks had ended", 5, over - cluster.checker.jobsDone());
+  }
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void cancellationRacesWithTheEndOfTheLastTask(long seed) {
+    startCluster(seed, 14);
+    cluster.cancelAtEnd(0.6);
+    cluster.closeLooks(true);
+    jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
+    runAndCheckRules(80_000, 60_000);
+    long aborted = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
+    assertAtLeast("done", 20, cluster.checker.jobsDone());
+    assertAtLeast(
+        "cancelled though all its tasks had ended", 5, aborted - cluster.checker.jobsDone());
+  }
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void jobsAreCancelledDuringLeaderChanges(long seed) {
+    startCluster(seed, 14);
+    jobs(4_000, 40, 700, Priority.NORMAL, 2, 250);
+    for (int round = 0; round < 2; round++) {
+      int at = 36_000 + round * 30_000;
+      cancellations(at - 1_500, 12, 500);
+      boolean cut = (round + seed) % 2 == 0;
+      cluster.clock.at(
+          at,
+          () -> {
+            int leader = Math.max(0, cluster.leader());
+            if (cut) {
+              cluster.nodeCut(leader, SimulatedCluster.CutMode.REFUSE, 20_000);
+            } else {
+              cluster.crash(leader, 300);
+            }
+          });
+    }
+    long cancelMs = (long) (timing(seed).cancelS() * 1_000);
+    runAndCheckRules(90_000, (int) cancelMs + 20_000);
+    assertAtLeast("terms", 3, cluster.terms());
+    assertAtLeast("cancelled while on", 12, cluster.checker.cancelledWhileOn());
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/FaultScenarioTest.java
@@ -0,0 +1,27 @@
+package org.ploverspindle.sim;
+
+import java.util.stream.Stream;
+import org.junit.jupiter.api.TestInstance;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Plays each of a class's combinations of faults once with the times of each deployment. */
+@TestInstance(TestInstance.Lifecycle.PER_CLASS)
+abstract class FaultScenarioTest {
+  private final FaultScenario.Combination[] combinations;
+
+  FaultScenarioTest(FaultScenario.Combination[] combinations) {
+    this.combinations = combinations;
+  }
+
+  Stream<Arguments> scenarios() {
+    return FaultScenario.each(combinations);
+  }
+
+  @ParameterizedTest(name = "{0}, {1}, seed {2}")
+  @MethodSource("scenarios")
+  void rulesHoldIn(FaultScenario.Combination combination, String deployment, long seed) {
+    FaultScenario.assertRulesHold(combination, deployment, seed);
+  }
+}
--- a/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
@@ -1,17 +1,12 @@
 package org.ploverspindle.sim;
 
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Map;
 import java.util.Set;
-import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.junit.jupiter.params.provider.MethodSource;
 
 /** Repeated changes of the leader, also with all controllers down and with delayed writes. */
-class LeaderChangeFaultsTest {
+class LeaderChangeFaultsTest extends FaultScenarioTest {
   private enum Combinations implements FaultScenario.Combination {
     TEN_LEADER_CHANGES_INCLUDING_ONE_DURING_AN_OUTAGE {
       @Override
@@ -107,30 +102,22 @@
       public void play(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         scenario.jobs(3_000, 1_000, 14, 3, 1, 120);
-        Map<SimWorker, Long> sessions = new HashMap<>();
+        AgentEpochs[] epochs = new AgentEpochs[1];
         long awayMs = scenario.leaseMs + 3_000 + scenario.random.nextInt(9_000);
         scenario.at(44_000, () -> scenario.note("terms", cluster::terms));
         scenario.at(44_000, () -> cluster.cancelNow(3, 0));
         scenario.at(
             45_000,
             () -> {
-              scenario.busyWorkers().forEach(x -> sessions.put(x, x.tenure()));
+              epochs[0] = new AgentEpochs(scenario.busyWorkers());
               for (int i = 0; i < FaultScenario.NODES; i++) {
                 cluster.crash(i, awayMs + scenario.random.nextInt(2_000));
               }
             });
-        scenario.at(
-            45_000 + awayMs - 100,
-            () ->
-                scenario.note(
-                    "ended",
-                    () ->
-                        sessions.entrySet().stream()
-                            .filter(e -> e.getKey().tenure() > e.getValue())
-                            .count()));
+        scenario.at(45_000 + awayMs - 100, () -> scenario.note("ended", () -> epochs[0].ended()));
         scenario.faultsEndMs = 45_000 + awayMs + 8_000;
         scenario.leaderMustChange(1);
-        scenario.mustOccur("sessions ended", () -> scenario.noted("ended") >= 3);
+        scenario.mustOccur("agent epochs ended", () -> scenario.noted("ended") >= 3);
         scenario.mustOccur("cancelled just before", () -> cluster.checker.cancelledWhileOn() >= 1);
       }
     },
@@ -202,14 +189,8 @@
     };
   }
 
-  static Stream<Arguments> scenarios() {
-    return FaultScenario.each(Combinations.values());
-  }
-
-  @ParameterizedTest(name = "{0}, {1}, seed {2}")
-  @MethodSource("scenarios")
-  void rulesHoldIn(FaultScenario.Combination combination, String deployment, long seed) {
-    FaultScenario.assertRulesHold(combination, deployment, seed);
+  LeaderChangeFaultsTest() {
+    super(Combinations.values());
   }
 
   /** Seeds on which tasks run twice if an unanswered transaction is taken as committed. */
--- a/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
@@ -1,19 +1,13 @@
 package org.ploverspindle.sim;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.stream.Stream;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.Arguments;
-import org.junit.jupiter.params.provider.MethodSource;
 import org.ploverspindle.model.JobSpec;
 
 /** Partitions and lost machines together with a change of the leader. */
-class PartitionFaultsTest {
+class PartitionFaultsTest extends FaultScenarioTest {
   private enum Combinations implements FaultScenario.Combination {
     ZONE_WITH_A_CONTROLLER_PARTITIONED_LONGER_THAN_A_LEASE {
       @Override
@@ -23,7 +17,7 @@
         scenario.at(45_000, () -> partitionLeader(scenario));
         scenario.faultsEndMs = 45_000 + scenario.cancelMs + 15_000;
         scenario.mustOccur("tasks in the zone", () -> scenario.noted("busy") >= 1);
-        scenario.mustOccur("sessions ended there", () -> scenario.noted("ended") >= 1);
+        scenario.mustOccur("agent epochs ended there", () -> scenario.noted("ended") >= 1);
         scenario.mustOccur("cancelled meanwhile", () -> cluster.checker.cancelledWhileOn() >= 1);
       }
 
@@ -36,11 +30,9 @@
                 : (cluster.leader() + 1) % FaultScenario.NODES;
         List<SimWorker> zone =
             cluster.cloud.workers().stream().filter(x -> x.zone().equals("b")).toList();
-        Map<SimWorker, Long> sessions = new HashMap<>();
-        scenario.busyWorkers().stream()
-            .filter(zone::contains)
-            .forEach(x -> sessions.put(x, x.tenure()));
-        scenario.note("busy", sessions::size);
+        AgentEpochs epochs =
+            new AgentEpochs(scenario.busyWorkers().stream().filter(zone::contains).toList());
+        scenario.note("busy", epochs::workers);
         List<String> there = scenario.jobsOn(zone);
         partitionZone(scenario, inside, zone, true);
         for (int i = 0; i < Math.min(3, there.size()); i++) {
@@ -54,12 +46,7 @@
                 + 6_000
                 + scenario.random.nextInt(6_000),
             () -> {
-              scenario.note(
-                  "ended",
-                  () ->
-                      sessions.entrySet().stream()
-                          .filter(e -> e.getKey().tenure() > e.getValue())
-                          .count());
+              scenario.note("ended", epochs::ended);
               partitionZone(scenario, inside, zone, false);
             });
       }
@@ -77,7 +64,7 @@
         scenario.faultsEndMs = 45_000 + scenario.cancelMs + 15_000;
         scenario.leaderMustChange(1);
         scenario.mustOccur("tasks in the zone", () -> scenario.noted("busy") >= 1);
-        scenario.mustOccur("sessions ended there", () -> scenario.noted("ended") >= 1);
+        scenario.mustOccur("agent epochs ended there", () -> scenario.noted("ended") >= 1);
         scenario.mustOccur(
             "started elsewhere", () -> cluster.checker.starts() > scenario.noted("starts"));
       }
@@ -87,24 +74,17 @@
         int leader = Math.max(0, cluster.leader());
         List<SimWorker> zone =
             cluster.cloud.workers().stream().filter(x -> x.zone().equals("b")).toList();
-        Map<SimWorker, Long> sessions = new HashMap<>();
-        scenario.busyWorkers().stream()
-            .filter(zone::contains)
-            .forEach(x -> sessions.put(x, x.tenure()));
+        AgentEpochs epochs =
+            new AgentEpochs(scenario.busyWorkers().stream().filter(zone::contains).toList());
         scenario.note("terms", cluster::terms);
-        scenario.note("busy", sessions::size);
+        scenario.note("busy", epochs::workers);
         scenario.note("starts", cluster.checker::starts);
         partitionZone(scenario, leader, zone, true);
         cluster.cloud.outage(true);
         cluster.clock.at(
             scenario.cancelMs + 6_000 + scenario.random.nextInt(6_000),
             () -> {
-              scenario.note(
-                  "ended",
-                  () ->
-                      sessions.entrySet().stream()
-                          .filter(e -> e.getKey().tenure() > e.getValue())
-                          .count());
+              scenario.note("ended", epochs::ended);
               partitionZone(scenario, leader, zone, false);
               cluster.cloud.outage(false);
             });
@@ -282,14 +262,8 @@
     };
   }
 
-  static Stream<Arguments> scenarios() {
-    return FaultScenario.each(Combinations.values());
-  }
-
-  @ParameterizedTest(name = "{0}, {1}, seed {2}")
-  @MethodSource("scenarios")
-  void rulesHoldIn(FaultScenario.Combination combination, String deployment, long seed) {
-    FaultScenario.assertRulesHold(combination, deployment, seed);
+  PartitionFaultsTest() {
+    super(Combinations.values());
   }
 
   /** The zone's workers reach that controller only, and nothing else reaches it. */
--- a/src/test/java/org/ploverspindle/sim/SimWorker.java
+++ b/src/test/java/org/ploverspindle/sim/SimWorker.java
@@ -36,13 +36,13 @@
   private final Map<Long, SimAttempt> runs = new LinkedHashMap<>();
   private final SimPause pause;
   private int node;
-  private long tenure = 1;
-  private long tally;
-  private long warrant;
+  private long agentEpoch = 1;
+  private long sequence;
+  private long fencingToken;
   private long leaseFromMs;
   private long serial;
   private long inFlight = -1;
-  private long inFlightTenure;
+  private long inFlightAgentEpoch;
   private long inFlightSentMs;
   private boolean gone;
   private boolean sick;
@@ -83,8 +83,8 @@
   }
 
   /** Its sessions so far: one more with each lease that ran out. */
-  long tenure() {
-    return tenure;
+  long agentEpoch() {
+    return agentEpoch;
   }
 
   void sick(boolean now) {
@@ -161,8 +161,8 @@
           if (gone) {
             return;
           }
-          if (token >= warrant && ofTenure == tenure) {
-            warrant = token;
+          if (token >= fencingToken && ofTenure == agentEpoch) {
+            fencingToken = token;
             orders.forEach(o -> execute(o, orderedMs));
           }
           then.accept(report());
@@ -206,8 +206,8 @@
   private void checkLease() {
     if (leaseIsOver()) {
       killAll();
-      tenure++;
-      tally = 0;
+      agentEpoch++;
+      sequence = 0;
       leaseFromMs = clock.nowMs();
     }
   }
@@ -226,14 +226,14 @@
     }
     long mine = ++serial;
     inFlight = mine;
-    inFlightTenure = tenure;
+    inFlightAgentEpoch = agentEpoch;
     inFlightSentMs = clock.nowMs();
     line.report(this, node, report(), mine);
     clock.at(ANSWER_LIMIT_MS, () -> pause.whenOver(() -> failed(mine)));
   }
 
   private Heartbeat report() {
-    tally++;
+    sequence++;
     List<Heartbeat.TaskStatus> items = new ArrayList<>();
     for (SimAttempt r : runs.values()) {
       items.add(new Heartbeat.TaskStatus(r.uid, r.task, r.attempt, r.phase, r.cause, r.saved));
@@ -244,9 +244,9 @@
         place.type(),
         place.zone(),
         place.spot(),
-        tenure,
-        tally,
-        warrant,
+        agentEpoch,
+        sequence,
+        fencingToken,
         recalled ? OptionalDouble.of(8) : OptionalDouble.empty(),
         items);
   }
@@ -294,10 +294,10 @@
     }
     inFlight = -1;
     next(Math.round(limits.reportS() * 1000 * (0.75 + random.nextDouble() / 2)));
-    if (inFlightTenure != tenure || token < warrant) {
+    if (inFlightAgentEpoch != agentEpoch || token < fencingToken) {
       return;
     }
-    warrant = token;
+    fencingToken = token;
     leaseFromMs = inFlightSentMs;
     orders.forEach(o -> execute(o, orderedMs));
   }
--- a/src/test/java/org/ploverspindle/sim/StaleHeartbeatFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/StaleHeartbeatFaultsTest.java
@@ -1,13 +1,9 @@
 package org.ploverspindle.sim;
 
 import java.util.List;
-import java.util.stream.Stream;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.Arguments;
-import org.junit.jupiter.params.provider.MethodSource;
 
 /** Reports that arrive late, after or during a change of the leader. */
-class StaleHeartbeatFaultsTest {
+class StaleHeartbeatFaultsTest extends FaultScenarioTest {
   private enum Combinations implements FaultScenario.Combination {
     STALE_REPORTS_ARRIVE_AS_A_LEADER_TAKES_OVER {
       @Override
@@ -74,13 +70,7 @@
     };
   }
 
-  static Stream<Arguments> scenarios() {
-    return FaultScenario.each(Combinations.values());
-  }
-
-  @ParameterizedTest(name = "{0}, {1}, seed {2}")
-  @MethodSource("scenarios")
-  void rulesHoldIn(FaultScenario.Combination combination, String deployment, long seed) {
-    FaultScenario.assertRulesHold(combination, deployment, seed);
+  StaleHeartbeatFaultsTest() {
+    super(Combinations.values());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
@@ -13,7 +13,7 @@
 import org.ploverspindle.model.JobSpec;
 
 /** Teams at their limits while workers are lost, jobs are cancelled, and the leader changes. */
-class TeamLimitFaultsTest {
+class TeamLimitFaultsTest extends FaultScenarioTest {
   private static final double TEAM_LIMIT_CORES = 16;
 
   private enum Combinations implements FaultScenario.Combination {
@@ -124,14 +124,8 @@
     }
   }
 
-  static Stream<Arguments> scenarios() {
-    return FaultScenario.each(Combinations.values());
-  }
-
-  @ParameterizedTest(name = "{0}, {1}, seed {2}")
-  @MethodSource("scenarios")
-  void rulesHoldIn(FaultScenario.Combination combination, String deployment, long seed) {
-    FaultScenario.assertRulesHold(combination, deployment, seed);
+  TeamLimitFaultsTest() {
+    super(Combinations.values());
   }
 
   static Stream<Arguments> deploymentsAndSeeds() {
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsDay.java
@@ -0,0 +1,114 @@
+package org.ploverspindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import org.ploverspindle.JobSpecFixtures;
+import org.ploverspindle.model.JobSpec;
+import org.ploverspindle.model.Priority;
+import org.ploverspindle.policy.Policy;
+import org.ploverspindle.settings.Settings;
+
+/**
+ * A day with faults during users' polls, submissions and cancellations. Each seed uses the report,
+ * lease and cancellation times of one deployment.
+ */
+abstract class UserFaultsDay {
+  static final int NODES = 3;
+  static final int FROM_MS = 12_000;
+
+  /**
+   * A leader hears of what another node is about to confirm by a hint, or by its next read; what it
+   * orders before that is in flight, and must be gone in time.
+   */
+  static final long MAX_START_AFTER_CANCELLATION_MS = 50;
+
+  static final List<Settings.WorkerLimits> TIMINGS =
+      List.of(
+          new Settings.WorkerLimits(3, 14, 39),
+          new Settings.WorkerLimits(1.5, 10, 40),
+          new Settings.WorkerLimits(5, 26.5, 51.5),
+          new Settings.WorkerLimits(5, 26.5, 56.5));
+
+  final Random random = new Random(11);
+  final List<String> submitted = new ArrayList<>();
+  SimulatedCluster cluster;
+
+  void startCluster(long seed, int capacity) {
+    startCluster(seed, capacity, 0);
+  }
+
+  void startCluster(long seed, int capacity, double redCores) {
+    cluster =
+        new SimulatedCluster(
+            seed,
+            new SimulatedCluster.Site(
+                NODES,
+                capacity,
+                List.of("a"),
+                timing(seed),
+                new Settings.StateLimits(120, 35, 8, 12),
+                new Settings.CloudLimits(20, 3),
+                List.of(
+                    new Settings.Team("red", 8, redCores, 0, 0),
+                    new Settings.Team("blue", 8, 0, 0, 0)),
+                new Policy(3, 8, 15, 0, 100, 20, Map.of())));
+  }
+
+  static Settings.WorkerLimits timing(long seed) {
+    return TIMINGS.get((int) (seed % TIMINGS.size()));
+  }
+
+  String submit(String team, Priority urgency, int tasks, double cores, double runS) {
+    JobSpec spec =
+        JobSpecFixtures.batch(
+            cluster.newUid(), "c-" + urgency, team, urgency, tasks, cores, 0.1, runS, 0);
+    submitted.add(spec.uid());
+    cluster.user(spec);
+    return spec.uid();
+  }
+
+  /** One job after another, at a spacing. */
+  void jobs(int fromMs, int count, int everyMs, Priority urgency, int tasks, double runS) {
+    for (int i = 0; i < count; i++) {
+      cluster.clock.at(fromMs + i * everyMs, () -> submit("blue", urgency, tasks, 1, runS));
+    }
+  }
+
+  /** Users cancel some of what has been submitted and is not over, one after another. */
+  void cancellations(int fromMs, int count, int everyMs) {
+    for (int i = 0; i < count; i++) {
+      cluster.clock.at(
+          fromMs + i * everyMs,
+          () -> {
+            List<String> running = cluster.checker.running();
+            if (!running.isEmpty()) {
+              cluster.cancel(running.get(random.nextInt(running.size())), 0);
+            }
+          });
+    }
+  }
+
+  void runAndCheckRules(int faultsEndMs, int recoveryMs) {
+    cluster.clock.at(faultsEndMs, cluster::troublesAreOver);
+    cluster.clock.runUntil(faultsEndMs + recoveryMs);
+    assertEquals(List.of(), cluster.checker.broken());
+    long lateMs =
+        cluster.checker.lateStarts().stream()
+            .mapToLong(InvariantChecker.LateStart::orderedAfterMs)
+            .max()
+            .orElse(0);
+    assertTrue(
+        lateMs <= MAX_START_AFTER_CANCELLATION_MS,
+        "ordered " + lateMs + " ms after a confirmed cancellation");
+    assertEquals(0, cluster.checker.neverBegun(), "accepted jobs that never began");
+  }
+
+  static void assertAtLeast(String what, long least, long found) {
+    assertTrue(found >= least, what + ": " + found + ", at least " + least + " expected");
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/WorkerFaultsTest.java
@@ -0,0 +1,105 @@
+package org.ploverspindle.sim;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.ploverspindle.model.Priority;
+
+/** Workers whose heartbeats or commands are lost or late, while users submit and cancel. */
+class WorkerFaultsTest extends UserFaultsDay {
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void workersReachNoControllerWhileDirectCommandsArrive(long seed) {
+    startCluster(seed, 8);
+    jobs(4_000, 75, 1_000, Priority.HIGH, 2, 9);
+    // Longer than a lease: they are on those machines until it runs out.
+    jobs(4_500, 10, 1_500, Priority.HIGH, 2, 60);
+    int unreachableMs = (int) (timing(seed).leaseS() * 1_500);
+    Set<String> unreachable = new HashSet<>();
+    for (int round = 0; round < 2; round++) {
+      boolean all = round == 1;
+      cluster.clock.at(
+          20_000 + round * (unreachableMs + 8_000),
+          () -> {
+            for (SimWorker x : cluster.cloud.workers()) {
+              if (!x.gone() && (all || random.nextInt(3) == 0)) {
+                unreachable.add(x.host());
+                cluster.network.machineMute(x.host(), true);
+                cluster.clock.at(unreachableMs, () -> cluster.network.machineMute(x.host(), false));
+              }
+            }
+          });
+    }
+    cluster.clock.at(
+        32_000 + unreachableMs, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
+    cancellations(24_000, 10, 4_000);
+    runAndCheckRules(30_000 + 2 * unreachableMs + 8_000, 120_000);
+    assertAtLeast("machines that reached no controller", 2, unreachable.size());
+    assertAtLeast("launches that reached them directly", 1, cluster.directCommands.toMute());
+    assertAtLeast("cancelled while on", 2, cluster.checker.cancelledWhileOn());
+  }
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void directCommandsAreDelayedAndTheWorkerResumes(long seed) {
+    startCluster(seed, 8);
+    jobs(4_000, 110, 600, Priority.HIGH, 1, 15);
+    cluster.network.heldCommands(0.7);
+    cluster.clock.at(80_000, () -> cluster.network.heldCommands(0));
+    for (int at = FROM_MS; at < 70_000; at += 3_000) {
+      cluster.clock.at(at, () -> cluster.cloud.workers().forEach(this::delay));
+    }
+    cancellations(FROM_MS + 4_000, 20, 2_500);
+    cluster.clock.at(40_000, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
+    runAndCheckRules(80_000, 120_000);
+    assertAtLeast("launches carried out late", 5, cluster.directCommands.late());
+    assertAtLeast("cancelled while on", 8, cluster.checker.cancelledWhileOn());
+  }
+
+  /** It stands still, or what goes between it and the leader is held back, for some seconds. */
+  private void delay(SimWorker x) {
+    int leader = cluster.leader();
+    if (x.gone() || leader < 0 || random.nextInt(2) > 0) {
+      return;
+    }
+    int forMs = 1_600 + random.nextInt(6_000);
+    if (random.nextBoolean()) {
+      x.hang(forMs);
+    } else {
+      cluster.network.hold("n" + leader, x.host(), true);
+      cluster.clock.at(forMs, () -> cluster.network.hold("n" + leader, x.host(), false));
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void staleReportsArriveAfterNewerOnes(long seed) {
+    startCluster(seed, 8);
+    cluster.network.lateReports(0.5, false);
+    jobs(4_000, 60, 1_100, Priority.HIGH, 3, 12);
+    int lostAnswersMs = (int) (timing(seed).leaseS() * 1_300);
+    int[] sessions = {0};
+    for (int at = 20_000; at < 70_000; at += 12_000) {
+      cluster.clock.at(
+          at,
+          () -> {
+            List<SimWorker> all = cluster.cloud.workers().stream().filter(x -> !x.gone()).toList();
+            if (!all.isEmpty()) {
+              SimWorker x = all.get(random.nextInt(all.size()));
+              sessions[0]++;
+              cluster.network.deaf(x.host(), true);
+              cluster.clock.at(lostAnswersMs, () -> cluster.network.deaf(x.host(), false));
+            }
+          });
+    }
+    cluster.clock.at(45_000, () -> cluster.crash(Math.max(0, cluster.leader()), 800));
+    cancellations(24_000, 12, 4_000);
+    cluster.clock.at(100_000, () -> cluster.network.lateReports(0, false));
+    runAndCheckRules(100_000, 220_000);
+    assertAtLeast("old reports", 50, cluster.reports.copiesToLeader());
+    assertAtLeast("sessions ended", 3, sessions[0]);
+    assertAtLeast("cancelled while on", 5, cluster.checker.cancelledWhileOn());
+  }
+}
