--- a/src/main/java/org/ploverspindle/cloud/BootTracker.java
+++ b/src/main/java/org/ploverspindle/cloud/BootTracker.java
@@ -7,117 +7,129 @@
 import java.util.Map;
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.model.Catalogue;
+import org.ploverspindle.placement.MachineGroup;
 
 /**
- * Measures how long machines of each group take to boot at present, from this term's own rentals:
- * the time since a machine was rented, relative to the boot time that the cloud gives for its type.
- * At times machines boot several times slower than that, or never.
+ * Measures how long machines of each group take to boot at present, from the machines provisioned
+ * in this term: the time since the request, relative to the boot time that the cloud gives for the
+ * type. At times machines boot several times slower than that, or never.
  */
 final class BootTracker {
-  /** Most machines are up after 1.5 times what their type takes. */
-  private static final double USUAL = 1.7;
+  /** Nearly all machines are up within this multiple of their type's boot time, and the margin. */
+  private static final double OVERDUE_RATIO = 1.7;
 
-  private static final double USUAL_MORE_S = 5;
+  private static final double OVERDUE_MARGIN_S = 5;
 
-  /** Where machines come late, the others are waited for by so much longer than the latest took. */
-  private static final double BEYOND_LATEST = 1.3;
+  /** In a group that boots slowly, a machine is overdue at this multiple of the slowest boot. */
+  private static final double BEYOND_SLOWEST = 1.3;
 
-  /** What takes longer than this is not waited for, whatever others took. */
-  private static final double LONGEST = 6;
+  /** No machine is waited for longer than this multiple, however slowly others booted. */
+  private static final double MAX_RATIO = 6;
 
-  private static final double STUCK = 3;
-  private static final double STUCK_MORE_S = 15;
+  private static final double STUCK_RATIO = 3;
+  private static final double STUCK_MARGIN_S = 15;
 
-  /** What came up longer ago says nothing about now. */
-  private static final long REMEMBERED_MS = 120_000;
+  /** Older boots say nothing about the present. */
+  private static final long BOOT_KEPT_MS = 120_000;
 
-  /** Fewer machines that are overdue may be the odd ones that never come. */
-  private static final int SOME = 3;
+  /** Fewer overdue machines may be single failures. */
+  private static final int MIN_OVERDUE = 3;
 
-  private record Came(long atMs, double ratio) {}
+  private static final double MS_PER_S = 1_000;
 
-  private static final class Record {
-    private final Deque<Came> came = new ArrayDeque<>();
+  /**
+   * A completed boot.
+   *
+   * @param atMs when it was observed, on the steady clock
+   * @param ratio its duration relative to the type's boot time
+   */
+  private record Boot(long atMs, double ratio) {}
+
+  private static final class GroupBoots {
+    private final Deque<Boot> recent = new ArrayDeque<>();
 
-    /** The longest of them, kept: each machine that boots is compared with it, again and again. */
-    private double latest;
+    /** The largest ratio among them; kept, as each booting machine is compared with it. */
+    private double slowestRatio;
 
     private int overdue;
 
     void forgetBefore(long oldestMs) {
-      if (came.removeIf(c -> c.atMs() < oldestMs)) {
-        latest = 0;
-        came.forEach(c -> latest = Math.max(latest, c.ratio()));
+      if (recent.removeIf(boot -> boot.atMs() < oldestMs)) {
+        slowestRatio = 0;
+        recent.forEach(boot -> slowestRatio = Math.max(slowestRatio, boot.ratio()));
       }
     }
 
-    void add(Came fresh) {
-      came.addLast(fresh);
-      latest = Math.max(latest, fresh.ratio());
+    void add(Boot boot) {
+      recent.addLast(boot);
+      slowestRatio = Math.max(slowestRatio, boot.ratio());
     }
   }
 
   private final Catalogue catalogue;
-  private final Map<Autoscaler.MachineGroup, Record> records = new HashMap<>();
+  private final Map<MachineGroup, GroupBoots> bootsByGroup = new HashMap<>();
 
   BootTracker(Catalogue catalogue) {
     this.catalogue = catalogue;
   }
 
-  /** Looks at the machines anew: which have come up since the last look, and which are overdue. */
+  /** Records the boots completed since the last call, and counts the machines overdue now. */
   void observe(Collection<Machine> machines, long nowMs) {
-    for (Record r : records.values()) {
-      r.overdue = 0;
-      r.forgetBefore(nowMs - REMEMBERED_MS);
+    for (GroupBoots boots : bootsByGroup.values()) {
+      boots.overdue = 0;
+      boots.forgetBefore(nowMs - BOOT_KEPT_MS);
     }
-    for (Machine m : machines) {
-      if (!m.isUp()) {
-        if (!m.isDecommissioning() && isOverdue(m, nowMs)) {
-          of(m).overdue++;
+    for (Machine machine : machines) {
+      if (!machine.isUp()) {
+        if (!machine.isDecommissioning() && isOverdue(machine, nowMs)) {
+          bootsOf(machine).overdue++;
         }
-      } else if (m.takeJustCameUp() && m.provisionedSinceMs() >= 0) {
-        double ratio = (m.upSinceMs() - m.provisionedSinceMs()) / 1000.0 / bootS(m);
-        of(m).add(new Came(nowMs, ratio));
+      } else if (machine.takeJustCameUp() && machine.provisionedSinceMs() >= 0) {
+        double bootedS = (machine.upSinceMs() - machine.provisionedSinceMs()) / MS_PER_S;
+        bootsOf(machine).add(new Boot(nowMs, bootedS / expectedBootS(machine)));
       }
     }
   }
 
-  private Record of(Machine m) {
-    return records.computeIfAbsent(Autoscaler.MachineGroup.of(m), g -> new Record());
+  private GroupBoots bootsOf(Machine machine) {
+    return bootsByGroup.computeIfAbsent(MachineGroup.of(machine), group -> new GroupBoots());
   }
 
-  private double bootS(Machine m) {
-    return Math.max(1, catalogue.type(m.type()).bootS());
+  private double expectedBootS(Machine machine) {
+    return Math.max(1, catalogue.type(machine.type()).bootS());
   }
 
-  private static double ageS(Machine m, long nowMs) {
-    return (nowMs - m.bootingSinceMs()) / 1000.0;
+  private static double bootingForS(Machine machine, long nowMs) {
+    return (nowMs - machine.bootingSinceMs()) / MS_PER_S;
   }
 
-  private double latest(Autoscaler.MachineGroup g) {
-    Record r = records.get(g);
-    return r == null ? 0 : r.latest;
+  /** The slowest recent boot of the machine's group, as a ratio; 0 when there is none. */
+  private double slowestRatio(Machine machine) {
+    GroupBoots boots = bootsByGroup.get(MachineGroup.of(machine));
+    return boots == null ? 0 : boots.slowestRatio;
   }
 
-  /** It has not come when nearly all do, nor when the late ones of its group lately did. */
-  boolean isOverdue(Machine m, long nowMs) {
-    double latest = latest(Autoscaler.MachineGroup.of(m));
-    double ratio = latest > USUAL ? Math.min(LONGEST, latest * BEYOND_LATEST) : USUAL;
-    return ageS(m, nowMs) >= bootS(m) * ratio + USUAL_MORE_S;
+  /** True when the machine takes longer than nearly all do, and than its group lately did. */
+  boolean isOverdue(Machine machine, long nowMs) {
+    double slowest = slowestRatio(machine);
+    double ratio =
+        slowest > OVERDUE_RATIO ? Math.min(MAX_RATIO, slowest * BEYOND_SLOWEST) : OVERDUE_RATIO;
+    return bootingForS(machine, nowMs) >= expectedBootS(machine) * ratio + OVERDUE_MARGIN_S;
   }
 
-  /** It is taken for one that never comes. */
-  boolean isStuck(Machine m, long nowMs) {
-    double latest = Math.min(LONGEST, latest(Autoscaler.MachineGroup.of(m)) * BEYOND_LATEST);
-    return ageS(m, nowMs) > bootS(m) * Math.max(STUCK, latest) + STUCK_MORE_S;
+  /** True when the machine is not expected to come up any more. */
+  boolean isStuck(Machine machine, long nowMs) {
+    double ratio = Math.min(MAX_RATIO, slowestRatio(machine) * BEYOND_SLOWEST);
+    return bootingForS(machine, nowMs)
+        > expectedBootS(machine) * Math.max(STUCK_RATIO, ratio) + STUCK_MARGIN_S;
   }
 
   /**
-   * Machines of the group are overdue, and more of them than have come up lately: whoever is
-   * pressed for time had better get another one.
+   * True when several machines of the group are overdue, and more than came up lately: work that
+   * cannot wait should get a machine of another group.
    */
-  boolean isBootingBadly(Autoscaler.MachineGroup g) {
-    Record r = records.get(g);
-    return r != null && r.overdue >= SOME && r.overdue > r.came.size();
+  boolean isBootingBadly(MachineGroup group) {
+    GroupBoots boots = bootsByGroup.get(group);
+    return boots != null && boots.overdue >= MIN_OVERDUE && boots.overdue > boots.recent.size();
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/cloud/CandidateGroups.java
@@ -0,0 +1,85 @@
+package org.ploverspindle.cloud;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.ploverspindle.model.Catalogue;
+import org.ploverspindle.placement.MachineGroup;
+import org.ploverspindle.placement.ScaleOutPlanner;
+import org.ploverspindle.sizing.AdaptiveSizing;
+
+/**
+ * Evaluates GEP-24's bounds for every pool: in which groups machines may be requested now, and
+ * which groups hold fewer than their minimum.
+ */
+final class CandidateGroups {
+  /**
+   * The outcome of one evaluation.
+   *
+   * @param candidates groups that may grow, in the order of types and zones, spot first
+   * @param missing machines that are missing to a group's minimum
+   */
+  record Evaluation(
+      List<ScaleOutPlanner.Candidate> candidates, Map<MachineGroup, Integer> missing) {}
+
+  private final Catalogue catalogue;
+  private final Pools pools;
+  private final PoolBoundsRecords boundsRecords;
+  private final ScaleOutLimits limits;
+  private final BootTracker boots;
+
+  CandidateGroups(
+      Catalogue catalogue,
+      Pools pools,
+      PoolBoundsRecords boundsRecords,
+      ScaleOutLimits limits,
+      BootTracker boots) {
+    this.catalogue = catalogue;
+    this.pools = pools;
+    this.boundsRecords = boundsRecords;
+    this.limits = limits;
+    this.boots = boots;
+  }
+
+  /** Evaluates and records the bounds of all pools. */
+  Evaluation evaluate() {
+    Evaluation evaluation = new Evaluation(new ArrayList<>(), new LinkedHashMap<>());
+    for (int type = 0; type < catalogue.types().size(); type++) {
+      List<AdaptiveSizing.Group> groups = pools.groups(type);
+      List<AdaptiveSizing.Bounds> bounds = pools.bounds(type, groups);
+      boundsRecords.record(type, bounds);
+      for (int zone = 0; zone < groups.size(); zone++) {
+        if (catalogue.type(type).zones().contains(catalogue.zoneName(zone))) {
+          evaluateZone(type, zone, bounds.get(zone), groups.get(zone).held(), evaluation);
+        }
+      }
+    }
+    return evaluation;
+  }
+
+  private void evaluateZone(
+      int type, int zone, AdaptiveSizing.Bounds bounds, int held, Evaluation evaluation) {
+    MachineGroup spot = new MachineGroup(type, zone, true);
+    MachineGroup onDemand = new MachineGroup(type, zone, false);
+    int mayGrow = bounds.max() - held;
+    addCandidate(spot, mayGrow, held, evaluation);
+    addCandidate(onDemand, mayGrow, held, evaluation);
+    int missing = Math.min(mayGrow, bounds.min() - held);
+    if (missing > 0) {
+      // A pool must always have its minimum: on-demand machines, which the cloud does not take
+      // back, where they can be had.
+      evaluation.missing().put(limits.isBackedOff(onDemand) ? spot : onDemand, missing);
+    }
+  }
+
+  private void addCandidate(MachineGroup group, int mayGrow, int held, Evaluation evaluation) {
+    if (mayGrow > 0 && !limits.isBackedOff(group)) {
+      int maxMachines = Math.min(mayGrow, limits.maxPerRound(group));
+      evaluation
+          .candidates()
+          .add(
+              new ScaleOutPlanner.Candidate(group, maxMachines, held, boots.isBootingBadly(group)));
+    }
+  }
+}
--- a/src/main/java/org/ploverspindle/cloud/CloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/CloudClient.java
@@ -7,19 +7,24 @@
 import org.ploverspindle.scalein.TerminationClient;
 
 /**
- * The cloud's operations. Outcomes are delivered on the decision loop; an empty one means that
- * there was no usable response.
+ * The cloud's operations. Outcomes are delivered on the event loop; an empty one means that there
+ * was no usable response.
  */
 public interface CloudClient extends TerminationClient {
 
-  /** The state of a rented machine, by the cloud. */
+  /** The status of a machine in the cloud's list. */
   enum HostStatus {
     BOOTING,
     RUNNING,
     FAILED
   }
 
-  /** A rented machine in the cloud's list. */
+  /**
+   * A machine in the cloud's list.
+   *
+   * @param address where its worker takes commands; empty when it is not known yet
+   * @param ageS seconds since it was provisioned
+   */
   record Host(
       String id,
       String address,
@@ -29,33 +34,33 @@
       HostStatus status,
       double ageS) {}
 
-  /** A page of the list of rented machines. */
+  /** A page of the list of machines. */
   record HostPage(List<Host> hosts, boolean hasNext) {}
 
-  /** The outcome of a rental. */
+  /** The outcome of a provisioning request. */
   sealed interface ProvisionResult {
-    /** These machines are rented, fewer than were asked for or as many. */
+    /** These machines are provisioned: as many as were requested, or fewer. */
     record Provisioned(List<String> hosts) implements ProvisionResult {}
 
-    /** The group has no machine left at present. */
+    /** The cloud has no machine of the type and kind left in the zone at present. */
     record NoCapacity() implements ProvisionResult {}
 
-    /** The cloud does not take such a request, now or later. */
+    /** The cloud rejects the request, and would reject it again. */
     record Malformed() implements ProvisionResult {}
 
-    /** Certainly not executed, and says nothing on capacity. */
+    /** Certainly not executed, for a reason other than capacity. */
     record Refused() implements ProvisionResult {}
 
-    /** May have been executed: the same claim must be asked for again. */
+    /** May have been executed: it must be repeated under the same name. */
     record Unknown() implements ProvisionResult {}
   }
 
-  /** Asks for the machine types on offer. */
+  /** Requests the machine types that the cloud offers. */
   void listMachineTypes(Consumer<Optional<List<MachineType>>> then);
 
   /**
-   * Rents up to {@code count} machines. A repeat under the same claim rents nothing more and
-   * returns the same machines.
+   * Provisions up to {@code count} machines. Idempotent by {@code intentName}: a repeat provisions
+   * nothing more and returns the same machines.
    */
   void provision(
       String intentName,
@@ -65,6 +70,6 @@
       int count,
       Consumer<ProvisionResult> then);
 
-  /** Asks for the page of the list that follows the machine {@code after}; empty for the first. */
+  /** Requests the page of the list that follows the host {@code after}; empty for the first. */
   void listMachines(String after, Consumer<Optional<HostPage>> then);
 }
--- a/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
+++ b/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
@@ -4,17 +4,17 @@
 import org.ploverspindle.cluster.MachineRegistry;
 
 /**
- * How the fleet as a whole hears and is heard, counted once in a look and only if asked for: a zone
- * that is cut off has thousands of machines that ask.
+ * How many machines of the fleet can be reached and send heartbeats, counted at most once in a
+ * scale-in round: when a zone is cut off, thousands of machines ask in the same round.
  */
 final class FleetConnectivity {
   private final MachineRegistry fleet;
   private final double leaseMs;
   private final long nowMs;
   private boolean counted;
-  private int deaf;
+  private int unreachable;
   private int up;
-  private int heard;
+  private int sendingHeartbeats;
 
   FleetConnectivity(MachineRegistry fleet, double leaseMs, long nowMs) {
     this.fleet = fleet;
@@ -22,16 +22,18 @@
     this.nowMs = nowMs;
   }
 
-  /** When many machines do not hear, it is our own line that is broken. */
+  /** False when so many machines are unreachable that the fault must be on the leader's side. */
   boolean fewAreUnreachable() {
     count();
-    return deaf * 2 <= fleet.all().size();
+    return unreachable * 2 <= fleet.all().size();
   }
 
-  /** When most machines are silent, it is we who are cut off, not they who died. */
+  /**
+   * False when most machines are silent: then the leader is cut off, the machines have not died.
+   */
   boolean mostSendHeartbeats() {
     count();
-    return heard * 2 >= up;
+    return sendingHeartbeats * 2 >= up;
   }
 
   private void count() {
@@ -40,9 +42,9 @@
     }
     counted = true;
     for (Machine machine : fleet.all()) {
-      deaf += machine.unreachableSinceMs() >= 0 ? 1 : 0;
+      unreachable += machine.unreachableSinceMs() >= 0 ? 1 : 0;
       up += machine.isUp() ? 1 : 0;
-      heard += machine.isUp() && nowMs - machine.lastHeartbeatMs() < leaseMs ? 1 : 0;
+      sendingHeartbeats += machine.isUp() && nowMs - machine.lastHeartbeatMs() < leaseMs ? 1 : 0;
     }
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/GroupBackoffs.java
+++ b/src/main/java/org/ploverspindle/cloud/GroupBackoffs.java
@@ -8,29 +8,34 @@
 import java.util.random.RandomGenerator;
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.model.Catalogue;
+import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.state.StateStore.Entry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** GEP-24's backoff: the groups that are not asked for after a failed rental, and until when. */
+/** GEP-24's backoff: which groups get no request after a failed one, and until when. */
 final class GroupBackoffs {
   private static final Logger LOG = LoggerFactory.getLogger(GroupBackoffs.class);
 
-  /** A mark lasts at least this part of the policy's backoff. */
-  private static final double LEAST_PART = 0.85;
+  /** A backoff lasts at least this part of the policy's time. */
+  private static final double MIN_PART = 0.85;
 
-  /** A mark lasts longer by a random part of the backoff, of up to this. */
+  /** A backoff lasts longer by a random part of the policy's time, of up to this. */
   private static final double RANDOM_PART = 0.3;
 
-  /** A recorded mark: zone, spot, milliseconds left. */
-  private static final int MARK_FIELDS = 3;
+  /** Fields of a recorded backoff: zone, spot, milliseconds left. */
+  private static final int RECORDED_FIELDS = 3;
+
+  private static final double MS_PER_S = 1_000;
 
   private final Scheduler scheduler;
   private final Catalogue catalogue;
   private final Policy policy;
   private final RandomGenerator random;
-  private final Map<Autoscaler.MachineGroup, Long> untilMs = new HashMap<>();
+
+  /** When the backoff of each group ends, on the steady clock. */
+  private final Map<MachineGroup, Long> untilMs = new HashMap<>();
 
   GroupBackoffs(Scheduler scheduler, Catalogue catalogue, Policy policy, RandomGenerator random) {
     this.scheduler = scheduler;
@@ -39,43 +44,52 @@
     this.random = random;
   }
 
-  void backOff(Autoscaler.MachineGroup g) {
-    // Random, as marks that were set together would otherwise end together and all be tried at
-    // once.
-    long ms =
-        Math.round(policy.backoffS() * 1000 * (LEAST_PART + RANDOM_PART * random.nextDouble()));
-    untilMs.put(g, scheduler.nowMs() + ms);
+  /** The group gets no request for the policy's time, somewhat varied at random. */
+  void backOff(MachineGroup group) {
+    // Backoffs that began together would otherwise end together, and all groups be tried at once.
+    double part = MIN_PART + RANDOM_PART * random.nextDouble();
+    untilMs.put(group, scheduler.nowMs() + Math.round(policy.backoffS() * MS_PER_S * part));
   }
 
-  boolean backedOff(Autoscaler.MachineGroup g) {
-    return untilMs.getOrDefault(g, Long.MIN_VALUE) > scheduler.nowMs();
+  boolean isBackedOff(MachineGroup group) {
+    return untilMs.getOrDefault(group, Long.MIN_VALUE) > scheduler.nowMs();
   }
 
-  /** The marks of a type that still stand, for the next leader. */
-  void record(int type, ArrayNode marks) {
+  /** Adds the backoffs of a type that have not ended to its record, for the next leader. */
+  void encode(int type, ArrayNode recorded) {
     untilMs.forEach(
-        (g, until) -> {
-          long leftMs = until - scheduler.nowMs();
-          if (g.type() == type && leftMs > 0) {
-            marks.add(catalogue.zoneName(g.zone()) + "," + g.spot() + "," + leftMs);
+        (group, endMs) -> {
+          long leftMs = endMs - scheduler.nowMs();
+          if (group.type() == type && leftMs > 0) {
+            recorded.add(catalogue.zoneName(group.zone()) + "," + group.spot() + "," + leftMs);
           }
         });
   }
 
-  /** Takes over an earlier leader's marks, for the time that was left when they were recorded. */
-  void read(Entry e, Optional<Integer> type) {
-    for (JsonNode mark : e.value().path("backoff")) {
-      String[] f = mark.asText().split(",", -1);
-      Optional<Integer> zone =
-          f.length == MARK_FIELDS ? catalogue.zoneIndex(f[0]) : Optional.empty();
-      if (type.isEmpty() || zone.isEmpty() || !f[2].matches("\\d{1,9}")) {
-        LOG.warn("a backoff mark in {} can't be read", e.key());
-        continue;
+  /**
+   * Takes over an earlier leader's backoffs, for the time that was left when they were recorded.
+   *
+   * @param type empty when the record's type is unknown
+   */
+  void inherit(Entry entry, Optional<Integer> type) {
+    for (JsonNode recorded : entry.value().path("backoff")) {
+      if (type.isEmpty() || !inherit(type.get(), recorded.asText())) {
+        LOG.warn("unreadable group backoff ignored: key={} value={}", entry.key(), recorded);
       }
-      long leftMs = Math.min(Long.parseLong(f[2]), Math.round(policy.backoffS() * 1000));
-      untilMs.put(
-          new Autoscaler.MachineGroup(type.get(), zone.get(), Boolean.parseBoolean(f[1])),
-          scheduler.nowMs() + leftMs);
     }
   }
+
+  private boolean inherit(int type, String recorded) {
+    String[] fields = recorded.split(",", -1);
+    Optional<Integer> zone =
+        fields.length == RECORDED_FIELDS ? catalogue.zoneIndex(fields[0]) : Optional.empty();
+    if (zone.isEmpty() || !fields[2].matches("\\d{1,9}")) {
+      return false;
+    }
+    long maxMs = Math.round(policy.backoffS() * MS_PER_S);
+    long leftMs = Math.min(Long.parseLong(fields[2]), maxMs);
+    MachineGroup group = new MachineGroup(type, zone.get(), Boolean.parseBoolean(fields[1]));
+    untilMs.put(group, scheduler.nowMs() + leftMs);
+    return true;
+  }
 }
--- a/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
@@ -18,7 +18,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud over HTTP. A response that is malformed or unexpected counts as none. */
+/** The cloud over HTTP. A response that is malformed or has an unexpected status counts as none. */
 public final class HttpCloudClient implements CloudClient {
   private static final byte[] EMPTY = {};
   private static final int HTTP_OK = 200;
@@ -26,33 +26,38 @@
   private static final int HTTP_TOO_MANY_REQUESTS = 429;
   private static final int HTTP_UNAVAILABLE = 503;
   private static final long TIMEOUT_MS = 5_000;
-  private static final int PAGE = 500;
+  private static final int HOSTS_PER_PAGE = 500;
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpCloudClient.class);
 
-  private final HttpClient caller;
+  private final HttpClient client;
 
-  /** Answers that were named in the log, once each. */
-  private final Set<Integer> told = new HashSet<>();
+  /** Unexpected statuses that were logged, once each. */
+  private final Set<Integer> loggedStatuses = new HashSet<>();
 
-  public HttpCloudClient(HttpClient caller) {
-    this.caller = caller;
+  public HttpCloudClient(HttpClient client) {
+    this.client = client;
   }
 
-  private static Optional<ObjectNode> ok(HttpResult reply) {
-    return reply instanceof HttpResult.Response a && a.status() == HTTP_OK
-        ? Cbor.readMap(a.body())
+  private static boolean isOk(HttpResult result) {
+    return result instanceof HttpResult.Response response && response.status() == HTTP_OK;
+  }
+
+  /** The body of a successful response; empty when there is none that can be read. */
+  private static Optional<ObjectNode> okBody(HttpResult result) {
+    return result instanceof HttpResult.Response response && response.status() == HTTP_OK
+        ? Cbor.readMap(response.body())
         : Optional.empty();
   }
 
   @Override
   public void listMachineTypes(Consumer<Optional<List<MachineType>>> then) {
-    caller.send(
+    client.send(
         "GET",
         "/flavors",
         EMPTY,
         TIMEOUT_MS,
-        r -> then.accept(ok(r).flatMap(HttpCloudClient::readTypes)));
+        result -> then.accept(okBody(result).flatMap(HttpCloudClient::readTypes)));
   }
 
   /** Empty when any type lacks what placing needs: half a catalogue would refuse good jobs. */
@@ -61,32 +66,36 @@
       return Optional.empty();
     }
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode f : body.path("flavours")) {
+    for (JsonNode node : body.path("flavours")) {
       List<String> zones = new ArrayList<>();
-      f.path("sites").forEach(z -> zones.add(z.asText()));
-      if (!f.path("label").isTextual() || !f.path("cores").isNumber() || zones.isEmpty()) {
+      node.path("sites").forEach(zone -> zones.add(zone.asText()));
+      if (!node.path("label").isTextual() || !node.path("cores").isNumber() || zones.isEmpty()) {
         return Optional.empty();
       }
-      types.add(
-          new MachineType(
-              f.path("label").asText(),
-              Resources.offered(
-                  f.path("cores").asDouble(),
-                  f.path("accelerators").asDouble(),
-                  f.path("mem_gb").asDouble()),
-              f.path("cache_gb").asDouble(),
-              f.path("pull_gb_per_s").asDouble(1),
-              f.path("price").asDouble(),
-              f.path("market_price").asDouble(f.path("price").asDouble()),
-              f.path("ready_s").asDouble(),
-              List.copyOf(zones)));
+      types.add(readType(node, zones));
     }
     return Optional.of(types);
   }
 
+  private static MachineType readType(JsonNode node, List<String> zones) {
+    double onDemandPrice = node.path("price").asDouble();
+    return new MachineType(
+        node.path("label").asText(),
+        Resources.offered(
+            node.path("cores").asDouble(),
+            node.path("accelerators").asDouble(),
+            node.path("mem_gb").asDouble()),
+        node.path("cache_gb").asDouble(),
+        node.path("pull_gb_per_s").asDouble(1),
+        onDemandPrice,
+        node.path("market_price").asDouble(onDemandPrice),
+        node.path("ready_s").asDouble(),
+        List.copyOf(zones));
+  }
+
   @Override
   public void provision(
-      String claim,
+      String intentName,
       String type,
       String zone,
       boolean spot,
@@ -94,39 +103,46 @@
       Consumer<ProvisionResult> then) {
     ObjectNode body =
         Cbor.map()
-            .put("claim", claim)
+            .put("claim", intentName)
             .put("flavour", type)
             .put("site", zone)
             .put("loaners", spot)
             .put("how_many", count);
-    caller.send("POST", "/rentals", Cbor.write(body), TIMEOUT_MS, r -> then.accept(rented(r)));
+    client.send(
+        "POST",
+        "/rentals",
+        Cbor.write(body),
+        TIMEOUT_MS,
+        result -> then.accept(provisionResult(result)));
   }
 
-  private ProvisionResult rented(HttpResult reply) {
-    if (reply instanceof HttpResult.NotSent) {
+  private ProvisionResult provisionResult(HttpResult result) {
+    if (result instanceof HttpResult.NotSent) {
       return new ProvisionResult.Refused();
     }
-    if (!(reply instanceof HttpResult.Response answer)) {
+    if (!(result instanceof HttpResult.Response response)) {
       return new ProvisionResult.Unknown();
     }
-    Optional<ObjectNode> body = Cbor.readMap(answer.body());
-    if (answer.status() == HTTP_OK && body.isPresent() && body.get().path("hosts").isArray()) {
+    Optional<ObjectNode> body = Cbor.readMap(response.body());
+    if (response.status() == HTTP_OK && body.isPresent() && body.get().path("hosts").isArray()) {
       List<String> hosts = new ArrayList<>();
-      body.get().path("hosts").forEach(h -> hosts.add(h.asText()));
-      return new ProvisionResult.Provisioned(hosts);
+      body.get().path("hosts").forEach(host -> hosts.add(host.asText()));
+      return new ProvisionResult.Provisioned(List.copyOf(hosts));
     }
-    if (answer.status() == HTTP_UNAVAILABLE
-        && body.map(b -> b.path("error").asText("")).orElse("").contains("capacity")) {
+    if (response.status() == HTTP_UNAVAILABLE
+        && body.map(map -> map.path("error").asText("")).orElse("").contains("capacity")) {
       return new ProvisionResult.NoCapacity();
     }
-    return switch (answer.status()) {
+    return failure(response.status());
+  }
+
+  private ProvisionResult failure(int status) {
+    return switch (status) {
       case HTTP_BAD_REQUEST -> new ProvisionResult.Malformed();
       case HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE -> new ProvisionResult.Refused();
       default -> {
-        if (told.add(answer.status())) {
-          LOG.warn(
-              "a rental was answered {}, which no page names: it is asked for again",
-              answer.status());
+        if (loggedStatuses.add(status)) {
+          LOG.warn("unexpected provisioning response, request is repeated: status={}", status);
         }
         yield new ProvisionResult.Unknown();
       }
@@ -137,22 +153,26 @@
   public void terminate(List<String> hosts, Consumer<Boolean> then) {
     ObjectNode body = Cbor.map();
     hosts.forEach(body.putArray("hosts")::add);
-    caller.send(
+    client.send(
         "POST",
         "/rentals/release",
         Cbor.write(body),
         TIMEOUT_MS,
-        r -> then.accept(r instanceof HttpResult.Response a && a.status() == HTTP_OK));
+        result -> then.accept(isOk(result)));
   }
 
   @Override
   public void listMachines(String after, Consumer<Optional<HostPage>> then) {
     String path =
         "/rentals?page="
-            + PAGE
+            + HOSTS_PER_PAGE
             + (after.isEmpty() ? "" : "&after=" + URLEncoder.encode(after, StandardCharsets.UTF_8));
-    caller.send(
-        "GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(ok(r).flatMap(HttpCloudClient::readPage)));
+    client.send(
+        "GET",
+        path,
+        EMPTY,
+        TIMEOUT_MS,
+        result -> then.accept(okBody(result).flatMap(HttpCloudClient::readPage)));
   }
 
   private static Optional<HostPage> readPage(ObjectNode body) {
@@ -160,23 +180,24 @@
       return Optional.empty();
     }
     List<Host> hosts = new ArrayList<>();
-    for (JsonNode h : body.path("hosts")) {
-      HostStatus status =
-          switch (h.path("status").asText()) {
-            case "booting" -> HostStatus.BOOTING;
-            case "failed" -> HostStatus.FAILED;
-            default -> HostStatus.RUNNING;
-          };
-      hosts.add(
-          new Host(
-              h.path("uid").asText(),
-              h.path("addr").asText(""),
-              h.path("flavour").asText(),
-              h.path("site").asText(),
-              h.path("loaners").asBoolean(),
-              status,
-              h.path("age_s").asDouble()));
-    }
+    body.path("hosts").forEach(node -> hosts.add(readHost(node)));
     return Optional.of(new HostPage(hosts, body.path("has_next").asBoolean()));
   }
+
+  private static Host readHost(JsonNode node) {
+    HostStatus status =
+        switch (node.path("status").asText()) {
+          case "booting" -> HostStatus.BOOTING;
+          case "failed" -> HostStatus.FAILED;
+          default -> HostStatus.RUNNING;
+        };
+    return new Host(
+        node.path("uid").asText(),
+        node.path("addr").asText(""),
+        node.path("flavour").asText(),
+        node.path("site").asText(),
+        node.path("loaners").asBoolean(),
+        status,
+        node.path("age_s").asDouble());
+  }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/cloud/MachineTypesRefresh.java
@@ -0,0 +1,73 @@
+package org.ploverspindle.cloud;
+
+import java.util.List;
+import org.ploverspindle.model.Catalogue;
+import org.ploverspindle.model.MachineType;
+import org.ploverspindle.state.LeaderWriter;
+import org.ploverspindle.state.MachineTypesRecord;
+import org.ploverspindle.state.StateStore.Change;
+
+/**
+ * Keeps the catalogue of machine types up to date, and records it once in a term, so that other
+ * controllers can validate jobs while the cloud cannot be reached.
+ */
+final class MachineTypesRefresh {
+  private final CloudClient cloud;
+  private final Catalogue catalogue;
+  private final CloudCallBudget calls;
+  private final LeaderWriter writer;
+  private final int maxValueBytes;
+  private boolean requested;
+  private boolean recorded;
+
+  /**
+   * @param maxValueBytes the state service's limit for one value
+   */
+  MachineTypesRefresh(
+      CloudClient cloud,
+      Catalogue catalogue,
+      CloudCallBudget calls,
+      LeaderWriter writer,
+      int maxValueBytes) {
+    this.cloud = cloud;
+    this.catalogue = catalogue;
+    this.calls = calls;
+    this.writer = writer;
+    this.maxValueBytes = maxValueBytes;
+  }
+
+  /** Requests the machine types, unless a request is in flight or the budget is used up. */
+  void run() {
+    if (requested || !calls.tryTake()) {
+      return;
+    }
+    requested = true;
+    cloud.listMachineTypes(
+        response -> {
+          requested = false;
+          response.ifPresent(this::update);
+        });
+  }
+
+  private void update(List<MachineType> types) {
+    catalogue.update(types);
+    if (!recorded && writer.hasSpareBudget() && calls.isAuthoritative()) {
+      recorded = true;
+      record(MachineTypesRecord.puts(catalogue.types(), maxValueBytes));
+    }
+  }
+
+  /** Writes one after the other; a write that fails leaves the rest to the next refresh. */
+  private void record(List<Change.Put> writes) {
+    if (!writes.isEmpty()) {
+      writer.writeBestEffort(
+          writes.get(0),
+          written -> {
+            recorded = written;
+            if (written) {
+              record(writes.subList(1, writes.size()));
+            }
+          });
+    }
+  }
+}
--- a/src/main/java/org/ploverspindle/cloud/Pools.java
+++ b/src/main/java/org/ploverspindle/cloud/Pools.java
@@ -5,48 +5,55 @@
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.cluster.MachineRegistry;
 import org.ploverspindle.model.Catalogue;
+import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.sizing.AdaptiveSizing;
 
-/** How many machines each group holds, rentals in flight included, and GEP-24's bounds for it. */
+/**
+ * GEP-24's pools, one for each machine type: how many machines each zone holds, requested ones
+ * included, and the bounds of each zone.
+ */
 final class Pools {
   private final Catalogue catalogue;
   private final MachineRegistry fleet;
-  private final ProvisioningIntents claims;
+  private final ProvisioningIntents intents;
   private final GroupBackoffs backoffs;
   private final Policy policy;
 
   Pools(
       Catalogue catalogue,
       MachineRegistry fleet,
-      ProvisioningIntents claims,
+      ProvisioningIntents intents,
       GroupBackoffs backoffs,
       Policy policy) {
     this.catalogue = catalogue;
     this.fleet = fleet;
-    this.claims = claims;
+    this.intents = intents;
     this.backoffs = backoffs;
     this.policy = policy;
   }
 
+  /** The bounds of a type's groups, one for each zone. */
   List<AdaptiveSizing.Bounds> bounds(int type, List<AdaptiveSizing.Group> groups) {
     Policy.PoolBounds pool = policy.pool(catalogue.type(type).name());
     return AdaptiveSizing.bounds(pool.min(), pool.max(), groups);
   }
 
+  /** A type's groups in the order of the zones; each stands for both kinds, spot and on-demand. */
   List<AdaptiveSizing.Group> groups(int type) {
     int[] held = new int[catalogue.zoneCount()];
-    for (Machine m : fleet.all()) {
-      if (m.type() == type && !m.isDecommissioning()) {
-        held[m.zone()]++;
+    for (Machine machine : fleet.all()) {
+      if (machine.type() == type && !machine.isDecommissioning()) {
+        held[machine.zone()]++;
       }
     }
     List<AdaptiveSizing.Group> groups = new ArrayList<>();
-    for (int z = 0; z < held.length; z++) {
-      boolean bad =
-          backoffs.backedOff(new Autoscaler.MachineGroup(type, z, true))
-              && backoffs.backedOff(new Autoscaler.MachineGroup(type, z, false));
-      groups.add(new AdaptiveSizing.Group(held[z] + claims.inFlight(type, z), bad));
+    for (int zone = 0; zone < held.length; zone++) {
+      boolean backedOff =
+          backoffs.isBackedOff(new MachineGroup(type, zone, true))
+              && backoffs.isBackedOff(new MachineGroup(type, zone, false));
+      groups.add(
+          new AdaptiveSizing.Group(held[zone] + intents.unansweredMachines(type, zone), backedOff));
     }
     return groups;
   }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
@@ -6,41 +6,43 @@
 import java.util.function.Consumer;
 import org.ploverspindle.model.Catalogue;
 import org.ploverspindle.net.Cbor;
+import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.LeaderWriter;
 import org.ploverspindle.state.LeaderWriter.CreateOutcome;
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Entry;
 
-/** The durable records of claims: their names, their stored form, and their writes. */
+/** The durable records of provisioning intents: their names, stored form and writes. */
 final class ProvisioningIntentRecords {
-  /** What a claim asks for. */
-  record Requested(Autoscaler.MachineGroup group, int count) {}
+  /** What an intent asks the cloud for. */
+  record Requested(MachineGroup group, int count) {}
 
   private final Catalogue catalogue;
-  private final LeaderWriter writes;
+  private final LeaderWriter writer;
   private final long token;
   private long counter;
 
   /**
-   * @param token the term's first token, which makes names unique over all terms
+   * @param token the term's first fencing token, which makes names unique over all terms
    */
-  ProvisioningIntentRecords(Catalogue catalogue, LeaderWriter writes, long token) {
+  ProvisioningIntentRecords(Catalogue catalogue, LeaderWriter writer, long token) {
     this.catalogue = catalogue;
-    this.writes = writes;
+    this.writer = writer;
     this.token = token;
   }
 
-  /** Named from token and counter: no other leader, and no later rental of ours, has this name. */
+  /** A name of fencing token and counter, which no other intent of any leader has. */
   String newName() {
     return "r-" + token + "-" + ++counter;
   }
 
+  /** The name of the intent that is stored in the entry. */
   static String name(Entry entry) {
     return entry.key().substring(Keys.PROVISIONING_INTENTS.length());
   }
 
-  /** Empty when the value can't be read, or its type or zone is not known. */
+  /** Empty when the value can't be read, or its type or zone is unknown. */
   Optional<Requested> decode(JsonNode value) {
     Optional<Integer> type = catalogue.typeIndex(value.path("type").asText());
     Optional<Integer> zone = catalogue.zoneIndex(value.path("zone").asText());
@@ -48,30 +50,31 @@
     if (type.isEmpty() || zone.isEmpty() || count < 1) {
       return Optional.empty();
     }
-    Autoscaler.MachineGroup group =
-        new Autoscaler.MachineGroup(type.get(), zone.get(), value.path("spot").asBoolean());
+    MachineGroup group = new MachineGroup(type.get(), zone.get(), value.path("spot").asBoolean());
     return Optional.of(new Requested(group, count));
   }
 
-  void create(String name, Requested demanded, Consumer<CreateOutcome> then) {
-    Autoscaler.MachineGroup group = demanded.group();
+  /** Creates the intent's record; the outcome is delivered once it is known or given up. */
+  void create(String name, Requested requested, Consumer<CreateOutcome> then) {
+    MachineGroup group = requested.group();
     ObjectNode value = Cbor.map();
-    value.put("type", catalogue.type(group.type()).name());
-    value.put("zone", catalogue.zoneName(group.zone()));
+    value.put("type", typeName(group));
+    value.put("zone", zoneName(group));
     value.put("spot", group.spot());
-    value.put("count", demanded.count());
-    writes.create(new Change.Put(Keys.provisioningIntent(name), value), then);
+    value.put("count", requested.count());
+    writer.create(new Change.Put(Keys.provisioningIntent(name), value), then);
   }
 
+  /** Removes the intent's record; true is delivered once it is certainly removed. */
   void remove(String name, Consumer<Boolean> then) {
-    writes.writeBestEffort(new Change.Remove(Keys.provisioningIntent(name)), then);
+    writer.writeBestEffort(new Change.Remove(Keys.provisioningIntent(name)), then);
   }
 
-  String typeName(Autoscaler.MachineGroup group) {
+  String typeName(MachineGroup group) {
     return catalogue.type(group.type()).name();
   }
 
-  String zoneName(Autoscaler.MachineGroup group) {
+  String zoneName(MachineGroup group) {
     return catalogue.zoneName(group.zone());
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
@@ -10,75 +10,57 @@
 import org.ploverspindle.cluster.MachineRegistry;
 import org.ploverspindle.eventloop.RetryDelay;
 import org.ploverspindle.eventloop.Scheduler;
-import org.ploverspindle.placement.ScaleOutPlanner;
+import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.state.LeaderWriter;
 import org.ploverspindle.state.StateStore.Entry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Rentals by claims. A claim is recorded durably before the cloud is asked, and the cloud is asked
- * under the claim's name until its outcome is known, if need be by the next leader. So no rental is
- * executed twice and no rented machine is lost.
+ * Provisions machines by write-ahead intents. An intent is recorded durably before the cloud is
+ * asked, and the cloud is asked under the intent's name until its outcome is known, if need be by
+ * the next leader. Requests are idempotent by that name, so nothing is provisioned twice and no
+ * provisioned machine is lost.
  */
 final class ProvisioningIntents {
   private static final Logger LOG = LoggerFactory.getLogger(ProvisioningIntents.class);
+
+  /** The cloud's limit for one request. */
   static final int MAX_MACHINES_PER_REQUEST = 50;
-  private static final long OPEN_MS = 30_000;
-
-  private static final int REMOVE_RETRY_MS = 2_000;
-
-  private static final class Intent {
-    private final String name;
-    private final Autoscaler.MachineGroup group;
-    private final int count;
-    private boolean recorded;
-    private final boolean byUs;
-    private final long sinceMs;
-    private boolean asked;
-    private long askedMs;
-    private Optional<List<String>> hosts = Optional.empty();
-    private boolean removing;
-
-    Intent(
-        String name, ProvisioningIntentRecords.Requested demanded, boolean recorded, long sinceMs) {
-      this.sinceMs = sinceMs;
-      this.name = name;
-      this.group = demanded.group();
-      this.count = demanded.count();
-      this.recorded = recorded;
-      this.byUs = !recorded;
-    }
-  }
+
+  /** For so long scale-out waits for the answer to a recorded intent. */
+  private static final long MAX_UNANSWERED_MS = 30_000;
+
+  private static final long REMOVE_RETRY_MS = 2_000;
 
   private final Scheduler scheduler;
   private final CloudClient cloud;
   private final MachineRegistry fleet;
   private final ProvisioningIntentRecords records;
-  private final ScaleOutLimits quota;
-  private final BooleanSupplier mayCall;
+  private final ScaleOutLimits limits;
+  private final BooleanSupplier tryTakeCall;
   private final RetryDelay retryDelay;
-  private final Map<String, Intent> intents = new LinkedHashMap<>();
+  private final Map<String, ProvisioningIntent> intents = new LinkedHashMap<>();
 
   /**
-   * @param mayCall takes a call to the cloud from its budget, if the lead is sure; asked last
-   *     before each send
-   * @param retryDelay before a claim without an answer is asked for again
+   * @param tryTakeCall takes a call to the cloud from its budget, if this leader's lease is
+   *     certainly valid; asked last before each send
+   * @param retryDelay before an intent without an answer is requested again
    */
   ProvisioningIntents(
       Scheduler scheduler,
       CloudClient cloud,
       MachineRegistry fleet,
       ProvisioningIntentRecords records,
-      ScaleOutLimits quota,
-      BooleanSupplier mayCall,
+      ScaleOutLimits limits,
+      BooleanSupplier tryTakeCall,
       RetryDelay retryDelay) {
     this.scheduler = scheduler;
     this.cloud = cloud;
     this.fleet = fleet;
     this.records = records;
-    this.quota = quota;
-    this.mayCall = mayCall;
+    this.limits = limits;
+    this.tryTakeCall = tryTakeCall;
     this.retryDelay = retryDelay;
   }
 
@@ -87,165 +69,183 @@
   }
 
   /**
-   * A claim that stands recorded has no answer yet: machines may be rented that nobody knows. After
-   * a while of no answers it counts as held and on its way, and others are asked for beside it.
+   * True while a recorded intent has no answer, so that machines may exist that this leader does
+   * not know. An intent that is unanswered for long counts as pending machines, and scale-out goes
+   * on beside it.
    */
   boolean haveUnanswered() {
-    long now = scheduler.nowMs();
+    long nowMs = scheduler.nowMs();
     return intents.values().stream()
-        .anyMatch(c -> c.recorded && c.hosts.isEmpty() && now - c.sinceMs < OPEN_MS);
+        .anyMatch(
+            intent ->
+                intent.isRecorded()
+                    && !intent.isAnswered()
+                    && nowMs - intent.sinceMs() < MAX_UNANSWERED_MS);
   }
 
-  /** What is asked for and not known yet, machine by machine. */
-  List<ScaleOutPlanner.PendingMachine> pendingMachines() {
-    List<ScaleOutPlanner.PendingMachine> coming = new ArrayList<>();
-    for (Intent c : intents.values()) {
-      for (int i = 0; c.hosts.isEmpty() && i < c.count; i++) {
-        coming.add(
-            new ScaleOutPlanner.PendingMachine(c.group.type(), c.group.zone(), c.group.spot()));
+  /** The machines of unanswered intents, each by its group; the caller may add to the list. */
+  List<MachineGroup> pendingMachines() {
+    List<MachineGroup> pending = new ArrayList<>();
+    for (ProvisioningIntent intent : intents.values()) {
+      for (int i = 0; !intent.isAnswered() && i < intent.count(); i++) {
+        pending.add(intent.group());
       }
     }
-    return coming;
+    return pending;
   }
 
-  /** Machines of the type in the zone that are asked for and not known yet. */
-  int inFlight(int type, int zone) {
-    int n = 0;
-    for (Intent c : intents.values()) {
-      if (c.hosts.isEmpty() && c.group.type() == type && c.group.zone() == zone) {
-        n += c.count;
+  /** How many machines of the type in the zone, of both kinds, unanswered intents ask for. */
+  int unansweredMachines(int type, int zone) {
+    int count = 0;
+    for (ProvisioningIntent intent : intents.values()) {
+      MachineGroup group = intent.group();
+      if (!intent.isAnswered() && group.type() == type && group.zone() == zone) {
+        count += intent.count();
       }
     }
-    return n;
+    return count;
   }
 
-  /** An earlier leader's claim: what it rented is learnt by asking for it again. */
+  /** Takes over an earlier leader's intent; a repeated request tells what it provisioned. */
   void inherit(Entry entry) {
-    Optional<ProvisioningIntentRecords.Requested> demanded = records.decode(entry.value());
-    if (demanded.isEmpty()) {
-      LOG.error("the record {} can't be read and is left as it is", entry.key());
+    Optional<ProvisioningIntentRecords.Requested> requested = records.decode(entry.value());
+    if (requested.isEmpty()) {
+      LOG.error("unreadable provisioning intent, record kept as it is: key={}", entry.key());
       return;
     }
     String name = ProvisioningIntentRecords.name(entry);
-    intents.put(name, new Intent(name, demanded.get(), true, scheduler.nowMs()));
+    intents.put(name, ProvisioningIntent.inherit(name, requested.get(), scheduler.nowMs()));
   }
 
-  /** Records a claim, and asks for it once the record stands. */
-  void provision(Autoscaler.MachineGroup group, int count, String cause) {
+  /** Records an intent, and requests its machines once the record is durable. */
+  void provision(MachineGroup group, int count) {
     String name = records.newName();
-    ProvisioningIntentRecords.Requested demanded =
+    ProvisioningIntentRecords.Requested requested =
         new ProvisioningIntentRecords.Requested(group, count);
-    Intent claim = new Intent(name, demanded, false, scheduler.nowMs());
-    intents.put(name, claim);
+    ProvisioningIntent intent = ProvisioningIntent.create(name, requested, scheduler.nowMs());
+    intents.put(name, intent);
     LOG.info(
-        "renting {} {} {} in {} as {}: {}",
+        "provisioning machines: intent={} count={} type={} zone={} spot={}",
+        name,
         count,
-        group.spot() ? "spot" : "ordinary",
         records.typeName(group),
         records.zoneName(group),
-        name,
-        cause);
-    // Durable first: a leader that takes over in between learns from it what may have been rented.
-    records.create(
-        name,
-        demanded,
-        outcome -> {
-          if (outcome == LeaderWriter.CreateOutcome.CREATED) {
-            claim.recorded = true;
-            request(claim);
-          } else {
-            intents.remove(name);
-          }
-        });
+        group.spot());
+    // Durable first: a leader that takes over in between learns what may have been provisioned.
+    records.create(name, requested, outcome -> recorded(intent, outcome));
+  }
+
+  private void recorded(ProvisioningIntent intent, LeaderWriter.CreateOutcome outcome) {
+    if (outcome == LeaderWriter.CreateOutcome.CREATED) {
+      intent.markRecorded();
+      request(intent);
+    } else {
+      intents.remove(intent.name());
+    }
   }
 
-  private void request(Intent claim) {
-    if (claim.asked || !mayCall.getAsBoolean()) {
+  private void request(ProvisioningIntent intent) {
+    if (intent.isRequestInFlight() || !tryTakeCall.getAsBoolean()) {
       return;
     }
-    claim.asked = true;
-    claim.askedMs = scheduler.nowMs();
-    Autoscaler.MachineGroup group = claim.group;
+    intent.requestSent(scheduler.nowMs());
+    MachineGroup group = intent.group();
     cloud.provision(
-        claim.name,
+        intent.name(),
         records.typeName(group),
         records.zoneName(group),
         group.spot(),
-        claim.count,
-        result -> answered(claim, result));
+        intent.count(),
+        result -> answered(intent, result));
   }
 
-  private void answered(Intent claim, CloudClient.ProvisionResult result) {
-    if (result instanceof CloudClient.ProvisionResult.Provisioned rented) {
-      rented(claim, rented.hosts());
+  private void answered(ProvisioningIntent intent, CloudClient.ProvisionResult result) {
+    if (result instanceof CloudClient.ProvisionResult.Provisioned provisioned) {
+      provisioned(intent, provisioned.hosts());
     } else if (result instanceof CloudClient.ProvisionResult.Malformed) {
-      // Asked for again for ever, it would keep all other rentals waiting.
-      LOG.error("the cloud does not take {} as it is: {} backs off", claim.name, claim.group);
-      quota.notFilled(claim.group);
-      removeIntent(claim);
+      // Repeated, it would stay unanswered and hold up all scale-out.
+      LOG.error(
+          "provisioning request rejected as malformed, group backs off: intent={} type={} zone={}"
+              + " spot={}",
+          intent.name(),
+          records.typeName(intent.group()),
+          records.zoneName(intent.group()),
+          intent.group().spot());
+      giveUp(intent);
     } else if (result instanceof CloudClient.ProvisionResult.NoCapacity) {
-      LOG.info("no capacity for {}", claim.name);
-      quota.notFilled(claim.group);
-      removeIntent(claim);
+      LOG.info("no capacity, group backs off: intent={}", intent.name());
+      giveUp(intent);
     } else {
-      // No answer, or a refusal: the same claim is asked for again, which rents once at most.
-      scheduler.schedule(retryDelay.nextMs(), () -> claim.asked = false);
+      // No answer, or refused for now: repeated by name, it provisions once at most.
+      scheduler.schedule(retryDelay.nextMs(), intent::allowRetry);
     }
   }
 
-  private void rented(Intent claim, List<String> hosts) {
-    claim.hosts = Optional.of(hosts);
-    Autoscaler.MachineGroup g = claim.group;
-    if (hosts.size() < claim.count) {
-      quota.notFilled(g);
+  private void giveUp(ProvisioningIntent intent) {
+    limits.notFilled(intent.group());
+    removeRecord(intent);
+  }
+
+  private void provisioned(ProvisioningIntent intent, List<String> hosts) {
+    intent.answered(hosts);
+    MachineGroup group = intent.group();
+    if (hosts.size() < intent.count()) {
+      limits.notFilled(group);
     } else {
-      quota.filled(g);
+      limits.filled(group);
     }
-    for (String id : hosts) {
-      if (!fleet.wasTerminated(id)) {
+    for (String host : hosts) {
+      if (!fleet.wasTerminated(host)) {
         fleet
-            .adopt(id, records.typeName(g), records.zoneName(g), g.spot(), scheduler.nowMs())
-            .filter(m -> claim.byUs)
-            .ifPresent(machine -> rentedByUs(machine, claim));
+            .adopt(
+                host,
+                records.typeName(group),
+                records.zoneName(group),
+                group.spot(),
+                scheduler.nowMs())
+            .filter(machine -> !intent.isInherited())
+            .ifPresent(machine -> provisionedInThisTerm(machine, intent));
       }
     }
   }
 
-  private static void rentedByUs(Machine machine, Intent claim) {
-    machine.provisionedAt(claim.askedMs);
+  private static void provisionedInThisTerm(Machine machine, ProvisioningIntent intent) {
+    machine.provisionedAt(intent.requestedMs());
     machine.endQuarantine();
   }
 
-  /** Asks for what has no answer yet, and drops the records of what is known by now. */
+  /** Repeats requests without an answer, and removes intents all of whose machines are known. */
   void retryUnanswered() {
-    for (Intent c : List.copyOf(intents.values())) {
-      if (c.recorded && c.hosts.isEmpty()) {
-        request(c);
-      } else if (c.hosts.isPresent() && c.hosts.get().stream().allMatch(this::seen)) {
-        removeIntent(c);
+    for (ProvisioningIntent intent : List.copyOf(intents.values())) {
+      if (intent.isRecorded() && !intent.isAnswered()) {
+        request(intent);
+      } else if (intent.hosts().isPresent()
+          && intent.hosts().get().stream().allMatch(this::isKnown)) {
+        removeRecord(intent);
       }
     }
   }
 
-  private boolean seen(String id) {
-    return fleet.get(id).map(m -> m.isUp() || m.isListed()).orElse(true);
+  /** True when the machine was seen in the list or by a heartbeat, or is gone again. */
+  private boolean isKnown(String host) {
+    return fleet.get(host).map(machine -> machine.isUp() || machine.isListed()).orElse(true);
   }
 
-  private void removeIntent(Intent claim) {
-    if (claim.removing) {
+  private void removeRecord(ProvisioningIntent intent) {
+    if (intent.isRemoving()) {
       return;
     }
-    claim.removing = true;
+    intent.removing(true);
     records.remove(
-        claim.name,
-        gone -> {
-          if (gone) {
-            intents.remove(claim.name);
-          } else {
-            scheduler.schedule(REMOVE_RETRY_MS, () -> claim.removing = false);
-            if (claim.hosts.isEmpty()) {
-              claim.hosts = Optional.of(List.of());
-            }
+        intent.name(),
+        removed -> {
+          if (removed) {
+            intents.remove(intent.name());
+            return;
+          }
+          scheduler.schedule(REMOVE_RETRY_MS, () -> intent.removing(false));
+          if (!intent.isAnswered()) {
+            intent.answered(List.of());
           }
         });
   }
--- a/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
@@ -10,71 +10,69 @@
 import org.ploverspindle.scalein.MachineTerminations;
 import org.ploverspindle.scalein.TerminationClient;
 
-/** Looks again and again which machines go back, and has their returns carried out. */
+/** Selects the machines to terminate, round by round, and has their terminations carried out. */
 final class ScaleInPlanner {
-  /** Of a large fleet, one machine in so many may go in one look, by several requests. */
-  private static final int PART_PER_LOOK = 20;
+  /** In a large fleet, one of so many machines may go in one round, by several requests. */
+  private static final int MACHINES_PER_TERMINATION = 20;
 
-  /**
-   * The return of idle machines waits for no longer than this for writes that nothing else needs.
-   */
-  private static final long LONGEST_WAIT_MS = 3_000;
+  /** Idle machines wait no longer than this for spare writes to the state service. */
+  private static final long MAX_WAIT_FOR_WRITES_MS = 3_000;
 
   private final Scheduler scheduler;
   private final MachineRegistry fleet;
-  private final UnusableMachines useless;
+  private final UnusableMachines unusable;
   private final IdleMachines idle;
-  private final MachineTerminations returns;
-  private final BooleanSupplier mayDecide;
-  private long lastIdleReturnMs;
+  private final MachineTerminations terminations;
+  private final BooleanSupplier isAuthoritative;
+  private long lastIdleTerminationMs;
 
   /**
-   * @param mayDecide whether this leader is sure of its lead
+   * @param isAuthoritative whether this leader's lease is certainly valid
    */
   ScaleInPlanner(
       Scheduler scheduler,
       MachineRegistry fleet,
-      UnusableMachines useless,
+      UnusableMachines unusable,
       IdleMachines idle,
-      MachineTerminations returns,
-      BooleanSupplier mayDecide) {
+      MachineTerminations terminations,
+      BooleanSupplier isAuthoritative) {
     this.scheduler = scheduler;
     this.fleet = fleet;
-    this.useless = useless;
+    this.unusable = unusable;
     this.idle = idle;
-    this.returns = returns;
-    this.mayDecide = mayDecide;
-    this.lastIdleReturnMs = scheduler.nowMs();
+    this.terminations = terminations;
+    this.isAuthoritative = isAuthoritative;
+    this.lastIdleTerminationMs = scheduler.nowMs();
   }
 
-  /** Begins the returns that are due, and carries on with those that were begun. */
+  /** Begins the terminations that are due, and advances those that were begun. */
   void run() {
-    if (!mayDecide.getAsBoolean()) {
+    if (!isAuthoritative.getAsBoolean()) {
       return;
     }
-    returns.begin(select());
-    returns.advance();
+    terminations.begin(select());
+    terminations.advance();
   }
 
   private List<Machine> select() {
     long nowMs = scheduler.nowMs();
-    int most =
-        Math.max(TerminationClient.MAX_HOSTS_PER_RELEASE, fleet.all().size() / PART_PER_LOOK);
-    boolean idleMayGo = mayReturnIdle(nowMs);
-    Predicate<Machine> isIdle = idleMayGo ? idle.look(nowMs) : machine -> false;
-    FleetConnectivity hearing = useless.connectivity(nowMs);
+    int maxMachines =
+        Math.max(
+            TerminationClient.MAX_HOSTS_PER_RELEASE, fleet.all().size() / MACHINES_PER_TERMINATION);
+    Predicate<Machine> isIdle = mayTerminateIdle(nowMs) ? idle.newRound(nowMs) : machine -> false;
+    FleetConnectivity connectivity = unusable.connectivity(nowMs);
     List<Machine> selected = new ArrayList<>();
     for (Machine machine : fleet.all()) {
-      if (selected.size() >= most) {
+      if (selected.size() >= maxMachines) {
         break;
       }
       if (machine.isTerminating()) {
         continue;
       }
-      if (useless.test(machine, nowMs, hearing)) {
+      if (unusable.test(machine, nowMs, connectivity)) {
         selected.add(machine);
       } else if (isIdle.test(machine)) {
-        lastIdleReturnMs = nowMs;
+        lastIdleTerminationMs = nowMs;
         selected.add(machine);
       }
     }
@@ -82,11 +80,12 @@
   }
 
   /**
-   * An idle machine may still get work, which can't be taken back once its return has begun: so it
-   * waits behind the writes of that work, and while returns do not come further.
+   * An idle machine may still get work, but not once its termination has begun, which is never
+   * revoked. So idle machines wait behind the writes of that work, and while terminations stall.
    */
-  private boolean mayReturnIdle(long nowMs) {
-    return !returns.isStalled()
-        && (returns.hasSpareWrites() || nowMs - lastIdleReturnMs >= LONGEST_WAIT_MS);
+  private boolean mayTerminateIdle(long nowMs) {
+    return !terminations.isStalled()
+        && (terminations.hasSpareWrites()
+            || nowMs - lastIdleTerminationMs >= MAX_WAIT_FOR_WRITES_MS);
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
@@ -2,58 +2,67 @@
 
 import java.util.HashSet;
 import java.util.Set;
+import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
 /**
- * How many machines of a group one scan may ask for, and what follows from how the cloud answered
- * the group's last rental.
+ * Limits what one scale-out round may request of a group, by the rate limits and by how the cloud
+ * answered the group's last request.
  */
 final class ScaleOutLimits {
-  /** Part of what the cloud's rate allows between two scans that one group's rentals may take. */
-  private static final double GROUP_SHARE = 0.4;
+  /** Part of the calls between two rounds that one group's requests may take. */
+  private static final double CALL_SHARE = 0.4;
 
-  /** Part of the state service's changes that one group's claims may take. */
-  private static final double RECORDS_SHARE = 0.15;
+  /** Part of the state service's writes that the records of one group's intents may take. */
+  private static final double WRITE_SHARE = 0.15;
 
   private final GroupBackoffs backoffs;
 
   /**
-   * Machines of one group that may be rented in one scan. The design has one rental; a fleet of
-   * hundreds would then take minutes to come up, as the cloud rents at most 50 machines at a time.
+   * GEP-24 sends one request a round. A fleet of hundreds would then take minutes to come up, as
+   * the cloud limits the machines of one request.
    */
-  private final int mostPerScan;
+  private final int maxPerRound;
 
-  /** Groups whose last rental was refused or partly filled: the next one is a try. */
-  private final Set<Autoscaler.MachineGroup> edges = new HashSet<>();
+  /** Groups whose last request was refused or partly filled: the next one only tries. */
+  private final Set<MachineGroup> limitedGroups = new HashSet<>();
 
   /**
-   * @param callsPerS rate of calls to the cloud
+   * @param callsPerS the rate of the budget of calls to the cloud
    */
   ScaleOutLimits(GroupBackoffs backoffs, Policy policy, Settings settings, double callsPerS) {
     this.backoffs = backoffs;
-    double calls = callsPerS * policy.scanS() * GROUP_SHARE;
-    // Each is recorded before it is asked for, and the leader's other writes must not wait for it.
-    double records = settings.writeLimits().writeRps() * policy.scanS() * RECORDS_SHARE;
-    this.mostPerScan =
-        ProvisioningIntents.MAX_MACHINES_PER_REQUEST * Math.max(1, (int) Math.min(calls, records));
+    double calls = callsPerS * policy.scanS() * CALL_SHARE;
+    // Each intent is recorded first, and the leader's other writes must not wait for the records.
+    double writes = settings.writeLimits().writeRps() * policy.scanS() * WRITE_SHARE;
+    int maxRequests = Math.max(1, (int) Math.min(calls, writes));
+    this.maxPerRound = ProvisioningIntents.MAX_MACHINES_PER_REQUEST * maxRequests;
   }
 
   /**
-   * What one scan may rent of the group. After a refusal one rental is asked for before more: five
-   * at once were refused together, and their ten records held up a second's placements.
+   * How many machines of the group one round may request. After a refusal it is one request:
+   * several at once would be refused together, and their records would hold up placements.
    */
-  int most(Autoscaler.MachineGroup group) {
-    return edges.contains(group) ? ProvisioningIntents.MAX_MACHINES_PER_REQUEST : mostPerScan;
+  int maxPerRound(MachineGroup group) {
+    return limitedGroups.contains(group)
+        ? ProvisioningIntents.MAX_MACHINES_PER_REQUEST
+        : maxPerRound;
   }
 
-  /** A rental of the group was refused, or filled in part: the group backs off. */
-  void notFilled(Autoscaler.MachineGroup group) {
-    edges.add(group);
+  /** True when the group gets no request at present. */
+  boolean isBackedOff(MachineGroup group) {
+    return backoffs.isBackedOff(group);
+  }
+
+  /** A request was refused or filled in part: the group backs off. */
+  void notFilled(MachineGroup group) {
+    limitedGroups.add(group);
     backoffs.backOff(group);
   }
 
-  void filled(Autoscaler.MachineGroup group) {
-    edges.remove(group);
+  /** A request was filled. */
+  void filled(MachineGroup group) {
+    limitedGroups.remove(group);
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/cloud/ScaleOutRound.java
@@ -0,0 +1,82 @@
+package org.ploverspindle.cloud;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.MachineRegistry;
+import org.ploverspindle.eventloop.Scheduler;
+import org.ploverspindle.placement.MachineGroup;
+import org.ploverspindle.placement.ScaleOutPlanner;
+
+/**
+ * One scale-out round, GEP-24's scan: evaluates the pools' bounds, plans what pending work needs,
+ * and requests the machines.
+ */
+final class ScaleOutRound {
+  private final Scheduler scheduler;
+  private final MachineRegistry fleet;
+  private final BootTracker boots;
+  private final CandidateGroups candidateGroups;
+  private final ScaleOutLimits limits;
+  private final ProvisioningIntents intents;
+  private final Autoscaler.Workload workload;
+
+  ScaleOutRound(
+      Scheduler scheduler,
+      MachineRegistry fleet,
+      BootTracker boots,
+      CandidateGroups candidateGroups,
+      ScaleOutLimits limits,
+      ProvisioningIntents intents,
+      Autoscaler.Workload workload) {
+    this.scheduler = scheduler;
+    this.fleet = fleet;
+    this.boots = boots;
+    this.candidateGroups = candidateGroups;
+    this.limits = limits;
+    this.intents = intents;
+    this.workload = workload;
+  }
+
+  /** Plans and requests. To be called only when the fleet and the open intents are known. */
+  void run() {
+    boots.observe(fleet.all(), scheduler.nowMs());
+    CandidateGroups.Evaluation evaluation = candidateGroups.evaluate();
+    Map<MachineGroup, Integer> requested = new LinkedHashMap<>(evaluation.missing());
+    List<MachineGroup> pending = pendingMachines();
+    evaluation
+        .missing()
+        .forEach(
+            (group, count) -> {
+              for (int i = 0; i < count; i++) {
+                pending.add(group);
+              }
+            });
+    for (ScaleOutPlanner.Request request :
+        workload.scaleOutRequests(evaluation.candidates(), pending)) {
+      requested.merge(request.group(), request.count(), Integer::sum);
+    }
+    requested.forEach(this::provision);
+  }
+
+  /** Machines that boot in time and machines that are requested, each by its group. */
+  private List<MachineGroup> pendingMachines() {
+    List<MachineGroup> pending = intents.pendingMachines();
+    long nowMs = scheduler.nowMs();
+    for (Machine machine : fleet.all()) {
+      if (!machine.isUp() && !machine.isDecommissioning() && !boots.isOverdue(machine, nowMs)) {
+        pending.add(MachineGroup.of(machine));
+      }
+    }
+    return pending;
+  }
+
+  private void provision(MachineGroup group, int count) {
+    int left = Math.min(count, limits.maxPerRound(group));
+    while (left > 0) {
+      intents.provision(group, Math.min(ProvisioningIntents.MAX_MACHINES_PER_REQUEST, left));
+      left -= ProvisioningIntents.MAX_MACHINES_PER_REQUEST;
+    }
+  }
+}
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -214,18 +214,17 @@
   }
 
   private Autoscaler newRentals(LeaderContext context, ScaleOutDemand demand) {
+    Autoscaler.Environment environment =
+        new Autoscaler.Environment(
+            scheduler,
+            context.random(),
+            context.cloud(),
+            context.catalogue(),
+            context.policy(),
+            context.settings());
+    LeaderWriter leaderWriter = new LeaderWriter(context.store(), replica, context.writes(), term);
     return new Autoscaler(
-        scheduler,
-        context.cloud(),
-        context.catalogue(),
-        fleet,
-        replica,
-        new LeaderWriter(context.store(), replica, context.writes(), term),
-        context.policy(),
-        context.settings(),
-        context.random(),
-        term,
-        demand);
+        environment, new Autoscaler.LeaderState(term, fleet, replica, leaderWriter), demand);
   }
 
   private HeartbeatHandler newReportHandler() {
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -17,6 +17,7 @@
 import org.ploverspindle.model.Catalogue;
 import org.ploverspindle.model.MachineType;
 import org.ploverspindle.placement.ArrivalForecast;
+import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.placement.Placer;
 import org.ploverspindle.placement.RuntimeEstimates;
 import org.ploverspindle.placement.ScaleOutPlanner;
@@ -72,7 +73,7 @@
 
   @Override
   public List<ScaleOutPlanner.Request> scaleOutRequests(
-      List<ScaleOutPlanner.Candidate> offers, List<ScaleOutPlanner.PendingMachine> coming) {
+      List<ScaleOutPlanner.Candidate> offers, List<MachineGroup> coming) {
     long nowMs = scheduler.nowMs();
     long wallMs = scheduler.wallMs();
     arrivals.update();
--- a/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
@@ -27,24 +27,34 @@
  */
 public final class ScaleOutPlanner {
   /**
-   * A group's kind that may be rented from now, and how many machines at most.
+   * A group that may grow now.
    *
-   * @param held machines of the type that there are in the zone
-   * @param bootsLate its machines come late or never at present
+   * @param maxMachines how many machines may be requested
+   * @param held machines of the type, of both kinds, that exist or are requested in the zone
+   * @param bootsLate its machines come up late or never at present
    */
-  public record Candidate(
-      int type, int zone, boolean spot, int room, int held, boolean bootsLate) {}
+  public record Candidate(MachineGroup group, int maxMachines, int held, boolean bootsLate) {
+    int type() {
+      return group.type();
+    }
+
+    int zone() {
+      return group.zone();
+    }
 
-  public record Request(int type, int zone, boolean spot, int count) {}
+    boolean spot() {
+      return group.spot();
+    }
+  }
 
-  /** A machine that is on its way. */
-  public record PendingMachine(int type, int zone, boolean spot) {}
+  /** So many machines of the group are to be requested. */
+  public record Request(MachineGroup group, int count) {}
 
   private static final class Virtual {
-    private final PendingMachine what;
+    private final MachineGroup what;
     private Resources free;
 
-    Virtual(PendingMachine what, Resources free) {
+    Virtual(MachineGroup what, Resources free) {
       this.what = what;
       this.free = free;
     }
@@ -69,7 +79,7 @@
     }
 
     int room() {
-      return offer.room() - taken;
+      return offer.maxMachines() - taken;
     }
   }
 
@@ -119,13 +129,13 @@
       List<Job> waiting,
       Collection<Job> all,
       List<Machine> machines,
-      List<PendingMachine> comingNow,
+      List<MachineGroup> comingNow,
       List<Candidate> offersNow,
       Optional<Job> expected,
       double coresForRate,
       long nowMs,
       long wallMs) {
-    for (PendingMachine c : comingNow) {
+    for (MachineGroup c : comingNow) {
       coming.add(new Virtual(c, catalogue.type(c.type()).size()));
     }
     offersNow.forEach(o -> offers.add(new OpenCandidate(o)));
@@ -145,7 +155,7 @@
     List<Request> wanted = new ArrayList<>();
     for (OpenCandidate o : offers) {
       if (o.taken > 0) {
-        wanted.add(new Request(o.offer.type(), o.offer.zone(), o.offer.spot(), o.taken));
+        wanted.add(new Request(o.offer.group(), o.taken));
       }
     }
     return wanted;
@@ -377,7 +387,7 @@
       rentedCores += size.cores();
       count(group(o.offer.type(), o.offer.zone(), o.offer.spot()), size.cores());
       Virtual fresh =
-          new Virtual(new PendingMachine(o.offer.type(), o.offer.zone(), o.offer.spot()), size);
+          new Virtual(new MachineGroup(o.offer.type(), o.offer.zone(), o.offer.spot()), size);
       coming.add(fresh);
       need -= fill(fresh, job, need);
       anywhere = true;
--- a/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
+++ b/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
@@ -19,18 +19,19 @@
 import org.ploverspindle.model.Resources;
 import org.ploverspindle.model.SafetyTiming;
 import org.ploverspindle.model.Term;
+import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.settings.Settings;
 
-/** Machines of a type that takes 30 s by the cloud's word, and what is thought of them. */
+/** Boots of a type for which the cloud gives a boot time of 30 s. */
 class BootTrackerTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final Settings.WorkerLimits WORKERS = new Settings.WorkerLimits(3, 14, 39);
 
   private final Catalogue catalogue = new Catalogue(List.of("a"));
   private final MachineRegistry fleet;
-  private final HeartbeatHandler reportHandler;
+  private final HeartbeatHandler handler;
   private final BootTracker boots;
-  private final Autoscaler.MachineGroup group = new Autoscaler.MachineGroup(0, 0, true);
+  private final MachineGroup group = new MachineGroup(0, 0, true);
 
   BootTrackerTest() {
     catalogue.update(
@@ -38,56 +39,57 @@
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
     fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
-    reportHandler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
+    handler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
     boots = new BootTracker(catalogue);
   }
 
-  private List<Machine> rented(int from, int count, long atMs) {
+  private List<Machine> provision(int from, int count, long atMs) {
     List<Machine> machines = new ArrayList<>();
     for (int i = from; i < from + count; i++) {
-      Machine m = fleet.adopt("i-" + i, "t", "a", true, atMs).orElseThrow();
-      m.provisionedAt(atMs);
-      machines.add(m);
+      Machine machine = fleet.adopt("i-" + i, "t", "a", true, atMs).orElseThrow();
+      machine.provisionedAt(atMs);
+      machines.add(machine);
     }
     return machines;
   }
 
-  private void comesUp(Machine m, long nowMs) {
-    reportHandler.handle(
-        new Heartbeat(m.host(), "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
+  private void bootsAt(Machine machine, long nowMs) {
+    handler.handle(
+        new Heartbeat(
+            machine.host(), "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
         nowMs);
   }
 
   @Test
-  void machinesThatComeAsTheyShouldSpeakForTheirGroup() {
-    rented(0, 10, 0).forEach(m -> comesUp(m, 35_000));
-    List<Machine> odd = rented(10, 2, 0);
+  void aFewMachinesThatDoNotBootDoNotMakeTheirGroupBad() {
+    provision(0, 10, 0).forEach(m -> bootsAt(m, 35_000));
+    List<Machine> missing = provision(10, 2, 0);
     boots.observe(fleet.all(), 60_000);
-    assertFalse(boots.isBootingBadly(group), "two of twelve are the odd ones");
-    assertTrue(boots.isOverdue(odd.get(0), 60_000));
-    assertFalse(boots.isStuck(odd.get(0), 100_000));
-    assertTrue(boots.isStuck(odd.get(0), 106_000));
+    assertFalse(boots.isBootingBadly(group), "two of twelve are single failures");
+    assertTrue(boots.isOverdue(missing.get(0), 60_000));
+    assertFalse(boots.isStuck(missing.get(0), 100_000));
+    assertTrue(boots.isStuck(missing.get(0), 106_000));
   }
 
   @Test
-  void aGroupOfWhichNoneComesIsBadAndItsMachinesAreNotWaitedFor() {
-    List<Machine> none = rented(0, 10, 0);
+  void aGroupOfWhichNoMachineBootsIsBadAndItsMachinesAreOverdue() {
+    List<Machine> booting = provision(0, 10, 0);
     boots.observe(fleet.all(), 50_000);
     assertFalse(boots.isBootingBadly(group));
     boots.observe(fleet.all(), 57_000);
     assertTrue(boots.isBootingBadly(group));
-    assertTrue(none.stream().allMatch(m -> boots.isOverdue(m, 57_000)));
-    rented(10, 12, 60_000).forEach(m -> comesUp(m, 90_000));
+    assertTrue(booting.stream().allMatch(m -> boots.isOverdue(m, 57_000)));
+    provision(10, 12, 60_000).forEach(m -> bootsAt(m, 90_000));
     boots.observe(fleet.all(), 90_000);
-    assertFalse(boots.isBootingBadly(group), "boots are well again");
+    assertFalse(boots.isBootingBadly(group), "machines boot in time again");
   }
 
   @Test
-  void whereMachinesComeLateTheOthersAreWaitedForAsLong() {
-    List<Machine> late = rented(0, 10, 0);
+  void whereMachinesBootSlowlyTheOthersAreOverdueLater() {
+    List<Machine> late = provision(0, 10, 0);
     boots.observe(fleet.all(), 80_000);
     assertTrue(boots.isOverdue(late.get(9), 80_000));
-    late.subList(0, 3).forEach(m -> comesUp(m, 90_000));
+    late.subList(0, 3).forEach(m -> bootsAt(m, 90_000));
     boots.observe(fleet.all(), 90_000);
     assertFalse(boots.isOverdue(late.get(9), 110_000), "three times as long is usual now");
     assertFalse(boots.isStuck(late.get(9), 125_000));
@@ -97,10 +99,10 @@
   }
 
   @Test
-  void whatAnEarlierLeaderRentedAndWasUpSaysNothingOfBoots() {
-    Machine m = fleet.adopt("i-1", "t", "a", true, 0).orElseThrow();
-    comesUp(m, 4_000);
-    List<Machine> mine = rented(10, 3, 0);
+  void machinesOfAnEarlierLeaderThatWereUpDoNotCountAsBoots() {
+    Machine earlier = fleet.adopt("i-1", "t", "a", true, 0).orElseThrow();
+    bootsAt(earlier, 4_000);
+    List<Machine> mine = provision(10, 3, 0);
     boots.observe(fleet.all(), 57_000);
     assertEquals(3, mine.stream().filter(x -> boots.isOverdue(x, 57_000)).count());
     assertTrue(boots.isBootingBadly(group));
--- a/src/test/java/org/ploverspindle/cloud/UnusableMachinesTest.java
+++ b/src/test/java/org/ploverspindle/cloud/UnusableMachinesTest.java
@@ -24,7 +24,9 @@
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
-/** Machines that fell silent: few of them are lost; when most are, it is the leader's own line. */
+/**
+ * Machines whose heartbeats stopped are terminated, unless most have: then the leader is cut off.
+ */
 class UnusableMachinesTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final Settings.WorkerLimits WORKERS = new Settings.WorkerLimits(3, 14, 39);
@@ -34,7 +36,7 @@
   private final Catalogue catalogue = new Catalogue(List.of("a"));
   private final MachineRegistry fleet;
   private final HeartbeatHandler handler;
-  private final UnusableMachines useless;
+  private final UnusableMachines unusable;
 
   UnusableMachinesTest() {
     catalogue.update(
@@ -45,11 +47,11 @@
     handler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
     Policy policy = new Policy(10, 30, 60, 0, 100, 30, Map.of());
     GroupBackoffs backoffs = new GroupBackoffs(new EventLoop(), catalogue, policy, new Random(1));
-    useless =
+    unusable =
         new UnusableMachines(fleet, new BootTracker(catalogue), backoffs, 0, WORKERS.leaseS());
   }
 
-  private void report(int machine, int tally, long nowMs, long warrant) {
+  private void heartbeat(int machine, int sequence, long nowMs, long fencingToken) {
     handler.handle(
         new Heartbeat(
             "i-" + machine,
@@ -58,43 +60,45 @@
             "a",
             true,
             1,
-            tally,
-            warrant,
+            sequence,
+            fencingToken,
             OptionalDouble.empty(),
             List.of()),
         nowMs);
   }
 
-  private long useless(long nowMs) {
-    FleetConnectivity hearing = useless.connectivity(nowMs);
-    return fleet.all().stream().filter(m -> useless.test(m, nowMs, hearing)).count();
+  private long unusableCount(long nowMs) {
+    FleetConnectivity connectivity = unusable.connectivity(nowMs);
+    return fleet.all().stream()
+        .filter(machine -> unusable.test(machine, nowMs, connectivity))
+        .count();
   }
 
   @ParameterizedTest
   @CsvSource({"3, 3", "5, 5", "6, 0", "10, 0"})
-  void silentMachinesGoBackUnlessMostAreSilent(int silent, int expected) {
+  void silentMachinesAreTerminatedUnlessMostAreSilent(int silent, int expected) {
     for (int i = 0; i < MACHINES; i++) {
-      report(i, 1, 1_000, TERM.fencingToken());
+      heartbeat(i, 1, 1_000, TERM.fencingToken());
     }
     for (int i = silent; i < MACHINES; i++) {
-      report(i, 2, SILENT_MS, TERM.fencingToken());
+      heartbeat(i, 2, SILENT_MS, TERM.fencingToken());
     }
-    assertEquals(expected, useless(SILENT_MS));
-    assertEquals(0, useless(20_000), "their next session may begin late");
+    assertEquals(expected, unusableCount(SILENT_MS));
+    assertEquals(0, unusableCount(20_000), "their next agent epoch may begin late");
   }
 
   @Test
-  void machinesThatTheListCondemnedGoAndThoseUnderReturnTakeNoWork() {
-    report(0, 1, 1_000, TERM.fencingToken());
-    report(1, 1, 1_000, TERM.fencingToken());
-    Machine condemned = fleet.get("i-0").orElseThrow();
-    condemned.markUnusable();
-    assertEquals(1, useless(2_000));
+  void unusableMachinesAreTerminatedAndTerminatingOnesTakeNoWork() {
+    heartbeat(0, 1, 1_000, TERM.fencingToken());
+    heartbeat(1, 1, 1_000, TERM.fencingToken());
+    Machine markedUnusable = fleet.get("i-0").orElseThrow();
+    markedUnusable.markUnusable();
+    assertEquals(1, unusableCount(2_000));
     fleet.beginTermination("i-1");
-    Machine returning = fleet.get("i-1").orElseThrow();
+    Machine terminating = fleet.get("i-1").orElseThrow();
     assertEquals(
         List.of(false, false),
-        List.of(condemned, returning).stream()
+        List.of(markedUnusable, terminating).stream()
             .map(machine -> machine.isSchedulable(2_000, 5_000))
             .toList());
   }
--- a/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
+++ b/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
@@ -24,8 +24,8 @@
   private static final long NOW = 1_000_000;
   private static final List<ScaleOutPlanner.Candidate> OFFERS =
       List.of(
-          new ScaleOutPlanner.Candidate(0, 0, true, 500, 0, false),
-          new ScaleOutPlanner.Candidate(1, 0, true, 500, 0, false));
+          new ScaleOutPlanner.Candidate(new MachineGroup(0, 0, true), 500, 0, false),
+          new ScaleOutPlanner.Candidate(new MachineGroup(1, 0, true), 500, 0, false));
 
   private final Catalogue catalogue = new Catalogue(List.of("a", "b", "c"));
   private final TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
@@ -56,7 +56,7 @@
     new ScaleOutPlanner(catalogue, teams, new RuntimeEstimates(), aims, 30)
         .plan(
             List.of(job), List.of(job), machines, List.of(), OFFERS, Optional.empty(), 0, NOW, NOW)
-        .forEach(w -> cores[w.type()] += w.count() * (w.type() == 0 ? 4 : 16));
+        .forEach(w -> cores[w.group().type()] += w.count() * (w.group().type() == 0 ? 4 : 16));
     return cores;
   }
 
@@ -94,15 +94,15 @@
     int[] rented = new int[3];
     List<ScaleOutPlanner.Candidate> offers =
         List.of(
-            new ScaleOutPlanner.Candidate(1, 0, true, 450, 30, false),
-            new ScaleOutPlanner.Candidate(1, 1, true, 450, 0, false),
-            new ScaleOutPlanner.Candidate(1, 2, true, 4, 0, false));
+            new ScaleOutPlanner.Candidate(new MachineGroup(1, 0, true), 450, 30, false),
+            new ScaleOutPlanner.Candidate(new MachineGroup(1, 1, true), 450, 0, false),
+            new ScaleOutPlanner.Candidate(new MachineGroup(1, 2, true), 4, 0, false));
     Job job = job(8, 100, 50, 60);
     new ScaleOutPlanner(
             catalogue, teams, new RuntimeEstimates(), new ServiceLevelObjectives(List.of()), 30)
         .plan(
             List.of(job), List.of(job), List.of(), List.of(), offers, Optional.empty(), 0, NOW, NOW)
-        .forEach(w -> rented[w.zone()] += w.count());
+        .forEach(w -> rented[w.group().zone()] += w.count());
     assertEquals(50, rented[0] + rented[1] + rented[2]);
     assertEquals(4, rented[2], "a zone with little room is used up");
     assertTrue(Math.abs(rented[0] + 30 - rented[1]) <= 1, rented[0] + " and " + rented[1]);
@@ -113,14 +113,14 @@
     Job job = job(2, 100, 50, 60);
     List<ScaleOutPlanner.Candidate> offers =
         List.of(
-            new ScaleOutPlanner.Candidate(0, 0, true, 500, 0, true),
-            new ScaleOutPlanner.Candidate(1, 0, true, 3, 0, false));
+            new ScaleOutPlanner.Candidate(new MachineGroup(0, 0, true), 500, 0, true),
+            new ScaleOutPlanner.Candidate(new MachineGroup(1, 0, true), 3, 0, false));
     int[] rented = new int[2];
     new ScaleOutPlanner(
             catalogue, teams, new RuntimeEstimates(), new ServiceLevelObjectives(List.of()), 30)
         .plan(
             List.of(job), List.of(job), List.of(), List.of(), offers, Optional.empty(), 0, NOW, NOW)
-        .forEach(w -> rented[w.type()] += w.count());
+        .forEach(w -> rented[w.group().type()] += w.count());
     assertEquals(3, rented[1], "all that come in time");
     assertTrue(rented[0] >= 30, rented[0] + " of the others for the rest");
   }
