--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -21,6 +21,7 @@
 import org.ploverspindle.pipelines.DependencyGraph;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.placement.ArrivalForecast;
+import org.ploverspindle.placement.ClusterView;
 import org.ploverspindle.placement.Placer;
 import org.ploverspindle.placement.RuntimeEstimates;
 import org.ploverspindle.placement.ScaleOutPlanner;
@@ -184,14 +185,11 @@
   private Placer newPlacer(LeaderContext context) {
     double reportS = context.settings().workers().reportS();
     return new Placer(
-        context.catalogue(),
-        fleet,
-        jobs,
-        teams,
+        new ClusterView(context.catalogue(), fleet, jobs, teams),
         estimates,
-        this::nextAttempt,
         aims,
         Math.round((reportS * SILENCE_PER_REPORT + SILENCE_MARGIN_S) * MS_PER_S),
+        this::nextAttempt,
         progress::placed);
   }
 
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -82,13 +82,12 @@
     ScaleOutPlanner demand = demands.get();
     List<ScaleOutPlanner.Request> wanted =
         demand.plan(
-            placer.pendingJobs(nowMs, wallMs),
-            jobs.all(),
-            usable,
-            coming,
-            offers,
-            expected(),
-            forecast.coresForRate(estimates, wallMs),
+            new ScaleOutPlanner.Work(
+                placer.pendingJobs(nowMs, wallMs),
+                jobs.all(),
+                expected(),
+                forecast.coresForRate(estimates, wallMs)),
+            new ScaleOutPlanner.Supply(usable, coming, offers),
             nowMs,
             wallMs);
     retire(usable, demand);
--- a/src/main/java/org/ploverspindle/placement/Capacity.java
+++ b/src/main/java/org/ploverspindle/placement/Capacity.java
@@ -7,62 +7,65 @@
 import org.ploverspindle.cluster.Placement;
 
 /**
- * How much work the machines can take on within a time, beside what they run now. The times at
- * which cores come free are kept in steps of a quarter of a second, far finer than any estimate is
- * right, so that making it takes one look at each placement and no sorting: a large fleet has
- * twenty thousand.
+ * How much work can be done within a time, beside what runs now. The times at which cores become
+ * free are kept in steps, far finer than any estimate is right, so that one pass over the
+ * placements is enough, without sorting: a large fleet has tens of thousands.
  */
 final class Capacity {
   private static final double STEP_S = 0.25;
   private static final int STEPS = 4_800;
 
-  /**
-   * Cores that come free before the end of step i, and the sum of cores times seconds till then.
-   */
+  /** Cores that are free at the end of step i, in thousandths. */
   private final double[] cores = new double[STEPS + 1];
 
+  /** The sum, over these cores, of the seconds until each becomes free. */
   private final double[] coreSeconds = new double[STEPS + 1];
 
-  Capacity(MachineRegistry fleet, RuntimeEstimates estimates, long nowMs, long silenceMs) {
-    for (Machine m : fleet.all()) {
-      if (m.isSchedulable(nowMs, silenceMs)) {
-        add(m.free().cores(), 0);
-        for (Placement p : m.placements()) {
-          add(p.job().perTask().cores(), estimates.remainingS(p, nowMs));
+  /**
+   * The capacity of all machines that take tasks.
+   *
+   * @param heartbeatTimeoutMs a machine without a heartbeat for longer does not count
+   */
+  Capacity(MachineRegistry fleet, RuntimeEstimates estimates, long nowMs, long heartbeatTimeoutMs) {
+    for (Machine machine : fleet.all()) {
+      if (machine.isSchedulable(nowMs, heartbeatTimeoutMs)) {
+        add(machine.free().cores(), 0);
+        for (Placement placement : machine.placements()) {
+          add(placement.job().perTask().cores(), estimates.remainingS(placement, nowMs));
         }
       }
     }
-    sum();
+    accumulate();
   }
 
   /**
-   * The same within a team's limit: what the limit leaves, and what its own tasks give back.
+   * The capacity within a team's limit: what the limit leaves, and what its own tasks free.
    *
-   * @param room what it leaves now, in thousandths of cores
+   * @param free what the limit leaves now, in thousandths of cores
    */
-  Capacity(Collection<Job> ofTeam, long room, RuntimeEstimates estimates, long nowMs) {
-    add(room, 0);
-    for (Job job : ofTeam) {
-      for (Placement p : job.activePlacements()) {
-        add(job.perTask().cores(), estimates.remainingS(p, nowMs));
+  Capacity(Collection<Job> jobsOfTeam, long free, RuntimeEstimates estimates, long nowMs) {
+    add(free, 0);
+    for (Job job : jobsOfTeam) {
+      for (Placement placement : job.activePlacements()) {
+        add(job.perTask().cores(), estimates.remainingS(placement, nowMs));
       }
     }
-    sum();
+    accumulate();
   }
 
-  private void sum() {
+  private void accumulate() {
     for (int i = 1; i <= STEPS; i++) {
       cores[i] += cores[i - 1];
       coreSeconds[i] += coreSeconds[i - 1];
     }
   }
 
-  /** What comes free after the last step, as a replica's cores do, comes free for nobody. */
-  private void add(double busyCores, double forS) {
-    int step = (int) Math.ceil(forS / STEP_S);
+  /** Cores that become free after the last step, as a service's do, do not count. */
+  private void add(double freedCores, double afterS) {
+    int step = (int) Math.ceil(afterS / STEP_S);
     if (step <= STEPS) {
-      cores[step] += busyCores;
-      coreSeconds[step] += busyCores * forS;
+      cores[step] += freedCores;
+      coreSeconds[step] += freedCores * afterS;
     }
   }
 
--- /dev/null
+++ b/src/main/java/org/ploverspindle/placement/CoreBalances.java
@@ -0,0 +1,164 @@
+package org.ploverspindle.placement;
+
+import java.util.BitSet;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.Placement;
+
+/**
+ * How many cores may still be requested, for each set of groups that some job can use. Where only
+ * some types fit a task, the cores of all others are of no help to it, however many they are.
+ */
+final class CoreBalances {
+  /** Work comes unevenly: for what keeps so many cores busy on average, this much more is held. */
+  private static final double RATE_HEADROOM = 1.3;
+
+  /** The same for expensive machines. */
+  private static final double EXPENSIVE_RATE_HEADROOM = 1.15;
+
+  /** The balance of one set of groups, in thousandths of cores. */
+  static final class Balance {
+    private double missing;
+    private double missingAtAnyPrice;
+
+    /** True when more cores are needed than exist or are requested. */
+    boolean isShort() {
+      return missing > 0;
+    }
+
+    /** True when they are needed even if only expensive machines are left. */
+    boolean isShortAtAnyPrice() {
+      return missingAtAnyPrice > 0;
+    }
+  }
+
+  private final GroupSets groupSets;
+  private final CoreDemand demand;
+  private final PendingCapacity pending;
+  private final Map<BitSet, Balance> balances = new LinkedHashMap<>();
+
+  CoreBalances(GroupSets groupSets, CoreDemand demand, PendingCapacity pending) {
+    this.groupSets = groupSets;
+    this.demand = demand;
+    this.pending = pending;
+  }
+
+  /** Cores that are held for work that comes at this rate, if need be at a high price. */
+  static double heldForRate(double coresForRate) {
+    return coresForRate * EXPENSIVE_RATE_HEADROOM;
+  }
+
+  /**
+   * Computes, for each set of groups that some job can use, what the jobs need that can use no
+   * others, less what exists of these groups and is not taken by jobs that could run elsewhere.
+   *
+   * @param coresForRate what work that keeps arriving as it does keeps busy, in thousandths
+   */
+  void compute(
+      Collection<Job> jobs, List<Machine> machines, double coresForRate, long nowMs, long wallMs) {
+    BitSet everywhere = groupSets.all();
+    balances.put(everywhere, new Balance());
+    Map<Job, BitSet> usable = new HashMap<>();
+    Map<Job, CoreDemand.Need> needs = new HashMap<>();
+    Set<Job> guaranteed = demand.guaranteed(jobs, nowMs);
+    for (Job job : jobs) {
+      BitSet groups = groupSets.usableBy(job);
+      usable.put(job, groups);
+      if (!job.isTerminal() && !job.quarantined()) {
+        balances.computeIfAbsent(groups, set -> new Balance());
+        needs.put(job, demand.need(job, guaranteed.contains(job), nowMs, wallMs));
+      }
+    }
+    balances.forEach(
+        (groups, balance) -> {
+          boolean all = groups.equals(everywhere);
+          addNeeds(balance, groups, needs, usable);
+          if (all) {
+            balance.missing = Math.max(balance.missing, coresForRate * RATE_HEADROOM);
+            balance.missingAtAnyPrice =
+                Math.max(balance.missingAtAnyPrice, heldForRate(coresForRate));
+          }
+          double available = available(groups, all, machines, usable);
+          balance.missing -= available;
+          balance.missingAtAnyPrice -= available;
+        });
+  }
+
+  /** Adds what the jobs need that can use these groups only. */
+  private static void addNeeds(
+      Balance balance, BitSet groups, Map<Job, CoreDemand.Need> needs, Map<Job, BitSet> usable) {
+    for (Map.Entry<Job, CoreDemand.Need> entry : needs.entrySet()) {
+      if (GroupSets.isSubset(usable.get(entry.getKey()), groups)) {
+        balance.missing += entry.getValue().cores();
+        balance.missingAtAnyPrice += entry.getValue().atAnyPrice();
+      }
+    }
+  }
+
+  private double available(
+      BitSet groups, boolean all, List<Machine> machines, Map<Job, BitSet> usable) {
+    double cores = 0;
+    for (Machine machine : machines) {
+      if (groups.get(groupSets.index(machine.type(), machine.zone(), machine.spot()))) {
+        cores += machine.size().cores();
+        cores -= all ? 0 : takenByOthers(machine, groups, usable);
+      }
+    }
+    return cores + pending.cores(groups);
+  }
+
+  /** Cores that are taken by tasks of jobs that could run outside of these groups as well. */
+  private static double takenByOthers(Machine machine, BitSet groups, Map<Job, BitSet> usable) {
+    double cores = 0;
+    for (Placement placement : machine.placements()) {
+      BitSet ofJob = usable.get(placement.job());
+      if (ofJob == null || !GroupSets.isSubset(ofJob, groups)) {
+        cores += placement.job().perTask().cores();
+      }
+    }
+    return cores;
+  }
+
+  /** The balance for what the job can use; empty when it needs nothing. */
+  Optional<Balance> of(Job job) {
+    return Optional.ofNullable(balances.get(groupSets.usableBy(job)));
+  }
+
+  /** So many cores, in thousandths, are added to a group. */
+  void add(MachineGroup group, double cores) {
+    add(groupSets.index(group), cores);
+  }
+
+  private void add(int group, double cores) {
+    balances.forEach(
+        (groups, balance) -> {
+          if (groups.get(group)) {
+            balance.missing -= cores;
+            balance.missingAtAnyPrice -= cores;
+          }
+        });
+  }
+
+  /**
+   * Removes the machine if more cores would remain without it than are needed even at a high price.
+   * Returns whether it was removed.
+   */
+  boolean removeIfSurplus(Machine machine) {
+    int group = groupSets.index(machine.type(), machine.zone(), machine.spot());
+    for (Map.Entry<BitSet, Balance> entry : balances.entrySet()) {
+      if (entry.getKey().get(group)
+          && -entry.getValue().missingAtAnyPrice < machine.size().cores()) {
+        return false;
+      }
+    }
+    add(group, -machine.size().cores());
+    return true;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/placement/GroupSets.java
@@ -0,0 +1,55 @@
+package org.ploverspindle.placement;
+
+import java.util.BitSet;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.model.Catalogue;
+
+/** Sets of machine groups as bit sets, and the dense index of each group. */
+final class GroupSets {
+  private static final int KINDS = 2;
+
+  private final Catalogue catalogue;
+
+  GroupSets(Catalogue catalogue) {
+    this.catalogue = catalogue;
+  }
+
+  /** The group's index in a set. */
+  int index(MachineGroup group) {
+    return index(group.type(), group.zone(), group.spot());
+  }
+
+  /** The same without an object for the group: machines are looked up one by one. */
+  int index(int type, int zone, boolean spot) {
+    return (type * catalogue.zoneCount() + zone) * KINDS + (spot ? 1 : 0);
+  }
+
+  /** The set of all groups. */
+  BitSet all() {
+    BitSet groups = new BitSet();
+    groups.set(0, catalogue.types().size() * catalogue.zoneCount() * KINDS);
+    return groups;
+  }
+
+  /** The groups on whose machines the job's tasks may run and fit. */
+  BitSet usableBy(Job job) {
+    BitSet groups = new BitSet();
+    BitSet types = job.types();
+    for (int type = types.nextSetBit(0); type >= 0; type = types.nextSetBit(type + 1)) {
+      for (int zone = 0; zone < catalogue.zoneCount(); zone++) {
+        if (job.zone() < 0 || job.zone() == zone) {
+          groups.set(index(type, zone, false));
+          groups.set(index(type, zone, true), job.spec().spot());
+        }
+      }
+    }
+    return groups;
+  }
+
+  /** True when the whole set has all groups of the part. */
+  static boolean isSubset(BitSet part, BitSet whole) {
+    BitSet rest = (BitSet) part.clone();
+    rest.andNot(whole);
+    return rest.isEmpty();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/placement/PendingJobOrder.java
@@ -0,0 +1,141 @@
+package org.ploverspindle.placement;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import java.util.OptionalLong;
+import org.ploverspindle.cluster.Job;
+
+/**
+ * The order in which jobs with pending tasks are served: by priority, then those within their
+ * team's guarantee, then by slack; and within a priority those that can be in time before those
+ * that cannot.
+ */
+final class PendingJobOrder {
+  /** A job with its sort keys, computed once and not in every comparison. */
+  private record Ranked(Job job, boolean beyondGuarantee, double slackS)
+      implements Comparable<Ranked> {
+    @Override
+    public int compareTo(Ranked other) {
+      int byPriority = job.priority().compareTo(other.job.priority());
+      if (byPriority != 0) {
+        return byPriority;
+      }
+      int byGuarantee = Boolean.compare(beyondGuarantee, other.beyondGuarantee);
+      if (byGuarantee != 0) {
+        return byGuarantee;
+      }
+      int bySlack = Double.compare(slackS, other.slackS);
+      return bySlack != 0 ? bySlack : job.uid().compareTo(other.job.uid());
+    }
+  }
+
+  /** Computing the capacity goes through every placement, and placing runs many times a second. */
+  private static final long CAPACITY_KEPT_MS = 300;
+
+  /** A machine without a heartbeat for longer does not count as capacity. */
+  private static final long CAPACITY_HEARTBEAT_TIMEOUT_MS = 60_000;
+
+  /** Estimates are often wrong: a task may be shorter by this part of its estimate. */
+  private static final double ESTIMATE_ERROR = 0.4;
+
+  /** A job that is late by no more than this is not given up. */
+  private static final double LATE_MARGIN_S = 2;
+
+  /** In place of a deadline, for jobs without one: they come last. */
+  private static final double NO_DEADLINE_S = 1e6;
+
+  private static final double MS_PER_S = 1_000;
+
+  private final ClusterView cluster;
+  private final RuntimeEstimates estimates;
+  private final ServiceLevelObjectives objectives;
+  private Optional<Capacity> capacity = Optional.empty();
+  private long capacityMs;
+
+  /** Of teams with a limit: one with more work than it may run serves first what can be in time. */
+  private final Map<Integer, Capacity> teamCapacity = new HashMap<>();
+
+  PendingJobOrder(
+      ClusterView cluster, RuntimeEstimates estimates, ServiceLevelObjectives objectives) {
+    this.cluster = cluster;
+    this.estimates = estimates;
+    this.objectives = objectives;
+  }
+
+  /** The jobs with tasks that could start now, in the order in which they are served. */
+  List<Job> order(long nowMs, long wallMs) {
+    List<Ranked> ranked = new ArrayList<>();
+    for (Job job : cluster.jobs().all()) {
+      if (!job.isTerminal() && !job.quarantined() && job.schedulableTasks(nowMs) > 0) {
+        boolean withinGuarantee = cluster.teams().withinGuarantee(job.team(), job.perTask());
+        double slackS = remainingSlackS(job, wallMs).orElse(Double.MAX_VALUE);
+        ranked.add(new Ranked(job, !withinGuarantee, slackS));
+      }
+    }
+    ranked.sort(null);
+    List<Job> byLatestStart = new ArrayList<>(ranked.size());
+    ranked.forEach(entry -> byLatestStart.add(entry.job()));
+    Capacity ofFleet = capacity(nowMs);
+    return new AdmissionOrder(
+            job -> remainingSlackS(job, wallMs), ofFleet, teamCapacity, estimates, nowMs)
+        .order(byLatestStart);
+  }
+
+  private Capacity capacity(long nowMs) {
+    if (capacity.isEmpty() || nowMs - capacityMs > CAPACITY_KEPT_MS) {
+      capacity =
+          Optional.of(
+              new Capacity(cluster.fleet(), estimates, nowMs, CAPACITY_HEARTBEAT_TIMEOUT_MS));
+      capacityMs = nowMs;
+      computeTeamCapacity(nowMs);
+    }
+    return capacity.get();
+  }
+
+  private void computeTeamCapacity(long nowMs) {
+    teamCapacity.clear();
+    Map<Integer, List<Job>> jobsByTeam = new HashMap<>();
+    for (Job job : cluster.jobs().all()) {
+      jobsByTeam.computeIfAbsent(job.team(), team -> new ArrayList<>()).add(job);
+    }
+    jobsByTeam.forEach(
+        (team, jobs) -> {
+          OptionalLong limit = cluster.teams().coresWithinLimit(team);
+          if (limit.isPresent()) {
+            teamCapacity.put(team, new Capacity(jobs, limit.getAsLong(), estimates, nowMs));
+          }
+        });
+  }
+
+  /** Seconds since the job could first run. */
+  static double waitedS(Job job, long wallMs) {
+    return (wallMs - job.eligibleSinceWallMs()) / MS_PER_S;
+  }
+
+  /** Seconds until the job must run to meet its deadline; a large number for a job without one. */
+  double slackS(Job job, long wallMs) {
+    return job.deadlineS().orElse(NO_DEADLINE_S) - waitedS(job, wallMs) - estimates.runS(job);
+  }
+
+  /**
+   * Slack to the first objective that can still be met: the deadline, a multiple of it, or a start
+   * or completion within a time that the class's objectives name. Empty when none can be met. A job
+   * that is a little late by its estimate is not given up, as estimates may be wrong by half.
+   */
+  OptionalDouble remainingSlackS(Job job, long wallMs) {
+    double runS = estimates.runS(job);
+    double waitedS = waitedS(job, wallMs);
+    OptionalDouble startByS =
+        objectives.startByS(job, runS, waitedS - ESTIMATE_ERROR * runS - LATE_MARGIN_S);
+    if (startByS.isPresent()) {
+      return OptionalDouble.of(startByS.getAsDouble() - waitedS);
+    }
+    return job.deadlineS().isPresent()
+        ? OptionalDouble.empty()
+        : OptionalDouble.of(slackS(job, wallMs));
+  }
+}
--- a/src/main/java/org/ploverspindle/placement/Preemption.java
+++ b/src/main/java/org/ploverspindle/placement/Preemption.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.BitSet;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -19,217 +18,143 @@
 import org.ploverspindle.model.Resources;
 
 /**
- * Makes room for pressing jobs: stops work of lower urgency, or what another team runs beyond its
- * guarantee when the job is within its own. The least work is lost first; what will end soon anyway
- * is left alone, and so is what has only just begun, since work must not go round in circles.
+ * Makes room for high-priority jobs, and for jobs within their team's guarantee, by stopping tasks.
+ * Which tasks may be stopped for a job is up to {@link PreemptionPlanner}.
  */
 final class Preemption {
-  private static final double SOON_S = 8;
-  private static final double JUST_BEGUN_S = 30;
+  /** At most so many tasks are stopped in a round, and in a large fleet one for ten machines. */
+  private static final int MIN_TASK_LIMIT = 24;
 
-  /** At most so many tasks are stopped at once, and in a large fleet one for so many machines. */
-  private static final int LEAST_TASKS = 24;
-
-  private static final int MACHINES_A_TASK = 10;
+  private static final int MACHINES_PER_TASK = 10;
 
   private final MachineRegistry fleet;
   private final TeamUsage teams;
-  private final RuntimeEstimates estimates;
-  private final ServiceLevelObjectives aims;
-  private final long silenceMs;
+  private final PreemptionPlanner planner;
+  private final long heartbeatTimeoutMs;
 
+  /**
+   * @param heartbeatTimeoutMs a machine without a heartbeat for longer is left alone
+   */
   Preemption(
       MachineRegistry fleet,
       TeamUsage teams,
       RuntimeEstimates estimates,
-      ServiceLevelObjectives aims,
-      long silenceMs) {
+      ServiceLevelObjectives objectives,
+      long heartbeatTimeoutMs) {
     this.fleet = fleet;
     this.teams = teams;
-    this.estimates = estimates;
-    this.aims = aims;
-    this.silenceMs = silenceMs;
+    this.planner = new PreemptionPlanner(teams, estimates, objectives);
+    this.heartbeatTimeoutMs = heartbeatTimeoutMs;
   }
 
-  /** A machine with what is free on it once the tasks that are being stopped are gone. */
-  private static final class Room {
-    private final Machine machine;
-    private Resources free;
-
-    Room(Machine machine) {
-      this.machine = machine;
-      this.free = machine.free();
-      for (Placement p : machine.placements()) {
-        if (p.stopping()) {
-          free = free.plus(p.job().perTask());
-        }
-      }
+  /**
+   * Stops tasks that give way to the pending jobs.
+   *
+   * @param pending in the order in which they are served
+   * @return how many tasks are stopped
+   */
+  int run(List<Job> pending, long nowMs) {
+    List<Job> entitled = pending.stream().filter(this::mayPreempt).toList();
+    if (entitled.isEmpty()) {
+      return 0;
     }
+    Round round = new Round(nowMs);
+    entitled.forEach(round::makeRoom);
+    return round.stopped;
   }
 
-  private record Plan(Room room, int order, List<Placement> victims, double lost) {}
+  private boolean mayPreempt(Job job) {
+    return job.priority().compareTo(Priority.HIGH) <= 0
+        || teams.withinGuarantee(job.team(), job.perTask());
+  }
 
-  /** All that a plan for a job rests on: where one job found none, a like one finds none. */
-  private record Like(
+  /** All that a plan for a job depends on: where one job found none, an equal one finds none. */
+  private record Requirements(
       Resources perTask,
       BitSet types,
       boolean spot,
-      Priority urgency,
+      Priority priority,
       int team,
-      boolean within,
-      Optional<String> bound) {
-    static Like of(Job job, boolean within) {
+      boolean withinGuarantee,
+      Optional<String> uidIfBoundToZones) {
+    static Requirements of(Job job, boolean withinGuarantee) {
       boolean bound = job.zone() >= 0 || job.spec().oneZone() || job.spec().spreadOverZones();
-      return new Like(
+      return new Requirements(
           job.perTask(),
           job.types(),
           job.spec().spot(),
           job.priority(),
           job.team(),
-          within,
+          withinGuarantee,
           bound ? Optional.of(job.uid()) : Optional.empty());
     }
   }
 
-  /** Stops what must give way to the waiting jobs, the most pressing first; says how many tasks. */
-  int run(List<Job> waiting, long nowMs) {
-    List<Job> pressing =
-        waiting.stream()
-            .filter(
-                j ->
-                    j.priority().compareTo(Priority.HIGH) <= 0
-                        || teams.withinGuarantee(j.team(), j.perTask()))
-            .toList();
-    if (pressing.isEmpty()) {
-      return 0;
-    }
-    List<Room> rooms = new ArrayList<>();
-    for (Machine m : fleet.all()) {
-      if (m.isSchedulable(nowMs, silenceMs)) {
-        rooms.add(new Room(m));
+  private final class Round {
+    private final long nowMs;
+    private final List<PreemptionPlanner.Room> rooms = new ArrayList<>();
+    private final int maxTasks;
+
+    /** What jobs were given room for in this round, by team. */
+    private final Map<Integer, Resources> promised = new HashMap<>();
+
+    private final Set<Requirements> withoutPlan = new HashSet<>();
+    private int stopped;
+
+    Round(long nowMs) {
+      this.nowMs = nowMs;
+      for (Machine machine : fleet.all()) {
+        if (machine.isSchedulable(nowMs, heartbeatTimeoutMs)) {
+          rooms.add(new PreemptionPlanner.Room(machine, rooms.size()));
+        }
       }
+      this.maxTasks = Math.max(MIN_TASK_LIMIT, rooms.size() / MACHINES_PER_TASK);
     }
-    int mostTasks = Math.max(LEAST_TASKS, rooms.size() / MACHINES_A_TASK);
-    Map<Integer, Resources> promised = new HashMap<>();
-    Set<Like> hopeless = new HashSet<>();
-    int stopped = 0;
-    for (Job job : pressing) {
+
+    void makeRoom(Job job) {
       int tasks =
           Math.min(job.schedulableTasks(nowMs), teams.tasksWithinLimit(job.team(), job.perTask()));
-      if (tasks <= 0 || stopped >= mostTasks) {
-        continue;
+      if (tasks <= 0 || stopped >= maxTasks) {
+        return;
       }
-      boolean within = withinGuarantee(job, promised);
-      Like like = Like.of(job, within);
-      PriorityQueue<Plan> plans =
-          hopeless.contains(like) ? new PriorityQueue<>() : plans(job, rooms, within, nowMs);
-      for (int i = 0; i < tasks && stopped < mostTasks; i++) {
-        if (withinGuarantee(job, promised) != within) {
+      boolean within = isWithinGuarantee(job);
+      PriorityQueue<PreemptionPlanner.Plan> plans =
+          withoutPlan.contains(Requirements.of(job, within))
+              ? new PriorityQueue<>()
+              : planner.plans(job, rooms, within, nowMs);
+      for (int i = 0; i < tasks && stopped < maxTasks; i++) {
+        if (isWithinGuarantee(job) != within) {
           within = !within;
-          plans = plans(job, rooms, within, nowMs);
+          plans = planner.plans(job, rooms, within, nowMs);
         }
-        Plan plan = plans.poll();
+        PreemptionPlanner.Plan plan = plans.poll();
         if (plan == null) {
-          hopeless.add(Like.of(job, within));
-          break;
+          withoutPlan.add(Requirements.of(job, within));
+          return;
         }
-        promised.merge(job.team(), job.perTask(), Resources::plus);
-        Room room = plan.room();
-        for (Placement p : plan.victims()) {
-          p.stop(p.job().spec().isCheckpointed() ? p.job().spec().checkpointCostS() + 1 : 0);
-          room.free = room.free.plus(p.job().perTask());
-          stopped++;
-        }
-        room.free = room.free.minus(job.perTask());
-        // Only this machine has changed; the plans for all others still stand.
-        planOn(job, room, plan.order(), within, nowMs).ifPresent(plans::add);
+        execute(job, plan);
+        // Only this machine has changed; the plans for all others still hold.
+        planner.plan(job, plan.room(), within, nowMs).ifPresent(plans::add);
       }
     }
-    return stopped;
-  }
 
-  private boolean withinGuarantee(Job job, Map<Integer, Resources> promised) {
-    Resources before = promised.getOrDefault(job.team(), Resources.NONE);
-    return teams.withinGuarantee(job.team(), before.plus(job.perTask()));
-  }
-
-  /** One plan for each machine where one task of the job could get room, the least loss first. */
-  private PriorityQueue<Plan> plans(Job job, List<Room> rooms, boolean within, long nowMs) {
-    PriorityQueue<Plan> plans =
-        new PriorityQueue<>(Comparator.comparingDouble(Plan::lost).thenComparingInt(Plan::order));
-    for (int i = 0; i < rooms.size(); i++) {
-      if (Placer.allows(job, rooms.get(i).machine)) {
-        planOn(job, rooms.get(i), i, within, nowMs).ifPresent(plans::add);
-      }
+    private boolean isWithinGuarantee(Job job) {
+      Resources before = promised.getOrDefault(job.team(), Resources.NONE);
+      return teams.withinGuarantee(job.team(), before.plus(job.perTask()));
     }
-    return plans;
-  }
 
-  private Optional<Plan> planOn(Job job, Room room, int order, boolean within, long nowMs) {
-    if (job.perTask().fitsIn(room.free)) {
-      return Optional.of(new Plan(room, order, List.of(), 0));
-    }
-    List<Placement> candidates = new ArrayList<>();
-    Resources most = room.free;
-    for (Placement p : room.machine.placements()) {
-      if (!p.stopping() && mayStop(job, p, within, nowMs)) {
-        candidates.add(p);
-        most = most.plus(p.job().perTask());
+    private void execute(Job job, PreemptionPlanner.Plan plan) {
+      promised.merge(job.team(), job.perTask(), Resources::plus);
+      for (Placement victim : plan.victims()) {
+        victim.stop(gracePeriodS(victim.job()));
+        plan.room().release(victim);
+        stopped++;
       }
+      plan.room().reserve(job);
     }
-    if (!job.perTask().fitsIn(most)) {
-      return Optional.empty();
-    }
-    candidates.sort(
-        Comparator.comparingDouble((Placement p) -> lost(p, nowMs))
-            .thenComparingLong(Placement::attempt));
-    List<Placement> victims = new ArrayList<>();
-    Resources free = room.free;
-    double lost = 0;
-    for (Placement p : candidates) {
-      victims.add(p);
-      free = free.plus(p.job().perTask());
-      lost += lost(p, nowMs);
-      if (job.perTask().fitsIn(free)) {
-        break;
-      }
-    }
-    return Optional.of(new Plan(room, order, victims, lost));
-  }
 
-  private boolean mayStop(Job job, Placement p, boolean within, long nowMs) {
-    Job other = p.job();
-    boolean lower = other.priority().compareTo(job.priority()) > 0;
-    boolean borrowed =
-        within
-            && other.team() != job.team()
-            && !teams.withinGuarantee(other.team(), Resources.NONE);
-    if (!lower && !borrowed
-        || p.phase() != Placement.Phase.RUNNING && p.phase() != Placement.Phase.FETCHING) {
-      return false;
+    private static double gracePeriodS(Job job) {
+      return job.spec().isCheckpointed() ? job.spec().checkpointCostS() + 1 : 0;
     }
-    double ranS = ranS(p, nowMs);
-    double expectedS = estimates.runS(other);
-    boolean fresh = ranS <= JUST_BEGUN_S && startMatters(other);
-    return !fresh && (expectedS <= 0 || expectedS - ranS > SOON_S);
-  }
-
-  /**
-   * A start that is stopped within 30 s does not count. Where nobody waits for the start, what has
-   * just begun is the best to stop, as the least work is lost with it.
-   */
-  private boolean startMatters(Job job) {
-    return aims.requiresPromptStart(job) || job.priority().compareTo(Priority.HIGH) <= 0;
-  }
-
-  private static double ranS(Placement p, long nowMs) {
-    return p.runningSinceMs() < 0 ? 0 : (nowMs - p.runningSinceMs()) / 1000.0;
-  }
-
-  /** Core seconds that are done again after a stop now. */
-  private static double lost(Placement p, long nowMs) {
-    double lostS =
-        p.job().spec().isCheckpointed() ? p.job().spec().checkpointCostS() : ranS(p, nowMs);
-    return lostS * p.job().perTask().cores() / 1000.0;
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
@@ -0,0 +1,178 @@
+package org.ploverspindle.placement;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import java.util.PriorityQueue;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.Placement;
+import org.ploverspindle.cluster.TeamUsage;
+import org.ploverspindle.model.Priority;
+import org.ploverspindle.model.Resources;
+
+/**
+ * Finds the tasks to stop so that a task of a job gets room: tasks of lower priority, or what
+ * another team runs beyond its guarantee when the job is within its own. The plan that loses the
+ * least work comes first. Tasks that end soon anyway are not stopped, and no new ones either whose
+ * start matters, since work would go round in circles.
+ */
+final class PreemptionPlanner {
+  /** A task that ends within this time is not stopped. */
+  private static final double ENDS_SOON_S = 8;
+
+  /** A task that ran for no longer than this has just started. */
+  private static final double JUST_STARTED_S = 30;
+
+  private static final double CORE = 1_000;
+
+  /** A machine with what is free on it once the tasks that are being stopped are gone. */
+  static final class Room {
+    private final Machine machine;
+    private final int index;
+    private Resources free;
+
+    /**
+     * @param index position among the machines of the round, which breaks ties between plans
+     */
+    Room(Machine machine, int index) {
+      this.machine = machine;
+      this.index = index;
+      this.free = machine.free();
+      for (Placement placement : machine.placements()) {
+        if (placement.stopping()) {
+          release(placement);
+        }
+      }
+    }
+
+    void release(Placement placement) {
+      free = free.plus(placement.job().perTask());
+    }
+
+    /** Reserves room for a task of the job. */
+    void reserve(Job job) {
+      free = free.minus(job.perTask());
+    }
+  }
+
+  /**
+   * The tasks to stop on one machine for one task of a job.
+   *
+   * @param lostCoreS core seconds that are done again
+   */
+  record Plan(Room room, List<Placement> victims, double lostCoreS) {
+    private int index() {
+      return room.index;
+    }
+  }
+
+  private final TeamUsage teams;
+  private final RuntimeEstimates estimates;
+  private final ServiceLevelObjectives objectives;
+
+  PreemptionPlanner(
+      TeamUsage teams, RuntimeEstimates estimates, ServiceLevelObjectives objectives) {
+    this.teams = teams;
+    this.estimates = estimates;
+    this.objectives = objectives;
+  }
+
+  /**
+   * One plan for each machine where a task of the job can get room, the least loss first.
+   *
+   * @param withinGuarantee whether the task is within its team's guarantee
+   */
+  PriorityQueue<Plan> plans(Job job, List<Room> rooms, boolean withinGuarantee, long nowMs) {
+    PriorityQueue<Plan> plans =
+        new PriorityQueue<>(
+            Comparator.comparingDouble(Plan::lostCoreS).thenComparingInt(Plan::index));
+    for (Room room : rooms) {
+      if (Placer.allows(job, room.machine)) {
+        plan(job, room, withinGuarantee, nowMs).ifPresent(plans::add);
+      }
+    }
+    return plans;
+  }
+
+  /** The plan for one machine; empty when the task cannot get room there. */
+  Optional<Plan> plan(Job job, Room room, boolean withinGuarantee, long nowMs) {
+    if (job.perTask().fitsIn(room.free)) {
+      return Optional.of(new Plan(room, List.of(), 0));
+    }
+    List<Placement> candidates = candidates(job, room, withinGuarantee, nowMs);
+    Resources most = room.free;
+    for (Placement candidate : candidates) {
+      most = most.plus(candidate.job().perTask());
+    }
+    if (!job.perTask().fitsIn(most)) {
+      return Optional.empty();
+    }
+    candidates.sort(
+        Comparator.comparingDouble((Placement placement) -> lostCoreS(placement, nowMs))
+            .thenComparingLong(Placement::attempt));
+    List<Placement> victims = new ArrayList<>();
+    Resources free = room.free;
+    double lostCoreS = 0;
+    for (Placement candidate : candidates) {
+      victims.add(candidate);
+      free = free.plus(candidate.job().perTask());
+      lostCoreS += lostCoreS(candidate, nowMs);
+      if (job.perTask().fitsIn(free)) {
+        break;
+      }
+    }
+    return Optional.of(new Plan(room, victims, lostCoreS));
+  }
+
+  private List<Placement> candidates(Job job, Room room, boolean withinGuarantee, long nowMs) {
+    List<Placement> candidates = new ArrayList<>();
+    for (Placement placement : room.machine.placements()) {
+      if (!placement.stopping() && mayStop(job, placement, withinGuarantee, nowMs)) {
+        candidates.add(placement);
+      }
+    }
+    return candidates;
+  }
+
+  private boolean mayStop(Job job, Placement placement, boolean withinGuarantee, long nowMs) {
+    Job other = placement.job();
+    boolean lowerPriority = other.priority().compareTo(job.priority()) > 0;
+    boolean borrowed =
+        withinGuarantee
+            && other.team() != job.team()
+            && !teams.withinGuarantee(other.team(), Resources.NONE);
+    if (!lowerPriority && !borrowed || !isStarted(placement)) {
+      return false;
+    }
+    double ranS = RuntimeEstimates.ranS(placement, nowMs);
+    double expectedS = estimates.runS(other);
+    boolean mustKeepStart = ranS <= JUST_STARTED_S && startMatters(other);
+    boolean endsSoon = expectedS > 0 && expectedS - ranS <= ENDS_SOON_S;
+    return !mustKeepStart && !endsSoon;
+  }
+
+  private static boolean isStarted(Placement placement) {
+    return placement.phase() == Placement.Phase.RUNNING
+        || placement.phase() == Placement.Phase.FETCHING;
+  }
+
+  /**
+   * A start that is stopped within 30 s does not count for the objectives. Where nobody waits for
+   * the start, tasks that have just started are the best to stop, as the least work is lost.
+   */
+  private boolean startMatters(Job job) {
+    return objectives.requiresPromptStart(job) || job.priority().compareTo(Priority.HIGH) <= 0;
+  }
+
+  /** Core seconds that are done again after a stop now. */
+  private static double lostCoreS(Placement placement, long nowMs) {
+    Job job = placement.job();
+    double lostS =
+        job.spec().isCheckpointed()
+            ? job.spec().checkpointCostS()
+            : RuntimeEstimates.ranS(placement, nowMs);
+    return lostS * job.perTask().cores() / CORE;
+  }
+}
--- a/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
+++ b/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
@@ -8,38 +8,38 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.settings.Settings;
 
-/** What the operators' aims say of classes of jobs, as far as placing heeds it. */
+/** The operators' objectives for job classes, as far as placement considers them. */
 public final class ServiceLevelObjectives {
-  /** Who wants to start within this time can't wait for an image, let alone for a machine. */
+  /** A start within this time leaves no time to fetch an image, let alone to boot a machine. */
   private static final double PROMPT_S = 15;
 
-  private final Map<String, List<Double>> dueTimes = new HashMap<>();
+  private final Map<String, List<Double>> deadlineMultiples = new HashMap<>();
   private final Map<String, List<Double>> startWithinS = new HashMap<>();
   private final Map<String, List<Double>> finishWithinS = new HashMap<>();
 
   public ServiceLevelObjectives(List<Settings.Objective> objectives) {
-    for (Settings.Objective o : objectives) {
-      if (o.kind().equals("deadline") && o.times() > 1) {
-        add(dueTimes, o, o.times());
-      } else if (o.kind().equals("wait")) {
-        add(startWithinS, o, o.withinS());
-      } else if (o.kind().equals("finished")) {
-        add(finishWithinS, o, o.withinS());
+    for (Settings.Objective objective : objectives) {
+      if (objective.kind().equals("deadline") && objective.times() > 1) {
+        add(deadlineMultiples, objective, objective.times());
+      } else if (objective.kind().equals("wait")) {
+        add(startWithinS, objective, objective.withinS());
+      } else if (objective.kind().equals("finished")) {
+        add(finishWithinS, objective, objective.withinS());
       }
     }
   }
 
-  private static void add(Map<String, List<Double>> to, Settings.Objective o, double value) {
+  private static void add(
+      Map<String, List<Double>> byClass, Settings.Objective objective, double value) {
     if (value > 0) {
-      to.computeIfAbsent(o.jobClass(), c -> new ArrayList<>()).add(value);
+      byClass.computeIfAbsent(objective.jobClass(), name -> new ArrayList<>()).add(value);
     }
   }
 
   /**
-   * By when, in seconds from when it could first run, a job must start: for its due time or that of
-   * jobs that need it, for each multiple of its own that its class's aims name, for starting within
-   * a time, and for being done within one. The earliest that is not before {@code atLeastS}; empty
-   * when all are.
+   * By when, in seconds from when it could first run, a job must start to meet its next objective:
+   * its deadline or that of its dependents, a multiple of its own deadline, a start within a time,
+   * or completion within one. The earliest that is not before {@code atLeastS}; empty when all are.
    *
    * @param runS how long its tasks run
    */
@@ -48,13 +48,13 @@
     best = earlier(best, job.deadlineS(), runS, atLeastS);
     best = earlier(best, job.latestDeadlineS(), runS, atLeastS);
     best = earlier(best, job.ownDeadlineS(1), runS, atLeastS);
-    for (double times : of(dueTimes, job)) {
+    for (double times : ofClass(deadlineMultiples, job)) {
       best = earlier(best, job.ownDeadlineS(times), runS, atLeastS);
     }
-    for (double withinS : of(finishWithinS, job)) {
+    for (double withinS : ofClass(finishWithinS, job)) {
       best = earlier(best, withinS - runS, atLeastS);
     }
-    for (double withinS : of(startWithinS, job)) {
+    for (double withinS : ofClass(startWithinS, job)) {
       if (withinS > PROMPT_S) {
         best = earlier(best, withinS, atLeastS);
       }
@@ -62,38 +62,39 @@
     return best == Double.MAX_VALUE ? OptionalDouble.empty() : OptionalDouble.of(best);
   }
 
-  private static double earlier(double best, OptionalDouble dueS, double runS, double atLeastS) {
-    return dueS.isPresent() ? earlier(best, dueS.getAsDouble() - runS, atLeastS) : best;
+  private static double earlier(
+      double best, OptionalDouble deadlineS, double runS, double atLeastS) {
+    return deadlineS.isPresent() ? earlier(best, deadlineS.getAsDouble() - runS, atLeastS) : best;
   }
 
   private static double earlier(double best, double startByS, double atLeastS) {
     return startByS >= atLeastS ? Math.min(best, startByS) : best;
   }
 
-  private static List<Double> of(Map<String, List<Double>> aims, Job job) {
-    return aims.getOrDefault(job.spec().jobClass(), List.of());
+  private static List<Double> ofClass(Map<String, List<Double>> byClass, Job job) {
+    return byClass.getOrDefault(job.spec().jobClass(), List.of());
   }
 
   /**
    * Within how many seconds of when it could first run a job's last task should have started; empty
-   * when nobody says, or only that it should start at once.
+   * when no objective names a time, or only a prompt start.
    */
   OptionalDouble lastStartS(Job job) {
-    return of(startWithinS, job).stream()
-        .filter(s -> s > PROMPT_S)
+    return ofClass(startWithinS, job).stream()
+        .filter(seconds -> seconds > PROMPT_S)
         .mapToDouble(Double::doubleValue)
         .min();
   }
 
-  /** The last multiple of its due time that counts for the class; 1 if none is named. */
+  /** The largest multiple of its deadline that counts for the class; 1 if none is named. */
   public double lastMultiple(String jobClass) {
-    return dueTimes.getOrDefault(jobClass, List.of()).stream()
+    return deadlineMultiples.getOrDefault(jobClass, List.of()).stream()
         .mapToDouble(Double::doubleValue)
         .reduce(1, Math::max);
   }
 
-  /** Should its tasks start at once? */
+  /** True when the tasks of the job should start at once. */
   public boolean requiresPromptStart(Job job) {
-    return of(startWithinS, job).stream().anyMatch(s -> s <= PROMPT_S);
+    return ofClass(startWithinS, job).stream().anyMatch(seconds -> seconds <= PROMPT_S);
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/placement/StarvationProtection.java
@@ -0,0 +1,121 @@
+package org.ploverspindle.placement;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.MachineRegistry;
+import org.ploverspindle.cluster.Placement;
+
+/**
+ * Gives jobs that wait for long a share of the cores of their own. Admission serves those that can
+ * be in time: under a lasting overload, jobs that it puts last, the largest above all, would never
+ * begin, nor would a low priority below a high one whose work never ends.
+ */
+final class StarvationProtection {
+  /** After waiting for longer, a job of which nothing has begun is starving. */
+  private static final long STARVING_MS = 90_000;
+
+  /** After waiting for longer, a job may use the share even if some of it has begun. */
+  private static final long AGED_MS = 180_000;
+
+  /** The share of all cores for these jobs. */
+  private static final double SHARE = 0.2;
+
+  /** A starving job starts one part of so many of its tasks first, and one task more. */
+  private static final int FIRST_PART = 8;
+
+  private final MachineRegistry fleet;
+  private final RuntimeEstimates estimates;
+  private final TaskPlacer placer;
+  private final long heartbeatTimeoutMs;
+
+  /** Placements that use the share. */
+  private final List<Placement> placements = new ArrayList<>();
+
+  StarvationProtection(
+      MachineRegistry fleet,
+      RuntimeEstimates estimates,
+      TaskPlacer placer,
+      long heartbeatTimeoutMs) {
+    this.fleet = fleet;
+    this.estimates = estimates;
+    this.placer = placer;
+    this.heartbeatTimeoutMs = heartbeatTimeoutMs;
+  }
+
+  /** True when the job has waited for long and nothing of it has begun. */
+  static boolean isStarving(Job job, long wallMs) {
+    return job.activePlacements().isEmpty()
+        && job.completedTasks().isEmpty()
+        && wallMs - job.eligibleSinceWallMs() > STARVING_MS;
+  }
+
+  /**
+   * Places tasks of jobs that wait for long within their share: first the starving jobs, the
+   * largest first, as admission puts these last; then the oldest.
+   */
+  void run(List<Job> pending, List<Machine> withRoom, long nowMs, long wallMs) {
+    List<Job> waiting = waitingLong(pending, wallMs);
+    if (waiting.isEmpty()) {
+      return;
+    }
+    placements.removeIf(
+        placement -> placement.job().activePlacement(placement.task()) != placement);
+    double freeShare = freeShare(nowMs);
+    for (Job job : waiting) {
+      double each = Math.max(1, job.perTask().cores());
+      int maxTasks = maxTasks(job, freeShare / each, wallMs);
+      if (maxTasks > 0) {
+        List<Placement> placed = placer.place(job, withRoom, nowMs, maxTasks);
+        placements.addAll(placed);
+        freeShare -= placed.size() * each;
+      }
+    }
+  }
+
+  private List<Job> waitingLong(List<Job> pending, long wallMs) {
+    List<Job> waiting = new ArrayList<>();
+    for (Job job : pending) {
+      if (isStarving(job, wallMs) || wallMs - job.eligibleSinceWallMs() > AGED_MS) {
+        waiting.add(job);
+      }
+    }
+    waiting.sort(
+        Comparator.comparing((Job job) -> !isStarving(job, wallMs))
+            .thenComparingDouble(
+                job -> isStarving(job, wallMs) ? -work(job) : job.eligibleSinceWallMs())
+            .thenComparing(Job::uid));
+    return waiting;
+  }
+
+  /** Core seconds, in thousandths of cores, of all the job's tasks. */
+  private double work(Job job) {
+    return job.spec().tasks() * job.perTask().cores() * estimates.runS(job);
+  }
+
+  /** Cores of the share that no placement uses, in thousandths. */
+  private double freeShare(long nowMs) {
+    double cores = 0;
+    for (Machine machine : fleet.all()) {
+      cores +=
+          machine.isSchedulable(nowMs, heartbeatTimeoutMs) ? machine.size().cores() * SHARE : 0;
+    }
+    for (Placement placement : placements) {
+      cores -= placement.job().perTask().cores();
+    }
+    return cores;
+  }
+
+  private int maxTasks(Job job, double withinShare, long wallMs) {
+    int maxTasks = (int) Math.min(Integer.MAX_VALUE, withinShare);
+    if (placements.isEmpty()) {
+      maxTasks = Math.max(1, maxTasks);
+    }
+    if (isStarving(job, wallMs)) {
+      maxTasks = Math.min(maxTasks, 1 + job.spec().tasks() / FIRST_PART);
+    }
+    return maxTasks;
+  }
+}
--- a/src/main/java/org/ploverspindle/placement/package-info.java
+++ b/src/main/java/org/ploverspindle/placement/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Which waiting task starts on which machine, and what capacity is missing.
+ * Which pending task starts on which machine, and what capacity is missing.
  *
- * <p>Duty: orders waiting jobs, chooses machines, preempts, estimates run times and arrival rates,
- * and computes what would have to be rented. Owns: the estimates and the arrival statistics of a
- * term. It proposes; durable writes and orders to workers are made elsewhere.
+ * <p>Duty: orders pending jobs, selects machines, protects jobs from starvation, preempts,
+ * estimates run times and arrival rates, and plans scale-out. Owns: the estimates and the arrival
+ * statistics of a term. It decides; durable writes, commands to workers and requests to the cloud
+ * are made elsewhere.
  *
- * <p>May depend on: {@code cluster}, {@code cluster}, {@code settings}, {@code model}.
+ * <p>May depend on: {@code cluster}, {@code model}, {@code settings}.
  */
 package org.ploverspindle.placement;
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -47,7 +47,7 @@
   private final TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
   private final RuntimeEstimates estimates = new RuntimeEstimates();
   private final JobTable jobs;
-  private final Placer placer;
+  private final PendingJobOrder jobOrder;
 
   EffectiveValuesTest() {
     catalogue.update(
@@ -63,17 +63,11 @@
         .handle(
             new Heartbeat("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
             ACCEPTED);
-    placer =
-        new Placer(
-            catalogue,
-            fleet,
-            jobs,
-            teams,
+    jobOrder =
+        new PendingJobOrder(
+            new ClusterView(catalogue, fleet, jobs, teams),
             estimates,
-            () -> 1,
-            new ServiceLevelObjectives(AIMS),
-            60_000,
-            p -> {});
+            new ServiceLevelObjectives(AIMS));
   }
 
   private static Job job(JobSpec spec) {
@@ -137,9 +131,9 @@
       assertEquals(ACCEPTED, job.eligibleSinceWallMs());
       assertEquals(
           spec.deadlineS().orElse(1e6) - (wall - ACCEPTED) / 1000.0 - runS,
-          placer.slackS(job, wall));
-      assertEquals(plainOpenSlackS(spec, runS, wall), placer.remainingSlackS(job, wall));
-      assertEquals(wall - ACCEPTED > 90_000, Placer.isStarving(job, wall));
+          jobOrder.slackS(job, wall));
+      assertEquals(plainOpenSlackS(spec, runS, wall), jobOrder.remainingSlackS(job, wall));
+      assertEquals(wall - ACCEPTED > 90_000, StarvationProtection.isStarving(job, wall));
     }
   }
 
@@ -153,10 +147,11 @@
     assertEquals(
         OptionalDouble.of(70), aims.startByS(job, 20, 21), "a start counts from readiness");
     assertEquals(OptionalDouble.of(120), aims.startByS(job, 20, 71), "twice the due time does not");
-    assertEquals(15, placer.slackS(job, ACCEPTED + 65_000));
+    assertEquals(15, jobOrder.slackS(job, ACCEPTED + 65_000));
     assertTrue(
-        !Placer.isStarving(job, ACCEPTED + 149_000), "nobody ages while it waits for others");
-    assertTrue(Placer.isStarving(job, ACCEPTED + 151_000));
+        !StarvationProtection.isStarving(job, ACCEPTED + 149_000),
+        "nobody ages while it waits for others");
+    assertTrue(StarvationProtection.isStarving(job, ACCEPTED + 151_000));
   }
 
   @Test
@@ -194,7 +189,7 @@
         .inherit(Priority.NORMAL, OptionalLong.of(ACCEPTED + 90_000), OptionalLong.empty());
     assertEquals(
         List.of("run-3", "run-1", "run-0", "run-2"),
-        placer.pendingJobs(ACCEPTED, ACCEPTED).stream().map(Job::uid).toList());
+        jobOrder.order(ACCEPTED, ACCEPTED).stream().map(Job::uid).toList());
   }
 
   @Test
--- a/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
+++ b/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
@@ -380,14 +380,11 @@
     int[] placed = {0};
     Placer placer =
         new Placer(
-            catalogue,
-            fleet,
-            table,
-            teams,
+            new ClusterView(catalogue, fleet, table, teams),
             estimates,
-            () -> ++attempt[0],
             new ServiceLevelObjectives(List.of()),
             60_000,
+            () -> ++attempt[0],
             p -> placed[0]++);
     machines.seen = 0;
     placer.run(NOW, NOW);
--- a/src/test/java/org/ploverspindle/placement/PlacerTest.java
+++ b/src/test/java/org/ploverspindle/placement/PlacerTest.java
@@ -166,14 +166,11 @@
     long[] attempt = {0};
     Placer placer =
         new Placer(
-            catalogue,
-            fleet,
-            jobs,
-            teams,
+            new ClusterView(catalogue, fleet, jobs, teams),
             new RuntimeEstimates(),
-            () -> ++attempt[0],
             new ServiceLevelObjectives(List.of()),
             60_000,
+            () -> ++attempt[0],
             p -> placed.put(p.job().uid() + "/" + p.task(), p.machine().host()));
     Map<String, String> expected = plainly(new ArrayList<>(placer.pendingJobs(NOW, NOW)), fleet);
     placer.run(NOW, NOW);
--- a/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
+++ b/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
@@ -46,6 +46,11 @@
     return new Job(spec, NOW, 80, 0, types, -1, 3);
   }
 
+  /** The one job is all there is, and its tasks are pending. */
+  private static ScaleOutPlanner.Work onlyJob(Job job) {
+    return new ScaleOutPlanner.Work(List.of(job), List.of(job), Optional.empty(), 0);
+  }
+
   private Machine idle(int i, int type) {
     return new Machine("i-" + i, type, 0, true, catalogue.type(type).size(), NOW, 1);
   }
@@ -54,8 +59,7 @@
   private double[] rented(Job job, List<Machine> machines, ServiceLevelObjectives aims) {
     double[] cores = new double[2];
     new ScaleOutPlanner(catalogue, teams, new RuntimeEstimates(), aims, 30)
-        .plan(
-            List.of(job), List.of(job), machines, List.of(), OFFERS, Optional.empty(), 0, NOW, NOW)
+        .plan(onlyJob(job), new ScaleOutPlanner.Supply(machines, List.of(), OFFERS), NOW, NOW)
         .forEach(w -> cores[w.group().type()] += w.count() * (w.group().type() == 0 ? 4 : 16));
     return cores;
   }
@@ -100,8 +104,7 @@
     Job job = job(8, 100, 50, 60);
     new ScaleOutPlanner(
             catalogue, teams, new RuntimeEstimates(), new ServiceLevelObjectives(List.of()), 30)
-        .plan(
-            List.of(job), List.of(job), List.of(), List.of(), offers, Optional.empty(), 0, NOW, NOW)
+        .plan(onlyJob(job), new ScaleOutPlanner.Supply(List.of(), List.of(), offers), NOW, NOW)
         .forEach(w -> rented[w.group().zone()] += w.count());
     assertEquals(50, rented[0] + rented[1] + rented[2]);
     assertEquals(4, rented[2], "a zone with little room is used up");
@@ -118,8 +121,7 @@
     int[] rented = new int[2];
     new ScaleOutPlanner(
             catalogue, teams, new RuntimeEstimates(), new ServiceLevelObjectives(List.of()), 30)
-        .plan(
-            List.of(job), List.of(job), List.of(), List.of(), offers, Optional.empty(), 0, NOW, NOW)
+        .plan(onlyJob(job), new ScaleOutPlanner.Supply(List.of(), List.of(), offers), NOW, NOW)
         .forEach(w -> rented[w.group().type()] += w.count());
     assertEquals(3, rented[1], "all that come in time");
     assertTrue(rented[0] >= 30, rented[0] + " of the others for the rest");
