--- a/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
+++ b/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
@@ -13,23 +13,47 @@
 
 /**
  * The backward pass of the critical path method: users give only the last job of a pipeline its
- * deadline and priority, and from these follows when each job before it must be finished, and how
- * urgent it is. Computed from the whole graph each time: a dependent that is accepted later is
- * taken into account, and one that is aborted no longer is.
+ * deadline and priority, and from these follow the latest finish and the priority of each job
+ * before it. Computed from the whole graph each time: a dependent that is accepted later is
+ * included, and one that is aborted no longer is.
  */
 public final class CriticalPath {
   /**
-   * A job by itself.
+   * A job's own values.
    *
    * @param latestFinishMs time of day in milliseconds
-   * @param runS estimate of its run time
+   * @param runS estimate of its run time in seconds
    */
   public record Own(OptionalLong latestFinishMs, Priority urgency, double runS) {}
 
-  /** A job's effective deadline and urgency: the tightest of its own and its dependents'. */
+  /**
+   * A job's effective values: the earliest latest finish and the highest priority that follow from
+   * its own values and its dependents'.
+   *
+   * @param latestFinishMs time of day in milliseconds
+   */
   public record PriorityInheritance(OptionalLong latestFinishMs, Priority urgency) {}
 
-  private CriticalPath() {}
+  /** The latest finish of a job that neither it nor a dependent sets. */
+  private static final double NEVER = Double.POSITIVE_INFINITY;
+
+  private static final double MS_PER_S = 1_000;
+
+  private static final Own UNKNOWN = new Own(OptionalLong.empty(), Priority.BEST_EFFORT, 0);
+
+  private final Function<String, Optional<Own>> jobs;
+  private final Map<String, PriorityInheritance> effective = new HashMap<>();
+
+  /** How many unfinished dependents of each vertex have no values yet. */
+  private final int[] dependentsLeft;
+
+  private final double[] latestStartMs;
+
+  private CriticalPath(int vertices, Function<String, Optional<Own>> jobs) {
+    this.jobs = jobs;
+    this.dependentsLeft = new int[vertices];
+    this.latestStartMs = new double[vertices];
+  }
 
   /**
    * The effective values of every job of the graph that is neither done nor aborted.
@@ -40,48 +64,52 @@
   public static Map<String, PriorityInheritance> of(
       DependencyGraph graph, Function<String, Optional<Own>> jobs) {
     List<Vertex> vertices = graph.vertices();
-    int[] waitingFor = new int[vertices.size()];
-    Deque<Vertex> work = new ArrayDeque<>();
-    for (Vertex v : vertices) {
-      if (counts(v)) {
-        for (Vertex d : v.dependents) {
-          waitingFor[v.index] += counts(d) ? 1 : 0;
+    return new CriticalPath(vertices.size(), jobs).compute(vertices);
+  }
+
+  private Map<String, PriorityInheritance> compute(List<Vertex> vertices) {
+    Deque<Vertex> ready = new ArrayDeque<>();
+    for (Vertex vertex : vertices) {
+      if (isUnfinished(vertex)) {
+        for (Vertex dependent : vertex.dependents) {
+          dependentsLeft[vertex.index] += isUnfinished(dependent) ? 1 : 0;
         }
-        if (waitingFor[v.index] == 0) {
-          work.add(v);
+        if (dependentsLeft[vertex.index] == 0) {
+          ready.add(vertex);
         }
       }
     }
-    Map<String, PriorityInheritance> passed = new HashMap<>();
-    double[] latestStartMs = new double[vertices.size()];
-    while (!work.isEmpty()) {
-      Vertex v = work.poll();
-      Own own = jobs.apply(v.uid).orElse(new Own(OptionalLong.empty(), Priority.BEST_EFFORT, 0));
-      double latestMs = own.latestFinishMs().isPresent() ? own.latestFinishMs().getAsLong() : NEVER;
-      Priority urgency = own.urgency();
-      for (Vertex d : v.dependents) {
-        if (counts(d)) {
-          latestMs = Math.min(latestMs, latestStartMs[d.index]);
-          Priority theirs = passed.get(d.uid).urgency();
-          urgency = theirs.compareTo(urgency) < 0 ? theirs : urgency;
-        }
-      }
-      latestStartMs[v.index] = latestMs - 1000 * own.runS();
-      OptionalLong latest =
-          latestMs == NEVER ? OptionalLong.empty() : OptionalLong.of(Math.round(latestMs));
-      passed.put(v.uid, new PriorityInheritance(latest, urgency));
-      for (Vertex d : v.dependencies) {
-        if (counts(d) && --waitingFor[d.index] == 0) {
-          work.add(d);
+    while (!ready.isEmpty()) {
+      Vertex vertex = ready.poll();
+      visit(vertex);
+      for (Vertex dependency : vertex.dependencies) {
+        if (isUnfinished(dependency) && --dependentsLeft[dependency.index] == 0) {
+          ready.add(dependency);
         }
       }
     }
-    return passed;
+    return effective;
   }
 
-  private static final double NEVER = Double.POSITIVE_INFINITY;
+  /** Computes a job's values from its own and those of its dependents, which are known. */
+  private void visit(Vertex vertex) {
+    Own own = jobs.apply(vertex.uid).orElse(UNKNOWN);
+    double latestMs = own.latestFinishMs().isPresent() ? own.latestFinishMs().getAsLong() : NEVER;
+    Priority priority = own.urgency();
+    for (Vertex dependent : vertex.dependents) {
+      if (isUnfinished(dependent)) {
+        latestMs = Math.min(latestMs, latestStartMs[dependent.index]);
+        Priority theirs = effective.get(dependent.uid).urgency();
+        priority = theirs.compareTo(priority) < 0 ? theirs : priority;
+      }
+    }
+    latestStartMs[vertex.index] = latestMs - MS_PER_S * own.runS();
+    OptionalLong latestFinishMs =
+        latestMs == NEVER ? OptionalLong.empty() : OptionalLong.of(Math.round(latestMs));
+    effective.put(vertex.uid, new PriorityInheritance(latestFinishMs, priority));
+  }
 
-  private static boolean counts(Vertex v) {
-    return !v.done && !v.aborted;
+  private static boolean isUnfinished(Vertex vertex) {
+    return !vertex.done && !vertex.aborted;
   }
 }
--- a/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
+++ b/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
@@ -20,14 +20,14 @@
  * the same on every controller.
  *
  * <p>Only jobs with dependencies, and the jobs that these name, are kept. Each job is marked at
- * most once as done and once as aborted. Marks spread by a work list instead of recursion, so that
- * all consequences of an event hold when the call returns, whatever the pipeline's depth, and all
- * calls together take time linear in the number of edges that were put.
+ * most once as done and once as aborted. Abortion propagates by a work list instead of recursion,
+ * so that all consequences of an event hold when the call returns, whatever the pipeline's depth,
+ * and all calls together take time linear in the number of edges.
  */
 public final class DependencyGraph {
   /**
-   * Is told of jobs with dependencies: of each at most once that it is ready, and at most once that
-   * it is aborted; never of an aborted one that it is ready.
+   * Notified about jobs with dependencies: about each at most once that it is ready, and at most
+   * once that it is aborted; never about an aborted one that it is ready.
    */
   public interface Listener {
     /** All dependencies of the job are done. */
@@ -46,19 +46,22 @@
     boolean done;
     boolean aborted;
     private boolean cancelled;
-    private boolean awaits;
-    private boolean known;
-    private int unfinished;
-    private boolean toldReady;
-    private boolean toldAborted;
+
+    /** It has dependencies, though they may not be known yet. */
+    private boolean hasDependencies;
+
+    private boolean dependenciesKnown;
+    private int unfinishedDependencies;
+    private boolean readyNotified;
+    private boolean abortedNotified;
 
     private Vertex(String uid, int index) {
       this.uid = uid;
       this.index = index;
     }
 
-    private boolean ready() {
-      return !awaits || known && unfinished == 0;
+    private boolean isReady() {
+      return !hasDependencies || dependenciesKnown && unfinishedDependencies == 0;
     }
   }
 
@@ -66,10 +69,18 @@
   private final Predicate<String> isCancelled;
   private final Map<String, Vertex> byUid = new HashMap<>();
   private final List<Vertex> vertices = new ArrayList<>();
-  private final LinkedHashSet<String> awaiting = new LinkedHashSet<>();
+
+  /** Jobs with dependencies, in the order in which they were added. */
+  private final LinkedHashSet<String> withDependencies = new LinkedHashSet<>();
+
   private final List<Listener> listeners = new ArrayList<>();
-  private final Deque<Vertex> spreading = new ArrayDeque<>();
+
+  /** Jobs marked aborted whose dependents are not marked yet. */
+  private final Deque<Vertex> abortsToPropagate = new ArrayDeque<>();
+
+  /** Not notified about yet. */
   private List<Vertex> newlyAborted = new ArrayList<>();
+
   private List<Vertex> newlyReady = new ArrayList<>();
   private long visits;
 
@@ -90,12 +101,12 @@
     return () -> listeners.remove(listener);
   }
 
-  /** Adds a job whose dependencies are not known yet: it is not ready until it is put. */
+  /** Adds a job whose dependencies are not known yet: it is not ready until they are put. */
   public void expect(String uid) {
-    Vertex v = vertex(uid);
-    if (!v.awaits) {
-      v.awaits = true;
-      awaiting.add(uid);
+    Vertex vertex = vertex(uid);
+    if (!vertex.hasDependencies) {
+      vertex.hasDependencies = true;
+      withDependencies.add(uid);
     }
     finish();
   }
@@ -103,94 +114,97 @@
   /** Adds a job with its dependencies. A later list replaces an earlier one. */
   public void put(String uid, List<String> dependencies) {
     Collection<String> distinct = new LinkedHashSet<>(dependencies);
-    Vertex v = vertex(uid);
-    if (!v.known) {
-      connect(v, distinct);
-    } else if (!distinct.equals(new LinkedHashSet<>(uidsOf(v.dependencies)))) {
-      replace(v, distinct);
+    Vertex vertex = vertex(uid);
+    if (!vertex.dependenciesKnown) {
+      connect(vertex, distinct);
+    } else if (!distinct.equals(new LinkedHashSet<>(uidsOf(vertex.dependencies)))) {
+      replace(vertex, distinct);
     }
     finish();
   }
 
   /** Marks a job that is durably done. */
   public void done(String uid) {
-    Vertex v = byUid.get(uid);
-    if (v != null) {
-      markDone(v);
+    Vertex vertex = byUid.get(uid);
+    if (vertex != null) {
+      markDone(vertex);
       finish();
     }
   }
 
   /** Marks a job that was itself cancelled. */
   public void cancelled(String uid) {
-    Vertex v = byUid.get(uid);
-    if (v != null) {
-      v.cancelled = true;
-      markAborted(v);
+    Vertex vertex = byUid.get(uid);
+    if (vertex != null) {
+      vertex.cancelled = true;
+      markAborted(vertex);
       finish();
     }
   }
 
   /** True when all dependencies are done, also of a job without any. */
   public boolean isReady(String uid) {
-    Vertex v = byUid.get(uid);
-    return v == null || v.ready();
+    Vertex vertex = byUid.get(uid);
+    return vertex == null || vertex.isReady();
   }
 
   /** True when the job, or any job that it depends on directly or through others, is cancelled. */
   public boolean isAborted(String uid) {
-    Vertex v = byUid.get(uid);
-    return v == null ? isCancelled.test(uid) : v.aborted;
+    Vertex vertex = byUid.get(uid);
+    return vertex == null ? isCancelled.test(uid) : vertex.aborted;
   }
 
   /** False while the job's dependencies are not known. */
   public boolean isKnown(String uid) {
-    Vertex v = byUid.get(uid);
-    return v == null || !v.awaits || v.known;
+    Vertex vertex = byUid.get(uid);
+    return vertex == null || !vertex.hasDependencies || vertex.dependenciesKnown;
   }
 
   /** True when the job has dependencies. */
   public boolean awaitsOthers(String uid) {
-    return awaiting.contains(uid);
+    return withDependencies.contains(uid);
   }
 
   /** The direct dependencies that are not done yet, for display. */
   public List<String> unfinished(String uid) {
-    Vertex v = byUid.get(uid);
-    return v == null
+    Vertex vertex = byUid.get(uid);
+    return vertex == null
         ? List.of()
-        : v.dependencies.stream().filter(d -> !d.done).map(d -> d.uid).toList();
+        : vertex.dependencies.stream()
+            .filter(dependency -> !dependency.done)
+            .map(dependency -> dependency.uid)
+            .toList();
   }
 
   /** The direct dependencies. */
   public List<String> dependenciesOf(String uid) {
-    Vertex v = byUid.get(uid);
-    return v == null ? List.of() : uidsOf(v.dependencies);
+    Vertex vertex = byUid.get(uid);
+    return vertex == null ? List.of() : uidsOf(vertex.dependencies);
   }
 
   /** The direct dependents. */
   public List<String> dependentsOf(String uid) {
-    Vertex v = byUid.get(uid);
-    return v == null ? List.of() : uidsOf(v.dependents);
+    Vertex vertex = byUid.get(uid);
+    return vertex == null ? List.of() : uidsOf(vertex.dependents);
   }
 
   /** Jobs with dependencies, in the order in which they were added. */
   public Collection<String> uids() {
-    return Collections.unmodifiableCollection(awaiting);
+    return Collections.unmodifiableCollection(withDependencies);
   }
 
-  /** All jobs that await or are awaited; the position of each is its index. */
+  /** All jobs with dependencies or dependents; the position of each is its index. */
   List<Vertex> vertices() {
-    return vertices;
+    return Collections.unmodifiableList(vertices);
   }
 
-  /** How many edges were visited so far; tests bound the work by it. */
+  /** How many edges were visited so far, by which tests bound the work. */
   long visits() {
     return visits;
   }
 
   private static List<String> uidsOf(List<Vertex> vertices) {
-    return vertices.stream().map(v -> v.uid).toList();
+    return vertices.stream().map(vertex -> vertex.uid).toList();
   }
 
   private Vertex vertex(String uid) {
@@ -198,104 +212,112 @@
     if (known != null) {
       return known;
     }
-    Vertex v = new Vertex(uid, vertices.size());
-    byUid.put(uid, v);
-    vertices.add(v);
-    v.done = isDone.test(uid);
-    v.cancelled = isCancelled.test(uid);
-    v.aborted = v.cancelled;
-    return v;
+    Vertex vertex = new Vertex(uid, vertices.size());
+    byUid.put(uid, vertex);
+    vertices.add(vertex);
+    vertex.done = isDone.test(uid);
+    vertex.cancelled = isCancelled.test(uid);
+    vertex.aborted = vertex.cancelled;
+    return vertex;
   }
 
-  private void connect(Vertex v, Collection<String> dependencies) {
-    v.awaits = true;
-    v.known = true;
-    awaiting.add(v.uid);
+  private void connect(Vertex vertex, Collection<String> dependencies) {
+    vertex.hasDependencies = true;
+    vertex.dependenciesKnown = true;
+    withDependencies.add(vertex.uid);
     for (String uid : dependencies) {
-      Vertex d = vertex(uid);
+      Vertex dependency = vertex(uid);
       visits++;
-      v.dependencies.add(d);
-      d.dependents.add(v);
-      v.unfinished += d.done ? 0 : 1;
-      if (d.aborted) {
-        markAborted(v);
+      vertex.dependencies.add(dependency);
+      dependency.dependents.add(vertex);
+      vertex.unfinishedDependencies += dependency.done ? 0 : 1;
+      if (dependency.aborted) {
+        markAborted(vertex);
       }
     }
-    if (v.aborted) {
-      // It may have been named and cancelled before it was put: listeners are told only now.
-      newlyAborted.add(v);
+    if (vertex.aborted) {
+      // It may have been named and cancelled before it was put: listeners are notified only now.
+      newlyAborted.add(vertex);
     }
-    if (v.unfinished == 0) {
-      newlyReady.add(v);
+    if (vertex.unfinishedDependencies == 0) {
+      newlyReady.add(vertex);
     }
   }
 
   /**
-   * Replaces a job's dependencies. Needed when two controllers accepted one id with different
-   * lists, and the record that counts, the one written first, arrived second.
+   * Replaces a job's dependencies, by building all edges anew. Needed when two controllers accepted
+   * one id with different lists, and the valid record, the one written first, was read second.
    */
   private void replace(Vertex changed, Collection<String> dependencies) {
-    Map<Vertex, Collection<String>> lists = new LinkedHashMap<>();
-    for (Vertex v : vertices) {
-      if (v.known) {
-        lists.put(v, v == changed ? dependencies : uidsOf(v.dependencies));
+    Map<Vertex, Collection<String>> dependenciesOf = new LinkedHashMap<>();
+    for (Vertex vertex : vertices) {
+      if (vertex.dependenciesKnown) {
+        dependenciesOf.put(vertex, vertex == changed ? dependencies : uidsOf(vertex.dependencies));
       }
     }
-    for (Vertex v : vertices) {
-      v.dependencies.clear();
-      v.dependents.clear();
-      v.unfinished = 0;
-      v.aborted = v.cancelled;
+    for (Vertex vertex : vertices) {
+      vertex.dependencies.clear();
+      vertex.dependents.clear();
+      vertex.unfinishedDependencies = 0;
+      vertex.aborted = vertex.cancelled;
     }
-    lists.forEach(this::connect);
+    dependenciesOf.forEach(this::connect);
   }
 
-  private void markDone(Vertex v) {
-    if (v.done) {
+  private void markDone(Vertex vertex) {
+    if (vertex.done) {
       return;
     }
-    v.done = true;
-    for (Vertex d : v.dependents) {
+    vertex.done = true;
+    for (Vertex dependent : vertex.dependents) {
       visits++;
-      d.unfinished--;
-      if (d.unfinished == 0) {
-        newlyReady.add(d);
+      dependent.unfinishedDependencies--;
+      if (dependent.unfinishedDependencies == 0) {
+        newlyReady.add(dependent);
       }
     }
   }
 
-  private void markAborted(Vertex v) {
-    if (!v.aborted) {
-      v.aborted = true;
-      spreading.add(v);
+  private void markAborted(Vertex vertex) {
+    if (!vertex.aborted) {
+      vertex.aborted = true;
+      abortsToPropagate.add(vertex);
     }
   }
 
-  /** Spreads all marks and only then calls the listeners, so that they see a consistent graph. */
+  /** Propagates all marks and only then notifies, so that listeners see a consistent graph. */
   private void finish() {
-    while (!spreading.isEmpty()) {
-      Vertex v = spreading.poll();
-      newlyAborted.add(v);
-      for (Vertex d : v.dependents) {
-        visits++;
-        markAborted(d);
-      }
-    }
+    propagateAborts();
     List<Vertex> aborted = newlyAborted;
     List<Vertex> ready = newlyReady;
     newlyAborted = new ArrayList<>();
     newlyReady = new ArrayList<>();
-    for (Vertex v : aborted) {
-      if (v.awaits && !v.toldAborted) {
-        v.toldAborted = true;
-        List.copyOf(listeners).forEach(l -> l.aborted(v.uid));
+    aborted.forEach(this::notifyAborted);
+    ready.forEach(this::notifyReady);
+  }
+
+  private void propagateAborts() {
+    while (!abortsToPropagate.isEmpty()) {
+      Vertex vertex = abortsToPropagate.poll();
+      newlyAborted.add(vertex);
+      for (Vertex dependent : vertex.dependents) {
+        visits++;
+        markAborted(dependent);
       }
     }
-    for (Vertex v : ready) {
-      if (v.ready() && !v.aborted && !v.toldReady) {
-        v.toldReady = true;
-        List.copyOf(listeners).forEach(l -> l.ready(v.uid));
-      }
+  }
+
+  private void notifyAborted(Vertex vertex) {
+    if (vertex.hasDependencies && !vertex.abortedNotified) {
+      vertex.abortedNotified = true;
+      List.copyOf(listeners).forEach(listener -> listener.aborted(vertex.uid));
+    }
+  }
+
+  private void notifyReady(Vertex vertex) {
+    if (vertex.isReady() && !vertex.aborted && !vertex.readyNotified) {
+      vertex.readyNotified = true;
+      List.copyOf(listeners).forEach(listener -> listener.ready(vertex.uid));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -15,17 +15,17 @@
 
 /**
  * Keeps the dependency graph up to date with this controller's replica. Every controller has one,
- * as answers to users need it too.
+ * as responses to users need it too.
  */
 public final class Pipelines {
   private final Replica replica;
   private final DependencyGraph graph;
   private final Map<String, Long> readyWallMs = new HashMap<>();
 
-  /** Jobs of whose lists of dependencies not all parts are read yet, by the lists' names. */
+  /** Jobs whose dependencies are stored separately and not completely read yet, by record name. */
   private final Map<String, AcceptedJobIndex.AcceptedJob> incomplete = new HashMap<>();
 
-  public Pipelines(Scheduler scheduler, Replica replica, AcceptedJobIndex specs) {
+  public Pipelines(Scheduler scheduler, Replica replica, AcceptedJobIndex acceptedJobs) {
     this.replica = replica;
     this.graph =
         new DependencyGraph(
@@ -41,17 +41,17 @@
           @Override
           public void aborted(String uid) {}
         });
-    specs.addListener(
+    acceptedJobs.addListener(
         new AcceptedJobIndex.Listener() {
           @Override
-          public void accepted(AcceptedJobIndex.AcceptedJob spec) {
-            put(spec);
+          public void accepted(AcceptedJobIndex.AcceptedJob job) {
+            put(job);
           }
 
           @Override
-          public void corrected(AcceptedJobIndex.AcceptedJob spec) {
-            incomplete.values().removeIf(s -> s.uid().equals(spec.uid()));
-            put(spec);
+          public void corrected(AcceptedJobIndex.AcceptedJob job) {
+            incomplete.values().removeIf(incompleteJob -> incompleteJob.uid().equals(job.uid()));
+            put(job);
           }
         });
     replica.addListener(this::changed);
@@ -67,12 +67,12 @@
    * ready or has no dependencies.
    */
   public OptionalLong readyWallMs(String uid) {
-    Long ms = readyWallMs.get(uid);
-    return ms == null ? OptionalLong.empty() : OptionalLong.of(ms);
+    Long wallMs = readyWallMs.get(uid);
+    return wallMs == null ? OptionalLong.empty() : OptionalLong.of(wallMs);
   }
 
   /**
-   * True when the job is neither over nor ready. Such a job takes part in no limit and no demand.
+   * True when the job is neither terminal nor ready. Such a job counts for no limit and no demand.
    */
   public boolean isWaiting(String uid) {
     return !graph.isReady(uid)
@@ -80,25 +80,25 @@
         && replica.get(Keys.completion(uid)).isEmpty();
   }
 
-  /** How many jobs wait for their dependencies. */
+  /** How many jobs are blocked on dependencies. */
   public long waiting() {
     return graph.uids().stream().filter(this::isWaiting).count();
   }
 
-  private void put(AcceptedJobIndex.AcceptedJob spec) {
-    JobRecord.StoredDependencies awaits = JobRecord.storedDependencies(spec.value());
-    if (awaits instanceof JobRecord.StoredDependencies.Inline here) {
-      if (!here.uids().isEmpty() || graph.awaitsOthers(spec.uid())) {
-        graph.put(spec.uid(), here.uids());
+  private void put(AcceptedJobIndex.AcceptedJob job) {
+    JobRecord.StoredDependencies stored = JobRecord.storedDependencies(job.value());
+    if (stored instanceof JobRecord.StoredDependencies.Inline inline) {
+      if (!inline.uids().isEmpty() || graph.awaitsOthers(job.uid())) {
+        graph.put(job.uid(), inline.uids());
       }
-    } else if (awaits instanceof JobRecord.StoredDependencies.Separate elsewhere) {
-      Optional<List<String>> uids = DependenciesRecord.read(replica, elsewhere);
+    } else if (stored instanceof JobRecord.StoredDependencies.Separate separate) {
+      Optional<List<String>> uids = DependenciesRecord.read(replica, separate);
       if (uids.isPresent()) {
-        incomplete.remove(elsewhere.name());
-        graph.put(spec.uid(), uids.get());
+        incomplete.remove(separate.name());
+        graph.put(job.uid(), uids.get());
       } else {
-        incomplete.put(elsewhere.name(), spec);
-        graph.expect(spec.uid());
+        incomplete.put(separate.name(), job);
+        graph.expect(job.uid());
       }
     }
   }
@@ -112,10 +112,10 @@
     } else if (key.startsWith(Keys.CANCELLATIONS)) {
       graph.cancelled(key.substring(Keys.CANCELLATIONS.length()));
     } else if (key.startsWith(Keys.DEPENDENCIES) && !incomplete.isEmpty()) {
-      AcceptedJobIndex.AcceptedJob spec =
+      AcceptedJobIndex.AcceptedJob job =
           incomplete.get(key.substring(Keys.DEPENDENCIES.length(), key.lastIndexOf('/')));
-      if (spec != null) {
-        put(spec);
+      if (job != null) {
+        put(job);
       }
     }
   }
