--- a/src/main/java/org/ploverspindle/policy/Evaluator.java
+++ b/src/main/java/org/ploverspindle/policy/Evaluator.java
@@ -3,57 +3,69 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Evaluates an expression over the known names, or tells what is wrong with it. */
+/** Evaluates expressions over named amounts. An expression that is wrong raises an exception. */
 final class Evaluator {
   private final Map<String, Double> names;
 
+  /**
+   * @param names the amounts that an expression may use
+   */
   Evaluator(Map<String, Double> names) {
     this.names = names;
   }
 
   /** The value of an expression that must be an amount. */
-  double amount(Expression e) throws PolicyException {
-    if (isCondition(e)) {
-      throw new PolicyException(e.column(), "a comparison is no amount");
+  double amount(Expression expression) throws PolicyException {
+    if (isCondition(expression)) {
+      throw new PolicyException(expression.column(), "a comparison is no amount");
     }
-    // Both branches of an "if" are checked, also the one that the present settings do not take.
-    if (e instanceof Expression.If choice) {
-      double then = amount(choice.then());
-      double otherwise = amount(choice.otherwise());
-      return condition(choice.condition()) ? then : otherwise;
+    if (expression instanceof Expression.If choice) {
+      return choice(choice);
     }
-    if (e instanceof Expression.Num num) {
-      return num.value();
+    if (expression instanceof Expression.Num number) {
+      return number.value();
     }
-    if (e instanceof Expression.Name name) {
-      Double value = names.get(name.name());
-      if (value == null) {
-        String known = names.keySet().stream().sorted().collect(Collectors.joining(", "));
-        throw new PolicyException(
-            name.column(), "unknown name \"" + name.name() + "\"; known are " + known);
-      }
-      return value;
+    if (expression instanceof Expression.Name name) {
+      return valueOf(name);
     }
-    if (e instanceof Expression.Negate negate) {
-      return -amount(negate.of());
+    if (expression instanceof Expression.Negate negation) {
+      return -amount(negation.of());
     }
-    if (e instanceof Expression.Call call) {
+    if (expression instanceof Expression.Call call) {
       return call(call);
     }
-    return arithmetic((Expression.Binary) e);
+    return arithmetic((Expression.Binary) expression);
   }
 
-  private static boolean isCondition(Expression e) {
-    return e instanceof Expression.Binary b && "< <= > >= ==".contains(b.op());
+  /** Both branches are evaluated, so that one that is not taken at present is checked as well. */
+  private double choice(Expression.If choice) throws PolicyException {
+    double then = amount(choice.then());
+    double otherwise = amount(choice.otherwise());
+    return condition(choice.condition()) ? then : otherwise;
   }
 
-  private boolean condition(Expression e) throws PolicyException {
-    if (!(e instanceof Expression.Binary b) || !isCondition(e)) {
-      throw new PolicyException(e.column(), "a comparison is needed here");
+  private double valueOf(Expression.Name name) throws PolicyException {
+    Double value = names.get(name.name());
+    if (value == null) {
+      String known = names.keySet().stream().sorted().collect(Collectors.joining(", "));
+      throw new PolicyException(
+          name.column(), "unknown name \"" + name.name() + "\"; known are " + known);
+    }
+    return value;
+  }
+
+  private static boolean isCondition(Expression expression) {
+    return expression instanceof Expression.Binary binary
+        && "< <= > >= ==".contains(binary.operator());
+  }
+
+  private boolean condition(Expression expression) throws PolicyException {
+    if (!(expression instanceof Expression.Binary comparison) || !isCondition(expression)) {
+      throw new PolicyException(expression.column(), "a comparison is needed here");
     }
-    double left = amount(b.left());
-    double right = amount(b.right());
-    return switch (b.op()) {
+    double left = amount(comparison.left());
+    double right = amount(comparison.right());
+    return switch (comparison.operator()) {
       case "<" -> left < right;
       case "<=" -> left <= right;
       case ">" -> left > right;
@@ -62,13 +74,13 @@
     };
   }
 
-  private double arithmetic(Expression.Binary b) throws PolicyException {
-    double left = amount(b.left());
-    double right = amount(b.right());
-    if (b.op().equals("/") && right == 0) {
-      throw new PolicyException(b.column(), "division by zero");
+  private double arithmetic(Expression.Binary binary) throws PolicyException {
+    double left = amount(binary.left());
+    double right = amount(binary.right());
+    if (binary.operator().equals("/") && right == 0) {
+      throw new PolicyException(binary.column(), "division by zero");
     }
-    return switch (b.op()) {
+    return switch (binary.operator()) {
       case "+" -> left + right;
       case "-" -> left - right;
       case "*" -> left * right;
--- a/src/main/java/org/ploverspindle/policy/Parser.java
+++ b/src/main/java/org/ploverspindle/policy/Parser.java
@@ -20,7 +20,7 @@
       Pattern.compile(
           "\\s*(?:(\\d+(?:\\.\\d+)?)|([A-Za-z_][A-Za-z0-9_]*)|\"([^\"]*)\"|(<=|>=|==|[-+*/()<>,=]))");
 
-  /** Groups of the pattern above. */
+  /** Groups of the pattern above; each is the ordinal of its {@link Kind} and one. */
   private static final int NUMBER_GROUP = 1;
 
   private static final int WORD_GROUP = 2;
@@ -49,41 +49,46 @@
 
   private static List<Token> scan(String line) throws PolicyException {
     List<Token> tokens = new ArrayList<>();
-    Matcher m = TOKEN.matcher(line);
+    Matcher matcher = TOKEN.matcher(line);
     int at = 0;
     while (at < line.length() && !line.substring(at).isBlank()) {
-      if (!m.find(at) || m.start() != at) {
+      if (!matcher.find(at) || matcher.start() != at) {
         throw new PolicyException(at + 1, "unexpected \"" + line.substring(at).strip() + "\"");
       }
-      Kind kind =
-          m.group(NUMBER_GROUP) != null
-              ? Kind.NUMBER
-              : m.group(WORD_GROUP) != null
-                  ? Kind.WORD
-                  : m.group(QUOTED_GROUP) != null ? Kind.QUOTED : Kind.SIGN;
+      Kind kind = kind(matcher);
       int group = kind.ordinal() + 1;
-      tokens.add(new Token(kind, m.group(group), m.start(group) + 1));
-      at = m.end();
+      tokens.add(new Token(kind, matcher.group(group), matcher.start(group) + 1));
+      at = matcher.end();
     }
     tokens.add(new Token(Kind.END, "the end of the line", line.length() + 1));
     return tokens;
   }
 
+  private static Kind kind(Matcher matcher) {
+    if (matcher.group(NUMBER_GROUP) != null) {
+      return Kind.NUMBER;
+    }
+    if (matcher.group(WORD_GROUP) != null) {
+      return Kind.WORD;
+    }
+    return matcher.group(QUOTED_GROUP) != null ? Kind.QUOTED : Kind.SIGN;
+  }
+
   private Token peek() {
     return tokens.get(next);
   }
 
   private Token take() {
-    Token t = peek();
-    if (t.kind() != Kind.END) {
+    Token token = peek();
+    if (token.kind() != Kind.END) {
       next++;
     }
-    return t;
+    return token;
   }
 
   private boolean takeIf(String text) {
-    Token t = peek();
-    if ((t.kind() == Kind.SIGN || t.kind() == Kind.WORD) && t.text().equals(text)) {
+    Token token = peek();
+    if ((token.kind() == Kind.SIGN || token.kind() == Kind.WORD) && token.text().equals(text)) {
       next++;
       return true;
     }
@@ -97,19 +102,22 @@
     }
   }
 
-  /** The left side: a setting's name, or {@code pool "TYPE" min}. */
+  /**
+   * Parses the left side, a setting's name or {@code pool "TYPE" min}, and the equals sign. Returns
+   * the name, or {@code pool/TYPE/min}.
+   */
   String target() throws PolicyException {
-    Token t = take();
-    if (t.kind() != Kind.WORD) {
-      throw new PolicyException(t.column(), "a line must begin with a setting's name");
+    Token token = take();
+    if (token.kind() != Kind.WORD) {
+      throw new PolicyException(token.column(), "a line must begin with a setting's name");
     }
-    String target = t.text();
+    String target = token.text();
     if (target.equals("pool")) {
       Token type = take();
       Token bound = take();
       if (type.kind() != Kind.QUOTED
           || !bound.text().equals("min") && !bound.text().equals("max")) {
-        throw new PolicyException(t.column(), "expected: pool \"TYPE\" min or max");
+        throw new PolicyException(token.column(), "expected: pool \"TYPE\" min or max");
       }
       target = "pool/" + type.text() + "/" + bound.text();
     }
@@ -117,31 +125,32 @@
     return target;
   }
 
-  Expression whole() throws PolicyException {
-    Expression e = expr();
+  /** Parses the rest of the line. */
+  Expression expression() throws PolicyException {
+    Expression expression = choiceOrComparison();
     if (peek().kind() != Kind.END) {
       throw new PolicyException(peek().column(), "unexpected " + peek().text());
     }
-    return e;
+    return expression;
   }
 
-  private Expression expr() throws PolicyException {
+  private Expression choiceOrComparison() throws PolicyException {
     if (++depth > MAX_DEPTH) {
       throw new PolicyException(peek().column(), "nested too deeply");
     }
     try {
       int column = peek().column();
       if (takeIf("if")) {
-        Expression condition = expr();
+        Expression condition = choiceOrComparison();
         expect("then");
-        Expression then = expr();
+        Expression then = choiceOrComparison();
         expect("else");
-        return new Expression.If(condition, then, expr(), column);
+        return new Expression.If(condition, then, choiceOrComparison(), column);
       }
       Expression left = sum();
-      for (String op : List.of("<=", ">=", "==", "<", ">")) {
-        if (takeIf(op)) {
-          return new Expression.Binary(op, left, sum(), column);
+      for (String operator : List.of("<=", ">=", "==", "<", ">")) {
+        if (takeIf(operator)) {
+          return new Expression.Binary(operator, left, sum(), column);
         }
       }
       return left;
@@ -179,34 +188,40 @@
   }
 
   private Expression unary() throws PolicyException {
-    Token t = take();
-    if (t.kind() == Kind.NUMBER) {
-      return new Expression.Num(Double.parseDouble(t.text()), t.column());
+    Token token = take();
+    if (token.kind() == Kind.NUMBER) {
+      return new Expression.Num(Double.parseDouble(token.text()), token.column());
     }
-    if (t.kind() == Kind.SIGN && t.text().equals("-")) {
-      if (++depth > MAX_DEPTH) {
-        throw new PolicyException(t.column(), "nested too deeply");
-      }
-      Expression of = unary();
-      depth--;
-      return new Expression.Negate(of, t.column());
+    if (token.kind() == Kind.SIGN && token.text().equals("-")) {
+      return negation(token);
     }
-    if (t.kind() == Kind.SIGN && t.text().equals("(")) {
-      Expression inner = expr();
+    if (token.kind() == Kind.SIGN && token.text().equals("(")) {
+      Expression inner = choiceOrComparison();
       expect(")");
       return inner;
     }
-    if (t.kind() != Kind.WORD) {
-      throw new PolicyException(t.column(), "expected a value and found " + t.text());
+    if (token.kind() != Kind.WORD) {
+      throw new PolicyException(token.column(), "expected a value and found " + token.text());
     }
-    if (!takeIf("(")) {
-      return new Expression.Name(t.text(), t.column());
+    return takeIf("(") ? call(token) : new Expression.Name(token.text(), token.column());
+  }
+
+  private Expression negation(Token sign) throws PolicyException {
+    if (++depth > MAX_DEPTH) {
+      throw new PolicyException(sign.column(), "nested too deeply");
     }
+    Expression of = unary();
+    depth--;
+    return new Expression.Negate(of, sign.column());
+  }
+
+  /** The call of a function, whose name and opening parenthesis are taken. */
+  private Expression call(Token function) throws PolicyException {
     List<Expression> arguments = new ArrayList<>();
     do {
-      arguments.add(expr());
+      arguments.add(choiceOrComparison());
     } while (takeIf(","));
     expect(")");
-    return new Expression.Call(t.text(), arguments, t.column());
+    return new Expression.Call(function.text(), arguments, function.column());
   }
 }
--- a/src/main/java/org/ploverspindle/policy/Policy.java
+++ b/src/main/java/org/ploverspindle/policy/Policy.java
@@ -3,8 +3,15 @@
 import java.util.Map;
 
 /**
- * Operators' own settings, evaluated. What each is for, and on what its default rests, is in
- * docs/operations.md.
+ * The operators' policy, evaluated. docs/operations.md explains each value and its default.
+ *
+ * @param scanS seconds between two scale-out rounds
+ * @param backoffS for how many seconds a group gets no request after a failed one
+ * @param idleS for how many seconds a machine is idle before it is terminated
+ * @param poolMin the machines that each type's pool must hold
+ * @param poolMax the machines that each type's pool may hold
+ * @param drainS in how many seconds work that should not wait is to be done
+ * @param pools the bounds of the pools that have their own, by machine type
  */
 public record Policy(
     double scanS,
@@ -18,12 +25,10 @@
   /** Bounds of one machine type's pool that differ from the common ones. */
   public record PoolBounds(int min, int max) {}
 
-  /**
-   * The default maximum of a pool, in effect none: the cloud's refusals are the limit. A default of
-   * 1000 left a larger fleet's machines unrented.
-   */
+  /** The default maximum of a pool, in effect none: the cloud's capacity is the limit. */
   public static final int UNBOUNDED = 100_000;
 
+  /** The policy without a file. */
   public static final Policy DEFAULT = new Policy(3, 30, 60, 0, UNBOUNDED, 30, Map.of());
 
   /** The bounds of the type's pool: its own, or the common ones. */
--- a/src/main/java/org/ploverspindle/policy/PolicyFile.java
+++ b/src/main/java/org/ploverspindle/policy/PolicyFile.java
@@ -20,7 +20,11 @@
  * EXPRESSION}; {@code #} begins a comment. Expressions may use amounts of the platform's settings.
  */
 public final class PolicyFile {
-  private record Range(double least, double most, boolean whole) {}
+  private record Range(double min, double max, boolean whole) {
+    boolean excludes(double value) {
+      return value < min || value > max || whole && value != Math.rint(value);
+    }
+  }
 
   private static final Map<String, Range> KNOWN =
       Map.of(
@@ -44,22 +48,26 @@
     this.evaluator = new Evaluator(names(settings));
   }
 
-  private static Map<String, Double> names(Settings s) {
+  private static Map<String, Double> names(Settings settings) {
     Map<String, Double> names = new HashMap<>();
-    names.put("nodes", (double) s.nodes());
-    names.put("zones", (double) s.zones().size());
-    names.put("teams", (double) s.teams().size());
-    names.put("report_s", s.workers().reportS());
-    names.put("lease_s", s.workers().leaseS());
-    names.put("cancel_s", s.workers().cancelS());
-    names.put("state_rps", s.writeLimits().rps());
-    names.put("state_write_rps", s.writeLimits().writeRps());
-    names.put("cloud_rps", s.cloudLimits().rps());
-    names.put("list_lag_s", s.cloudLimits().listLagS());
+    names.put("nodes", (double) settings.nodes());
+    names.put("zones", (double) settings.zones().size());
+    names.put("teams", (double) settings.teams().size());
+    names.put("report_s", settings.workers().reportS());
+    names.put("lease_s", settings.workers().leaseS());
+    names.put("cancel_s", settings.workers().cancelS());
+    names.put("state_rps", settings.writeLimits().rps());
+    names.put("state_write_rps", settings.writeLimits().writeRps());
+    names.put("cloud_rps", settings.cloudLimits().rps());
+    names.put("list_lag_s", settings.cloudLimits().listLagS());
     return names;
   }
 
-  /** Reads a file. The exception names every problem that was found. */
+  /**
+   * Reads a file.
+   *
+   * @throws InvalidSettingsException with every problem that was found
+   */
   public static Policy load(Path path, Settings settings) throws InvalidSettingsException {
     try {
       return parse(path.toString(), Files.readString(path), settings);
@@ -72,7 +80,12 @@
     }
   }
 
-  /** Reads a text; {@code file} is the name that problems are reported under. */
+  /**
+   * Reads a text.
+   *
+   * @param file the name that problems are reported under
+   * @throws InvalidSettingsException with every problem that was found
+   */
   public static Policy parse(String file, String text, Settings settings)
       throws InvalidSettingsException {
     PolicyFile reader = new PolicyFile(file, settings);
@@ -98,24 +111,13 @@
       Parser parser = new Parser(code);
       target = parser.target();
       Range range = range(target);
-      Expression expr = parser.whole();
+      Expression expression = parser.expression();
       if (!seen.add(target)) {
         throw new PolicyException(1, "stands twice");
       }
-      double value = evaluator.amount(expr);
-      if (value < range.least()
-          || value > range.most()
-          || range.whole() && value != Math.rint(value)) {
-        throw new PolicyException(
-            expr.column(),
-            "is "
-                + value
-                + " and must be "
-                + (range.whole() ? "a whole number " : "")
-                + "from "
-                + range.least()
-                + " to "
-                + range.most());
+      double value = evaluator.amount(expression);
+      if (range.excludes(value)) {
+        throw outOfRange(expression, value, range);
       }
       values.put(target, value);
     } catch (PolicyException e) {
@@ -123,6 +125,13 @@
     }
   }
 
+  private static PolicyException outOfRange(Expression expression, double value, Range range) {
+    String kind = range.whole() ? "a whole number " : "";
+    return new PolicyException(
+        expression.column(),
+        "is " + value + " and must be " + kind + "from " + range.min() + " to " + range.max());
+  }
+
   private static Range range(String target) throws PolicyException {
     String name = target.startsWith(POOL_PREFIX) ? "pool_max" : target;
     Range range = KNOWN.get(name);
@@ -136,9 +145,9 @@
   }
 
   private Policy policy() {
-    Policy d = Policy.DEFAULT;
-    int min = values.getOrDefault("pool_min", (double) d.poolMin()).intValue();
-    int max = values.getOrDefault("pool_max", (double) d.poolMax()).intValue();
+    Policy defaults = Policy.DEFAULT;
+    int min = values.getOrDefault("pool_min", (double) defaults.poolMin()).intValue();
+    int max = values.getOrDefault("pool_max", (double) defaults.poolMax()).intValue();
     checkBounds("pool_min", min, max);
     Map<String, Policy.PoolBounds> pools = new HashMap<>();
     for (String target : values.keySet()) {
@@ -152,12 +161,12 @@
       }
     }
     return new Policy(
-        values.getOrDefault("scan_s", d.scanS()),
-        values.getOrDefault("backoff_s", d.backoffS()),
-        values.getOrDefault("idle_s", d.idleS()),
+        values.getOrDefault("scan_s", defaults.scanS()),
+        values.getOrDefault("backoff_s", defaults.backoffS()),
+        values.getOrDefault("idle_s", defaults.idleS()),
         min,
         max,
-        values.getOrDefault("drain_s", d.drainS()),
+        values.getOrDefault("drain_s", defaults.drainS()),
         Map.copyOf(pools));
   }
 
--- a/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
+++ b/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
@@ -10,7 +10,12 @@
  */
 public final class AdaptiveSizing {
 
-  /** A zone's group as the scan sees it. */
+  /**
+   * A zone's group.
+   *
+   * @param held machines that it holds, requested ones included
+   * @param backedOff whether requests for it fail at present
+   */
   public record Group(int held, boolean backedOff) {}
 
   /** How many machines a group must hold at least and may hold at most. */
@@ -18,39 +23,46 @@
 
   private AdaptiveSizing() {}
 
-  /** The source's DistributeOverZones: earlier zones take the remainder. */
-  public static int distribute(int index, int size, int count) {
-    return size / count + (index < size % count ? 1 : 0);
+  /**
+   * The share of one zone when a number is distributed over all, GEP-24's DistributeOverZones:
+   * earlier zones take the remainder.
+   */
+  public static int distribute(int zone, int number, int zones) {
+    return number / zones + (zone < number % zones ? 1 : 0);
   }
 
   /**
    * Bounds of every group, in the order of the zones.
    *
-   * <p>Edges: with all groups backed off every minimum is 0, as nobody is left to take them over. A
-   * maximum is never below 0 when more is held than the pool may have. Where the maximum is below
-   * the minimum, the maximum wins: no machine is rented for a minimum beyond the pool.
+   * <p>With all groups backed off every minimum is 0, as no group is left to take them over. A
+   * maximum is never below 0, also when more is held than the pool may have. Where a maximum is
+   * below the minimum, callers must respect the maximum.
+   *
+   * @param poolMin machines that the pool must hold
+   * @param poolMax machines that the pool may hold
    */
   public static List<Bounds> bounds(int poolMin, int poolMax, List<Group> groups) {
     int zones = groups.size();
     int heldInAll = groups.stream().mapToInt(Group::held).sum();
-    int goodCount = 0;
-    int badMinSum = 0;
-    for (int i = 0; i < zones; i++) {
-      if (groups.get(i).backedOff()) {
-        badMinSum += distribute(i, poolMin, zones);
+    int healthyCount = 0;
+    int backedOffMinSum = 0;
+    for (int zone = 0; zone < zones; zone++) {
+      if (groups.get(zone).backedOff()) {
+        backedOffMinSum += distribute(zone, poolMin, zones);
       } else {
-        goodCount++;
+        healthyCount++;
       }
     }
     List<Bounds> result = new ArrayList<>(zones);
-    int goodIndex = 0;
-    for (int i = 0; i < zones; i++) {
-      Group group = groups.get(i);
+    int healthyIndex = 0;
+    for (int zone = 0; zone < zones; zone++) {
+      Group group = groups.get(zone);
       int max = Math.max(0, poolMax - (heldInAll - group.held()));
       int min = 0;
       if (!group.backedOff()) {
-        min = distribute(i, poolMin, zones) + distribute(goodIndex, badMinSum, goodCount);
-        goodIndex++;
+        int takenOver = distribute(healthyIndex, backedOffMinSum, healthyCount);
+        min = distribute(zone, poolMin, zones) + takenOver;
+        healthyIndex++;
       }
       result.add(new Bounds(min, max));
     }
--- a/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
+++ b/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
@@ -57,31 +57,31 @@
       })
   void refuses(String line, String message) throws Exception {
     Settings settings = settings();
-    InvalidSettingsException e =
+    InvalidSettingsException refusal =
         assertThrows(InvalidSettingsException.class, () -> PolicyFile.parse("p", line, settings));
-    assertTrue(e.getMessage().contains(message), e.getMessage());
+    assertTrue(refusal.getMessage().contains(message), refusal.getMessage());
   }
 
   @Test
   void aMinimumAboveTheMaximumIsRefused() throws Exception {
     Settings settings = settings();
-    InvalidSettingsException e =
+    InvalidSettingsException refusal =
         assertThrows(
             InvalidSettingsException.class,
             () -> PolicyFile.parse("p", "pool_max = 3\npool \"x\" min = 4", settings));
-    assertTrue(e.getMessage().contains("above the maximum"), e.getMessage());
+    assertTrue(refusal.getMessage().contains("above the maximum"), refusal.getMessage());
   }
 
   @Test
-  void everyProblemIsToldWithItsLine() throws Exception {
+  void everyProblemIsReportedWithItsLine() throws Exception {
     Settings settings = settings();
-    InvalidSettingsException e =
+    InvalidSettingsException refusal =
         assertThrows(
             InvalidSettingsException.class,
             () -> PolicyFile.parse("p", "# a\nscan_s = x\nidle_s = 5\nidle_s = 6\n", settings));
-    assertEquals(2, e.problems().size());
-    assertEquals(2, e.problems().get(0).line());
-    assertEquals(4, e.problems().get(1).line());
+    assertEquals(2, refusal.problems().size());
+    assertEquals(2, refusal.problems().get(0).line());
+    assertEquals(4, refusal.problems().get(1).line());
   }
 
   @Test
@@ -92,9 +92,9 @@
   }
 
   @Test
-  void poolsOfATypeStandBesideTheCommonBounds() throws Exception {
-    Policy p = PolicyFile.parse("p", "pool_max = 9\npool \"a-1\" min = 2", settings());
-    assertEquals(new Policy.PoolBounds(2, 9), p.pool("a-1"));
-    assertEquals(new Policy.PoolBounds(0, 9), p.pool("b"));
+  void aPoolHasItsOwnBoundsOrTheCommonOnes() throws Exception {
+    Policy policy = PolicyFile.parse("p", "pool_max = 9\npool \"a-1\" min = 2", settings());
+    assertEquals(new Policy.PoolBounds(2, 9), policy.pool("a-1"));
+    assertEquals(new Policy.PoolBounds(0, 9), policy.pool("b"));
   }
 }
--- a/src/test/java/org/ploverspindle/sizing/AdaptiveSizingTest.java
+++ b/src/test/java/org/ploverspindle/sizing/AdaptiveSizingTest.java
@@ -22,10 +22,14 @@
   }
 
   private static String show(List<Bounds> bounds) {
-    StringBuilder s = new StringBuilder();
+    StringBuilder text = new StringBuilder();
     bounds.forEach(
-        b -> s.append(s.isEmpty() ? "" : " ").append(b.min()).append(':').append(b.max()));
-    return s.toString();
+        zone ->
+            text.append(text.isEmpty() ? "" : " ")
+                .append(zone.min())
+                .append(':')
+                .append(zone.max()));
+    return text.toString();
   }
 
   /**
@@ -53,17 +57,17 @@
   }
 
   @Test
-  void withAllZonesInBackoffNobodyOwesAMinimum() {
+  void withAllZonesInBackoffEveryMinimumIsZero() {
     assertEquals("0:4 0:4 0:4", show(bounds(3, 4, "0 0 0", "bbb")));
   }
 
   @Test
-  void aPoolThatHoldsTooMuchMayRentNothing() {
+  void aPoolAboveItsMaximumMayNotGrow() {
     assertEquals("1:0 1:0", show(bounds(2, 2, "3 2", "..")));
   }
 
   @Test
-  void agreesWithAPlainModel() {
+  void agreesWithTheReferenceModel() {
     Random random = new Random(5);
     for (int round = 0; round < 500; round++) {
       int zones = 1 + random.nextInt(5);
@@ -73,14 +77,14 @@
       for (int i = 0; i < zones; i++) {
         groups.add(new Group(random.nextInt(4), random.nextInt(3) == 0));
       }
-      assertEquals(plain(min, max, groups), AdaptiveSizing.bounds(min, max, groups));
+      assertEquals(reference(min, max, groups), AdaptiveSizing.bounds(min, max, groups));
     }
   }
 
   /**
    * Deals the minimum out one machine at a time, then the backed-off zones' shares the same way.
    */
-  private static List<Bounds> plain(int min, int max, List<Group> groups) {
+  private static List<Bounds> reference(int min, int max, List<Group> groups) {
     int[] mins = new int[groups.size()];
     for (int dealt = 0; dealt < min; dealt++) {
       mins[dealt % groups.size()]++;
