--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -21,6 +21,7 @@
 import org.ploverspindle.pipelines.DependencyGraph;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.placement.ArrivalForecast;
+import org.ploverspindle.placement.ClusterView;
 import org.ploverspindle.placement.Placer;
 import org.ploverspindle.placement.RuntimeEstimates;
 import org.ploverspindle.placement.ScaleOutPlanner;
@@ -184,14 +185,11 @@
   private Placer newPlacer(LeaderContext context) {
     double reportS = context.settings().workers().reportS();
     return new Placer(
-        context.catalogue(),
-        fleet,
-        jobs,
-        teams,
+        new ClusterView(context.catalogue(), fleet, jobs, teams),
         estimates,
-        this::nextAttempt,
         aims,
         Math.round((reportS * SILENCE_PER_REPORT + SILENCE_MARGIN_S) * MS_PER_S),
+        this::nextAttempt,
         progress::placed);
   }
 
@@ -214,18 +212,17 @@
   }
 
   private Autoscaler newRentals(LeaderContext context, ScaleOutDemand demand) {
+    Autoscaler.Environment environment =
+        new Autoscaler.Environment(
+            scheduler,
+            context.random(),
+            context.cloud(),
+            context.catalogue(),
+            context.policy(),
+            context.settings());
+    LeaderWriter leaderWriter = new LeaderWriter(context.store(), replica, context.writes(), term);
     return new Autoscaler(
-        scheduler,
-        context.cloud(),
-        context.catalogue(),
-        fleet,
-        replica,
-        new LeaderWriter(context.store(), replica, context.writes(), term),
-        context.policy(),
-        context.settings(),
-        context.random(),
-        term,
-        demand);
+        environment, new Autoscaler.LeaderState(term, fleet, replica, leaderWriter), demand);
   }
 
   private HeartbeatHandler newReportHandler() {
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -17,6 +17,7 @@
 import org.ploverspindle.model.Catalogue;
 import org.ploverspindle.model.MachineType;
 import org.ploverspindle.placement.ArrivalForecast;
+import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.placement.Placer;
 import org.ploverspindle.placement.RuntimeEstimates;
 import org.ploverspindle.placement.ScaleOutPlanner;
@@ -72,7 +73,7 @@
 
   @Override
   public List<ScaleOutPlanner.Request> scaleOutRequests(
-      List<ScaleOutPlanner.Candidate> offers, List<ScaleOutPlanner.PendingMachine> coming) {
+      List<ScaleOutPlanner.Candidate> offers, List<MachineGroup> coming) {
     long nowMs = scheduler.nowMs();
     long wallMs = scheduler.wallMs();
     arrivals.update();
@@ -81,13 +82,12 @@
     ScaleOutPlanner demand = demands.get();
     List<ScaleOutPlanner.Request> wanted =
         demand.plan(
-            placer.pendingJobs(nowMs, wallMs),
-            jobs.all(),
-            usable,
-            coming,
-            offers,
-            expected(),
-            forecast.coresForRate(estimates, wallMs),
+            new ScaleOutPlanner.Work(
+                placer.pendingJobs(nowMs, wallMs),
+                jobs.all(),
+                expected(),
+                forecast.coresForRate(estimates, wallMs)),
+            new ScaleOutPlanner.Supply(usable, coming, offers),
             nowMs,
             wallMs);
     retire(usable, demand);
