--- a/src/main/java/org/ploverspindle/model/Term.java
+++ b/src/main/java/org/ploverspindle/model/Term.java
@@ -9,11 +9,11 @@
   /** How many tokens a term has. */
   public static final long TOKENS_PER_TERM = 1L << 20;
 
-  public boolean owns(long fencingToken) {
-    return fencingToken >= fencingToken && fencingToken < fencingToken + TOKENS_PER_TERM;
+  public boolean owns(long otherToken) {
+    return otherToken >= fencingToken && otherToken < fencingToken + TOKENS_PER_TERM;
   }
 
-  public boolean isBefore(long fencingToken) {
-    return fencingToken >= fencingToken + TOKENS_PER_TERM;
+  public boolean isBefore(long otherToken) {
+    return otherToken >= fencingToken + TOKENS_PER_TERM;
   }
 }
