--- a/src/main/java/org/ploverspindle/cluster/CommandBatch.java
+++ b/src/main/java/org/ploverspindle/cluster/CommandBatch.java
@@ -9,19 +9,19 @@
  */
 final class CommandBatch {
   /** Before the first order: the token and the frame around the list. */
-  private static final int FRAME_BYTES = 40;
+  private static final int ENVELOPE_BYTES = 40;
 
   private final List<WorkerCommand> commands = new ArrayList<>();
-  private int bytes = FRAME_BYTES;
+  private int batchBytes = ENVELOPE_BYTES;
 
   /** Adds the order if it fits; false if it does not. */
-  boolean add(WorkerCommand order) {
-    int size = HeartbeatCodec.size(order);
-    if (bytes + size > HeartbeatCodec.MAX_ORDER_BYTES) {
+  boolean add(WorkerCommand command) {
+    int commandBytes = HeartbeatCodec.size(command);
+    if (batchBytes + commandBytes > HeartbeatCodec.MAX_COMMAND_BYTES) {
       return false;
     }
-    bytes += size;
-    commands.add(order);
+    batchBytes += commandBytes;
+    commands.add(command);
     return true;
   }
 
--- a/src/main/java/org/ploverspindle/cluster/DirectCommands.java
+++ b/src/main/java/org/ploverspindle/cluster/DirectCommands.java
@@ -21,15 +21,15 @@
     }
   }
 
-  private final MachineRegistry fleet;
-  private final BooleanSupplier mayDecide;
+  private final MachineRegistry registry;
+  private final BooleanSupplier isAuthoritative;
 
   /**
-   * @param mayDecide whether this leader is sure of its lead: without it nothing is ordered
+   * @param isAuthoritative whether this leader is sure of its lead: without it nothing is ordered
    */
-  public DirectCommands(MachineRegistry fleet, BooleanSupplier mayDecide) {
-    this.fleet = fleet;
-    this.mayDecide = mayDecide;
+  public DirectCommands(MachineRegistry registry, BooleanSupplier isAuthoritative) {
+    this.registry = registry;
+    this.isAuthoritative = isAuthoritative;
   }
 
   /**
@@ -39,12 +39,12 @@
    */
   public Optional<Request> launches(Machine machine, long nowMs) {
     // Without tokens to spare a late copy of the launch could not be made void.
-    if (!mayBeTold(machine) || !fleet.hasFencingTokensLeft()) {
+    if (!canReceive(machine) || !registry.hasFencingTokensLeft()) {
       return Optional.empty();
     }
     CommandBatch batch = new CommandBatch();
     for (Placement placement : machine.placements()) {
-      if (maySend(machine, placement)
+      if (isLaunchable(machine, placement)
           && batch.add(
               new WorkerCommand.Launch(
                   placement.job().uid(), placement.task(), placement.attempt()))) {
@@ -55,7 +55,7 @@
     return Request.of(machine, batch);
   }
 
-  private static boolean maySend(Machine machine, Placement placement) {
+  private static boolean isLaunchable(Machine machine, Placement placement) {
     return placement.phase() == Placement.Phase.READY
         && placement.agentEpoch() == machine.agentEpoch()
         && !placement.job().isTerminal()
@@ -70,7 +70,7 @@
    * is seen in the next report.
    */
   public Optional<Request> cancelledStops(Machine machine) {
-    if (!mayBeTold(machine)) {
+    if (!canReceive(machine)) {
       return Optional.empty();
     }
     CommandBatch batch = new CommandBatch();
@@ -86,7 +86,9 @@
     return Request.of(machine, batch);
   }
 
-  private boolean mayBeTold(Machine machine) {
-    return machine.receivesCommands() && !machine.address().isEmpty() && mayDecide.getAsBoolean();
+  private boolean canReceive(Machine machine) {
+    return machine.receivesCommands()
+        && !machine.address().isEmpty()
+        && isAuthoritative.getAsBoolean();
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/FailureDetector.java
+++ b/src/main/java/org/ploverspindle/cluster/FailureDetector.java
@@ -12,48 +12,54 @@
  */
 public final class FailureDetector {
   /** For each failure by a job that works elsewhere. */
-  private static final long SHUN_MS = 10_000;
+  private static final long CORDON_MS_PER_FAILURE = 10_000;
 
-  private static final int MOST_COUNTED = 8;
+  private static final int MAX_COUNTED_FAILURES = 8;
 
   /** For each job that may be the one at fault. */
-  private static final long DOUBT_MS = 2_000;
+  private static final long CORDON_MS_PER_UNPROVEN_JOB = 2_000;
 
-  private static final int MOST_DOUBTS = 5;
+  private static final int MAX_COUNTED_UNPROVEN_JOBS = 5;
 
   /** So many failures of one job that works elsewhere are not its own. */
-  private static final int FAILURES = 3;
+  private static final int FAULTY_MACHINE_FAILURES = 3;
 
-  private static final int JOBS = 2;
+  private static final int FAULTY_MACHINE_JOBS = 2;
 
-  private final Predicate<String> works;
+  private final Predicate<String> isKnownToRun;
 
   /**
-   * @param works whether the job has shown that it can run; those that are done have
+   * @param isKnownToRun whether the job has shown that it can run; those that are done have
    */
-  public FailureDetector(Predicate<String> works) {
-    this.works = works;
+  public FailureDetector(Predicate<String> isKnownToRun) {
+    this.isKnownToRun = isKnownToRun;
   }
 
   /** A task failed on the machine; true when the machine is now known to be at fault. */
   public boolean failed(Machine machine, Job job, long nowMs) {
-    int accusers = 0;
-    int failures = 0;
-    for (Map.Entry<String, Integer> e : machine.failures().byJob().entrySet()) {
-      if (works.test(e.getKey())) {
-        accusers++;
-        failures += e.getValue();
+    int jobsKnownToRun = 0;
+    int failuresOfThem = 0;
+    for (Map.Entry<String, Integer> entry : machine.failures().byJob().entrySet()) {
+      if (isKnownToRun.test(entry.getKey())) {
+        jobsKnownToRun++;
+        failuresOfThem += entry.getValue();
       }
     }
-    if (accusers > 0) {
-      machine.failures().suspect();
-      machine.failures().cordon(nowMs + SHUN_MS * Math.min(MOST_COUNTED, failures));
+    if (jobsKnownToRun > 0) {
+      machine.failures().markSuspect();
+      machine
+          .failures()
+          .cordon(nowMs + CORDON_MS_PER_FAILURE * Math.min(MAX_COUNTED_FAILURES, failuresOfThem));
     } else if (!job.isFailingEverywhere(nowMs)) {
       // Until somebody shows whose fault it is: a broken machine is empty, and would draw all work.
       machine
           .failures()
-          .cordon(nowMs + DOUBT_MS * Math.min(MOST_DOUBTS, machine.failures().byJob().size()));
+          .cordon(
+              nowMs
+                  + CORDON_MS_PER_UNPROVEN_JOB
+                      * Math.min(MAX_COUNTED_UNPROVEN_JOBS, machine.failures().byJob().size()));
     }
-    return accusers >= JOBS || accusers > 0 && failures >= FAILURES;
+    return jobsKnownToRun >= FAULTY_MACHINE_JOBS
+        || jobsKnownToRun > 0 && failuresOfThem >= FAULTY_MACHINE_FAILURES;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
@@ -12,10 +12,10 @@
 /** The wire form of reports and orders. */
 public final class HeartbeatCodec {
   /** What an order takes besides the job's id. */
-  private static final int ORDER_BYTES = 90;
+  private static final int COMMAND_BYTES = 90;
 
   /** Orders of one answer, well within 64 KiB in JSON form; the rest goes with later answers. */
-  public static final int MAX_ORDER_BYTES = 48 * 1024;
+  public static final int MAX_COMMAND_BYTES = 48 * 1024;
 
   private HeartbeatCodec() {}
 
@@ -24,57 +24,59 @@
     return Cbor.readMap(body).flatMap(HeartbeatCodec::decode);
   }
 
-  private static Optional<Heartbeat> decode(ObjectNode b) {
-    if (!text(b, "host")
-        || !text(b, "flavour")
-        || !text(b, "site")
-        || !count(b, "tenure")
-        || !count(b, "tally")
-        || !count(b, "warrant")
-        || !list(b)) {
+  private static Optional<Heartbeat> decode(ObjectNode map) {
+    if (!hasText(map, "host")
+        || !hasText(map, "flavour")
+        || !hasText(map, "site")
+        || !hasCount(map, "tenure")
+        || !hasCount(map, "tally")
+        || !hasCount(map, "warrant")
+        || !hasTaskList(map)) {
       return Optional.empty();
     }
-    List<Heartbeat.TaskStatus> items = new ArrayList<>(b.path("pieces").size());
-    for (JsonNode p : b.path("pieces")) {
-      Optional<Heartbeat.TaskStatus> item = item(p);
-      if (item.isEmpty()) {
+    List<Heartbeat.TaskStatus> tasks = new ArrayList<>(map.path("pieces").size());
+    for (JsonNode piece : map.path("pieces")) {
+      Optional<Heartbeat.TaskStatus> task = decodeTask(piece);
+      if (task.isEmpty()) {
         return Optional.empty();
       }
-      items.add(item.get());
+      tasks.add(task.get());
     }
-    JsonNode recall = b.path("recall_s");
+    JsonNode spotNotice = map.path("recall_s");
     return Optional.of(
         new Heartbeat(
-            b.path("host").asText(),
-            b.path("addr").asText(""),
-            b.path("flavour").asText(),
-            b.path("site").asText(),
-            b.path("loaners").asBoolean(),
-            b.path("tenure").asLong(),
-            b.path("tally").asLong(),
-            b.path("warrant").asLong(),
-            recall.isNumber() ? OptionalDouble.of(recall.asDouble()) : OptionalDouble.empty(),
-            items));
+            map.path("host").asText(),
+            map.path("addr").asText(""),
+            map.path("flavour").asText(),
+            map.path("site").asText(),
+            map.path("loaners").asBoolean(),
+            map.path("tenure").asLong(),
+            map.path("tally").asLong(),
+            map.path("warrant").asLong(),
+            spotNotice.isNumber()
+                ? OptionalDouble.of(spotNotice.asDouble())
+                : OptionalDouble.empty(),
+            tasks));
   }
 
-  private static boolean list(ObjectNode b) {
-    JsonNode pieces = b.path("pieces");
+  private static boolean hasTaskList(ObjectNode map) {
+    JsonNode pieces = map.path("pieces");
     return pieces.isArray() || pieces.isNull() || pieces.isMissingNode();
   }
 
-  private static boolean text(JsonNode in, String field) {
-    return in.path(field).isTextual() && !in.path(field).asText().isEmpty();
+  private static boolean hasText(JsonNode map, String field) {
+    return map.path(field).isTextual() && !map.path(field).asText().isEmpty();
   }
 
-  private static boolean count(JsonNode in, String field) {
-    JsonNode n = in.path(field);
-    return n.isIntegralNumber() && n.canConvertToLong() && n.asLong() >= 0;
+  private static boolean hasCount(JsonNode map, String field) {
+    JsonNode value = map.path(field);
+    return value.isIntegralNumber() && value.canConvertToLong() && value.asLong() >= 0;
   }
 
-  private static Optional<Heartbeat.TaskStatus> item(JsonNode p) {
-    String name = p.path("piece").asText("");
+  private static Optional<Heartbeat.TaskStatus> decodeTask(JsonNode piece) {
+    String name = piece.path("piece").asText("");
     int slash = name.lastIndexOf('/');
-    if (slash <= 0 || !count(p, "try")) {
+    if (slash <= 0 || !hasCount(piece, "try")) {
       return Optional.empty();
     }
     int task;
@@ -84,7 +86,7 @@
       return Optional.empty();
     }
     Heartbeat.Phase phase;
-    switch (p.path("status").asText("")) {
+    switch (piece.path("status").asText("")) {
       case "running" -> phase = Heartbeat.Phase.RUNNING;
       case "saving" -> phase = Heartbeat.Phase.CHECKPOINTING;
       case "exited" -> phase = Heartbeat.Phase.EXITED;
@@ -96,7 +98,7 @@
       default -> phase = Heartbeat.Phase.FETCHING;
     }
     Heartbeat.ExitReason cause =
-        switch (p.path("cause").asText("")) {
+        switch (piece.path("cause").asText("")) {
           case "done" -> Heartbeat.ExitReason.DONE;
           case "stopped" -> Heartbeat.ExitReason.STOPPED;
           case "error" -> Heartbeat.ExitReason.ERROR;
@@ -109,42 +111,44 @@
         new Heartbeat.TaskStatus(
             name.substring(0, slash),
             task,
-            p.path("try").asLong(),
+            piece.path("try").asLong(),
             phase,
             cause,
-            p.path("stored").asBoolean(false)));
+            piece.path("stored").asBoolean(false)));
   }
 
   /** The answer to a report: as many orders, in their order, as the limit on bodies allows. */
-  public static byte[] encodeResponse(long token, List<WorkerCommand> orders) {
-    return Cbor.write(encode(Cbor.map().put("warrant", token), orders));
+  public static byte[] encodeResponse(long fencingToken, List<WorkerCommand> commands) {
+    return Cbor.write(encode(Cbor.map().put("warrant", fencingToken), commands));
   }
 
   /** Commands that go straight to a worker. */
-  public static byte[] encodeDirectCommand(long token, long tenure, List<WorkerCommand> orders) {
-    return Cbor.write(encode(Cbor.map().put("warrant", token).put("tenure", tenure), orders));
+  public static byte[] encodeDirectCommand(
+      long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
+    return Cbor.write(
+        encode(Cbor.map().put("warrant", fencingToken).put("tenure", agentEpoch), commands));
   }
 
-  private static ObjectNode encode(ObjectNode body, List<WorkerCommand> orders) {
-    ArrayNode list = body.putArray("orders");
-    for (WorkerCommand order : orders) {
-      ObjectNode o = list.addObject();
-      o.put(
+  private static ObjectNode encode(ObjectNode body, List<WorkerCommand> commands) {
+    ArrayNode encoded = body.putArray("orders");
+    for (WorkerCommand command : commands) {
+      ObjectNode entry = encoded.addObject();
+      entry.put(
           "verb",
-          order instanceof WorkerCommand.Launch
+          command instanceof WorkerCommand.Launch
               ? "launch"
-              : order instanceof WorkerCommand.Stop ? "stop" : "forget");
-      o.put("piece", order.uid() + "/" + order.task());
-      o.put("try", order.attempt());
-      if (order instanceof WorkerCommand.Stop stop) {
-        o.put("wind_down_s", stop.gracePeriodS());
+              : command instanceof WorkerCommand.Stop ? "stop" : "forget");
+      entry.put("piece", command.uid() + "/" + command.task());
+      entry.put("try", command.attempt());
+      if (command instanceof WorkerCommand.Stop stop) {
+        entry.put("wind_down_s", stop.gracePeriodS());
       }
     }
     return body;
   }
 
   /** About what an order takes in JSON form. */
-  public static int size(WorkerCommand order) {
-    return order.uid().length() + ORDER_BYTES;
+  public static int size(WorkerCommand command) {
+    return command.uid().length() + COMMAND_BYTES;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
@@ -4,7 +4,7 @@
 
 /** A report while it is taken in, and the orders that answer it. */
 final class HeartbeatContext {
-  private final MachineRegistry fleet;
+  private final MachineRegistry registry;
   private final Machine machine;
   private final Heartbeat heartbeat;
   private final boolean underOwnToken;
@@ -17,16 +17,16 @@
    * @param direct whether the report answers a direct command: it can't be answered itself
    */
   HeartbeatContext(
-      MachineRegistry fleet,
+      MachineRegistry registry,
       Machine machine,
-      Heartbeat report,
-      boolean ours,
+      Heartbeat heartbeat,
+      boolean underOwnToken,
       boolean direct,
       long nowMs) {
-    this.fleet = fleet;
+    this.registry = registry;
     this.machine = machine;
-    this.heartbeat = report;
-    this.underOwnToken = ours;
+    this.heartbeat = heartbeat;
+    this.underOwnToken = underOwnToken;
     this.direct = direct;
     this.nowMs = nowMs;
   }
@@ -57,14 +57,15 @@
   }
 
   /** Adds an order to the answer; false if it does not fit and must wait for a later one. */
-  boolean addCommand(WorkerCommand order) {
-    if (!batch.add(order)) {
+  boolean addCommand(WorkerCommand command) {
+    if (!batch.add(command)) {
       return false;
     }
-    if (order instanceof WorkerCommand.Forget && machine.isDirectLaunchPending(order.attempt())) {
+    if (command instanceof WorkerCommand.Forget
+        && machine.isDirectLaunchPending(command.attempt())) {
       // Once forgotten, a late copy of the launch would start it again: the same answer raises
       // the token, under which that copy is void.
-      machine.raiseFencingToken(fleet.nextFencingToken());
+      machine.raiseFencingToken(registry.nextFencingToken());
     }
     return true;
   }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
@@ -25,7 +25,8 @@
     void completed(Placement placement, long nowMs);
 
     /** The task ended there without completing, or never arrived; it is gone from its machine. */
-    void ended(Placement placement, Heartbeat.ExitReason cause, boolean saved, long nowMs);
+    void ended(
+        Placement placement, Heartbeat.ExitReason exitReason, boolean checkpointed, long nowMs);
 
     /** A task that nobody had placed there has completed: its result counts all the same. */
     void completedUnrecorded(Job job, int task);
@@ -40,118 +41,120 @@
   /** What goes out in answer to a report. */
   public record Response(long fencingToken, List<WorkerCommand> commands) {}
 
-  private final MachineRegistry fleet;
+  private final MachineRegistry registry;
   private final Term term;
-  private final BooleanSupplier mayLaunch;
-  private final ReportedTasks shownTasks;
-  private final MissingTasks absentTasks;
+  private final BooleanSupplier isAuthoritative;
+  private final ReportedTasks reportedTasks;
+  private final MissingTasks missingTasks;
 
   /**
-   * @param mayLaunch whether this leader is sure of its lead
+   * @param isAuthoritative whether this leader is sure of its lead
    * @param jobs the jobs in the table
    * @param owners what is known of any other job
-   * @param durablyDone whether a task's completion is recorded
+   * @param durablyCompleted whether a task's completion is recorded
    */
   public HeartbeatHandler(
-      MachineRegistry fleet,
+      MachineRegistry registry,
       Term term,
-      BooleanSupplier mayLaunch,
+      BooleanSupplier isAuthoritative,
       Function<String, Optional<Job>> jobs,
       Function<String, Optional<Owner>> owners,
-      BiPredicate<Job, Integer> durablyDone,
+      BiPredicate<Job, Integer> durablyCompleted,
       Listener listener) {
-    this.fleet = fleet;
+    this.registry = registry;
     this.term = term;
-    this.mayLaunch = mayLaunch;
-    this.shownTasks = new ReportedTasks(fleet, jobs, owners, durablyDone, listener);
-    this.absentTasks = new MissingTasks(fleet, listener);
+    this.isAuthoritative = isAuthoritative;
+    this.reportedTasks = new ReportedTasks(registry, jobs, owners, durablyCompleted, listener);
+    this.missingTasks = new MissingTasks(registry, listener);
   }
 
   /** An answer with no orders, which renews the lease. */
   public Response emptyResponse(String host) {
     return new Response(
-        fleet.get(host).map(Machine::fencingToken).orElse(term.fencingToken()), List.of());
+        registry.get(host).map(Machine::fencingToken).orElse(term.fencingToken()), List.of());
   }
 
-  private Response response(Heartbeat report, List<WorkerCommand> orders) {
-    return new Response(emptyResponse(report.host()).fencingToken(), orders);
+  private Response response(Heartbeat heartbeat, List<WorkerCommand> commands) {
+    return new Response(emptyResponse(heartbeat.host()).fencingToken(), commands);
   }
 
   /** Orders for the worker, or none at all when the report tells nothing that can be relied on. */
-  public Response handle(Heartbeat report, long nowMs) {
-    return response(report, read(report, nowMs, false));
+  public Response handle(Heartbeat heartbeat, long nowMs) {
+    return response(heartbeat, process(heartbeat, nowMs, false));
   }
 
   /**
    * What a machine answered to launches that went straight to it. It shows what is there, and can't
    * be answered: what it calls for is ordered with the next report.
    */
-  public void handleDirectResponse(Heartbeat report, long nowMs) {
-    read(report, nowMs, true);
+  public void handleDirectResponse(Heartbeat heartbeat, long nowMs) {
+    process(heartbeat, nowMs, true);
   }
 
-  private List<WorkerCommand> read(Heartbeat report, long nowMs, boolean direct) {
-    if (fleet.wasTerminated(report.host()) || fleet.isStale(report)) {
+  private List<WorkerCommand> process(Heartbeat heartbeat, long nowMs, boolean direct) {
+    if (registry.wasTerminated(heartbeat.host()) || registry.isStale(heartbeat)) {
       return List.of();
     }
     Optional<Machine> found =
-        fleet.adopt(report.host(), report.type(), report.zone(), report.spot(), nowMs);
+        registry.adopt(
+            heartbeat.host(), heartbeat.type(), heartbeat.zone(), heartbeat.spot(), nowMs);
     if (found.isEmpty()) {
-      LOG.warn("machine {} of unknown type {} reports", report.host(), report.type());
+      LOG.warn("machine {} of unknown type {} reports", heartbeat.host(), heartbeat.type());
       return List.of();
     }
     Machine machine = found.get();
     // A report that was held up on the way is older than what we know: its list of tasks would
     // call running ones gone. It is answered, as silence could cost the lease, and not believed.
-    if (machine.isUp() && !report.isNewerThan(machine.agentEpoch(), machine.lastSequence())) {
+    if (machine.isUp() && !heartbeat.isNewerThan(machine.agentEpoch(), machine.lastSequence())) {
       return List.of();
     }
-    heard(machine, report, nowMs);
-    return answer(reading(machine, report, direct, nowMs));
+    record(machine, heartbeat, nowMs);
+    return commandsFor(context(machine, heartbeat, direct, nowMs));
   }
 
-  private HeartbeatContext reading(Machine machine, Heartbeat report, boolean direct, long nowMs) {
+  private HeartbeatContext context(
+      Machine machine, Heartbeat heartbeat, boolean direct, long nowMs) {
     return new HeartbeatContext(
-        fleet, machine, report, term.owns(report.fencingToken()), direct, nowMs);
-  }
-
-  private List<WorkerCommand> answer(HeartbeatContext reading) {
-    Machine machine = reading.machine();
-    fleet.clearOrphans(machine);
-    Set<Long> shown = new HashSet<>();
-    for (Heartbeat.TaskStatus item : reading.heartbeat().tasks()) {
-      Placement placement = machine.placement(item.attempt());
-      if (placement != null && isOf(placement, item)) {
-        shown.add(item.attempt());
-        shownTasks.handlePlaced(reading, placement, item);
+        registry, machine, heartbeat, term.owns(heartbeat.fencingToken()), direct, nowMs);
+  }
+
+  private List<WorkerCommand> commandsFor(HeartbeatContext context) {
+    Machine machine = context.machine();
+    registry.clearOrphans(machine);
+    Set<Long> reportedAttempts = new HashSet<>();
+    for (Heartbeat.TaskStatus status : context.heartbeat().tasks()) {
+      Placement placement = machine.placement(status.attempt());
+      if (placement != null && isOf(placement, status)) {
+        reportedAttempts.add(status.attempt());
+        reportedTasks.handlePlaced(context, placement, status);
       } else {
-        shownTasks.handleUnplaced(reading, item);
+        reportedTasks.handleUnplaced(context, status);
       }
     }
     for (Placement placement : List.copyOf(machine.placements())) {
-      if (!shown.contains(placement.attempt())) {
-        absentTasks.handle(reading, placement);
+      if (!reportedAttempts.contains(placement.attempt())) {
+        missingTasks.handle(context, placement);
       }
     }
-    if (reading.underOwnToken() && !reading.direct() && mayLaunch.getAsBoolean()) {
-      launch(reading);
+    if (context.underOwnToken() && !context.direct() && isAuthoritative.getAsBoolean()) {
+      launch(context);
     }
-    return reading.commands();
+    return context.commands();
   }
 
-  private static boolean isOf(Placement placement, Heartbeat.TaskStatus item) {
-    return placement.job().uid().equals(item.uid()) && placement.task() == item.task();
+  private static boolean isOf(Placement placement, Heartbeat.TaskStatus status) {
+    return placement.job().uid().equals(status.uid()) && placement.task() == status.task();
   }
 
-  private void heard(Machine machine, Heartbeat report, long nowMs) {
-    boolean newSession = report.agentEpoch() > machine.agentEpoch();
-    if (newSession && machine.isUp()) {
+  private void record(Machine machine, Heartbeat heartbeat, long nowMs) {
+    boolean newEpoch = heartbeat.agentEpoch() > machine.agentEpoch();
+    if (newEpoch && machine.isUp()) {
       // Its lease ran out although it reports: our answers may not reach it.
-      machine.markUnreachable(fleet.nextFencingToken(), nowMs);
+      machine.markUnreachable(registry.nextFencingToken(), nowMs);
     }
-    machine.recordHeartbeat(report, nowMs, term.owns(report.fencingToken()));
-    if (newSession) {
-      endOlderSessions(machine, nowMs);
+    machine.recordHeartbeat(heartbeat, nowMs, term.owns(heartbeat.fencingToken()));
+    if (newEpoch) {
+      endOlderEpochs(machine, nowMs);
     }
   }
 
@@ -159,44 +162,44 @@
    * What can be ordered by now in answer to a report that was taken before: what has become durable
    * since. Nothing when a newer report came, as its answer is the one that counts.
    */
-  public Response handleDelayed(Heartbeat report, long nowMs) {
-    Optional<Machine> found = fleet.get(report.host());
+  public Response handleDelayed(Heartbeat heartbeat, long nowMs) {
+    Optional<Machine> found = registry.get(heartbeat.host());
     if (found.isEmpty()
-        || found.get().agentEpoch() != report.agentEpoch()
-        || found.get().lastSequence() != report.sequence()) {
-      return emptyResponse(report.host());
+        || found.get().agentEpoch() != heartbeat.agentEpoch()
+        || found.get().lastSequence() != heartbeat.sequence()) {
+      return emptyResponse(heartbeat.host());
     }
-    return response(report, answerLater(reading(found.get(), report, false, nowMs)));
+    return response(heartbeat, delayedCommandsFor(context(found.get(), heartbeat, false, nowMs)));
   }
 
-  private List<WorkerCommand> answerLater(HeartbeatContext reading) {
-    Machine machine = reading.machine();
-    for (Heartbeat.TaskStatus item : reading.heartbeat().tasks()) {
-      if (item.phase() == Heartbeat.Phase.EXITED && machine.placement(item.attempt()) == null) {
-        shownTasks.handleUnplaced(reading, item);
+  private List<WorkerCommand> delayedCommandsFor(HeartbeatContext context) {
+    Machine machine = context.machine();
+    for (Heartbeat.TaskStatus status : context.heartbeat().tasks()) {
+      if (status.phase() == Heartbeat.Phase.EXITED && machine.placement(status.attempt()) == null) {
+        reportedTasks.handleUnplaced(context, status);
       }
     }
     for (Placement placement : List.copyOf(machine.placements())) {
       if (placement.stopping() || placement.job().isTerminal()) {
-        stopLater(reading, placement);
+        stopIfReported(context, placement);
       }
     }
-    if (reading.underOwnToken() && mayLaunch.getAsBoolean()) {
-      launch(reading);
+    if (context.underOwnToken() && isAuthoritative.getAsBoolean()) {
+      launch(context);
     }
-    return reading.commands();
+    return context.commands();
   }
 
   /** The stop was decided after the report was taken. */
-  private static void stopLater(HeartbeatContext reading, Placement placement) {
+  private static void stopIfReported(HeartbeatContext context, Placement placement) {
     boolean shownThere =
-        reading.heartbeat().tasks().stream()
+        context.heartbeat().tasks().stream()
             .anyMatch(
-                item ->
-                    item.attempt() == placement.attempt()
-                        && item.phase() != Heartbeat.Phase.EXITED);
+                status ->
+                    status.attempt() == placement.attempt()
+                        && status.phase() != Heartbeat.Phase.EXITED);
     if (shownThere && placement.phase() != Placement.Phase.CHECKPOINTING) {
-      reading.addCommand(
+      context.addCommand(
           new WorkerCommand.Stop(
               placement.job().uid(),
               placement.task(),
@@ -206,31 +209,31 @@
   }
 
   /** Launches what is recorded, was in no answer yet, and is still to run in this session. */
-  private void launch(HeartbeatContext reading) {
-    Heartbeat report = reading.heartbeat();
-    for (Placement placement : List.copyOf(reading.machine().placements())) {
+  private void launch(HeartbeatContext context) {
+    Heartbeat heartbeat = context.heartbeat();
+    for (Placement placement : List.copyOf(context.machine().placements())) {
       boolean unwanted =
-          placement.job().isTerminal() || placement.stopping() || reading.machine().isTerminating();
+          placement.job().isTerminal() || placement.stopping() || context.machine().isTerminating();
       if (placement.phase() != Placement.Phase.READY || unwanted && placement.directToken() >= 0) {
         continue;
       }
-      if (unwanted || placement.agentEpoch() != report.agentEpoch()) {
-        absentTasks.gone(placement, reading.nowMs());
+      if (unwanted || placement.agentEpoch() != heartbeat.agentEpoch()) {
+        missingTasks.endWithoutExit(placement, context.nowMs());
         continue;
       }
-      if (!reading.addCommand(
+      if (!context.addCommand(
           new WorkerCommand.Launch(placement.job().uid(), placement.task(), placement.attempt()))) {
         return;
       }
-      placement.markSent(report.sequence(), reading.nowMs());
+      placement.markSent(heartbeat.sequence(), context.nowMs());
     }
   }
 
   /** A new session began with nothing on the machine: what was placed in older ones is gone. */
-  private void endOlderSessions(Machine machine, long nowMs) {
+  private void endOlderEpochs(Machine machine, long nowMs) {
     for (Placement placement : List.copyOf(machine.placements())) {
       if (placement.agentEpoch() < machine.agentEpoch()) {
-        absentTasks.gone(placement, nowMs);
+        missingTasks.endWithoutExit(placement, nowMs);
       }
     }
     machine.clearImages();
--- a/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
@@ -16,36 +16,36 @@
   private static final int HTTP_CONFLICT = 409;
   private static final long TIMEOUT_MS = 1_500;
 
-  private final Function<String, HttpClient> callers;
+  private final Function<String, HttpClient> clients;
 
-  public HttpWorkerClient(Function<String, HttpClient> callers) {
-    this.callers = callers;
+  public HttpWorkerClient(Function<String, HttpClient> clients) {
+    this.clients = clients;
   }
 
   @Override
   public void send(
       String address,
-      long token,
-      long tenure,
-      List<WorkerCommand> orders,
+      long fencingToken,
+      long agentEpoch,
+      List<WorkerCommand> commands,
       Consumer<Optional<Heartbeat>> then) {
-    callers
+    clients
         .apply(address)
         .send(
             "POST",
             "/do",
-            HeartbeatCodec.encodeDirectCommand(token, tenure, orders),
+            HeartbeatCodec.encodeDirectCommand(fencingToken, agentEpoch, commands),
             TIMEOUT_MS,
-            r -> then.accept(report(r)));
+            result -> then.accept(heartbeat(result)));
   }
 
   /**
    * A refusal carries a report as well: the session has ended, or a higher token is known there.
    */
-  private static Optional<Heartbeat> report(HttpResult reply) {
-    return reply instanceof HttpResult.Response a
-            && (a.status() == HTTP_OK || a.status() == HTTP_CONFLICT)
-        ? HeartbeatCodec.decode(a.body())
+  private static Optional<Heartbeat> heartbeat(HttpResult result) {
+    return result instanceof HttpResult.Response response
+            && (response.status() == HTTP_OK || response.status() == HTTP_CONFLICT)
+        ? HeartbeatCodec.decode(response.body())
         : Optional.empty();
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/Job.java
+++ b/src/main/java/org/ploverspindle/cluster/Job.java
@@ -19,7 +19,7 @@
   private static final long LONGEST_RETRY_DELAY_MS = 60_000;
 
   /** A task that runs for this much longer than others ran before they failed does not fail. */
-  private static final long RUNS_MS = 2_000;
+  private static final long PROVEN_RUN_MARGIN_MS = 2_000;
 
   private final JobSpec spec;
   private final Resources perTask;
@@ -55,7 +55,7 @@
   public Job(
       JobSpec spec,
       long acceptedWallMs,
-      int chunkSize,
+      int shardSize,
       int team,
       BitSet types,
       int zone,
@@ -63,7 +63,7 @@
     this.spec = spec;
     this.perTask = spec.perTask();
     this.acceptedWallMs = acceptedWallMs;
-    this.shardSize = chunkSize;
+    this.shardSize = shardSize;
     this.team = team;
     this.types = types;
     this.zone = zone;
@@ -168,13 +168,15 @@
    * @param latestFinish by when it must be done, so that all that need it can be done when due
    * @param lastChance the same for the last multiples of their due times that count
    */
-  public void inherit(Priority mostUrgent, OptionalLong latestFinish, OptionalLong lastChance) {
-    priority = mostUrgent.compareTo(spec.priority()) < 0 ? mostUrgent : spec.priority();
-    inheritedDeadlineWallMs = beforeOwn(latestFinish);
-    latestDeadlineWallMs = inheritedDeadlineWallMs.isPresent() ? lastChance : OptionalLong.empty();
+  public void inherit(
+      Priority highest, OptionalLong finishByWallMs, OptionalLong latestFinishWallMs) {
+    priority = highest.compareTo(spec.priority()) < 0 ? highest : spec.priority();
+    inheritedDeadlineWallMs = earlierThanOwn(finishByWallMs);
+    latestDeadlineWallMs =
+        inheritedDeadlineWallMs.isPresent() ? latestFinishWallMs : OptionalLong.empty();
   }
 
-  private OptionalLong beforeOwn(OptionalLong wallMs) {
+  private OptionalLong earlierThanOwn(OptionalLong wallMs) {
     boolean earlier =
         wallMs.isPresent()
             && (spec.deadlineS().isEmpty()
@@ -207,49 +209,49 @@
     return activePlacements.get(task);
   }
 
-  public int placementsInZone(int z) {
-    return placementsInZone[z];
+  public int placementsInZone(int zone) {
+    return placementsInZone[zone];
   }
 
   /** May one more task be in the zone, given where the others are? */
-  public boolean zoneAllowed(int z) {
-    if (zone >= 0 && zone != z) {
+  public boolean zoneAllowed(int zone) {
+    if (this.zone >= 0 && this.zone != zone) {
       return false;
     }
     if (spec.oneZone()) {
       for (int other = 0; other < placementsInZone.length; other++) {
-        if (other != z && placementsInZone[other] > 0) {
+        if (other != zone && placementsInZone[other] > 0) {
           return false;
         }
       }
     }
-    return !spec.spreadOverZones() || placementsInZone[z] < (spec.tasks() + 1) / 2;
+    return !spec.spreadOverZones() || placementsInZone[zone] < (spec.tasks() + 1) / 2;
   }
 
   /** How many more tasks the zone may take at once. */
-  public int zoneCapacity(int z) {
-    if (!zoneAllowed(z)) {
+  public int zoneCapacity(int zone) {
+    if (!zoneAllowed(zone)) {
       return 0;
     }
     return spec.spreadOverZones()
-        ? (spec.tasks() + 1) / 2 - placementsInZone[z]
+        ? (spec.tasks() + 1) / 2 - placementsInZone[zone]
         : Integer.MAX_VALUE;
   }
 
-  public void addPlacement(Placement p) {
-    pendingTasks.clear(p.task());
-    activePlacements.put(p.task(), p);
-    placementsInZone[p.machine().zone()]++;
+  public void addPlacement(Placement placement) {
+    pendingTasks.clear(placement.task());
+    activePlacements.put(placement.task(), placement);
+    placementsInZone[placement.machine().zone()]++;
   }
 
   /**
    * The task is proven gone from its place; it waits again unless it is done or nobody wants it.
    */
-  public void removePlacement(Placement p) {
-    if (activePlacements.remove(p.task(), p)) {
-      placementsInZone[p.machine().zone()]--;
-      if (!completedTasks.get(p.task()) && !cancelled) {
-        pendingTasks.set(p.task());
+  public void removePlacement(Placement placement) {
+    if (activePlacements.remove(placement.task(), placement)) {
+      placementsInZone[placement.machine().zone()]--;
+      if (!completedTasks.get(placement.task()) && !cancelled) {
+        pendingTasks.set(placement.task());
       }
     }
   }
@@ -331,10 +333,10 @@
    * everywhere until its user cancels it: as long as nothing of it has shown that it can run, it
    * waits, longer each time, and then one task alone is the try.
    */
-  public void failedOn(String host, long ranMs, long nowMs) {
+  public void failedOn(String host, long ranForMs, long nowMs) {
     failures++;
     failedOn.add(host);
-    longestFailedMs = Math.max(longestFailedMs, ranMs);
+    longestFailedMs = Math.max(longestFailedMs, ranForMs);
     // What began together and fails together is one try.
     if (!isKnownToRun(nowMs) && !isRetryDelayed(nowMs)) {
       retryNotBeforeMs =
@@ -355,11 +357,11 @@
     if (failures == 0 || completions > 0) {
       return true;
     }
-    long enoughMs = longestFailedMs * 3 / 2 + RUNS_MS;
-    for (Placement p : activePlacements.values()) {
-      if (p.runningSinceMs() >= 0
-          && nowMs - p.runningSinceMs() >= enoughMs
-          && !failedOn.contains(p.machine().host())) {
+    long enoughMs = longestFailedMs * 3 / 2 + PROVEN_RUN_MARGIN_MS;
+    for (Placement placement : activePlacements.values()) {
+      if (placement.runningSinceMs() >= 0
+          && nowMs - placement.runningSinceMs() >= enoughMs
+          && !failedOn.contains(placement.machine().host())) {
         return true;
       }
     }
--- a/src/main/java/org/ploverspindle/cluster/JobTable.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTable.java
@@ -23,14 +23,15 @@
   private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
 
   private final Replica replica;
-  private final AcceptedJobIndex specs;
+  private final AcceptedJobIndex acceptedJobs;
   private final Catalogue catalogue;
   private final TeamUsage teams;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
 
-  public JobTable(Replica replica, AcceptedJobIndex specs, Catalogue catalogue, TeamUsage teams) {
+  public JobTable(
+      Replica replica, AcceptedJobIndex acceptedJobs, Catalogue catalogue, TeamUsage teams) {
     this.replica = replica;
-    this.specs = specs;
+    this.acceptedJobs = acceptedJobs;
     this.catalogue = catalogue;
     this.teams = teams;
   }
@@ -42,11 +43,11 @@
    * @param belongs false for jobs that await others: until they are ready they hold nothing of
    *     limits, guarantees and room, and are not looked at
    */
-  public List<Job> loadAll(Predicate<String> belongs) {
+  public List<Job> loadAll(Predicate<String> mayRun) {
     List<Job> loaded = new ArrayList<>();
-    for (String uid : specs.uids()) {
-      if (belongs.test(uid)) {
-        specs.get(uid).flatMap(this::add).ifPresent(loaded::add);
+    for (String uid : acceptedJobs.uids()) {
+      if (mayRun.test(uid)) {
+        acceptedJobs.get(uid).flatMap(this::add).ifPresent(loaded::add);
       }
     }
     return loaded;
@@ -76,7 +77,7 @@
             record.get().acceptedWallMs(),
             record.get().shardSize(),
             team.get(),
-            fitting(spec),
+            typesThatFit(spec),
             spec.zone().map(catalogue::zone).orElse(-1),
             catalogue.zoneCount());
     if (cancelled) {
@@ -87,7 +88,7 @@
   }
 
   /** Machine types that the job allows and that one of its tasks fits on, by index. */
-  private BitSet fitting(JobSpec spec) {
+  private BitSet typesThatFit(JobSpec spec) {
     BitSet fitting = new BitSet();
     for (int i = 0; i < catalogue.types().size(); i++) {
       MachineType type = catalogue.type(i);
--- a/src/main/java/org/ploverspindle/cluster/Machine.java
+++ b/src/main/java/org/ploverspindle/cluster/Machine.java
@@ -49,7 +49,13 @@
   private final Map<Long, Long> directLaunches = new HashMap<>();
 
   public Machine(
-      String host, int type, int zone, boolean spot, Resources size, long nowMs, long fence) {
+      String host,
+      int type,
+      int zone,
+      boolean spot,
+      Resources size,
+      long nowMs,
+      long fencingToken) {
     this.host = host;
     this.type = type;
     this.zone = zone;
@@ -57,7 +63,7 @@
     this.size = size;
     this.knownSinceMs = nowMs;
     this.emptySinceMs = nowMs;
-    this.fencingToken = fence;
+    this.fencingToken = fencingToken;
   }
 
   /** The token that this machine's answers carry. */
@@ -147,8 +153,8 @@
   /** The session that it is known to have been in: its own word, or that of earlier leaders. */
   public long lastKnownAgentEpoch() {
     long known = agentEpoch;
-    for (Placement p : placements.values()) {
-      known = Math.max(known, p.agentEpoch());
+    for (Placement placement : placements.values()) {
+      known = Math.max(known, placement.agentEpoch());
     }
     return known;
   }
@@ -202,32 +208,32 @@
     return hasAcceptedToken;
   }
 
-  void recordHeartbeat(Heartbeat report, long nowMs, boolean underOurToken) {
+  void recordHeartbeat(Heartbeat heartbeat, long nowMs, boolean underOurToken) {
     if (lastHeartbeatMs < 0) {
       upSinceMs = nowMs;
       justCameUp = true;
       // It has just come up: it was not idle while it booted.
       emptySinceMs = nowMs;
     }
-    agentEpoch = report.agentEpoch();
-    lastSequence = report.sequence();
+    agentEpoch = heartbeat.agentEpoch();
+    lastSequence = heartbeat.sequence();
     lastHeartbeatMs = nowMs;
     hasAcceptedToken |= underOurToken;
-    if (underOurToken && report.fencingToken() >= fencingToken) {
+    if (underOurToken && heartbeat.fencingToken() >= fencingToken) {
       receivesCommands = true;
       unreachableSinceMs = -1;
     }
     if (underOurToken && !directLaunches.isEmpty()) {
-      directLaunches.values().removeIf(token -> token < report.fencingToken());
+      directLaunches.values().removeIf(token -> token < heartbeat.fencingToken());
     }
-    if (!report.address().isEmpty()) {
-      address = report.address();
+    if (!heartbeat.address().isEmpty()) {
+      address = heartbeat.address();
     }
-    if (report.spotNoticeS().isPresent()) {
+    if (heartbeat.spotNoticeS().isPresent()) {
       if (spotNoticeAtMs < 0) {
         spotNoticeAtMs = nowMs;
       }
-      spotNoticeS = report.spotNoticeS().getAsDouble();
+      spotNoticeS = heartbeat.spotNoticeS().getAsDouble();
     }
   }
 
@@ -247,18 +253,18 @@
     return placements.get(attempt);
   }
 
-  public void add(Placement p) {
-    placements.put(p.attempt(), p);
-    used = used.plus(p.job().perTask());
-    if (!p.job().spec().image().isEmpty()) {
-      images.remove(p.job().spec().image());
-      images.add(p.job().spec().image());
+  public void add(Placement placement) {
+    placements.put(placement.attempt(), placement);
+    used = used.plus(placement.job().perTask());
+    if (!placement.job().spec().image().isEmpty()) {
+      images.remove(placement.job().spec().image());
+      images.add(placement.job().spec().image());
     }
   }
 
-  public void remove(Placement p, long nowMs) {
-    if (placements.remove(p.attempt()) != null) {
-      used = used.minus(p.job().perTask());
+  public void remove(Placement placement, long nowMs) {
+    if (placements.remove(placement.attempt()) != null) {
+      used = used.minus(placement.job().perTask());
       if (placements.isEmpty()) {
         emptySinceMs = nowMs;
       }
@@ -270,18 +276,18 @@
   }
 
   void clearOrphans() {
-    for (OrphanedTask o : orphans) {
-      if (!o.exited()) {
-        used = used.minus(o.resources());
+    for (OrphanedTask orphan : orphans) {
+      if (!orphan.exited()) {
+        used = used.minus(orphan.resources());
       }
     }
     orphans.clear();
   }
 
-  void addOrphan(OrphanedTask o) {
-    orphans.add(o);
-    if (!o.exited()) {
-      used = used.plus(o.resources());
+  void addOrphan(OrphanedTask orphan) {
+    orphans.add(orphan);
+    if (!orphan.exited()) {
+      used = used.plus(orphan.resources());
     }
   }
 
--- a/src/main/java/org/ploverspindle/cluster/MachineFailureHistory.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineFailureHistory.java
@@ -7,46 +7,46 @@
 final class MachineFailureHistory {
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-  private final Map<String, Integer> failures = new HashMap<>();
-  private boolean suspect;
+  private final Map<String, Integer> failuresByJob = new HashMap<>();
+  private boolean markSuspect;
   private long lastFailureMs;
-  private long shunnedUntilMs = NEVER_MS;
+  private long cordonedUntilMs = NEVER_MS;
 
-  void failed(String uid, long nowMs) {
-    failures.merge(uid, 1, Integer::sum);
+  void recordFailure(String uid, long nowMs) {
+    failuresByJob.merge(uid, 1, Integer::sum);
     lastFailureMs = nowMs;
   }
 
   /** A completion clears the machine only if the task began after the last failure. */
-  void completed(long runningSinceMs) {
-    if (!failures.isEmpty() && runningSinceMs <= lastFailureMs) {
+  void recordCompletion(long runningSinceMs) {
+    if (!failuresByJob.isEmpty() && runningSinceMs <= lastFailureMs) {
       return;
     }
-    failures.clear();
-    suspect = false;
-    shunnedUntilMs = NEVER_MS;
+    failuresByJob.clear();
+    markSuspect = false;
+    cordonedUntilMs = NEVER_MS;
   }
 
   /** By job, how many of its tasks have failed here since the last one that completed. */
   Map<String, Integer> byJob() {
-    return failures;
+    return failuresByJob;
   }
 
   /** No new tasks for a while. */
   void cordon(long untilMs) {
-    shunnedUntilMs = Math.max(shunnedUntilMs, untilMs);
+    cordonedUntilMs = Math.max(cordonedUntilMs, untilMs);
   }
 
   boolean isCordoned(long nowMs) {
-    return nowMs < shunnedUntilMs;
+    return nowMs < cordonedUntilMs;
   }
 
   /** Jobs that run elsewhere fail here: one task at a time is the trial from now on. */
-  void suspect() {
-    suspect = true;
+  void markSuspect() {
+    markSuspect = true;
   }
 
   boolean isSuspect() {
-    return suspect;
+    return markSuspect;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
@@ -23,7 +23,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
   /** When a term has used this many tokens, nothing goes out any more that needs another. */
-  private static final long USABLE_TOKENS = Term.TOKENS_PER_TERM * 3 / 4;
+  private static final long USABLE_RAISED_TOKENS = Term.TOKENS_PER_TERM * 3 / 4;
 
   private final Catalogue catalogue;
   private final TeamUsage teams;
@@ -32,13 +32,13 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Set<String> confirmTermination = new HashSet<>();
   private final Set<String> terminating = new HashSet<>();
-  private final Map<String, Seen> forgotten = new HashMap<>();
+  private final Map<String, LastHeartbeat> forgotten = new HashMap<>();
   private long raisedTokens;
   private long removedCount;
-  private long quarantineUntilMs = Long.MIN_VALUE / 2;
+  private long quarantinedUntilMs = Long.MIN_VALUE / 2;
 
   /** The newest report that was known of a machine which is no longer kept. */
-  private record Seen(long agentEpoch, long sequence) {}
+  private record LastHeartbeat(long agentEpoch, long sequence) {}
 
   public MachineRegistry(Catalogue catalogue, TeamUsage teams, SafetyTiming timing, Term term) {
     this.catalogue = catalogue;
@@ -71,30 +71,30 @@
     if (known != null) {
       return Optional.of(known);
     }
-    Optional<Integer> t = catalogue.typeIndex(type);
-    Optional<Integer> z = catalogue.zoneIndex(zone);
-    if (t.isEmpty()
-        || z.isEmpty()
+    Optional<Integer> typeIndex = catalogue.typeIndex(type);
+    Optional<Integer> zoneIndex = catalogue.zoneIndex(zone);
+    if (typeIndex.isEmpty()
+        || zoneIndex.isEmpty()
         || confirmTermination.contains(host)
         || host.indexOf(':') >= 0
         || host.indexOf(',') >= 0) {
       return Optional.empty();
     }
-    Machine m =
+    Machine machine =
         new Machine(
             host,
-            t.get(),
-            z.get(),
+            typeIndex.get(),
+            zoneIndex.get(),
             spot,
-            catalogue.type(t.get()).size(),
+            catalogue.type(typeIndex.get()).size(),
             nowMs,
             term.fencingToken());
     if (terminating.contains(host)) {
-      m.beginTermination();
+      machine.beginTermination();
     }
-    m.quarantine(quarantineUntilMs);
-    machines.put(host, m);
-    return Optional.of(m);
+    machine.quarantine(quarantinedUntilMs);
+    machines.put(host, machine);
+    return Optional.of(machine);
   }
 
   /**
@@ -108,46 +108,46 @@
 
   /** Machines that this term did not rent get no new work until then. */
   public void quarantineEarlierMachines(long untilMs) {
-    quarantineUntilMs = untilMs;
+    quarantinedUntilMs = untilMs;
     machines.values().forEach(machine -> machine.quarantine(untilMs));
   }
 
   /** Puts a task on a machine: from now on it counts for the machine, its job and its team. */
-  public void addPlacement(Placement p) {
-    p.machine().add(p);
-    p.job().addPlacement(p);
-    teams.add(p.job().team(), p.job().perTask());
+  public void addPlacement(Placement placement) {
+    placement.machine().add(placement);
+    placement.job().addPlacement(placement);
+    teams.add(placement.job().team(), placement.job().perTask());
   }
 
   /** The one way for a placement to end: only with proof that the task is not on the machine. */
-  public void removePlacement(Placement p, long nowMs) {
-    p.machine().remove(p, nowMs);
-    p.job().removePlacement(p);
-    teams.remove(p.job().team(), p.job().perTask());
+  public void removePlacement(Placement placement, long nowMs) {
+    placement.machine().remove(placement, nowMs);
+    placement.job().removePlacement(placement);
+    teams.remove(placement.job().team(), placement.job().perTask());
   }
 
-  void addOrphan(Machine m, Machine.OrphanedTask o) {
-    m.addOrphan(o);
-    if (!o.exited() && o.team() >= 0) {
-      teams.add(o.team(), o.resources());
+  void addOrphan(Machine machine, Machine.OrphanedTask orphan) {
+    machine.addOrphan(orphan);
+    if (!orphan.exited() && orphan.team() >= 0) {
+      teams.add(orphan.team(), orphan.resources());
     }
   }
 
-  void clearOrphans(Machine m) {
-    for (Machine.OrphanedTask o : m.orphans()) {
-      if (!o.exited() && o.team() >= 0) {
-        teams.remove(o.team(), o.resources());
+  void clearOrphans(Machine machine) {
+    for (Machine.OrphanedTask orphan : machine.orphans()) {
+      if (!orphan.exited() && orphan.team() >= 0) {
+        teams.remove(orphan.team(), orphan.resources());
       }
     }
-    m.clearOrphans();
+    machine.clearOrphans();
   }
 
   /** All that is on the machine is proven gone. */
-  public List<Placement> removeAllPlacements(Machine m, long nowMs) {
-    List<Placement> lost = List.copyOf(m.placements());
-    lost.forEach(p -> removePlacement(p, nowMs));
-    clearOrphans(m);
-    m.clearImages();
+  public List<Placement> removeAllPlacements(Machine machine, long nowMs) {
+    List<Placement> lost = List.copyOf(machine.placements());
+    lost.forEach(placement -> removePlacement(placement, nowMs));
+    clearOrphans(machine);
+    machine.clearImages();
     return lost;
   }
 
@@ -169,9 +169,9 @@
   }
 
   /** The machine is not listed any more and its lease is over. */
-  public void forget(Machine m) {
-    remove(m);
-    forgotten.put(m.host(), new Seen(m.agentEpoch(), m.lastSequence()));
+  public void forget(Machine machine) {
+    remove(machine);
+    forgotten.put(machine.host(), new LastHeartbeat(machine.agentEpoch(), machine.lastSequence()));
   }
 
   private void remove(Machine machine) {
@@ -184,9 +184,9 @@
    * True for a delayed copy of a report that was made before the machine was dropped: it must not
    * bring the machine back as usable.
    */
-  boolean isStale(Heartbeat report) {
-    Seen seen = forgotten.get(report.host());
-    return seen != null && !report.isNewerThan(seen.agentEpoch(), seen.sequence());
+  boolean isStale(Heartbeat heartbeat) {
+    LastHeartbeat last = forgotten.get(heartbeat.host());
+    return last != null && !heartbeat.isNewerThan(last.agentEpoch(), last.sequence());
   }
 
   /** A token for one machine, higher than all that were given in this term. */
@@ -196,7 +196,7 @@
 
   /** False when the term's tokens come to their end: then nothing may go out that needs more. */
   public boolean hasFencingTokensLeft() {
-    return raisedTokens < USABLE_TOKENS;
+    return raisedTokens < USABLE_RAISED_TOKENS;
   }
 
   /**
@@ -204,21 +204,26 @@
    * shown our token, an earlier leader that can't reach the state service may still be answering
    * it: the lease is counted from the last moment at which that can happen.
    */
-  public long leaseExpiryMs(Machine m) {
-    long ours = (m.isUp() ? m.lastHeartbeatMs() : m.knownSinceMs()) + timing.agentLeaseMs();
-    return m.hasAcceptedToken()
-        ? ours
-        : Math.max(ours, term.startMs() + timing.takeoverSilenceMs());
+  public long leaseExpiryMs(Machine machine) {
+    long underOwnTokenMs =
+        (machine.isUp() ? machine.lastHeartbeatMs() : machine.knownSinceMs())
+            + timing.agentLeaseMs();
+    return machine.hasAcceptedToken()
+        ? underOwnTokenMs
+        : Math.max(underOwnTokenMs, term.startMs() + timing.takeoverSilenceMs());
   }
 
   /** Ends the placements of machines that were silent for longer than their lease. */
   public List<Placement> expireLeases(long nowMs) {
     List<Placement> lost = new ArrayList<>();
-    for (Machine m : machines.values()) {
-      if (!(m.placements().isEmpty() && m.orphans().isEmpty()) && nowMs > leaseExpiryMs(m)) {
+    for (Machine machine : machines.values()) {
+      if (!(machine.placements().isEmpty() && machine.orphans().isEmpty())
+          && nowMs > leaseExpiryMs(machine)) {
         LOG.info(
-            "machine {} was silent for its lease: {} tasks gone", m.host(), m.placements().size());
-        lost.addAll(removeAllPlacements(m, nowMs));
+            "machine {} was silent for its lease: {} tasks gone",
+            machine.host(),
+            machine.placements().size());
+        lost.addAll(removeAllPlacements(machine, nowMs));
       }
     }
     return lost;
--- a/src/main/java/org/ploverspindle/cluster/Placement.java
+++ b/src/main/java/org/ploverspindle/cluster/Placement.java
@@ -35,12 +35,12 @@
   private long recordedMs = -1;
   private long sentMs = -1;
 
-  public Placement(Job job, int task, long attempt, Machine machine, long tenure, Phase phase) {
+  public Placement(Job job, int task, long attempt, Machine machine, long agentEpoch, Phase phase) {
     this.job = job;
     this.task = task;
     this.attempt = attempt;
     this.machine = machine;
-    this.agentEpoch = tenure;
+    this.agentEpoch = agentEpoch;
     this.phase = phase;
   }
 
@@ -105,9 +105,9 @@
     return directToken;
   }
 
-  void markSentDirectly(long token, long nowMs) {
+  void markSentDirectly(long fencingToken, long nowMs) {
     sentMs = sentMs < 0 ? nowMs : sentMs;
-    directToken = token;
+    directToken = fencingToken;
     phase = Phase.SENT;
     sentSequence = Long.MAX_VALUE;
   }
@@ -117,10 +117,10 @@
     directToken = -1;
   }
 
-  void markSent(long tally, long nowMs) {
+  void markSent(long sequence, long nowMs) {
     sentMs = sentMs < 0 ? nowMs : sentMs;
     phase = Phase.SENT;
-    sentSequence = tally;
+    sentSequence = sequence;
   }
 
   /** The answer that held the launch did not arrive: the next one holds it again. */
@@ -152,8 +152,8 @@
   }
 
   /** Asks for a stop; a second one may only shorten the time to save. */
-  public void stop(double newWindDownS) {
-    gracePeriodS = stopping ? Math.min(gracePeriodS, newWindDownS) : newWindDownS;
+  public void stop(double newGracePeriodS) {
+    gracePeriodS = stopping ? Math.min(gracePeriodS, newGracePeriodS) : newGracePeriodS;
     stopping = true;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
@@ -9,109 +9,110 @@
 final class ReportedTasks {
   private static final int NO_TEAM = -1;
 
-  private final MachineRegistry fleet;
+  private final MachineRegistry registry;
   private final Function<String, Optional<Job>> jobs;
   private final Function<String, Optional<HeartbeatHandler.Owner>> owners;
-  private final BiPredicate<Job, Integer> durablyDone;
+  private final BiPredicate<Job, Integer> durablyCompleted;
   private final HeartbeatHandler.Listener listener;
 
   ReportedTasks(
-      MachineRegistry fleet,
+      MachineRegistry registry,
       Function<String, Optional<Job>> jobs,
       Function<String, Optional<HeartbeatHandler.Owner>> owners,
-      BiPredicate<Job, Integer> durablyDone,
+      BiPredicate<Job, Integer> durablyCompleted,
       HeartbeatHandler.Listener listener) {
-    this.fleet = fleet;
+    this.registry = registry;
     this.jobs = jobs;
     this.owners = owners;
-    this.durablyDone = durablyDone;
+    this.durablyCompleted = durablyCompleted;
     this.listener = listener;
   }
 
   /** An attempt that is placed on the machine. */
-  void handlePlaced(HeartbeatContext reading, Placement placement, Heartbeat.TaskStatus item) {
-    switch (item.phase()) {
-      case EXITED -> exited(reading, placement, item);
-      case FETCHING -> present(reading, placement, Placement.Phase.FETCHING);
-      case RUNNING -> present(reading, placement, Placement.Phase.RUNNING);
-      case CHECKPOINTING -> present(reading, placement, Placement.Phase.CHECKPOINTING);
+  void handlePlaced(HeartbeatContext context, Placement placement, Heartbeat.TaskStatus status) {
+    switch (status.phase()) {
+      case EXITED -> handleExited(context, placement, status);
+      case FETCHING -> handlePresent(context, placement, Placement.Phase.FETCHING);
+      case RUNNING -> handlePresent(context, placement, Placement.Phase.RUNNING);
+      case CHECKPOINTING -> handlePresent(context, placement, Placement.Phase.CHECKPOINTING);
       default -> throw new IllegalStateException("a phase without a meaning");
     }
   }
 
-  private void present(HeartbeatContext reading, Placement placement, Placement.Phase phase) {
+  private void handlePresent(HeartbeatContext context, Placement placement, Placement.Phase phase) {
     if (placement.phase() != phase) {
-      placement.phase(phase, reading.nowMs());
+      placement.phase(phase, context.nowMs());
       listener.changed(placement);
     }
     if (placement.job().isTerminal()) {
-      reading.addCommand(stop(placement, 0));
+      context.addCommand(stop(placement, 0));
     } else if (placement.stopping()
         && (phase != Placement.Phase.CHECKPOINTING || placement.gracePeriodS() == 0)) {
       // A task that saves is told again only to make it end: repeating the order is not needed.
-      reading.addCommand(stop(placement, placement.gracePeriodS()));
+      context.addCommand(stop(placement, placement.gracePeriodS()));
     }
   }
 
-  private static WorkerCommand.Stop stop(Placement placement, double windDownS) {
+  private static WorkerCommand.Stop stop(Placement placement, double gracePeriodS) {
     return new WorkerCommand.Stop(
-        placement.job().uid(), placement.task(), placement.attempt(), windDownS);
+        placement.job().uid(), placement.task(), placement.attempt(), gracePeriodS);
   }
 
-  private void exited(HeartbeatContext reading, Placement placement, Heartbeat.TaskStatus item) {
-    fleet.removePlacement(placement, reading.nowMs());
-    if (item.exitReason() == Heartbeat.ExitReason.DONE) {
-      reading.machine().failures().completed(placement.runningSinceMs());
+  private void handleExited(
+      HeartbeatContext context, Placement placement, Heartbeat.TaskStatus status) {
+    registry.removePlacement(placement, context.nowMs());
+    if (status.exitReason() == Heartbeat.ExitReason.DONE) {
+      context.machine().failures().recordCompletion(placement.runningSinceMs());
       // Forgotten only once the completion is durable: until then the worker is its only record.
-      listener.completed(placement, reading.nowMs());
+      listener.completed(placement, context.nowMs());
       return;
     }
-    if (item.exitReason() == Heartbeat.ExitReason.ERROR) {
-      reading.machine().failures().failed(item.uid(), reading.nowMs());
+    if (status.exitReason() == Heartbeat.ExitReason.ERROR) {
+      context.machine().failures().recordFailure(status.uid(), context.nowMs());
     }
-    reading.addCommand(new WorkerCommand.Forget(item.uid(), item.task(), item.attempt()));
-    listener.ended(placement, item.exitReason(), item.checkpointed(), reading.nowMs());
+    context.addCommand(new WorkerCommand.Forget(status.uid(), status.task(), status.attempt()));
+    listener.ended(placement, status.exitReason(), status.checkpointed(), context.nowMs());
   }
 
   /** An attempt that is not placed there: it is stopped, or forgotten once its result is safe. */
-  void handleUnplaced(HeartbeatContext reading, Heartbeat.TaskStatus item) {
-    Optional<Job> job = jobs.apply(item.uid());
-    if (item.phase() != Heartbeat.Phase.EXITED) {
-      orphan(reading, item, job);
-    } else if (mayBeForgotten(item, job)) {
-      reading.addCommand(new WorkerCommand.Forget(item.uid(), item.task(), item.attempt()));
+  void handleUnplaced(HeartbeatContext context, Heartbeat.TaskStatus status) {
+    Optional<Job> job = jobs.apply(status.uid());
+    if (status.phase() != Heartbeat.Phase.EXITED) {
+      addOrphan(context, status, job);
+    } else if (mayBeForgotten(status, job)) {
+      context.addCommand(new WorkerCommand.Forget(status.uid(), status.task(), status.attempt()));
     }
   }
 
   /**
    * A completion counts whoever placed it, and until it is durable the worker is its only record.
    */
-  private boolean mayBeForgotten(Heartbeat.TaskStatus item, Optional<Job> known) {
+  private boolean mayBeForgotten(Heartbeat.TaskStatus status, Optional<Job> known) {
     if (known.isEmpty()
         || known.get().isTerminal()
-        || item.exitReason() != Heartbeat.ExitReason.DONE) {
+        || status.exitReason() != Heartbeat.ExitReason.DONE) {
       return true;
     }
     Job job = known.get();
-    if (item.task() >= job.spec().tasks()) {
+    if (status.task() >= job.spec().tasks()) {
       return true;
     }
-    if (!job.completedTasks().get(item.task())) {
-      listener.completedUnrecorded(job, item.task());
+    if (!job.completedTasks().get(status.task())) {
+      listener.completedUnrecorded(job, status.task());
     }
-    return durablyDone.test(job, item.task());
+    return durablyCompleted.test(job, status.task());
   }
 
   /** It takes room, and counts for its team, until a report shows it no more. */
-  private void orphan(HeartbeatContext reading, Heartbeat.TaskStatus item, Optional<Job> job) {
+  private void addOrphan(HeartbeatContext context, Heartbeat.TaskStatus status, Optional<Job> job) {
     HeartbeatHandler.Owner owner =
         job.map(known -> new HeartbeatHandler.Owner(known.team(), known.perTask()))
-            .or(() -> owners.apply(item.uid()))
+            .or(() -> owners.apply(status.uid()))
             .orElse(new HeartbeatHandler.Owner(NO_TEAM, Resources.NONE));
-    fleet.addOrphan(
-        reading.machine(),
+    registry.addOrphan(
+        context.machine(),
         new Machine.OrphanedTask(
-            item.uid(), item.task(), item.attempt(), owner.team(), owner.resources(), false));
-    reading.addCommand(new WorkerCommand.Stop(item.uid(), item.task(), item.attempt(), 0));
+            status.uid(), status.task(), status.attempt(), owner.team(), owner.resources(), false));
+    context.addCommand(new WorkerCommand.Stop(status.uid(), status.task(), status.attempt(), 0));
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/TeamUsage.java
+++ b/src/main/java/org/ploverspindle/cluster/TeamUsage.java
@@ -27,22 +27,22 @@
     return Optional.empty();
   }
 
-  public void add(int team, Resources r) {
-    cores[team] += r.cores();
-    accelerators[team] += r.accelerators();
+  public void add(int team, Resources resources) {
+    cores[team] += resources.cores();
+    accelerators[team] += resources.accelerators();
   }
 
-  public void remove(int team, Resources r) {
-    cores[team] -= r.cores();
-    accelerators[team] -= r.accelerators();
+  public void remove(int team, Resources resources) {
+    cores[team] -= resources.cores();
+    accelerators[team] -= resources.accelerators();
   }
 
   /** How many more such tasks the team's limit allows. */
   public int tasksWithinLimit(int team, Resources perTask) {
-    Settings.Team t = teams.get(team);
+    Settings.Team settings = teams.get(team);
     return Math.min(
-        tasksWithinLimit(t.coresMax(), cores[team], perTask.cores()),
-        tasksWithinLimit(t.acceleratorsMax(), accelerators[team], perTask.accelerators()));
+        tasksWithinLimit(settings.coresMax(), cores[team], perTask.cores()),
+        tasksWithinLimit(settings.acceleratorsMax(), accelerators[team], perTask.accelerators()));
   }
 
   private static int tasksWithinLimit(double limit, long used, long each) {
@@ -61,9 +61,9 @@
 
   /** Does the team's guarantee cover this much in all? */
   public boolean guarantees(int team, Resources all) {
-    Settings.Team t = teams.get(team);
-    return all.cores() <= t.cores() * 1000 + 0.5
-        && all.accelerators() <= t.accelerators() * 1000 + 0.5;
+    Settings.Team settings = teams.get(team);
+    return all.cores() <= settings.cores() * 1000 + 0.5
+        && all.accelerators() <= settings.accelerators() * 1000 + 0.5;
   }
 
   public long cores(int team) {
--- a/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
+++ b/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
@@ -36,38 +36,38 @@
    * Requests that were held up on the way are executed within this time. So long after a record
    * could not be read, its machines may still be taken by a request of an earlier leader.
    */
-  private static final long LATEST_REQUEST_MS = 300_000;
+  private static final long LATE_REQUEST_MS = 300_000;
 
   private final Scheduler scheduler;
-  private final MachineRegistry fleet;
-  private final HeartbeatTimeout silence;
+  private final MachineRegistry registry;
+  private final HeartbeatTimeout heartbeatTimeout;
   private final TerminationRecordWriter writer;
   private final TerminationSender sender;
-  private final long keepMs;
-  private final Consumer<List<Placement>> lost;
+  private final long recordRetentionMs;
+  private final Consumer<List<Placement>> onLost;
   private final TerminationStatistics statistics = new TerminationStatistics();
-  private final Map<String, PendingTermination> returns = new LinkedHashMap<>();
+  private final Map<String, PendingTermination> terminations = new LinkedHashMap<>();
 
   /**
-   * @param keepMs for how long a record outlives the cloud's confirmation: as long as a list may
-   *     still show the machines
-   * @param lost told of tasks that went with a machine
+   * @param recordRetentionMs for how long a record outlives the cloud's confirmation: as long as a
+   *     list may still show the machines
+   * @param onLost told of tasks that went with a machine
    */
   public MachineTerminations(
       Scheduler scheduler,
-      MachineRegistry fleet,
-      HeartbeatTimeout silence,
+      MachineRegistry registry,
+      HeartbeatTimeout heartbeatTimeout,
       TerminationRecordWriter writer,
       TerminationSender sender,
-      long keepMs,
-      Consumer<List<Placement>> lost) {
+      long recordRetentionMs,
+      Consumer<List<Placement>> onLost) {
     this.scheduler = scheduler;
-    this.fleet = fleet;
-    this.silence = silence;
+    this.registry = registry;
+    this.heartbeatTimeout = heartbeatTimeout;
     this.writer = writer;
     this.sender = sender;
-    this.keepMs = keepMs;
-    this.lost = lost;
+    this.recordRetentionMs = recordRetentionMs;
+    this.onLost = onLost;
   }
 
   /**
@@ -81,16 +81,16 @@
           "the record {} can't be read and is left as it is: machines of earlier terms get no work"
               + " for {} s",
           entry.key(),
-          LATEST_REQUEST_MS / 1_000);
-      fleet.quarantineEarlierMachines(scheduler.nowMs() + LATEST_REQUEST_MS);
+          LATE_REQUEST_MS / 1_000);
+      registry.quarantineEarlierMachines(scheduler.nowMs() + LATE_REQUEST_MS);
       return;
     }
     List<String> hosts = record.get().hosts();
-    returns.put(
+    terminations.put(
         entry.key(),
         new PendingTermination(
             entry.key(), record.get(), PendingTermination.Phase.RECORDED, scheduler.nowMs()));
-    hosts.forEach(fleet::beginTermination);
+    hosts.forEach(registry::beginTermination);
     statistics.inherited(hosts.size());
     LOG.info("returning {} as an earlier leader recorded", hosts);
   }
@@ -105,14 +105,14 @@
     }
     List<String> hosts = machines.stream().map(Machine::host).toList();
     LOG.info("returning {}", hosts);
-    statistics.began(hosts.size());
-    hosts.forEach(fleet::beginTermination);
+    statistics.recordDecided(hosts.size());
+    hosts.forEach(registry::beginTermination);
     writer.prepare(hosts, scheduler.nowMs()).forEach(this::add);
   }
 
   private void add(PendingTermination pending) {
-    returns.put(pending.key(), pending);
-    write(pending);
+    terminations.put(pending.key(), pending);
+    createRecord(pending);
   }
 
   /** True when a record that can wait may be written now. */
@@ -123,81 +123,81 @@
   /** True while returns that were begun a while ago do not come further. */
   public boolean isStalled() {
     long nowMs = scheduler.nowMs();
-    return returns.values().stream()
+    return terminations.values().stream()
         .anyMatch(
             pending ->
                 pending.phase() != PendingTermination.Phase.CONFIRMED
-                    && nowMs - pending.sinceMs() > STALLED_MS);
+                    && nowMs - pending.startedMs() > STALLED_MS);
   }
 
   /** Repeats what was not answered, and sends what may be sent by now. To be called each second. */
   public void advance() {
     long nowMs = scheduler.nowMs();
-    for (PendingTermination pending : List.copyOf(returns.values())) {
+    for (PendingTermination pending : List.copyOf(terminations.values())) {
       if (!pending.mayWrite(nowMs)) {
         continue;
       }
       if (pending.phase() == PendingTermination.Phase.RECORDING) {
-        write(pending);
+        createRecord(pending);
       } else if (pending.phase() == PendingTermination.Phase.CONFIRMED
-          && nowMs - pending.confirmedMs() >= keepMs
+          && nowMs - pending.confirmedMs() >= recordRetentionMs
           && writer.hasSpareWrites()) {
-        remove(pending);
+        removeRecord(pending);
       }
     }
     sendDue();
   }
 
-  private void write(PendingTermination pending) {
-    pending.writing();
-    writer.create(pending, outcome -> written(pending, outcome));
+  private void createRecord(PendingTermination pending) {
+    pending.markWriting();
+    writer.create(pending, outcome -> onCreateResult(pending, outcome));
   }
 
-  private void written(PendingTermination pending, CreateOutcome outcome) {
+  private void onCreateResult(PendingTermination pending, CreateOutcome outcome) {
     if (outcome == CreateOutcome.CREATED) {
-      pending.recorded();
+      pending.markRecorded();
       sendDue();
       return;
     }
     if (outcome == CreateOutcome.TOO_LARGE && pending.hosts().size() > 1) {
-      returns.remove(pending.key());
+      terminations.remove(pending.key());
       writer.halve(pending, scheduler.nowMs()).forEach(this::add);
       return;
     }
     // The same key again: an earlier write of it that is carried out late says the same.
-    pending.writeFailed(scheduler.nowMs() + WRITE_RETRY_MS);
+    pending.retryWriteAt(scheduler.nowMs() + WRITE_RETRY_MS);
   }
 
-  private void remove(PendingTermination pending) {
-    pending.writing();
+  private void removeRecord(PendingTermination pending) {
+    pending.markWriting();
     writer.remove(
         pending,
         removed -> {
           if (removed) {
-            returns.remove(pending.key());
+            terminations.remove(pending.key());
           } else {
-            pending.writeFailed(scheduler.nowMs() + REMOVE_RETRY_MS);
+            pending.retryWriteAt(scheduler.nowMs() + REMOVE_RETRY_MS);
           }
         });
   }
 
   private void sendDue() {
     List<String> due = new ArrayList<>();
-    for (PendingTermination pending : returns.values()) {
+    for (PendingTermination pending : terminations.values()) {
       if (pending.phase() == PendingTermination.Phase.RECORDED) {
         pending.unconfirmed().stream()
-            .filter(host -> sender.maySend(host) && mayGo(host))
+            .filter(host -> sender.maySend(host) && mayTerminate(host))
             .forEach(due::add);
       }
     }
     for (int from = 0; from < due.size(); from += TerminationClient.MAX_HOSTS_PER_RELEASE) {
       int end = Math.min(due.size(), from + TerminationClient.MAX_HOSTS_PER_RELEASE);
       List<String> hosts = List.copyOf(due.subList(from, end));
-      boolean again = hosts.stream().anyMatch(sender::wasSent);
-      if (!sender.send(hosts, this::confirmed)) {
+      boolean isRepeat = hosts.stream().anyMatch(sender::wasSent);
+      if (!sender.send(hosts, this::onConfirmed)) {
         return;
       }
-      statistics.sent(again);
+      statistics.recordRequest(isRepeat);
     }
   }
 
@@ -205,27 +205,27 @@
    * A machine goes when it is empty, or silent: then the answer to its release is the proof that
    * its tasks are gone. One that reports tasks is drained first.
    */
-  private boolean mayGo(String host) {
-    Optional<Machine> machine = fleet.get(host);
+  private boolean mayTerminate(String host) {
+    Optional<Machine> machine = registry.get(host);
     if (machine.isEmpty()
         || machine.get().isEmpty()
-        || silence.isExpired(machine.get(), scheduler.nowMs())) {
+        || heartbeatTimeout.isExpired(machine.get(), scheduler.nowMs())) {
       return true;
     }
     TerminationDrain.drain(machine.get());
     return false;
   }
 
-  private void confirmed(List<String> hosts) {
+  private void onConfirmed(List<String> hosts) {
     long nowMs = scheduler.nowMs();
     for (String host : hosts) {
-      lost.accept(fleet.confirmTermination(host, nowMs));
+      onLost.accept(registry.confirmTermination(host, nowMs));
     }
-    for (PendingTermination pending : returns.values()) {
+    for (PendingTermination pending : terminations.values()) {
       for (String host : hosts) {
         if (pending.unconfirmed().contains(host)) {
-          pending.confirmed(host, nowMs);
-          statistics.confirmed(nowMs - pending.sinceMs());
+          pending.confirm(host, nowMs);
+          statistics.recordConfirmed(nowMs - pending.startedMs());
         }
       }
     }
@@ -240,6 +240,6 @@
   }
 
   private int count(PendingTermination.Phase phase) {
-    return (int) returns.values().stream().filter(pending -> pending.phase() == phase).count();
+    return (int) terminations.values().stream().filter(pending -> pending.phase() == phase).count();
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/PendingTermination.java
+++ b/src/main/java/org/ploverspindle/scalein/PendingTermination.java
@@ -18,10 +18,10 @@
 
   private final String key;
   private final TerminationRecord record;
-  private final long sinceMs;
+  private final long startedMs;
   private final Set<String> unconfirmed;
   private Phase phase;
-  private boolean writing;
+  private boolean markWriting;
   private long writeNotBeforeMs = Long.MIN_VALUE / 2;
   private long confirmedMs;
 
@@ -29,7 +29,7 @@
     this.key = key;
     this.record = record;
     this.phase = phase;
-    this.sinceMs = nowMs;
+    this.startedMs = nowMs;
     this.unconfirmed = new LinkedHashSet<>(record.hosts());
   }
 
@@ -49,8 +49,8 @@
     return phase;
   }
 
-  long sinceMs() {
-    return sinceMs;
+  long startedMs() {
+    return startedMs;
   }
 
   /** Machines of whose end there is no proof yet. */
@@ -60,25 +60,25 @@
 
   /** True when a write of the record, or of its removal, may go out now. */
   boolean mayWrite(long nowMs) {
-    return !writing && nowMs >= writeNotBeforeMs;
+    return !markWriting && nowMs >= writeNotBeforeMs;
   }
 
-  void writing() {
-    writing = true;
+  void markWriting() {
+    markWriting = true;
   }
 
-  void writeFailed(long retryAtMs) {
-    writing = false;
+  void retryWriteAt(long retryAtMs) {
+    markWriting = false;
     writeNotBeforeMs = retryAtMs;
   }
 
-  void recorded() {
-    writing = false;
+  void markRecorded() {
+    markWriting = false;
     phase = Phase.RECORDED;
   }
 
   /** The cloud confirmed that this machine is gone. */
-  void confirmed(String host, long nowMs) {
+  void confirm(String host, long nowMs) {
     unconfirmed.remove(host);
     if (unconfirmed.isEmpty() && phase == Phase.RECORDED) {
       phase = Phase.CONFIRMED;
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecord.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecord.java
@@ -43,23 +43,23 @@
   static List<TerminationRecord> partition(List<String> hosts, int valueBytes) {
     int emptyBytes = Cbor.jsonSize(new TerminationRecord(List.of()).encode());
     List<TerminationRecord> records = new ArrayList<>();
-    List<String> part = new ArrayList<>();
+    List<String> chunk = new ArrayList<>();
     int bytes = emptyBytes;
     for (String host : hosts) {
       // Its name in quotes, and a comma.
-      int more = Cbor.jsonSize(Cbor.map().textNode(host)) + 1;
+      int hostBytes = Cbor.jsonSize(Cbor.map().textNode(host)) + 1;
       boolean full =
-          part.size() == TerminationClient.MAX_HOSTS_PER_RELEASE || bytes + more > valueBytes;
-      if (full && !part.isEmpty()) {
-        records.add(new TerminationRecord(List.copyOf(part)));
-        part.clear();
+          chunk.size() == TerminationClient.MAX_HOSTS_PER_RELEASE || bytes + hostBytes > valueBytes;
+      if (full && !chunk.isEmpty()) {
+        records.add(new TerminationRecord(List.copyOf(chunk)));
+        chunk.clear();
         bytes = emptyBytes;
       }
-      part.add(host);
-      bytes += more;
+      chunk.add(host);
+      bytes += hostBytes;
     }
-    if (!part.isEmpty()) {
-      records.add(new TerminationRecord(List.copyOf(part)));
+    if (!chunk.isEmpty()) {
+      records.add(new TerminationRecord(List.copyOf(chunk)));
     }
     return records;
   }
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
@@ -12,24 +12,25 @@
  * leader and no other return of this term uses, and is never changed.
  */
 public final class TerminationRecordWriter {
-  private final LeaderWriter writes;
-  private final long token;
+  private final LeaderWriter leaderWriter;
+  private final long fencingToken;
   private final int valueBytes;
-  private long counter;
+  private long recordCount;
 
   /**
-   * @param token the term's first token, which makes the records' names unique over all terms
+   * @param fencingToken the term's first token, which makes the records' names unique over all
+   *     terms
    * @param valueBytes the least limit of the state service for a value that was announced
    */
-  public TerminationRecordWriter(LeaderWriter writes, long token, int valueBytes) {
-    this.writes = writes;
-    this.token = token;
+  public TerminationRecordWriter(LeaderWriter leaderWriter, long fencingToken, int valueBytes) {
+    this.leaderWriter = leaderWriter;
+    this.fencingToken = fencingToken;
     this.valueBytes = valueBytes;
   }
 
   /** True when a write that can wait need not wait. */
   boolean hasSpareWrites() {
-    return writes.hasSpareBudget();
+    return leaderWriter.hasSpareBudget();
   }
 
   List<PendingTermination> prepare(List<String> hosts, long nowMs) {
@@ -48,15 +49,15 @@
   }
 
   private PendingTermination pending(TerminationRecord record, long nowMs) {
-    String key = Keys.termination(token + "-" + ++counter);
+    String key = Keys.termination(fencingToken + "-" + ++recordCount);
     return new PendingTermination(key, record, PendingTermination.Phase.RECORDING, nowMs);
   }
 
   void create(PendingTermination pending, Consumer<CreateOutcome> then) {
-    writes.create(new Change.Put(pending.key(), pending.record().encode()), then);
+    leaderWriter.create(new Change.Put(pending.key(), pending.record().encode()), then);
   }
 
   void remove(PendingTermination pending, Consumer<Boolean> then) {
-    writes.writeBestEffort(new Change.Remove(pending.key()), then);
+    leaderWriter.writeBestEffort(new Change.Remove(pending.key()), then);
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/TerminationSender.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationSender.java
@@ -12,29 +12,29 @@
  * Sends releases within the budget of calls, and spaces repeats of those that were not answered.
  */
 public final class TerminationSender {
-  private static final long IN_FLIGHT = Long.MAX_VALUE;
+  private static final long IN_FLIGHT_MS = Long.MAX_VALUE;
 
   private final Scheduler scheduler;
   private final TerminationClient cloud;
-  private final BooleanSupplier mayCall;
+  private final BooleanSupplier takeCallBudget;
   private final RetryDelay retryDelay;
 
   /** When each machine that was asked for may be asked for again, on the steady clock. */
   private final Map<String, Long> notBeforeMs = new HashMap<>();
 
   /**
-   * @param mayCall takes a call to the cloud from its budget, if the lead is sure; asked last
-   *     before each send
+   * @param takeCallBudget takes a call to the cloud from its budget, if the lead is sure; asked
+   *     last before each send
    * @param retryDelay before a release without an answer is sent again
    */
   public TerminationSender(
       Scheduler scheduler,
       TerminationClient cloud,
-      BooleanSupplier mayCall,
+      BooleanSupplier takeCallBudget,
       RetryDelay retryDelay) {
     this.scheduler = scheduler;
     this.cloud = cloud;
-    this.mayCall = mayCall;
+    this.takeCallBudget = takeCallBudget;
     this.retryDelay = retryDelay;
   }
 
@@ -56,10 +56,10 @@
    * @return whether it was sent
    */
   boolean send(List<String> hosts, Consumer<List<String>> confirmed) {
-    if (!mayCall.getAsBoolean()) {
+    if (!takeCallBudget.getAsBoolean()) {
       return false;
     }
-    hosts.forEach(host -> notBeforeMs.put(host, IN_FLIGHT));
+    hosts.forEach(host -> notBeforeMs.put(host, IN_FLIGHT_MS));
     cloud.terminate(hosts, gone -> answered(hosts, gone, confirmed));
     return true;
   }
--- a/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
+++ b/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
@@ -49,7 +49,7 @@
   }
 
   private boolean fails(Job job, Machine m) {
-    m.failures().failed(job.uid(), now);
+    m.failures().recordFailure(job.uid(), now);
     job.failedOn(m.host(), 0, now);
     return blame.failed(m, job, now);
   }
@@ -110,11 +110,11 @@
   @Test
   void completionsOfTasksBegunBeforeTheFailureDoNotClearAMachine() {
     Machine m = machine("i-1");
-    m.failures().failed("run-1", 1_000);
-    m.failures().completed(500);
-    m.failures().failed("run-2", 2_000);
+    m.failures().recordFailure("run-1", 1_000);
+    m.failures().recordCompletion(500);
+    m.failures().recordFailure("run-2", 2_000);
     assertEquals(2, m.failures().byJob().size());
-    m.failures().completed(2_500);
+    m.failures().recordCompletion(2_500);
     assertEquals(0, m.failures().byJob().size());
   }
 
