--- /dev/null
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatState.java
@@ -0,0 +1,53 @@
+package org.ploverspindle.cluster;
+
+/** Which heartbeats of one machine arrived in this term, and when. */
+final class HeartbeatState {
+  private long agentEpoch;
+  private long lastSequence;
+  private long firstHeartbeatMs = Machine.NEVER_MS;
+  private long lastHeartbeatMs = Machine.NEVER_MS;
+  private boolean isFirstUnobserved;
+  private boolean hasAcceptedToken;
+
+  void record(Heartbeat heartbeat, long nowMs, boolean underOwnToken) {
+    if (!hasHeartbeat()) {
+      firstHeartbeatMs = nowMs;
+      isFirstUnobserved = true;
+    }
+    agentEpoch = heartbeat.agentEpoch();
+    lastSequence = heartbeat.sequence();
+    lastHeartbeatMs = nowMs;
+    hasAcceptedToken |= underOwnToken;
+  }
+
+  boolean hasHeartbeat() {
+    return lastHeartbeatMs >= 0;
+  }
+
+  long agentEpoch() {
+    return agentEpoch;
+  }
+
+  long lastSequence() {
+    return lastSequence;
+  }
+
+  long firstHeartbeatMs() {
+    return firstHeartbeatMs;
+  }
+
+  long lastHeartbeatMs() {
+    return lastHeartbeatMs;
+  }
+
+  boolean hasAcceptedToken() {
+    return hasAcceptedToken;
+  }
+
+  /** True for the first call after the first heartbeat, false for every other call. */
+  boolean observeFirst() {
+    boolean observed = isFirstUnobserved;
+    isFirstUnobserved = false;
+    return observed;
+  }
+}
--- a/src/main/java/org/ploverspindle/cluster/Machine.java
+++ b/src/main/java/org/ploverspindle/cluster/Machine.java
@@ -1,53 +1,37 @@
 package org.ploverspindle.cluster;
 
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import org.ploverspindle.model.Resources;
 
-/** A machine as the leader sees it during its term. */
+/**
+ * A machine as the leader sees it during its term.
+ *
+ * <p>Its parts: {@link HeartbeatState}, {@link CommandFencing}, {@link MachineLifecycle}, {@link
+ * MachineTasks} and {@link MachineFailureHistory}. All times are in milliseconds of the leader's
+ * steady clock. Placements are added and removed by {@link MachineRegistry} alone.
+ */
 public final class Machine {
-  /** An attempt that a report showed and that nobody has recorded there. */
-  record OrphanedTask(
-      String uid, int task, long attempt, int team, Resources resources, boolean exited) {}
+  /** In place of a time: it has not happened, or is not known. */
+  static final long NEVER_MS = -1;
 
   private final String host;
   private final int type;
   private final int zone;
   private final boolean spot;
   private final Resources size;
-  private final long knownSinceMs;
-  private final Map<Long, Placement> placements = new HashMap<>();
-  private final List<OrphanedTask> orphans = new ArrayList<>();
-  private final LinkedHashSet<String> images = new LinkedHashSet<>();
+  private final HeartbeatState heartbeats = new HeartbeatState();
+  private final CommandFencing fencing;
+  private final MachineLifecycle lifecycle;
+  private final MachineTasks tasks;
   private final MachineFailureHistory failures = new MachineFailureHistory();
-  private Resources used = Resources.NONE;
   private String address = "";
-  private long agentEpoch;
-  private long lastSequence;
-  private long lastHeartbeatMs = -1;
-  private long upSinceMs = -1;
-  private boolean justCameUp;
-  private long provisionedSinceMs = -1;
-  private boolean hasAcceptedToken;
-  private long emptySinceMs;
-  private long spotNoticeAtMs = -1;
-  private double spotNoticeS;
-  private boolean isDraining;
-  private boolean unusable;
-  private boolean isTerminating;
-  private boolean isScaleInCandidate;
-  private long quarantinedUntilMs = Long.MIN_VALUE / 2;
-  private boolean isListed;
-  private long listedSinceMs;
-  private long fencingToken;
-  private boolean receivesCommands;
-  private long unreachableSinceMs = -1;
-  private final Map<Long, Long> directLaunches = new HashMap<>();
 
+  /**
+   * @param type index of the machine type in the catalogue
+   * @param zone index of the zone in the catalogue
+   * @param fencingToken the first token of the term
+   */
   public Machine(
       String host,
       int type,
@@ -61,64 +45,21 @@
     this.zone = zone;
     this.spot = spot;
     this.size = size;
-    this.knownSinceMs = nowMs;
-    this.emptySinceMs = nowMs;
-    this.fencingToken = fencingToken;
-  }
-
-  /** The token that this machine's answers carry. */
-  public long fencingToken() {
-    return fencingToken;
-  }
-
-  /**
-   * From now on its answers carry this token. Whatever was sent straight to it before is void once
-   * it has shown the new one, and until then it is not known to hear us.
-   */
-  void raiseFencingToken(long token) {
-    fencingToken = token;
-  }
-
-  /** True when, in this session, it has shown a token of ours that was raised since. */
-  public boolean receivesCommands() {
-    return receivesCommands;
-  }
-
-  /** Nothing we say seems to arrive: it gets no work until it shows the token raised for this. */
-  void markUnreachable(long token, long nowMs) {
-    if (receivesCommands || unreachableSinceMs < 0) {
-      raiseFencingToken(token);
-    }
-    receivesCommands = false;
-    if (unreachableSinceMs < 0) {
-      unreachableSinceMs = nowMs;
-    }
-  }
-
-  /** Since when it has reported and not heard, or -1. */
-  public long unreachableSinceMs() {
-    return unreachableSinceMs;
-  }
-
-  /** A launch went straight to it and is not to be forgotten under the same token. */
-  void recordDirectLaunch(long attempt) {
-    directLaunches.put(attempt, fencingToken);
-  }
-
-  /** Could a launch of this attempt that went straight there still be executed? */
-  boolean isDirectLaunchPending(long attempt) {
-    Long token = directLaunches.get(attempt);
-    return token != null && token >= fencingToken;
+    this.fencing = new CommandFencing(fencingToken);
+    this.lifecycle = new MachineLifecycle(nowMs);
+    this.tasks = new MachineTasks(nowMs);
   }
 
   public String host() {
     return host;
   }
 
+  /** The index of the machine type in the catalogue. */
   public int type() {
     return type;
   }
 
+  /** The index of the zone in the catalogue. */
   public int zone() {
     return zone;
   }
@@ -131,261 +72,287 @@
     return size;
   }
 
+  /** What neither placements nor orphaned tasks take. */
   public Resources free() {
-    return size.minus(used);
-  }
-
-  public long knownSinceMs() {
-    return knownSinceMs;
+    return size.minus(tasks.used());
   }
 
+  /** Where the agent receives direct commands; empty if that is not known. */
   public String address() {
     return address;
   }
 
-  /** What the list says, for a machine that has not reported in this term. */
+  /** Takes the address from the cloud's list, unless a heartbeat has given one. */
   public void setListedAddress(String listedAddress) {
     if (address.isEmpty()) {
       address = listedAddress;
     }
   }
 
-  /** The session that it is known to have been in: its own word, or that of earlier leaders. */
-  public long lastKnownAgentEpoch() {
-    long known = agentEpoch;
-    for (Placement placement : placements.values()) {
-      known = Math.max(known, placement.agentEpoch());
-    }
-    return known;
-  }
+  // Heartbeats.
 
-  public long agentEpoch() {
-    return agentEpoch;
+  void recordHeartbeat(Heartbeat heartbeat, long nowMs, boolean underOwnToken) {
+    if (!isUp()) {
+      // Until now it was booting, not idle.
+      tasks.restartEmptyPeriod(nowMs);
+    }
+    heartbeats.record(heartbeat, nowMs, underOwnToken);
+    if (underOwnToken) {
+      fencing.recordReportedToken(heartbeat.fencingToken());
+    }
+    if (!heartbeat.address().isEmpty()) {
+      address = heartbeat.address();
+    }
+    lifecycle.recordSpotNotice(heartbeat.spotNoticeS());
   }
 
-  public long lastSequence() {
-    return lastSequence;
+  /** Whether a heartbeat of the machine has arrived in this term. */
+  public boolean isUp() {
+    return heartbeats.hasHeartbeat();
   }
 
-  /** False until the machine has reported in this term. */
-  public boolean isUp() {
-    return lastHeartbeatMs >= 0;
+  /** When the first heartbeat of this term arrived; negative if none has. */
+  public long upSinceMs() {
+    return heartbeats.firstHeartbeatMs();
   }
 
+  /** When the last heartbeat arrived; negative if none has in this term. */
   public long lastHeartbeatMs() {
-    return lastHeartbeatMs;
+    return heartbeats.lastHeartbeatMs();
   }
 
-  /** True once after its first report in this term. */
+  /** True for the first call after the first heartbeat of this term, false for every other call. */
   public boolean takeJustCameUp() {
-    boolean before = justCameUp;
-    justCameUp = false;
-    return before;
+    return heartbeats.observeFirst();
   }
 
-  /** It was rented no later than this, by our own rental or by its age in the list. */
-  public void provisionedAt(long atMs) {
-    provisionedSinceMs = provisionedSinceMs < 0 ? atMs : Math.min(provisionedSinceMs, atMs);
+  /** The agent epoch of the last heartbeat; 0 if none has arrived in this term. */
+  public long agentEpoch() {
+    return heartbeats.agentEpoch();
   }
 
-  /** When it was rented, or -1 if that is not known. */
-  public long provisionedSinceMs() {
-    return provisionedSinceMs;
+  /** The latest agent epoch that is known from a heartbeat or from recovered placements. */
+  public long lastKnownAgentEpoch() {
+    long known = agentEpoch();
+    for (Placement placement : tasks.placements()) {
+      known = Math.max(known, placement.agentEpoch());
+    }
+    return known;
   }
 
-  /** Since when it has been on its way, as far as is known. */
-  public long bootingSinceMs() {
-    return provisionedSinceMs < 0 ? knownSinceMs : provisionedSinceMs;
+  /** The sequence number of the last heartbeat within its agent epoch. */
+  public long lastSequence() {
+    return heartbeats.lastSequence();
   }
 
-  /** When it reported first in this term, or -1. */
-  public long upSinceMs() {
-    return upSinceMs;
+  /**
+   * Whether the agent has accepted a token of this term: from then on it refuses responses and
+   * commands of earlier leaders.
+   */
+  public boolean hasAcceptedToken() {
+    return heartbeats.hasAcceptedToken();
   }
 
-  /** The worker has accepted this term's token: from now on it drops older leaders' answers. */
-  public boolean hasAcceptedToken() {
-    return hasAcceptedToken;
+  // Fencing of commands.
+
+  /** The fencing token that responses and commands to this machine carry. */
+  public long fencingToken() {
+    return fencing.fencingToken();
   }
 
-  void recordHeartbeat(Heartbeat heartbeat, long nowMs, boolean underOurToken) {
-    if (lastHeartbeatMs < 0) {
-      upSinceMs = nowMs;
-      justCameUp = true;
-      // It has just come up: it was not idle while it booted.
-      emptySinceMs = nowMs;
-    }
-    agentEpoch = heartbeat.agentEpoch();
-    lastSequence = heartbeat.sequence();
-    lastHeartbeatMs = nowMs;
-    hasAcceptedToken |= underOurToken;
-    if (underOurToken && heartbeat.fencingToken() >= fencingToken) {
-      receivesCommands = true;
-      unreachableSinceMs = -1;
-    }
-    if (underOurToken && !directLaunches.isEmpty()) {
-      directLaunches.values().removeIf(token -> token < heartbeat.fencingToken());
-    }
-    if (!heartbeat.address().isEmpty()) {
-      address = heartbeat.address();
-    }
-    if (heartbeat.spotNoticeS().isPresent()) {
-      if (spotNoticeAtMs < 0) {
-        spotNoticeAtMs = nowMs;
-      }
-      spotNoticeS = heartbeat.spotNoticeS().getAsDouble();
-    }
+  void raiseFencingToken(long token) {
+    fencing.raiseToken(token);
   }
 
-  public boolean hasSpotNotice() {
-    return spotNoticeAtMs >= 0;
+  /** Whether a heartbeat has shown the machine's current token, so that commands reach it. */
+  public boolean receivesCommands() {
+    return fencing.receivesCommands();
   }
 
-  public double spotNoticeS() {
-    return spotNoticeS;
+  /** Commands do not reach the machine: it gets no new tasks until it shows the raised token. */
+  void markUnreachable(long token, long nowMs) {
+    fencing.markUnreachable(token, nowMs);
   }
 
-  public Collection<Placement> placements() {
-    return placements.values();
+  /** Since when heartbeats arrive but commands do not; negative if commands do. */
+  public long unreachableSinceMs() {
+    return fencing.unreachableSinceMs();
   }
 
-  public Placement placement(long attempt) {
-    return placements.get(attempt);
+  void recordDirectLaunch(long attempt) {
+    fencing.recordDirectLaunch(attempt);
   }
 
-  public void add(Placement placement) {
-    placements.put(placement.attempt(), placement);
-    used = used.plus(placement.job().perTask());
-    if (!placement.job().spec().image().isEmpty()) {
-      images.remove(placement.job().spec().image());
-      images.add(placement.job().spec().image());
-    }
+  boolean isDirectLaunchPending(long attempt) {
+    return fencing.isDirectLaunchPending(attempt);
   }
 
-  public void remove(Placement placement, long nowMs) {
-    if (placements.remove(placement.attempt()) != null) {
-      used = used.minus(placement.job().perTask());
-      if (placements.isEmpty()) {
-        emptySinceMs = nowMs;
-      }
-    }
+  // Life cycle.
+
+  /** When the machine became known to this leader. */
+  public long knownSinceMs() {
+    return lifecycle.knownSinceMs();
   }
 
-  List<OrphanedTask> orphans() {
-    return orphans;
+  /** The machine was provisioned at this time or earlier; the earliest known time counts. */
+  public void provisionedAt(long atMs) {
+    lifecycle.provisionedAt(atMs);
   }
 
-  void clearOrphans() {
-    for (OrphanedTask orphan : orphans) {
-      if (!orphan.exited()) {
-        used = used.minus(orphan.resources());
-      }
-    }
-    orphans.clear();
+  /** When it was provisioned, at the latest; negative if that is not known. */
+  public long provisionedSinceMs() {
+    return lifecycle.provisionedSinceMs();
   }
 
-  void addOrphan(OrphanedTask orphan) {
-    orphans.add(orphan);
-    if (!orphan.exited()) {
-      used = used.plus(orphan.resources());
-    }
+  /** When it began to boot, at the latest. */
+  public long bootingSinceMs() {
+    return provisionedSinceMs() < 0 ? knownSinceMs() : provisionedSinceMs();
   }
 
-  public boolean hasImage(String image) {
-    return images.contains(image);
+  public boolean isListed() {
+    return lifecycle.isListed();
   }
 
-  void clearImages() {
-    images.clear();
+  /** The cloud's list names the machine. */
+  public void listedAt(long nowMs) {
+    lifecycle.listedAt(nowMs);
   }
 
-  public boolean isEmpty() {
-    return placements.isEmpty() && orphans.stream().allMatch(OrphanedTask::exited);
+  /** When a list named it first in this term; meaningful only if {@link #isListed}. */
+  public long listedSinceMs() {
+    return lifecycle.listedSinceMs();
   }
 
-  public long emptySinceMs() {
-    return emptySinceMs;
+  /**
+   * No new tasks until this time: a termination record that can't be read may name the machine, and
+   * a request that rests on it may still end the machine.
+   */
+  void quarantine(long untilMs) {
+    lifecycle.quarantine(untilMs);
+  }
+
+  /** The machine was provisioned in this term, so that no earlier record can name it. */
+  public void endQuarantine() {
+    lifecycle.quarantine(MachineLifecycle.NOT_QUARANTINED_MS);
+  }
+
+  public boolean hasSpotNotice() {
+    return lifecycle.spotNoticeS().isPresent();
+  }
+
+  /** Seconds that the last spot notice leaves; 0 if there was none. */
+  public double spotNoticeS() {
+    return lifecycle.spotNoticeS().orElse(0);
   }
 
   public boolean isDraining() {
-    return isDraining;
+    return lifecycle.isDraining();
   }
 
+  /** No new tasks for the rest of the term; those that run may complete. */
   public void drain() {
-    isDraining = true;
+    lifecycle.drain();
   }
 
-  /** It is dear and not needed: only what is pressed for time is put there. */
+  /** Whether the machine is expensive and not needed: it takes only tasks that are urgent. */
   public boolean isScaleInCandidate() {
-    return isScaleInCandidate;
+    return lifecycle.isScaleInCandidate();
   }
 
-  public void isScaleInCandidate(boolean now) {
-    isScaleInCandidate = now;
+  public void setScaleInCandidate(boolean candidate) {
+    lifecycle.setScaleInCandidate(candidate);
   }
 
-  /** True when it takes no more work and is not held any more: it goes back, sooner or later. */
-  public boolean isDecommissioning() {
-    return unusable || isTerminating;
-  }
-
-  /** The cloud's list shows that it is of no use any more: it is to be returned. */
+  /** The machine is of no further use, as the cloud's list shows: it is to be terminated. */
   public void markUnusable() {
-    unusable = true;
+    lifecycle.markUnusable();
   }
 
-  /** Its return has begun: there is no way back in this term, nor in any once it is recorded. */
+  /** Whether its termination has begun, which is never taken back. */
   public boolean isTerminating() {
-    return isTerminating;
+    return lifecycle.isTerminating();
   }
 
   void beginTermination() {
-    isTerminating = true;
+    lifecycle.beginTermination();
   }
 
-  /** It may be one that a record names which can't be read: it gets no work until then. */
-  void quarantine(long untilMs) {
-    quarantinedUntilMs = untilMs;
+  /** Whether it takes no new tasks any more and will be terminated. */
+  public boolean isDecommissioning() {
+    return lifecycle.isDecommissioning();
   }
 
-  /** It was rented in this term, so no earlier record names it. */
-  public void endQuarantine() {
-    quarantinedUntilMs = Long.MIN_VALUE / 2;
+  // Tasks.
+
+  /** The placements on the machine: a live, unmodifiable view. */
+  public Collection<Placement> placements() {
+    return tasks.placements();
   }
 
-  public boolean isListed() {
-    return isListed;
+  /** The placement of the attempt, or null. */
+  Placement placement(long attempt) {
+    return tasks.placement(attempt);
   }
 
-  public void listedAt(long nowMs) {
-    listedSinceMs = isListed ? listedSinceMs : nowMs;
-    isListed = true;
+  void add(Placement placement) {
+    tasks.add(placement);
   }
 
-  /** When a list named it first in this term; only if one did. */
-  public long listedSinceMs() {
-    return listedSinceMs;
+  void remove(Placement placement, long nowMs) {
+    tasks.remove(placement, nowMs);
+  }
+
+  List<OrphanedTask> orphans() {
+    return tasks.orphans();
+  }
+
+  void addOrphan(OrphanedTask orphan) {
+    tasks.addOrphan(orphan);
+  }
+
+  void clearOrphans() {
+    tasks.clearOrphans();
+  }
+
+  /** Whether the image was fetched by a task that was placed here since the agent epoch began. */
+  public boolean hasImage(String image) {
+    return tasks.hasImage(image);
+  }
+
+  void clearImages() {
+    tasks.clearImages();
+  }
+
+  /** Whether there is neither a placement nor an orphaned task. */
+  public boolean isEmpty() {
+    return tasks.isEmpty();
+  }
+
+  /** Since when there has been no placement; counted from the first heartbeat at the earliest. */
+  public long emptySinceMs() {
+    return tasks.emptySinceMs();
   }
 
   MachineFailureHistory failures() {
     return failures;
   }
 
-  /** Jobs that run elsewhere fail here. */
+  /** Whether jobs that run elsewhere have failed here. */
   public boolean suspect() {
     return failures.isSuspect();
   }
 
-  /** May new tasks be put here? */
+  /**
+   * Whether new tasks may be placed here.
+   *
+   * @param heartbeatTimeoutMs the longest time since the last heartbeat that is let through
+   */
   public boolean isSchedulable(long nowMs, long heartbeatTimeoutMs) {
-    return receivesCommands
-        && !isDraining
-        && !isDecommissioning()
-        && spotNoticeAtMs < 0
+    return receivesCommands()
+        && lifecycle.allowsNewTasks(nowMs)
         && !failures.isCordoned(nowMs)
-        && nowMs >= quarantinedUntilMs
-        // After failures one task at a time is the trial: a whole job there would fail whole.
-        && (!failures.isSuspect() || placements.isEmpty())
-        && nowMs - lastHeartbeatMs <= heartbeatTimeoutMs;
+        // A suspect machine is tried with one task at a time: a whole job there would fail whole.
+        && (!failures.isSuspect() || tasks.placements().isEmpty())
+        && nowMs - lastHeartbeatMs() <= heartbeatTimeoutMs;
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/cluster/MachineLifecycle.java
@@ -0,0 +1,107 @@
+package org.ploverspindle.cluster;
+
+import java.util.OptionalDouble;
+
+/**
+ * Where a machine is between provisioning and termination: known to the cloud, usable for new work,
+ * or on its way out.
+ */
+final class MachineLifecycle {
+  /** Quarantined until a time that is always past. */
+  static final long NOT_QUARANTINED_MS = Long.MIN_VALUE;
+
+  private final long knownSinceMs;
+  private long provisionedSinceMs = Machine.NEVER_MS;
+  private boolean isListed;
+  private long listedSinceMs;
+  private long quarantinedUntilMs = NOT_QUARANTINED_MS;
+  private OptionalDouble spotNoticeS = OptionalDouble.empty();
+  private boolean isDraining;
+  private boolean isScaleInCandidate;
+  private boolean isUnusable;
+  private boolean isTerminating;
+
+  MachineLifecycle(long knownSinceMs) {
+    this.knownSinceMs = knownSinceMs;
+  }
+
+  long knownSinceMs() {
+    return knownSinceMs;
+  }
+
+  long provisionedSinceMs() {
+    return provisionedSinceMs;
+  }
+
+  /** The machine was provisioned at this time or earlier; the earliest known time counts. */
+  void provisionedAt(long atMs) {
+    provisionedSinceMs = provisionedSinceMs < 0 ? atMs : Math.min(provisionedSinceMs, atMs);
+  }
+
+  boolean isListed() {
+    return isListed;
+  }
+
+  long listedSinceMs() {
+    return listedSinceMs;
+  }
+
+  void listedAt(long nowMs) {
+    listedSinceMs = isListed ? listedSinceMs : nowMs;
+    isListed = true;
+  }
+
+  void quarantine(long untilMs) {
+    quarantinedUntilMs = untilMs;
+  }
+
+  OptionalDouble spotNoticeS() {
+    return spotNoticeS;
+  }
+
+  void recordSpotNotice(OptionalDouble noticeS) {
+    if (noticeS.isPresent()) {
+      spotNoticeS = noticeS;
+    }
+  }
+
+  boolean isDraining() {
+    return isDraining;
+  }
+
+  void drain() {
+    isDraining = true;
+  }
+
+  boolean isScaleInCandidate() {
+    return isScaleInCandidate;
+  }
+
+  void setScaleInCandidate(boolean candidate) {
+    isScaleInCandidate = candidate;
+  }
+
+  void markUnusable() {
+    isUnusable = true;
+  }
+
+  boolean isTerminating() {
+    return isTerminating;
+  }
+
+  void beginTermination() {
+    isTerminating = true;
+  }
+
+  boolean isDecommissioning() {
+    return isUnusable || isTerminating;
+  }
+
+  /** Whether nothing in the machine's life cycle forbids to place new tasks on it. */
+  boolean allowsNewTasks(long nowMs) {
+    return !isDraining
+        && !isDecommissioning()
+        && spotNoticeS.isEmpty()
+        && nowMs >= quarantinedUntilMs;
+  }
+}
--- a/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
@@ -35,7 +35,7 @@
   private final Map<String, LastHeartbeat> forgotten = new HashMap<>();
   private long raisedTokens;
   private long removedCount;
-  private long quarantinedUntilMs = Long.MIN_VALUE / 2;
+  private long quarantinedUntilMs = MachineLifecycle.NOT_QUARANTINED_MS;
 
   /** The newest report that was known of a machine which is no longer kept. */
   private record LastHeartbeat(long agentEpoch, long sequence) {}
@@ -126,16 +126,16 @@
     teams.remove(placement.job().team(), placement.job().perTask());
   }
 
-  void addOrphan(Machine machine, Machine.OrphanedTask orphan) {
+  void addOrphan(Machine machine, OrphanedTask orphan) {
     machine.addOrphan(orphan);
-    if (!orphan.exited() && orphan.team() >= 0) {
+    if (orphan.hasTeam()) {
       teams.add(orphan.team(), orphan.resources());
     }
   }
 
   void clearOrphans(Machine machine) {
-    for (Machine.OrphanedTask orphan : machine.orphans()) {
-      if (!orphan.exited() && orphan.team() >= 0) {
+    for (OrphanedTask orphan : machine.orphans()) {
+      if (orphan.hasTeam()) {
         teams.remove(orphan.team(), orphan.resources());
       }
     }
--- a/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
@@ -7,8 +7,6 @@
 
 /** What follows from the attempts that a report shows on its machine. */
 final class ReportedTasks {
-  private static final int NO_TEAM = -1;
-
   private final MachineRegistry registry;
   private final Function<String, Optional<Job>> jobs;
   private final Function<String, Optional<HeartbeatHandler.Owner>> owners;
@@ -108,11 +106,11 @@
     HeartbeatHandler.Owner owner =
         job.map(known -> new HeartbeatHandler.Owner(known.team(), known.perTask()))
             .or(() -> owners.apply(status.uid()))
-            .orElse(new HeartbeatHandler.Owner(NO_TEAM, Resources.NONE));
+            .orElse(new HeartbeatHandler.Owner(OrphanedTask.UNKNOWN_TEAM, Resources.NONE));
     registry.addOrphan(
         context.machine(),
-        new Machine.OrphanedTask(
-            status.uid(), status.task(), status.attempt(), owner.team(), owner.resources(), false));
+        new OrphanedTask(
+            status.uid(), status.task(), status.attempt(), owner.team(), owner.resources()));
     context.addCommand(new WorkerCommand.Stop(status.uid(), status.task(), status.attempt(), 0));
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -101,7 +101,7 @@
   private void retire(List<Machine> usable, ScaleOutPlanner demand) {
     List<Machine> dear = new ArrayList<>();
     for (Machine machine : usable) {
-      machine.isScaleInCandidate(false);
+      machine.setScaleInCandidate(false);
       MachineType type = catalogue.type(machine.type());
       if (!machine.spot()
           && type.price(false) > type.price(true) * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO) {
@@ -110,7 +110,7 @@
     }
     dear.sort(Comparator.comparingLong(machine -> -machine.free().cores()));
     for (Machine machine : dear) {
-      machine.isScaleInCandidate(demand.isExpensiveSurplus(machine));
+      machine.setScaleInCandidate(demand.isExpensiveSurplus(machine));
     }
   }
 
