--- a/src/main/java/org/ploverspindle/cluster/Job.java
+++ b/src/main/java/org/ploverspindle/cluster/Job.java
@@ -2,55 +2,43 @@
 
 import java.util.BitSet;
 import java.util.Collection;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.Map;
 import java.util.OptionalDouble;
 import java.util.OptionalLong;
-import java.util.Set;
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.model.Resources;
 
-/** A job as the leader sees it during its term. */
+/**
+ * A job as the leader sees it during its term.
+ *
+ * <p>Its parts: {@link JobTasks}, {@link JobDeadline}, {@link ZoneConstraints} and {@link
+ * JobFailures}. Times named {@code wallMs} are times of day in milliseconds, all others are
+ * milliseconds of the leader's steady clock.
+ */
 public final class Job {
-  private static final long FIRST_RETRY_DELAY_MS = 1_000;
-  private static final long LONGEST_RETRY_DELAY_MS = 60_000;
-
-  /** A task that runs for this much longer than others ran before they failed does not fail. */
-  private static final long PROVEN_RUN_MARGIN_MS = 2_000;
+  /** In place of a zone's index: the job may run in any zone. */
+  static final int ANY_ZONE = -1;
 
   private final JobSpec spec;
   private final Resources perTask;
-  private final long acceptedWallMs;
   private final int shardSize;
   private final int team;
   private final BitSet types;
-  private final int zone;
-  private final BitSet completedTasks = new BitSet();
-  private final BitSet pendingTasks = new BitSet();
-  private final Map<Integer, Placement> activePlacements = new HashMap<>();
-  private final int[] placementsInZone;
-  private final Map<Integer, Long> notBeforeMs = new HashMap<>();
-  private final Set<String> failedOn = new HashSet<>();
-  private long retryNotBeforeMs = Long.MIN_VALUE / 2;
-  private long longestFailedMs;
-  private int retries;
-  private int failures;
-  private int completions;
+  private final JobTasks tasks;
+  private final JobDeadline deadline;
+  private final ZoneConstraints zones;
+  private final JobFailures failures = new JobFailures();
   private boolean cancelled;
   private boolean finished;
   private boolean quarantined;
   private boolean blockedOnDependencies;
-  private long eligibleSinceWallMs;
-  private Priority priority;
-  private OptionalLong inheritedDeadlineWallMs = OptionalLong.empty();
-  private OptionalLong latestDeadlineWallMs = OptionalLong.empty();
 
   /**
-   * @param types allowed machine types by index; those that a task fits
-   * @param zone the only allowed zone's index, or -1
+   * @param shardSize tasks in each shard of the job's progress records
+   * @param team index of the team in the settings
+   * @param types indexes of the machine types that the job allows and that a task fits on
+   * @param zone index of the only allowed zone, or -1
    */
   public Job(
       JobSpec spec,
@@ -62,15 +50,12 @@
       int zoneCount) {
     this.spec = spec;
     this.perTask = spec.perTask();
-    this.acceptedWallMs = acceptedWallMs;
     this.shardSize = shardSize;
     this.team = team;
     this.types = types;
-    this.zone = zone;
-    this.placementsInZone = new int[zoneCount];
-    this.eligibleSinceWallMs = acceptedWallMs;
-    this.priority = spec.priority();
-    pendingTasks.set(0, spec.tasks());
+    this.tasks = new JobTasks(spec.tasks());
+    this.deadline = new JobDeadline(spec, acceptedWallMs);
+    this.zones = new ZoneConstraints(spec, zone, zoneCount);
   }
 
   public JobSpec spec() {
@@ -85,10 +70,18 @@
     return perTask;
   }
 
+  /** The index of the team in the settings. */
   public int team() {
     return team;
   }
 
+  /** The indexes of the machine types that the job allows and that a task fits on. */
+  public BitSet types() {
+    return types;
+  }
+
+  // Shards of the progress records.
+
   public int shardSize() {
     return shardSize;
   }
@@ -101,294 +94,241 @@
     return (spec.tasks() + shardSize - 1) / shardSize;
   }
 
+  // Dependencies, priority and deadline.
+
   public long acceptedWallMs() {
-    return acceptedWallMs;
+    return deadline.acceptedWallMs();
   }
 
   /**
-   * When it could first run: its acceptance, or the end of the last job that it awaited. Waits,
-   * patience and its turn under a guarantee count from here; due times count from the acceptance.
+   * When it could first run: its acceptance, or the completion of its last dependency. Waiting
+   * times, starvation protection and its turn under a guarantee count from here; its own deadline
+   * counts from the acceptance.
    */
   public long eligibleSinceWallMs() {
-    return eligibleSinceWallMs;
+    return deadline.eligibleSinceWallMs();
   }
 
-  /** How urgent it is: as its user says, or as any job that needs it. */
-  public Priority priority() {
-    return priority;
+  /** All dependencies are durably completed. */
+  public void markReady(long wallMs) {
+    blockedOnDependencies = false;
+    deadline.setEligibleSince(wallMs);
   }
 
   /**
-   * When it is due, in seconds from {@link #eligibleSinceWallMs}: by its own due time, or earlier
-   * if the jobs that need it are due. Negative if that was over before it could run.
+   * Keeps the job from starting tasks, for one whose dependencies are not completed though records
+   * show placements of it. These count until they are proven gone.
    */
-  public OptionalDouble deadlineS() {
-    return inheritedDeadlineWallMs.isPresent()
-        ? OptionalDouble.of((inheritedDeadlineWallMs.getAsLong() - eligibleSinceWallMs) / 1000.0)
-        : ownDeadlineS(1);
+  public void blockOnDependencies() {
+    blockedOnDependencies = true;
   }
 
-  /** The same for the last multiple of due times that counts for the jobs that need it. */
-  public OptionalDouble latestDeadlineS() {
-    return latestDeadlineWallMs.isPresent()
-        ? OptionalDouble.of((latestDeadlineWallMs.getAsLong() - eligibleSinceWallMs) / 1000.0)
-        : OptionalDouble.empty();
+  public boolean blockedOnDependencies() {
+    return blockedOnDependencies;
   }
 
-  /** A multiple of its own due time, counted from its acceptance, in seconds from readiness. */
-  public OptionalDouble ownDeadlineS(double times) {
-    return spec.deadlineS().isPresent()
-        ? OptionalDouble.of(
-            spec.deadlineS().getAsDouble() * times
-                - (eligibleSinceWallMs - acceptedWallMs) / 1000.0)
-        : OptionalDouble.empty();
+  /** The higher of its own priority and the highest that it inherits from its dependents. */
+  public Priority priority() {
+    return deadline.priority();
   }
 
-  /** All that it awaited is done. */
-  public void markReady(long wallMs) {
-    blockedOnDependencies = false;
-    eligibleSinceWallMs = wallMs;
+  /**
+   * The earlier of its own deadline and the one that it inherits from its dependents, in seconds
+   * from {@link #eligibleSinceWallMs}. Negative if it had passed before the job could run.
+   */
+  public OptionalDouble deadlineS() {
+    return deadline.deadlineS();
   }
 
   /**
-   * Records say that tasks of it are out, though what it awaits is not done: they count until they
-   * are gone, and none is started.
+   * As {@link #deadlineS}, for the last multiples of the dependents' deadlines that still count;
+   * empty if it inherits no deadline.
    */
-  public void blockOnDependencies() {
-    blockedOnDependencies = true;
+  public OptionalDouble latestDeadlineS() {
+    return deadline.latestDeadlineS();
   }
 
-  public boolean blockedOnDependencies() {
-    return blockedOnDependencies;
+  /**
+   * A multiple of its own deadline, which counts from the acceptance, in seconds from {@link
+   * #eligibleSinceWallMs}.
+   */
+  public OptionalDouble ownDeadlineS(double times) {
+    return deadline.ownDeadlineS(times);
   }
 
   /**
-   * What the jobs that need it make of it; its own values where no other presses more.
+   * Sets what it inherits from the jobs that depend on it. Its own values stay where they are
+   * tighter.
    *
-   * @param latestFinish by when it must be done, so that all that need it can be done when due
-   * @param lastChance the same for the last multiples of their due times that count
+   * @param highest the highest priority of them
+   * @param finishByWallMs by when it must finish, so that all of them can meet their deadlines
+   * @param latestFinishByWallMs the same for the last multiples of their deadlines that count
    */
   public void inherit(
-      Priority highest, OptionalLong finishByWallMs, OptionalLong latestFinishWallMs) {
-    priority = highest.compareTo(spec.priority()) < 0 ? highest : spec.priority();
-    inheritedDeadlineWallMs = earlierThanOwn(finishByWallMs);
-    latestDeadlineWallMs =
-        inheritedDeadlineWallMs.isPresent() ? latestFinishWallMs : OptionalLong.empty();
+      Priority highest, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
+    deadline.inherit(highest, finishByWallMs, latestFinishByWallMs);
   }
 
-  private OptionalLong earlierThanOwn(OptionalLong wallMs) {
-    boolean earlier =
-        wallMs.isPresent()
-            && (spec.deadlineS().isEmpty()
-                || wallMs.getAsLong()
-                    < acceptedWallMs + Math.round(spec.deadlineS().getAsDouble() * 1000));
-    return earlier ? wallMs : OptionalLong.empty();
-  }
+  // Zones.
 
-  public BitSet types() {
-    return types;
+  /** The index of the only allowed zone; negative if all are allowed. */
+  public int zone() {
+    return zones.requiredZone();
   }
 
-  public int zone() {
-    return zone;
+  /** Whether one more task may be placed in the zone, given where the others are. */
+  public boolean zoneAllowed(int zoneIndex) {
+    return zones.allows(zoneIndex);
   }
 
-  public BitSet completedTasks() {
-    return completedTasks;
+  // Tasks.
+
+  /** The completed tasks: a live view. */
+  public TaskSet completedTasks() {
+    return tasks.completed();
   }
 
-  public BitSet pendingTasks() {
-    return pendingTasks;
+  /** The tasks that are to be placed: a live view. */
+  public TaskSet pendingTasks() {
+    return tasks.pending();
   }
 
+  /** The placements that are not proven gone: a live, unmodifiable view. */
   public Collection<Placement> activePlacements() {
-    return activePlacements.values();
+    return tasks.activePlacements();
   }
 
+  /** The active placement of the task, or null. */
   public Placement activePlacement(int task) {
-    return activePlacements.get(task);
+    return tasks.activePlacement(task);
   }
 
-  public int placementsInZone(int zone) {
-    return placementsInZone[zone];
+  /** Counts the placement. The leader's own go through {@link MachineRegistry#addPlacement}. */
+  public void addPlacement(Placement placement) {
+    tasks.addPlacement(placement);
+    zones.add(placement);
   }
 
-  /** May one more task be in the zone, given where the others are? */
-  public boolean zoneAllowed(int zone) {
-    if (this.zone >= 0 && this.zone != zone) {
-      return false;
+  /**
+   * The placement is proven gone, which {@link MachineRegistry#removePlacement} alone concludes.
+   * The task is pending again unless it is completed or the job is cancelled.
+   */
+  public void removePlacement(Placement placement) {
+    if (!tasks.removePlacement(placement)) {
+      return;
     }
-    if (spec.oneZone()) {
-      for (int other = 0; other < placementsInZone.length; other++) {
-        if (other != zone && placementsInZone[other] > 0) {
-          return false;
-        }
-      }
+    zones.remove(placement);
+    if (!cancelled) {
+      tasks.setPendingUnlessCompleted(placement.task());
     }
-    return !spec.spreadOverZones() || placementsInZone[zone] < (spec.tasks() + 1) / 2;
   }
 
-  /** How many more tasks the zone may take at once. */
-  public int zoneCapacity(int zone) {
-    if (!zoneAllowed(zone)) {
+  /** The task has completed; this can be reported more than once. */
+  public void markCompleted(int task) {
+    tasks.markCompleted(task);
+  }
+
+  public boolean allTasksCompleted() {
+    return tasks.completedCount() == spec.tasks();
+  }
+
+  /** Puts the task off after it ended without completing. */
+  public void backOff(int task, long untilMs) {
+    tasks.backOff(task, untilMs);
+  }
+
+  /** Whether the task is put off beyond now. */
+  public boolean isBackedOff(int task, long nowMs) {
+    return tasks.isBackedOff(task, nowMs);
+  }
+
+  /** How many of the pending tasks may be placed now. */
+  public int schedulableTasks(long nowMs) {
+    if (tasks.pending().isEmpty() || blockedOnDependencies) {
       return 0;
     }
-    return spec.spreadOverZones()
-        ? (spec.tasks() + 1) / 2 - placementsInZone[zone]
-        : Integer.MAX_VALUE;
+    boolean isRetryDelayed = failures.isRetryDelayed(nowMs);
+    if (isKnownToRun(nowMs) || spec.kind() == JobKind.GANG && !isRetryDelayed) {
+      return tasks.pending().cardinality();
+    }
+    boolean mayTryOneTask = !isRetryDelayed && tasks.activePlacements().isEmpty();
+    return mayTryOneTask ? 1 : 0;
   }
 
-  public void addPlacement(Placement placement) {
-    pendingTasks.clear(placement.task());
-    activePlacements.put(placement.task(), placement);
-    placementsInZone[placement.machine().zone()]++;
-  }
+  // Failures.
 
   /**
-   * The task is proven gone from its place; it waits again unless it is done or nobody wants it.
+   * A task failed on the machine. A job that was submitted with a mistake fails everywhere until
+   * its user cancels it: as long as nothing has shown that it can run, it is retried after longer
+   * and longer delays, and with one task at a time.
+   *
+   * @param ranForMs for how long the task had run
    */
-  public void removePlacement(Placement placement) {
-    if (activePlacements.remove(placement.task(), placement)) {
-      placementsInZone[placement.machine().zone()]--;
-      if (!completedTasks.get(placement.task()) && !cancelled) {
-        pendingTasks.set(placement.task());
-      }
-    }
+  public void failedOn(String host, long ranForMs, long nowMs) {
+    failures.record(host, ranForMs, tasks, nowMs);
   }
 
-  public void markCompleted(int task) {
-    if (!completedTasks.get(task)) {
-      completedTasks.set(task);
-      completions++;
-    }
-    pendingTasks.clear(task);
-    notBeforeMs.remove(task);
+  public boolean hasFailedOn(String host) {
+    return failures.hasFailedOn(host);
   }
 
-  public boolean allTasksCompleted() {
-    return completedTasks.cardinality() == spec.tasks();
+  /** How many of its tasks have failed in this term. */
+  public int failures() {
+    return failures.count();
+  }
+
+  /**
+   * Whether it has never failed or has shown that it can run: by a completed task, or by one that
+   * has run for well longer than those that failed.
+   */
+  public boolean isKnownToRun(long nowMs) {
+    return failures.isKnownToRun(tasks, nowMs);
   }
 
-  public int completions() {
-    return completions;
+  /** Whether it failed on several machines and is not known to run: the job itself is at fault. */
+  public boolean isFailingEverywhere(long nowMs) {
+    return failures.isFailingEverywhere(tasks, nowMs);
   }
 
+  // Its end.
+
+  /** The cancellation is durable: no task is started any more. */
   public void cancel() {
     cancelled = true;
-    pendingTasks.clear();
+    tasks.clearPending();
   }
 
   public boolean cancelled() {
     return cancelled;
   }
 
-  /** The job's end is durable. */
+  /** The record of the job's completion is durable. */
   public void finish() {
     finished = true;
-    pendingTasks.clear();
+    tasks.clearPending();
   }
 
   public boolean finished() {
     return finished;
   }
 
-  /** Part of its progress can't be read: starting any task could run one twice. */
+  /** Part of its progress records can't be read: to start any task could run it twice. */
   public void quarantine() {
     quarantined = true;
-    pendingTasks.clear();
+    tasks.clearPending();
   }
 
   public boolean quarantined() {
     return quarantined;
   }
 
+  /** Whether it is cancelled or finished. */
   public boolean isTerminal() {
     return cancelled || finished;
   }
 
-  /** Cancelled, and proven to be nowhere. */
+  /** Whether it is cancelled and all its placements are proven gone. */
   public boolean isFullyStopped() {
-    return cancelled && !finished && activePlacements.isEmpty();
-  }
-
-  /** Puts off the task after it ended without completing there. */
-  public void backOff(int task, long untilMs) {
-    notBeforeMs.put(task, untilMs);
-  }
-
-  public boolean isBackedOff(int task, long nowMs) {
-    Long until = notBeforeMs.get(task);
-    if (until == null) {
-      return false;
-    }
-    if (until <= nowMs) {
-      notBeforeMs.remove(task);
-      return false;
-    }
-    return true;
-  }
-
-  /**
-   * A task failed there after running for so long. A job that was submitted with a mistake fails
-   * everywhere until its user cancels it: as long as nothing of it has shown that it can run, it
-   * waits, longer each time, and then one task alone is the try.
-   */
-  public void failedOn(String host, long ranForMs, long nowMs) {
-    failures++;
-    failedOn.add(host);
-    longestFailedMs = Math.max(longestFailedMs, ranForMs);
-    // What began together and fails together is one try.
-    if (!isKnownToRun(nowMs) && !isRetryDelayed(nowMs)) {
-      retryNotBeforeMs =
-          nowMs + Math.min(LONGEST_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS << Math.min(10, retries));
-      retries++;
-    }
-  }
-
-  public boolean hasFailedOn(String host) {
-    return failedOn.contains(host);
-  }
-
-  /**
-   * Has it never failed, or shown that it can run: by a task that completed, or by one that runs on
-   * for well longer than those that failed had?
-   */
-  public boolean isKnownToRun(long nowMs) {
-    if (failures == 0 || completions > 0) {
-      return true;
-    }
-    long enoughMs = longestFailedMs * 3 / 2 + PROVEN_RUN_MARGIN_MS;
-    for (Placement placement : activePlacements.values()) {
-      if (placement.runningSinceMs() >= 0
-          && nowMs - placement.runningSinceMs() >= enoughMs
-          && !failedOn.contains(placement.machine().host())) {
-        return true;
-      }
-    }
-    return false;
-  }
-
-  /** Failed on several machines, and runs nowhere: the job is at fault, not the machines. */
-  public boolean isFailingEverywhere(long nowMs) {
-    return failedOn.size() >= 2 && !isKnownToRun(nowMs);
-  }
-
-  public int failures() {
-    return failures;
-  }
-
-  private boolean isRetryDelayed(long nowMs) {
-    return retryNotBeforeMs > nowMs;
-  }
-
-  /** How many of its waiting tasks may be put on machines now. */
-  public int schedulableTasks(long nowMs) {
-    if (pendingTasks.isEmpty() || blockedOnDependencies) {
-      return 0;
-    }
-    if (isKnownToRun(nowMs) || spec.kind() == JobKind.GANG && !isRetryDelayed(nowMs)) {
-      return pendingTasks.cardinality();
-    }
-    return isRetryDelayed(nowMs) || !activePlacements.isEmpty() ? 0 : 1;
+    return cancelled && !finished && tasks.activePlacements().isEmpty();
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/cluster/JobDeadline.java
@@ -0,0 +1,86 @@
+package org.ploverspindle.cluster;
+
+import java.util.OptionalDouble;
+import java.util.OptionalLong;
+import org.ploverspindle.model.JobSpec;
+import org.ploverspindle.model.Priority;
+
+/**
+ * When a job became eligible to run, and its priority and deadline: its own or, where those are
+ * tighter, the ones that it inherits from the jobs that depend on it.
+ */
+final class JobDeadline {
+  private static final double MS_PER_S = 1000.0;
+
+  private final JobSpec spec;
+  private final long acceptedWallMs;
+  private long eligibleSinceWallMs;
+  private Priority priority;
+  private OptionalLong inheritedWallMs = OptionalLong.empty();
+  private OptionalLong latestInheritedWallMs = OptionalLong.empty();
+
+  JobDeadline(JobSpec spec, long acceptedWallMs) {
+    this.spec = spec;
+    this.acceptedWallMs = acceptedWallMs;
+    this.eligibleSinceWallMs = acceptedWallMs;
+    this.priority = spec.priority();
+  }
+
+  long acceptedWallMs() {
+    return acceptedWallMs;
+  }
+
+  long eligibleSinceWallMs() {
+    return eligibleSinceWallMs;
+  }
+
+  void setEligibleSince(long wallMs) {
+    eligibleSinceWallMs = wallMs;
+  }
+
+  Priority priority() {
+    return priority;
+  }
+
+  /** See {@link Job#inherit}. */
+  void inherit(Priority highest, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
+    priority = highest.compareTo(spec.priority()) < 0 ? highest : spec.priority();
+    inheritedWallMs = isBeforeOwn(finishByWallMs) ? finishByWallMs : OptionalLong.empty();
+    latestInheritedWallMs =
+        inheritedWallMs.isPresent() ? latestFinishByWallMs : OptionalLong.empty();
+  }
+
+  private boolean isBeforeOwn(OptionalLong wallMs) {
+    return wallMs.isPresent()
+        && (spec.deadlineS().isEmpty() || wallMs.getAsLong() < ownDeadlineWallMs());
+  }
+
+  private long ownDeadlineWallMs() {
+    return acceptedWallMs + Math.round(spec.deadlineS().getAsDouble() * MS_PER_S);
+  }
+
+  /** See {@link Job#deadlineS}. */
+  OptionalDouble deadlineS() {
+    return inheritedWallMs.isPresent() ? sinceEligibleS(inheritedWallMs) : ownDeadlineS(1);
+  }
+
+  /** See {@link Job#latestDeadlineS}. */
+  OptionalDouble latestDeadlineS() {
+    return sinceEligibleS(latestInheritedWallMs);
+  }
+
+  private OptionalDouble sinceEligibleS(OptionalLong wallMs) {
+    return wallMs.isPresent()
+        ? OptionalDouble.of((wallMs.getAsLong() - eligibleSinceWallMs) / MS_PER_S)
+        : OptionalDouble.empty();
+  }
+
+  /** See {@link Job#ownDeadlineS}. */
+  OptionalDouble ownDeadlineS(double times) {
+    if (spec.deadlineS().isEmpty()) {
+      return OptionalDouble.empty();
+    }
+    double blockedS = (eligibleSinceWallMs - acceptedWallMs) / MS_PER_S;
+    return OptionalDouble.of(spec.deadlineS().getAsDouble() * times - blockedS);
+  }
+}
--- a/src/main/java/org/ploverspindle/cluster/JobTable.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTable.java
@@ -78,7 +78,7 @@
             record.get().shardSize(),
             team.get(),
             typesThatFit(spec),
-            spec.zone().map(catalogue::zone).orElse(-1),
+            spec.zone().map(catalogue::zone).orElse(Job.ANY_ZONE),
             catalogue.zoneCount());
     if (cancelled) {
       job.cancel();
--- /dev/null
+++ b/src/main/java/org/ploverspindle/cluster/TaskSet.java
@@ -0,0 +1,36 @@
+package org.ploverspindle.cluster;
+
+import java.util.BitSet;
+
+/** A live, read-only view of a set of task indexes. */
+public final class TaskSet {
+  private final BitSet tasks;
+
+  TaskSet(BitSet tasks) {
+    this.tasks = tasks;
+  }
+
+  /** Whether the set contains the task. */
+  public boolean get(int task) {
+    return tasks.get(task);
+  }
+
+  /** The first task of the set that is not below {@code from}, or -1. */
+  public int nextSetBit(int from) {
+    return tasks.nextSetBit(from);
+  }
+
+  public boolean isEmpty() {
+    return tasks.isEmpty();
+  }
+
+  /** How many tasks the set contains. */
+  public int cardinality() {
+    return tasks.cardinality();
+  }
+
+  /** A copy of the set as it is now. */
+  public BitSet toBitSet() {
+    return (BitSet) tasks.clone();
+  }
+}
--- a/src/main/java/org/ploverspindle/progress/TaskStatuses.java
+++ b/src/main/java/org/ploverspindle/progress/TaskStatuses.java
@@ -15,7 +15,7 @@
 record TaskStatuses(Job job, BitSet tasks, BitSet done, List<Placement> placements) {
   /** How these tasks are now. */
   static TaskStatuses of(Job job, BitSet tasks) {
-    BitSet done = (BitSet) job.completedTasks().clone();
+    BitSet done = job.completedTasks().toBitSet();
     done.and(tasks);
     List<Placement> placements = new ArrayList<>();
     for (int t = tasks.nextSetBit(0); t >= 0; t = tasks.nextSetBit(t + 1)) {
