--- a/src/main/java/org/ploverspindle/controller/Controller.java
+++ b/src/main/java/org/ploverspindle/controller/Controller.java
@@ -184,9 +184,9 @@
     } else if (record instanceof PeerMessage.Leading leading) {
       election.observeToken(leading.token());
     } else if (record instanceof PeerMessage.ReachabilityProbe asking) {
-      stateReachability.probed(asking.member());
+      stateReachability.replyToProbe(asking.member());
     } else if (record instanceof PeerMessage.ReachabilityReply) {
-      stateReachability.peerReached();
+      stateReachability.replyReceived();
     } else {
       replica.readBarrier(ok -> {});
     }
@@ -238,20 +238,20 @@
       MachineTypesRecord.read(replica).ifPresent(catalogue::update);
     }
     boolean failing = leader.map(Leader::isFailingToWrite).orElse(false);
-    stateReachability.check(failing);
+    stateReachability.probeIfStale(failing);
     if (!started && replica.isLoaded() && catalogue.isKnown()) {
       started = true;
       duties.add(election.start());
     }
-    boolean now = started && !stateReachability.isAloneWithout();
+    boolean now = started && !stateReachability.isUnreachableHereOnly();
     if (now != ready) {
       LOG.info(now ? "ready" : "not ready: others reach the state service, and this one does not");
       ready = now;
     }
-    if (stateReachability.othersReachIt()
-        && (failing || election.isAuthoritative() && stateReachability.isAloneWithout())) {
+    if (stateReachability.isReachableByPeers()
+        && (failing || election.isAuthoritative() && stateReachability.isUnreachableHereOnly())) {
       // The lease is renewed and nothing else is answered: the lead would be kept for nothing.
-      election.resignAndPause("the state service serves others, and refuses this leader");
+      election.resignWithBackoff("the state service serves others, and refuses this leader");
     }
   }
 
--- a/src/main/java/org/ploverspindle/controller/StateReachability.java
+++ b/src/main/java/org/ploverspindle/controller/StateReachability.java
@@ -19,31 +19,31 @@
  * up a lead that is of no use, and nothing is decided by it.
  */
 final class StateReachability {
-  private static final long ASK_MS = 1_000;
+  private static final long PROBE_INTERVAL_MS = 1_000;
 
   /** The copy is read every 700 ms; one lost answer is no reason to ask. */
-  private static final long STALE_MS = 2_500;
+  private static final long PROBE_AFTER_STALE_MS = 2_500;
 
-  private static final long ALONE_MS = 4_000;
+  private static final long UNREACHABLE_AFTER_STALE_MS = 4_000;
 
   /** Who answers for the state service has read it itself just now. */
-  private static final long FRESH_MS = 1_500;
+  private static final long MAX_STALENESS_TO_REPLY_MS = 1_500;
 
-  private static final long BELIEVED_MS = 3_000;
+  private static final long REPLY_VALID_MS = 3_000;
 
-  private final Scheduler clock;
+  private final Scheduler scheduler;
   private final Replica replica;
   private final StateStore store;
   private final Peers peers;
   private final String member;
-  private final Set<String> askers = new LinkedHashSet<>();
-  private boolean probing;
-  private long askedMs = Long.MIN_VALUE / 2;
-  private long othersMs = Long.MIN_VALUE / 2;
+  private final Set<String> probingMembers = new LinkedHashSet<>();
+  private boolean replyPending;
+  private long lastProbeMs = Long.MIN_VALUE / 2;
+  private long lastReplyMs = Long.MIN_VALUE / 2;
 
   StateReachability(
-      Scheduler clock, Replica replica, StateStore store, Peers peers, String member) {
-    this.clock = clock;
+      Scheduler scheduler, Replica replica, StateStore store, Peers peers, String member) {
+    this.scheduler = scheduler;
     this.replica = replica;
     this.store = store;
     this.peers = peers;
@@ -51,54 +51,55 @@
   }
 
   private long staleMs() {
-    return clock.nowMs() - replica.freshAsOfMs();
+    return scheduler.nowMs() - replica.freshAsOfMs();
   }
 
   /**
    * @param failing this controller's writes are not carried out
    */
-  void check(boolean failing) {
-    long now = clock.nowMs();
-    if ((failing || staleMs() > STALE_MS) && now - askedMs >= ASK_MS) {
-      askedMs = now;
+  void probeIfStale(boolean isFailingToWrite) {
+    long nowMs = scheduler.nowMs();
+    if ((isFailingToWrite || staleMs() > PROBE_AFTER_STALE_MS)
+        && nowMs - lastProbeMs >= PROBE_INTERVAL_MS) {
+      lastProbeMs = nowMs;
       peers.broadcast(new PeerMessage.ReachabilityProbe(member));
     }
   }
 
   /** Another controller asks whether the state service is there: a comparison shows it. */
-  void probed(String from) {
-    if (staleMs() > FRESH_MS) {
+  void replyToProbe(String probingMember) {
+    if (staleMs() > MAX_STALENESS_TO_REPLY_MS) {
       return;
     }
-    askers.add(from);
-    if (probing) {
+    probingMembers.add(probingMember);
+    if (replyPending) {
       return;
     }
-    probing = true;
-    long stamp = replica.get(Keys.LEADER).map(Entry::modRevision).orElse(0L);
+    replyPending = true;
+    long modRevision = replica.get(Keys.LEADER).map(Entry::modRevision).orElse(0L);
     store.commit(
-        new StateStore.Transaction(List.of(new Condition(Keys.LEADER, stamp)), List.of()),
+        new StateStore.Transaction(List.of(new Condition(Keys.LEADER, modRevision)), List.of()),
         result -> {
-          probing = false;
+          replyPending = false;
           if (result instanceof TransactionResult.Committed
               || result instanceof TransactionResult.Conflict) {
-            askers.forEach(a -> peers.send(a, new PeerMessage.ReachabilityReply(member)));
+            probingMembers.forEach(a -> peers.send(a, new PeerMessage.ReachabilityReply(member)));
           }
-          askers.clear();
+          probingMembers.clear();
         });
   }
 
   /** Another controller reads and writes the state service. */
-  void peerReached() {
-    othersMs = clock.nowMs();
+  void replyReceived() {
+    lastReplyMs = scheduler.nowMs();
   }
 
-  boolean othersReachIt() {
-    return clock.nowMs() - othersMs < BELIEVED_MS;
+  boolean isReachableByPeers() {
+    return scheduler.nowMs() - lastReplyMs < REPLY_VALID_MS;
   }
 
   /** Others have what this controller lacks: its users are better served there. */
-  boolean isAloneWithout() {
-    return staleMs() > ALONE_MS && othersReachIt();
+  boolean isUnreachableHereOnly() {
+    return staleMs() > UNREACHABLE_AFTER_STALE_MS && isReachableByPeers();
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
+++ b/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
@@ -19,65 +19,65 @@
  */
 final class DelayedResponses {
   /** A report whose answer waits for orders to become durable. */
-  private record HeldReply(
-      Heartbeat report, Consumer<HeartbeatHandler.Response> then, long untilMs) {}
+  private record DelayedResponse(
+      Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder, long releaseAtMs) {}
 
   private final Scheduler scheduler;
-  private final MachineRegistry fleet;
-  private final HeartbeatHandler reportHandler;
-  private final BooleanSupplier mayDecide;
-  private final long holdMs;
-  private final Map<String, HeldReply> held = new LinkedHashMap<>();
+  private final MachineRegistry machines;
+  private final HeartbeatHandler heartbeatHandler;
+  private final BooleanSupplier isAuthoritative;
+  private final long maxDelayMs;
+  private final Map<String, DelayedResponse> delayed = new LinkedHashMap<>();
 
   /**
-   * @param mayDecide whether this leader is sure of its lead: without it nothing is ordered
-   * @param holdMs how long an answer waits at most
+   * @param isAuthoritative whether this leader is sure of its lead: without it nothing is ordered
+   * @param maxDelayMs how long an answer waits at most
    */
   DelayedResponses(
       Scheduler scheduler,
-      MachineRegistry fleet,
-      HeartbeatHandler reportHandler,
-      BooleanSupplier mayDecide,
-      long holdMs) {
+      MachineRegistry machines,
+      HeartbeatHandler heartbeatHandler,
+      BooleanSupplier isAuthoritative,
+      long maxDelayMs) {
     this.scheduler = scheduler;
-    this.fleet = fleet;
-    this.reportHandler = reportHandler;
-    this.mayDecide = mayDecide;
-    this.holdMs = holdMs;
+    this.machines = machines;
+    this.heartbeatHandler = heartbeatHandler;
+    this.isAuthoritative = isAuthoritative;
+    this.maxDelayMs = maxDelayMs;
   }
 
   /** Is the report the machine's newest, and could a task be placed there within the wait? */
-  boolean isWorthDelaying(Machine machine, Heartbeat report, long nowMs) {
-    return machine.lastSequence() == report.sequence()
-        && machine.agentEpoch() == report.agentEpoch()
-        && machine.isSchedulable(nowMs, holdMs)
+  boolean isWorthDelaying(Machine machine, Heartbeat heartbeat, long nowMs) {
+    return machine.lastSequence() == heartbeat.sequence()
+        && machine.agentEpoch() == heartbeat.agentEpoch()
+        && machine.isSchedulable(nowMs, maxDelayMs)
         && machine.free().cores() > 0;
   }
 
   /** Holds the answer until orders for the machine are durable, or the wait is over. */
-  void delay(Heartbeat report, Consumer<HeartbeatHandler.Response> then, long nowMs) {
-    held.put(report.host(), new HeldReply(report, then, nowMs + holdMs));
+  void delay(Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder, long nowMs) {
+    delayed.put(heartbeat.host(), new DelayedResponse(heartbeat, responder, nowMs + maxDelayMs));
   }
 
   /** Answers the machine's earlier report, if its answer is held, with what can be ordered now. */
   void release(String host) {
-    HeldReply reply = held.remove(host);
-    if (reply != null) {
-      reply
-          .then()
+    DelayedResponse response = delayed.remove(host);
+    if (response != null) {
+      response
+          .responder()
           .accept(
-              mayDecide.getAsBoolean()
-                  ? reportHandler.handleDelayed(reply.report(), scheduler.nowMs())
-                  : reportHandler.emptyResponse(host));
+              isAuthoritative.getAsBoolean()
+                  ? heartbeatHandler.handleDelayed(response.heartbeat(), scheduler.nowMs())
+                  : heartbeatHandler.emptyResponse(host));
     }
   }
 
   /** Answers what was held for long enough, or for what has now become durable. */
   void releaseDue() {
     long nowMs = scheduler.nowMs();
-    for (HeldReply reply : List.copyOf(held.values())) {
-      String host = reply.report().host();
-      if (hasOrders(host) || nowMs >= reply.untilMs() || !mayDecide.getAsBoolean()) {
+    for (DelayedResponse response : List.copyOf(delayed.values())) {
+      String host = response.heartbeat().host();
+      if (hasCommands(host) || nowMs >= response.releaseAtMs() || !isAuthoritative.getAsBoolean()) {
         release(host);
       }
     }
@@ -85,17 +85,17 @@
 
   /** Answers all that is held. */
   void releaseAll() {
-    List.copyOf(held.keySet()).forEach(this::release);
+    List.copyOf(delayed.keySet()).forEach(this::release);
   }
 
-  private boolean hasOrders(String host) {
-    return fleet
+  private boolean hasCommands(String host) {
+    return machines
         .get(host)
-        .map(machine -> machine.placements().stream().anyMatch(DelayedResponses::hasOrder))
+        .map(machine -> machine.placements().stream().anyMatch(DelayedResponses::hasCommand))
         .orElse(true);
   }
 
-  private static boolean hasOrder(Placement placement) {
+  private static boolean hasCommand(Placement placement) {
     return placement.phase() == Placement.Phase.READY
         || !placement.neverSent() && (placement.stopping() || placement.job().isTerminal());
   }
--- a/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
+++ b/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
@@ -20,26 +20,26 @@
 final class DirectCommandSender {
   private final Scheduler scheduler;
   private final WorkerClient workers;
-  private final DirectCommands directOrders;
-  private final HeartbeatHandler reportHandler;
-  private final int mostUnderWay;
-  private int underWay;
+  private final DirectCommands directCommands;
+  private final HeartbeatHandler heartbeatHandler;
+  private final int maxInFlight;
+  private int inFlight;
   private boolean closed;
 
   /**
-   * @param mostUnderWay each command under way has a connection of its own, and sockets are counted
+   * @param maxInFlight each command under way has a connection of its own, and sockets are counted
    */
   DirectCommandSender(
-      int mostUnderWay,
+      int maxInFlight,
       Scheduler scheduler,
       WorkerClient workers,
-      DirectCommands directOrders,
-      HeartbeatHandler reportHandler) {
-    this.mostUnderWay = mostUnderWay;
+      DirectCommands directCommands,
+      HeartbeatHandler heartbeatHandler) {
+    this.maxInFlight = maxInFlight;
     this.scheduler = scheduler;
     this.workers = workers;
-    this.directOrders = directOrders;
-    this.reportHandler = reportHandler;
+    this.directCommands = directCommands;
+    this.heartbeatHandler = heartbeatHandler;
   }
 
   /** From now on answers are dropped: they belong to a term that is over. */
@@ -48,8 +48,8 @@
   }
 
   /** May another launch or announcement be sent now? */
-  boolean hasRoom() {
-    return underWay < mostUnderWay;
+  boolean hasCapacity() {
+    return inFlight < maxInFlight;
   }
 
   /**
@@ -58,7 +58,7 @@
    *
    * @param durable placements whose intent has just become durable
    */
-  void launch(List<Placement> durable) {
+  void launchHighPriority(List<Placement> durable) {
     Set<Machine> machines = new LinkedHashSet<>();
     for (Placement placement : durable) {
       if (placement.phase() == Placement.Phase.READY
@@ -67,10 +67,10 @@
       }
     }
     for (Machine machine : machines) {
-      if (!hasRoom()) {
+      if (!hasCapacity()) {
         return;
       }
-      directOrders.launches(machine, scheduler.nowMs()).ifPresent(this::send);
+      directCommands.launches(machine, scheduler.nowMs()).ifPresent(this::send);
     }
   }
 
@@ -78,35 +78,37 @@
    * Stops the tasks of a cancelled job at once, as far as connections allow; all other machines are
    * told in the answers to their reports.
    */
-  void stop(Job cancelled) {
+  void stopCancelled(Job cancelled) {
     Set<Machine> machines = new LinkedHashSet<>();
     cancelled.activePlacements().forEach(placement -> machines.add(placement.machine()));
     for (Machine machine : machines) {
       // Launches of pressing jobs have the other half to themselves.
-      if (underWay >= mostUnderWay / 2) {
+      if (inFlight >= maxInFlight / 2) {
         return;
       }
-      directOrders.cancelledStops(machine).ifPresent(this::send);
+      directCommands.cancelledStops(machine).ifPresent(this::send);
     }
   }
 
   /** Shows the machine its token in this term, without any order. */
-  void announceToken(Machine machine, long tenure) {
-    send(new DirectCommands.Request(machine.address(), machine.fencingToken(), tenure, List.of()));
+  void sendFencingToken(Machine machine, long agentEpoch) {
+    send(
+        new DirectCommands.Request(
+            machine.address(), machine.fencingToken(), agentEpoch, List.of()));
   }
 
   private void send(DirectCommands.Request command) {
-    underWay++;
+    inFlight++;
     workers.send(
         command.address(),
         command.fencingToken(),
         command.agentEpoch(),
         command.commands(),
-        answer -> {
-          underWay--;
+        response -> {
+          inFlight--;
           if (!closed) {
-            answer.ifPresent(
-                report -> reportHandler.handleDirectResponse(report, scheduler.nowMs()));
+            response.ifPresent(
+                heartbeat -> heartbeatHandler.handleDirectResponse(heartbeat, scheduler.nowMs()));
           }
         });
   }
--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -26,14 +26,14 @@
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-  private static final long RESIGNATION_PAUSE_MS = 12_000;
-  private static final long RESIGNATION_FORGOTTEN_MS = 120_000;
-  private static final long OTHERS_FIRST_MS = 2_500;
+  private static final long RESIGNATION_BACKOFF_MS = 12_000;
+  private static final long RESIGNATION_BACKOFF_RESET_MS = 120_000;
+  private static final long VACANCY_BEFORE_RETRY_MS = 2_500;
 
   /** So many terms in so short a time: whatever ends them, another change does not help. */
-  private static final int MANY_TERMS = 3;
+  private static final int UNSTABLE_TERMS = 3;
 
-  private static final long MANY_TERMS_MS = 60_000;
+  private static final long UNSTABLE_WINDOW_MS = 60_000;
   private static final int TICKS_PER_LEASE = 20;
 
   /** What the rest of the process is told; always on the loop. */
@@ -49,13 +49,13 @@
   private final Replica replica;
   private final SafetyTiming timing;
   private final Listener listener;
-  private final RoleLease lead;
+  private final RoleLease leaderLease;
   private Optional<Term> term = Optional.empty();
-  private long pausedUntilMs = Long.MIN_VALUE / 2;
+  private long backoffUntilMs = Long.MIN_VALUE / 2;
   private long lastResignationMs = Long.MIN_VALUE / 2;
   private int resignations;
   private long vacantSinceMs;
-  private final Deque<Long> termsSeenMs = new ArrayDeque<>();
+  private final Deque<Long> recentTermStartsMs = new ArrayDeque<>();
 
   /** An election that this controller takes part in once it is started. */
   public Election(
@@ -70,9 +70,9 @@
     this.replica = replica;
     this.timing = timing;
     this.listener = listener;
-    replica.addListener(this::changed);
+    replica.addListener(this::leaderKeyChanged);
     LeaseTiming leaseTiming = new LeaseTiming(timing.stateLeaseMs(), timing.stateLeaseValidMs());
-    this.lead =
+    this.leaderLease =
         new RoleLease(
             scheduler,
             store,
@@ -81,12 +81,12 @@
             leaseTiming,
             new LeaderRecords(),
             member,
-            new LeadEvents());
+            new LeaseEvents());
   }
 
   /** Takes part from now on, until cancelled. */
   public Cancellable start() {
-    return scheduler.every(timing.stateLeaseMs() / TICKS_PER_LEASE, lead::tick);
+    return scheduler.every(timing.stateLeaseMs() / TICKS_PER_LEASE, leaderLease::tick);
   }
 
   /** The term in which this node leads, as far as it knows. */
@@ -96,68 +96,68 @@
 
   /** The leader by the copy, also another node. */
   public Optional<String> leaderName() {
-    return lead.holder().map(RoleHolder::member);
+    return leaderLease.holder().map(RoleHolder::member);
   }
 
   /** The first token of the leader by the copy, also another node's. */
   public Optional<Long> leaderToken() {
-    return lead.holder().map(RoleHolder::epoch);
+    return leaderLease.holder().map(RoleHolder::epoch);
   }
 
   /** May this node decide? Only while its lease certainly lives. */
   public boolean isAuthoritative() {
-    return lead.isCertainlyHeld();
+    return leaderLease.isCertainlyHeld();
   }
 
   /** When the leader key was last known to be ours. */
   public long lastConfirmedMs() {
-    return Math.min(lead.lastRenewalMs(), replica.freshAsOfMs());
+    return Math.min(leaderLease.lastRenewalMs(), replica.freshAsOfMs());
   }
 
   /** Has the lead changed again and again lately, as far as this node saw? */
-  boolean changesOften() {
-    termsSeenMs.removeIf(seen -> scheduler.nowMs() - seen > MANY_TERMS_MS);
-    return termsSeenMs.size() >= MANY_TERMS;
+  boolean isUnstable() {
+    recentTermStartsMs.removeIf(seen -> scheduler.nowMs() - seen > UNSTABLE_WINDOW_MS);
+    return recentTermStartsMs.size() >= UNSTABLE_TERMS;
   }
 
-  private void changed(String key, Optional<Entry> entry) {
+  private void leaderKeyChanged(String key, Optional<Entry> entry) {
     if (!key.equals(Keys.LEADER)) {
       return;
     }
     if (entry.isEmpty()) {
       vacantSinceMs = scheduler.nowMs();
     } else {
-      termsSeenMs.addLast(scheduler.nowMs());
+      recentTermStartsMs.addLast(scheduler.nowMs());
     }
   }
 
   /** A term begins and ends with the duty to lead. */
-  private final class LeadEvents implements RoleLease.Listener {
+  private final class LeaseEvents implements RoleLease.Listener {
     @Override
-    public void acquired(HeldRole duty) {
-      Term fresh = new Term(duty.epoch(), duty.modRevision(), duty.sinceMs());
-      LOG.info("leading with token {}", fresh.fencingToken());
-      term = Optional.of(fresh);
-      listener.elected(fresh);
+    public void acquired(HeldRole role) {
+      Term started = new Term(role.epoch(), role.modRevision(), role.sinceMs());
+      LOG.info("leading with token {}", started.fencingToken());
+      term = Optional.of(started);
+      listener.elected(started);
     }
 
     @Override
-    public void lost(HeldRole duty, String cause) {
-      Term over = term.orElseThrow();
+    public void lost(HeldRole role, String cause) {
+      Term ended = term.orElseThrow();
       term = Optional.empty();
-      LOG.info("no longer leading with token {}: {}", over.fencingToken(), cause);
-      listener.ended(over, cause);
+      LOG.info("no longer leading with token {}: {}", ended.fencingToken(), cause);
+      listener.ended(ended, cause);
     }
 
     @Override
     public boolean mayAcquire() {
-      return !pausesAfterResigning();
+      return !isBackingOff();
     }
   }
 
   /** Who leads and since when, how long renewals take, and how long nobody led, for people. */
   public String summary() {
-    return new LeadershipStatus(scheduler.nowMs(), lead).toString();
+    return new LeadershipStatus(scheduler.nowMs(), leaderLease).toString();
   }
 
   /** Another controller says that it leads: ends an older lead of ours, and is looked up. */
@@ -171,7 +171,7 @@
 
   /** Called with any sign that a newer leader exists. */
   public void deposed(String cause) {
-    lead.end(cause);
+    leaderLease.end(cause);
     replica.readBarrier(ok -> {});
   }
 
@@ -180,24 +180,24 @@
    * each time: a leader that no machine reaches keeps its key alive as well as any, and every lease
    * would end meanwhile.
    */
-  public void resignAndPause(String cause) {
+  public void resignWithBackoff(String cause) {
     long now = scheduler.nowMs();
-    resignations = now - lastResignationMs > RESIGNATION_FORGOTTEN_MS ? 0 : resignations + 1;
+    resignations = now - lastResignationMs > RESIGNATION_BACKOFF_RESET_MS ? 0 : resignations + 1;
     lastResignationMs = now;
     vacantSinceMs = now;
-    pausedUntilMs = now + (RESIGNATION_PAUSE_MS << Math.min(2, resignations));
+    backoffUntilMs = now + (RESIGNATION_BACKOFF_MS << Math.min(2, resignations));
     LOG.info("resigning the lead: {}", cause);
     resign();
   }
 
   /** Others go first for a while; where nobody does, a leader that is hard to reach beats none. */
-  private boolean pausesAfterResigning() {
+  private boolean isBackingOff() {
     long now = scheduler.nowMs();
-    return now < pausedUntilMs && now - vacantSinceMs < OTHERS_FIRST_MS;
+    return now < backoffUntilMs && now - vacantSinceMs < VACANCY_BEFORE_RETRY_MS;
   }
 
   /** Gives the lead up at once, so that others need not wait for the lease to end. */
   public void resign() {
-    lead.release("resigned");
+    leaderLease.release("resigned");
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
+++ b/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
@@ -13,31 +13,31 @@
 final class FencedWorkerClient implements WorkerClient {
   private final WorkerClient workers;
   private final Term term;
-  private final FencingRejections refused;
+  private final FencingRejections rejections;
 
-  FencedWorkerClient(WorkerClient workers, Term term, FencingRejections refused) {
+  FencedWorkerClient(WorkerClient workers, Term term, FencingRejections rejections) {
     this.workers = workers;
     this.term = term;
-    this.refused = refused;
+    this.rejections = rejections;
   }
 
   @Override
   public void send(
       String address,
-      long token,
-      long tenure,
-      List<WorkerCommand> orders,
-      Consumer<Optional<Heartbeat>> then) {
+      long fencingToken,
+      long agentEpoch,
+      List<WorkerCommand> commands,
+      Consumer<Optional<Heartbeat>> callback) {
     workers.send(
         address,
-        token,
-        tenure,
-        orders,
-        answer -> {
-          if (answer.isPresent() && term.isBefore(answer.get().fencingToken())) {
-            refused.add(FencingRejections.Kind.WORKER_COMMAND);
+        fencingToken,
+        agentEpoch,
+        commands,
+        heartbeat -> {
+          if (heartbeat.isPresent() && term.isBefore(heartbeat.get().fencingToken())) {
+            rejections.add(FencingRejections.Kind.WORKER_COMMAND);
           }
-          then.accept(answer);
+          callback.accept(heartbeat);
         });
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
+++ b/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
@@ -21,68 +21,70 @@
   private static final long PERIOD_MS = 600;
 
   /** Until then most machines find the new leader by themselves. */
-  private static final long FIRST_AFTER_MS = 2_400;
+  private static final long START_AFTER_MS = 2_400;
 
   /** A machine that has still not reported is told again after this. */
-  private static final long REPEAT_MS = 6_000;
+  private static final long RESEND_MS = 6_000;
 
-  private static final int MOST_AT_ONCE = 8;
+  private static final int MAX_PER_PERIOD = 8;
 
   private final Scheduler scheduler;
   private final Term term;
   private final SafetyTiming timing;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final DirectCommandSender commands;
-  private final BooleanSupplier mayDecide;
-  private final Map<String, Long> announcedMs = new HashMap<>();
+  private final BooleanSupplier isAuthoritative;
+  private final Map<String, Long> lastSentMs = new HashMap<>();
 
   FencingTokenBroadcast(
       Scheduler scheduler,
       Term term,
       SafetyTiming timing,
-      MachineRegistry fleet,
+      MachineRegistry machines,
       DirectCommandSender commands,
-      BooleanSupplier mayDecide) {
+      BooleanSupplier isAuthoritative) {
     this.scheduler = scheduler;
     this.term = term;
     this.timing = timing;
-    this.fleet = fleet;
+    this.machines = machines;
     this.commands = commands;
-    this.mayDecide = mayDecide;
+    this.isAuthoritative = isAuthoritative;
   }
 
   /** Announces again and again until cancelled. */
   Cancellable start() {
-    return scheduler.every(PERIOD_MS, this::announce);
+    return scheduler.every(PERIOD_MS, this::broadcast);
   }
 
-  private void announce() {
+  private void broadcast() {
     long nowMs = scheduler.nowMs();
-    long ageMs = nowMs - term.startMs();
+    long termAgeMs = nowMs - term.startMs();
     // No earlier leader answers any more once it has not known the state for so long.
-    if (!mayDecide.getAsBoolean() || ageMs < FIRST_AFTER_MS || ageMs > timing.heartbeatGraceMs()) {
+    if (!isAuthoritative.getAsBoolean()
+        || termAgeMs < START_AFTER_MS
+        || termAgeMs > timing.heartbeatGraceMs()) {
       return;
     }
-    int left = MOST_AT_ONCE;
-    for (Machine machine : fleet.all()) {
-      if (left == 0 || !commands.hasRoom()) {
+    int remaining = MAX_PER_PERIOD;
+    for (Machine machine : machines.all()) {
+      if (remaining == 0 || !commands.hasCapacity()) {
         return;
       }
-      long tenure = machine.lastKnownAgentEpoch();
-      if (isSilent(machine) && tenure > 0 && isDue(machine, nowMs)) {
-        announcedMs.put(machine.host(), nowMs);
-        commands.announceToken(machine, tenure);
-        left--;
+      long agentEpoch = machine.lastKnownAgentEpoch();
+      if (hasNotContactedThisLeader(machine) && agentEpoch > 0 && isDue(machine, nowMs)) {
+        lastSentMs.put(machine.host(), nowMs);
+        commands.sendFencingToken(machine, agentEpoch);
+        remaining--;
       }
     }
   }
 
-  private static boolean isSilent(Machine machine) {
+  private static boolean hasNotContactedThisLeader(Machine machine) {
     return !machine.isUp() && !machine.isDecommissioning() && !machine.address().isEmpty();
   }
 
   private boolean isDue(Machine machine, long nowMs) {
-    Long lastMs = announcedMs.get(machine.host());
-    return lastMs == null || nowMs - lastMs > REPEAT_MS;
+    Long lastMs = lastSentMs.get(machine.host());
+    return lastMs == null || nowMs - lastMs > RESEND_MS;
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
@@ -17,60 +17,60 @@
 final class HeartbeatIntake {
   private final Scheduler scheduler;
   private final Replica replica;
-  private final MachineRegistry fleet;
-  private final HeartbeatHandler reportHandler;
-  private final DelayedResponses heldReplies;
+  private final MachineRegistry machines;
+  private final HeartbeatHandler heartbeatHandler;
+  private final DelayedResponses delayedResponses;
   private final SpotDrain spotDrain;
-  private final LeaderConnectivity reachability;
-  private final TaskTimings times;
-  private final BooleanSupplier mayDecide;
+  private final LeaderConnectivity connectivity;
+  private final TaskTimings timings;
+  private final BooleanSupplier isAuthoritative;
 
   /**
-   * @param mayDecide whether this leader is sure of its lead
+   * @param isAuthoritative whether this leader is sure of its lead
    */
   HeartbeatIntake(
       Scheduler scheduler,
       Replica replica,
-      MachineRegistry fleet,
-      HeartbeatHandler reportHandler,
-      DelayedResponses heldReplies,
+      MachineRegistry machines,
+      HeartbeatHandler heartbeatHandler,
+      DelayedResponses delayedResponses,
       SpotDrain spotDrain,
-      LeaderConnectivity reachability,
-      TaskTimings times,
-      BooleanSupplier mayDecide) {
+      LeaderConnectivity connectivity,
+      TaskTimings timings,
+      BooleanSupplier isAuthoritative) {
     this.scheduler = scheduler;
     this.replica = replica;
-    this.fleet = fleet;
-    this.reportHandler = reportHandler;
-    this.heldReplies = heldReplies;
+    this.machines = machines;
+    this.heartbeatHandler = heartbeatHandler;
+    this.delayedResponses = delayedResponses;
     this.spotDrain = spotDrain;
-    this.reachability = reachability;
-    this.times = times;
-    this.mayDecide = mayDecide;
+    this.connectivity = connectivity;
+    this.timings = timings;
+    this.isAuthoritative = isAuthoritative;
   }
 
   /**
    * Takes a report in and answers with orders, at the latest when the wait of a held answer is
    * over. The machine's earlier report is answered first, if its answer is held.
    */
-  void accept(Heartbeat report, Consumer<HeartbeatHandler.Response> then) {
-    heldReplies.release(report.host());
+  void accept(Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder) {
+    delayedResponses.release(heartbeat.host());
     long nowMs = scheduler.nowMs();
-    reachability.recordHeartbeat(nowMs);
-    HeartbeatHandler.Response reply =
-        times.call("reports", () -> reportHandler.handle(report, nowMs));
-    Optional<Machine> machine = fleet.get(report.host());
-    if (report.spotNoticeS().isPresent()) {
+    connectivity.recordHeartbeat(nowMs);
+    HeartbeatHandler.Response response =
+        timings.call("reports", () -> heartbeatHandler.handle(heartbeat, nowMs));
+    Optional<Machine> machine = machines.get(heartbeat.host());
+    if (heartbeat.spotNoticeS().isPresent()) {
       machine.ifPresent(recalled -> spotDrain.drain(recalled, nowMs));
     }
-    if (!mayDecide.getAsBoolean()) {
-      then.accept(finalStops(reply));
-    } else if (reply.commands().isEmpty()
+    if (!isAuthoritative.getAsBoolean()) {
+      responder.accept(finalStops(response));
+    } else if (response.commands().isEmpty()
         && machine.isPresent()
-        && heldReplies.isWorthDelaying(machine.get(), report, nowMs)) {
-      heldReplies.delay(report, then, nowMs);
+        && delayedResponses.isWorthDelaying(machine.get(), heartbeat, nowMs)) {
+      delayedResponses.delay(heartbeat, responder, nowMs);
     } else {
-      then.accept(reply);
+      responder.accept(response);
     }
   }
 
@@ -79,13 +79,13 @@
    * leads. A leader that lost the state service before it had stopped a cancelled job's tasks would
    * otherwise keep their leases alive until too late.
    */
-  private HeartbeatHandler.Response finalStops(HeartbeatHandler.Response reply) {
+  private HeartbeatHandler.Response finalStops(HeartbeatHandler.Response response) {
     return new HeartbeatHandler.Response(
-        reply.fencingToken(), reply.commands().stream().filter(this::isFinalStop).toList());
+        response.fencingToken(), response.commands().stream().filter(this::isFinalStop).toList());
   }
 
-  private boolean isFinalStop(WorkerCommand order) {
-    return order instanceof WorkerCommand.Stop
-        && replica.get(Keys.cancellation(order.uid())).isPresent();
+  private boolean isFinalStop(WorkerCommand command) {
+    return command instanceof WorkerCommand.Stop
+        && replica.get(Keys.cancellation(command.uid())).isPresent();
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/JobArrivals.java
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -19,54 +19,54 @@
  */
 final class JobArrivals {
   /** What came longer ago, under earlier leaders, says nothing about the rate of work now. */
-  private static final long REMEMBERED_MS = 120_000;
+  private static final long FORECAST_WINDOW_MS = 120_000;
 
   private final Scheduler scheduler;
   private final Pipelines pipelines;
   private final PriorityInheritance inheritance;
-  private final ArrivalForecast arrivals;
+  private final ArrivalForecast forecast;
   private final TeamUsage teams;
-  private final List<Job> newlyReady = new ArrayList<>();
+  private final List<Job> becameReady = new ArrayList<>();
 
   JobArrivals(
       Scheduler scheduler,
       Pipelines pipelines,
       PriorityInheritance inheritance,
-      ArrivalForecast arrivals,
+      ArrivalForecast forecast,
       TeamUsage teams) {
     this.scheduler = scheduler;
     this.pipelines = pipelines;
     this.inheritance = inheritance;
-    this.arrivals = arrivals;
+    this.forecast = forecast;
     this.teams = teams;
   }
 
   /** What came under earlier leaders tells how much will come under this one. */
-  void loadRecentArrivals(AcceptedJobIndex specs) {
-    specs.uids().stream()
-        .flatMap(uid -> specs.get(uid).stream())
-        .sorted(Comparator.comparingLong(spec -> JobRecord.acceptedWallMs(spec.value())))
-        .forEach(this::remember);
+  void loadRecentArrivals(AcceptedJobIndex acceptedJobs) {
+    acceptedJobs.uids().stream()
+        .flatMap(uid -> acceptedJobs.get(uid).stream())
+        .sorted(Comparator.comparingLong(accepted -> JobRecord.acceptedWallMs(accepted.value())))
+        .forEach(this::recordEarlierArrival);
   }
 
-  private void remember(AcceptedJobIndex.AcceptedJob spec) {
-    if (pipelines.graph().awaitsOthers(spec.uid())) {
+  private void recordEarlierArrival(AcceptedJobIndex.AcceptedJob accepted) {
+    if (pipelines.graph().awaitsOthers(accepted.uid())) {
       // It came when it became ready, which nobody has recorded.
       return;
     }
-    long wallMs = JobRecord.acceptedWallMs(spec.value());
-    arrivals.recordSubmission(wallMs);
-    if (scheduler.wallMs() - wallMs < REMEMBERED_MS) {
-      JobRecord.decode(spec.uid(), spec.value())
+    long wallMs = JobRecord.acceptedWallMs(accepted.value());
+    forecast.recordSubmission(wallMs);
+    if (scheduler.wallMs() - wallMs < FORECAST_WINDOW_MS) {
+      JobRecord.decode(accepted.uid(), accepted.value())
           .ifPresent(
               record ->
-                  arrivals.recordWork(
+                  forecast.recordWork(
                       record.spec(), record.spec().deadlineS(), record.acceptedWallMs()));
     }
   }
 
   /** From when on the job counts as waiting for room: all its dependencies are done. */
-  void ready(Job job) {
+  void markReady(Job job) {
     job.markReady(pipelines.readyWallMs(job.uid()).orElse(job.acceptedWallMs()));
   }
 
@@ -74,9 +74,9 @@
    * A job became ready just now. It is looked at with the next update, as many may become ready at
    * once and all of them change what others inherit.
    */
-  void newlyReady(Job job) {
-    ready(job);
-    newlyReady.add(job);
+  void becameReady(Job job) {
+    markReady(job);
+    becameReady.add(job);
     inheritance.changed();
   }
 
@@ -88,24 +88,24 @@
   /** Brings what jobs inherit up to date, and takes in all that became ready since. */
   void update() {
     inheritance.update(scheduler.nowMs());
-    newlyReady.forEach(this::arrived);
-    newlyReady.clear();
+    becameReady.forEach(this::recordArrival);
+    becameReady.clear();
   }
 
   /** A job begins to wait for room. */
-  void arrived(Job job) {
+  void recordArrival(Job job) {
     if (pipelines.graph().awaitsOthers(job.uid())) {
-      arrivals.recordReady(job.eligibleSinceWallMs());
+      forecast.recordReady(job.eligibleSinceWallMs());
     } else {
-      arrivals.recordSubmission(job.eligibleSinceWallMs());
+      forecast.recordSubmission(job.eligibleSinceWallMs());
     }
-    arrivals.recordWork(job.spec(), job.deadlineS(), job.eligibleSinceWallMs());
-    if (isPressing(job)) {
-      arrivals.recordHighPriority(job);
+    forecast.recordWork(job.spec(), job.deadlineS(), job.eligibleSinceWallMs());
+    if (isHighPriority(job)) {
+      forecast.recordHighPriority(job);
     }
   }
 
-  private boolean isPressing(Job job) {
+  private boolean isHighPriority(Job job) {
     if (job.priority().compareTo(Priority.HIGH) <= 0) {
       return true;
     }
--- a/src/main/java/org/ploverspindle/leadership/JobIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/JobIntake.java
@@ -29,47 +29,47 @@
 
   private final Scheduler scheduler;
   private final Pipelines pipelines;
-  private final AcceptedJobIndex specs;
+  private final AcceptedJobIndex acceptedJobs;
   private final JobTable jobs;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final ProgressWriter writer;
   private final JobArrivals arrivals;
   private final TaskProgress progress;
   private final DirectCommandSender commands;
-  private final SchedulingRounds placing;
-  private final Autoscaler rentals;
+  private final SchedulingRounds rounds;
+  private final Autoscaler autoscaler;
   private boolean closed;
 
   JobIntake(
       Scheduler scheduler,
       Pipelines pipelines,
-      AcceptedJobIndex specs,
+      AcceptedJobIndex acceptedJobs,
       JobTable jobs,
-      MachineRegistry fleet,
+      MachineRegistry machines,
       ProgressWriter writer,
       JobArrivals arrivals,
       TaskProgress progress,
       DirectCommandSender commands,
-      SchedulingRounds placing,
-      Autoscaler rentals) {
+      SchedulingRounds rounds,
+      Autoscaler autoscaler) {
     this.scheduler = scheduler;
     this.pipelines = pipelines;
-    this.specs = specs;
+    this.acceptedJobs = acceptedJobs;
     this.jobs = jobs;
-    this.fleet = fleet;
+    this.machines = machines;
     this.writer = writer;
     this.arrivals = arrivals;
     this.progress = progress;
     this.commands = commands;
-    this.placing = placing;
-    this.rentals = rentals;
+    this.rounds = rounds;
+    this.autoscaler = autoscaler;
   }
 
   /** Listens to the records from now on, until cancelled. */
   Cancellable start(Replica replica) {
     CancellableGroup listening = new CancellableGroup();
     listening.add(replica.addListener(this::recordChanged));
-    listening.add(specs.addListener(this::accepted));
+    listening.add(acceptedJobs.addListener(this::accepted));
     listening.add(pipelines.graph().listen(new GraphEvents()));
     return listening;
   }
@@ -97,8 +97,8 @@
       }
       return;
     }
-    jobs.add(spec).ifPresent(arrivals::arrived);
-    workWaits();
+    jobs.add(spec).ifPresent(arrivals::recordArrival);
+    scheduleWork();
   }
 
   /** All that the job awaited is done: it comes as a new one does. */
@@ -111,10 +111,10 @@
           .ifPresent(
               job -> {
                 LOG.debug("what job {} awaited is done", job.uid());
-                arrivals.newlyReady(job);
+                arrivals.becameReady(job);
               });
     }
-    workWaits();
+    scheduleWork();
   }
 
   /** A job whose tasks were recorded before what it awaits was done: it may run on now. */
@@ -122,15 +122,15 @@
     if (!job.blockedOnDependencies()) {
       return;
     }
-    arrivals.ready(job);
+    arrivals.markReady(job);
     if (!job.isTerminal()) {
       writer.changed(job, 0);
     }
   }
 
-  private void workWaits() {
-    rentals.scanSoon();
-    placing.schedule();
+  private void scheduleWork() {
+    autoscaler.scanSoon();
+    rounds.schedule();
   }
 
   private void cancel(Job job) {
@@ -141,20 +141,20 @@
     long nowMs = scheduler.nowMs();
     for (Placement placement : List.copyOf(job.activePlacements())) {
       if (placement.neverSent()) {
-        fleet.removePlacement(placement, nowMs);
+        machines.removePlacement(placement, nowMs);
       }
     }
     LOG.info("job {} is cancelled with {} tasks out", job.uid(), job.activePlacements().size());
-    commands.stop(job);
+    commands.stopCancelled(job);
     progress.cleanUp(job);
-    placing.schedule();
+    rounds.schedule();
   }
 
   private final class GraphEvents implements DependencyGraph.Listener {
     @Override
     public void ready(String uid) {
       if (!closed) {
-        specs.get(uid).ifPresent(JobIntake.this::ready);
+        acceptedJobs.get(uid).ifPresent(JobIntake.this::ready);
       }
     }
 
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -45,28 +45,28 @@
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
   /** Hints of new jobs may be lost: a leader looks for them by itself as well. */
-  private static final long READ_MS = 200;
+  private static final long READ_INTERVAL_MS = 200;
 
   /** For what is proven gone by silence to be known before the lead could change again. */
-  private static final long PATIENCE_MARGIN_MS = 4_000;
+  private static final long SILENCE_PROOF_MARGIN_MS = 4_000;
 
   /** A leader that has written nothing for so long is of no use. */
-  private static final long USELESS_MS = 5_000;
+  private static final long FAILED_WRITES_BEFORE_RESIGNING_MS = 5_000;
 
-  private static final long TICK_MS = 400;
-  private static final long RELEASE_MS = 100;
-  private static final long PREEMPTION_MS = 1_000;
-  private static final long LOG_TIMES_MS = 10_000;
+  private static final long TICK_INTERVAL_MS = 400;
+  private static final long DELAYED_RESPONSE_CHECK_MS = 100;
+  private static final long PREEMPTION_INTERVAL_MS = 1_000;
+  private static final long TIMINGS_LOG_INTERVAL_MS = 10_000;
 
   /** An answer is held for no longer than this, nor than this part of the time between reports. */
-  private static final double MOST_HOLD_S = 2;
+  private static final double MAX_RESPONSE_DELAY_S = 2;
 
-  private static final double HOLD_PART = 0.6;
+  private static final double RESPONSE_DELAY_PER_HEARTBEAT_INTERVAL = 0.6;
 
   /** A machine that missed two reports, with a margin, is no place for new tasks. */
-  private static final double SILENCE_PER_REPORT = 2.2;
+  private static final double UNSCHEDULABLE_AFTER_INTERVALS = 2.2;
 
-  private static final double SILENCE_MARGIN_S = 1.5;
+  private static final double UNSCHEDULABLE_MARGIN_S = 1.5;
 
   private static final double MS_PER_S = 1_000;
 
@@ -75,31 +75,31 @@
 
   private final Scheduler scheduler;
   private final Replica replica;
-  private final AcceptedJobIndex specs;
+  private final AcceptedJobIndex acceptedJobs;
   private final DependencyGraph graph;
   private final SafetyTiming timing;
   private final Term term;
   private final Election election;
-  private final TaskTimings times = new TaskTimings();
-  private final CancellableGroup duties = new CancellableGroup();
+  private final TaskTimings timings = new TaskTimings();
+  private final CancellableGroup periodicTasks = new CancellableGroup();
   private final RuntimeEstimates estimates = new RuntimeEstimates();
   private final ArrivalForecast forecast = new ArrivalForecast();
-  private final ServiceLevelObjectives aims;
+  private final ServiceLevelObjectives objectives;
   private final TeamUsage teams;
   private final JobTable jobs;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final ProgressWriter writer;
   private final TaskProgress progress;
-  private final LeaderConnectivity reachability;
+  private final LeaderConnectivity connectivity;
   private final JobArrivals arrivals;
-  private final SchedulingRounds placing;
-  private final Autoscaler rentals;
+  private final SchedulingRounds rounds;
+  private final Autoscaler autoscaler;
   private final DirectCommandSender commands;
-  private final DelayedResponses heldReplies;
-  private final HeartbeatIntake reports;
+  private final DelayedResponses delayedResponses;
+  private final HeartbeatIntake heartbeats;
   private final JobIntake intake;
   private final Recovery recovery;
-  private final FencingTokenBroadcast announcement;
+  private final FencingTokenBroadcast tokenBroadcast;
   private long attempts;
   private boolean closed;
 
@@ -107,40 +107,41 @@
   public Leader(LeaderContext context, Term term, Election election) {
     this.scheduler = context.scheduler();
     this.replica = context.replica();
-    this.specs = context.specs();
+    this.acceptedJobs = context.acceptedJobs();
     this.graph = context.pipelines().graph();
     this.timing = context.timing();
     this.term = term;
     this.election = election;
-    this.aims = new ServiceLevelObjectives(context.settings().objectives());
+    this.objectives = new ServiceLevelObjectives(context.settings().objectives());
     this.teams = new TeamUsage(context.settings().teams());
-    this.jobs = new JobTable(replica, specs, context.catalogue(), teams);
-    this.fleet = new MachineRegistry(context.catalogue(), teams, timing, term);
+    this.jobs = new JobTable(replica, acceptedJobs, context.catalogue(), teams);
+    this.machines = new MachineRegistry(context.catalogue(), teams, timing, term);
     this.writer = newWriter(context);
     TaskFailures failures = new TaskFailures(scheduler, jobs, replica);
     this.progress =
-        new TaskProgress(scheduler, jobs, estimates, writer, failures, this::planPlacing);
-    this.reachability = newReachability(context.settings());
+        new TaskProgress(scheduler, jobs, estimates, writer, failures, this::scheduleRound);
+    this.connectivity = newConnectivity(context.settings());
     this.arrivals =
         new JobArrivals(scheduler, context.pipelines(), newInheritance(), forecast, teams);
     Placer placer = newPlacer(context);
-    this.placing = new SchedulingRounds(scheduler, placer, arrivals, times, this::isAuthoritative);
-    this.rentals = newRentals(context, newDemand(context, placer));
-    HeartbeatHandler reportHandler = newReportHandler();
-    DirectCommands directOrders = new DirectCommands(fleet, this::isAuthoritative);
+    this.rounds = new SchedulingRounds(scheduler, placer, arrivals, timings, this::isAuthoritative);
+    this.autoscaler = newAutoscaler(context, newDemand(context, placer));
+    HeartbeatHandler heartbeatHandler = newHeartbeatHandler();
+    DirectCommands directCommands = new DirectCommands(machines, this::isAuthoritative);
     this.commands =
         new DirectCommandSender(
             SocketBudget.of(context.settings()).directCommands(),
             scheduler,
-            new FencedWorkerClient(context.workers(), term, context.refused()),
-            directOrders,
-            reportHandler);
-    this.heldReplies = newHeldReplies(context.settings(), reportHandler);
-    this.reports = newReportIntake(reportHandler);
+            new FencedWorkerClient(context.workers(), term, context.rejections()),
+            directCommands,
+            heartbeatHandler);
+    this.delayedResponses = newDelayedResponses(context.settings(), heartbeatHandler);
+    this.heartbeats = newHeartbeatIntake(heartbeatHandler);
     this.intake = newJobIntake(context.pipelines());
-    this.recovery = new Recovery(replica, graph, jobs, fleet, writer, arrivals);
-    this.announcement =
-        new FencingTokenBroadcast(scheduler, term, timing, fleet, commands, this::isAuthoritative);
+    this.recovery = new Recovery(replica, graph, jobs, machines, writer, arrivals);
+    this.tokenBroadcast =
+        new FencingTokenBroadcast(
+            scheduler, term, timing, machines, commands, this::isAuthoritative);
   }
 
   // ---- wiring; each of these uses what the constructor has set before
@@ -151,15 +152,15 @@
         scheduler,
         context.store(),
         replica,
-        context.writes(),
+        context.writeBudget(),
         context.settings().writeLimits().txnOps(),
         context.settings().writeLimits().valueBytes(),
         term,
-        machine -> hostName(catalogue, machine),
+        machine -> machineInfo(catalogue, machine),
         new WriterEvents());
   }
 
-  private static SnapshotRecord.MachineInfo hostName(Catalogue catalogue, Machine machine) {
+  private static SnapshotRecord.MachineInfo machineInfo(Catalogue catalogue, Machine machine) {
     return new SnapshotRecord.MachineInfo(
         machine.host(),
         catalogue.type(machine.type()).name(),
@@ -167,31 +168,34 @@
         machine.spot());
   }
 
-  private LeaderConnectivity newReachability(Settings settings) {
-    long patientMs = election.changesOften() ? timing.takeoverSilenceMs() + PATIENCE_MARGIN_MS : 0;
-    return new LeaderConnectivity(fleet, term, settings, this::listRead, patientMs);
+  private LeaderConnectivity newConnectivity(Settings settings) {
+    long minUnheardMs =
+        election.isUnstable() ? timing.takeoverSilenceMs() + SILENCE_PROOF_MARGIN_MS : 0;
+    return new LeaderConnectivity(machines, term, settings, this::isMachineListRead, minUnheardMs);
   }
 
   private PriorityInheritance newInheritance() {
     return new PriorityInheritance(
         graph,
-        uid -> specs.get(uid).flatMap(spec -> JobRecord.decode(uid, spec.value())),
+        uid -> acceptedJobs.get(uid).flatMap(spec -> JobRecord.decode(uid, spec.value())),
         jobs,
         estimates,
-        aims);
+        objectives);
   }
 
   private Placer newPlacer(LeaderContext context) {
-    double reportS = context.settings().workers().reportS();
+    double heartbeatIntervalS = context.settings().workers().reportS();
     return new Placer(
         context.catalogue(),
-        fleet,
+        machines,
         jobs,
         teams,
         estimates,
         this::nextAttempt,
-        aims,
-        Math.round((reportS * SILENCE_PER_REPORT + SILENCE_MARGIN_S) * MS_PER_S),
+        objectives,
+        Math.round(
+            (heartbeatIntervalS * UNSCHEDULABLE_AFTER_INTERVALS + UNSCHEDULABLE_MARGIN_S)
+                * MS_PER_S),
         progress::placed);
   }
 
@@ -201,26 +205,26 @@
     return new ScaleOutDemand(
         scheduler,
         catalogue,
-        fleet,
+        machines,
         jobs,
         estimates,
         forecast,
         arrivals,
-        () -> new ScaleOutPlanner(catalogue, teams, estimates, aims, drainS),
+        () -> new ScaleOutPlanner(catalogue, teams, estimates, objectives, drainS),
         placer,
         progress,
-        reachability,
+        connectivity,
         this::isAuthoritative);
   }
 
-  private Autoscaler newRentals(LeaderContext context, ScaleOutDemand demand) {
+  private Autoscaler newAutoscaler(LeaderContext context, ScaleOutDemand demand) {
     return new Autoscaler(
         scheduler,
         context.cloud(),
         context.catalogue(),
-        fleet,
+        machines,
         replica,
-        new LeaderWriter(context.store(), replica, context.writes(), term),
+        new LeaderWriter(context.store(), replica, context.writeBudget(), term),
         context.policy(),
         context.settings(),
         context.random(),
@@ -228,40 +232,57 @@
         demand);
   }
 
-  private HeartbeatHandler newReportHandler() {
+  private HeartbeatHandler newHeartbeatHandler() {
     return new HeartbeatHandler(
-        fleet,
+        machines,
         term,
         this::isAuthoritative,
         jobs::get,
-        new TaskOwners(specs, teams)::of,
+        new TaskOwners(acceptedJobs, teams)::of,
         writer::isDurablyDone,
         progress);
   }
 
-  private DelayedResponses newHeldReplies(Settings settings, HeartbeatHandler reportHandler) {
-    double holdS = Math.min(MOST_HOLD_S, HOLD_PART * settings.workers().reportS());
+  private DelayedResponses newDelayedResponses(
+      Settings settings, HeartbeatHandler heartbeatHandler) {
+    double maxDelayS =
+        Math.min(
+            MAX_RESPONSE_DELAY_S,
+            RESPONSE_DELAY_PER_HEARTBEAT_INTERVAL * settings.workers().reportS());
     return new DelayedResponses(
-        scheduler, fleet, reportHandler, this::isAuthoritative, Math.round(holdS * MS_PER_S));
+        scheduler,
+        machines,
+        heartbeatHandler,
+        this::isAuthoritative,
+        Math.round(maxDelayS * MS_PER_S));
   }
 
-  private HeartbeatIntake newReportIntake(HeartbeatHandler reportHandler) {
+  private HeartbeatIntake newHeartbeatIntake(HeartbeatHandler heartbeatHandler) {
     return new HeartbeatIntake(
         scheduler,
         replica,
-        fleet,
-        reportHandler,
-        heldReplies,
+        machines,
+        heartbeatHandler,
+        delayedResponses,
         new SpotDrain(estimates),
-        reachability,
-        times,
+        connectivity,
+        timings,
         this::isAuthoritative);
   }
 
   private JobIntake newJobIntake(Pipelines pipelines) {
     return new JobIntake(
-        scheduler, pipelines, specs, jobs, fleet, writer, arrivals, progress, commands, placing,
-        rentals);
+        scheduler,
+        pipelines,
+        acceptedJobs,
+        jobs,
+        machines,
+        writer,
+        arrivals,
+        progress,
+        commands,
+        rounds,
+        autoscaler);
   }
 
   // ---- the term's life
@@ -269,32 +290,34 @@
   /** Rebuilds what earlier leaders recorded, and begins to lead. */
   public void start() {
     long nowMs = scheduler.nowMs();
-    arrivals.loadRecentArrivals(specs);
+    arrivals.loadRecentArrivals(acceptedJobs);
     boolean logDamaged = recovery.restore(nowMs);
     arrivals.update();
     if (logDamaged) {
       // Tasks may run where no record says that they do, until every lease is over.
-      placing.notBefore(nowMs + timing.takeoverSilenceMs());
+      rounds.notBefore(nowMs + timing.takeoverSilenceMs());
     }
     LOG.info(
         "took over {} jobs and {} machines under token {}",
         jobs.all().size(),
-        fleet.all().size(),
+        machines.all().size(),
         term.fencingToken());
-    startDuties();
+    startPeriodicTasks();
     List.copyOf(jobs.all()).forEach(progress::cleanUp);
-    placing.schedule();
+    rounds.schedule();
   }
 
-  private void startDuties() {
-    duties.add(intake.start(replica));
-    duties.add(rentals.start());
-    duties.add(scheduler.every(TICK_MS, this::tick));
-    duties.add(scheduler.every(RELEASE_MS, heldReplies::releaseDue));
-    duties.add(announcement.start());
-    duties.add(scheduler.every(READ_MS, () -> replica.readIfOlderThan(READ_MS)));
-    duties.add(scheduler.every(PREEMPTION_MS, placing::preempt));
-    duties.add(scheduler.every(LOG_TIMES_MS, () -> LOG.debug("busy with {}", times.take())));
+  private void startPeriodicTasks() {
+    periodicTasks.add(intake.start(replica));
+    periodicTasks.add(autoscaler.start());
+    periodicTasks.add(scheduler.every(TICK_INTERVAL_MS, this::tick));
+    periodicTasks.add(scheduler.every(DELAYED_RESPONSE_CHECK_MS, delayedResponses::releaseDue));
+    periodicTasks.add(tokenBroadcast.start());
+    periodicTasks.add(
+        scheduler.every(READ_INTERVAL_MS, () -> replica.readIfOlderThan(READ_INTERVAL_MS)));
+    periodicTasks.add(scheduler.every(PREEMPTION_INTERVAL_MS, rounds::preempt));
+    periodicTasks.add(
+        scheduler.every(TIMINGS_LOG_INTERVAL_MS, () -> LOG.debug("busy with {}", timings.take())));
   }
 
   /** Ends all work of the term; what is held is answered without orders. */
@@ -302,23 +325,23 @@
     closed = true;
     intake.close();
     commands.close();
-    placing.close();
-    heldReplies.releaseAll();
+    rounds.close();
+    delayedResponses.releaseAll();
     writer.close();
-    duties.cancel();
+    periodicTasks.cancel();
   }
 
   private void tick() {
     long nowMs = scheduler.nowMs();
-    if (!fleet.hasFencingTokensLeft()) {
+    if (!machines.hasFencingTokensLeft()) {
       // A new term has new tokens; nothing else changes, as a leader takes over from itself.
       election.resign();
       return;
     }
     if (isAuthoritative()) {
-      progress.lost(fleet.expireLeases(nowMs));
-      placing.schedule();
-      reachability.reasonToStepDown(nowMs).ifPresent(election::resignAndPause);
+      progress.lost(machines.expireLeases(nowMs));
+      rounds.schedule();
+      connectivity.reasonToStepDown(nowMs).ifPresent(election::resignWithBackoff);
     }
   }
 
@@ -326,12 +349,12 @@
     return !closed && election.isAuthoritative();
   }
 
-  private boolean listRead() {
-    return rentals.isMachineListRead();
+  private boolean isMachineListRead() {
+    return autoscaler.isMachineListRead();
   }
 
-  private void planPlacing() {
-    placing.schedule();
+  private void scheduleRound() {
+    rounds.schedule();
   }
 
   /** Unique over all leaders: the token is part of it. */
@@ -351,32 +374,34 @@
    * what is placed there by then goes out at once, where it would wait for the next report. Without
    * a sure lead nothing is ordered.
    */
-  public void handleHeartbeat(Heartbeat report, Consumer<HeartbeatHandler.Response> then) {
-    reports.accept(report, then);
+  public void handleHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder) {
+    heartbeats.accept(heartbeat, responder);
   }
 
   /** So many reports came to another controller, which sends the machines here. */
   public void misdirectedHeartbeats(int count) {
-    reachability.misdirectedHeartbeats(scheduler.nowMs(), count);
+    connectivity.misdirectedHeartbeats(scheduler.nowMs(), count);
   }
 
   /** Have this leader's writes come to nothing for a good while? */
   public boolean isFailingToWrite() {
-    long sinceMs = writer.failingSinceMs();
-    return isAuthoritative() && sinceMs >= 0 && scheduler.nowMs() - sinceMs > USELESS_MS;
+    long failingSinceMs = writer.failingSinceMs();
+    return isAuthoritative()
+        && failingSinceMs >= 0
+        && scheduler.nowMs() - failingSinceMs > FAILED_WRITES_BEFORE_RESIGNING_MS;
   }
 
   /** Numbers for people. */
   public String summary() {
-    return new LeaderStatus(jobs, fleet, writer, rentals).toString();
+    return new LeaderStatus(jobs, machines, writer, autoscaler).toString();
   }
 
   /** Passes on what has become durable, to the parts that waited for it. */
   private final class WriterEvents implements ProgressWriter.Listener {
     @Override
     public void durable(List<Placement> placements) {
-      heldReplies.releaseDue();
-      commands.launch(placements);
+      delayedResponses.releaseDue();
+      commands.launchHighPriority(placements);
     }
 
     @Override
--- a/src/main/java/org/ploverspindle/leadership/LeaderContext.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderContext.java
@@ -23,7 +23,7 @@
     Scheduler scheduler,
     StateStore store,
     Replica replica,
-    AcceptedJobIndex specs,
+    AcceptedJobIndex acceptedJobs,
     Pipelines pipelines,
     CloudClient cloud,
     WorkerClient workers,
@@ -32,5 +32,5 @@
     Policy policy,
     SafetyTiming timing,
     RandomGenerator random,
-    TokenBucket writes,
-    FencingRejections refused) {}
+    TokenBucket writeBudget,
+    FencingRejections rejections) {}
--- a/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
@@ -9,12 +9,12 @@
 
 /** What a leader has in hand, in numbers for people. */
 record LeaderStatus(
-    JobTable jobs, MachineRegistry fleet, ProgressWriter writer, Autoscaler rentals) {
+    JobTable jobs, MachineRegistry machines, ProgressWriter writer, Autoscaler autoscaler) {
   @Override
   public String toString() {
     int up = 0;
     int placed = 0;
-    for (Machine machine : fleet.all()) {
+    for (Machine machine : machines.all()) {
       up += machine.isUp() ? 1 : 0;
       placed += machine.placements().size();
     }
@@ -22,10 +22,10 @@
         Locale.ROOT,
         "jobs=%d machines=%d up=%d placed=%d unwritten=%d\n%s",
         jobs.all().size(),
-        fleet.all().size(),
+        machines.all().size(),
         up,
         placed,
         writer.backlog(),
-        rentals.scaleInStatus());
+        autoscaler.scaleInStatus());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/LeadershipStatus.java
+++ b/src/main/java/org/ploverspindle/leadership/LeadershipStatus.java
@@ -8,28 +8,28 @@
 import org.ploverspindle.leases.RoleLease;
 
 /** One line on the duty to lead, for people. */
-record LeadershipStatus(long nowMs, RoleLease lead) {
+record LeadershipStatus(long nowMs, RoleLease lease) {
   private static final double MEDIAN = 50;
-  private static final double NEARLY_ALL = 99;
+  private static final double P99 = 99;
   private static final double MS_PER_S = 1_000;
 
   @Override
   public String toString() {
-    Optional<RoleHolder> holder = lead.holder();
+    Optional<RoleHolder> holder = lease.holder();
     return "duty=lead holder="
         + holder.map(RoleHolder::member).orElse("none")
         + holder.map(known -> " epoch=" + known.epoch()).orElse("")
-        + lead.held().map(this::ours).orElse("")
-        + histogram(" renewal_ms", lead.renewalMs())
-        + histogram(" vacant_ms", lead.vacantMs());
+        + lease.held().map(this::heldByThisController).orElse("")
+        + histogram(" renewal_ms", lease.renewalMs())
+        + histogram(" vacant_ms", lease.vacantMs());
   }
 
-  private String ours(HeldRole duty) {
+  private String heldByThisController(HeldRole role) {
     return String.format(
         Locale.ROOT,
         " held_s=%.1f renewed_s_ago=%.1f",
-        (nowMs - duty.sinceMs()) / MS_PER_S,
-        (nowMs - lead.lastRenewalMs()) / MS_PER_S);
+        (nowMs - role.sinceMs()) / MS_PER_S,
+        (nowMs - lease.lastRenewalMs()) / MS_PER_S);
   }
 
   private static String histogram(String name, Histogram values) {
@@ -39,7 +39,7 @@
         name,
         values.getTotalCount(),
         values.getValueAtPercentile(MEDIAN),
-        values.getValueAtPercentile(NEARLY_ALL),
+        values.getValueAtPercentile(P99),
         values.getMaxValue());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -22,17 +22,17 @@
  */
 final class PriorityInheritance {
   /** Estimates move slowly: each finished task moves its class's by less than a tenth. */
-  private static final long STALE_MS = 5_000;
+  private static final long MAX_AGE_MS = 5_000;
 
   private final DependencyGraph graph;
   private final Function<String, Optional<JobRecord>> records;
   private final JobTable jobs;
   private final RuntimeEstimates estimates;
-  private final ServiceLevelObjectives aims;
-  private final Map<String, JobRecord> known = new HashMap<>();
+  private final ServiceLevelObjectives objectives;
+  private final Map<String, JobRecord> recordsByUid = new HashMap<>();
   private boolean changed = true;
-  private boolean any;
-  private long workedOutMs = Long.MIN_VALUE / 2;
+  private boolean hasPipelines;
+  private long computedMs = Long.MIN_VALUE / 2;
 
   /**
    * @param records what was accepted under an id; read once for each unfinished job
@@ -42,12 +42,12 @@
       Function<String, Optional<JobRecord>> records,
       JobTable jobs,
       RuntimeEstimates estimates,
-      ServiceLevelObjectives aims) {
+      ServiceLevelObjectives objectives) {
     this.graph = graph;
     this.records = records;
     this.jobs = jobs;
     this.estimates = estimates;
-    this.aims = aims;
+    this.objectives = objectives;
   }
 
   /** A job that needs others came, or will never run. */
@@ -57,20 +57,20 @@
 
   /** Brings all jobs up to date before something is decided by them. */
   void update(long nowMs) {
-    if (changed || any && nowMs - workedOutMs > STALE_MS) {
+    if (changed || hasPipelines && nowMs - computedMs > MAX_AGE_MS) {
       changed = false;
-      workedOutMs = nowMs;
-      workOut();
+      computedMs = nowMs;
+      compute();
     }
   }
 
-  private void workOut() {
-    Map<String, CriticalPath.PriorityInheritance> due = pass(spec -> 1);
-    Map<String, CriticalPath.PriorityInheritance> lastChance =
-        pass(spec -> aims.lastMultiple(spec.jobClass()));
-    any = !due.isEmpty();
-    known.keySet().retainAll(due.keySet());
-    due.forEach(
+  private void compute() {
+    Map<String, CriticalPath.PriorityInheritance> byDeadline = inheritedWith(spec -> 1);
+    Map<String, CriticalPath.PriorityInheritance> byLatestDeadline =
+        inheritedWith(spec -> objectives.lastMultiple(spec.jobClass()));
+    hasPipelines = !byDeadline.isEmpty();
+    recordsByUid.keySet().retainAll(byDeadline.keySet());
+    byDeadline.forEach(
         (uid, p) ->
             jobs.get(uid)
                 .ifPresent(
@@ -78,17 +78,18 @@
                         job.inherit(
                             p.urgency(),
                             p.latestFinishMs(),
-                            lastChance.get(uid).latestFinishMs())));
+                            byLatestDeadline.get(uid).latestFinishMs())));
   }
 
   /**
    * @param multiple of a job's due time by which it is to be done
    */
-  private Map<String, CriticalPath.PriorityInheritance> pass(ToDoubleFunction<JobSpec> multiple) {
-    return CriticalPath.of(graph, uid -> record(uid).map(r -> own(r, multiple)));
+  private Map<String, CriticalPath.PriorityInheritance> inheritedWith(
+      ToDoubleFunction<JobSpec> multiple) {
+    return CriticalPath.of(graph, uid -> record(uid).map(r -> ownValues(r, multiple)));
   }
 
-  private CriticalPath.Own own(JobRecord record, ToDoubleFunction<JobSpec> multiple) {
+  private CriticalPath.Own ownValues(JobRecord record, ToDoubleFunction<JobSpec> multiple) {
     JobSpec spec = record.spec();
     OptionalLong latestFinish =
         spec.deadlineS().isPresent()
@@ -101,12 +102,12 @@
   }
 
   private Optional<JobRecord> record(String uid) {
-    JobRecord read = known.get(uid);
+    JobRecord read = recordsByUid.get(uid);
     if (read != null) {
       return Optional.of(read);
     }
     Optional<JobRecord> fresh = records.apply(uid);
-    fresh.ifPresent(r -> known.put(uid, r));
+    fresh.ifPresent(r -> recordsByUid.put(uid, r));
     return fresh;
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/Recovery.java
+++ b/src/main/java/org/ploverspindle/leadership/Recovery.java
@@ -24,7 +24,7 @@
   private final Replica replica;
   private final DependencyGraph graph;
   private final JobTable jobs;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final ProgressWriter writer;
   private final JobArrivals arrivals;
 
@@ -32,13 +32,13 @@
       Replica replica,
       DependencyGraph graph,
       JobTable jobs,
-      MachineRegistry fleet,
+      MachineRegistry machines,
       ProgressWriter writer,
       JobArrivals arrivals) {
     this.replica = replica;
     this.graph = graph;
     this.jobs = jobs;
-    this.fleet = fleet;
+    this.machines = machines;
     this.writer = writer;
     this.arrivals = arrivals;
   }
@@ -55,42 +55,43 @@
         LOG.error("tasks of job {} are recorded before what it awaits is done", job.uid());
         job.blockOnDependencies();
       } else if (graph.awaitsOthers(job.uid())) {
-        arrivals.ready(job);
+        arrivals.markReady(job);
       }
-      rebuild(job, recorded.of(job), nowMs);
+      restoreJob(job, recorded.of(job), nowMs);
     }
     return recorded.logDamaged();
   }
 
-  private void rebuild(Job job, RecordedProgress.State recorded, long nowMs) {
+  private void restoreJob(Job job, RecordedProgress.State recorded, long nowMs) {
     recorded.done().stream().forEach(job::markCompleted);
-    for (SnapshotRecord.RecordedPlacement live : recorded.live().values()) {
-      place(job, live, nowMs);
+    for (SnapshotRecord.RecordedPlacement placement : recorded.live().values()) {
+      restorePlacement(job, placement, nowMs);
     }
     if (job.allTasksCompleted() && !job.cancelled()) {
       writer.changed(job, 0);
     }
   }
 
-  private void place(Job job, SnapshotRecord.RecordedPlacement live, long nowMs) {
-    SnapshotRecord.MachineInfo host = live.machine();
+  private void restorePlacement(Job job, SnapshotRecord.RecordedPlacement recorded, long nowMs) {
+    SnapshotRecord.MachineInfo machineInfo = recorded.machine();
     Optional<Machine> machine =
-        fleet.adopt(host.id(), host.type(), host.zone(), host.spot(), nowMs);
-    if (machine.isEmpty() || live.task() >= job.spec().tasks()) {
+        machines.adopt(
+            machineInfo.id(), machineInfo.type(), machineInfo.zone(), machineInfo.spot(), nowMs);
+    if (machine.isEmpty() || recorded.task() >= job.spec().tasks()) {
       // Where the task is can't be kept in view: were its job run, it could run in two places.
       LOG.error("job {} has a record of a machine or task that can't be: it is not run", job.uid());
       job.quarantine();
       return;
     }
-    fleet.addPlacement(
+    machines.addPlacement(
         new Placement(
             job,
-            live.task(),
-            live.attempt(),
+            recorded.task(),
+            recorded.attempt(),
             machine.get(),
-            live.agentEpoch(),
+            recorded.agentEpoch(),
             Placement.Phase.RECOVERED));
     // Another attempt of it may have completed, as a report that came late showed.
-    TaskProgress.stopIfDone(job, live.task());
+    TaskProgress.stopIfDone(job, recorded.task());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -24,93 +24,95 @@
 /** Tells rentals what the leader's work needs: what to rent, and what may go back. */
 final class ScaleOutDemand implements Autoscaler.Workload {
   /** A machine that was silent for longer does not count as room. */
-  private static final long SILENCE_MS = 60_000;
+  private static final long MAX_HEARTBEAT_AGE_MS = 60_000;
 
   private final Scheduler scheduler;
   private final Catalogue catalogue;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final JobTable jobs;
   private final RuntimeEstimates estimates;
   private final ArrivalForecast forecast;
   private final JobArrivals arrivals;
-  private final Supplier<ScaleOutPlanner> demands;
+  private final Supplier<ScaleOutPlanner> planners;
   private final Placer placer;
   private final TaskProgress progress;
-  private final LeaderConnectivity reachability;
-  private final BooleanSupplier mayDecide;
+  private final LeaderConnectivity connectivity;
+  private final BooleanSupplier isAuthoritative;
 
   /**
-   * @param demands a fresh calculation for each scan
-   * @param mayDecide whether this leader is sure of its lead
+   * @param planners a fresh calculation for each scan
+   * @param isAuthoritative whether this leader is sure of its lead
    */
   ScaleOutDemand(
       Scheduler scheduler,
       Catalogue catalogue,
-      MachineRegistry fleet,
+      MachineRegistry machines,
       JobTable jobs,
       RuntimeEstimates estimates,
       ArrivalForecast forecast,
       JobArrivals arrivals,
-      Supplier<ScaleOutPlanner> demands,
+      Supplier<ScaleOutPlanner> planners,
       Placer placer,
       TaskProgress progress,
-      LeaderConnectivity reachability,
-      BooleanSupplier mayDecide) {
+      LeaderConnectivity connectivity,
+      BooleanSupplier isAuthoritative) {
     this.scheduler = scheduler;
     this.catalogue = catalogue;
-    this.fleet = fleet;
+    this.machines = machines;
     this.jobs = jobs;
     this.estimates = estimates;
     this.forecast = forecast;
     this.arrivals = arrivals;
-    this.demands = demands;
+    this.planners = planners;
     this.placer = placer;
     this.progress = progress;
-    this.reachability = reachability;
-    this.mayDecide = mayDecide;
+    this.connectivity = connectivity;
+    this.isAuthoritative = isAuthoritative;
   }
 
   @Override
   public List<ScaleOutPlanner.Request> scaleOutRequests(
-      List<ScaleOutPlanner.Candidate> offers, List<ScaleOutPlanner.PendingMachine> coming) {
+      List<ScaleOutPlanner.Candidate> candidates, List<ScaleOutPlanner.PendingMachine> pending) {
     long nowMs = scheduler.nowMs();
     long wallMs = scheduler.wallMs();
     arrivals.update();
     List<Machine> usable =
-        fleet.all().stream().filter(machine -> machine.isSchedulable(nowMs, SILENCE_MS)).toList();
-    ScaleOutPlanner demand = demands.get();
-    List<ScaleOutPlanner.Request> wanted =
-        demand.plan(
+        machines.all().stream()
+            .filter(machine -> machine.isSchedulable(nowMs, MAX_HEARTBEAT_AGE_MS))
+            .toList();
+    ScaleOutPlanner planner = planners.get();
+    List<ScaleOutPlanner.Request> requests =
+        planner.plan(
             placer.pendingJobs(nowMs, wallMs),
             jobs.all(),
             usable,
-            coming,
-            offers,
-            expected(),
+            pending,
+            candidates,
+            expectedHighPriorityJob(),
             forecast.coresForRate(estimates, wallMs),
             nowMs,
             wallMs);
-    retire(usable, demand);
-    return wanted;
+    markScaleInCandidates(usable, planner);
+    return requests;
   }
 
   /**
    * Dear machines that nothing needs any more take no new work that could wait, so that they empty
    * and go back: a busy machine would otherwise stay for as long as any work waits.
    */
-  private void retire(List<Machine> usable, ScaleOutPlanner demand) {
-    List<Machine> dear = new ArrayList<>();
+  private void markScaleInCandidates(List<Machine> usable, ScaleOutPlanner planner) {
+    List<Machine> expensive = new ArrayList<>();
     for (Machine machine : usable) {
       machine.isScaleInCandidate(false);
       MachineType type = catalogue.type(machine.type());
       if (!machine.spot()
           && type.price(false) > type.price(true) * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO) {
-        dear.add(machine);
+        expensive.add(machine);
       }
     }
-    dear.sort(Comparator.comparingLong(machine -> -machine.free().cores()));
-    for (Machine machine : dear) {
-      machine.isScaleInCandidate(demand.isExpensiveSurplus(machine));
+    expensive.sort(Comparator.comparingLong(machine -> -machine.free().cores()));
+    for (Machine machine : expensive) {
+      machine.isScaleInCandidate(planner.isExpensiveSurplus(machine));
     }
   }
 
@@ -127,11 +129,11 @@
   /** Without its room the next pressing job would wait for a machine to boot. */
   @Override
   public Predicate<Machine> surplus() {
-    Optional<Job> next = expected();
+    Optional<Job> next = expectedHighPriorityJob();
     return next.isPresent() ? new SpareRoom(next.get()) : machine -> true;
   }
 
-  private Optional<Job> expected() {
+  private Optional<Job> expectedHighPriorityJob() {
     return forecast.arrivalsStopped(scheduler.wallMs())
         ? Optional.empty()
         : forecast.typicalHighPriorityJob();
@@ -144,12 +146,12 @@
 
   @Override
   public long listeningSinceMs() {
-    return reachability.listeningSinceMs();
+    return connectivity.listeningSinceMs();
   }
 
   @Override
   public boolean isAuthoritative() {
-    return mayDecide.getAsBoolean();
+    return isAuthoritative.getAsBoolean();
   }
 
   /** Asked of one machine after the other: may it go, and leave room for the next pressing job? */
@@ -162,7 +164,7 @@
     SpareRoom(Job next) {
       this.next = next;
       long fitting = 0;
-      for (Machine machine : fleet.all()) {
+      for (Machine machine : machines.all()) {
         fitting += fitting(machine);
       }
       this.beyond = fitting - next.spec().tasks();
@@ -179,7 +181,8 @@
     }
 
     private int fitting(Machine machine) {
-      return machine.isSchedulable(scheduler.nowMs(), SILENCE_MS) && Placer.allows(next, machine)
+      return machine.isSchedulable(scheduler.nowMs(), MAX_HEARTBEAT_AGE_MS)
+              && Placer.allows(next, machine)
           ? machine.free().times(next.perTask())
           : 0;
     }
--- a/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
+++ b/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
@@ -12,7 +12,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingRounds.class);
 
   /** What happens within this time after a change is placed together. */
-  private static final long SHORTEST_PAUSE_MS = 40;
+  private static final long MIN_PAUSE_MS = 40;
 
   /**
    * A pause lasts so many times as long as the last round took. Without it, placing a large backlog
@@ -23,27 +23,27 @@
   private final Scheduler scheduler;
   private final Placer placer;
   private final JobArrivals arrivals;
-  private final TaskTimings times;
-  private final BooleanSupplier mayDecide;
+  private final TaskTimings timings;
+  private final BooleanSupplier isAuthoritative;
   private long notBeforeMs = Long.MIN_VALUE;
-  private long lastRoundMs;
-  private boolean planned;
+  private long lastRoundDurationMs;
+  private boolean scheduled;
   private boolean closed;
 
   /**
-   * @param mayDecide whether this leader is sure of its lead
+   * @param isAuthoritative whether this leader is sure of its lead
    */
   SchedulingRounds(
       Scheduler scheduler,
       Placer placer,
       JobArrivals arrivals,
-      TaskTimings times,
-      BooleanSupplier mayDecide) {
+      TaskTimings timings,
+      BooleanSupplier isAuthoritative) {
     this.scheduler = scheduler;
     this.placer = placer;
     this.arrivals = arrivals;
-    this.times = times;
-    this.mayDecide = mayDecide;
+    this.timings = timings;
+    this.isAuthoritative = isAuthoritative;
   }
 
   /** From now on no round is planned. */
@@ -58,32 +58,32 @@
 
   /** Has waiting tasks placed soon; calls before the round begins are served by that one. */
   void schedule() {
-    if (planned || closed) {
+    if (scheduled || closed) {
       return;
     }
-    planned = true;
+    scheduled = true;
     scheduler.schedule(
-        Math.max(SHORTEST_PAUSE_MS, PAUSE_PER_ROUND * lastRoundMs), this::placeWaiting);
+        Math.max(MIN_PAUSE_MS, PAUSE_PER_ROUND * lastRoundDurationMs), this::runRound);
   }
 
-  private void placeWaiting() {
-    planned = false;
+  private void runRound() {
+    scheduled = false;
     long nowMs = scheduler.nowMs();
-    if (!mayDecide.getAsBoolean() || nowMs < notBeforeMs) {
+    if (!isAuthoritative.getAsBoolean() || nowMs < notBeforeMs) {
       return;
     }
     arrivals.update();
-    times.run("placing", () -> placer.run(nowMs, scheduler.wallMs()));
-    lastRoundMs = scheduler.nowMs() - nowMs;
+    timings.run("placing", () -> placer.run(nowMs, scheduler.wallMs()));
+    lastRoundDurationMs = scheduler.nowMs() - nowMs;
   }
 
   /** Stops tasks, if need be, so that pressing jobs find room. */
   void preempt() {
-    times.run("preemption", this::stopForPressing);
+    timings.run("preemption", this::preemptIfAuthoritative);
   }
 
-  private void stopForPressing() {
-    if (!mayDecide.getAsBoolean()) {
+  private void preemptIfAuthoritative() {
+    if (!isAuthoritative.getAsBoolean()) {
       return;
     }
     arrivals.update();
--- a/src/main/java/org/ploverspindle/leadership/SpotDrain.java
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -16,13 +16,13 @@
   private static final double END_MARGIN_S = 1;
 
   /** Beyond what a save costs, for the order and the save to arrive. */
-  private static final double SAVE_MARGIN_S = 0.5;
+  private static final double CHECKPOINT_MARGIN_S = 0.5;
 
   /** A save that takes so much longer than expected still succeeds, if the notice allows it. */
-  private static final double SAVE_ALLOWANCE = 2;
+  private static final double CHECKPOINT_GRACE_FACTOR = 2;
 
   /** Estimates err: a task that can't save is given up only when it is this far from its end. */
-  private static final double HOPELESS_RATIO = 1.5;
+  private static final double GIVE_UP_RATIO = 1.5;
 
   private static final double MS_PER_S = 1_000;
 
@@ -34,30 +34,33 @@
 
   /** Called with each report that shows the notice; what is stopping already is left alone. */
   void drain(Machine machine, long nowMs) {
-    double leftS = machine.spotNoticeS();
+    double noticeS = machine.spotNoticeS();
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!placement.stopping()) {
-        stopIfLate(placement, leftS, nowMs);
+        stopIfLate(placement, noticeS, nowMs);
       }
     }
   }
 
-  private void stopIfLate(Placement placement, double leftS, long nowMs) {
-    double restS = restS(placement, nowMs);
-    if (restS < leftS - END_MARGIN_S) {
+  private void stopIfLate(Placement placement, double noticeS, long nowMs) {
+    double remainingS = remainingS(placement, nowMs);
+    if (remainingS < noticeS - END_MARGIN_S) {
       return;
     }
     JobSpec spec = placement.job().spec();
-    double saveS = spec.checkpointCostS();
-    if (spec.isCheckpointed() && leftS > saveS) {
-      placement.stop(Math.max(saveS + SAVE_MARGIN_S, Math.min(leftS, saveS * SAVE_ALLOWANCE)));
-    } else if (restS > leftS * HOPELESS_RATIO) {
+    double checkpointS = spec.checkpointCostS();
+    if (spec.isCheckpointed() && noticeS > checkpointS) {
+      placement.stop(
+          Math.max(
+              checkpointS + CHECKPOINT_MARGIN_S,
+              Math.min(noticeS, checkpointS * CHECKPOINT_GRACE_FACTOR)));
+    } else if (remainingS > noticeS * GIVE_UP_RATIO) {
       placement.stop(0);
     }
   }
 
   /** How long the task is expected to run on; for ever if it is a service. */
-  private double restS(Placement placement, long nowMs) {
+  private double remainingS(Placement placement, long nowMs) {
     if (placement.job().spec().expectedS() <= 0) {
       return Double.MAX_VALUE;
     }
--- a/src/main/java/org/ploverspindle/leadership/TaskFailures.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskFailures.java
@@ -21,7 +21,7 @@
   /** Before a failed task is tried again: this for the first failure and each one before it. */
   private static final long RETRY_STEP_MS = 1_000;
 
-  private static final long LONGEST_RETRY_MS = 20_000;
+  private static final long MAX_RETRY_DELAY_MS = 20_000;
 
   private final Scheduler scheduler;
   private final JobTable jobs;
@@ -32,25 +32,25 @@
     this.scheduler = scheduler;
     this.jobs = jobs;
     this.replica = replica;
-    this.detector = new FailureDetector(this::works);
+    this.detector = new FailureDetector(this::isKnownToRun);
   }
 
   /** The task ended on its machine with an error. */
-  void failed(Placement placement, long nowMs) {
+  void handleFailure(Placement placement, long nowMs) {
     Job job = placement.job();
     Machine machine = placement.machine();
-    boolean lookedBroken = job.isFailingEverywhere(nowMs);
-    long sinceMs = placement.runningSinceMs();
-    job.failedOn(machine.host(), sinceMs < 0 ? 0 : nowMs - sinceMs, nowMs);
+    boolean wasFailingEverywhere = job.isFailingEverywhere(nowMs);
+    long runningSinceMs = placement.runningSinceMs();
+    job.failedOn(machine.host(), runningSinceMs < 0 ? 0 : nowMs - runningSinceMs, nowMs);
     if (job.isKnownToRun(nowMs)) {
-      long retryMs = Math.min(LONGEST_RETRY_MS, RETRY_STEP_MS * (1 + job.failures()));
-      job.backOff(placement.task(), nowMs + retryMs);
+      long retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_STEP_MS * (1 + job.failures()));
+      job.backOff(placement.task(), nowMs + retryDelayMs);
     }
     if (detector.failed(machine, job, nowMs) && !machine.isDraining()) {
       LOG.info("machine {} fails tasks of jobs that run elsewhere: it is returned", machine.host());
       machine.drain();
     }
-    if (!lookedBroken && job.isFailingEverywhere(nowMs)) {
+    if (!wasFailingEverywhere && job.isFailingEverywhere(nowMs)) {
       LOG.info(
           "job {} fails on several machines and runs nowhere: one task is tried now and then",
           job.uid());
@@ -58,7 +58,7 @@
   }
 
   /** A job that is no longer in the table has shown that it can run if it was done. */
-  private boolean works(String uid) {
+  private boolean isKnownToRun(String uid) {
     return jobs.get(uid)
         .map(job -> job.isKnownToRun(scheduler.nowMs()))
         .orElseGet(() -> replica.get(Keys.completion(uid)).isPresent());
--- a/src/main/java/org/ploverspindle/leadership/TaskOwners.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskOwners.java
@@ -8,17 +8,20 @@
 
 /** Whose an unrecorded task on a machine is: it counts for its team as long as it may run. */
 final class TaskOwners {
-  private final AcceptedJobIndex specs;
+  private final AcceptedJobIndex acceptedJobs;
   private final TeamUsage teams;
 
-  TaskOwners(AcceptedJobIndex specs, TeamUsage teams) {
-    this.specs = specs;
+  TaskOwners(AcceptedJobIndex acceptedJobs, TeamUsage teams) {
+    this.acceptedJobs = acceptedJobs;
     this.teams = teams;
   }
 
   /** The owner of the job's tasks; empty if the job or its team is not known. */
   Optional<HeartbeatHandler.Owner> of(String uid) {
-    return specs.get(uid).flatMap(spec -> JobRecord.decode(uid, spec.value())).flatMap(this::of);
+    return acceptedJobs
+        .get(uid)
+        .flatMap(accepted -> JobRecord.decode(uid, accepted.value()))
+        .flatMap(this::of);
   }
 
   private Optional<HeartbeatHandler.Owner> of(JobRecord record) {
--- a/src/main/java/org/ploverspindle/leadership/TaskProgress.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -21,10 +21,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(TaskProgress.class);
 
   /** Before a task that its machine had no room for, or was too busy for, is placed again. */
-  private static final long REFUSED_RETRY_MS = 1_000;
+  private static final long REJECTED_RETRY_DELAY_MS = 1_000;
 
   /** The same for a task that its machine did not know. */
-  private static final long UNKNOWN_RETRY_MS = 4_000;
+  private static final long UNKNOWN_TASK_RETRY_DELAY_MS = 4_000;
 
   private static final double MS_PER_S = 1_000;
 
@@ -33,10 +33,10 @@
   private final RuntimeEstimates estimates;
   private final ProgressWriter writer;
   private final TaskFailures failures;
-  private final Runnable planPlacing;
+  private final Runnable scheduleRound;
 
   /**
-   * @param planPlacing has waiting tasks placed soon, as there may be room for them now
+   * @param scheduleRound has waiting tasks placed soon, as there may be room for them now
    */
   TaskProgress(
       Scheduler scheduler,
@@ -44,13 +44,13 @@
       RuntimeEstimates estimates,
       ProgressWriter writer,
       TaskFailures failures,
-      Runnable planPlacing) {
+      Runnable scheduleRound) {
     this.scheduler = scheduler;
     this.jobs = jobs;
     this.estimates = estimates;
     this.writer = writer;
     this.failures = failures;
-    this.planPlacing = planPlacing;
+    this.scheduleRound = scheduleRound;
   }
 
   /** A task has been given a place: its launch goes out once that is recorded. */
@@ -86,9 +86,9 @@
 
   @Override
   public void completed(Placement placement, long nowMs) {
-    long sinceMs = placement.runningSinceMs();
-    if (sinceMs >= 0) {
-      estimates.observed(placement.job(), (nowMs - sinceMs) / MS_PER_S);
+    long runningSinceMs = placement.runningSinceMs();
+    if (runningSinceMs >= 0) {
+      estimates.observed(placement.job(), (nowMs - runningSinceMs) / MS_PER_S);
     }
     completedUnrecorded(placement.job(), placement.task());
   }
@@ -102,7 +102,7 @@
     job.markCompleted(task);
     stopIfDone(job, task);
     writer.changed(job, task);
-    planPlacing.run();
+    scheduleRound.run();
   }
 
   @Override
@@ -118,9 +118,9 @@
           saved ? ", saved" : "");
     }
     switch (cause) {
-      case ERROR -> failures.failed(placement, nowMs);
-      case NO_ROOM, BUSY -> job.backOff(placement.task(), nowMs + REFUSED_RETRY_MS);
-      case NO_SUCH -> job.backOff(placement.task(), nowMs + UNKNOWN_RETRY_MS);
+      case ERROR -> failures.handleFailure(placement, nowMs);
+      case NO_ROOM, BUSY -> job.backOff(placement.task(), nowMs + REJECTED_RETRY_DELAY_MS);
+      case NO_SUCH -> job.backOff(placement.task(), nowMs + UNKNOWN_TASK_RETRY_DELAY_MS);
       default -> {}
     }
     ended(placement);
@@ -132,7 +132,7 @@
     } else {
       writer.changed(placement.job(), placement.task());
     }
-    planPlacing.run();
+    scheduleRound.run();
   }
 
   /** For people who ask why a pressing task waited. */
--- a/src/main/java/org/ploverspindle/leases/FencedStore.java
+++ b/src/main/java/org/ploverspindle/leases/FencedStore.java
@@ -11,48 +11,48 @@
 public final class FencedStore implements StateStore {
   private final StateStore store;
   private final String holderKey;
-  private final FencingRejections refused;
+  private final FencingRejections rejections;
 
   /**
    * @param holderKey the record that says who holds the duty
    */
-  public FencedStore(StateStore store, String holderKey, FencingRejections refused) {
+  public FencedStore(StateStore store, String holderKey, FencingRejections rejections) {
     this.store = store;
     this.holderKey = holderKey;
-    this.refused = refused;
+    this.rejections = rejections;
   }
 
   @Override
-  public void commit(Transaction txn, Consumer<TransactionResult> then) {
+  public void commit(Transaction transaction, Consumer<TransactionResult> callback) {
     store.commit(
-        txn,
+        transaction,
         result -> {
           if (result instanceof TransactionResult.Conflict conflict
               && conflict.keys().contains(holderKey)) {
-            refused.add(FencingRejections.Kind.STATE_WRITE);
+            rejections.add(FencingRejections.Kind.STATE_WRITE);
           }
-          then.accept(result);
+          callback.accept(result);
         });
   }
 
   @Override
-  public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
-    store.readPage(prefix, after, size, then);
+  public void readPage(String prefix, String after, int size, Consumer<PageResult> callback) {
+    store.readPage(prefix, after, size, callback);
   }
 
   @Override
-  public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
-    store.readChanges(prefix, ledger, then);
+  public void readChanges(String prefix, long revision, Consumer<ChangesResult> callback) {
+    store.readChanges(prefix, revision, callback);
   }
 
   @Override
-  public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
-    store.openLease(ttlMs, then);
+  public void openLease(long ttlMs, Consumer<Optional<Long>> callback) {
+    store.openLease(ttlMs, callback);
   }
 
   @Override
-  public void renewLease(long lease, Consumer<Renewal> then) {
-    store.renewLease(lease, then);
+  public void renewLease(long lease, Consumer<Renewal> callback) {
+    store.renewLease(lease, callback);
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/leases/LeaseTiming.java
+++ b/src/main/java/org/ploverspindle/leases/LeaseTiming.java
@@ -13,15 +13,15 @@
 
   /** Checks that a renewal that is lost can be repeated before the lease is over. */
   public LeaseTiming {
-    long leastMs = RENEWALS_PER_LEASE * (ttlMs - validMs);
-    if (validMs >= ttlMs || ttlMs < leastMs) {
+    long minTtlMs = RENEWALS_PER_LEASE * (ttlMs - validMs);
+    if (validMs >= ttlMs || ttlMs < minTtlMs) {
       throw new IllegalArgumentException(
           "a lease of "
               + ttlMs
               + " ms, of which "
               + validMs
               + " ms are sure, allows no renewals: it must be above the sure time and "
-              + Math.max(leastMs, validMs + 1)
+              + Math.max(minTtlMs, validMs + 1)
               + " ms at least");
     }
   }
--- a/src/main/java/org/ploverspindle/leases/RoleLease.java
+++ b/src/main/java/org/ploverspindle/leases/RoleLease.java
@@ -24,19 +24,19 @@
   private static final Logger LOG = LoggerFactory.getLogger(RoleLease.class);
 
   /** After the record is gone, controllers try one after the other and not all at once. */
-  private static final int FIRST_TRY_SPREAD_MS = 150;
+  private static final int FIRST_ATTEMPT_JITTER_MS = 150;
 
-  private static final int NEXT_TRY_LEAST_MS = 50;
-  private static final int NEXT_TRY_SPREAD_MS = 400;
-  private static final long LONGEST_VACANCY_MS = 3_600_000;
+  private static final int RETRY_DELAY_MS = 50;
+  private static final int RETRY_JITTER_MS = 400;
+  private static final long MAX_RECORDED_VACANCY_MS = 3_600_000;
 
   /** What the process is told; always on the loop. */
   public interface Listener {
     /** The duty is held; the replica has all that earlier holders wrote. */
-    void acquired(HeldRole duty);
+    void acquired(HeldRole role);
 
     /** The duty is over: nothing may be done under it any more. */
-    void lost(HeldRole duty, String cause);
+    void lost(HeldRole role, String cause);
 
     /** May this process try to take the duty now? Asked before each try. */
     boolean mayAcquire();
@@ -51,12 +51,12 @@
   private final String member;
   private final String nonce;
   private final Listener listener;
-  private final Histogram vacantMs = new Histogram(LONGEST_VACANCY_MS, 2);
+  private final Histogram vacantMs = new Histogram(MAX_RECORDED_VACANCY_MS, 2);
   private Optional<HeldRole> held = Optional.empty();
   private Optional<Long> vacantSinceMs = Optional.empty();
-  private Optional<String> unreadable = Optional.empty();
+  private Optional<String> lastUnreadableKey = Optional.empty();
   private boolean acquiring;
-  private long earliestTryMs;
+  private long nextAttemptMs;
 
   /** A duty that is not tried for before the first {@link #tick}. */
   public RoleLease(
@@ -77,7 +77,7 @@
     this.member = member;
     this.nonce = Long.toString(random.nextLong() >>> 1, Character.MAX_RADIX);
     this.listener = listener;
-    replica.addListener(this::changed);
+    replica.addListener(this::holderRecordChanged);
   }
 
   /** The duty, if this process holds it as far as it knows. */
@@ -95,7 +95,7 @@
 
   /** When the lease was last known to live, on the steady clock. */
   public long lastRenewalMs() {
-    return lease.sentMs();
+    return lease.lastRenewalSentMs();
   }
 
   /** The holder by the replica, whoever it is. */
@@ -121,7 +121,7 @@
     if (held.isPresent()) {
       lease.renewIfDue(() -> end("the state lease ended"));
     } else if (isVacant()) {
-      tryToTake();
+      tryToAcquire();
     }
   }
 
@@ -129,8 +129,8 @@
     return replica.get(records.holderKey()).isEmpty();
   }
 
-  private void tryToTake() {
-    if (acquiring || scheduler.nowMs() < earliestTryMs || !listener.mayAcquire()) {
+  private void tryToAcquire() {
+    if (acquiring || scheduler.nowMs() < nextAttemptMs || !listener.mayAcquire()) {
       return;
     }
     // Only who tries needs a lease: renewals of all others would use up shared requests.
@@ -138,24 +138,24 @@
       lease.open(this::isVacant, this::tick);
       return;
     }
-    Optional<Entry> epochs = replica.get(records.epochKey());
-    Optional<Long> epoch = records.nextEpoch(epochs.map(Entry::value));
+    Optional<Entry> epochRecord = replica.get(records.epochKey());
+    Optional<Long> epoch = records.nextEpoch(epochRecord.map(Entry::value));
     if (epoch.isEmpty()) {
       // Any guess could be an epoch that a former holder still acts under.
-      tellUnreadable(records.epochKey());
+      logUnreadable(records.epochKey());
       return;
     }
-    take(epoch.get(), epochs.map(Entry::modRevision).orElse(0L), lease.id().orElseThrow());
+    acquire(epoch.get(), epochRecord.map(Entry::modRevision).orElse(0L), lease.id().orElseThrow());
   }
 
-  private void take(long epoch, long epochStamp, long leaseId) {
+  private void acquire(long epoch, long epochModRevision, long leaseId) {
     acquiring = true;
     JsonNode record = records.encode(new RoleHolder(member, nonce, epoch, leaseId));
     store.commit(
         new StateStore.Transaction(
             List.of(
                 new Condition(records.holderKey(), 0),
-                new Condition(records.epochKey(), epochStamp)),
+                new Condition(records.epochKey(), epochModRevision)),
             List.of(
                 new Change.Put(records.holderKey(), record, Optional.of(leaseId)),
                 new Change.Put(records.epochKey(), records.encodeEpochs(epoch)))),
@@ -166,21 +166,21 @@
           // Whatever was answered, the replica tells who holds the duty: an unanswered try may
           // have been carried out.
           replica.readBarrier(
-              read -> {
+              isRead -> {
                 acquiring = false;
-                earliestTryMs =
-                    scheduler.nowMs() + NEXT_TRY_LEAST_MS + random.nextInt(NEXT_TRY_SPREAD_MS);
+                nextAttemptMs =
+                    scheduler.nowMs() + RETRY_DELAY_MS + random.nextInt(RETRY_JITTER_MS);
               });
         });
   }
 
-  private void changed(String key, Optional<Entry> entry) {
+  private void holderRecordChanged(String key, Optional<Entry> entry) {
     if (!key.equals(records.holderKey())) {
       return;
     }
     if (entry.isEmpty()) {
       vacantSinceMs = Optional.of(scheduler.nowMs());
-      earliestTryMs = scheduler.nowMs() + random.nextInt(FIRST_TRY_SPREAD_MS);
+      nextAttemptMs = scheduler.nowMs() + random.nextInt(FIRST_ATTEMPT_JITTER_MS);
       end("the record of the holder is gone");
       return;
     }
@@ -188,10 +188,10 @@
     vacantSinceMs = Optional.empty();
     Optional<RoleHolder> holder = records.decode(entry.get().value());
     if (holder.isEmpty()) {
-      tellUnreadable(key);
+      logUnreadable(key);
       end("the record of the holder can't be read");
     } else if (isOurs(holder.get())) {
-      takenAt(entry.get().modRevision(), holder.get());
+      acquiredAt(entry.get().modRevision(), holder.get());
     } else {
       closeIfAbandoned(holder.get());
       end("another controller holds the duty: " + holder.get().member());
@@ -199,8 +199,8 @@
   }
 
   private void recordVacancy(long sinceMs) {
-    long forMs = Math.max(0, scheduler.nowMs() - sinceMs);
-    vacantMs.recordValue(Math.min(LONGEST_VACANCY_MS, forMs));
+    long durationMs = Math.max(0, scheduler.nowMs() - sinceMs);
+    vacantMs.recordValue(Math.min(MAX_RECORDED_VACANCY_MS, durationMs));
   }
 
   /**
@@ -221,42 +221,42 @@
     }
   }
 
-  private void takenAt(long stamp, RoleHolder ours) {
-    if (held.isPresent() && held.get().modRevision() == stamp) {
+  private void acquiredAt(long modRevision, RoleHolder ownRecord) {
+    if (held.isPresent() && held.get().modRevision() == modRevision) {
       return;
     }
     end("the record of the holder is a newer one");
-    HeldRole fresh = new HeldRole(ours.epoch(), stamp, scheduler.nowMs());
+    HeldRole role = new HeldRole(ownRecord.epoch(), modRevision, scheduler.nowMs());
     // One more read after our record stood: then the replica has every write of earlier holders,
     // and later ones fail on their condition.
-    replica.readBarrier(read -> begin(fresh, ours.lease(), read));
+    replica.readBarrier(isRead -> confirmAcquired(role, ownRecord.lease(), isRead));
   }
 
   /** Meanwhile another one may have taken the duty, or this process have given it up. */
-  private void begin(HeldRole fresh, long leaseId, boolean read) {
-    boolean stands =
+  private void confirmAcquired(HeldRole role, long leaseId, boolean isRead) {
+    boolean isCurrent =
         replica
             .get(records.holderKey())
-            .map(e -> e.modRevision() == fresh.modRevision())
+            .map(e -> e.modRevision() == role.modRevision())
             .orElse(false);
-    boolean leased = lease.id().map(id -> id == leaseId).orElse(false);
-    if (!stands || !leased || held.isPresent()) {
+    boolean isLeaseCurrent = lease.id().map(id -> id == leaseId).orElse(false);
+    if (!isCurrent || !isLeaseCurrent || held.isPresent()) {
       return;
     }
-    if (!read) {
-      replica.readBarrier(again -> begin(fresh, leaseId, again));
+    if (!isRead) {
+      replica.readBarrier(isReadAgain -> confirmAcquired(role, leaseId, isReadAgain));
       return;
     }
-    held = Optional.of(fresh);
-    listener.acquired(fresh);
+    held = Optional.of(role);
+    listener.acquired(role);
   }
 
   /** Ends the duty here on a sign that it is over; the record is left to its lease. */
   public void end(String cause) {
     if (held.isPresent()) {
-      HeldRole over = held.get();
+      HeldRole lost = held.get();
       held = Optional.empty();
-      listener.lost(over, cause);
+      listener.lost(lost, cause);
     }
   }
 
@@ -266,9 +266,9 @@
     end(cause);
   }
 
-  private void tellUnreadable(String key) {
-    if (!unreadable.equals(Optional.of(key))) {
-      unreadable = Optional.of(key);
+  private void logUnreadable(String key) {
+    if (!lastUnreadableKey.equals(Optional.of(key))) {
+      lastUnreadableKey = Optional.of(key);
       LOG.error(
           "the record {} can't be read: the duty {} is not taken by guess", key, records.name());
     }
--- a/src/main/java/org/ploverspindle/leases/StateLease.java
+++ b/src/main/java/org/ploverspindle/leases/StateLease.java
@@ -14,15 +14,15 @@
  * clock: a renewal whose answer is lost may have been carried out, and is not counted.
  */
 final class StateLease {
-  private static final long LONGEST_RENEWAL_MS = 60_000;
+  private static final long MAX_RECORDED_RENEWAL_MS = 60_000;
 
   private final Scheduler scheduler;
   private final StateStore store;
   private final LeaseTiming timing;
-  private final Histogram renewalMs = new Histogram(LONGEST_RENEWAL_MS, 2);
+  private final Histogram renewalMs = new Histogram(MAX_RECORDED_RENEWAL_MS, 2);
   private Optional<Long> id = Optional.empty();
-  private long sentMs;
-  private boolean busy;
+  private long lastRenewalSentMs;
+  private boolean requestInFlight;
 
   StateLease(Scheduler scheduler, StateStore store, LeaseTiming timing) {
     this.scheduler = scheduler;
@@ -36,18 +36,18 @@
   }
 
   /** When the last answered opening or renewal was sent. */
-  long sentMs() {
-    return sentMs;
+  long lastRenewalSentMs() {
+    return lastRenewalSentMs;
   }
 
   /** Does the lease certainly live, if this process's clock is right? */
   boolean isCertainlyValid() {
-    return scheduler.nowMs() < sentMs + timing.validMs();
+    return scheduler.nowMs() < lastRenewalSentMs + timing.validMs();
   }
 
   /** Is enough of the lease left to take a duty under it? */
   boolean isFresh() {
-    return id.isPresent() && scheduler.nowMs() <= sentMs + timing.freshMs();
+    return id.isPresent() && scheduler.nowMs() <= lastRenewalSentMs + timing.freshMs();
   }
 
   /**
@@ -57,21 +57,21 @@
    *     out meanwhile: renewals of another lease than the record's would say nothing about it.
    * @param opened called when the new lease is this process's
    */
-  void open(BooleanSupplier wanted, Runnable opened) {
-    if (busy) {
+  void open(BooleanSupplier isStillWanted, Runnable opened) {
+    if (requestInFlight) {
       return;
     }
-    busy = true;
-    long askedMs = scheduler.nowMs();
+    requestInFlight = true;
+    long requestSentMs = scheduler.nowMs();
     store.openLease(
         timing.ttlMs(),
-        fresh -> {
-          busy = false;
-          if (fresh.isPresent() && !wanted.getAsBoolean()) {
-            store.closeLease(fresh.get());
-          } else if (fresh.isPresent()) {
-            id = fresh;
-            sentMs = askedMs;
+        leaseId -> {
+          requestInFlight = false;
+          if (leaseId.isPresent() && !isStillWanted.getAsBoolean()) {
+            store.closeLease(leaseId.get());
+          } else if (leaseId.isPresent()) {
+            id = leaseId;
+            lastRenewalSentMs = requestSentMs;
             opened.run();
           }
         });
@@ -83,22 +83,24 @@
    * @param ended called when the state service no longer knows the lease
    */
   void renewIfDue(Runnable ended) {
-    if (id.isPresent() && !busy && scheduler.nowMs() - sentMs >= timing.renewAfterMs()) {
+    if (id.isPresent()
+        && !requestInFlight
+        && scheduler.nowMs() - lastRenewalSentMs >= timing.renewAfterMs()) {
       renew(id.get(), ended);
     }
   }
 
-  private void renew(long lease, Runnable ended) {
-    busy = true;
-    long askedMs = scheduler.nowMs();
+  private void renew(long leaseId, Runnable ended) {
+    requestInFlight = true;
+    long requestSentMs = scheduler.nowMs();
     store.renewLease(
-        lease,
+        leaseId,
         result -> {
-          busy = false;
+          requestInFlight = false;
           if (result == Renewal.RENEWED) {
-            sentMs = Math.max(sentMs, askedMs);
-            long tookMs = Math.max(0, scheduler.nowMs() - askedMs);
-            renewalMs.recordValue(Math.min(LONGEST_RENEWAL_MS, tookMs));
+            lastRenewalSentMs = Math.max(lastRenewalSentMs, requestSentMs);
+            long tookMs = Math.max(0, scheduler.nowMs() - requestSentMs);
+            renewalMs.recordValue(Math.min(MAX_RECORDED_RENEWAL_MS, tookMs));
           } else if (result == Renewal.GONE) {
             id = Optional.empty();
             ended.run();
--- a/src/main/java/org/ploverspindle/peers/PeerClient.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -25,17 +25,17 @@
  */
 final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
-  private static final int MOST_WAITING = 16;
-  private static final long PAUSE_MS = 1_500;
-  private static final long CONNECT_MS = 1_000;
-  private static final int READ_BYTES = 64;
+  private static final int MAX_QUEUED_FRAMES = 16;
+  private static final long RECONNECT_PAUSE_MS = 1_500;
+  private static final long CONNECT_TIMEOUT_MS = 1_000;
+  private static final int READ_BUFFER_BYTES = 64;
 
   private final XnioIoThread io;
   private final InetSocketAddress address;
-  private final Deque<ByteBuffer> waiting = new ArrayDeque<>();
+  private final Deque<ByteBuffer> queue = new ArrayDeque<>();
   private Optional<StreamConnection> connection = Optional.empty();
   private boolean connecting;
-  private long notBeforeNanos = System.nanoTime();
+  private long nextConnectNanos = System.nanoTime();
 
   PeerClient(XnioIoThread io, Address address) {
     this.io = io;
@@ -43,13 +43,13 @@
   }
 
   void send(byte[] frame) {
-    if (waiting.size() >= MOST_WAITING) {
+    if (queue.size() >= MAX_QUEUED_FRAMES) {
       // The peer does not take what it is told; older hints are worth no more than this one.
-      drop("it takes nothing");
+      dropQueue("it takes nothing");
     }
-    waiting.add(ByteBuffer.wrap(frame));
+    queue.add(ByteBuffer.wrap(frame));
     if (connection.isPresent()) {
-      write();
+      writeQueue();
     } else {
       connect();
     }
@@ -59,18 +59,18 @@
     if (connecting) {
       return;
     }
-    if (System.nanoTime() - notBeforeNanos < 0) {
-      waiting.clear();
+    if (System.nanoTime() - nextConnectNanos < 0) {
+      queue.clear();
       return;
     }
     connecting = true;
     OptionMap options = OptionMap.create(Options.TCP_NODELAY, true);
     IoFuture<StreamConnection> future =
-        io.openStreamConnection(address, this::opened, null, options);
+        io.openStreamConnection(address, this::connected, null, options);
     future.addNotifier(
         (f, nothing) -> {
           if (f.getStatus() != IoFuture.Status.DONE) {
-            io.execute(() -> drop("no connection"));
+            io.execute(() -> dropQueue("no connection"));
           }
         },
         null);
@@ -80,65 +80,65 @@
             future.cancel();
           }
         },
-        CONNECT_MS,
+        CONNECT_TIMEOUT_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  private void opened(StreamConnection fresh) {
+  private void connected(StreamConnection opened) {
     connecting = false;
-    connection = Optional.of(fresh);
-    fresh.getSinkChannel().setWriteListener(c -> write());
-    fresh.setCloseListener(
+    connection = Optional.of(opened);
+    opened.getSinkChannel().setWriteListener(c -> writeQueue());
+    opened.setCloseListener(
         c -> {
-          if (connection.filter(now -> now == fresh).isPresent()) {
+          if (connection.filter(now -> now == opened).isPresent()) {
             connection = Optional.empty();
           }
         });
     // Nothing is said here; reading notices the peer's end.
-    fresh
+    opened
         .getSourceChannel()
         .setReadListener(
             c -> {
               try {
-                if (c.read(ByteBuffer.allocate(READ_BYTES)) < 0) {
-                  IoUtils.safeClose(fresh);
+                if (c.read(ByteBuffer.allocate(READ_BUFFER_BYTES)) < 0) {
+                  IoUtils.safeClose(opened);
                 }
               } catch (IOException e) {
-                IoUtils.safeClose(fresh);
+                IoUtils.safeClose(opened);
               }
             });
-    fresh.getSourceChannel().resumeReads();
-    write();
+    opened.getSourceChannel().resumeReads();
+    writeQueue();
   }
 
-  private void write() {
+  private void writeQueue() {
     if (connection.isEmpty()) {
       return;
     }
     ConduitStreamSinkChannel sink = connection.get().getSinkChannel();
     try {
-      while (!waiting.isEmpty()) {
-        ByteBuffer first = waiting.peek();
-        while (first.hasRemaining()) {
-          if (sink.write(first) == 0) {
+      while (!queue.isEmpty()) {
+        ByteBuffer frame = queue.peek();
+        while (frame.hasRemaining()) {
+          if (sink.write(frame) == 0) {
             sink.resumeWrites();
             return;
           }
         }
-        waiting.poll();
+        queue.poll();
       }
       sink.flush();
       sink.suspendWrites();
-    } catch (IOException e) {
-      drop(String.valueOf(e.getMessage()));
+    } catch (IOException exception) {
+      dropQueue(String.valueOf(exception.getMessage()));
     }
   }
 
-  private void drop(String why) {
-    LOG.debug("nothing can be told to {}: {}", address, why);
+  private void dropQueue(String reason) {
+    LOG.debug("nothing can be told to {}: {}", address, reason);
     connecting = false;
-    waiting.clear();
-    notBeforeNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PAUSE_MS);
+    queue.clear();
+    nextConnectNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RECONNECT_PAUSE_MS);
     connection.ifPresent(IoUtils::safeClose);
     connection = Optional.empty();
   }
--- a/src/main/java/org/ploverspindle/peers/PeerServer.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -33,12 +33,12 @@
   private final Scheduler scheduler;
   private final XnioWorker worker;
   private final XnioIoThread io;
-  private final Address at;
-  private final int mostConnections;
+  private final Address listenAddress;
+  private final int maxConnections;
   private final Consumer<PeerMessage> listener;
-  private final Map<String, PeerClient> lines = new LinkedHashMap<>();
-  private final Set<StreamConnection> open = new HashSet<>();
-  private Optional<AcceptingChannel<StreamConnection>> server = Optional.empty();
+  private final Map<String, PeerClient> clients = new LinkedHashMap<>();
+  private final Set<StreamConnection> openConnections = new HashSet<>();
+  private Optional<AcceptingChannel<StreamConnection>> listeningChannel = Optional.empty();
 
   /**
    * @param listener is called on the scheduler's thread of control
@@ -46,17 +46,17 @@
   public PeerServer(
       Scheduler scheduler,
       XnioWorker worker,
-      Address at,
+      Address listenAddress,
       List<Settings.Member> members,
       Consumer<PeerMessage> listener) {
     this.scheduler = scheduler;
     this.worker = worker;
     this.io = worker.getIoThread();
-    this.at = at;
+    this.listenAddress = listenAddress;
     // Each peer has one line to here; a second one while a lost first one is not noticed yet.
-    this.mostConnections = 2 * members.size() + 2;
+    this.maxConnections = 2 * members.size() + 2;
     this.listener = listener;
-    members.forEach(m -> lines.put(m.name(), new PeerClient(io, m.address())));
+    members.forEach(m -> clients.put(m.name(), new PeerClient(io, m.address())));
   }
 
   /** Starts to listen. */
@@ -64,72 +64,75 @@
     ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
     AcceptingChannel<StreamConnection> channel =
         worker.createStreamConnectionServer(
-            new InetSocketAddress(at.host(), at.port()),
+            new InetSocketAddress(listenAddress.host(), listenAddress.port()),
             accept,
             OptionMap.create(Options.REUSE_ADDRESSES, true));
     channel.resumeAccepts();
-    server = Optional.of(channel);
+    listeningChannel = Optional.of(channel);
   }
 
   /** The port that is listened on, for a server opened at port 0. */
   public int port() {
-    return server.map(s -> s.getLocalAddress(InetSocketAddress.class).getPort()).orElse(-1);
+    return listeningChannel
+        .map(s -> s.getLocalAddress(InetSocketAddress.class).getPort())
+        .orElse(-1);
   }
 
   /** Stops listening and closes all connections. */
   public void close() {
-    server.ifPresent(IoUtils::safeClose);
+    listeningChannel.ifPresent(IoUtils::safeClose);
     io.execute(
         () -> {
-          lines.values().forEach(PeerClient::close);
-          List.copyOf(open).forEach(IoUtils::safeClose);
+          clients.values().forEach(PeerClient::close);
+          List.copyOf(openConnections).forEach(IoUtils::safeClose);
         });
   }
 
   @Override
-  public void send(String member, PeerMessage record) {
-    byte[] frame = PeerCodec.encode(record);
-    PeerClient line = lines.get(member);
-    if (line != null) {
-      io.execute(() -> line.send(frame));
+  public void send(String member, PeerMessage message) {
+    byte[] frame = PeerCodec.encode(message);
+    PeerClient client = clients.get(member);
+    if (client != null) {
+      io.execute(() -> client.send(frame));
     }
   }
 
   @Override
-  public void broadcast(PeerMessage record) {
-    byte[] frame = PeerCodec.encode(record);
-    io.execute(() -> lines.values().forEach(line -> line.send(frame)));
+  public void broadcast(PeerMessage message) {
+    byte[] frame = PeerCodec.encode(message);
+    io.execute(() -> clients.values().forEach(client -> client.send(frame)));
   }
 
   private void accept(AcceptingChannel<StreamConnection> channel) {
     try {
-      StreamConnection fresh = channel.accept();
-      if (fresh == null) {
+      StreamConnection connection = channel.accept();
+      if (connection == null) {
         return;
       }
-      if (open.size() >= mostConnections) {
-        IoUtils.safeClose(fresh);
+      if (openConnections.size() >= maxConnections) {
+        IoUtils.safeClose(connection);
         return;
       }
-      open.add(fresh);
-      fresh.setCloseListener(c -> open.remove(fresh));
+      openConnections.add(connection);
+      connection.setCloseListener(c -> openConnections.remove(connection));
       ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_LENGTH);
-      fresh.getSourceChannel().setReadListener(source -> read(fresh, source, received));
-      fresh.getSourceChannel().resumeReads();
-    } catch (IOException e) {
-      LOG.debug("a controller's connection could not be accepted", e);
+      connection.getSourceChannel().setReadListener(source -> read(connection, source, received));
+      connection.getSourceChannel().resumeReads();
+    } catch (IOException exception) {
+      LOG.debug("a controller's connection could not be accepted", exception);
     }
   }
 
-  private void read(StreamConnection from, ConduitStreamSourceChannel source, ByteBuffer received) {
+  private void read(
+      StreamConnection connection, ConduitStreamSourceChannel source, ByteBuffer received) {
     try {
       while (true) {
-        int n = source.read(received);
-        if (n == 0) {
+        int bytesRead = source.read(received);
+        if (bytesRead == 0) {
           return;
         }
-        if (n < 0) {
-          IoUtils.safeClose(from);
+        if (bytesRead < 0) {
+          IoUtils.safeClose(connection);
           return;
         }
         received.flip();
@@ -141,9 +144,9 @@
         }
         received.compact();
       }
-    } catch (PeerCodec.Broken | IOException e) {
-      LOG.info("a connection from a controller is ended: {}", e.getMessage());
-      IoUtils.safeClose(from);
+    } catch (PeerCodec.MalformedFrameException | IOException exception) {
+      LOG.info("a connection from a controller is ended: {}", exception.getMessage());
+      IoUtils.safeClose(connection);
     }
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
+++ b/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
@@ -15,112 +15,117 @@
 
 /** When a held answer goes out, and with what. */
 class DelayedResponsesTest {
-  private static final long HOLD_MS = 1_800;
+  private static final long MAX_DELAY_MS = 1_800;
 
-  private final SingleMachineFixture site =
+  private final SingleMachineFixture fixture =
       new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
-  private final DelayedResponses held =
-      new DelayedResponses(site.scheduler, site.fleet, site.handler, () -> site.mayDecide, HOLD_MS);
-  private final List<HeartbeatHandler.Response> replies = new ArrayList<>();
+  private final DelayedResponses delayed =
+      new DelayedResponses(
+          fixture.scheduler,
+          fixture.machines,
+          fixture.handler,
+          () -> fixture.authoritative,
+          MAX_DELAY_MS);
+  private final List<HeartbeatHandler.Response> responses = new ArrayList<>();
 
-  private Heartbeat holdOne() {
-    Heartbeat report = site.report(OptionalDouble.empty());
-    held.delay(report, replies::add, site.nowMs);
-    return report;
+  private Heartbeat delayOne() {
+    Heartbeat heartbeat = fixture.heartbeat(OptionalDouble.empty());
+    delayed.delay(heartbeat, responses::add, fixture.nowMs);
+    return heartbeat;
   }
 
   private Placement recorded() {
-    Placement placement = site.place();
-    placement.markRecorded(site.nowMs);
+    Placement placement = fixture.place();
+    placement.markRecorded(fixture.nowMs);
     return placement;
   }
 
-  private boolean worthHolding(Heartbeat report) {
-    return held.isWorthDelaying(site.machine(), report, site.nowMs);
+  private boolean isWorthDelaying(Heartbeat heartbeat) {
+    return delayed.isWorthDelaying(fixture.machine(), heartbeat, fixture.nowMs);
   }
 
   @Test
   void theNewestReportOfAMachineWithRoomIsWorthHolding() {
-    Heartbeat older = site.report(OptionalDouble.empty());
-    assertTrue(worthHolding(older));
-    Heartbeat newer = site.report(OptionalDouble.empty());
-    assertFalse(worthHolding(older));
-    assertTrue(worthHolding(newer));
+    Heartbeat older = fixture.heartbeat(OptionalDouble.empty());
+    assertTrue(isWorthDelaying(older));
+    Heartbeat newer = fixture.heartbeat(OptionalDouble.empty());
+    assertFalse(isWorthDelaying(older));
+    assertTrue(isWorthDelaying(newer));
   }
 
   @Test
   void aMachineThatIsFullOrTakenBackIsAnsweredAtOnce() {
-    Heartbeat report = site.report(OptionalDouble.empty());
+    Heartbeat heartbeat = fixture.heartbeat(OptionalDouble.empty());
     for (int i = 0; i < 4; i++) {
-      site.place();
+      fixture.place();
     }
-    assertFalse(worthHolding(report), "all four cores are taken");
+    assertFalse(isWorthDelaying(heartbeat), "all four cores are taken");
     SingleMachineFixture recalled = new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
-    Heartbeat notice = recalled.report(OptionalDouble.of(20));
-    assertFalse(held.isWorthDelaying(recalled.machine(), notice, recalled.nowMs));
+    Heartbeat notice = recalled.heartbeat(OptionalDouble.of(20));
+    assertFalse(delayed.isWorthDelaying(recalled.machine(), notice, recalled.nowMs));
   }
 
   @Test
   void aLaunchGoesOutAsSoonAsItIsDurableAndNotBefore() {
-    holdOne();
-    Placement placement = site.place();
-    held.releaseDue();
-    assertEquals(List.of(), replies);
-    placement.markRecorded(site.nowMs);
-    held.releaseDue();
+    delayOne();
+    Placement placement = fixture.place();
+    delayed.releaseDue();
+    assertEquals(List.of(), responses);
+    placement.markRecorded(fixture.nowMs);
+    delayed.releaseDue();
     assertEquals(
         List.of(new WorkerCommand.Launch("job", placement.task(), placement.attempt())),
-        replies.get(0).commands());
+        responses.get(0).commands());
     assertEquals(Placement.Phase.SENT, placement.phase());
   }
 
   @Test
   void withoutOrdersTheAnswerGoesOutWhenItsTimeIsOver() {
-    holdOne();
-    site.nowMs += HOLD_MS - 1;
-    held.releaseDue();
-    assertEquals(0, replies.size());
-    site.nowMs += 1;
-    held.releaseDue();
-    assertEquals(List.of(), replies.get(0).commands());
+    delayOne();
+    fixture.nowMs += MAX_DELAY_MS - 1;
+    delayed.releaseDue();
+    assertEquals(0, responses.size());
+    fixture.nowMs += 1;
+    delayed.releaseDue();
+    assertEquals(List.of(), responses.get(0).commands());
   }
 
   /** A leader that is not sure of its lead would launch what another one has placed elsewhere. */
   @Test
   void withoutASureLeadTheAnswerGoesOutAtOnceAndLaunchesNothing() {
-    holdOne();
+    delayOne();
     Placement placement = recorded();
-    site.mayDecide = false;
-    held.releaseDue();
-    assertEquals(List.of(), replies.get(0).commands());
+    fixture.authoritative = false;
+    delayed.releaseDue();
+    assertEquals(List.of(), responses.get(0).commands());
     assertEquals(Placement.Phase.READY, placement.phase());
   }
 
   @Test
   void anAnswerToAReportThatIsNoLongerTheNewestLaunchesNothing() {
-    holdOne();
-    site.mayDecide = false;
-    site.report(OptionalDouble.empty());
-    site.mayDecide = true;
+    delayOne();
+    fixture.authoritative = false;
+    fixture.heartbeat(OptionalDouble.empty());
+    fixture.authoritative = true;
     Placement placement = recorded();
-    held.release(SingleMachineFixture.HOST);
-    assertEquals(List.of(), replies.get(0).commands());
+    delayed.release(SingleMachineFixture.HOST);
+    assertEquals(List.of(), responses.get(0).commands());
     assertEquals(Placement.Phase.READY, placement.phase());
   }
 
   @Test
   void eachIsAnsweredOnce() {
-    holdOne();
-    held.release(SingleMachineFixture.HOST);
-    held.release(SingleMachineFixture.HOST);
-    held.releaseAll();
-    assertEquals(1, replies.size());
+    delayOne();
+    delayed.release(SingleMachineFixture.HOST);
+    delayed.release(SingleMachineFixture.HOST);
+    delayed.releaseAll();
+    assertEquals(1, responses.size());
   }
 
   @Test
   void allAreAnsweredWhenTheTermEnds() {
-    holdOne();
-    held.releaseAll();
-    assertEquals(1, replies.size());
+    delayOne();
+    delayed.releaseAll();
+    assertEquals(1, responses.size());
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
+++ b/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
@@ -18,14 +18,15 @@
 
   @ParameterizedTest
   @CsvSource({"1048576, 0", "1048600, 0", "2097151, 0", "2097152, 1"})
-  void countsCommandsThatALaterTermsTokenRefused(long warrant, long expected) {
-    FencingRejections refused = new FencingRejections();
-    Heartbeat report =
-        new Heartbeat("i-1", "", "t", "a", true, 1, 1, warrant, OptionalDouble.empty(), List.of());
-    WorkerClient answering =
-        (address, token, tenure, orders, then) -> then.accept(Optional.of(report));
-    new FencedWorkerClient(answering, TERM, refused)
+  void countsCommandsThatALaterTermsTokenRefused(long fencingToken, long expected) {
+    FencingRejections rejections = new FencingRejections();
+    Heartbeat heartbeat =
+        new Heartbeat(
+            "i-1", "", "t", "a", true, 1, 1, fencingToken, OptionalDouble.empty(), List.of());
+    WorkerClient workers =
+        (address, token, agentEpoch, commands, then) -> then.accept(Optional.of(heartbeat));
+    new FencedWorkerClient(workers, TERM, rejections)
         .send("", TERM.fencingToken(), 1, List.of(), r -> {});
-    assertEquals(expected, refused.count(FencingRejections.Kind.WORKER_COMMAND));
+    assertEquals(expected, rejections.count(FencingRejections.Kind.WORKER_COMMAND));
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
+++ b/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
@@ -32,10 +32,10 @@
   private static final int MACHINES = 100;
 
   private final Settings settings = settings();
-  private final MachineRegistry fleet;
-  private final HeartbeatHandler reportHandler;
-  private LeaderConnectivity reach;
-  private long tally;
+  private final MachineRegistry machines;
+  private final HeartbeatHandler heartbeatHandler;
+  private LeaderConnectivity connectivity;
+  private long sequence;
   private boolean listRead;
 
   LeaderConnectivityTest() {
@@ -43,14 +43,14 @@
     catalogue.update(
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
-    fleet =
+    machines =
         new MachineRegistry(
             catalogue,
             new TeamUsage(settings.teams()),
             SafetyTiming.of(settings.workers(), 1),
             TERM);
-    reportHandler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
-    reach = new LeaderConnectivity(fleet, TERM, settings, () -> listRead, 0);
+    heartbeatHandler = NoOpHeartbeatListener.reportHandler(machines, TERM);
+    connectivity = new LeaderConnectivity(machines, TERM, settings, () -> listRead, 0);
   }
 
   private static Settings settings() {
@@ -74,9 +74,9 @@
   }
 
   /** All report, each at its own moment of the three seconds before. */
-  private void reports(int machine, long warrant, long nowMs) {
-    reach.recordHeartbeat(nowMs);
-    reportHandler.handle(
+  private void heartbeat(int machine, long fencingToken, long nowMs) {
+    connectivity.recordHeartbeat(nowMs);
+    heartbeatHandler.handle(
         new Heartbeat(
             "i-" + machine,
             "",
@@ -84,136 +84,136 @@
             "a",
             true,
             1,
-            ++tally,
-            warrant,
+            ++sequence,
+            fencingToken,
             OptionalDouble.empty(),
             List.of()),
         nowMs);
   }
 
   /** Looks every 400 ms while the machines report; true if there ever was trouble. */
-  private boolean troubled(long fromMs, long toMs, boolean heard, long warrant) {
-    boolean trouble = false;
-    for (long t = fromMs; t < toMs; t += 30) {
-      if (heard) {
-        reports((int) (t / 30 % MACHINES), warrant, t);
+  private boolean stepsDown(long fromMs, long toMs, boolean reporting, long fencingToken) {
+    boolean steppedDown = false;
+    for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
+      if (reporting) {
+        heartbeat((int) (nowMs / 30 % MACHINES), fencingToken, nowMs);
       }
-      if (t % 390 == 0) {
-        trouble |= reach.reasonToStepDown(t).isPresent();
+      if (nowMs % 390 == 0) {
+        steppedDown |= connectivity.reasonToStepDown(nowMs).isPresent();
       }
     }
-    return trouble;
+    return steppedDown;
   }
 
   @Test
   void whoseMachinesReportAndHearHasNoTrouble() {
-    assertFalse(troubled(0, 60_000, true, 7));
+    assertFalse(stepsDown(0, 60_000, true, 7));
   }
 
   @Test
   void whoseMachinesAllFallSilentIsInTroubleBeforeAnyLeaseEnds() {
-    troubled(0, 30_000, true, 7);
-    assertFalse(troubled(30_000, 33_000, false, 7));
-    assertTrue(troubled(33_000, 36_000, false, 7));
+    stepsDown(0, 30_000, true, 7);
+    assertFalse(stepsDown(30_000, 33_000, false, 7));
+    assertTrue(stepsDown(33_000, 36_000, false, 7));
   }
 
   @Test
   void machinesThatAskOthersMeanwhileMakeItClearSooner() {
-    troubled(0, 30_000, true, 7);
-    reach.misdirectedHeartbeats(31_500, 40);
-    assertTrue(troubled(30_000, 32_500, false, 7));
+    stepsDown(0, 30_000, true, 7);
+    connectivity.misdirectedHeartbeats(31_500, 40);
+    assertTrue(stepsDown(30_000, 32_500, false, 7));
   }
 
   @Test
   void strayReportsAloneAreNoTroubleWhileTheirSendersAreHeardAndFew() {
-    troubled(0, 30_000, true, 7);
-    reach.misdirectedHeartbeats(30_000, 40);
-    assertFalse(troubled(30_000, 36_000, true, 7));
-    reach.misdirectedHeartbeats(36_000, 70);
-    assertTrue(troubled(36_000, 37_000, true, 7), "most of them have had answers and ask others");
+    stepsDown(0, 30_000, true, 7);
+    connectivity.misdirectedHeartbeats(30_000, 40);
+    assertFalse(stepsDown(30_000, 36_000, true, 7));
+    connectivity.misdirectedHeartbeats(36_000, 70);
+    assertTrue(stepsDown(36_000, 37_000, true, 7), "most of them have had answers and ask others");
   }
 
   @Test
   void whoStoodStillListensAnewBeforeItCallsAnybodySilent() {
-    troubled(0, 30_000, true, 7);
-    reach.misdirectedHeartbeats(33_000, 300);
+    stepsDown(0, 30_000, true, 7);
+    connectivity.misdirectedHeartbeats(33_000, 300);
     // It stood still; what came meanwhile is not read yet.
-    assertFalse(troubled(35_100, 38_000, false, 7));
-    assertFalse(troubled(38_010, 60_000, true, 7));
+    assertFalse(stepsDown(35_100, 38_000, false, 7));
+    assertFalse(stepsDown(38_010, 60_000, true, 7));
   }
 
   /** Leaders that change in a circle would never prove machines gone that are gone. */
   @Test
   void whereTheLeadChangesOftenWhoHearsNothingWaitsForTheProof() {
     for (int m = 0; m < MACHINES; m++) {
-      fleet.adopt("i-" + m, "t", "a", true, 0);
+      machines.adopt("i-" + m, "t", "a", true, 0);
     }
     JobSpec spec =
         JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, MACHINES, 1, 1, 10, 0);
     Job job = new Job(spec, 0, MACHINES, 0, new BitSet(), -1, 1);
-    for (Machine m : List.copyOf(fleet.all())) {
+    for (Machine m : List.copyOf(machines.all())) {
       int task = job.activePlacements().size();
-      fleet.addPlacement(new Placement(job, task, task + 1, m, 1, Placement.Phase.RECOVERED));
+      machines.addPlacement(new Placement(job, task, task + 1, m, 1, Placement.Phase.RECOVERED));
     }
-    assertTrue(troubled(0, 20_000, false, 7), "the first ones look for a better one soon");
-    reach = new LeaderConnectivity(fleet, TERM, settings, () -> listRead, 40_000);
-    assertFalse(troubled(0, 39_000, false, 7));
-    assertTrue(troubled(39_000, 42_000, false, 7));
+    assertTrue(stepsDown(0, 20_000, false, 7), "the first ones look for a better one soon");
+    connectivity = new LeaderConnectivity(machines, TERM, settings, () -> listRead, 40_000);
+    assertFalse(stepsDown(0, 39_000, false, 7));
+    assertTrue(stepsDown(39_000, 42_000, false, 7));
   }
 
   @Test
   void whoseAnswersNeverArriveIsInTrouble() {
-    assertTrue(troubled(0, 30_000, true, 3), "they report under an older token for ever");
+    assertTrue(stepsDown(0, 30_000, true, 3), "they report under an older token for ever");
   }
 
   /** Six machines on which earlier leaders recorded tasks; none of them is ever heard. */
-  private void recorded() {
+  private void addMachinesKnownFromRecordsOnly() {
     JobSpec spec = JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 6, 4, 1, 20, 0);
     Job job = new Job(spec, 0, 80, 0, new BitSet(), -1, 1);
     for (int i = 0; i < 6; i++) {
-      Machine m = fleet.adopt("i-" + i, "t", "a", true, 0).orElseThrow();
-      fleet.addPlacement(new Placement(job, i, 100 + i, m, 1, Placement.Phase.RECOVERED));
+      Machine m = machines.adopt("i-" + i, "t", "a", true, 0).orElseThrow();
+      machines.addPlacement(new Placement(job, i, 100 + i, m, 1, Placement.Phase.RECOVERED));
     }
   }
 
   @Test
   void machinesThatAreInRecordsOnlyAreNotMissed() {
-    recorded();
+    addMachinesKnownFromRecordsOnly();
     listRead = true;
-    assertFalse(troubled(0, 40_000, false, 7), "nobody else would hear them either");
+    assertFalse(stepsDown(0, 40_000, false, 7), "nobody else would hear them either");
   }
 
   @Test
   void machinesThatAreListedOrMayBeAreMissed() {
-    recorded();
-    assertTrue(troubled(0, 39_000, false, 7), "no list was read");
+    addMachinesKnownFromRecordsOnly();
+    assertTrue(stepsDown(0, 39_000, false, 7), "no list was read");
     listRead = true;
-    fleet.all().forEach(m -> m.listedAt(0));
-    assertTrue(troubled(39_000, 78_000, false, 7));
+    machines.all().forEach(m -> m.listedAt(0));
+    assertTrue(stepsDown(39_000, 78_000, false, 7));
   }
 
   @Test
   void lateReportsOfMachinesThatAreGoneAreNoSignOfLostAnswers() {
-    troubled(0, 30_000, true, 7);
+    stepsDown(0, 30_000, true, 7);
     for (int i = 0; i < 10 * MACHINES; i++) {
-      Machine gone = fleet.adopt("gone-" + i, "t", "a", true, 30_000).orElseThrow();
-      fleet.confirmTermination(gone.host(), 30_000);
+      Machine gone = machines.adopt("gone-" + i, "t", "a", true, 30_000).orElseThrow();
+      machines.confirmTermination(gone.host(), 30_000);
     }
-    assertFalse(troubledByStrays(30_000, 60_000), "they are of machines that are gone");
-    assertTrue(troubledByStrays(120_000, 150_000), "no late ones come any more");
+    assertFalse(stepsDownWhileMisdirected(30_000, 60_000), "they are of machines that are gone");
+    assertTrue(stepsDownWhileMisdirected(120_000, 150_000), "no late ones come any more");
   }
 
-  private boolean troubledByStrays(long fromMs, long toMs) {
-    boolean trouble = false;
+  private boolean stepsDownWhileMisdirected(long fromMs, long toMs) {
+    boolean steppedDown = false;
     for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
-      reports((int) (nowMs / 30 % MACHINES), 7, nowMs);
+      heartbeat((int) (nowMs / 30 % MACHINES), 7, nowMs);
       if (nowMs % 120 == 0) {
-        reach.misdirectedHeartbeats(nowMs, 2);
+        connectivity.misdirectedHeartbeats(nowMs, 2);
       }
       if (nowMs % 390 == 0) {
-        trouble |= reach.reasonToStepDown(nowMs).isPresent();
+        steppedDown |= connectivity.reasonToStepDown(nowMs).isPresent();
       }
     }
-    return trouble;
+    return steppedDown;
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
+++ b/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
@@ -28,7 +28,7 @@
 /** A job presses as the jobs that need it do, from when they come until they are over. */
 class PriorityInheritanceTest {
   private static final long ACCEPTED = 5_000_000;
-  private static final ServiceLevelObjectives AIMS =
+  private static final ServiceLevelObjectives OBJECTIVES =
       new ServiceLevelObjectives(
           List.of(new Settings.Objective("deadline", "publish", 0.9, 1.5, 0)));
 
@@ -37,14 +37,14 @@
   private final List<String> read = new ArrayList<>();
   private final RuntimeEstimates estimates = new RuntimeEstimates();
   private final JobTable jobs;
-  private final PriorityInheritance passedBack;
+  private final PriorityInheritance inheritance;
   private long nowMs = 1_000;
 
   PriorityInheritanceTest() {
     Replica none = new Replica(new EventLoop(), null, "x/", 700);
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
     jobs = new JobTable(none, new AcceptedJobIndex(none), new Catalogue(List.of("a")), teams);
-    passedBack =
+    inheritance =
         new PriorityInheritance(
             graph,
             uid -> {
@@ -53,48 +53,53 @@
             },
             jobs,
             estimates,
-            AIMS);
+            OBJECTIVES);
   }
 
-  private void accepted(
-      String uid, String jobClass, Priority urgency, double runS, double dueS, String... awaits) {
-    JobSpec spec = JobSpecFixtures.batch(uid, jobClass, "red", urgency, 2, 1, 1, runS, dueS);
+  private void accept(
+      String uid,
+      String jobClass,
+      Priority priority,
+      double runS,
+      double deadlineS,
+      String... dependencies) {
+    JobSpec spec = JobSpecFixtures.batch(uid, jobClass, "red", priority, 2, 1, 1, runS, deadlineS);
     records.put(uid, new JobRecord(spec, ACCEPTED, 50));
-    if (awaits.length > 0) {
-      graph.put(uid, List.of(awaits));
+    if (dependencies.length > 0) {
+      graph.put(uid, List.of(dependencies));
     }
-    passedBack.changed();
+    inheritance.changed();
   }
 
-  private Job table(String uid) {
+  private Job addToTable(String uid) {
     return jobs.add(new AcceptedJobIndex.AcceptedJob(uid, records.get(uid).encode(), 1, "k"))
         .orElseThrow();
   }
 
   private void update() {
     nowMs += 40;
-    passedBack.update(nowMs);
+    inheritance.update(nowMs);
   }
 
   @Test
   void theLastJobsDueTimeAndUrgencyReachTheFirstUntilItIsCancelled() {
-    accepted("index", "index", Priority.BEST_EFFORT, 10, 0);
-    Job index = table("index");
+    accept("index", "index", Priority.BEST_EFFORT, 10, 0);
+    Job index = addToTable("index");
     update();
     assertEquals(Priority.BEST_EFFORT, index.priority());
     assertEquals(OptionalDouble.empty(), index.deadlineS());
-    accepted("compare", "compare", Priority.BEST_EFFORT, 25, 0, "index");
-    accepted("draft", "draft", Priority.NORMAL, 20, 0, "compare");
+    accept("compare", "compare", Priority.BEST_EFFORT, 25, 0, "index");
+    accept("draft", "draft", Priority.NORMAL, 20, 0, "compare");
     update();
     assertEquals(Priority.NORMAL, index.priority());
     assertEquals(OptionalDouble.empty(), index.deadlineS());
-    accepted("publish", "publish", Priority.HIGH, 8, 200, "draft");
+    accept("publish", "publish", Priority.HIGH, 8, 200, "draft");
     update();
     assertEquals(Priority.HIGH, index.priority());
     assertEquals(OptionalDouble.of(200 - 8 - 20 - 25), index.deadlineS());
     assertEquals(OptionalDouble.of(300 - 8 - 20 - 25), index.latestDeadlineS());
     graph.cancelled("publish");
-    passedBack.changed();
+    inheritance.changed();
     update();
     assertEquals(Priority.NORMAL, index.priority());
     assertEquals(OptionalDouble.empty(), index.deadlineS());
@@ -103,11 +108,11 @@
 
   @Test
   void theMostUrgentAndTheEarliestCountWhereBranchesMeet() {
-    accepted("index", "index", Priority.BEST_EFFORT, 10, 0);
-    Job index = table("index");
-    accepted("left", "left", Priority.HIGH, 50, 0, "index");
-    accepted("right", "right", Priority.NORMAL, 5, 100, "index");
-    accepted("publish", "publish", Priority.NORMAL, 8, 120, "left", "right");
+    accept("index", "index", Priority.BEST_EFFORT, 10, 0);
+    Job index = addToTable("index");
+    accept("left", "left", Priority.HIGH, 50, 0, "index");
+    accept("right", "right", Priority.NORMAL, 5, 100, "index");
+    accept("publish", "publish", Priority.NORMAL, 8, 120, "left", "right");
     update();
     assertEquals(Priority.HIGH, index.priority());
     assertEquals(OptionalDouble.of(120 - 8 - 50), index.deadlineS());
@@ -117,13 +122,13 @@
 
   @Test
   void correctedEstimatesMoveItNowAndThenAndNothingIsReadTwice() {
-    accepted("index", "index", Priority.BEST_EFFORT, 10, 0);
-    Job index = table("index");
-    accepted("compare", "compare", Priority.BEST_EFFORT, 20, 0, "index");
-    accepted("publish", "publish", Priority.HIGH, 8, 100, "compare");
+    accept("index", "index", Priority.BEST_EFFORT, 10, 0);
+    Job index = addToTable("index");
+    accept("compare", "compare", Priority.BEST_EFFORT, 20, 0, "index");
+    accept("publish", "publish", Priority.HIGH, 8, 100, "compare");
     update();
     assertEquals(OptionalDouble.of(72), index.deadlineS());
-    estimates.observed(table("compare"), 30);
+    estimates.observed(addToTable("compare"), 30);
     update();
     assertEquals(OptionalDouble.of(72), index.deadlineS(), "not worked out at every turn");
     nowMs += 5_000;
--- a/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
+++ b/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
@@ -52,13 +52,13 @@
   }
 
   final Scheduler scheduler = new StillScheduler();
-  final MachineRegistry fleet;
+  final MachineRegistry machines;
   final HeartbeatHandler handler;
   final Job job;
   long nowMs = 1_000;
-  boolean mayDecide = true;
+  boolean authoritative = true;
   private long attempts;
-  private long tally;
+  private long sequence;
 
   SingleMachineFixture(JobSpec spec) {
     Catalogue catalogue = new Catalogue(List.of("a"));
@@ -66,7 +66,7 @@
         List.of(
             new MachineType("t", Resources.offered(4, 0, 16), 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
-    fleet =
+    machines =
         new MachineRegistry(
             catalogue, teams, SafetyTiming.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
     BitSet types = new BitSet();
@@ -74,9 +74,9 @@
     job = new Job(spec, 0, 8, 0, types, -1, 1);
     handler =
         new HeartbeatHandler(
-            fleet,
+            machines,
             TERM,
-            () -> mayDecide,
+            () -> authoritative,
             uid -> Optional.of(job),
             uid -> Optional.empty(),
             (j, task) -> false,
@@ -87,7 +87,7 @@
    * @param expectedS 0 for a service
    * @param saveCostS 0 for what never saves
    */
-  static JobSpec spec(double expectedS, double saveCostS) {
+  static JobSpec spec(double expectedS, double checkpointCostS) {
     return new JobSpec(
         "job",
         "c",
@@ -106,23 +106,32 @@
         "image",
         1,
         expectedS,
-        saveCostS > 0 ? 5 : 0,
-        saveCostS,
+        checkpointCostS > 0 ? 5 : 0,
+        checkpointCostS,
         OptionalDouble.empty(),
         List.of());
   }
 
   Machine machine() {
-    return fleet.get(HOST).orElseThrow();
+    return machines.get(HOST).orElseThrow();
   }
 
   /** The machine's next report, which the handler takes in. */
-  Heartbeat report(OptionalDouble recallS, Heartbeat.TaskStatus... items) {
-    Heartbeat report =
+  Heartbeat heartbeat(OptionalDouble spotNoticeS, Heartbeat.TaskStatus... tasks) {
+    Heartbeat heartbeat =
         new Heartbeat(
-            HOST, "", "t", "a", true, 1, ++tally, TERM.fencingToken(), recallS, List.of(items));
-    handler.handle(report, nowMs);
-    return report;
+            HOST,
+            "",
+            "t",
+            "a",
+            true,
+            1,
+            ++sequence,
+            TERM.fencingToken(),
+            spotNoticeS,
+            List.of(tasks));
+    handler.handle(heartbeat, nowMs);
+    return heartbeat;
   }
 
   /** Places the next task; its intent is not durable yet. */
@@ -130,14 +139,14 @@
     int task = (int) attempts;
     Placement placement =
         new Placement(job, task, ++attempts, machine(), 1, Placement.Phase.INTENT);
-    fleet.addPlacement(placement);
+    machines.addPlacement(placement);
     return placement;
   }
 
   /** Places the next task, and has a report show it running from now on. */
   Placement run() {
     Placement placement = place();
-    report(
+    heartbeat(
         OptionalDouble.empty(),
         new Heartbeat.TaskStatus(
             "job",
--- a/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
+++ b/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
@@ -16,18 +16,18 @@
   private final SpotDrain drain = new SpotDrain(new RuntimeEstimates());
 
   /** A task that has run for so long, on a machine that has so long left. */
-  private Placement drained(JobSpec spec, double ranS, double leftS) {
-    SingleMachineFixture site = new SingleMachineFixture(spec);
-    site.report(OptionalDouble.empty());
-    Placement placement = site.run();
-    site.nowMs += Math.round(ranS * 1_000);
-    notice(site, placement, leftS);
+  private Placement drained(JobSpec spec, double ranS, double noticeS) {
+    SingleMachineFixture fixture = new SingleMachineFixture(spec);
+    fixture.heartbeat(OptionalDouble.empty());
+    Placement placement = fixture.run();
+    fixture.nowMs += Math.round(ranS * 1_000);
+    notice(fixture, placement, noticeS);
     return placement;
   }
 
-  private void notice(SingleMachineFixture site, Placement placement, double leftS) {
-    site.report(
-        OptionalDouble.of(leftS),
+  private void notice(SingleMachineFixture fixture, Placement placement, double noticeS) {
+    fixture.heartbeat(
+        OptionalDouble.of(noticeS),
         new Heartbeat.TaskStatus(
             "job",
             placement.task(),
@@ -35,7 +35,7 @@
             Heartbeat.Phase.RUNNING,
             Heartbeat.ExitReason.NONE,
             false));
-    drain.drain(site.machine(), site.nowMs);
+    drain.drain(fixture.machine(), fixture.nowMs);
   }
 
   @Test
@@ -79,12 +79,12 @@
 
   @Test
   void laterReportsOfTheNoticeDoNotCutASaveShort() {
-    SingleMachineFixture site = new SingleMachineFixture(SingleMachineFixture.spec(60, 2));
-    site.report(OptionalDouble.empty());
-    Placement placement = site.run();
-    notice(site, placement, 10);
-    site.nowMs += 8_500;
-    notice(site, placement, 1.5);
+    SingleMachineFixture fixture = new SingleMachineFixture(SingleMachineFixture.spec(60, 2));
+    fixture.heartbeat(OptionalDouble.empty());
+    Placement placement = fixture.run();
+    notice(fixture, placement, 10);
+    fixture.nowMs += 8_500;
+    notice(fixture, placement, 1.5);
     assertEquals(4, placement.gracePeriodS());
   }
 }
--- a/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
@@ -23,31 +23,33 @@
 
   /** Records come in pieces of any size, as TCP has it. */
   @Test
-  void recordsSurviveAnyCutOfTheStream() throws PeerCodec.Broken {
+  void recordsSurviveAnyCutOfTheStream() throws PeerCodec.MalformedFrameException {
     Random random = new Random(1);
     List<PeerMessage> sent = new ArrayList<>();
-    List<PeerMessage> got = new ArrayList<>();
+    List<PeerMessage> decoded = new ArrayList<>();
     ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_LENGTH);
     for (int i = 0; i < 500; i++) {
-      PeerMessage record = ALL.get(random.nextInt(ALL.size()));
-      sent.add(record);
-      byte[] frame = PeerCodec.encode(record);
+      PeerMessage message = ALL.get(random.nextInt(ALL.size()));
+      sent.add(message);
+      byte[] frame = PeerCodec.encode(message);
       for (int from = 0; from < frame.length; ) {
-        int n = Math.min(frame.length - from, 1 + random.nextInt(20));
-        received.put(frame, from, n);
-        from += n;
+        int count = Math.min(frame.length - from, 1 + random.nextInt(20));
+        received.put(frame, from, count);
+        from += count;
         received.flip();
-        for (int l = PeerCodec.wholeFrame(received); l >= 0; l = PeerCodec.wholeFrame(received)) {
-          PeerCodec.take(received, l).ifPresent(got::add);
+        for (int length = PeerCodec.wholeFrame(received);
+            length >= 0;
+            length = PeerCodec.wholeFrame(received)) {
+          PeerCodec.take(received, length).ifPresent(decoded::add);
         }
         received.compact();
       }
     }
-    assertEquals(sent, got);
+    assertEquals(sent, decoded);
   }
 
   @Test
-  void anotherVersionOrKindIsPassedOver() throws PeerCodec.Broken {
+  void anotherVersionOrKindIsPassedOver() throws PeerCodec.MalformedFrameException {
     byte[] frame = PeerCodec.encode(ALL.get(0));
     frame[4] = 99;
     ByteBuffer received = ByteBuffer.wrap(frame);
@@ -63,11 +65,11 @@
   @Test
   void whatIsNotOursEndsTheConnection() {
     ByteBuffer http = ByteBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes());
-    assertThrows(PeerCodec.Broken.class, () -> PeerCodec.wholeFrame(http));
+    assertThrows(PeerCodec.MalformedFrameException.class, () -> PeerCodec.wholeFrame(http));
     byte[] frame = PeerCodec.encode(ALL.get(0));
     frame[7] = (byte) 200;
     assertThrows(
-        PeerCodec.Broken.class,
+        PeerCodec.MalformedFrameException.class,
         () -> {
           ByteBuffer received = ByteBuffer.wrap(frame);
           PeerCodec.take(received, PeerCodec.wholeFrame(received));
--- a/src/test/java/org/ploverspindle/peers/PeerServerTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerServerTest.java
@@ -22,27 +22,27 @@
 /** Doors of controllers over real sockets on loopback. */
 class PeerServerTest {
   private final EventLoop loop = new EventLoop();
-  private final BlockingQueue<PeerMessage> heard = new LinkedBlockingQueue<>();
+  private final BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
   private XnioWorker worker;
-  private PeerServer hearing;
-  private PeerServer telling;
+  private PeerServer receiver;
+  private PeerServer sender;
 
   @BeforeEach
   void open() throws Exception {
     worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
     loop.start();
     Address any = new Address("127.0.0.1", 0);
-    hearing = new PeerServer(loop, worker, any, List.of(), heard::add);
-    hearing.open();
-    Settings.Member to = new Settings.Member("n1", "a", new Address("127.0.0.1", hearing.port()));
+    receiver = new PeerServer(loop, worker, any, List.of(), received::add);
+    receiver.open();
+    Settings.Member to = new Settings.Member("n1", "a", new Address("127.0.0.1", receiver.port()));
     Settings.Member refuses = new Settings.Member("n2", "a", new Address("127.0.0.1", 1));
-    telling = new PeerServer(loop, worker, any, List.of(to, refuses), r -> {});
+    sender = new PeerServer(loop, worker, any, List.of(to, refuses), r -> {});
   }
 
   @AfterEach
   void close() {
-    telling.close();
-    hearing.close();
+    sender.close();
+    receiver.close();
     loop.close();
     worker.shutdownNow();
   }
@@ -51,22 +51,22 @@
   void recordsArriveInOrderAlthoughAnotherPeerRefuses() throws Exception {
     PeerMessage first = new PeerMessage.Leading("n0", 5);
     PeerMessage second = new PeerMessage.StateChanged("n0");
-    telling.broadcast(first);
-    telling.send("n1", second);
-    telling.send("nobody", second);
-    assertEquals(first, heard.poll(20, TimeUnit.SECONDS));
-    assertEquals(second, heard.poll(20, TimeUnit.SECONDS));
+    sender.broadcast(first);
+    sender.send("n1", second);
+    sender.send("nobody", second);
+    assertEquals(first, received.poll(20, TimeUnit.SECONDS));
+    assertEquals(second, received.poll(20, TimeUnit.SECONDS));
   }
 
   @Test
   void aConnectionWithSomethingElseIsEndedAndOthersGoOn() throws Exception {
-    try (Socket stranger = new Socket("127.0.0.1", hearing.port())) {
-      OutputStream out = stranger.getOutputStream();
+    try (Socket socket = new Socket("127.0.0.1", receiver.port())) {
+      OutputStream out = socket.getOutputStream();
       out.write("GET / HTTP/1.1\r\n\r\n".getBytes());
-      assertEquals(-1, stranger.getInputStream().read());
+      assertEquals(-1, socket.getInputStream().read());
     }
-    PeerMessage record = new PeerMessage.Resigned("n0", 9);
-    telling.send("n1", record);
-    assertEquals(record, heard.poll(20, TimeUnit.SECONDS));
+    PeerMessage message = new PeerMessage.Resigned("n0", 9);
+    sender.send("n1", message);
+    assertEquals(message, received.poll(20, TimeUnit.SECONDS));
   }
 }
