--- a/src/main/java/org/ploverspindle/controller/Controller.java
+++ b/src/main/java/org/ploverspindle/controller/Controller.java
@@ -118,18 +118,11 @@
     this.leaderContext =
         new LeaderContext(
             loop,
-            new FencedStore(store, Keys.LEADER, refused),
-            replica,
-            specs,
-            pipelines,
-            cloud,
-            workers,
-            catalogue,
-            settings,
-            policy,
-            timing,
             random,
-            writes,
+            new LeaderContext.StateAccess(
+                new FencedStore(store, Keys.LEADER, refused), replica, specs, pipelines, writes),
+            new LeaderContext.ExternalServices(cloud, workers),
+            new LeaderContext.Configuration(settings, policy, timing, catalogue),
             refused);
   }
 
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/HighPriorityHeadroom.java
@@ -0,0 +1,70 @@
+package org.ploverspindle.leadership;
+
+import java.util.Optional;
+import java.util.function.Predicate;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.MachineRegistry;
+import org.ploverspindle.eventloop.Scheduler;
+import org.ploverspindle.placement.Placer;
+
+/**
+ * Keeps enough machines for the next high-priority job: without that capacity it would wait for a
+ * machine to boot.
+ */
+final class HighPriorityHeadroom {
+  /** A machine whose last heartbeat is older does not count as capacity. */
+  static final long MAX_HEARTBEAT_AGE_MS = 60_000;
+
+  private final Scheduler scheduler;
+  private final MachineRegistry machines;
+  private final JobArrivals arrivals;
+
+  HighPriorityHeadroom(Scheduler scheduler, MachineRegistry machines, JobArrivals arrivals) {
+    this.scheduler = scheduler;
+    this.machines = machines;
+    this.arrivals = arrivals;
+  }
+
+  /**
+   * For one idle machine after the other: can it go and leave capacity for the next high-priority
+   * job, given those that were found surplus before it?
+   */
+  Predicate<Machine> surplus() {
+    Optional<Job> expected = arrivals.expectedHighPriorityJob();
+    return expected.isPresent() ? new SurplusBeyond(expected.get()) : machine -> true;
+  }
+
+  private int capacityFor(Job job, Machine machine) {
+    return machine.isSchedulable(scheduler.nowMs(), MAX_HEARTBEAT_AGE_MS)
+            && Placer.allows(job, machine)
+        ? machine.free().times(job.perTask())
+        : 0;
+  }
+
+  private final class SurplusBeyond implements Predicate<Machine> {
+    private final Job expected;
+
+    /** Tasks of the expected job that fit, beyond all of its own, on the machines that stay. */
+    private long surplusTasks;
+
+    SurplusBeyond(Job expected) {
+      this.expected = expected;
+      long capacity = 0;
+      for (Machine machine : machines.all()) {
+        capacity += capacityFor(expected, machine);
+      }
+      this.surplusTasks = capacity - expected.spec().tasks();
+    }
+
+    @Override
+    public boolean test(Machine machine) {
+      int tasks = capacityFor(expected, machine);
+      if (surplusTasks < tasks) {
+        return tasks == 0;
+      }
+      surplusTasks -= tasks;
+      return true;
+    }
+  }
+}
--- a/src/main/java/org/ploverspindle/leadership/JobIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/JobIntake.java
@@ -1,15 +1,10 @@
 package org.ploverspindle.leadership;
 
-import java.util.List;
 import java.util.Optional;
-import org.ploverspindle.cloud.Autoscaler;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.JobTable;
-import org.ploverspindle.cluster.MachineRegistry;
-import org.ploverspindle.cluster.Placement;
 import org.ploverspindle.eventloop.Cancellable;
 import org.ploverspindle.eventloop.CancellableGroup;
-import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.pipelines.DependencyGraph;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.progress.ProgressWriter;
@@ -21,104 +16,98 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes in jobs as any node accepts or cancels them, and as their dependencies are done or will
- * never be.
+ * Adds jobs to the leader's job table and cancels them, as any controller records their acceptance
+ * or cancellation, and as their dependencies are done or can never be.
  */
 final class JobIntake {
   private static final Logger LOG = LoggerFactory.getLogger(JobIntake.class);
 
-  private final Scheduler scheduler;
   private final Pipelines pipelines;
   private final AcceptedJobIndex acceptedJobs;
   private final JobTable jobs;
-  private final MachineRegistry machines;
   private final ProgressWriter writer;
   private final JobArrivals arrivals;
-  private final TaskProgress progress;
-  private final DirectCommandSender commands;
-  private final SchedulingRounds rounds;
-  private final Autoscaler autoscaler;
+  private final JobCancellation cancellation;
+  private final Runnable onPendingTasks;
   private boolean closed;
 
+  /**
+   * @param onPendingTasks has pending tasks placed, and machines for them added, soon
+   */
   JobIntake(
-      Scheduler scheduler,
       Pipelines pipelines,
       AcceptedJobIndex acceptedJobs,
       JobTable jobs,
-      MachineRegistry machines,
       ProgressWriter writer,
       JobArrivals arrivals,
-      TaskProgress progress,
-      DirectCommandSender commands,
-      SchedulingRounds rounds,
-      Autoscaler autoscaler) {
-    this.scheduler = scheduler;
+      JobCancellation cancellation,
+      Runnable onPendingTasks) {
     this.pipelines = pipelines;
     this.acceptedJobs = acceptedJobs;
     this.jobs = jobs;
-    this.machines = machines;
     this.writer = writer;
     this.arrivals = arrivals;
-    this.progress = progress;
-    this.commands = commands;
-    this.rounds = rounds;
-    this.autoscaler = autoscaler;
+    this.cancellation = cancellation;
+    this.onPendingTasks = onPendingTasks;
   }
 
   /** Listens to the records from now on, until cancelled. */
   Cancellable start(Replica replica) {
-    CancellableGroup listening = new CancellableGroup();
-    listening.add(replica.addListener(this::recordChanged));
-    listening.add(acceptedJobs.addListener(this::accepted));
-    listening.add(pipelines.graph().listen(new GraphEvents()));
-    return listening;
+    CancellableGroup listeners = new CancellableGroup();
+    listeners.add(replica.addListener(this::recordChanged));
+    listeners.add(acceptedJobs.addListener(this::accepted));
+    listeners.add(pipelines.graph().listen(new DependencyEvents()));
+    return listeners;
   }
 
-  /** From now on nothing is taken in, also if a change is being told to its listeners just now. */
+  /**
+   * From now on changes are ignored. Cancelling the listeners is not enough: the replica may be
+   * notifying them of a change just now.
+   */
   void close() {
     closed = true;
   }
 
   private void recordChanged(String key, Optional<Entry> entry) {
     if (!closed && entry.isPresent() && key.startsWith(Keys.CANCELLATIONS)) {
-      jobs.get(key.substring(Keys.CANCELLATIONS.length())).ifPresent(this::cancel);
+      jobs.get(key.substring(Keys.CANCELLATIONS.length())).ifPresent(cancellation::cancel);
     }
   }
 
-  private void accepted(AcceptedJobIndex.AcceptedJob spec) {
+  private void accepted(AcceptedJobIndex.AcceptedJob accepted) {
     if (closed) {
       return;
     }
-    LOG.debug("job {} is here", spec.uid());
-    if (pipelines.graph().awaitsOthers(spec.uid())) {
+    LOG.debug("job accepted: job={}", accepted.uid());
+    if (pipelines.graph().awaitsOthers(accepted.uid())) {
       arrivals.dependenciesChanged();
-      if (pipelines.graph().isReady(spec.uid())) {
-        ready(spec);
+      if (pipelines.graph().isReady(accepted.uid())) {
+        dependenciesDone(accepted);
       }
       return;
     }
-    jobs.add(spec).ifPresent(arrivals::recordArrival);
-    scheduleWork();
+    jobs.add(accepted).ifPresent(arrivals::recordArrival);
+    onPendingTasks.run();
   }
 
-  /** All that the job awaited is done: it comes as a new one does. */
-  private void ready(AcceptedJobIndex.AcceptedJob spec) {
-    Optional<Job> known = jobs.get(spec.uid());
+  /** All dependencies of the job are done: it enters the job table as a new job does. */
+  private void dependenciesDone(AcceptedJobIndex.AcceptedJob accepted) {
+    Optional<Job> known = jobs.get(accepted.uid());
     if (known.isPresent()) {
-      resume(known.get());
+      unblock(known.get());
     } else {
-      jobs.add(spec)
-          .ifPresent(
-              job -> {
-                LOG.debug("what job {} awaited is done", job.uid());
-                arrivals.becameReady(job);
-              });
+      jobs.add(accepted).ifPresent(this::addedAfterDependencies);
     }
-    scheduleWork();
+    onPendingTasks.run();
   }
 
-  /** A job whose tasks were recorded before what it awaits was done: it may run on now. */
-  private void resume(Job job) {
+  private void addedAfterDependencies(Job job) {
+    LOG.debug("dependencies done: job={}", job.uid());
+    arrivals.becameReady(job);
+  }
+
+  /** A job whose tasks were recorded before its dependencies were done: it may run on now. */
+  private void unblock(Job job) {
     if (!job.blockedOnDependencies()) {
       return;
     }
@@ -128,42 +117,20 @@
     }
   }
 
-  private void scheduleWork() {
-    autoscaler.scanSoon();
-    rounds.schedule();
-  }
-
-  private void cancel(Job job) {
-    if (job.cancelled()) {
-      return;
-    }
-    job.cancel();
-    long nowMs = scheduler.nowMs();
-    for (Placement placement : List.copyOf(job.activePlacements())) {
-      if (placement.neverSent()) {
-        machines.removePlacement(placement, nowMs);
-      }
-    }
-    LOG.info("job {} is cancelled with {} tasks out", job.uid(), job.activePlacements().size());
-    commands.stopCancelled(job);
-    progress.cleanUp(job);
-    rounds.schedule();
-  }
-
-  private final class GraphEvents implements DependencyGraph.Listener {
+  private final class DependencyEvents implements DependencyGraph.Listener {
     @Override
     public void ready(String uid) {
       if (!closed) {
-        acceptedJobs.get(uid).ifPresent(JobIntake.this::ready);
+        acceptedJobs.get(uid).ifPresent(JobIntake.this::dependenciesDone);
       }
     }
 
-    /** Nothing of it has begun, unless records are damaged; others need no longer press for it. */
+    /** The job is in the table only if its records are damaged: none of its tasks may start. */
     @Override
     public void aborted(String uid) {
       if (!closed) {
         arrivals.dependenciesChanged();
-        jobs.get(uid).ifPresent(JobIntake.this::cancel);
+        jobs.get(uid).ifPresent(cancellation::cancel);
       }
     }
   }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
@@ -0,0 +1,325 @@
+package org.ploverspindle.leadership;
+
+import java.util.List;
+import java.util.Optional;
+import org.ploverspindle.cloud.Autoscaler;
+import org.ploverspindle.cluster.DirectCommands;
+import org.ploverspindle.cluster.HeartbeatHandler;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.cluster.JobTable;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.MachineRegistry;
+import org.ploverspindle.cluster.Placement;
+import org.ploverspindle.cluster.TeamUsage;
+import org.ploverspindle.eventloop.Scheduler;
+import org.ploverspindle.eventloop.TaskTimings;
+import org.ploverspindle.model.Catalogue;
+import org.ploverspindle.model.SafetyTiming;
+import org.ploverspindle.model.Term;
+import org.ploverspindle.pipelines.DependencyGraph;
+import org.ploverspindle.placement.ArrivalForecast;
+import org.ploverspindle.placement.Placer;
+import org.ploverspindle.placement.RuntimeEstimates;
+import org.ploverspindle.placement.ScaleOutPlanner;
+import org.ploverspindle.placement.ServiceLevelObjectives;
+import org.ploverspindle.progress.ProgressWriter;
+import org.ploverspindle.settings.Settings;
+import org.ploverspindle.settings.SocketBudget;
+import org.ploverspindle.state.JobRecord;
+import org.ploverspindle.state.LeaderWriter;
+import org.ploverspindle.state.SnapshotRecord;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The parts of one term's leader, wired to each other. Each part has one job and is given only what
+ * it uses; {@link Leader} starts and closes them.
+ */
+final class LeaderComponents {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderComponents.class);
+
+  /** Beyond the silence that proves tasks gone, so that the proof is used before a resignation. */
+  private static final long SILENCE_PROOF_MARGIN_MS = 4_000;
+
+  /** A response waits no longer than this, nor than this part of the heartbeat interval. */
+  private static final double MAX_RESPONSE_DELAY_S = 2;
+
+  private static final double RESPONSE_DELAY_PER_HEARTBEAT_INTERVAL = 0.6;
+
+  /** A machine that missed two heartbeats, with a margin, is given no new tasks. */
+  private static final double UNSCHEDULABLE_AFTER_INTERVALS = 2.2;
+
+  private static final double UNSCHEDULABLE_MARGIN_S = 1.5;
+  private static final double MS_PER_S = 1_000;
+
+  /** The attempts of a term are numbered in this many bits, below those of its token. */
+  private static final int ATTEMPT_BITS = 24;
+
+  private final LeaderContext context;
+  private final Scheduler scheduler;
+  private final Settings settings;
+  private final Catalogue catalogue;
+  private final SafetyTiming timing;
+  private final DependencyGraph graph;
+  private final Term term;
+  private final Election election;
+  private final TermAuthority authority;
+
+  private final RuntimeEstimates estimates = new RuntimeEstimates();
+  private final ServiceLevelObjectives objectives;
+  private final TeamUsage teams;
+  private final HeartbeatHandler heartbeatHandler;
+  private final Placer placer;
+
+  final TaskTimings timings = new TaskTimings();
+  final JobTable jobs;
+  final MachineRegistry machines;
+  final ProgressWriter writer;
+  final TaskProgress progress;
+  final LeaderConnectivity connectivity;
+  final JobArrivals arrivals;
+  final SchedulingRounds rounds;
+  final Autoscaler autoscaler;
+  final DirectCommandSender commands;
+  final DelayedResponses delayedResponses;
+  final HeartbeatIntake heartbeats;
+  final JobIntake intake;
+  final Recovery recovery;
+  final FencingTokenBroadcast tokenBroadcast;
+
+  private long lastAttempt;
+
+  /**
+   * Creates the parts in the order of their dependencies. Calls back to a later part, as from the
+   * progress writer to the command sender, happen only once the leader is started.
+   */
+  LeaderComponents(LeaderContext context, Term term, Election election, TermAuthority authority) {
+    this.context = context;
+    this.scheduler = context.scheduler();
+    this.settings = context.configuration().settings();
+    this.catalogue = context.configuration().catalogue();
+    this.timing = context.configuration().timing();
+    this.graph = context.state().pipelines().graph();
+    this.term = term;
+    this.election = election;
+    this.authority = authority;
+    this.objectives = new ServiceLevelObjectives(settings.objectives());
+    this.teams = new TeamUsage(settings.teams());
+    this.jobs =
+        new JobTable(context.state().replica(), context.state().acceptedJobs(), catalogue, teams);
+    this.machines = new MachineRegistry(catalogue, teams, timing, term);
+    this.writer = newProgressWriter();
+    this.progress = newTaskProgress();
+    this.connectivity = newConnectivity();
+    this.arrivals = newArrivals();
+    this.placer = newPlacer();
+    this.rounds = new SchedulingRounds(scheduler, placer, arrivals, timings, authority);
+    this.autoscaler = newAutoscaler();
+    this.heartbeatHandler = newHeartbeatHandler();
+    this.commands = newCommandSender();
+    this.delayedResponses = newDelayedResponses();
+    this.heartbeats = newHeartbeatIntake();
+    this.intake = newJobIntake();
+    this.recovery =
+        new Recovery(context.state().replica(), graph, jobs, machines, writer, arrivals);
+    this.tokenBroadcast =
+        new FencingTokenBroadcast(scheduler, term, timing, machines, commands, authority);
+  }
+
+  /** Counts for the status page. */
+  String status() {
+    return new LeaderStatus(jobs, machines, writer, autoscaler).toString();
+  }
+
+  // ---- recording what becomes of tasks
+
+  private ProgressWriter newProgressWriter() {
+    return new ProgressWriter(
+        scheduler,
+        context.state().store(),
+        context.state().replica(),
+        context.state().writeBudget(),
+        settings.writeLimits().txnOps(),
+        settings.writeLimits().valueBytes(),
+        term,
+        this::machineInfo,
+        new WriterEvents());
+  }
+
+  private SnapshotRecord.MachineInfo machineInfo(Machine machine) {
+    return new SnapshotRecord.MachineInfo(
+        machine.host(),
+        catalogue.type(machine.type()).name(),
+        catalogue.zoneName(machine.zone()),
+        machine.spot());
+  }
+
+  private TaskProgress newTaskProgress() {
+    TaskFailures failures = new TaskFailures(scheduler, jobs, context.state().replica());
+    return new TaskProgress(scheduler, jobs, estimates, writer, failures, () -> rounds.schedule());
+  }
+
+  // ---- placing pending tasks
+
+  private JobArrivals newArrivals() {
+    PriorityInheritance inheritance =
+        new PriorityInheritance(graph, this::acceptedRecord, jobs, estimates, objectives);
+    return new JobArrivals(
+        scheduler,
+        context.state().pipelines(),
+        inheritance,
+        new ArrivalForecast(),
+        estimates,
+        teams);
+  }
+
+  private Optional<JobRecord> acceptedRecord(String uid) {
+    return context
+        .state()
+        .acceptedJobs()
+        .get(uid)
+        .flatMap(accepted -> JobRecord.decode(uid, accepted.value()));
+  }
+
+  private Placer newPlacer() {
+    double unschedulableS =
+        settings.workers().reportS() * UNSCHEDULABLE_AFTER_INTERVALS + UNSCHEDULABLE_MARGIN_S;
+    return new Placer(
+        catalogue,
+        machines,
+        jobs,
+        teams,
+        estimates,
+        this::nextAttempt,
+        objectives,
+        Math.round(unschedulableS * MS_PER_S),
+        progress::placed);
+  }
+
+  /** Unique over all leaders: the term's token is part of it. */
+  private long nextAttempt() {
+    return term.fencingToken() << ATTEMPT_BITS | ++lastAttempt;
+  }
+
+  // ---- machines
+
+  private Autoscaler newAutoscaler() {
+    LeaderContext.StateAccess state = context.state();
+    return new Autoscaler(
+        scheduler,
+        context.services().cloud(),
+        catalogue,
+        machines,
+        state.replica(),
+        new LeaderWriter(state.store(), state.replica(), state.writeBudget(), term),
+        context.configuration().policy(),
+        settings,
+        context.random(),
+        term,
+        newScaleOutDemand());
+  }
+
+  private ScaleOutDemand newScaleOutDemand() {
+    double drainS = context.configuration().policy().drainS();
+    ScaleOutRequests requests =
+        new ScaleOutRequests(
+            scheduler,
+            catalogue,
+            machines,
+            jobs,
+            arrivals,
+            () -> new ScaleOutPlanner(catalogue, teams, estimates, objectives, drainS),
+            placer);
+    HighPriorityHeadroom headroom = new HighPriorityHeadroom(scheduler, machines, arrivals);
+    return new ScaleOutDemand(requests, headroom, arrivals, progress, connectivity, authority);
+  }
+
+  private LeaderConnectivity newConnectivity() {
+    long minUnheardMs =
+        election.isUnstable() ? timing.takeoverSilenceMs() + SILENCE_PROOF_MARGIN_MS : 0;
+    return new LeaderConnectivity(
+        machines, term, settings, () -> autoscaler.isMachineListRead(), minUnheardMs);
+  }
+
+  // ---- heartbeats and commands
+
+  private HeartbeatHandler newHeartbeatHandler() {
+    return new HeartbeatHandler(
+        machines,
+        term,
+        authority,
+        jobs::get,
+        new TaskOwners(context.state().acceptedJobs(), teams)::of,
+        writer::isDurablyDone,
+        progress);
+  }
+
+  private DirectCommandSender newCommandSender() {
+    return new DirectCommandSender(
+        SocketBudget.of(settings).directCommands(),
+        scheduler,
+        new FencedWorkerClient(context.services().workers(), term, context.rejections()),
+        new DirectCommands(machines, authority),
+        heartbeatHandler);
+  }
+
+  private DelayedResponses newDelayedResponses() {
+    double maxDelayS =
+        Math.min(
+            MAX_RESPONSE_DELAY_S,
+            RESPONSE_DELAY_PER_HEARTBEAT_INTERVAL * settings.workers().reportS());
+    return new DelayedResponses(
+        scheduler, machines, heartbeatHandler, authority, Math.round(maxDelayS * MS_PER_S));
+  }
+
+  private HeartbeatIntake newHeartbeatIntake() {
+    return new HeartbeatIntake(
+        machines,
+        heartbeatHandler,
+        new AuthorityFilter(context.state().replica(), authority),
+        delayedResponses,
+        new SpotDrain(estimates),
+        connectivity,
+        timings);
+  }
+
+  private JobIntake newJobIntake() {
+    JobCancellation cancellation =
+        new JobCancellation(scheduler, machines, commands, progress, rounds);
+    return new JobIntake(
+        context.state().pipelines(),
+        context.state().acceptedJobs(),
+        jobs,
+        writer,
+        arrivals,
+        cancellation,
+        this::schedulePendingTasks);
+  }
+
+  private void schedulePendingTasks() {
+    autoscaler.scanSoon();
+    rounds.schedule();
+  }
+
+  /** Passes on what has become durable to the parts that waited for it. */
+  private final class WriterEvents implements ProgressWriter.Listener {
+    @Override
+    public void durable(List<Placement> placements) {
+      delayedResponses.releaseDue();
+      commands.launchHighPriority(placements);
+    }
+
+    @Override
+    public void finished(Job job) {
+      LOG.info("job done: job={}", job.uid());
+      progress.cleanUp(job);
+      // The record is written: dependent jobs need not wait until it is read back.
+      graph.done(job.uid());
+    }
+
+    @Override
+    public void deposed(String cause) {
+      election.deposed(cause);
+    }
+  }
+}
--- a/src/main/java/org/ploverspindle/leadership/LeaderContext.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderContext.java
@@ -16,21 +16,36 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * What a leader is built from, the same in all terms of a controller. Only {@link Leader} uses it,
- * to wire its parts: each of them takes what it uses.
+ * What a leader is built from, the same in all terms of a controller. Only {@link LeaderComponents}
+ * takes it apart: each part of a leader is given just what it uses.
+ *
+ * @param rejections counts what was refused of this controller's terms after they had ended
  */
 public record LeaderContext(
     Scheduler scheduler,
-    StateStore store,
-    Replica replica,
-    AcceptedJobIndex acceptedJobs,
-    Pipelines pipelines,
-    CloudClient cloud,
-    WorkerClient workers,
-    Catalogue catalogue,
-    Settings settings,
-    Policy policy,
-    SafetyTiming timing,
     RandomGenerator random,
-    TokenBucket writeBudget,
-    FencingRejections rejections) {}
+    StateAccess state,
+    ExternalServices services,
+    Configuration configuration,
+    FencingRejections rejections) {
+
+  /**
+   * The state service and this controller's view of it.
+   *
+   * @param store for the leader's writes, which are conditional on the leader key
+   * @param writeBudget limits the rate of the leader's writes
+   */
+  public record StateAccess(
+      StateStore store,
+      Replica replica,
+      AcceptedJobIndex acceptedJobs,
+      Pipelines pipelines,
+      TokenBucket writeBudget) {}
+
+  /** The services that a leader sends requests to, besides the state service. */
+  public record ExternalServices(CloudClient cloud, WorkerClient workers) {}
+
+  /** What the operators have set, and what is derived from it. */
+  public record Configuration(
+      Settings settings, Policy policy, SafetyTiming timing, Catalogue catalogue) {}
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutRequests.java
@@ -0,0 +1,109 @@
+package org.ploverspindle.leadership;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.function.Predicate;
+import java.util.function.Supplier;
+import org.ploverspindle.cluster.JobTable;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.MachineRegistry;
+import org.ploverspindle.eventloop.Scheduler;
+import org.ploverspindle.model.Catalogue;
+import org.ploverspindle.model.MachineType;
+import org.ploverspindle.placement.Placer;
+import org.ploverspindle.placement.ScaleOutPlanner;
+
+/**
+ * Works out which machines the leader's jobs need: what is to be added, and which of the machines
+ * that are there still have a use.
+ */
+final class ScaleOutRequests {
+  private final Scheduler scheduler;
+  private final Catalogue catalogue;
+  private final MachineRegistry machines;
+  private final JobTable jobs;
+  private final JobArrivals arrivals;
+  private final Supplier<ScaleOutPlanner> planners;
+  private final Placer placer;
+
+  /**
+   * @param planners a new planner for each scan
+   */
+  ScaleOutRequests(
+      Scheduler scheduler,
+      Catalogue catalogue,
+      MachineRegistry machines,
+      JobTable jobs,
+      JobArrivals arrivals,
+      Supplier<ScaleOutPlanner> planners,
+      Placer placer) {
+    this.scheduler = scheduler;
+    this.catalogue = catalogue;
+    this.machines = machines;
+    this.jobs = jobs;
+    this.arrivals = arrivals;
+    this.planners = planners;
+    this.placer = placer;
+  }
+
+  /**
+   * Plans what to add, and marks the expensive machines that the plan has no use for.
+   *
+   * @param pending machines that are requested or booting
+   */
+  List<ScaleOutPlanner.Request> plan(
+      List<ScaleOutPlanner.Candidate> candidates, List<ScaleOutPlanner.PendingMachine> pending) {
+    long nowMs = scheduler.nowMs();
+    long wallMs = scheduler.wallMs();
+    arrivals.update();
+    List<Machine> usable =
+        machines.all().stream()
+            .filter(
+                machine -> machine.isSchedulable(nowMs, HighPriorityHeadroom.MAX_HEARTBEAT_AGE_MS))
+            .toList();
+    ScaleOutPlanner planner = planners.get();
+    List<ScaleOutPlanner.Request> requests =
+        planner.plan(
+            placer.pendingJobs(nowMs, wallMs),
+            jobs.all(),
+            usable,
+            pending,
+            candidates,
+            arrivals.expectedHighPriorityJob(),
+            arrivals.coresForRate(wallMs),
+            nowMs,
+            wallMs);
+    markScaleInCandidates(usable, planner);
+    return requests;
+  }
+
+  /**
+   * Expensive machines that nothing needs any more take no new work that could wait, so that they
+   * become idle and are terminated: otherwise they would stay as long as any task is pending.
+   */
+  private void markScaleInCandidates(List<Machine> usable, ScaleOutPlanner planner) {
+    List<Machine> expensive = new ArrayList<>();
+    for (Machine machine : usable) {
+      machine.isScaleInCandidate(false);
+      if (isExpensive(machine)) {
+        expensive.add(machine);
+      }
+    }
+    expensive.sort(Comparator.comparingLong(machine -> -machine.free().cores()));
+    for (Machine machine : expensive) {
+      machine.isScaleInCandidate(planner.isExpensiveSurplus(machine));
+    }
+  }
+
+  private boolean isExpensive(Machine machine) {
+    MachineType type = catalogue.type(machine.type());
+    return !machine.spot()
+        && type.price(false) > type.price(true) * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO;
+  }
+
+  /** For one machine after the other: could a pending task be placed on it? */
+  Predicate<Machine> needed() {
+    return placer.usefulMachines(scheduler.nowMs());
+  }
+}
