--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -20,28 +20,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads: whoever's key stands in the state service, attached to a lease. The transaction that
- * makes a leader also raises the token, so tokens grow with leaders and none is used twice.
+ * Elects the leader: the controller whose record is under the leader key, attached to a lease of
+ * the state service. The transaction that writes the record also raises the fencing token, so
+ * tokens grow from leader to leader and none is used twice.
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-  private static final long RESIGNATION_BACKOFF_MS = 12_000;
-  private static final long RESIGNATION_BACKOFF_RESET_MS = 120_000;
-  private static final long VACANCY_BEFORE_RETRY_MS = 2_500;
-
-  /** So many terms in so short a time: whatever ends them, another change does not help. */
+  /** So many terms within the window: whatever ends them, another change of leader won't help. */
   private static final int UNSTABLE_TERMS = 3;
 
   private static final long UNSTABLE_WINDOW_MS = 60_000;
   private static final int TICKS_PER_LEASE = 20;
 
-  /** What the rest of the process is told; always on the loop. */
+  /** Is called on the event loop. */
   public interface Listener {
-    /** The term began; the copy holds all that earlier leaders wrote. */
+    /** A term of this controller began; the replica holds all that earlier leaders wrote. */
     void elected(Term term);
 
-    /** The term is over: nothing may be decided any more. */
+    /** The term is over: nothing may be decided under it any more. */
     void ended(Term term, String cause);
   }
 
@@ -50,14 +47,15 @@
   private final SafetyTiming timing;
   private final Listener listener;
   private final RoleLease leaderLease;
-  private Optional<Term> term = Optional.empty();
-  private long backoffUntilMs = Long.MIN_VALUE / 2;
-  private long lastResignationMs = Long.MIN_VALUE / 2;
-  private int resignations;
-  private long vacantSinceMs;
+  private final ResignationBackoff backoff = new ResignationBackoff();
   private final Deque<Long> recentTermStartsMs = new ArrayDeque<>();
+  private Optional<Term> term = Optional.empty();
 
-  /** An election that this controller takes part in once it is started. */
+  /**
+   * An election that this controller takes part in once it is started.
+   *
+   * @param member the name of this controller
+   */
   public Election(
       Scheduler scheduler,
       StateStore store,
@@ -89,34 +87,35 @@
     return scheduler.every(timing.stateLeaseMs() / TICKS_PER_LEASE, leaderLease::tick);
   }
 
-  /** The term in which this node leads, as far as it knows. */
+  /** The term in which this controller leads, as far as it knows. */
   public Optional<Term> term() {
     return term;
   }
 
-  /** The leader by the copy, also another node. */
+  /** The name of the leader by the replica, whichever controller it is. */
   public Optional<String> leaderName() {
     return leaderLease.holder().map(RoleHolder::member);
   }
 
-  /** The first token of the leader by the copy, also another node's. */
+  /** The first token of the leader's term by the replica, whichever controller it is. */
   public Optional<Long> leaderToken() {
     return leaderLease.holder().map(RoleHolder::epoch);
   }
 
-  /** May this node decide? Only while its lease certainly lives. */
+  /** May this controller decide as the leader now? Only while its lease is certainly valid. */
   public boolean isAuthoritative() {
     return leaderLease.isCertainlyHeld();
   }
 
-  /** When the leader key was last known to be ours. */
+  /** When the leader key was last known to be this controller's, on the steady clock. */
   public long lastConfirmedMs() {
     return Math.min(leaderLease.lastRenewalMs(), replica.freshAsOfMs());
   }
 
-  /** Has the lead changed again and again lately, as far as this node saw? */
+  /** Has leadership changed several times lately, as far as this controller saw? */
   boolean isUnstable() {
-    recentTermStartsMs.removeIf(seen -> scheduler.nowMs() - seen > UNSTABLE_WINDOW_MS);
+    long nowMs = scheduler.nowMs();
+    recentTermStartsMs.removeIf(startMs -> nowMs - startMs > UNSTABLE_WINDOW_MS);
     return recentTermStartsMs.size() >= UNSTABLE_TERMS;
   }
 
@@ -125,79 +124,70 @@
       return;
     }
     if (entry.isEmpty()) {
-      vacantSinceMs = scheduler.nowMs();
+      backoff.leadershipVacant(scheduler.nowMs());
     } else {
       recentTermStartsMs.addLast(scheduler.nowMs());
     }
   }
 
-  /** A term begins and ends with the duty to lead. */
-  private final class LeaseEvents implements RoleLease.Listener {
-    @Override
-    public void acquired(HeldRole role) {
-      Term started = new Term(role.epoch(), role.modRevision(), role.sinceMs());
-      LOG.info("leading with token {}", started.fencingToken());
-      term = Optional.of(started);
-      listener.elected(started);
-    }
-
-    @Override
-    public void lost(HeldRole role, String cause) {
-      Term ended = term.orElseThrow();
-      term = Optional.empty();
-      LOG.info("no longer leading with token {}: {}", ended.fencingToken(), cause);
-      listener.ended(ended, cause);
-    }
-
-    @Override
-    public boolean mayAcquire() {
-      return !isBackingOff();
-    }
-  }
-
-  /** Who leads and since when, how long renewals take, and how long nobody led, for people. */
+  /** One line for the status page: the leader, renewal times, and how long nobody led. */
   public String summary() {
     return new LeadershipStatus(scheduler.nowMs(), leaderLease).toString();
   }
 
-  /** Another controller says that it leads: ends an older lead of ours, and is looked up. */
+  /**
+   * Another controller announced that it leads under this token. Ends an older term of this
+   * controller, or reads the state service to learn of the change.
+   */
   public void observeToken(long token) {
     if (term.isPresent() && term.get().isBefore(token)) {
       deposed("another controller has a higher token");
     } else {
-      replica.readBarrier(ok -> {});
+      replica.readBarrier(isRead -> {});
     }
   }
 
-  /** Called with any sign that a newer leader exists. */
+  /** Ends this controller's term on any sign that a newer leader exists. */
   public void deposed(String cause) {
     leaderLease.end(cause);
-    replica.readBarrier(ok -> {});
+    replica.readBarrier(isRead -> {});
   }
 
   /**
-   * Gives the lead up to whoever can do more with it, and does not try again for a while, longer
-   * each time: a leader that no machine reaches keeps its key alive as well as any, and every lease
-   * would end meanwhile.
+   * Resigns in favour of a controller that can do more, and is not a candidate again for a while.
    */
   public void resignWithBackoff(String cause) {
-    long now = scheduler.nowMs();
-    resignations = now - lastResignationMs > RESIGNATION_BACKOFF_RESET_MS ? 0 : resignations + 1;
-    lastResignationMs = now;
-    vacantSinceMs = now;
-    backoffUntilMs = now + (RESIGNATION_BACKOFF_MS << Math.min(2, resignations));
-    LOG.info("resigning the lead: {}", cause);
+    backoff.resigned(scheduler.nowMs());
+    LOG.info("resigning leadership: cause=\"{}\"", cause);
     resign();
   }
 
-  /** Others go first for a while; where nobody does, a leader that is hard to reach beats none. */
-  private boolean isBackingOff() {
-    long now = scheduler.nowMs();
-    return now < backoffUntilMs && now - vacantSinceMs < VACANCY_BEFORE_RETRY_MS;
-  }
-
-  /** Gives the lead up at once, so that others need not wait for the lease to end. */
+  /** Resigns at once, so that others need not wait for the lease to expire. */
   public void resign() {
     leaderLease.release("resigned");
   }
+
+  /** A term begins and ends with the lease on the leader key. */
+  private final class LeaseEvents implements RoleLease.Listener {
+    @Override
+    public void acquired(HeldRole role) {
+      Term started = new Term(role.epoch(), role.modRevision(), role.sinceMs());
+      LOG.info("leadership acquired: token={}", started.fencingToken());
+      term = Optional.of(started);
+      listener.elected(started);
+    }
+
+    @Override
+    public void lost(HeldRole role, String cause) {
+      Term ended = term.orElseThrow();
+      term = Optional.empty();
+      LOG.info("leadership lost: token={} cause=\"{}\"", ended.fencingToken(), cause);
+      listener.ended(ended, cause);
+    }
+
+    @Override
+    public boolean mayAcquire() {
+      return !backoff.isActive(scheduler.nowMs());
+    }
+  }
 }
--- a/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
@@ -1,7 +1,5 @@
 package org.ploverspindle.leadership;
 
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import org.ploverspindle.cluster.Machine;
@@ -10,183 +8,185 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * Do the machines reach this leader, and do its answers reach them? A lead that is kept by its
- * lease alone would cost every lease. Nothing is concluded here about any one machine.
+ * Whether the machines' heartbeats reach this leader, and its responses reach them. A leader that
+ * is cut off from its workers but not from the state service would keep its key while every worker
+ * lease expires. Nothing is concluded here about any one machine.
  */
 final class LeaderConnectivity {
   /** So many machines do not all fall silent at once by chance; fewer are given more time. */
   private static final int MANY_MACHINES = 20;
 
   private static final int SOME_MACHINES = 4;
-  private static final long SILENCE_MARGIN_MS = 2_000;
 
-  /** A look that comes so late after the one before: meanwhile it was we who did not listen. */
-  private static final long PAUSE_MS = 1_200;
+  /** The heartbeat window: this much per second of the heartbeat interval, and a margin. */
+  private static final int WINDOW_MS_PER_INTERVAL_S = 1_250;
 
-  /** Reports that were held up on the way come within this time. */
-  private static final long LATEST_REPORT_MS = 60_000;
+  private static final long WINDOW_MARGIN_MS = 2_000;
 
-  /** Late reports of machines that are gone, for each of them, while strays are remembered. */
-  private static final double LATE_SHARE = 0.25;
+  /** Silence, per second of the heartbeat interval, that tells while heartbeats are misdirected. */
+  private static final int SHORT_SILENCE_MS_PER_INTERVAL_S = 650;
 
-  /** How many machines had been removed in the term by then. */
-  private record Removals(long atMs, long total) {}
+  /** A check that comes so late after the one before: this process was paused meanwhile. */
+  private static final long PROCESS_PAUSE_MS = 1_200;
 
-  /** Reports that came to another controller in a second. */
-  private record Strays(long atMs, int reports) {}
+  /** Of the machines that are up, so many percent may look for another leader. */
+  private static final int MAX_MISDIRECTED_PERCENT = 60;
 
-  private final MachineRegistry fleet;
-  private final Term term;
-  private final BooleanSupplier listRead;
-  private final boolean alone;
-  private final long withinMs;
-  private final long hushMs;
+  /** Of the machines that are up for a while, so many percent must show that they get commands. */
+  private static final int MIN_RECEIVING_PERCENT = 20;
+
+  /** Of the machines that are expected, so many percent must send heartbeats. */
+  private static final int MIN_HEARD_PERCENT = 20;
+
+  /** A short silence is enough where one machine of so many, or more, looks for another leader. */
+  private static final int SHORT_SILENCE_MISDIRECTED_PART = 3;
+
+  private static final int PERCENT = 100;
+
+  private final MachineRegistry machines;
+  private final BooleanSupplier isMachineListRead;
+  private final boolean isOnlyController;
+  private final long windowMs;
+  private final long shortSilenceMs;
   private final long unheardMs;
-  private final Deque<Strays> misdirected = new ArrayDeque<>();
-  private final Deque<Removals> removals = new ArrayDeque<>();
-  private long lastHeardMs;
-  private long lastLookMs;
+  private final MisdirectedHeartbeats misdirected;
+  private long lastHeartbeatMs;
+  private long lastCheckMs;
   private long listeningSinceMs;
   private int mostHeard;
 
   /**
-   * @param listRead whether the cloud's list was read in this term
-   * @param patientMs how long a leader that never heard most of its machines waits before it stands
-   *     back, where several before it found the same: they would go round for good, none staying
-   *     long enough to prove by silence that the machines are gone. 0 where none did.
+   * @param isMachineListRead whether the cloud's list of machines was read in this term
+   * @param minUnheardMs how long a leader that never heard most of its machines waits at least
+   *     before it resigns. Where several leaders before it found the same, it must be long enough
+   *     to prove by silence that the machines are gone: otherwise leadership would go round without
+   *     end, none staying for that long. 0 where leadership is stable.
    */
   LeaderConnectivity(
-      MachineRegistry fleet,
+      MachineRegistry machines,
       Term term,
       Settings settings,
-      BooleanSupplier listRead,
-      long patientMs) {
-    this.fleet = fleet;
-    this.term = term;
-    this.listRead = listRead;
-    this.alone = settings.nodes() < 2;
-    this.withinMs = Math.round(settings.workers().reportS() * 1_250) + SILENCE_MARGIN_MS;
-    this.hushMs = Math.round(settings.workers().reportS() * 650);
-    this.unheardMs = Math.max(2 * withinMs, patientMs);
-    this.lastHeardMs = term.startMs();
-    this.lastLookMs = term.startMs();
+      BooleanSupplier isMachineListRead,
+      long minUnheardMs) {
+    double intervalS = settings.workers().reportS();
+    this.machines = machines;
+    this.isMachineListRead = isMachineListRead;
+    this.isOnlyController = settings.nodes() < 2;
+    this.windowMs = Math.round(intervalS * WINDOW_MS_PER_INTERVAL_S) + WINDOW_MARGIN_MS;
+    this.shortSilenceMs = Math.round(intervalS * SHORT_SILENCE_MS_PER_INTERVAL_S);
+    this.unheardMs = Math.max(2 * windowMs, minUnheardMs);
+    this.misdirected = new MisdirectedHeartbeats(machines, windowMs);
+    this.lastHeartbeatMs = term.startMs();
+    this.lastCheckMs = term.startMs();
     this.listeningSinceMs = term.startMs();
   }
 
+  /** A heartbeat of any machine arrived here. */
   void recordHeartbeat(long nowMs) {
-    lastHeardMs = nowMs;
+    lastHeartbeatMs = nowMs;
   }
 
-  /** So many reports of machines that had our answers before came to another controller. */
-  void misdirectedHeartbeats(long nowMs, int reports) {
-    misdirected.addLast(new Strays(nowMs, reports));
+  /** So many heartbeats of machines that had this leader's responses reached another controller. */
+  void misdirectedHeartbeats(long nowMs, int heartbeats) {
+    misdirected.record(nowMs, heartbeats);
   }
 
-  /** Since when this leader has listened without a pause. */
+  /** Since when this leader has listened without a pause of its process. */
   long listeningSinceMs() {
     return listeningSinceMs;
   }
 
   /**
-   * Called again and again; says why another controller would lead better, if so.
+   * Why another controller would lead better, if so. To be called regularly, several times within a
+   * second.
    *
-   * <p>A process that stood still finds reports that it has not read, and machines that gave it up
-   * meanwhile: what it missed says nothing about them or about its lines, so it listens anew first.
+   * <p>A process that was paused finds heartbeats that it has not read yet, and machines that
+   * turned to other controllers meanwhile. That says nothing about its connections now, so it first
+   * listens for a whole window again.
    */
   Optional<String> reasonToStepDown(long nowMs) {
-    if (nowMs - lastLookMs > PAUSE_MS) {
+    if (nowMs - lastCheckMs > PROCESS_PAUSE_MS) {
       listeningSinceMs = nowMs;
       misdirected.clear();
     }
-    lastLookMs = nowMs;
-    misdirected.removeIf(s -> nowMs - s.atMs() > withinMs);
-    removals.addLast(new Removals(nowMs, fleet.removedCount()));
-    while (nowMs - removals.getFirst().atMs() > LATEST_REPORT_MS) {
-      removals.removeFirst();
-    }
-    if (alone || nowMs - listeningSinceMs < withinMs) {
+    lastCheckMs = nowMs;
+    misdirected.update(nowMs);
+    if (isOnlyController || nowMs - listeningSinceMs < windowMs) {
       return Optional.empty();
     }
-    if (isUnanswered(nowMs)) {
-      return Optional.of("most machines look for another leader: they get no answers");
+    if (areResponsesLost(nowMs)) {
+      return Optional.of("most machines get no responses and look for another leader");
     }
-    return isUnheard(nowMs)
-        ? Optional.of("hardly any machine is heard, the last " + (nowMs - lastHeardMs) + " ms ago")
+    return areHeartbeatsLost(nowMs)
+        ? Optional.of(
+            "hardly any heartbeats arrive, the last " + (nowMs - lastHeartbeatMs) + " ms ago")
         : Optional.empty();
   }
 
   /**
-   * Reports come, and their senders ask other controllers as well, although they had answers of
-   * ours; or after a good while next to none of them has ever shown our token.
+   * Heartbeats arrive, and their senders try other controllers as well although they had responses
+   * of this leader; or hardly any of them has ever shown this leader's token.
    */
-  private boolean isUnanswered(long nowMs) {
-    if (nowMs - listeningSinceMs < 2 * withinMs) {
+  private boolean areResponsesLost(long nowMs) {
+    if (nowMs - listeningSinceMs < 2 * windowMs) {
       return false;
     }
-    int reports = misdirectedHeartbeats();
+    int lookingElsewhere = misdirected.count();
     int up = 0;
-    int old = 0;
-    int hear = 0;
-    for (Machine m : fleet.all()) {
-      if (m.isUp() && nowMs - m.lastHeartbeatMs() < 2 * withinMs) {
+    int settled = 0;
+    int receiving = 0;
+    for (Machine machine : machines.all()) {
+      if (machine.isUp() && nowMs - machine.lastHeartbeatMs() < 2 * windowMs) {
         up++;
-        // Those that have just come up have not had the time to show what they heard.
-        boolean settled = nowMs - m.upSinceMs() >= 2 * withinMs;
-        old += settled ? 1 : 0;
-        hear += settled && m.receivesCommands() ? 1 : 0;
+        // A machine that has just come up has not had the time to show what it received.
+        boolean isSettled = nowMs - machine.upSinceMs() >= 2 * windowMs;
+        settled += isSettled ? 1 : 0;
+        receiving += isSettled && machine.receivesCommands() ? 1 : 0;
       }
     }
-    return up >= MANY_MACHINES && reports * 5 > up * 3 || old >= MANY_MACHINES && hear * 5 < old;
-  }
-
-  /**
-   * Reports that show a machine looking for another leader. Others can't tell these from reports
-   * that were held up on the way, also of machines that are gone by now: after a zone of a thousand
-   * machines had been cut off and returned, a fleet of 70 was given up for their late reports.
-   */
-  private int misdirectedHeartbeats() {
-    int reports = 0;
-    for (Strays s : misdirected) {
-      reports += s.reports();
-    }
-    long removed = fleet.removedCount() - removals.getFirst().total();
-    return Math.max(0, reports - (int) (removed * LATE_SHARE));
+    return up >= MANY_MACHINES && lookingElsewhere * PERCENT > up * MAX_MISDIRECTED_PERCENT
+        || settled >= MANY_MACHINES && receiving * PERCENT < settled * MIN_RECEIVING_PERCENT;
   }
 
   /**
-   * Nearly all machines are silent at once: it is this controller that they do not reach, and
-   * another one may be reached by them. Where most were silent from the start, another leader would
-   * hear no more. Where many of them ask others meanwhile, a moment's silence is enough: who is
-   * sent back here by those waits for four seconds each time, and its lease does not.
+   * Nearly all machines are silent at once: the fault is in this controller's connections, and
+   * another controller may be reached. Where most machines were silent from the start, another
+   * leader would hear no more of them, so there is more time. Where many of them try other
+   * controllers meanwhile, a short silence is enough: each redirect back here costs them seconds of
+   * their worker lease.
    */
-  private boolean isUnheard(long nowMs) {
+  private boolean areHeartbeatsLost(long nowMs) {
     int expected = 0;
     int heard = 0;
-    for (Machine m : fleet.all()) {
-      heard += m.isUp() && nowMs - m.lastHeartbeatMs() < withinMs ? 1 : 0;
-      expected += m.isUp() || !m.placements().isEmpty() && mayExist(m) ? 1 : 0;
+    for (Machine machine : machines.all()) {
+      boolean isUp = machine.isUp();
+      heard += isUp && nowMs - machine.lastHeartbeatMs() < windowMs ? 1 : 0;
+      expected += isUp || !machine.placements().isEmpty() && mayExist(machine) ? 1 : 0;
     }
     mostHeard = Math.max(mostHeard, heard);
+    boolean mostNeverHeard = mostHeard * 2 <= expected;
+    long silenceMs = nowMs - lastHeartbeatMs;
     if (expected < MANY_MACHINES) {
-      long enoughMs = mostHeard * 2 <= expected ? unheardMs : 2 * withinMs;
-      return expected >= SOME_MACHINES && nowMs - lastHeardMs >= enoughMs;
+      long enoughMs = mostNeverHeard ? unheardMs : 2 * windowMs;
+      return expected >= SOME_MACHINES && silenceMs >= enoughMs;
     }
-    if (nowMs - lastHeardMs >= hushMs && misdirectedHeartbeats() * 3 > expected) {
+    if (silenceMs >= shortSilenceMs
+        && misdirected.count() * SHORT_SILENCE_MISDIRECTED_PART > expected) {
       return true;
     }
-    if (mostHeard * 2 <= expected) {
-      // From the start; an earlier leader that is cut off from us may still have the machines.
-      return nowMs - lastHeardMs >= unheardMs;
+    if (mostNeverHeard) {
+      // An earlier leader that is cut off from the state service may still have the machines.
+      return silenceMs >= unheardMs;
     }
-    return heard * 5 < expected;
+    return heard * PERCENT < expected * MIN_HEARD_PERCENT;
   }
 
   /**
-   * Machines that only records of earlier leaders speak of, and that the list does not show, are
-   * most likely gone: no other leader would hear them. Were they waited for, each leader in turn
-   * would stand back before it had listened for long enough to call their tasks gone.
+   * A machine that only records of earlier leaders mention, and that the cloud's list does not
+   * show, is most likely gone: no other leader would hear it. If it were expected, each leader in
+   * turn would resign before it had listened for long enough to prove its tasks gone.
    */
-  private boolean mayExist(Machine m) {
-    return m.isListed() || !listRead.getAsBoolean();
+  private boolean mayExist(Machine machine) {
+    return machine.isListed() || !isMachineListRead.getAsBoolean();
   }
 }
