--- a/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
+++ b/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
@@ -13,12 +13,12 @@
 import org.ploverspindle.eventloop.Scheduler;
 
 /**
- * Answers to reports that wait a moment, because their machine has room: what is placed there by
- * then goes out in them, where it would wait for the next report. At most one is held for each
- * machine.
+ * Delays responses to heartbeats of machines with free resources: what is placed there meanwhile
+ * goes out in them, where it would otherwise wait for the next heartbeat. At most one response is
+ * delayed for each machine.
  */
 final class DelayedResponses {
-  /** A report whose answer waits for orders to become durable. */
+  /** A heartbeat whose response waits for placements to become durable. */
   private record DelayedResponse(
       Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder, long releaseAtMs) {}
 
@@ -30,8 +30,8 @@
   private final Map<String, DelayedResponse> delayed = new LinkedHashMap<>();
 
   /**
-   * @param isAuthoritative whether this leader is sure of its lead: without it nothing is ordered
-   * @param maxDelayMs how long an answer waits at most
+   * @param isAuthoritative whether this leader may decide now: otherwise nothing is launched
+   * @param maxDelayMs how long a response waits at most
    */
   DelayedResponses(
       Scheduler scheduler,
@@ -46,7 +46,7 @@
     this.maxDelayMs = maxDelayMs;
   }
 
-  /** Is the report the machine's newest, and could a task be placed there within the wait? */
+  /** Is this the machine's newest heartbeat, and could a task be placed there meanwhile? */
   boolean isWorthDelaying(Machine machine, Heartbeat heartbeat, long nowMs) {
     return machine.lastSequence() == heartbeat.sequence()
         && machine.agentEpoch() == heartbeat.agentEpoch()
@@ -54,12 +54,12 @@
         && machine.free().cores() > 0;
   }
 
-  /** Holds the answer until orders for the machine are durable, or the wait is over. */
+  /** Delays the response until commands for the machine are durable, or the delay is over. */
   void delay(Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder, long nowMs) {
     delayed.put(heartbeat.host(), new DelayedResponse(heartbeat, responder, nowMs + maxDelayMs));
   }
 
-  /** Answers the machine's earlier report, if its answer is held, with what can be ordered now. */
+  /** Sends the machine's delayed response, if there is one, with the commands that can go now. */
   void release(String host) {
     DelayedResponse response = delayed.remove(host);
     if (response != null) {
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Answers what was held for long enough, or for what has now become durable. */
+  /** Sends the responses whose delay is over, or whose commands have become durable. */
   void releaseDue() {
     long nowMs = scheduler.nowMs();
     for (DelayedResponse response : List.copyOf(delayed.values())) {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Answers all that is held. */
+  /** Sends all delayed responses. */
   void releaseAll() {
     List.copyOf(delayed.keySet()).forEach(this::release);
   }
--- a/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
+++ b/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
@@ -13,9 +13,9 @@
 import org.ploverspindle.model.Priority;
 
 /**
- * Sends commands straight to workers where waiting for their next report would take too long, and
- * hands the report that each one answers with to the report handler. What finds no room among the
- * commands under way goes out in the answer to the machine's next report instead.
+ * Sends commands directly to workers where waiting for their next heartbeat would take too long,
+ * and passes the heartbeat in each worker's reply to the heartbeat handler. A command that exceeds
+ * the limit on requests in flight goes out in the response to the machine's next heartbeat instead.
  */
 final class DirectCommandSender {
   private final Scheduler scheduler;
@@ -27,7 +27,8 @@
   private boolean closed;
 
   /**
-   * @param maxInFlight each command under way has a connection of its own, and sockets are counted
+   * @param maxInFlight limit on requests in flight: each needs a connection of its own, and the
+   *     process has a limit on open sockets
    */
   DirectCommandSender(
       int maxInFlight,
@@ -42,19 +43,19 @@
     this.heartbeatHandler = heartbeatHandler;
   }
 
-  /** From now on answers are dropped: they belong to a term that is over. */
+  /** From now on replies are ignored: they belong to a term that is over. */
   void close() {
     closed = true;
   }
 
-  /** May another launch or announcement be sent now? */
+  /** May another launch or token be sent now? */
   boolean hasCapacity() {
     return inFlight < maxInFlight;
   }
 
   /**
-   * Launches what is pressing and was not sent in the answer to a report: the next report of its
-   * machine may be seconds away.
+   * Launches the high-priority tasks that were not sent in a heartbeat response: the next heartbeat
+   * of their machine may be seconds away.
    *
    * @param durable placements whose intent has just become durable
    */
@@ -75,14 +76,14 @@
   }
 
   /**
-   * Stops the tasks of a cancelled job at once, as far as connections allow; all other machines are
-   * told in the answers to their reports.
+   * Stops the tasks of a cancelled job at once, as far as connections allow; all other machines get
+   * the command in their next heartbeat response.
    */
   void stopCancelled(Job cancelled) {
     Set<Machine> machines = new LinkedHashSet<>();
     cancelled.activePlacements().forEach(placement -> machines.add(placement.machine()));
     for (Machine machine : machines) {
-      // Launches of pressing jobs have the other half to themselves.
+      // The other half is reserved for launches of high-priority jobs.
       if (inFlight >= maxInFlight / 2) {
         return;
       }
@@ -90,7 +91,7 @@
     }
   }
 
-  /** Shows the machine its token in this term, without any order. */
+  /** Sends the machine its fencing token in this term, without any command. */
   void sendFencingToken(Machine machine, long agentEpoch) {
     send(
         new DirectCommands.Request(
--- a/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
+++ b/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
@@ -9,7 +9,7 @@
 import org.ploverspindle.leases.FencingRejections;
 import org.ploverspindle.model.Term;
 
-/** Direct commands of one term: counts those that a worker refused for a later term's token. */
+/** Sends the direct commands of one term, and counts those refused for a later term's token. */
 final class FencedWorkerClient implements WorkerClient {
   private final WorkerClient workers;
   private final Term term;
--- a/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
+++ b/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
@@ -11,19 +11,21 @@
 import org.ploverspindle.model.Term;
 
 /**
- * Tells machines that have not reported to this leader that there is a new token, a few at a time.
+ * Sends the new fencing token to machines that have sent no heartbeat to this leader, a few at a
+ * time.
  *
- * <p>The failure it is there for: an earlier leader that has lost the state service and this
- * leader, but not its workers, goes on answering them, and would keep the fleet for as long as it
- * may answer without knowing the state. The first report that shows it the higher token ends that.
+ * <p>Prevents this failure: an earlier leader that has lost the state service and this leader, but
+ * not its workers, goes on responding to their heartbeats, and would keep the machines for as long
+ * as it may respond without a fresh replica. The first heartbeat with the higher token ends its
+ * term.
  */
 final class FencingTokenBroadcast {
   private static final long PERIOD_MS = 600;
 
-  /** Until then most machines find the new leader by themselves. */
+  /** By then most machines have found the new leader by themselves. */
   private static final long START_AFTER_MS = 2_400;
 
-  /** A machine that has still not reported is told again after this. */
+  /** A machine that has still sent no heartbeat is sent the token again after this. */
   private static final long RESEND_MS = 6_000;
 
   private static final int MAX_PER_PERIOD = 8;
@@ -51,7 +53,7 @@
     this.isAuthoritative = isAuthoritative;
   }
 
-  /** Announces again and again until cancelled. */
+  /** Broadcasts periodically until cancelled. */
   Cancellable start() {
     return scheduler.every(PERIOD_MS, this::broadcast);
   }
@@ -59,7 +61,7 @@
   private void broadcast() {
     long nowMs = scheduler.nowMs();
     long termAgeMs = nowMs - term.startMs();
-    // No earlier leader answers any more once it has not known the state for so long.
+    // An earlier leader whose replica is older than that responds to no heartbeat any more.
     if (!isAuthoritative.getAsBoolean()
         || termAgeMs < START_AFTER_MS
         || termAgeMs > timing.heartbeatGraceMs()) {
--- a/src/main/java/org/ploverspindle/leadership/LeaderRecords.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderRecords.java
@@ -8,11 +8,14 @@
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.Keys;
 
-/** The leader's records, in the form that all versions read: an epoch is a term's first token. */
+/**
+ * The stored records of leadership, in the form that all versions read. The epoch is the first
+ * fencing token of the term.
+ */
 final class LeaderRecords implements RoleRecords {
   @Override
   public String name() {
-    return "lead";
+    return "leader";
   }
 
   @Override
@@ -50,7 +53,7 @@
             record.path("hold").asLong()));
   }
 
-  /** The last token of the term: whoever reads this, the next term begins above it. */
+  /** Stores the last token of the term: the next term begins above it. */
   @Override
   public JsonNode encodeEpochs(long taken) {
     return Cbor.map().put("n", taken + Term.TOKENS_PER_TERM - 1);
--- a/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
@@ -7,7 +7,7 @@
 import org.ploverspindle.cluster.MachineRegistry;
 import org.ploverspindle.progress.ProgressWriter;
 
-/** What a leader has in hand, in numbers for people. */
+/** A leader's counts of jobs, machines and placements, as the status page shows them. */
 record LeaderStatus(
     JobTable jobs, MachineRegistry machines, ProgressWriter writer, Autoscaler autoscaler) {
   @Override
--- a/src/main/java/org/ploverspindle/leadership/LeadershipStatus.java
+++ b/src/main/java/org/ploverspindle/leadership/LeadershipStatus.java
@@ -7,7 +7,7 @@
 import org.ploverspindle.leases.RoleHolder;
 import org.ploverspindle.leases.RoleLease;
 
-/** One line on the duty to lead, for people. */
+/** The line on leadership in the status page. Its keys are an interface: monitoring reads them. */
 record LeadershipStatus(long nowMs, RoleLease lease) {
   private static final double MEDIAN = 50;
   private static final double P99 = 99;
--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -15,15 +15,16 @@
 import org.ploverspindle.state.JobRecord;
 
 /**
- * Tells the jobs in the table what the jobs that need them make of them: the last job's due time
- * and priority, passed back along the critical path. Worked out for all unfinished pipelines at
- * once, when one of them has changed, or now and then as the corrected estimates move; where there
- * are no pipelines, it costs nothing.
+ * Lets jobs inherit the deadline and the priority of the jobs that depend on them, along the
+ * critical path. Computed for all unfinished pipelines at once, when one of them has changed, and
+ * periodically as the runtime estimates move; it costs nothing where there are no pipelines.
  */
 final class PriorityInheritance {
-  /** Estimates move slowly: each finished task moves its class's by less than a tenth. */
+  /** Estimates move slowly: each finished task moves that of its class by less than a tenth. */
   private static final long MAX_AGE_MS = 5_000;
 
+  private static final double MS_PER_S = 1_000;
+
   private final DependencyGraph graph;
   private final Function<String, Optional<JobRecord>> records;
   private final JobTable jobs;
@@ -32,10 +33,10 @@
   private final Map<String, JobRecord> recordsByUid = new HashMap<>();
   private boolean changed = true;
   private boolean hasPipelines;
-  private long computedMs = Long.MIN_VALUE / 2;
+  private OptionalLong computedMs = OptionalLong.empty();
 
   /**
-   * @param records what was accepted under an id; read once for each unfinished job
+   * @param records the accepted job with a uid; read once for each unfinished job
    */
   PriorityInheritance(
       DependencyGraph graph,
@@ -50,64 +51,74 @@
     this.objectives = objectives;
   }
 
-  /** A job that needs others came, or will never run. */
+  /** A job with dependencies was accepted or became ready, or will never run. */
   void changed() {
     changed = true;
   }
 
-  /** Brings all jobs up to date before something is decided by them. */
+  /** Brings the inherited values of all jobs up to date, if they are outdated. */
   void update(long nowMs) {
-    if (changed || hasPipelines && nowMs - computedMs > MAX_AGE_MS) {
+    if (changed || hasPipelines && isOutdated(nowMs)) {
       changed = false;
-      computedMs = nowMs;
+      computedMs = OptionalLong.of(nowMs);
       compute();
     }
   }
 
+  private boolean isOutdated(long nowMs) {
+    return computedMs.isEmpty() || nowMs - computedMs.getAsLong() > MAX_AGE_MS;
+  }
+
   private void compute() {
     Map<String, CriticalPath.PriorityInheritance> byDeadline = inheritedWith(spec -> 1);
     Map<String, CriticalPath.PriorityInheritance> byLatestDeadline =
         inheritedWith(spec -> objectives.lastMultiple(spec.jobClass()));
     hasPipelines = !byDeadline.isEmpty();
     recordsByUid.keySet().retainAll(byDeadline.keySet());
-    byDeadline.forEach(
-        (uid, p) ->
-            jobs.get(uid)
-                .ifPresent(
-                    job ->
-                        job.inherit(
-                            p.urgency(),
-                            p.latestFinishMs(),
-                            byLatestDeadline.get(uid).latestFinishMs())));
+    byDeadline.forEach((uid, inherited) -> inherit(uid, inherited, byLatestDeadline.get(uid)));
+  }
+
+  private void inherit(
+      String uid,
+      CriticalPath.PriorityInheritance byDeadline,
+      CriticalPath.PriorityInheritance byLatestDeadline) {
+    jobs.get(uid)
+        .ifPresent(
+            job ->
+                job.inherit(
+                    byDeadline.urgency(),
+                    byDeadline.latestFinishMs(),
+                    byLatestDeadline.latestFinishMs()));
   }
 
   /**
-   * @param multiple of a job's due time by which it is to be done
+   * @param multiple of a job's deadline by which it is to be done
    */
   private Map<String, CriticalPath.PriorityInheritance> inheritedWith(
       ToDoubleFunction<JobSpec> multiple) {
-    return CriticalPath.of(graph, uid -> record(uid).map(r -> ownValues(r, multiple)));
+    return CriticalPath.of(graph, uid -> record(uid).map(record -> ownValues(record, multiple)));
   }
 
   private CriticalPath.Own ownValues(JobRecord record, ToDoubleFunction<JobSpec> multiple) {
     JobSpec spec = record.spec();
-    OptionalLong latestFinish =
+    OptionalLong latestFinishMs =
         spec.deadlineS().isPresent()
-            ? OptionalLong.of(
-                record.acceptedWallMs()
-                    + Math.round(
-                        spec.deadlineS().getAsDouble() * multiple.applyAsDouble(spec) * 1000))
+            ? OptionalLong.of(record.acceptedWallMs() + scaledDeadlineMs(spec, multiple))
             : OptionalLong.empty();
-    return new CriticalPath.Own(latestFinish, spec.priority(), estimates.runS(spec));
+    return new CriticalPath.Own(latestFinishMs, spec.priority(), estimates.runS(spec));
+  }
+
+  private static long scaledDeadlineMs(JobSpec spec, ToDoubleFunction<JobSpec> multiple) {
+    return Math.round(spec.deadlineS().getAsDouble() * multiple.applyAsDouble(spec) * MS_PER_S);
   }
 
   private Optional<JobRecord> record(String uid) {
-    JobRecord read = recordsByUid.get(uid);
-    if (read != null) {
-      return Optional.of(read);
+    JobRecord known = recordsByUid.get(uid);
+    if (known != null) {
+      return Optional.of(known);
     }
-    Optional<JobRecord> fresh = records.apply(uid);
-    fresh.ifPresent(r -> recordsByUid.put(uid, r));
-    return fresh;
+    Optional<JobRecord> read = records.apply(uid);
+    read.ifPresent(record -> recordsByUid.put(uid, record));
+    return read;
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/Recovery.java
+++ b/src/main/java/org/ploverspindle/leadership/Recovery.java
@@ -15,8 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Turns what earlier leaders recorded into this leader's jobs and placements. A task that is
- * recorded on a machine is presumed there until a report, or the end of the lease, says otherwise.
+ * Rebuilds jobs and placements from what earlier leaders recorded. A task that is recorded on a
+ * machine is presumed to run there until a heartbeat, or the expiry of the worker's lease, shows
+ * otherwise.
  */
 final class Recovery {
   private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
@@ -46,13 +47,15 @@
   /**
    * Fills the job table, the registry of machines, and the writer's view of the records.
    *
-   * @return whether a record of the log is lost: tasks may be where nothing says that they are
+   * @return whether a record of the progress log is missing: tasks may run that no record mentions
    */
   boolean restore(long nowMs) {
     RecordedProgress recorded = new RecordedProgress(replica, writer);
     for (Job job : jobs.loadAll(uid -> graph.isReady(uid) || recorded.speaksOf(uid))) {
       if (!graph.isReady(job.uid())) {
-        LOG.error("tasks of job {} are recorded before what it awaits is done", job.uid());
+        LOG.error(
+            "job blocked, its tasks are recorded before its dependencies are done: job={}",
+            job.uid());
         job.blockOnDependencies();
       } else if (graph.awaitsOthers(job.uid())) {
         arrivals.markReady(job);
@@ -78,8 +81,11 @@
         machines.adopt(
             machineInfo.id(), machineInfo.type(), machineInfo.zone(), machineInfo.spot(), nowMs);
     if (machine.isEmpty() || recorded.task() >= job.spec().tasks()) {
-      // Where the task is can't be kept in view: were its job run, it could run in two places.
-      LOG.error("job {} has a record of a machine or task that can't be: it is not run", job.uid());
+      // The placement can't be tracked: if the job went on, the task could run on two machines.
+      LOG.error(
+          "job quarantined, its recorded placement is invalid: job={} task={}",
+          job.uid(),
+          recorded.task());
       job.quarantine();
       return;
     }
@@ -91,7 +97,7 @@
             machine.get(),
             recorded.agentEpoch(),
             Placement.Phase.RECOVERED));
-    // Another attempt of it may have completed, as a report that came late showed.
+    // Another attempt of the task may have completed, as a late heartbeat showed.
     TaskProgress.stopIfDone(job, recorded.task());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
+++ b/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
@@ -1,5 +1,6 @@
 package org.ploverspindle.leadership;
 
+import java.util.OptionalLong;
 import java.util.function.BooleanSupplier;
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.eventloop.TaskTimings;
@@ -7,16 +8,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** When waiting tasks are placed, and when running ones are stopped for more pressing ones. */
+/** Decides when pending tasks are placed, and when running ones are preempted. */
 final class SchedulingRounds {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingRounds.class);
 
-  /** What happens within this time after a change is placed together. */
+  /** Changes within this time are served by one round. */
   private static final long MIN_PAUSE_MS = 40;
 
   /**
-   * A pause lasts so many times as long as the last round took. Without it, placing a large backlog
-   * would leave no room for the reports that end it.
+   * The pause before a round is so many times as long as the last round took. Without it, placing a
+   * large backlog would leave no processor time for the heartbeats that work it off.
    */
   private static final int PAUSE_PER_ROUND = 3;
 
@@ -25,13 +26,13 @@
   private final JobArrivals arrivals;
   private final TaskTimings timings;
   private final BooleanSupplier isAuthoritative;
-  private long notBeforeMs = Long.MIN_VALUE;
+  private OptionalLong notBeforeMs = OptionalLong.empty();
   private long lastRoundDurationMs;
   private boolean scheduled;
   private boolean closed;
 
   /**
-   * @param isAuthoritative whether this leader is sure of its lead
+   * @param isAuthoritative whether this leader may decide now
    */
   SchedulingRounds(
       Scheduler scheduler,
@@ -46,17 +47,17 @@
     this.isAuthoritative = isAuthoritative;
   }
 
-  /** From now on no round is planned. */
+  /** From now on no round is scheduled. */
   void close() {
     closed = true;
   }
 
-  /** Nothing is placed before: tasks may still run where no record says that they do. */
+  /** Places nothing before that time: until then tasks may run that no record mentions. */
   void notBefore(long atMs) {
-    notBeforeMs = atMs;
+    notBeforeMs = OptionalLong.of(atMs);
   }
 
-  /** Has waiting tasks placed soon; calls before the round begins are served by that one. */
+  /** Schedules a round; calls before it begins are served by the same one. */
   void schedule() {
     if (scheduled || closed) {
       return;
@@ -69,15 +70,19 @@
   private void runRound() {
     scheduled = false;
     long nowMs = scheduler.nowMs();
-    if (!isAuthoritative.getAsBoolean() || nowMs < notBeforeMs) {
+    if (!isAuthoritative.getAsBoolean() || isTooEarly(nowMs)) {
       return;
     }
     arrivals.update();
-    timings.run("placing", () -> placer.run(nowMs, scheduler.wallMs()));
+    timings.run("placement", () -> placer.run(nowMs, scheduler.wallMs()));
     lastRoundDurationMs = scheduler.nowMs() - nowMs;
   }
 
-  /** Stops tasks, if need be, so that pressing jobs find room. */
+  private boolean isTooEarly(long nowMs) {
+    return notBeforeMs.isPresent() && nowMs < notBeforeMs.getAsLong();
+  }
+
+  /** Preempts running tasks where high-priority jobs find no free resources. */
   void preempt() {
     timings.run("preemption", this::preemptIfAuthoritative);
   }
@@ -89,7 +94,7 @@
     arrivals.update();
     int stopped = placer.preempt(scheduler.nowMs(), scheduler.wallMs());
     if (stopped > 0) {
-      LOG.info("{} tasks are stopped to make room for pressing jobs", stopped);
+      LOG.info("tasks preempted: count={}", stopped);
     }
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/SpotDrain.java
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -7,21 +7,21 @@
 import org.ploverspindle.placement.RuntimeEstimates;
 
 /**
- * Decides what happens to the tasks of a spot machine that the cloud takes back: what can't end in
- * time is stopped, so that it saves its work, or at least starts again elsewhere without waiting
- * for the machine's lease to run out.
+ * Decides what happens to the tasks of a spot machine that the cloud reclaims: a task that can't
+ * end in time is stopped, so that it writes a checkpoint, or at least starts again elsewhere
+ * without waiting for the worker's lease to expire.
  */
 final class SpotDrain {
-  /** A task that is to end by itself must do so this long before the machine goes. */
+  /** A task that is left to end by itself must do so this long before the machine is reclaimed. */
   private static final double END_MARGIN_S = 1;
 
-  /** Beyond what a save costs, for the order and the save to arrive. */
+  /** Beyond the cost of a checkpoint, for the command to arrive and the result to be stored. */
   private static final double CHECKPOINT_MARGIN_S = 0.5;
 
-  /** A save that takes so much longer than expected still succeeds, if the notice allows it. */
+  /** A checkpoint may take so many times its expected cost, if the notice is long enough. */
   private static final double CHECKPOINT_GRACE_FACTOR = 2;
 
-  /** Estimates err: a task that can't save is given up only when it is this far from its end. */
+  /** Estimates err: a task without checkpoints is stopped only this far from its expected end. */
   private static final double GIVE_UP_RATIO = 1.5;
 
   private static final double MS_PER_S = 1_000;
@@ -32,7 +32,9 @@
     this.estimates = estimates;
   }
 
-  /** Called with each report that shows the notice; what is stopping already is left alone. */
+  /**
+   * Called with each heartbeat that has the notice; tasks that are stopping already are skipped.
+   */
   void drain(Machine machine, long nowMs) {
     double noticeS = machine.spotNoticeS();
     for (Placement placement : List.copyOf(machine.placements())) {
@@ -59,7 +61,7 @@
     }
   }
 
-  /** How long the task is expected to run on; for ever if it is a service. */
+  /** How long the task is expected to run on; without end for a service. */
   private double remainingS(Placement placement, long nowMs) {
     if (placement.job().spec().expectedS() <= 0) {
       return Double.MAX_VALUE;
--- a/src/main/java/org/ploverspindle/leadership/TaskFailures.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskFailures.java
@@ -12,13 +12,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What follows from a task's failure: when it may be tried again, whether its job is taken to be
- * broken, and whether its machine is returned.
+ * Handles failures of tasks: when a task may be retried, whether its job is considered broken, and
+ * whether its machine is drained.
  */
 final class TaskFailures {
   private static final Logger LOG = LoggerFactory.getLogger(TaskFailures.class);
 
-  /** Before a failed task is tried again: this for the first failure and each one before it. */
+  /** The delay before a retry grows by this with each failure of the job. */
   private static final long RETRY_STEP_MS = 1_000;
 
   private static final long MAX_RETRY_DELAY_MS = 20_000;
@@ -35,7 +35,7 @@
     this.detector = new FailureDetector(this::isKnownToRun);
   }
 
-  /** The task ended on its machine with an error. */
+  /** A task ended with an error on its machine. */
   void handleFailure(Placement placement, long nowMs) {
     Job job = placement.job();
     Machine machine = placement.machine();
@@ -47,17 +47,18 @@
       job.backOff(placement.task(), nowMs + retryDelayMs);
     }
     if (detector.failed(machine, job, nowMs) && !machine.isDraining()) {
-      LOG.info("machine {} fails tasks of jobs that run elsewhere: it is returned", machine.host());
+      LOG.info(
+          "machine drained, it fails tasks of jobs that run elsewhere: machine={}", machine.host());
       machine.drain();
     }
     if (!wasFailingEverywhere && job.isFailingEverywhere(nowMs)) {
       LOG.info(
-          "job {} fails on several machines and runs nowhere: one task is tried now and then",
+          "job failing on several machines and running on none, retries are limited: job={}",
           job.uid());
     }
   }
 
-  /** A job that is no longer in the table has shown that it can run if it was done. */
+  /** A job that is no longer in the table is known to run if it was done. */
   private boolean isKnownToRun(String uid) {
     return jobs.get(uid)
         .map(job -> job.isKnownToRun(scheduler.nowMs()))
--- a/src/main/java/org/ploverspindle/leadership/TaskOwners.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskOwners.java
@@ -6,7 +6,7 @@
 import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.JobRecord;
 
-/** Whose an unrecorded task on a machine is: it counts for its team as long as it may run. */
+/** Finds the owner of a task that runs unrecorded: it counts against its team while it may run. */
 final class TaskOwners {
   private final AcceptedJobIndex acceptedJobs;
   private final TeamUsage teams;
@@ -16,7 +16,7 @@
     this.teams = teams;
   }
 
-  /** The owner of the job's tasks; empty if the job or its team is not known. */
+  /** The owner of the job's tasks; empty if the job or its team is unknown. */
   Optional<HeartbeatHandler.Owner> of(String uid) {
     return acceptedJobs
         .get(uid)
--- a/src/main/java/org/ploverspindle/leadership/TaskProgress.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -14,16 +14,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes note of what becomes of tasks: has it recorded, has the freed room filled again, and drops
- * jobs that are over.
+ * Follows tasks from their placement to their end: has each change recorded, has freed resources
+ * filled again, and removes terminal jobs.
  */
 final class TaskProgress implements HeartbeatHandler.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(TaskProgress.class);
 
-  /** Before a task that its machine had no room for, or was too busy for, is placed again. */
+  /** Before a task that its machine had no resources for, or was too busy for, is placed again. */
   private static final long REJECTED_RETRY_DELAY_MS = 1_000;
 
-  /** The same for a task that its machine did not know. */
+  /** The same for a task that its machine does not know. */
   private static final long UNKNOWN_TASK_RETRY_DELAY_MS = 4_000;
 
   private static final double MS_PER_S = 1_000;
@@ -36,7 +36,7 @@
   private final Runnable scheduleRound;
 
   /**
-   * @param scheduleRound has waiting tasks placed soon, as there may be room for them now
+   * @param scheduleRound has pending tasks placed soon, as there may be free resources now
    */
   TaskProgress(
       Scheduler scheduler,
@@ -53,19 +53,22 @@
     this.scheduleRound = scheduleRound;
   }
 
-  /** A task has been given a place: its launch goes out once that is recorded. */
+  /** A task has been placed: its launch goes out once the placement is recorded. */
   void placed(Placement placement) {
     LOG.debug(
-        "{}/{} goes to {}", placement.job().uid(), placement.task(), placement.machine().host());
+        "task placed: job={} task={} machine={}",
+        placement.job().uid(),
+        placement.task(),
+        placement.machine().host());
     writer.changed(placement.job(), placement.task());
   }
 
-  /** These are proven gone with their machines. */
+  /** These tasks are proven gone with their machines. */
   void lost(List<Placement> placements) {
     placements.forEach(this::ended);
   }
 
-  /** Drops a job that is over as soon as none of its tasks can be anywhere. */
+  /** Removes a terminal job as soon as none of its tasks can be on any machine. */
   void cleanUp(Job job) {
     if (job.cancelled()) {
       writer.cancelledTasksEnded(job);
@@ -76,7 +79,7 @@
     }
   }
 
-  /** Stops an attempt that goes on although its task is done, by a report of another one. */
+  /** Stops an attempt that goes on although another attempt of its task has completed. */
   static void stopIfDone(Job job, int task) {
     Placement placement = job.activePlacement(task);
     if (placement != null && job.completedTasks().get(task)) {
@@ -106,18 +109,19 @@
   }
 
   @Override
-  public void ended(Placement placement, Heartbeat.ExitReason cause, boolean saved, long nowMs) {
+  public void ended(
+      Placement placement, Heartbeat.ExitReason reason, boolean checkpointed, long nowMs) {
     Job job = placement.job();
-    if (cause != Heartbeat.ExitReason.NONE) {
+    if (reason != Heartbeat.ExitReason.NONE) {
       LOG.debug(
-          "{}/{} ended on {}: {}{}",
+          "task ended: job={} task={} machine={} reason={} checkpointed={}",
           job.uid(),
           placement.task(),
           placement.machine().host(),
-          cause,
-          saved ? ", saved" : "");
+          reason,
+          checkpointed);
     }
-    switch (cause) {
+    switch (reason) {
       case ERROR -> failures.handleFailure(placement, nowMs);
       case NO_ROOM, BUSY -> job.backOff(placement.task(), nowMs + REJECTED_RETRY_DELAY_MS);
       case NO_SUCH -> job.backOff(placement.task(), nowMs + UNKNOWN_TASK_RETRY_DELAY_MS);
@@ -135,7 +139,7 @@
     scheduleRound.run();
   }
 
-  /** For people who ask why a pressing task waited. */
+  /** Logs how long a high-priority task waited, and for what. */
   @Override
   public void changed(Placement placement) {
     if (!LOG.isDebugEnabled()
@@ -145,7 +149,7 @@
     }
     long nowMs = scheduler.nowMs();
     LOG.debug(
-        "{}/{} runs {} ms after it could first; {} ms after its record, {} ms after its launch",
+        "task running: job={} task={} since_eligible_ms={} since_recorded_ms={} since_sent_ms={}",
         placement.job().uid(),
         placement.task(),
         scheduler.wallMs() - placement.job().eligibleSinceWallMs(),
