--- a/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
@@ -23,7 +23,7 @@
 
   private static final long WINDOW_MARGIN_MS = 2_000;
 
-  /** Silence, per second of the heartbeat interval, that tells while heartbeats are misdirected. */
+  /** The short silence: this much per second of the heartbeat interval. */
   private static final int SHORT_SILENCE_MS_PER_INTERVAL_S = 650;
 
   /** A check that comes so late after the one before: this process was paused meanwhile. */
--- a/src/main/java/org/ploverspindle/leases/FencedStore.java
+++ b/src/main/java/org/ploverspindle/leases/FencedStore.java
@@ -5,8 +5,9 @@
 import org.ploverspindle.state.StateStore;
 
 /**
- * The state service as a holder of a duty uses it: counts the transactions that were refused since
- * the holder's record is not the one that they were bound to.
+ * The state service as the holder of a role uses it. Passes all calls on, and counts the
+ * transactions that were refused because another holder's record has replaced the one they are
+ * conditional on.
  */
 public final class FencedStore implements StateStore {
   private final StateStore store;
@@ -14,7 +15,7 @@
   private final FencingRejections rejections;
 
   /**
-   * @param holderKey the record that says who holds the duty
+   * @param holderKey the key of the record that names the holder
    */
   public FencedStore(StateStore store, String holderKey, FencingRejections rejections) {
     this.store = store;
--- a/src/main/java/org/ploverspindle/leases/FencingRejections.java
+++ b/src/main/java/org/ploverspindle/leases/FencingRejections.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * Counts what receivers refused of this process because another holder had replaced it. Nothing is
- * decided by it: people see from it that a controller stalled, and that the fencing held.
+ * Counts the requests of this process that receivers refused because another holder had replaced
+ * it. Nothing is decided by these counts: they show operators that a controller was paused, and
+ * that fencing protected the cluster from it.
  */
 public final class FencingRejections {
   /** Who refused. */
   public enum Kind {
-    /** The state service: the holder's record is not the one that the write was bound to. */
+    /** The state service: the holder's record is not the one that the write is conditional on. */
     STATE_WRITE,
     /** A worker: it has seen a higher epoch. */
     WORKER_COMMAND
@@ -18,17 +19,17 @@
 
   private final Map<Kind, Long> counts = new EnumMap<>(Kind.class);
 
-  /** One more was refused. */
+  /** Counts one more refused request. */
   public void add(Kind kind) {
     counts.merge(kind, 1L, Long::sum);
   }
 
-  /** How many were refused since the process started. */
+  /** How many requests were refused since the process started. */
   public long count(Kind kind) {
     return counts.getOrDefault(kind, 0L);
   }
 
-  /** Numbers for people. */
+  /** Both counts, for the status page. */
   public String summary() {
     return "refused state_writes="
         + count(Kind.STATE_WRITE)
--- a/src/main/java/org/ploverspindle/leases/LeaseTiming.java
+++ b/src/main/java/org/ploverspindle/leases/LeaseTiming.java
@@ -1,17 +1,21 @@
 package org.ploverspindle.leases;
 
 /**
- * For how long a lease lives.
+ * For how long a lease of the state service is valid.
  *
- * @param ttlMs how long the state service keeps it when it is not renewed
- * @param validMs how long it certainly lives by this process's clock, from the sending of the last
- *     renewal that was answered: less than {@code ttlMs} by what clocks drift apart
+ * @param ttlMs time to live: how long the state service keeps the lease without a renewal
+ * @param validMs how long the lease is certainly valid by this process's clock, counted from the
+ *     sending of the last renewal that was answered: less than {@code ttlMs} by the drift of clocks
  */
 public record LeaseTiming(long ttlMs, long validMs) {
-  /** A renewal goes out when this part of the lease has passed. */
+  /** A renewal is sent when the lease is older than this part of its time to live. */
   private static final int RENEWALS_PER_LEASE = 4;
 
-  /** Checks that a renewal that is lost can be repeated before the lease is over. */
+  /**
+   * Checks that a lost renewal can be repeated before the lease expires.
+   *
+   * @throws IllegalArgumentException if it can't
+   */
   public LeaseTiming {
     long minTtlMs = RENEWALS_PER_LEASE * (ttlMs - validMs);
     if (validMs >= ttlMs || ttlMs < minTtlMs) {
@@ -30,7 +34,7 @@
     return ttlMs / RENEWALS_PER_LEASE;
   }
 
-  /** Beyond this age a lease that was not renewed is not used for taking a duty. */
+  /** A lease that was not renewed for longer is not used for acquiring a role. */
   long freshMs() {
     return validMs / 2;
   }
--- a/src/main/java/org/ploverspindle/leases/RoleLease.java
+++ b/src/main/java/org/ploverspindle/leases/RoleLease.java
@@ -16,29 +16,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes one duty and keeps it: a record attached to a lease of the state service says who holds it.
- * The transaction that writes the record also raises the epoch, so epochs grow with holders and
- * none is used twice. A holder keeps its duty until its lease ends or it gives the duty up.
+ * Acquires a role that one process may hold at a time, and keeps it. A record that is attached to a
+ * lease of the state service names the holder. The transaction that writes the record also raises
+ * the epoch, so epochs grow from holder to holder and none is used twice. A holder keeps the role
+ * until its lease expires or it releases the role.
  */
 public final class RoleLease {
   private static final Logger LOG = LoggerFactory.getLogger(RoleLease.class);
 
-  /** After the record is gone, controllers try one after the other and not all at once. */
+  /** Spreads the first attempts of all controllers after the holder's record is removed. */
   private static final int FIRST_ATTEMPT_JITTER_MS = 150;
 
   private static final int RETRY_DELAY_MS = 50;
   private static final int RETRY_JITTER_MS = 400;
   private static final long MAX_RECORDED_VACANCY_MS = 3_600_000;
 
-  /** What the process is told; always on the loop. */
+  /** Is called on the event loop. */
   public interface Listener {
-    /** The duty is held; the replica has all that earlier holders wrote. */
+    /** The role is held; the replica has all that earlier holders wrote. */
     void acquired(HeldRole role);
 
-    /** The duty is over: nothing may be done under it any more. */
+    /** The role is lost: nothing may be done under it any more. */
     void lost(HeldRole role, String cause);
 
-    /** May this process try to take the duty now? Asked before each try. */
+    /** May this process try to acquire the role now? Asked before each attempt. */
     boolean mayAcquire();
   }
 
@@ -58,7 +59,11 @@
   private boolean acquiring;
   private long nextAttemptMs;
 
-  /** A duty that is not tried for before the first {@link #tick}. */
+  /**
+   * A role that no attempt is made for before the first {@link #tick}.
+   *
+   * @param member the name of this controller
+   */
   public RoleLease(
       Scheduler scheduler,
       StateStore store,
@@ -80,40 +85,40 @@
     replica.addListener(this::holderRecordChanged);
   }
 
-  /** The duty, if this process holds it as far as it knows. */
+  /** The role, if this process holds it as far as it knows. */
   public Optional<HeldRole> held() {
     return held;
   }
 
   /**
-   * Does this process certainly hold the duty, if its clock is right? To be asked last before each
-   * send; the receiver's check is the proof.
+   * Does this process certainly hold the role, if its clock runs at the right rate? To be asked
+   * last before each send. It is no proof: only the receiver's check of the epoch is.
    */
   public boolean isCertainlyHeld() {
     return held.isPresent() && lease.isCertainlyValid();
   }
 
-  /** When the lease was last known to live, on the steady clock. */
+  /** When the lease was last known to be valid, on the steady clock. */
   public long lastRenewalMs() {
     return lease.lastRenewalSentMs();
   }
 
-  /** The holder by the replica, whoever it is. */
+  /** The holder by the replica, whichever controller it is. */
   public Optional<RoleHolder> holder() {
     return replica.get(records.holderKey()).map(Entry::value).flatMap(records::decode);
   }
 
-  /** How long answers to renewals took. */
+  /** How long renewals of the lease took to be answered, in milliseconds. */
   public Histogram renewalMs() {
     return lease.renewalMs();
   }
 
-  /** For how long the duty had no holder, each time, as this process saw it. */
+  /** For how long the role had no holder, each time, in milliseconds, as this process saw it. */
   public Histogram vacantMs() {
     return vacantMs;
   }
 
-  /** Renews the lease or tries to take the duty. To be called many times within a lease. */
+  /** Renews the lease or tries to acquire the role. To be called many times within a lease. */
   public void tick() {
     if (!replica.isLoaded()) {
       return;
@@ -133,7 +138,8 @@
     if (acquiring || scheduler.nowMs() < nextAttemptMs || !listener.mayAcquire()) {
       return;
     }
-    // Only who tries needs a lease: renewals of all others would use up shared requests.
+    // A lease is opened only for an attempt: renewals by all controllers would use up the shared
+    // rate limit of the state service.
     if (!lease.isFresh()) {
       lease.open(this::isVacant, this::tick);
       return;
@@ -141,7 +147,7 @@
     Optional<Entry> epochRecord = replica.get(records.epochKey());
     Optional<Long> epoch = records.nextEpoch(epochRecord.map(Entry::value));
     if (epoch.isEmpty()) {
-      // Any guess could be an epoch that a former holder still acts under.
+      // A guessed epoch could be one that a former holder still acts under.
       logUnreadable(records.epochKey());
       return;
     }
@@ -163,8 +169,8 @@
           if (result instanceof TransactionResult.NoSuchLease) {
             lease.forget();
           }
-          // Whatever was answered, the replica tells who holds the duty: an unanswered try may
-          // have been carried out.
+          // Whatever the result, the replica shows who holds the role: an attempt without an answer
+          // may have been executed.
           replica.readBarrier(
               isRead -> {
                 acquiring = false;
@@ -181,7 +187,7 @@
     if (entry.isEmpty()) {
       vacantSinceMs = Optional.of(scheduler.nowMs());
       nextAttemptMs = scheduler.nowMs() + random.nextInt(FIRST_ATTEMPT_JITTER_MS);
-      end("the record of the holder is gone");
+      end("the holder's record is gone");
       return;
     }
     vacantSinceMs.ifPresent(this::recordVacancy);
@@ -189,12 +195,12 @@
     Optional<RoleHolder> holder = records.decode(entry.get().value());
     if (holder.isEmpty()) {
       logUnreadable(key);
-      end("the record of the holder can't be read");
+      end("the holder's record is malformed");
     } else if (isOurs(holder.get())) {
       acquiredAt(entry.get().modRevision(), holder.get());
     } else {
       closeIfAbandoned(holder.get());
-      end("another controller holds the duty: " + holder.get().member());
+      end("another controller holds the role: " + holder.get().member());
     }
   }
 
@@ -204,16 +210,16 @@
   }
 
   /**
-   * A try that was carried out late, under a lease that was given up or is not renewed any more, is
-   * not ours: the record goes with that lease, whatever is known of another one.
+   * Was the record written by this process under its current lease? An attempt that was executed
+   * late, under a lease that was dropped, does not count: its record is removed with that lease.
    */
   private boolean isOurs(RoleHolder holder) {
     return holder.nonce().equals(nonce) && lease.id().map(id -> id == holder.lease()).orElse(false);
   }
 
   /**
-   * Left by this controller's process before this one, or by a try of it that was carried out late:
-   * nobody renews it, and the others need not wait for its end.
+   * Ends the lease of a record that was left by an earlier process of this controller, or by a late
+   * attempt of it: nobody renews that lease, and others need not wait for it to expire.
    */
   private void closeIfAbandoned(RoleHolder holder) {
     if (holder.member().equals(member)) {
@@ -225,19 +231,19 @@
     if (held.isPresent() && held.get().modRevision() == modRevision) {
       return;
     }
-    end("the record of the holder is a newer one");
+    end("the holder's record was replaced");
     HeldRole role = new HeldRole(ownRecord.epoch(), modRevision, scheduler.nowMs());
-    // One more read after our record stood: then the replica has every write of earlier holders,
-    // and later ones fail on their condition.
+    // One more read after the record was written: then the replica has every write of earlier
+    // holders, and any later one fails on its condition.
     replica.readBarrier(isRead -> confirmAcquired(role, ownRecord.lease(), isRead));
   }
 
-  /** Meanwhile another one may have taken the duty, or this process have given it up. */
+  /** Begins to hold the role, unless it was lost or released while the replica was read. */
   private void confirmAcquired(HeldRole role, long leaseId, boolean isRead) {
     boolean isCurrent =
         replica
             .get(records.holderKey())
-            .map(e -> e.modRevision() == role.modRevision())
+            .map(entry -> entry.modRevision() == role.modRevision())
             .orElse(false);
     boolean isLeaseCurrent = lease.id().map(id -> id == leaseId).orElse(false);
     if (!isCurrent || !isLeaseCurrent || held.isPresent()) {
@@ -251,7 +257,7 @@
     listener.acquired(role);
   }
 
-  /** Ends the duty here on a sign that it is over; the record is left to its lease. */
+  /** Ends the role in this process on a sign that it is lost; the record stays with its lease. */
   public void end(String cause) {
     if (held.isPresent()) {
       HeldRole lost = held.get();
@@ -260,7 +266,7 @@
     }
   }
 
-  /** Gives the duty up at once, so that others need not wait for the lease to end. */
+  /** Releases the role at once, so that others need not wait for the lease to expire. */
   public void release(String cause) {
     lease.close();
     end(cause);
@@ -269,8 +275,7 @@
   private void logUnreadable(String key) {
     if (!lastUnreadableKey.equals(Optional.of(key))) {
       lastUnreadableKey = Optional.of(key);
-      LOG.error(
-          "the record {} can't be read: the duty {} is not taken by guess", key, records.name());
+      LOG.error("role not acquired, its record is malformed: role={} key={}", records.name(), key);
     }
   }
 }
--- a/src/main/java/org/ploverspindle/leases/RoleRecords.java
+++ b/src/main/java/org/ploverspindle/leases/RoleRecords.java
@@ -3,30 +3,30 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
 
-/** How a duty's holder and its epochs are stored. */
+/** How the holder of a role and its epochs are stored. */
 public interface RoleRecords {
-  /** The duty's name, for people. */
+  /** The role's name, for log lines. */
   String name();
 
-  /** The key of the holder's record. It exists while the duty is held. */
+  /** The key of the holder's record. The record exists while the role is held. */
   String holderKey();
 
-  /** The key of the epochs' record, which stays. */
+  /** The key of the record of epochs, which outlives every holder. */
   String epochKey();
 
   /** The holder's record in its stored form. */
   JsonNode encode(RoleHolder holder);
 
-  /** Reads a holder's record; empty if it can't be understood. */
+  /** Decodes a holder's record; empty if it is malformed. */
   Optional<RoleHolder> decode(JsonNode record);
 
-  /** The epochs' record from the moment on at which this epoch was taken. */
+  /** The record of epochs once this epoch is taken. */
   JsonNode encodeEpochs(long taken);
 
   /**
-   * The epoch that follows all that were taken; empty if the record can't be understood.
+   * The epoch that follows all that were taken; empty if the record is malformed.
    *
-   * @param record the epochs' record, if there is one yet
+   * @param record the record of epochs, if there is one yet
    */
   Optional<Long> nextEpoch(Optional<JsonNode> record);
 }
--- a/src/main/java/org/ploverspindle/leases/StateLease.java
+++ b/src/main/java/org/ploverspindle/leases/StateLease.java
@@ -8,10 +8,10 @@
 import org.ploverspindle.state.StateStore.Renewal;
 
 /**
- * One lease of the state service: keys that are attached to it are removed when it ends.
+ * One lease of the state service, which removes the keys that are attached to it when it expires.
  *
  * <p>Its validity is counted from the sending of the last renewal that was answered, on the steady
- * clock: a renewal whose answer is lost may have been carried out, and is not counted.
+ * clock. A renewal whose answer is lost may have been executed, but is not counted.
  */
 final class StateLease {
   private static final long MAX_RECORDED_RENEWAL_MS = 60_000;
@@ -30,31 +30,32 @@
     this.timing = timing;
   }
 
-  /** The lease's number in the state service, while it is not known to have ended. */
+  /** The lease's id in the state service, while the lease is not known to have ended. */
   Optional<Long> id() {
     return id;
   }
 
-  /** When the last answered opening or renewal was sent. */
+  /** When the last request to open or renew the lease that was answered was sent. */
   long lastRenewalSentMs() {
     return lastRenewalSentMs;
   }
 
-  /** Does the lease certainly live, if this process's clock is right? */
+  /** Is the lease certainly valid, if this process's clock runs at the right rate? */
   boolean isCertainlyValid() {
     return scheduler.nowMs() < lastRenewalSentMs + timing.validMs();
   }
 
-  /** Is enough of the lease left to take a duty under it? */
+  /** Is enough of the lease left to acquire a role under it? */
   boolean isFresh() {
     return id.isPresent() && scheduler.nowMs() <= lastRenewalSentMs + timing.freshMs();
   }
 
   /**
-   * Opens a new lease; one that was held before is left to end by itself.
+   * Opens a new lease; an earlier one is left to expire by itself.
    *
-   * @param wanted asked when the answer comes. A try under the former lease may have been carried
-   *     out meanwhile: renewals of another lease than the record's would say nothing about it.
+   * @param isStillWanted asked when the lease is opened. An attempt to acquire the role under the
+   *     earlier lease may have been executed meanwhile: then the record depends on that lease, and
+   *     renewals of the new one would not keep it.
    * @param opened called when the new lease is this process's
    */
   void open(BooleanSupplier isStillWanted, Runnable opened) {
@@ -78,7 +79,7 @@
   }
 
   /**
-   * Renews the lease when its time has come. One that failed is repeated with the next call.
+   * Renews the lease if a renewal is due. A failed renewal is repeated with the next call.
    *
    * @param ended called when the state service no longer knows the lease
    */
@@ -99,8 +100,8 @@
           requestInFlight = false;
           if (result == Renewal.RENEWED) {
             lastRenewalSentMs = Math.max(lastRenewalSentMs, requestSentMs);
-            long tookMs = Math.max(0, scheduler.nowMs() - requestSentMs);
-            renewalMs.recordValue(Math.min(MAX_RECORDED_RENEWAL_MS, tookMs));
+            long durationMs = Math.max(0, scheduler.nowMs() - requestSentMs);
+            renewalMs.recordValue(Math.min(MAX_RECORDED_RENEWAL_MS, durationMs));
           } else if (result == Renewal.GONE) {
             id = Optional.empty();
             ended.run();
@@ -108,18 +109,18 @@
         });
   }
 
-  /** The state service said that there is no such lease. */
+  /** Drops the lease: the state service does not know it. */
   void forget() {
     id = Optional.empty();
   }
 
-  /** Ends the lease at once, so that others need not wait for it to run out. */
+  /** Ends the lease at once, so that others need not wait for it to expire. */
   void close() {
     id.ifPresent(store::closeLease);
     id = Optional.empty();
   }
 
-  /** How long renewals took to be answered. */
+  /** How long renewals took to be answered, in milliseconds. */
   Histogram renewalMs() {
     return renewalMs;
   }
