--- a/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
+++ b/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
@@ -13,52 +13,53 @@
 import org.ploverspindle.model.Priority;
 
 /**
- * Sends commands straight to workers where waiting for their next report would take too long, and
- * hands the report that each one answers with to the report handler. What finds no room among the
- * commands under way goes out in the answer to the machine's next report instead.
+ * Sends commands directly to workers where waiting for their next heartbeat would take too long,
+ * and passes the heartbeat in each worker's reply to the heartbeat handler. A command that exceeds
+ * the limit on requests in flight goes out in the response to the machine's next heartbeat instead.
  */
 final class DirectCommandSender {
   private final Scheduler scheduler;
   private final WorkerClient workers;
-  private final DirectCommands directOrders;
-  private final HeartbeatHandler reportHandler;
-  private final int mostUnderWay;
-  private int underWay;
+  private final DirectCommands directCommands;
+  private final HeartbeatHandler heartbeatHandler;
+  private final int maxInFlight;
+  private int inFlight;
   private boolean closed;
 
   /**
-   * @param mostUnderWay each command under way has a connection of its own, and sockets are counted
+   * @param maxInFlight limit on requests in flight: each needs a connection of its own, and the
+   *     process has a limit on open sockets
    */
   DirectCommandSender(
-      int mostUnderWay,
+      int maxInFlight,
       Scheduler scheduler,
       WorkerClient workers,
-      DirectCommands directOrders,
-      HeartbeatHandler reportHandler) {
-    this.mostUnderWay = mostUnderWay;
+      DirectCommands directCommands,
+      HeartbeatHandler heartbeatHandler) {
+    this.maxInFlight = maxInFlight;
     this.scheduler = scheduler;
     this.workers = workers;
-    this.directOrders = directOrders;
-    this.reportHandler = reportHandler;
+    this.directCommands = directCommands;
+    this.heartbeatHandler = heartbeatHandler;
   }
 
-  /** From now on answers are dropped: they belong to a term that is over. */
+  /** From now on replies are ignored: they belong to a term that is over. */
   void close() {
     closed = true;
   }
 
-  /** May another launch or announcement be sent now? */
-  boolean hasRoom() {
-    return underWay < mostUnderWay;
+  /** May another launch or token be sent now? */
+  boolean hasCapacity() {
+    return inFlight < maxInFlight;
   }
 
   /**
-   * Launches what is pressing and was not sent in the answer to a report: the next report of its
-   * machine may be seconds away.
+   * Launches the high-priority tasks that were not sent in a heartbeat response: the next heartbeat
+   * of their machine may be seconds away.
    *
    * @param durable placements whose intent has just become durable
    */
-  void launch(List<Placement> durable) {
+  void launchHighPriority(List<Placement> durable) {
     Set<Machine> machines = new LinkedHashSet<>();
     for (Placement placement : durable) {
       if (placement.phase() == Placement.Phase.READY
@@ -67,46 +68,48 @@
       }
     }
     for (Machine machine : machines) {
-      if (!hasRoom()) {
+      if (!hasCapacity()) {
         return;
       }
-      directOrders.launches(machine, scheduler.nowMs()).ifPresent(this::send);
+      directCommands.launches(machine, scheduler.nowMs()).ifPresent(this::send);
     }
   }
 
   /**
-   * Stops the tasks of a cancelled job at once, as far as connections allow; all other machines are
-   * told in the answers to their reports.
+   * Stops the tasks of a cancelled job at once, as far as connections allow; all other machines get
+   * the command in their next heartbeat response.
    */
-  void stop(Job cancelled) {
+  void stopCancelled(Job cancelled) {
     Set<Machine> machines = new LinkedHashSet<>();
     cancelled.activePlacements().forEach(placement -> machines.add(placement.machine()));
     for (Machine machine : machines) {
-      // Launches of pressing jobs have the other half to themselves.
-      if (underWay >= mostUnderWay / 2) {
+      // The other half is reserved for launches of high-priority jobs.
+      if (inFlight >= maxInFlight / 2) {
         return;
       }
-      directOrders.cancelledStops(machine).ifPresent(this::send);
+      directCommands.cancelledStops(machine).ifPresent(this::send);
     }
   }
 
-  /** Shows the machine its token in this term, without any order. */
-  void announceToken(Machine machine, long tenure) {
-    send(new DirectCommands.Request(machine.address(), machine.fencingToken(), tenure, List.of()));
+  /** Sends the machine its fencing token in this term, without any command. */
+  void sendFencingToken(Machine machine, long agentEpoch) {
+    send(
+        new DirectCommands.Request(
+            machine.address(), machine.fencingToken(), agentEpoch, List.of()));
   }
 
   private void send(DirectCommands.Request command) {
-    underWay++;
+    inFlight++;
     workers.send(
         command.address(),
         command.fencingToken(),
         command.agentEpoch(),
         command.commands(),
-        answer -> {
-          underWay--;
+        response -> {
+          inFlight--;
           if (!closed) {
-            answer.ifPresent(
-                report -> reportHandler.handleDirectResponse(report, scheduler.nowMs()));
+            response.ifPresent(
+                heartbeat -> heartbeatHandler.handleDirectResponse(heartbeat, scheduler.nowMs()));
           }
         });
   }
--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -20,28 +20,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads: whoever's key stands in the state service, attached to a lease. The transaction that
- * makes a leader also raises the token, so tokens grow with leaders and none is used twice.
+ * Elects the leader: the controller whose record is under the leader key, attached to a lease of
+ * the state service. The transaction that writes the record also raises the fencing token, so
+ * tokens grow from leader to leader and none is used twice.
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-  private static final long RESIGNATION_PAUSE_MS = 12_000;
-  private static final long RESIGNATION_FORGOTTEN_MS = 120_000;
-  private static final long OTHERS_FIRST_MS = 2_500;
+  /** So many terms within the window: whatever ends them, another change of leader won't help. */
+  private static final int UNSTABLE_TERMS = 3;
 
-  /** So many terms in so short a time: whatever ends them, another change does not help. */
-  private static final int MANY_TERMS = 3;
-
-  private static final long MANY_TERMS_MS = 60_000;
+  private static final long UNSTABLE_WINDOW_MS = 60_000;
   private static final int TICKS_PER_LEASE = 20;
 
-  /** What the rest of the process is told; always on the loop. */
+  /** Is called on the event loop. */
   public interface Listener {
-    /** The term began; the copy holds all that earlier leaders wrote. */
+    /** A term of this controller began; the replica holds all that earlier leaders wrote. */
     void elected(Term term);
 
-    /** The term is over: nothing may be decided any more. */
+    /** The term is over: nothing may be decided under it any more. */
     void ended(Term term, String cause);
   }
 
@@ -49,15 +46,16 @@
   private final Replica replica;
   private final SafetyTiming timing;
   private final Listener listener;
-  private final RoleLease lead;
+  private final RoleLease leaderLease;
+  private final ResignationBackoff backoff = new ResignationBackoff();
+  private final Deque<Long> recentTermStartsMs = new ArrayDeque<>();
   private Optional<Term> term = Optional.empty();
-  private long pausedUntilMs = Long.MIN_VALUE / 2;
-  private long lastResignationMs = Long.MIN_VALUE / 2;
-  private int resignations;
-  private long vacantSinceMs;
-  private final Deque<Long> termsSeenMs = new ArrayDeque<>();
 
-  /** An election that this controller takes part in once it is started. */
+  /**
+   * An election that this controller takes part in once it is started.
+   *
+   * @param member the name of this controller
+   */
   public Election(
       Scheduler scheduler,
       StateStore store,
@@ -70,9 +68,9 @@
     this.replica = replica;
     this.timing = timing;
     this.listener = listener;
-    replica.addListener(this::changed);
+    replica.addListener(this::leaderKeyChanged);
     LeaseTiming leaseTiming = new LeaseTiming(timing.stateLeaseMs(), timing.stateLeaseValidMs());
-    this.lead =
+    this.leaderLease =
         new RoleLease(
             scheduler,
             store,
@@ -81,123 +79,115 @@
             leaseTiming,
             new LeaderRecords(),
             member,
-            new LeadEvents());
+            new LeaseEvents());
   }
 
   /** Takes part from now on, until cancelled. */
   public Cancellable start() {
-    return scheduler.every(timing.stateLeaseMs() / TICKS_PER_LEASE, lead::tick);
+    return scheduler.every(timing.stateLeaseMs() / TICKS_PER_LEASE, leaderLease::tick);
   }
 
-  /** The term in which this node leads, as far as it knows. */
+  /** The term in which this controller leads, as far as it knows. */
   public Optional<Term> term() {
     return term;
   }
 
-  /** The leader by the copy, also another node. */
+  /** The name of the leader by the replica, whichever controller it is. */
   public Optional<String> leaderName() {
-    return lead.holder().map(RoleHolder::member);
+    return leaderLease.holder().map(RoleHolder::member);
   }
 
-  /** The first token of the leader by the copy, also another node's. */
+  /** The first token of the leader's term by the replica, whichever controller it is. */
   public Optional<Long> leaderToken() {
-    return lead.holder().map(RoleHolder::epoch);
+    return leaderLease.holder().map(RoleHolder::epoch);
   }
 
-  /** May this node decide? Only while its lease certainly lives. */
+  /** May this controller decide as the leader now? Only while its lease is certainly valid. */
   public boolean isAuthoritative() {
-    return lead.isCertainlyHeld();
+    return leaderLease.isCertainlyHeld();
   }
 
-  /** When the leader key was last known to be ours. */
+  /** When the leader key was last known to be this controller's, on the steady clock. */
   public long lastConfirmedMs() {
-    return Math.min(lead.lastRenewalMs(), replica.freshAsOfMs());
+    return Math.min(leaderLease.lastRenewalMs(), replica.freshAsOfMs());
   }
 
-  /** Has the lead changed again and again lately, as far as this node saw? */
-  boolean changesOften() {
-    termsSeenMs.removeIf(seen -> scheduler.nowMs() - seen > MANY_TERMS_MS);
-    return termsSeenMs.size() >= MANY_TERMS;
+  /** Has leadership changed several times lately, as far as this controller saw? */
+  boolean isUnstable() {
+    long nowMs = scheduler.nowMs();
+    recentTermStartsMs.removeIf(startMs -> nowMs - startMs > UNSTABLE_WINDOW_MS);
+    return recentTermStartsMs.size() >= UNSTABLE_TERMS;
   }
 
-  private void changed(String key, Optional<Entry> entry) {
+  private void leaderKeyChanged(String key, Optional<Entry> entry) {
     if (!key.equals(Keys.LEADER)) {
       return;
     }
     if (entry.isEmpty()) {
-      vacantSinceMs = scheduler.nowMs();
+      backoff.leadershipVacant(scheduler.nowMs());
     } else {
-      termsSeenMs.addLast(scheduler.nowMs());
-    }
-  }
-
-  /** A term begins and ends with the duty to lead. */
-  private final class LeadEvents implements RoleLease.Listener {
-    @Override
-    public void acquired(HeldRole duty) {
-      Term fresh = new Term(duty.epoch(), duty.modRevision(), duty.sinceMs());
-      LOG.info("leading with token {}", fresh.fencingToken());
-      term = Optional.of(fresh);
-      listener.elected(fresh);
-    }
-
-    @Override
-    public void lost(HeldRole duty, String cause) {
-      Term over = term.orElseThrow();
-      term = Optional.empty();
-      LOG.info("no longer leading with token {}: {}", over.fencingToken(), cause);
-      listener.ended(over, cause);
-    }
-
-    @Override
-    public boolean mayAcquire() {
-      return !pausesAfterResigning();
+      recentTermStartsMs.addLast(scheduler.nowMs());
     }
   }
 
-  /** Who leads and since when, how long renewals take, and how long nobody led, for people. */
+  /** One line for the status page: the leader, renewal times, and how long nobody led. */
   public String summary() {
-    return new LeadershipStatus(scheduler.nowMs(), lead).toString();
+    return new LeadershipStatus(scheduler.nowMs(), leaderLease).toString();
   }
 
-  /** Another controller says that it leads: ends an older lead of ours, and is looked up. */
+  /**
+   * Another controller announced that it leads under this token. Ends an older term of this
+   * controller, or reads the state service to learn of the change.
+   */
   public void observeToken(long token) {
     if (term.isPresent() && term.get().isBefore(token)) {
       deposed("another controller has a higher token");
     } else {
-      replica.readBarrier(ok -> {});
+      replica.readBarrier(isRead -> {});
     }
   }
 
-  /** Called with any sign that a newer leader exists. */
+  /** Ends this controller's term on any sign that a newer leader exists. */
   public void deposed(String cause) {
-    lead.end(cause);
-    replica.readBarrier(ok -> {});
+    leaderLease.end(cause);
+    replica.readBarrier(isRead -> {});
   }
 
   /**
-   * Gives the lead up to whoever can do more with it, and does not try again for a while, longer
-   * each time: a leader that no machine reaches keeps its key alive as well as any, and every lease
-   * would end meanwhile.
+   * Resigns in favour of a controller that can do more, and is not a candidate again for a while.
    */
-  public void resignAndPause(String cause) {
-    long now = scheduler.nowMs();
-    resignations = now - lastResignationMs > RESIGNATION_FORGOTTEN_MS ? 0 : resignations + 1;
-    lastResignationMs = now;
-    vacantSinceMs = now;
-    pausedUntilMs = now + (RESIGNATION_PAUSE_MS << Math.min(2, resignations));
-    LOG.info("resigning the lead: {}", cause);
+  public void resignWithBackoff(String cause) {
+    backoff.resigned(scheduler.nowMs());
+    LOG.info("resigning leadership: cause=\"{}\"", cause);
     resign();
   }
 
-  /** Others go first for a while; where nobody does, a leader that is hard to reach beats none. */
-  private boolean pausesAfterResigning() {
-    long now = scheduler.nowMs();
-    return now < pausedUntilMs && now - vacantSinceMs < OTHERS_FIRST_MS;
+  /** Resigns at once, so that others need not wait for the lease to expire. */
+  public void resign() {
+    leaderLease.release("resigned");
   }
 
-  /** Gives the lead up at once, so that others need not wait for the lease to end. */
-  public void resign() {
-    lead.release("resigned");
+  /** A term begins and ends with the lease on the leader key. */
+  private final class LeaseEvents implements RoleLease.Listener {
+    @Override
+    public void acquired(HeldRole role) {
+      Term started = new Term(role.epoch(), role.modRevision(), role.sinceMs());
+      LOG.info("leadership acquired: token={}", started.fencingToken());
+      term = Optional.of(started);
+      listener.elected(started);
+    }
+
+    @Override
+    public void lost(HeldRole role, String cause) {
+      Term ended = term.orElseThrow();
+      term = Optional.empty();
+      LOG.info("leadership lost: token={} cause=\"{}\"", ended.fencingToken(), cause);
+      listener.ended(ended, cause);
+    }
+
+    @Override
+    public boolean mayAcquire() {
+      return !backoff.isActive(scheduler.nowMs());
+    }
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
+++ b/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
@@ -11,78 +11,82 @@
 import org.ploverspindle.model.Term;
 
 /**
- * Tells machines that have not reported to this leader that there is a new token, a few at a time.
+ * Sends the new fencing token to machines that have sent no heartbeat to this leader, a few at a
+ * time.
  *
- * <p>The failure it is there for: an earlier leader that has lost the state service and this
- * leader, but not its workers, goes on answering them, and would keep the fleet for as long as it
- * may answer without knowing the state. The first report that shows it the higher token ends that.
+ * <p>Prevents this failure: an earlier leader that has lost the state service and this leader, but
+ * not its workers, goes on responding to their heartbeats, and would keep the machines for as long
+ * as it may respond without a fresh replica. The first heartbeat with the higher token ends its
+ * term.
  */
 final class FencingTokenBroadcast {
   private static final long PERIOD_MS = 600;
 
-  /** Until then most machines find the new leader by themselves. */
-  private static final long FIRST_AFTER_MS = 2_400;
+  /** By then most machines have found the new leader by themselves. */
+  private static final long START_AFTER_MS = 2_400;
 
-  /** A machine that has still not reported is told again after this. */
-  private static final long REPEAT_MS = 6_000;
+  /** A machine that has still sent no heartbeat is sent the token again after this. */
+  private static final long RESEND_MS = 6_000;
 
-  private static final int MOST_AT_ONCE = 8;
+  private static final int MAX_PER_PERIOD = 8;
 
   private final Scheduler scheduler;
   private final Term term;
   private final SafetyTiming timing;
-  private final MachineRegistry fleet;
+  private final MachineRegistry machines;
   private final DirectCommandSender commands;
-  private final BooleanSupplier mayDecide;
-  private final Map<String, Long> announcedMs = new HashMap<>();
+  private final BooleanSupplier isAuthoritative;
+  private final Map<String, Long> lastSentMs = new HashMap<>();
 
   FencingTokenBroadcast(
       Scheduler scheduler,
       Term term,
       SafetyTiming timing,
-      MachineRegistry fleet,
+      MachineRegistry machines,
       DirectCommandSender commands,
-      BooleanSupplier mayDecide) {
+      BooleanSupplier isAuthoritative) {
     this.scheduler = scheduler;
     this.term = term;
     this.timing = timing;
-    this.fleet = fleet;
+    this.machines = machines;
     this.commands = commands;
-    this.mayDecide = mayDecide;
+    this.isAuthoritative = isAuthoritative;
   }
 
-  /** Announces again and again until cancelled. */
+  /** Broadcasts periodically until cancelled. */
   Cancellable start() {
-    return scheduler.every(PERIOD_MS, this::announce);
+    return scheduler.every(PERIOD_MS, this::broadcast);
   }
 
-  private void announce() {
+  private void broadcast() {
     long nowMs = scheduler.nowMs();
-    long ageMs = nowMs - term.startMs();
-    // No earlier leader answers any more once it has not known the state for so long.
-    if (!mayDecide.getAsBoolean() || ageMs < FIRST_AFTER_MS || ageMs > timing.heartbeatGraceMs()) {
+    long termAgeMs = nowMs - term.startMs();
+    // An earlier leader whose replica is older than that responds to no heartbeat any more.
+    if (!isAuthoritative.getAsBoolean()
+        || termAgeMs < START_AFTER_MS
+        || termAgeMs > timing.heartbeatGraceMs()) {
       return;
     }
-    int left = MOST_AT_ONCE;
-    for (Machine machine : fleet.all()) {
-      if (left == 0 || !commands.hasRoom()) {
+    int remaining = MAX_PER_PERIOD;
+    for (Machine machine : machines.all()) {
+      if (remaining == 0 || !commands.hasCapacity()) {
         return;
       }
-      long tenure = machine.lastKnownAgentEpoch();
-      if (isSilent(machine) && tenure > 0 && isDue(machine, nowMs)) {
-        announcedMs.put(machine.host(), nowMs);
-        commands.announceToken(machine, tenure);
-        left--;
+      long agentEpoch = machine.lastKnownAgentEpoch();
+      if (hasNotContactedThisLeader(machine) && agentEpoch > 0 && isDue(machine, nowMs)) {
+        lastSentMs.put(machine.host(), nowMs);
+        commands.sendFencingToken(machine, agentEpoch);
+        remaining--;
       }
     }
   }
 
-  private static boolean isSilent(Machine machine) {
+  private static boolean hasNotContactedThisLeader(Machine machine) {
     return !machine.isUp() && !machine.isDecommissioning() && !machine.address().isEmpty();
   }
 
   private boolean isDue(Machine machine, long nowMs) {
-    Long lastMs = announcedMs.get(machine.host());
-    return lastMs == null || nowMs - lastMs > REPEAT_MS;
+    Long lastMs = lastSentMs.get(machine.host());
+    return lastMs == null || nowMs - lastMs > RESEND_MS;
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
@@ -1,91 +1,61 @@
 package org.ploverspindle.leadership;
 
 import java.util.Optional;
-import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.cluster.MachineRegistry;
-import org.ploverspindle.cluster.WorkerCommand;
-import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.eventloop.TaskTimings;
-import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.Replica;
 
-/** Takes workers' reports in and sees that each is answered, at once or after a moment. */
+/** Processes heartbeats and sees that each one is answered, at once or after a short delay. */
 final class HeartbeatIntake {
-  private final Scheduler scheduler;
-  private final Replica replica;
-  private final MachineRegistry fleet;
-  private final HeartbeatHandler reportHandler;
-  private final DelayedResponses heldReplies;
+  private final MachineRegistry machines;
+  private final HeartbeatHandler heartbeatHandler;
+  private final AuthorityFilter authority;
+  private final DelayedResponses delayedResponses;
   private final SpotDrain spotDrain;
-  private final LeaderConnectivity reachability;
-  private final TaskTimings times;
-  private final BooleanSupplier mayDecide;
+  private final LeaderConnectivity connectivity;
+  private final TaskTimings timings;
 
-  /**
-   * @param mayDecide whether this leader is sure of its lead
-   */
   HeartbeatIntake(
-      Scheduler scheduler,
-      Replica replica,
-      MachineRegistry fleet,
-      HeartbeatHandler reportHandler,
-      DelayedResponses heldReplies,
+      MachineRegistry machines,
+      HeartbeatHandler heartbeatHandler,
+      AuthorityFilter authority,
+      DelayedResponses delayedResponses,
       SpotDrain spotDrain,
-      LeaderConnectivity reachability,
-      TaskTimings times,
-      BooleanSupplier mayDecide) {
-    this.scheduler = scheduler;
-    this.replica = replica;
-    this.fleet = fleet;
-    this.reportHandler = reportHandler;
-    this.heldReplies = heldReplies;
+      LeaderConnectivity connectivity,
+      TaskTimings timings) {
+    this.machines = machines;
+    this.heartbeatHandler = heartbeatHandler;
+    this.authority = authority;
+    this.delayedResponses = delayedResponses;
     this.spotDrain = spotDrain;
-    this.reachability = reachability;
-    this.times = times;
-    this.mayDecide = mayDecide;
+    this.connectivity = connectivity;
+    this.timings = timings;
   }
 
   /**
-   * Takes a report in and answers with orders, at the latest when the wait of a held answer is
-   * over. The machine's earlier report is answered first, if its answer is held.
+   * Processes a heartbeat and responds with commands, at the latest when the delay of a delayed
+   * response is over. A delayed response to an earlier heartbeat of the machine goes out first.
    */
-  void accept(Heartbeat report, Consumer<HeartbeatHandler.Response> then) {
-    heldReplies.release(report.host());
-    long nowMs = scheduler.nowMs();
-    reachability.recordHeartbeat(nowMs);
-    HeartbeatHandler.Response reply =
-        times.call("reports", () -> reportHandler.handle(report, nowMs));
-    Optional<Machine> machine = fleet.get(report.host());
-    if (report.spotNoticeS().isPresent()) {
-      machine.ifPresent(recalled -> spotDrain.drain(recalled, nowMs));
+  void accept(Heartbeat heartbeat, long nowMs, Consumer<HeartbeatHandler.Response> responder) {
+    delayedResponses.release(heartbeat.host());
+    connectivity.recordHeartbeat(nowMs);
+    HeartbeatHandler.Response response =
+        timings.call("heartbeats", () -> heartbeatHandler.handle(heartbeat, nowMs));
+    Optional<Machine> machine = machines.get(heartbeat.host());
+    if (heartbeat.spotNoticeS().isPresent()) {
+      machine.ifPresent(reclaimed -> spotDrain.drain(reclaimed, nowMs));
     }
-    if (!mayDecide.getAsBoolean()) {
-      then.accept(finalStops(reply));
-    } else if (reply.commands().isEmpty()
+    if (!authority.isAuthoritative()) {
+      responder.accept(authority.finalStopsOnly(response));
+    } else if (response.commands().isEmpty()
         && machine.isPresent()
-        && heldReplies.isWorthDelaying(machine.get(), report, nowMs)) {
-      heldReplies.delay(report, then, nowMs);
+        && delayedResponses.isWorthDelaying(machine.get(), heartbeat, nowMs)) {
+      delayedResponses.delay(heartbeat, responder, nowMs);
     } else {
-      then.accept(reply);
+      responder.accept(response);
     }
   }
-
-  /**
-   * Without a sure lead nothing is decided; but a cancellation that is known is final, whoever
-   * leads. A leader that lost the state service before it had stopped a cancelled job's tasks would
-   * otherwise keep their leases alive until too late.
-   */
-  private HeartbeatHandler.Response finalStops(HeartbeatHandler.Response reply) {
-    return new HeartbeatHandler.Response(
-        reply.fencingToken(), reply.commands().stream().filter(this::isFinalStop).toList());
-  }
-
-  private boolean isFinalStop(WorkerCommand order) {
-    return order instanceof WorkerCommand.Stop
-        && replica.get(Keys.cancellation(order.uid())).isPresent();
-  }
 }
--- a/src/main/java/org/ploverspindle/leases/StateLease.java
+++ b/src/main/java/org/ploverspindle/leases/StateLease.java
@@ -8,21 +8,21 @@
 import org.ploverspindle.state.StateStore.Renewal;
 
 /**
- * One lease of the state service: keys that are attached to it are removed when it ends.
+ * One lease of the state service, which removes the keys that are attached to it when it expires.
  *
  * <p>Its validity is counted from the sending of the last renewal that was answered, on the steady
- * clock: a renewal whose answer is lost may have been carried out, and is not counted.
+ * clock. A renewal whose answer is lost may have been executed, but is not counted.
  */
 final class StateLease {
-  private static final long LONGEST_RENEWAL_MS = 60_000;
+  private static final long MAX_RECORDED_RENEWAL_MS = 60_000;
 
   private final Scheduler scheduler;
   private final StateStore store;
   private final LeaseTiming timing;
-  private final Histogram renewalMs = new Histogram(LONGEST_RENEWAL_MS, 2);
+  private final Histogram renewalMs = new Histogram(MAX_RECORDED_RENEWAL_MS, 2);
   private Optional<Long> id = Optional.empty();
-  private long sentMs;
-  private boolean busy;
+  private long lastRenewalSentMs;
+  private boolean requestInFlight;
 
   StateLease(Scheduler scheduler, StateStore store, LeaseTiming timing) {
     this.scheduler = scheduler;
@@ -30,75 +30,78 @@
     this.timing = timing;
   }
 
-  /** The lease's number in the state service, while it is not known to have ended. */
+  /** The lease's id in the state service, while the lease is not known to have ended. */
   Optional<Long> id() {
     return id;
   }
 
-  /** When the last answered opening or renewal was sent. */
-  long sentMs() {
-    return sentMs;
+  /** When the last request to open or renew the lease that was answered was sent. */
+  long lastRenewalSentMs() {
+    return lastRenewalSentMs;
   }
 
-  /** Does the lease certainly live, if this process's clock is right? */
+  /** Is the lease certainly valid, if this process's clock runs at the right rate? */
   boolean isCertainlyValid() {
-    return scheduler.nowMs() < sentMs + timing.validMs();
+    return scheduler.nowMs() < lastRenewalSentMs + timing.validMs();
   }
 
-  /** Is enough of the lease left to take a duty under it? */
+  /** Is enough of the lease left to acquire a role under it? */
   boolean isFresh() {
-    return id.isPresent() && scheduler.nowMs() <= sentMs + timing.freshMs();
+    return id.isPresent() && scheduler.nowMs() <= lastRenewalSentMs + timing.freshMs();
   }
 
   /**
-   * Opens a new lease; one that was held before is left to end by itself.
+   * Opens a new lease; an earlier one is left to expire by itself.
    *
-   * @param wanted asked when the answer comes. A try under the former lease may have been carried
-   *     out meanwhile: renewals of another lease than the record's would say nothing about it.
+   * @param isStillWanted asked when the lease is opened. An attempt to acquire the role under the
+   *     earlier lease may have been executed meanwhile: then the record depends on that lease, and
+   *     renewals of the new one would not keep it.
    * @param opened called when the new lease is this process's
    */
-  void open(BooleanSupplier wanted, Runnable opened) {
-    if (busy) {
+  void open(BooleanSupplier isStillWanted, Runnable opened) {
+    if (requestInFlight) {
       return;
     }
-    busy = true;
-    long askedMs = scheduler.nowMs();
+    requestInFlight = true;
+    long requestSentMs = scheduler.nowMs();
     store.openLease(
         timing.ttlMs(),
-        fresh -> {
-          busy = false;
-          if (fresh.isPresent() && !wanted.getAsBoolean()) {
-            store.closeLease(fresh.get());
-          } else if (fresh.isPresent()) {
-            id = fresh;
-            sentMs = askedMs;
+        leaseId -> {
+          requestInFlight = false;
+          if (leaseId.isPresent() && !isStillWanted.getAsBoolean()) {
+            store.closeLease(leaseId.get());
+          } else if (leaseId.isPresent()) {
+            id = leaseId;
+            lastRenewalSentMs = requestSentMs;
             opened.run();
           }
         });
   }
 
   /**
-   * Renews the lease when its time has come. One that failed is repeated with the next call.
+   * Renews the lease if a renewal is due. A failed renewal is repeated with the next call.
    *
    * @param ended called when the state service no longer knows the lease
    */
   void renewIfDue(Runnable ended) {
-    if (id.isPresent() && !busy && scheduler.nowMs() - sentMs >= timing.renewAfterMs()) {
+    if (id.isPresent()
+        && !requestInFlight
+        && scheduler.nowMs() - lastRenewalSentMs >= timing.renewAfterMs()) {
       renew(id.get(), ended);
     }
   }
 
-  private void renew(long lease, Runnable ended) {
-    busy = true;
-    long askedMs = scheduler.nowMs();
+  private void renew(long leaseId, Runnable ended) {
+    requestInFlight = true;
+    long requestSentMs = scheduler.nowMs();
     store.renewLease(
-        lease,
+        leaseId,
         result -> {
-          busy = false;
+          requestInFlight = false;
           if (result == Renewal.RENEWED) {
-            sentMs = Math.max(sentMs, askedMs);
-            long tookMs = Math.max(0, scheduler.nowMs() - askedMs);
-            renewalMs.recordValue(Math.min(LONGEST_RENEWAL_MS, tookMs));
+            lastRenewalSentMs = Math.max(lastRenewalSentMs, requestSentMs);
+            long durationMs = Math.max(0, scheduler.nowMs() - requestSentMs);
+            renewalMs.recordValue(Math.min(MAX_RECORDED_RENEWAL_MS, durationMs));
           } else if (result == Renewal.GONE) {
             id = Optional.empty();
             ended.run();
@@ -106,18 +109,18 @@
         });
   }
 
-  /** The state service said that there is no such lease. */
+  /** Drops the lease: the state service does not know it. */
   void forget() {
     id = Optional.empty();
   }
 
-  /** Ends the lease at once, so that others need not wait for it to run out. */
+  /** Ends the lease at once, so that others need not wait for it to expire. */
   void close() {
     id.ifPresent(store::closeLease);
     id = Optional.empty();
   }
 
-  /** How long renewals took to be answered. */
+  /** How long renewals took to be answered, in milliseconds. */
   Histogram renewalMs() {
     return renewalMs;
   }
