--- a/src/main/java/org/ploverspindle/model/Term.java
+++ b/src/main/java/org/ploverspindle/model/Term.java
@@ -1,19 +1,28 @@
 package org.ploverspindle.model;
 
 /**
- * A time of leading: its tokens, and the leader key's version that all its writes are bound to. A
- * term has many tokens, so that one machine's can be raised alone: what was sent to it under a
- * lower one is then void. All of a term are lower than the first of the next.
+ * One period of leadership: its fencing tokens, and the revision of the leader key that all writes
+ * of the term are conditional on.
+ *
+ * <p>A term owns a range of {@link #TOKENS_PER_TERM} fencing tokens, so that the token of a single
+ * machine can be raised on its own: commands that were sent to it under a lower token are then
+ * rejected. All tokens of a term are lower than the first one of the next term.
+ *
+ * @param fencingToken the first fencing token of the term
+ * @param leaderRevision the mod revision of the leader key that the election of this term wrote
+ * @param startMs when the term began, on this process's steady clock
  */
 public record Term(long fencingToken, long leaderRevision, long startMs) {
-  /** How many tokens a term has. */
+  /** Size of the range of fencing tokens that belongs to a term. */
   public static final long TOKENS_PER_TERM = 1L << 20;
 
-  public boolean owns(long fencingToken) {
-    return fencingToken >= fencingToken && fencingToken < fencingToken + TOKENS_PER_TERM;
+  /** Whether the token belongs to this term. */
+  public boolean owns(long token) {
+    return token >= fencingToken && token < fencingToken + TOKENS_PER_TERM;
   }
 
-  public boolean isBefore(long fencingToken) {
-    return fencingToken >= fencingToken + TOKENS_PER_TERM;
+  /** Whether the token belongs to a later term, that is, whether this term is deposed. */
+  public boolean isBefore(long token) {
+    return token >= fencingToken + TOKENS_PER_TERM;
   }
 }
