--- a/src/main/java/org/ploverspindle/model/Catalogue.java
+++ b/src/main/java/org/ploverspindle/model/Catalogue.java
@@ -1,28 +1,34 @@
 package org.ploverspindle.model;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 
 /**
- * Machine types and zones under dense indices. An index, once given, keeps its name for the life of
- * the process; types that the cloud no longer names stay known, as machines of them may run on.
+ * Machine types and zones under dense indices. An index, once assigned, keeps its name for the life
+ * of the process. Types that the cloud no longer lists stay in the catalogue, since machines of
+ * them may still be running.
  */
 public final class Catalogue {
   private final List<MachineType> types = new ArrayList<>();
+  private final List<MachineType> typesView = Collections.unmodifiableList(types);
   private final Map<String, Integer> typeIndex = new HashMap<>();
   private final List<String> zones = new ArrayList<>();
   private final Map<String, Integer> zoneIndex = new HashMap<>();
 
+  /**
+   * @param zonesInOrder the configured zones; they get the first indices, in this order
+   */
   public Catalogue(List<String> zonesInOrder) {
     zonesInOrder.forEach(this::zone);
   }
 
-  /** Takes in the types that the cloud names now. */
-  public void update(List<MachineType> latest) {
-    for (MachineType type : latest) {
+  /** Adds the types that the cloud lists now, and replaces the details of those already known. */
+  public void update(List<MachineType> listed) {
+    for (MachineType type : listed) {
       type.zones().forEach(this::zone);
       Integer known = typeIndex.get(type.name());
       if (known == null) {
@@ -34,33 +40,36 @@
     }
   }
 
-  /** False until the machine types are known; before that nobody can say what fits. */
+  /** False until the first machine types are known; until then no placement can be decided. */
   public boolean isKnown() {
     return !types.isEmpty();
   }
 
+  /** All types ever listed, by index; an unmodifiable view. */
   public List<MachineType> types() {
-    return types;
+    return typesView;
   }
 
   public MachineType type(int index) {
     return types.get(index);
   }
 
+  /** The index of a machine type; empty if the cloud never listed it. */
   public Optional<Integer> typeIndex(String name) {
     return Optional.ofNullable(typeIndex.get(name));
   }
 
-  /** The index of the zone, which gets one if it has none. */
+  /** The index of the zone; an unknown zone is added. */
   public int zone(String name) {
     return zoneIndex.computeIfAbsent(
         name,
-        n -> {
-          zones.add(n);
+        newName -> {
+          zones.add(newName);
           return zones.size() - 1;
         });
   }
 
+  /** The index of the zone; empty if it is unknown. */
   public Optional<Integer> zoneIndex(String name) {
     return Optional.ofNullable(zoneIndex.get(name));
   }
--- a/src/main/java/org/ploverspindle/model/JobKind.java
+++ b/src/main/java/org/ploverspindle/model/JobKind.java
@@ -1,10 +1,10 @@
 package org.ploverspindle.model;
 
-/** What a job's tasks are. */
+/** How the tasks of a job relate to each other, and whether they end. */
 public enum JobKind {
-  /** Independent tasks; each runs to its end. */
+  /** A job array: independent tasks, each of which runs to completion. */
   BATCH,
-  /** Tasks that need each other: they start together or not at all. */
+  /** A gang: its tasks start together or not at all. */
   GANG,
   /** Replicas that run until the job is cancelled. */
   SERVICE
--- a/src/main/java/org/ploverspindle/model/JobSpec.java
+++ b/src/main/java/org/ploverspindle/model/JobSpec.java
@@ -5,11 +5,29 @@
 import java.util.OptionalDouble;
 
 /**
- * What a user asked for; never changes.
+ * What a user submitted; immutable.
  *
- * @param dependencies jobs that must be done before any task of this one starts, each once. A list
- *     too long for the job's own record is not here when the job is read back: who needs to know
- *     what a job awaits asks the graph of all jobs.
+ * @param uid the job's id, chosen by the user
+ * @param jobClass the class that runtime estimates and service-level objectives are kept for
+ * @param team the team whose quota the job counts against
+ * @param tasks how many tasks the job has, 1 to {@link #MAX_TASKS}
+ * @param cores processor cores per task
+ * @param accelerators accelerators per task
+ * @param memoryGb memory per task, in GB
+ * @param types the machine types that the job may run on; empty: all
+ * @param zone the only zone that the job may run in; empty: any
+ * @param oneZone all tasks must run in the same zone
+ * @param spreadOverZones tasks are to be spread over the zones
+ * @param spot the job may run on spot machines
+ * @param image the image that a machine must fetch before it can run a task
+ * @param imageGb size of the image, in GB
+ * @param expectedS expected run time of a task in seconds
+ * @param checkpointIntervalS seconds between checkpoints of a task; 0: it takes none
+ * @param checkpointCostS what a checkpoint costs a task, in seconds
+ * @param deadlineS the deadline in seconds after the job was accepted, if there is one
+ * @param dependencies jobs that must be done before any task of this one starts, each listed once.
+ *     Empty for a job that was read back and whose list is too long for its own record: the
+ *     dependency graph of all jobs is authoritative.
  */
 public record JobSpec(
     String uid,
@@ -34,13 +52,15 @@
     OptionalDouble deadlineS,
     List<String> dependencies) {
 
+  /** The largest number of tasks that a job may have. */
   public static final int MAX_TASKS = 100_000;
 
+  /** What one task occupies on a machine. */
   public Resources perTask() {
     return Resources.needed(cores, accelerators, memoryGb);
   }
 
-  /** The same job, allowed on these machine types alone. */
+  /** The same job, restricted to these machine types. */
   public JobSpec withTypes(List<String> allowed) {
     return new JobSpec(
         uid,
@@ -66,6 +86,7 @@
         dependencies);
   }
 
+  /** Whether its tasks take checkpoints, so that a preempted task loses only part of its work. */
   public boolean isCheckpointed() {
     return checkpointIntervalS > 0;
   }
--- a/src/main/java/org/ploverspindle/model/Priority.java
+++ b/src/main/java/org/ploverspindle/model/Priority.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.model;
 
-/** Priorities, the highest first. */
+/** Priorities of jobs, the highest first: the order of the constants is the order of priority. */
 public enum Priority {
   CRITICAL,
   HIGH,
--- a/src/main/java/org/ploverspindle/model/Resources.java
+++ b/src/main/java/org/ploverspindle/model/Resources.java
@@ -1,51 +1,66 @@
 package org.ploverspindle.model;
 
-/** Amounts in thousandths, so that sums neither drift nor depend on their order. */
+/**
+ * Amounts of cores, accelerators and memory in thousandths (memory: of a GB). Integers, so that
+ * sums neither drift nor depend on the order of addition.
+ */
 public record Resources(long cores, long accelerators, long memory) {
+  /** No resources at all. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
-  /** What a task takes: rounded up, so that it is never thought smaller than it is. */
+  /** Absorbs the rounding error of a decimal amount that is a whole number of thousandths. */
+  private static final double ROUNDING_TOLERANCE = 1e-6;
+
+  /** What a task occupies: rounded up, so that it is never assumed to be smaller than it is. */
   public static Resources needed(double cores, double accelerators, double memoryGb) {
     return new Resources(up(cores), up(accelerators), up(memoryGb));
   }
 
-  /** What a machine offers: rounded down. */
+  /** What a machine offers: rounded down, so that it is never assumed to be larger than it is. */
   public static Resources offered(double cores, double accelerators, double memoryGb) {
     return new Resources(down(cores), down(accelerators), down(memoryGb));
   }
 
   private static long up(double amount) {
-    return (long) Math.ceil(amount * 1000 - 1e-6);
+    return (long) Math.ceil(amount * 1000 - ROUNDING_TOLERANCE);
   }
 
   private static long down(double amount) {
-    return (long) Math.floor(amount * 1000 + 1e-6);
+    return (long) Math.floor(amount * 1000 + ROUNDING_TOLERANCE);
   }
 
-  public Resources plus(Resources o) {
-    return new Resources(cores + o.cores, accelerators + o.accelerators, memory + o.memory);
+  /** The sum. */
+  public Resources plus(Resources other) {
+    return new Resources(
+        cores + other.cores, accelerators + other.accelerators, memory + other.memory);
   }
 
-  public Resources minus(Resources o) {
-    return new Resources(cores - o.cores, accelerators - o.accelerators, memory - o.memory);
+  /** The difference; its amounts may be negative. */
+  public Resources minus(Resources other) {
+    return new Resources(
+        cores - other.cores, accelerators - other.accelerators, memory - other.memory);
   }
 
-  public boolean fitsIn(Resources room) {
-    return cores <= room.cores && accelerators <= room.accelerators && memory <= room.memory;
+  /** Whether each of the amounts is at most the free one. */
+  public boolean fitsIn(Resources free) {
+    return cores <= free.cores && accelerators <= free.accelerators && memory <= free.memory;
   }
 
-  /** How many of {@code piece} fit in here. */
-  public int times(Resources piece) {
-    long n = Integer.MAX_VALUE;
-    if (piece.cores > 0) {
-      n = Math.min(n, cores / piece.cores);
+  /**
+   * How many tasks of this size fit into these resources; {@link Integer#MAX_VALUE} for a size of
+   * {@link #NONE}.
+   */
+  public int times(Resources taskSize) {
+    long count = Integer.MAX_VALUE;
+    if (taskSize.cores > 0) {
+      count = Math.min(count, cores / taskSize.cores);
     }
-    if (piece.accelerators > 0) {
-      n = Math.min(n, accelerators / piece.accelerators);
+    if (taskSize.accelerators > 0) {
+      count = Math.min(count, accelerators / taskSize.accelerators);
     }
-    if (piece.memory > 0) {
-      n = Math.min(n, memory / piece.memory);
+    if (taskSize.memory > 0) {
+      count = Math.min(count, memory / taskSize.memory);
     }
-    return (int) Math.max(0, n);
+    return (int) Math.max(0, count);
   }
 }
--- a/src/main/java/org/ploverspindle/model/SafetyTiming.java
+++ b/src/main/java/org/ploverspindle/model/SafetyTiming.java
@@ -3,51 +3,72 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * The times that the safety argument rests on (docs/safety.md), all on this node's steady clock.
+ * The times that the safety argument rests on (docs/safety.md), all on this process's steady clock.
  *
- * @param stateLeaseMs how long a lease lives in the state service when it is not renewed
- * @param heartbeatGraceMs how long after it last knew the state a leader may go on answering
- *     reports
- * @param agentLeaseMs after this much silence a worker's lease has certainly run out
+ * @param stateLeaseMs time to live of a lease in the state service that is not renewed
+ * @param heartbeatGraceMs how long after its last successful read of the state a leader may go on
+ *     answering heartbeats, each of which renews a worker's lease
+ * @param agentLeaseMs a worker that was not answered for this long has certainly lost its lease,
+ *     and has ended its tasks
  */
 public record SafetyTiming(long stateLeaseMs, long heartbeatGraceMs, long agentLeaseMs) {
-  /** Clocks drift apart by at most 0.05 %; we allow for four times as much. */
-  private static final double DRIFT = 1.002;
+  /**
+   * Bound on the ratio of two clocks' rates. Clocks may drift apart by 0.05 %; this allows for four
+   * times as much.
+   */
+  private static final double MAX_CLOCK_DRIFT = 1.002;
+
+  /** Seconds for late timers, and for a start or stop that is under way inside a machine. */
+  private static final double CANCEL_MARGIN_S = 2.5;
+
+  /** Seconds that a worker's lease is assumed to last beyond what it was granted. */
+  private static final double AGENT_LEASE_MARGIN_S = 0.3;
 
-  /** For timers that fire late and for a start or stop on its way inside a machine. */
-  private static final double MARGIN_S = 2.5;
+  /** A controller that pauses for less than this keeps its lease, and so its leadership. */
+  private static final long MIN_STATE_LEASE_MS = 2_500;
 
-  /** A controller that stands still for less than this keeps the lead. */
-  private static final long SHORTEST_STATE_LEASE_MS = 2_500;
+  private static final long MAX_STATE_LEASE_MS = 5_000;
 
-  private static final long LONGEST_STATE_LEASE_MS = 5_000;
+  /** Added to the lease per core; a fraction of a core pauses for correspondingly longer. */
+  private static final double STATE_LEASE_PER_CORE_MS = 250;
 
-  /** What is done in a moment by a whole core takes a small share of one so much longer. */
-  private static final double STATE_LEASE_FOR_SHARE_MS = 250;
+  /** A lease in the state service is assumed to expire this much early. */
+  private static final long STATE_LEASE_MARGIN_MS = 50;
+
+  private static final long TAKEOVER_MARGIN_MS = 300;
 
   /**
-   * Until a dead leader's lease ends, nothing starts: it is as short as the processor allows, whose
-   * pauses must not change the lead.
+   * The times for these limits of the workers. The lease in the state service is as short as the
+   * processor allows, since nothing starts until a dead leader's lease expires; but the pauses of a
+   * slow processor must not cost a healthy leader its lease.
+   *
+   * @param cores processor cores that this controller has, possibly a fraction of one
    */
   public static SafetyTiming of(Settings.WorkerLimits workers, double cores) {
-    double lease = workers.leaseS() * DRIFT + 0.3;
-    // A cancellation told right after the leader last read the state is unknown to it; its last
-    // answer renews a lease once more. All of that must end before cancel_s.
-    double answer = Math.max(0, (workers.cancelS() - MARGIN_S) / DRIFT - lease);
+    double agentLeaseS = workers.leaseS() * MAX_CLOCK_DRIFT + AGENT_LEASE_MARGIN_S;
+    // A cancellation that is accepted right after the leader's last read of the state is unknown to
+    // the leader, whose last answer renews a worker's lease once more. Grace and lease together
+    // must
+    // end before cancel_s is over.
+    double graceS =
+        Math.max(0, (workers.cancelS() - CANCEL_MARGIN_S) / MAX_CLOCK_DRIFT - agentLeaseS);
     long stateLeaseMs =
         Math.min(
-            LONGEST_STATE_LEASE_MS,
-            SHORTEST_STATE_LEASE_MS + Math.round(STATE_LEASE_FOR_SHARE_MS / cores));
-    return new SafetyTiming(stateLeaseMs, Math.round(answer * 1000), Math.round(lease * 1000));
+            MAX_STATE_LEASE_MS, MIN_STATE_LEASE_MS + Math.round(STATE_LEASE_PER_CORE_MS / cores));
+    return new SafetyTiming(
+        stateLeaseMs, Math.round(graceS * 1000), Math.round(agentLeaseS * 1000));
   }
 
-  /** From the send of the last answered renewal on, the lease lives at least this long. */
+  /** How long a lease is certainly valid, counted from the send of its last answered renewal. */
   public long stateLeaseValidMs() {
-    return Math.round(stateLeaseMs / DRIFT) - 50;
+    return Math.round(stateLeaseMs / MAX_CLOCK_DRIFT) - STATE_LEASE_MARGIN_MS;
   }
 
-  /** After this long in a term no earlier leader's answers keep any lease alive. */
+  /**
+   * How long after the begin of its term a leader must assume that answers of an earlier leader
+   * keep workers' leases alive.
+   */
   public long takeoverSilenceMs() {
-    return Math.round((heartbeatGraceMs + agentLeaseMs) * DRIFT) + 300;
+    return Math.round((heartbeatGraceMs + agentLeaseMs) * MAX_CLOCK_DRIFT) + TAKEOVER_MARGIN_MS;
   }
 }
