--- a/src/main/java/org/ploverspindle/progress/DurableTasks.java
+++ b/src/main/java/org/ploverspindle/progress/DurableTasks.java
@@ -8,64 +8,64 @@
 
 /** What the records are known to say of tasks, or may say if an unanswered write stands. */
 final class DurableTasks {
-  private final Map<Job, BitSet> done = new HashMap<>();
+  private final Map<Job, BitSet> completed = new HashMap<>();
 
   /** Tasks that the newest statement, also an unanswered one, may say to be on a machine. */
-  private final Map<Job, BitSet> live = new HashMap<>();
+  private final Map<Job, BitSet> placed = new HashMap<>();
 
-  void loadedDone(Job job, BitSet tasks) {
-    done.put(job, (BitSet) tasks.clone());
+  void loadCompleted(Job job, BitSet tasks) {
+    completed.put(job, (BitSet) tasks.clone());
   }
 
-  void loadedLive(Job job, BitSet tasks) {
-    live.put(job, tasks);
+  void loadPlaced(Job job, BitSet tasks) {
+    placed.put(job, tasks);
   }
 
-  boolean isDone(Job job, int task) {
-    BitSet tasks = done.get(job);
+  boolean isCompleted(Job job, int task) {
+    BitSet tasks = completed.get(job);
     return tasks != null && tasks.get(task);
   }
 
   /** From now on the statement may stand, whether an answer tells of it or not. */
-  void sending(TaskStatuses s) {
-    if (!s.placements().isEmpty()) {
-      BitSet tasks = live.computeIfAbsent(s.job(), j -> new BitSet());
-      s.placements().forEach(p -> tasks.set(p.task()));
+  void sending(TaskStatuses statuses) {
+    if (!statuses.placements().isEmpty()) {
+      BitSet tasks = placed.computeIfAbsent(statuses.job(), j -> new BitSet());
+      statuses.placements().forEach(p -> tasks.set(p.task()));
     }
   }
 
   /** The statement stands, and is the newest of its tasks. */
-  void committed(TaskStatuses s) {
-    if (!s.job().isTerminal()) {
-      done.computeIfAbsent(s.job(), j -> new BitSet()).or(s.done());
+  void committed(TaskStatuses statuses) {
+    if (!statuses.job().isTerminal()) {
+      completed.computeIfAbsent(statuses.job(), j -> new BitSet()).or(statuses.completed());
     }
-    BitSet tasks = live.get(s.job());
+    BitSet tasks = placed.get(statuses.job());
     if (tasks != null) {
-      tasks.andNot(s.tasks());
-      s.placements().forEach(p -> tasks.set(p.task()));
+      tasks.andNot(statuses.tasks());
+      statuses.placements().forEach(p -> tasks.set(p.task()));
       if (tasks.isEmpty()) {
-        live.remove(s.job());
+        placed.remove(statuses.job());
       }
     }
   }
 
   /** The tasks that a record may say to be on a machine although they are on none. */
-  BitSet recordedButGone(Job job) {
-    BitSet tasks = (BitSet) live.getOrDefault(job, new BitSet()).clone();
+  BitSet placedInRecordsOnly(Job job) {
+    BitSet tasks = (BitSet) placed.getOrDefault(job, new BitSet()).clone();
     job.activePlacements().forEach(p -> tasks.clear(p.task()));
     return tasks;
   }
 
-  void forgetDone(Job job) {
-    done.remove(job);
+  void forgetCompleted(Job job) {
+    completed.remove(job);
   }
 
-  void forgetLive(Job job) {
-    live.remove(job);
+  void forgetPlaced(Job job) {
+    placed.remove(job);
   }
 
   /** A job with tasks that may be recorded as placed. */
-  Optional<Job> job(String uid) {
-    return live.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
+  Optional<Job> findJob(String uid) {
+    return placed.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
   }
 }
--- a/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
+++ b/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
@@ -12,46 +12,46 @@
 final class LogRecordBuilder {
   private static final BitSet NO_TASKS = new BitSet();
 
-  private final long n;
+  private final long sequence;
   private final WriteBatch batch;
-  private final WriteBatchContext sources;
+  private final WriteBatchContext context;
   private final ProgressLogRecord.Builder builder;
-  private final Map<TaskShard, BitSet> tasksSaid = new LinkedHashMap<>();
-  private final List<TaskStatuses> statements = new ArrayList<>();
+  private final Map<TaskShard, BitSet> includedTasks = new LinkedHashMap<>();
+  private final List<TaskStatuses> statuses = new ArrayList<>();
 
   LogRecordBuilder(long n, String id, WriteBatch batch, WriteBatchContext sources) {
-    this.n = n;
+    this.sequence = n;
     this.batch = batch;
-    this.sources = sources;
+    this.context = sources;
     this.builder = new ProgressLogRecord.Builder(n, id, sources.limits().recordBytes());
   }
 
-  long n() {
-    return n;
+  long sequence() {
+    return sequence;
   }
 
   ProgressLogRecord.Builder builder() {
     return builder;
   }
 
-  Map<TaskShard, BitSet> tasksSaid() {
-    return tasksSaid;
+  Map<TaskShard, BitSet> includedTasks() {
+    return includedTasks;
   }
 
-  List<TaskStatuses> statements() {
-    return statements;
+  List<TaskStatuses> statuses() {
+    return statuses;
   }
 
   /** Says all that rests on the record it replaces; false if that can't be. */
-  boolean takesOver(long old) {
-    for (Map.Entry<TaskShard, BitSet> e : sources.slots().restingOn(old).entrySet()) {
+  boolean carryOver(long old) {
+    for (Map.Entry<TaskShard, BitSet> e : context.slots().latestStatusIn(old).entrySet()) {
       TaskShard c = e.getKey();
       if (c.job().isFullyStopped() && !isNeeded(c, old)) {
         continue;
       }
-      BitSet open = batch.unsaid(c, e.getValue());
-      open.andNot(tasksSaid.getOrDefault(c, NO_TASKS));
-      if (!open.isEmpty() && (c.job().quarantined() || !say(c.job(), open))) {
+      BitSet open = batch.notYetIncluded(c, e.getValue());
+      open.andNot(includedTasks.getOrDefault(c, NO_TASKS));
+      if (!open.isEmpty() && (c.job().quarantined() || !appendTasks(c.job(), open))) {
         return false;
       }
     }
@@ -61,21 +61,21 @@
   /** Does anything older speak of the chunk, so that it would count without the record? */
   private boolean isNeeded(TaskShard c, long record) {
     return !c.job().quarantined()
-        && (sources.checkpoints().exists(c)
-            || sources.slots().isMentionedBefore(c.job().uid(), record));
+        && (context.snapshots().exists(c)
+            || context.slots().isMentionedBefore(c.job().uid(), record));
   }
 
   /** Says what rests on records up to this one and fits in no checkpoint; true if there was any. */
-  boolean moveOn(long upTo) {
+  boolean appendOversized(long upTo) {
     boolean any = false;
-    for (Map<TaskShard, BitSet> resting : sources.slots().restingUpTo(upTo).values()) {
+    for (Map<TaskShard, BitSet> resting : context.slots().latestStatusUpTo(upTo).values()) {
       for (Map.Entry<TaskShard, BitSet> e : resting.entrySet()) {
         TaskShard c = e.getKey();
-        if (!c.job().quarantined() && !c.job().isFullyStopped() && sources.isLarge(c)) {
-          BitSet open = batch.unsaid(c, e.getValue());
-          open.andNot(tasksSaid.getOrDefault(c, NO_TASKS));
+        if (!c.job().quarantined() && !c.job().isFullyStopped() && context.isTooLarge(c)) {
+          BitSet open = batch.notYetIncluded(c, e.getValue());
+          open.andNot(includedTasks.getOrDefault(c, NO_TASKS));
           any |= !open.isEmpty();
-          if (!say(c.job(), open)) {
+          if (!appendTasks(c.job(), open)) {
             return true;
           }
         }
@@ -85,15 +85,15 @@
   }
 
   /** Says as many of these tasks as fit, as they are now; true if there was any. */
-  boolean sayOf(Map<Job, BitSet> tasks) {
+  boolean append(Map<Job, BitSet> tasks) {
     boolean any = false;
     for (Map.Entry<Job, BitSet> e : tasks.entrySet()) {
       BitSet open = (BitSet) e.getValue().clone();
       TaskShard.of(e.getKey(), open)
           .keySet()
-          .forEach(c -> open.andNot(tasksSaid.getOrDefault(c, NO_TASKS)));
+          .forEach(c -> open.andNot(includedTasks.getOrDefault(c, NO_TASKS)));
       any |= !open.isEmpty();
-      if (!say(e.getKey(), open)) {
+      if (!appendTasks(e.getKey(), open)) {
         return true;
       }
     }
@@ -101,16 +101,16 @@
   }
 
   /** Says as many of the tasks as fit; true if all did. */
-  private boolean say(Job job, BitSet open) {
-    int group = sources.limits().tasksInRecord();
+  private boolean appendTasks(Job job, BitSet open) {
+    int group = context.limits().tasksInRecord();
     while (!open.isEmpty()) {
       BitSet tasks = firstOf(open, group);
       TaskStatuses s = TaskStatuses.of(job, tasks);
-      if (builder.add(sources.encoder().delta(s))) {
+      if (builder.add(context.encoder().delta(s))) {
         open.andNot(tasks);
-        statements.add(s);
+        statuses.add(s);
         TaskShard.of(job, tasks)
-            .forEach((c, some) -> tasksSaid.computeIfAbsent(c, x -> new BitSet()).or(some));
+            .forEach((c, some) -> includedTasks.computeIfAbsent(c, x -> new BitSet()).or(some));
       } else if (group == 1) {
         return false;
       } else {
--- a/src/main/java/org/ploverspindle/progress/PendingProgress.java
+++ b/src/main/java/org/ploverspindle/progress/PendingProgress.java
@@ -11,53 +11,53 @@
 /** What is to be written, in the order in which it came. */
 final class PendingProgress {
   /** Tasks that changed. */
-  private final LinkedHashMap<Job, BitSet> changed = new LinkedHashMap<>();
+  private final LinkedHashMap<Job, BitSet> markChanged = new LinkedHashMap<>();
 
   /** Tasks of cancelled jobs that are gone, while a record may yet say where they are. */
-  private final LinkedHashMap<Job, BitSet> toClear = new LinkedHashMap<>();
+  private final LinkedHashMap<Job, BitSet> clearings = new LinkedHashMap<>();
 
   /** Jobs of which all tasks are done, by uid. */
-  private final LinkedHashMap<String, Job> ending = new LinkedHashMap<>();
+  private final LinkedHashMap<String, Job> markCompleted = new LinkedHashMap<>();
 
   /** Chunks whose checkpoint nobody needs any more. */
-  private final LinkedHashSet<TaskShard> removable = new LinkedHashSet<>();
+  private final LinkedHashSet<TaskShard> markRemovable = new LinkedHashSet<>();
 
-  void changed(Job job, int task) {
-    changed.computeIfAbsent(job, j -> new BitSet()).set(task);
+  void markChanged(Job job, int task) {
+    markChanged.computeIfAbsent(job, j -> new BitSet()).set(task);
   }
 
-  void changed(Job job, BitSet tasks) {
-    changed.computeIfAbsent(job, j -> new BitSet()).or(tasks);
+  void markChanged(Job job, BitSet tasks) {
+    markChanged.computeIfAbsent(job, j -> new BitSet()).or(tasks);
   }
 
-  void clear(Job job, BitSet tasks) {
-    toClear.computeIfAbsent(job, j -> new BitSet()).or(tasks);
+  void markForClearing(Job job, BitSet tasks) {
+    clearings.computeIfAbsent(job, j -> new BitSet()).or(tasks);
   }
 
-  void ending(Job job) {
-    ending.putIfAbsent(job.uid(), job);
+  void markCompleted(Job job) {
+    markCompleted.putIfAbsent(job.uid(), job);
   }
 
-  void ended(Job job) {
-    ending.remove(job.uid());
+  void completionRecorded(Job job) {
+    markCompleted.remove(job.uid());
   }
 
-  void removable(TaskShard c) {
-    removable.add(c);
+  void markRemovable(TaskShard shard) {
+    markRemovable.add(shard);
   }
 
   void forgetChanges(Job job) {
-    changed.remove(job);
+    markChanged.remove(job);
   }
 
   void forgetClearing(Job job) {
-    toClear.remove(job);
+    clearings.remove(job);
   }
 
   /** A record that speaks of these tasks is about to be sent. */
-  void said(Job job, BitSet tasks) {
-    remove(changed, job, tasks);
-    remove(toClear, job, tasks);
+  void included(Job job, BitSet tasks) {
+    remove(markChanged, job, tasks);
+    remove(clearings, job, tasks);
   }
 
   private static void remove(Map<Job, BitSet> from, Job job, BitSet tasks) {
@@ -72,62 +72,62 @@
 
   /** What changed; of jobs that nothing is to be said of any more it is dropped. */
   Map<Job, BitSet> changes() {
-    changed
+    markChanged
         .entrySet()
         .removeIf(e -> e.getKey().quarantined() || e.getKey().finished() || e.getValue().isEmpty());
-    return changed;
+    return markChanged;
   }
 
   Map<Job, BitSet> clearings() {
-    return toClear;
+    return clearings;
   }
 
   /** The jobs to end; what is taken is removed. */
-  Iterator<Job> endings() {
-    return ending.values().iterator();
+  Iterator<Job> completions() {
+    return markCompleted.values().iterator();
   }
 
   /** The chunks to remove; what is taken is removed. */
-  Iterator<TaskShard> removals() {
-    return removable.iterator();
+  Iterator<TaskShard> snapshotRemovals() {
+    return markRemovable.iterator();
   }
 
   /** Those whose checkpoint does not stand need no removal. */
-  void keepRemovable(ShardSnapshots checkpoints) {
-    removable.removeIf(c -> !checkpoints.exists(c));
+  void retainExisting(ShardSnapshots snapshots) {
+    markRemovable.removeIf(c -> !snapshots.exists(c));
   }
 
   boolean hasChanges() {
-    return !changed.isEmpty();
+    return !markChanged.isEmpty();
   }
 
-  boolean hasEndings() {
-    return !ending.isEmpty();
+  boolean hasCompletions() {
+    return !markCompleted.isEmpty();
   }
 
-  boolean hasRemovals() {
-    return !removable.isEmpty();
+  boolean hasSnapshotRemovals() {
+    return !markRemovable.isEmpty();
   }
 
   boolean hasClearings() {
-    return !toClear.isEmpty();
+    return !clearings.isEmpty();
   }
 
   boolean isToBeCleared(Job job) {
-    return toClear.containsKey(job);
+    return clearings.containsKey(job);
   }
 
   /** A job with changes. */
-  Optional<Job> job(String uid) {
-    return changed.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
+  Optional<Job> findJob(String uid) {
+    return markChanged.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
   }
 
   int jobsWithChanges() {
-    return changed.size();
+    return markChanged.size();
   }
 
   /** How much waits to be written. */
   int size() {
-    return changed.size() + ending.size() + toClear.size();
+    return markChanged.size() + markCompleted.size() + clearings.size();
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
@@ -12,41 +12,41 @@
 
 /** Statements in the forms that are stored. */
 final class ProgressEncoder {
-  private final Function<Machine, SnapshotRecord.MachineInfo> hostNames;
+  private final Function<Machine, SnapshotRecord.MachineInfo> machineInfo;
 
-  ProgressEncoder(Function<Machine, SnapshotRecord.MachineInfo> hostNames) {
-    this.hostNames = hostNames;
+  ProgressEncoder(Function<Machine, SnapshotRecord.MachineInfo> machineInfo) {
+    this.machineInfo = machineInfo;
   }
 
   /** For a record of the log: tasks that are neither done nor on a machine are cleared. */
   ProgressLogRecord.Delta delta(TaskStatuses s) {
     BitSet cleared = (BitSet) s.tasks().clone();
-    cleared.andNot(s.done());
+    cleared.andNot(s.completed());
     s.placements().forEach(p -> cleared.clear(p.task()));
     Job job = s.job();
     return new ProgressLogRecord.Delta(
         job.uid(),
         job.completedTasks().cardinality(),
         job.activePlacements().size(),
-        s.done(),
+        s.completed(),
         cleared,
-        live(s));
+        placements(s));
   }
 
   /** For a checkpoint that covers all records up to {@code upTo}. */
-  JsonNode checkpoint(TaskStatuses s, long upTo) {
-    List<SnapshotRecord.RecordedPlacement> live = live(s);
+  JsonNode snapshot(TaskStatuses s, long upTo) {
+    List<SnapshotRecord.RecordedPlacement> live = placements(s);
     Job job = s.job();
-    return new SnapshotRecord(s.done(), live, live.size(), upTo)
+    return new SnapshotRecord(s.completed(), live, live.size(), upTo)
         .encode(job.completedTasks().cardinality(), job.activePlacements().size());
   }
 
-  private List<SnapshotRecord.RecordedPlacement> live(TaskStatuses s) {
-    return s.placements().stream().map(this::live).toList();
+  private List<SnapshotRecord.RecordedPlacement> placements(TaskStatuses s) {
+    return s.placements().stream().map(this::placements).toList();
   }
 
-  private SnapshotRecord.RecordedPlacement live(Placement p) {
+  private SnapshotRecord.RecordedPlacement placements(Placement p) {
     return new SnapshotRecord.RecordedPlacement(
-        p.task(), p.attempt(), hostNames.apply(p.machine()), p.agentEpoch());
+        p.task(), p.attempt(), machineInfo.apply(p.machine()), p.agentEpoch());
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
@@ -22,136 +22,141 @@
  */
 final class ProgressLogSlots {
   /** By the log's record: chunks with tasks whose newest statement is there, and which. */
-  private final TreeMap<Long, Map<TaskShard, BitSet>> resting = new TreeMap<>();
+  private final TreeMap<Long, Map<TaskShard, BitSet>> latestStatus = new TreeMap<>();
 
-  /** The records in {@link #resting} that speak of the chunk. */
-  private final Map<TaskShard, TreeSet<Long>> recordsOf = new HashMap<>();
+  /** The records in {@link #latestStatus} that speak of the chunk. */
+  private final Map<TaskShard, TreeSet<Long>> recordsByShard = new HashMap<>();
 
   /** By the log's record: the jobs that it speaks of, or would if its unanswered write stood. */
-  private final TreeMap<Long, Set<String>> mentions = new TreeMap<>();
+  private final TreeMap<Long, Set<String>> jobsByRecord = new TreeMap<>();
 
   /** The version of each slot's key, or 0. */
-  private final long[] stamps = new long[ProgressLogRecord.SLOTS];
+  private final long[] modRevisions = new long[ProgressLogRecord.SLOTS];
 
   /** The number of the record that stands in each slot, or 0. */
-  private final long[] standing = new long[ProgressLogRecord.SLOTS];
+  private final long[] storedSequences = new long[ProgressLogRecord.SLOTS];
 
   /** Slots whose record can't be read: it stays, as a later leader must see it too. */
-  private final BitSet damaged = new BitSet();
+  private final BitSet unreadable = new BitSet();
 
   /** Record {@code n} stands in its slot. */
-  void stands(long n, long stamp) {
-    stamps[ProgressLogRecord.slot(n)] = stamp;
-    standing[ProgressLogRecord.slot(n)] = n;
+  void recordStored(long sequence, long modRevision) {
+    modRevisions[ProgressLogRecord.slot(sequence)] = modRevision;
+    storedSequences[ProgressLogRecord.slot(sequence)] = sequence;
   }
 
   /** What stands under this key of the log can't be read. */
-  void markDamaged(String key) {
+  void markUnreadable(String key) {
     for (int slot = 0; slot < ProgressLogRecord.SLOTS; slot++) {
       if (Keys.progressLog(slot).equals(key)) {
-        damaged.set(slot);
+        unreadable.set(slot);
       }
     }
   }
 
-  boolean isDamaged(long n) {
-    return damaged.get(ProgressLogRecord.slot(n));
+  boolean isUnreadable(long sequence) {
+    return unreadable.get(ProgressLogRecord.slot(sequence));
   }
 
   /** The version of the key of record {@code n}'s slot, or 0 if nothing stands there. */
-  long stampAt(long n) {
-    return stamps[ProgressLogRecord.slot(n)];
+  long modRevisionAt(long sequence) {
+    return modRevisions[ProgressLogRecord.slot(sequence)];
   }
 
   /** The number of the record that stands in record {@code n}'s slot, or 0. */
-  long standingAt(long n) {
-    return standing[ProgressLogRecord.slot(n)];
+  long storedSequenceAt(long sequence) {
+    return storedSequences[ProgressLogRecord.slot(sequence)];
   }
 
   /** Record {@code n} speaks of the job, be it covered or not, or would if it stood. */
-  void mention(String uid, long n) {
-    mentions.computeIfAbsent(n, x -> new HashSet<>()).add(uid);
+  void addMention(String uid, long sequence) {
+    jobsByRecord.computeIfAbsent(sequence, x -> new HashSet<>()).add(uid);
   }
 
   boolean isMentioned(String uid) {
-    return mentions.values().stream().anyMatch(m -> m.contains(uid));
+    return jobsByRecord.values().stream().anyMatch(m -> m.contains(uid));
   }
 
   /** Does a record older than this one speak of the job? */
-  boolean isMentionedBefore(String uid, long record) {
-    return mentions.headMap(record).values().stream().anyMatch(m -> m.contains(uid));
+  boolean isMentionedBefore(String uid, long sequence) {
+    return jobsByRecord.headMap(sequence).values().stream().anyMatch(m -> m.contains(uid));
   }
 
   /** The newest statements that rest on the record. */
-  Map<TaskShard, BitSet> restingOn(long record) {
-    return resting.getOrDefault(record, Map.of());
+  Map<TaskShard, BitSet> latestStatusIn(long sequence) {
+    return latestStatus.getOrDefault(sequence, Map.of());
   }
 
   /** The newest statements that rest on records up to this one, by record. */
-  SortedMap<Long, Map<TaskShard, BitSet>> restingUpTo(long record) {
-    return Collections.unmodifiableSortedMap(resting.headMap(record, true));
+  SortedMap<Long, Map<TaskShard, BitSet>> latestStatusUpTo(long sequence) {
+    return Collections.unmodifiableSortedMap(latestStatus.headMap(sequence, true));
   }
 
   /** A job with a newest statement in the log. */
-  Optional<Job> job(String uid) {
-    return recordsOf.keySet().stream()
+  Optional<Job> findJob(String uid) {
+    return recordsByShard.keySet().stream()
         .map(TaskShard::job)
         .filter(j -> j.uid().equals(uid))
         .findFirst();
   }
 
   /** The tasks' statements move on to record {@code n}, unless newer ones stand. */
-  void spoken(TaskShard c, BitSet tasks, long n) {
+  void statusRecorded(TaskShard shard, BitSet tasks, long sequence) {
     BitSet newest = (BitSet) tasks.clone();
-    for (Long at : List.copyOf(recordsOf.getOrDefault(c, new TreeSet<>()))) {
-      BitSet there = resting.get(at).get(c);
-      if (at > n) {
-        newest.andNot(there);
-      } else if (at < n) {
-        there.andNot(tasks);
-        if (there.isEmpty()) {
-          drop(c, at);
+    for (Long otherSequence : List.copyOf(recordsByShard.getOrDefault(shard, new TreeSet<>()))) {
+      BitSet otherTasks = latestStatus.get(otherSequence).get(shard);
+      if (otherSequence > sequence) {
+        newest.andNot(otherTasks);
+      } else if (otherSequence < sequence) {
+        otherTasks.andNot(tasks);
+        if (otherTasks.isEmpty()) {
+          release(shard, otherSequence);
         }
       }
     }
     if (!newest.isEmpty()) {
-      resting
-          .computeIfAbsent(n, x -> new LinkedHashMap<>())
-          .computeIfAbsent(c, x -> new BitSet())
+      latestStatus
+          .computeIfAbsent(sequence, x -> new LinkedHashMap<>())
+          .computeIfAbsent(shard, x -> new BitSet())
           .or(newest);
-      recordsOf.computeIfAbsent(c, x -> new TreeSet<>()).add(n);
+      recordsByShard.computeIfAbsent(shard, x -> new TreeSet<>()).add(sequence);
     }
   }
 
   /** No record up to {@code upTo} is needed for the chunk any more. */
-  void covered(TaskShard c, long upTo) {
-    for (Long n : List.copyOf(recordsOf.getOrDefault(c, new TreeSet<>()).headSet(upTo, true))) {
-      drop(c, n);
+  void releaseUpTo(TaskShard shard, long lastSequence) {
+    for (Long sequence :
+        List.copyOf(
+            recordsByShard.getOrDefault(shard, new TreeSet<>()).headSet(lastSequence, true))) {
+      release(shard, sequence);
     }
   }
 
-  private void drop(TaskShard c, long n) {
-    Map<TaskShard, BitSet> there = resting.get(n);
-    there.remove(c);
-    if (there.isEmpty()) {
-      resting.remove(n);
+  private void release(TaskShard shard, long sequence) {
+    Map<TaskShard, BitSet> shards = latestStatus.get(sequence);
+    shards.remove(shard);
+    if (shards.isEmpty()) {
+      latestStatus.remove(sequence);
     }
-    TreeSet<Long> on = recordsOf.get(c);
-    on.remove(n);
-    if (on.isEmpty()) {
-      recordsOf.remove(c);
+    TreeSet<Long> records = recordsByShard.get(shard);
+    records.remove(sequence);
+    if (records.isEmpty()) {
+      recordsByShard.remove(shard);
     }
   }
 
   /** Record {@code n} comes to stand in its slot: what stood there says nothing any more. */
-  void replaced(long n) {
-    int slot = ProgressLogRecord.slot(n);
-    mentions.headMap(n).keySet().removeIf(old -> ProgressLogRecord.slot(old) == slot);
-    long old = standing[slot];
-    if (old < n) {
-      List.copyOf(restingOn(old).keySet()).stream()
+  void slotOverwritten(long sequence) {
+    int slot = ProgressLogRecord.slot(sequence);
+    jobsByRecord
+        .headMap(sequence)
+        .keySet()
+        .removeIf(overwritten -> ProgressLogRecord.slot(overwritten) == slot);
+    long overwritten = storedSequences[slot];
+    if (overwritten < sequence) {
+      List.copyOf(latestStatusIn(overwritten).keySet()).stream()
           .filter(c -> c.job().isFullyStopped())
-          .forEach(c -> drop(c, old));
+          .forEach(c -> release(c, overwritten));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressWriter.java
@@ -83,15 +83,15 @@
   private final WriteLimits limits;
   private final PendingProgress pending = new PendingProgress();
   private final ProgressLogSlots slots = new ProgressLogSlots();
-  private final ShardSnapshots checkpoints = new ShardSnapshots();
+  private final ShardSnapshots snapshots = new ShardSnapshots();
   private final DurableTasks durable = new DurableTasks();
-  private final WriteBatchContext sources;
+  private final WriteBatchContext context;
 
   /** Cancelled jobs of which placements may have ended since what to clear was looked at. */
   private final LinkedHashSet<Job> endedOf = new LinkedHashSet<>();
 
   private long nextRecord = 1;
-  private long tries;
+  private long recordsTried;
   private boolean busy;
   private Optional<Cancellable> planned = Optional.empty();
   private long plannedMs;
@@ -118,9 +118,9 @@
     this.term = term;
     this.listener = listener;
     this.limits = new WriteLimits(txnOps, valueBytes);
-    this.sources =
+    this.context =
         new WriteBatchContext(
-            scheduler, term, limits, new ProgressEncoder(hostNames), pending, slots, checkpoints);
+            scheduler, term, limits, new ProgressEncoder(hostNames), pending, slots, snapshots);
   }
 
   public void close() {
@@ -130,44 +130,44 @@
   // ---- taking over
 
   /** A record of the log stands in its slot. */
-  public void loadedSlot(Entry entry, long n) {
-    slots.stands(n, entry.modRevision());
+  public void loadRecord(Entry entry, long n) {
+    slots.recordStored(n, entry.modRevision());
     nextRecord = Math.max(nextRecord, n + 1);
   }
 
   /** What stands under this key of the log can't be read. */
-  public void loadedDamaged(String key) {
-    slots.markDamaged(key);
+  public void loadUnreadable(String key) {
+    slots.markUnreadable(key);
   }
 
   /** A checkpoint that an earlier leader wrote. */
-  public void loadedCheckpoint(Job job, int chunk, long stamp) {
-    checkpoints.stands(new TaskShard(job, chunk), stamp);
+  public void loadSnapshot(Job job, int chunk, long stamp) {
+    snapshots.stored(new TaskShard(job, chunk), stamp);
   }
 
   /** Record {@code n} speaks of these tasks, and no checkpoint covers it. */
-  public void loadedUncovered(Job job, BitSet tasks, long n) {
-    TaskShard.of(job, tasks).forEach((c, some) -> slots.spoken(c, some, n));
+  public void loadUncovered(Job job, BitSet tasks, long n) {
+    TaskShard.of(job, tasks).forEach((c, some) -> slots.statusRecorded(c, some, n));
   }
 
   /** Record {@code n} speaks of the job, be it covered or not. */
-  public void loadedMention(Job job, long n) {
-    slots.mention(job.uid(), n);
+  public void loadMention(Job job, long n) {
+    slots.addMention(job.uid(), n);
   }
 
-  public void loadedDone(Job job, BitSet done) {
-    durable.loadedDone(job, done);
+  public void loadCompleted(Job job, BitSet done) {
+    durable.loadCompleted(job, done);
   }
 
   /** These tasks are on machines by the records. */
-  public void loadedLive(Job job, Set<Integer> tasks) {
+  public void loadPlaced(Job job, Set<Integer> tasks) {
     BitSet live = new BitSet();
     tasks.forEach(live::set);
-    durable.loadedLive(job, live);
+    durable.loadPlaced(job, live);
   }
 
   public boolean isDurablyDone(Job job, int task) {
-    return job.finished() || durable.isDone(job, task);
+    return job.finished() || durable.isCompleted(job, task);
   }
 
   // ---- what is to be written
@@ -180,9 +180,9 @@
         && job.activePlacements().isEmpty()
         && !job.cancelled()
         && !job.blockedOnDependencies()) {
-      pending.ending(job);
+      pending.markCompleted(job);
     } else {
-      pending.changed(job, task);
+      pending.markChanged(job, task);
     }
     plan(GATHER_MS);
   }
@@ -206,12 +206,12 @@
   /** Once for all that ended of a job since the last flush: large jobs end task by task. */
   private void findWhatToClear() {
     for (Job job : endedOf) {
-      BitSet gone = durable.recordedButGone(job);
+      BitSet gone = durable.placedInRecordsOnly(job);
       if (job.isFullyStopped()) {
         gone.or(uncoveredByRemoval(job));
       }
       if (!gone.isEmpty()) {
-        pending.clear(job, gone);
+        pending.markForClearing(job, gone);
       }
     }
     endedOf.clear();
@@ -223,7 +223,7 @@
     if (slots.isMentioned(job.uid())) {
       for (int i = 0; i < job.shardCount(); i++) {
         TaskShard c = new TaskShard(job, i);
-        if (checkpoints.exists(c)) {
+        if (snapshots.exists(c)) {
           tasks.set(c.firstTask(), c.endTask());
         }
       }
@@ -243,26 +243,26 @@
    */
   public void over(Job job) {
     pending.forgetChanges(job);
-    durable.forgetDone(job);
+    durable.forgetCompleted(job);
     boolean readAgain = job.isFullyStopped() && !job.quarantined();
     if (readAgain) {
       cancelledTasksEnded(job);
     } else {
       endedOf.remove(job);
       pending.forgetClearing(job);
-      durable.forgetLive(job);
+      durable.forgetPlaced(job);
     }
     for (int i = 0; i < job.shardCount(); i++) {
       TaskShard c = new TaskShard(job, i);
       if (!readAgain) {
-        slots.covered(c, Long.MAX_VALUE);
+        slots.releaseUpTo(c, Long.MAX_VALUE);
       }
-      checkpoints.over(c);
-      if (checkpoints.exists(c)) {
-        pending.removable(c);
+      snapshots.jobTerminated(c);
+      if (snapshots.exists(c)) {
+        pending.markRemovable(c);
       }
     }
-    if (pending.hasRemovals()) {
+    if (pending.hasSnapshotRemovals()) {
       plan(REMOVAL_WAIT_MS);
     }
   }
@@ -301,7 +301,8 @@
     if (busy || closed) {
       return;
     }
-    boolean othersWait = pending.hasChanges() || pending.hasEndings() || pending.hasRemovals();
+    boolean othersWait =
+        pending.hasChanges() || pending.hasCompletions() || pending.hasSnapshotRemovals();
     if (!othersWait && scheduler.nowMs() < clearDueMs) {
       planClearing();
       return;
@@ -317,11 +318,12 @@
       return;
     }
     WriteBatch batch =
-        new WriteBatch(sources, budget, nextRecord, () -> term.fencingToken() + "." + ++tries);
+        new WriteBatch(
+            context, budget, nextRecord, () -> term.fencingToken() + "." + ++recordsTried);
     // Removed checkpoints may uncover what has to be cleared, in the same transaction at the
     // latest.
-    batch.fill(endsWaited, clearingIsDue || pending.hasRemovals());
-    endsWaited = pending.hasEndings();
+    batch.fill(endsWaited, clearingIsDue || pending.hasSnapshotRemovals());
+    endsWaited = pending.hasCompletions();
     if (batch.isEmpty()) {
       plan(NO_ROOM_MS);
       return;
@@ -333,8 +335,8 @@
     // From now on it may stand, whether an answer tells of it or not.
     batch
         .records()
-        .forEach((n, chunks) -> chunks.keySet().forEach(c -> slots.mention(c.job().uid(), n)));
-    batch.statements().forEach(durable::sending);
+        .forEach((n, chunks) -> chunks.keySet().forEach(c -> slots.addMention(c.job().uid(), n)));
+    batch.statuses().forEach(durable::sending);
     busy = true;
     writes.take(batch.changes());
     long sentMs = scheduler.nowMs();
@@ -390,21 +392,21 @@
 
   /** Whatever the transaction said is to be written again, as it will be then. */
   private void again(WriteBatch batch) {
-    for (TaskStatuses s : batch.statements()) {
+    for (TaskStatuses s : batch.statuses()) {
       if (s.job().isFullyStopped()) {
         cancelledTasksEnded(s.job());
       } else if (!s.job().isTerminal() || !s.job().activePlacements().isEmpty()) {
-        pending.changed(s.job(), s.tasks());
+        pending.markChanged(s.job(), s.tasks());
       }
     }
-    batch.ended().forEach(pending::ending);
-    batch.removed().forEach(pending::removable);
+    batch.completedJobs().forEach(pending::markCompleted);
+    batch.removedSnapshots().forEach(pending::markRemovable);
   }
 
   private void committed(WriteBatch batch, long ledger) {
-    for (TaskShard c : batch.checkpoints()) {
-      checkpoints.stands(c, ledger);
-      slots.covered(c, batch.coveredUpTo());
+    for (TaskShard c : batch.snapshots()) {
+      snapshots.stored(c, ledger);
+      slots.releaseUpTo(c, batch.coveredUpTo());
     }
     batch
         .records()
@@ -413,26 +415,26 @@
               chunks.forEach(
                   (c, tasks) -> {
                     if (!c.job().finished()) {
-                      slots.spoken(c, tasks, n);
+                      slots.statusRecorded(c, tasks, n);
                     }
                   });
-              slots.replaced(n);
-              slots.stands(n, ledger);
+              slots.slotOverwritten(n);
+              slots.recordStored(n, ledger);
               nextRecord = Math.max(nextRecord, n + 1);
             });
     List<Placement> placements = new ArrayList<>();
-    for (TaskStatuses s : batch.statements()) {
+    for (TaskStatuses s : batch.statuses()) {
       durable.committed(s);
       s.placements().forEach(p -> p.markRecorded(scheduler.nowMs()));
       placements.addAll(s.placements());
     }
-    batch.removed().forEach(checkpoints::removed);
-    batch.ended().forEach(this::finish);
+    batch.removedSnapshots().forEach(snapshots::removed);
+    batch.completedJobs().forEach(this::finish);
     listener.durable(placements);
   }
 
   private void finish(Job job) {
-    pending.ended(job);
+    pending.completionRecorded(job);
     if (!job.finished()) {
       job.finish();
       over(job);
@@ -466,10 +468,10 @@
       return;
     }
     LOG.debug("a write was read back after {}", result);
-    batch.checkpoints().forEach(this::readStamp);
-    batch.removed().forEach(this::readStamp);
-    pending.keepRemovable(checkpoints);
-    for (Job job : batch.ended()) {
+    batch.snapshots().forEach(this::readStamp);
+    batch.removedSnapshots().forEach(this::readStamp);
+    pending.retainExisting(snapshots);
+    for (Job job : batch.completedJobs()) {
       if (replica.get(Keys.completion(job.uid())).isPresent()) {
         finish(job);
       }
@@ -480,22 +482,24 @@
   }
 
   private void readStamp(TaskShard c) {
-    checkpoints.stands(c, replica.get(c.key()).map(Entry::modRevision).orElse(0L));
+    snapshots.stored(c, replica.get(c.key()).map(Entry::modRevision).orElse(0L));
   }
 
   /** If a record of an unanswered write stands, what it speaks of rests on it. */
   private void taken(Entry e) {
     Optional<ProgressLogRecord> record = ProgressLogRecord.decode(e.value());
     long n = record.map(ProgressLogRecord::sequence).orElse(-1L);
-    if (n < 0 || !Keys.progressLog(n).equals(e.key()) || slots.stampAt(n) == e.modRevision()) {
+    if (n < 0
+        || !Keys.progressLog(n).equals(e.key())
+        || slots.modRevisionAt(n) == e.modRevision()) {
       return;
     }
     for (ProgressLogRecord.Delta d : record.get().deltas()) {
-      slots.mention(d.uid(), n);
-      job(d.uid()).ifPresent(job -> loadedUncovered(job, tasksOf(d), n));
+      slots.addMention(d.uid(), n);
+      job(d.uid()).ifPresent(job -> loadUncovered(job, tasksOf(d), n));
     }
-    slots.replaced(n);
-    loadedSlot(e, n);
+    slots.slotOverwritten(n);
+    loadRecord(e, n);
   }
 
   private static BitSet tasksOf(ProgressLogRecord.Delta d) {
@@ -507,6 +511,6 @@
 
   /** A job that anything is known of here. */
   private Optional<Job> job(String uid) {
-    return pending.job(uid).or(() -> slots.job(uid)).or(() -> durable.job(uid));
+    return pending.findJob(uid).or(() -> slots.findJob(uid)).or(() -> durable.findJob(uid));
   }
 }
--- a/src/main/java/org/ploverspindle/progress/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/progress/RecordedProgress.java
@@ -39,11 +39,11 @@
     for (Entry e : replica.withPrefix(Keys.PROGRESS_LOG).values()) {
       Optional<ProgressLogRecord> record = ProgressLogRecord.decode(e.value());
       if (record.isPresent() && Keys.progressLog(record.get().sequence()).equals(e.key())) {
-        writer.loadedSlot(e, record.get().sequence());
+        writer.loadRecord(e, record.get().sequence());
         records.add(record.get());
       } else {
         LOG.error("the record {} can't be read: nothing starts until every lease is over", e.key());
-        writer.loadedDamaged(e.key());
+        writer.loadUnreadable(e.key());
         logDamaged = true;
       }
     }
@@ -79,7 +79,7 @@
         job.quarantine();
         continue;
       }
-      writer.loadedCheckpoint(job, chunk, e.modRevision());
+      writer.loadSnapshot(job, chunk, e.modRevision());
       upTo[chunk] = record.get().coveredUpTo();
       state.done.or(record.get().done());
       record.get().placements().forEach(l -> state.live.put(l.task(), l));
@@ -87,14 +87,14 @@
     for (ProgressLogRecord record : logByJob.getOrDefault(job.uid(), List.of())) {
       for (ProgressLogRecord.Delta d : record.deltas()) {
         if (d.uid().equals(job.uid())) {
-          writer.loadedMention(job, record.sequence());
+          writer.loadMention(job, record.sequence());
           apply(job, record.sequence(), d, upTo, state);
         }
       }
     }
     state.done.clear(job.spec().tasks(), Math.max(job.spec().tasks(), state.done.length()));
-    writer.loadedDone(job, state.done);
-    writer.loadedLive(job, state.live.keySet());
+    writer.loadCompleted(job, state.done);
+    writer.loadPlaced(job, state.live.keySet());
     return state;
   }
 
@@ -122,7 +122,7 @@
       }
     }
     if (!job.quarantined()) {
-      writer.loadedUncovered(job, newer, n);
+      writer.loadUncovered(job, newer, n);
     }
   }
 
--- a/src/main/java/org/ploverspindle/progress/TaskShard.java
+++ b/src/main/java/org/ploverspindle/progress/TaskShard.java
@@ -24,10 +24,10 @@
 
   /** The chunks that these tasks of the job are in, each with those that are in it. */
   static Map<TaskShard, BitSet> of(Job job, BitSet tasks) {
-    Map<TaskShard, BitSet> chunks = new LinkedHashMap<>();
-    for (int t = tasks.nextSetBit(0); t >= 0; t = tasks.nextSetBit(t + 1)) {
-      chunks.computeIfAbsent(new TaskShard(job, job.shardOf(t)), c -> new BitSet()).set(t);
+    Map<TaskShard, BitSet> shards = new LinkedHashMap<>();
+    for (int task = tasks.nextSetBit(0); task >= 0; task = tasks.nextSetBit(task + 1)) {
+      shards.computeIfAbsent(new TaskShard(job, job.shardOf(task)), c -> new BitSet()).set(task);
     }
-    return chunks;
+    return shards;
   }
 }
--- a/src/main/java/org/ploverspindle/progress/WriteBatch.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatch.java
@@ -39,16 +39,16 @@
 
   private static final BitSet NO_TASKS = new BitSet();
 
-  private final WriteBatchContext sources;
+  private final WriteBatchContext context;
   private final LongFunction<LogRecordBuilder> newRecord;
   private final int budget;
   private final long firstRecord;
   private final List<Condition> conditions = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
-  private final List<TaskStatuses> statements = new ArrayList<>();
-  private final List<Job> ended = new ArrayList<>();
-  private final List<TaskShard> checkpoints = new ArrayList<>();
-  private final List<TaskShard> removed = new ArrayList<>();
+  private final List<TaskStatuses> statuses = new ArrayList<>();
+  private final List<Job> completedJobs = new ArrayList<>();
+  private final List<TaskShard> snapshots = new ArrayList<>();
+  private final List<TaskShard> removedSnapshots = new ArrayList<>();
   private final Map<Long, Map<TaskShard, BitSet>> records = new LinkedHashMap<>();
   private long nextRecord;
   private int bytes = FIXED_BYTES;
@@ -60,7 +60,7 @@
    * @param ids makes the id of each record that is tried
    */
   WriteBatch(WriteBatchContext sources, int budget, long firstRecord, Supplier<String> ids) {
-    this.sources = sources;
+    this.context = sources;
     this.budget = budget;
     this.firstRecord = firstRecord;
     this.nextRecord = firstRecord;
@@ -76,30 +76,30 @@
    */
   void fill(boolean endsWaited, boolean clears) {
     // What waits to start waits for its record; users may learn of an end a little later.
-    boolean endsFirst = !sources.pending().hasChanges() || endsWaited || budget > 1;
+    boolean endsFirst = !context.pending().hasChanges() || endsWaited || budget > 1;
     if (endsFirst) {
-      ends(Math.max(1, budget - 1));
+      addCompletions(Math.max(1, budget - 1));
     }
-    checkpoint(firstRecord - ProgressLogRecord.SLOTS, budget);
-    log(false);
-    ends(budget);
+    addSnapshots(firstRecord - ProgressLogRecord.SLOTS, budget);
+    addLogRecords(false);
+    addCompletions(budget);
     if (clears) {
-      log(true);
+      addLogRecords(true);
     }
-    checkpoint(
+    addSnapshots(
         firstRecord - ProgressLogRecord.SLOTS + EARLY,
         Math.min(budget, changes.size() + EARLY_CHECKPOINTS));
-    removals();
+    addSnapshotRemovals();
   }
 
-  private boolean room(int most) {
+  private boolean hasRoom(int most) {
     return changes.size() < most
-        && sources.limits().roomForConditions(conditions.size())
-        && (changes.isEmpty() || sources.limits().roomForValue(bytes));
+        && context.limits().roomForConditions(conditions.size())
+        && (changes.isEmpty() || context.limits().roomForValue(bytes));
   }
 
-  private void ends(int most) {
-    for (Iterator<Job> it = sources.pending().endings(); it.hasNext() && room(most); ) {
+  private void addCompletions(int most) {
+    for (Iterator<Job> it = context.pending().completions(); it.hasNext() && hasRoom(most); ) {
       Job job = it.next();
       it.remove();
       if (job.cancelled() || job.finished()) {
@@ -111,7 +111,7 @@
       changes.add(
           new Change.Put(Keys.completion(job.uid()), Cbor.map().put("tasks", job.spec().tasks())));
       bytes += END_BYTES;
-      ended.add(job);
+      completedJobs.add(job);
     }
   }
 
@@ -120,54 +120,54 @@
    *
    * @param forClearing whether also for what is to be cleared alone
    */
-  private void log(boolean forClearing) {
-    ProgressLogSlots slots = sources.slots();
+  private void addLogRecords(boolean forClearing) {
+    ProgressLogSlots slots = context.slots();
     long end = firstRecord + ProgressLogRecord.SLOTS;
     int count = 0;
-    for (long n = nextRecord; n < end && count < MOST_RECORDS && room(budget); n++) {
-      if (slots.isDamaged(n)) {
+    for (long n = nextRecord; n < end && count < MOST_RECORDS && hasRoom(budget); n++) {
+      if (slots.isUnreadable(n)) {
         continue;
       }
       LogRecordBuilder record = newRecord.apply(n);
-      if (!record.takesOver(slots.standingAt(n))) {
+      if (!record.carryOver(slots.storedSequenceAt(n))) {
         continue;
       }
-      if (!sayPending(record, forClearing) || record.tasksSaid().isEmpty()) {
+      if (!appendPending(record, forClearing) || record.includedTasks().isEmpty()) {
         return;
       }
-      put(record);
+      addLogRecord(record);
       count++;
     }
   }
 
   /** True if there was anything to say. */
-  private boolean sayPending(LogRecordBuilder record, boolean forClearing) {
-    boolean any = record.moveOn(firstRecord - ProgressLogRecord.SLOTS + EARLY);
-    any |= record.sayOf(sources.pending().changes());
+  private boolean appendPending(LogRecordBuilder record, boolean forClearing) {
+    boolean any = record.appendOversized(firstRecord - ProgressLogRecord.SLOTS + EARLY);
+    any |= record.append(context.pending().changes());
     if (any || forClearing) {
       // Last, so that it takes no room from what is waited for.
-      any |= record.sayOf(sources.pending().clearings());
+      any |= record.append(context.pending().clearings());
     }
     return any;
   }
 
-  private void put(LogRecordBuilder record) {
-    long n = record.n();
+  private void addLogRecord(LogRecordBuilder record) {
+    long n = record.sequence();
     int size = record.builder().bytes();
-    conditions.add(new Condition(Keys.progressLog(n), sources.slots().stampAt(n)));
+    conditions.add(new Condition(Keys.progressLog(n), context.slots().modRevisionAt(n)));
     changes.add(new Change.Put(Keys.progressLog(n), record.builder().value()));
     bytes += size + CHANGE_BYTES;
     largestValueBytes = Math.max(largestValueBytes, size);
-    records.put(n, record.tasksSaid());
-    statements.addAll(record.statements());
-    record.statements().forEach(s -> sources.pending().said(s.job(), s.tasks()));
+    records.put(n, record.includedTasks());
+    statuses.addAll(record.statuses());
+    record.statuses().forEach(s -> context.pending().included(s.job(), s.tasks()));
     nextRecord = n + 1;
   }
 
   /** Of these tasks, those that this transaction does not say yet. */
-  BitSet unsaid(TaskShard c, BitSet tasks) {
+  BitSet notYetIncluded(TaskShard c, BitSet tasks) {
     BitSet open = (BitSet) tasks.clone();
-    if (checkpoints.contains(c)) {
+    if (snapshots.contains(c)) {
       open.clear();
     }
     records.values().forEach(r -> open.andNot(r.getOrDefault(c, NO_TASKS)));
@@ -175,54 +175,54 @@
   }
 
   /** Writes whole what rests on records up to {@code upToRecord}, where it fits. */
-  private void checkpoint(long upToRecord, int most) {
-    for (Map<TaskShard, BitSet> resting : sources.slots().restingUpTo(upToRecord).values()) {
+  private void addSnapshots(long upToRecord, int most) {
+    for (Map<TaskShard, BitSet> resting : context.slots().latestStatusUpTo(upToRecord).values()) {
       for (TaskShard c : resting.keySet()) {
-        if (!room(most)) {
+        if (!hasRoom(most)) {
           return;
         }
         boolean wanted =
-            !checkpoints.contains(c) && !c.job().quarantined() && !c.job().isFullyStopped();
-        if (wanted && !sources.isLarge(c)) {
-          addCheckpoint(c);
+            !snapshots.contains(c) && !c.job().quarantined() && !c.job().isFullyStopped();
+        if (wanted && !context.isTooLarge(c)) {
+          addSnapshot(c);
         }
       }
     }
   }
 
-  private void addCheckpoint(TaskShard c) {
+  private void addSnapshot(TaskShard c) {
     BitSet tasks = new BitSet();
     tasks.set(c.firstTask(), c.endTask());
     TaskStatuses s = TaskStatuses.of(c.job(), tasks);
     // Covers what stands before this transaction's own records; those say the same again.
-    JsonNode value = sources.encoder().checkpoint(s, firstRecord - 1);
+    JsonNode value = context.encoder().snapshot(s, firstRecord - 1);
     int size = Cbor.jsonSize(value);
-    if (size > sources.limits().valueBytes()) {
-      sources.checkpoints().tooLarge(c, sources.scheduler().nowMs());
+    if (size > context.limits().valueBytes()) {
+      context.snapshots().markTooLarge(c, context.scheduler().nowMs());
       return;
     }
-    conditions.add(new Condition(c.key(), sources.checkpoints().stamp(c)));
+    conditions.add(new Condition(c.key(), context.snapshots().modRevision(c)));
     changes.add(new Change.Put(c.key(), value));
     bytes += size + CHANGE_BYTES;
     largestValueBytes = Math.max(largestValueBytes, size);
-    statements.add(s);
-    checkpoints.add(c);
+    statuses.add(s);
+    snapshots.add(c);
   }
 
-  private void removals() {
-    Iterator<TaskShard> it = sources.pending().removals();
+  private void addSnapshotRemovals() {
+    Iterator<TaskShard> it = context.pending().snapshotRemovals();
     while (it.hasNext()
         && changes.size() < budget
-        && sources.limits().roomForConditions(conditions.size())) {
+        && context.limits().roomForConditions(conditions.size())) {
       TaskShard c = it.next();
-      if (sources.pending().isToBeCleared(c.job())) {
+      if (context.pending().isToBeCleared(c.job())) {
         // Without it older records would say where tasks are that are proven gone.
         continue;
       }
       it.remove();
-      conditions.add(new Condition(c.key(), sources.checkpoints().stamp(c)));
+      conditions.add(new Condition(c.key(), context.snapshots().modRevision(c)));
       changes.add(new Change.Remove(c.key()));
-      removed.add(c);
+      removedSnapshots.add(c);
       bytes += CHANGE_BYTES;
     }
   }
@@ -252,22 +252,22 @@
     return firstRecord - 1;
   }
 
-  List<TaskStatuses> statements() {
-    return statements;
+  List<TaskStatuses> statuses() {
+    return statuses;
   }
 
   /** Jobs that it says to be done. */
-  List<Job> ended() {
-    return ended;
+  List<Job> completedJobs() {
+    return completedJobs;
   }
 
-  List<TaskShard> checkpoints() {
-    return checkpoints;
+  List<TaskShard> snapshots() {
+    return snapshots;
   }
 
   /** Chunks whose checkpoint it removes. */
-  List<TaskShard> removed() {
-    return removed;
+  List<TaskShard> removedSnapshots() {
+    return removedSnapshots;
   }
 
   /** By its records: the tasks that they speak of. */
@@ -284,9 +284,9 @@
         + " bytes: "
         + records.size()
         + " logs, "
-        + ended.size()
+        + completedJobs.size()
         + " ends, "
-        + checkpoints.size()
+        + snapshots.size()
         + " checkpoints";
   }
 }
--- a/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
@@ -11,9 +11,9 @@
     ProgressEncoder encoder,
     PendingProgress pending,
     ProgressLogSlots slots,
-    ShardSnapshots checkpoints) {
+    ShardSnapshots snapshots) {
   /** Does its checkpoint not fit into a value, as far as is known? */
-  boolean isLarge(TaskShard c) {
-    return checkpoints.isLarge(c, limits.valueBytes(), scheduler.nowMs());
+  boolean isTooLarge(TaskShard shard) {
+    return snapshots.isTooLarge(shard, limits.valueBytes(), scheduler.nowMs());
   }
 }
--- a/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
+++ b/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
@@ -39,64 +39,64 @@
 
   @Test
   void statementsMoveOnToNewerRecords() {
-    slots.spoken(chunk, tasks(1, 2, 3), 5);
-    slots.spoken(chunk, tasks(2), 9);
-    assertEquals(Map.of(chunk, tasks(1, 3)), slots.restingOn(5));
-    assertEquals(Map.of(chunk, tasks(2)), slots.restingOn(9));
-    slots.spoken(chunk, tasks(1, 3), 9);
-    assertEquals(Set.of(9L), slots.restingUpTo(100).keySet());
+    slots.statusRecorded(chunk, tasks(1, 2, 3), 5);
+    slots.statusRecorded(chunk, tasks(2), 9);
+    assertEquals(Map.of(chunk, tasks(1, 3)), slots.latestStatusIn(5));
+    assertEquals(Map.of(chunk, tasks(2)), slots.latestStatusIn(9));
+    slots.statusRecorded(chunk, tasks(1, 3), 9);
+    assertEquals(Set.of(9L), slots.latestStatusUpTo(100).keySet());
   }
 
   /** An unanswered write is found late: what newer records say stays what counts. */
   @Test
   void anOlderRecordThatIsFoundLateTakesOnlyWhatNoNewerOneSays() {
-    slots.spoken(chunk, tasks(1, 2), 9);
-    slots.spoken(chunk, tasks(2, 3), 7);
-    assertEquals(Map.of(chunk, tasks(3)), slots.restingOn(7));
-    assertEquals(Map.of(chunk, tasks(1, 2)), slots.restingOn(9));
+    slots.statusRecorded(chunk, tasks(1, 2), 9);
+    slots.statusRecorded(chunk, tasks(2, 3), 7);
+    assertEquals(Map.of(chunk, tasks(3)), slots.latestStatusIn(7));
+    assertEquals(Map.of(chunk, tasks(1, 2)), slots.latestStatusIn(9));
   }
 
   @Test
   void aCheckpointCoversRecordsUpToItsOwn() {
-    slots.spoken(chunk, tasks(1), 5);
-    slots.spoken(chunk, tasks(2), 6);
-    slots.covered(chunk, 5);
-    assertEquals(Map.of(), slots.restingOn(5));
-    assertEquals(Optional.of(job), slots.job("run-1"));
-    slots.covered(chunk, 6);
-    assertEquals(Optional.empty(), slots.job("run-1"));
+    slots.statusRecorded(chunk, tasks(1), 5);
+    slots.statusRecorded(chunk, tasks(2), 6);
+    slots.releaseUpTo(chunk, 5);
+    assertEquals(Map.of(), slots.latestStatusIn(5));
+    assertEquals(Optional.of(job), slots.findJob("run-1"));
+    slots.releaseUpTo(chunk, 6);
+    assertEquals(Optional.empty(), slots.findJob("run-1"));
   }
 
   /** Nothing that still counts may be lost with the record that stood in the slot. */
   @Test
   void aReplacedRecordTakesOnlyTheStatementsOfJobsThatAreGone() {
     long later = 5 + ProgressLogRecord.SLOTS;
-    slots.stands(5, 70);
-    slots.mention("run-1", 5);
-    slots.spoken(chunk, tasks(1), 5);
-    slots.replaced(later);
-    assertEquals(Map.of(chunk, tasks(1)), slots.restingOn(5));
+    slots.recordStored(5, 70);
+    slots.addMention("run-1", 5);
+    slots.statusRecorded(chunk, tasks(1), 5);
+    slots.slotOverwritten(later);
+    assertEquals(Map.of(chunk, tasks(1)), slots.latestStatusIn(5));
     assertFalse(slots.isMentioned("run-1"));
     job.cancel();
-    slots.replaced(later);
-    assertEquals(Map.of(), slots.restingOn(5));
+    slots.slotOverwritten(later);
+    assertEquals(Map.of(), slots.latestStatusIn(5));
   }
 
   @Test
   void onlyOlderRecordsContradictAStatement() {
-    slots.mention("run-1", 5);
+    slots.addMention("run-1", 5);
     assertFalse(slots.isMentionedBefore("run-1", 5));
     assertTrue(slots.isMentionedBefore("run-1", 6));
   }
 
   @Test
   void slotsKeepTheirVersionAndDamage() {
-    slots.stands(3, 41);
-    slots.markDamaged(Keys.progressLog(4));
+    slots.recordStored(3, 41);
+    slots.markUnreadable(Keys.progressLog(4));
     long later = 3 + ProgressLogRecord.SLOTS;
-    assertEquals(41, slots.stampAt(later));
-    assertEquals(3, slots.standingAt(later));
-    assertTrue(slots.isDamaged(4 + ProgressLogRecord.SLOTS));
-    assertFalse(slots.isDamaged(3));
+    assertEquals(41, slots.modRevisionAt(later));
+    assertEquals(3, slots.storedSequenceAt(later));
+    assertTrue(slots.isUnreadable(4 + ProgressLogRecord.SLOTS));
+    assertFalse(slots.isUnreadable(3));
   }
 }
