--- a/src/main/java/org/ploverspindle/progress/DurableTasks.java
+++ b/src/main/java/org/ploverspindle/progress/DurableTasks.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 import org.ploverspindle.cluster.Job;
 
-/** What the records are known to say of tasks, or may say if an unanswered write stands. */
+/** Which tasks are recorded as completed, and which may be recorded as placed on a machine. */
 final class DurableTasks {
   private final Map<Job, BitSet> completed = new HashMap<>();
 
-  /** Tasks that the newest statement, also an unanswered one, may say to be on a machine. */
+  /** Tasks that the latest record, including unanswered writes, may place on a machine. */
   private final Map<Job, BitSet> placed = new HashMap<>();
 
   void loadCompleted(Job job, BitSet tasks) {
@@ -26,7 +26,7 @@
     return tasks != null && tasks.get(task);
   }
 
-  /** From now on the statement may stand, whether an answer tells of it or not. */
+  /** The statuses are being sent: from now on they may be stored, answered or not. */
   void sending(TaskStatuses statuses) {
     if (!statuses.placements().isEmpty()) {
       BitSet tasks = placed.computeIfAbsent(statuses.job(), j -> new BitSet());
@@ -34,7 +34,7 @@
     }
   }
 
-  /** The statement stands, and is the newest of its tasks. */
+  /** The statuses are stored, and are the latest of their tasks. */
   void committed(TaskStatuses statuses) {
     if (!statuses.job().isTerminal()) {
       completed.computeIfAbsent(statuses.job(), j -> new BitSet()).or(statuses.completed());
@@ -49,7 +49,7 @@
     }
   }
 
-  /** The tasks that a record may say to be on a machine although they are on none. */
+  /** Tasks that a record may place on a machine although they are on none. */
   BitSet placedInRecordsOnly(Job job) {
     BitSet tasks = (BitSet) placed.getOrDefault(job, new BitSet()).clone();
     job.activePlacements().forEach(p -> tasks.clear(p.task()));
--- a/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
+++ b/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
@@ -1,14 +1,16 @@
 package org.ploverspindle.progress;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.BitSet;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.state.ProgressLogRecord;
 
-/** One record of the log in the making; nothing of it counts before its batch takes it in. */
+/** Builds one record of the progress log; it has no effect until it is added to its batch. */
 final class LogRecordBuilder {
   private static final BitSet NO_TASKS = new BitSet();
 
@@ -19,63 +21,84 @@
   private final Map<TaskShard, BitSet> includedTasks = new LinkedHashMap<>();
   private final List<TaskStatuses> statuses = new ArrayList<>();
 
-  LogRecordBuilder(long n, String id, WriteBatch batch, WriteBatchContext sources) {
-    this.sequence = n;
+  LogRecordBuilder(long sequence, String id, WriteBatch batch, WriteBatchContext context) {
+    this.sequence = sequence;
     this.batch = batch;
-    this.context = sources;
-    this.builder = new ProgressLogRecord.Builder(n, id, sources.limits().recordBytes());
+    this.context = context;
+    this.builder = new ProgressLogRecord.Builder(sequence, id, context.limits().recordBytes());
   }
 
   long sequence() {
     return sequence;
   }
 
-  ProgressLogRecord.Builder builder() {
-    return builder;
+  JsonNode value() {
+    return builder.value();
   }
 
+  int bytes() {
+    return builder.bytes();
+  }
+
+  /** The tasks whose status is in the record, by shard. */
   Map<TaskShard, BitSet> includedTasks() {
-    return includedTasks;
+    return Collections.unmodifiableMap(includedTasks);
   }
 
   List<TaskStatuses> statuses() {
-    return statuses;
+    return Collections.unmodifiableList(statuses);
   }
 
-  /** Says all that rests on the record it replaces; false if that can't be. */
-  boolean carryOver(long old) {
-    for (Map.Entry<TaskShard, BitSet> e : context.slots().latestStatusIn(old).entrySet()) {
-      TaskShard c = e.getKey();
-      if (c.job().isFullyStopped() && !isNeeded(c, old)) {
+  /**
+   * Appends all statuses whose latest record is the one that this record overwrites.
+   *
+   * @return false if that is not possible, so that the slot can't be reused yet
+   */
+  boolean carryOver(long overwrittenSequence) {
+    Map<TaskShard, BitSet> overwritten = context.slots().latestStatusIn(overwrittenSequence);
+    for (Map.Entry<TaskShard, BitSet> entry : overwritten.entrySet()) {
+      TaskShard shard = entry.getKey();
+      Job job = shard.job();
+      if (job.isFullyStopped() && !isNeeded(shard, overwrittenSequence)) {
         continue;
       }
-      BitSet open = batch.notYetIncluded(c, e.getValue());
-      open.andNot(includedTasks.getOrDefault(c, NO_TASKS));
-      if (!open.isEmpty() && (c.job().quarantined() || !appendTasks(c.job(), open))) {
+      BitSet missing = notYetIncluded(shard, entry.getValue());
+      if (!missing.isEmpty() && (job.quarantined() || !appendTasks(job, missing))) {
         return false;
       }
     }
     return true;
   }
 
-  /** Does anything older speak of the chunk, so that it would count without the record? */
-  private boolean isNeeded(TaskShard c, long record) {
-    return !c.job().quarantined()
-        && (context.snapshots().exists(c)
-            || context.slots().isMentionedBefore(c.job().uid(), record));
+  /** Whether something older has a status of the shard's tasks, which would count without it. */
+  private boolean isNeeded(TaskShard shard, long overwrittenSequence) {
+    return !shard.job().quarantined()
+        && (context.snapshots().exists(shard)
+            || context.slots().isMentionedBefore(shard.job().uid(), overwrittenSequence));
+  }
+
+  private BitSet notYetIncluded(TaskShard shard, BitSet tasks) {
+    BitSet missing = batch.notYetIncluded(shard, tasks);
+    missing.andNot(includedTasks.getOrDefault(shard, NO_TASKS));
+    return missing;
   }
 
-  /** Says what rests on records up to this one and fits in no checkpoint; true if there was any. */
-  boolean appendOversized(long upTo) {
+  /**
+   * Appends, as far as they fit, the statuses whose latest record is at most this one and whose
+   * shard is too large for a snapshot.
+   *
+   * @return false if there are none
+   */
+  boolean appendOversized(long lastSequence) {
     boolean any = false;
-    for (Map<TaskShard, BitSet> resting : context.slots().latestStatusUpTo(upTo).values()) {
-      for (Map.Entry<TaskShard, BitSet> e : resting.entrySet()) {
-        TaskShard c = e.getKey();
-        if (!c.job().quarantined() && !c.job().isFullyStopped() && context.isTooLarge(c)) {
-          BitSet open = batch.notYetIncluded(c, e.getValue());
-          open.andNot(includedTasks.getOrDefault(c, NO_TASKS));
-          any |= !open.isEmpty();
-          if (!appendTasks(c.job(), open)) {
+    for (Map<TaskShard, BitSet> shards : context.slots().latestStatusUpTo(lastSequence).values()) {
+      for (Map.Entry<TaskShard, BitSet> entry : shards.entrySet()) {
+        TaskShard shard = entry.getKey();
+        Job job = shard.job();
+        if (!job.quarantined() && !job.isFullyStopped() && context.isTooLarge(shard)) {
+          BitSet missing = notYetIncluded(shard, entry.getValue());
+          any |= !missing.isEmpty();
+          if (!appendTasks(job, missing)) {
             return true;
           }
         }
@@ -84,47 +107,63 @@
     return any;
   }
 
-  /** Says as many of these tasks as fit, as they are now; true if there was any. */
-  boolean append(Map<Job, BitSet> tasks) {
+  /**
+   * Appends the present status of as many of these tasks as fit.
+   *
+   * @return false if there are none
+   */
+  boolean append(Map<Job, BitSet> tasksByJob) {
     boolean any = false;
-    for (Map.Entry<Job, BitSet> e : tasks.entrySet()) {
-      BitSet open = (BitSet) e.getValue().clone();
-      TaskShard.of(e.getKey(), open)
-          .keySet()
-          .forEach(c -> open.andNot(includedTasks.getOrDefault(c, NO_TASKS)));
-      any |= !open.isEmpty();
-      if (!appendTasks(e.getKey(), open)) {
+    for (Map.Entry<Job, BitSet> entry : tasksByJob.entrySet()) {
+      Job job = entry.getKey();
+      BitSet missing = (BitSet) entry.getValue().clone();
+      for (TaskShard shard : TaskShard.of(job, missing).keySet()) {
+        missing.andNot(includedTasks.getOrDefault(shard, NO_TASKS));
+      }
+      any |= !missing.isEmpty();
+      if (!appendTasks(job, missing)) {
         return true;
       }
     }
     return any;
   }
 
-  /** Says as many of the tasks as fit; true if all did. */
-  private boolean appendTasks(Job job, BitSet open) {
-    int group = context.limits().tasksInRecord();
-    while (!open.isEmpty()) {
-      BitSet tasks = firstOf(open, group);
-      TaskStatuses s = TaskStatuses.of(job, tasks);
-      if (builder.add(context.encoder().delta(s))) {
-        open.andNot(tasks);
-        statuses.add(s);
-        TaskShard.of(job, tasks)
-            .forEach((c, some) -> includedTasks.computeIfAbsent(c, x -> new BitSet()).or(some));
-      } else if (group == 1) {
+  /**
+   * Appends the present status of as many of the tasks as fit, and removes these tasks from the
+   * set.
+   *
+   * @return whether all did fit
+   */
+  private boolean appendTasks(Job job, BitSet missing) {
+    int count = context.limits().tasksInRecord();
+    while (!missing.isEmpty()) {
+      BitSet tasks = firstOf(missing, count);
+      TaskStatuses taskStatuses = TaskStatuses.of(job, tasks);
+      if (builder.add(context.encoder().delta(taskStatuses))) {
+        missing.andNot(tasks);
+        include(taskStatuses);
+      } else if (count == 1) {
         return false;
       } else {
-        group = Math.max(1, Math.min(group, tasks.cardinality()) / 2);
+        count = Math.max(1, Math.min(count, tasks.cardinality()) / 2);
       }
     }
     return true;
   }
 
-  private static BitSet firstOf(BitSet tasks, int most) {
+  private void include(TaskStatuses taskStatuses) {
+    statuses.add(taskStatuses);
+    TaskShard.of(taskStatuses.job(), taskStatuses.tasks())
+        .forEach((shard, some) -> includedTasks.computeIfAbsent(shard, s -> new BitSet()).or(some));
+  }
+
+  private static BitSet firstOf(BitSet tasks, int maxCount) {
     BitSet first = new BitSet();
     int count = 0;
-    for (int t = tasks.nextSetBit(0); t >= 0 && count < most; t = tasks.nextSetBit(t + 1)) {
-      first.set(t);
+    for (int task = tasks.nextSetBit(0);
+        task >= 0 && count < maxCount;
+        task = tasks.nextSetBit(task + 1)) {
+      first.set(task);
       count++;
     }
     return first;
--- a/src/main/java/org/ploverspindle/progress/PendingProgress.java
+++ b/src/main/java/org/ploverspindle/progress/PendingProgress.java
@@ -1,6 +1,7 @@
 package org.ploverspindle.progress;
 
 import java.util.BitSet;
+import java.util.Collections;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -8,26 +9,25 @@
 import java.util.Optional;
 import org.ploverspindle.cluster.Job;
 
-/** What is to be written, in the order in which it came. */
+/** Progress that is not written yet, in the order in which it arose. */
 final class PendingProgress {
-  /** Tasks that changed. */
-  private final LinkedHashMap<Job, BitSet> markChanged = new LinkedHashMap<>();
+  private final LinkedHashMap<Job, BitSet> changedTasks = new LinkedHashMap<>();
 
-  /** Tasks of cancelled jobs that are gone, while a record may yet say where they are. */
+  /** Ended tasks of cancelled jobs that a record may still place on a machine. */
   private final LinkedHashMap<Job, BitSet> clearings = new LinkedHashMap<>();
 
-  /** Jobs of which all tasks are done, by uid. */
-  private final LinkedHashMap<String, Job> markCompleted = new LinkedHashMap<>();
+  /** Jobs of which all tasks have completed, by uid. */
+  private final LinkedHashMap<String, Job> completions = new LinkedHashMap<>();
 
-  /** Chunks whose checkpoint nobody needs any more. */
-  private final LinkedHashSet<TaskShard> markRemovable = new LinkedHashSet<>();
+  /** Shards whose snapshot is no longer needed. */
+  private final LinkedHashSet<TaskShard> snapshotRemovals = new LinkedHashSet<>();
 
   void markChanged(Job job, int task) {
-    markChanged.computeIfAbsent(job, j -> new BitSet()).set(task);
+    changedTasks.computeIfAbsent(job, j -> new BitSet()).set(task);
   }
 
   void markChanged(Job job, BitSet tasks) {
-    markChanged.computeIfAbsent(job, j -> new BitSet()).or(tasks);
+    changedTasks.computeIfAbsent(job, j -> new BitSet()).or(tasks);
   }
 
   void markForClearing(Job job, BitSet tasks) {
@@ -35,78 +35,79 @@
   }
 
   void markCompleted(Job job) {
-    markCompleted.putIfAbsent(job.uid(), job);
+    completions.putIfAbsent(job.uid(), job);
   }
 
   void completionRecorded(Job job) {
-    markCompleted.remove(job.uid());
+    completions.remove(job.uid());
   }
 
   void markRemovable(TaskShard shard) {
-    markRemovable.add(shard);
+    snapshotRemovals.add(shard);
   }
 
   void forgetChanges(Job job) {
-    markChanged.remove(job);
+    changedTasks.remove(job);
   }
 
   void forgetClearing(Job job) {
     clearings.remove(job);
   }
 
-  /** A record that speaks of these tasks is about to be sent. */
+  /** A log record with the status of these tasks is about to be sent. */
   void included(Job job, BitSet tasks) {
-    remove(markChanged, job, tasks);
+    remove(changedTasks, job, tasks);
     remove(clearings, job, tasks);
   }
 
-  private static void remove(Map<Job, BitSet> from, Job job, BitSet tasks) {
-    BitSet left = from.get(job);
-    if (left != null) {
-      left.andNot(tasks);
-      if (left.isEmpty()) {
-        from.remove(job);
+  private static void remove(Map<Job, BitSet> tasksByJob, Job job, BitSet tasks) {
+    BitSet remaining = tasksByJob.get(job);
+    if (remaining != null) {
+      remaining.andNot(tasks);
+      if (remaining.isEmpty()) {
+        tasksByJob.remove(job);
       }
     }
   }
 
-  /** What changed; of jobs that nothing is to be said of any more it is dropped. */
+  /** Tasks that changed; drops those of jobs whose progress is not written any more. */
   Map<Job, BitSet> changes() {
-    markChanged
+    changedTasks
         .entrySet()
         .removeIf(e -> e.getKey().quarantined() || e.getKey().finished() || e.getValue().isEmpty());
-    return markChanged;
+    return Collections.unmodifiableMap(changedTasks);
   }
 
+  /** Tasks whose recorded placement is to be cleared. */
   Map<Job, BitSet> clearings() {
-    return clearings;
+    return Collections.unmodifiableMap(clearings);
   }
 
-  /** The jobs to end; what is taken is removed. */
+  /** Jobs whose completion is to be recorded; whoever takes one removes it. */
   Iterator<Job> completions() {
-    return markCompleted.values().iterator();
+    return completions.values().iterator();
   }
 
-  /** The chunks to remove; what is taken is removed. */
+  /** Shards whose snapshot is to be removed; whoever takes one removes it. */
   Iterator<TaskShard> snapshotRemovals() {
-    return markRemovable.iterator();
+    return snapshotRemovals.iterator();
   }
 
-  /** Those whose checkpoint does not stand need no removal. */
+  /** Drops the removals of snapshots that don't exist. */
   void retainExisting(ShardSnapshots snapshots) {
-    markRemovable.removeIf(c -> !snapshots.exists(c));
+    snapshotRemovals.removeIf(shard -> !snapshots.exists(shard));
   }
 
   boolean hasChanges() {
-    return !markChanged.isEmpty();
+    return !changedTasks.isEmpty();
   }
 
   boolean hasCompletions() {
-    return !markCompleted.isEmpty();
+    return !completions.isEmpty();
   }
 
   boolean hasSnapshotRemovals() {
-    return !markRemovable.isEmpty();
+    return !snapshotRemovals.isEmpty();
   }
 
   boolean hasClearings() {
@@ -117,17 +118,17 @@
     return clearings.containsKey(job);
   }
 
-  /** A job with changes. */
+  /** A job with changed tasks. */
   Optional<Job> findJob(String uid) {
-    return markChanged.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
+    return changedTasks.keySet().stream().filter(job -> job.uid().equals(uid)).findFirst();
   }
 
   int jobsWithChanges() {
-    return markChanged.size();
+    return changedTasks.size();
   }
 
-  /** How much waits to be written. */
+  /** The number of jobs with changes, completions and clearings, added up. */
   int size() {
-    return markChanged.size() + markCompleted.size() + clearings.size();
+    return changedTasks.size() + completions.size() + clearings.size();
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
@@ -10,7 +10,7 @@
 import org.ploverspindle.state.ProgressLogRecord;
 import org.ploverspindle.state.SnapshotRecord;
 
-/** Statements in the forms that are stored. */
+/** Converts statuses of tasks to the forms that are stored. */
 final class ProgressEncoder {
   private final Function<Machine, SnapshotRecord.MachineInfo> machineInfo;
 
@@ -18,35 +18,42 @@
     this.machineInfo = machineInfo;
   }
 
-  /** For a record of the log: tasks that are neither done nor on a machine are cleared. */
-  ProgressLogRecord.Delta delta(TaskStatuses s) {
-    BitSet cleared = (BitSet) s.tasks().clone();
-    cleared.andNot(s.completed());
-    s.placements().forEach(p -> cleared.clear(p.task()));
-    Job job = s.job();
+  /** For a log record: tasks that are neither completed nor on a machine are cleared. */
+  ProgressLogRecord.Delta delta(TaskStatuses statuses) {
+    BitSet cleared = (BitSet) statuses.tasks().clone();
+    cleared.andNot(statuses.completed());
+    statuses.placements().forEach(placement -> cleared.clear(placement.task()));
+    Job job = statuses.job();
     return new ProgressLogRecord.Delta(
         job.uid(),
         job.completedTasks().cardinality(),
         job.activePlacements().size(),
-        s.completed(),
+        statuses.completed(),
         cleared,
-        placements(s));
+        recorded(statuses.placements()));
   }
 
-  /** For a checkpoint that covers all records up to {@code upTo}. */
-  JsonNode snapshot(TaskStatuses s, long upTo) {
-    List<SnapshotRecord.RecordedPlacement> live = placements(s);
-    Job job = s.job();
-    return new SnapshotRecord(s.completed(), live, live.size(), upTo)
+  /**
+   * For a snapshot of a shard.
+   *
+   * @param coveredUpTo the last log record that the snapshot covers
+   */
+  JsonNode snapshot(TaskStatuses statuses, long coveredUpTo) {
+    List<SnapshotRecord.RecordedPlacement> placements = recorded(statuses.placements());
+    Job job = statuses.job();
+    return new SnapshotRecord(statuses.completed(), placements, placements.size(), coveredUpTo)
         .encode(job.completedTasks().cardinality(), job.activePlacements().size());
   }
 
-  private List<SnapshotRecord.RecordedPlacement> placements(TaskStatuses s) {
-    return s.placements().stream().map(this::placements).toList();
+  private List<SnapshotRecord.RecordedPlacement> recorded(List<Placement> placements) {
+    return placements.stream().map(this::recorded).toList();
   }
 
-  private SnapshotRecord.RecordedPlacement placements(Placement p) {
+  private SnapshotRecord.RecordedPlacement recorded(Placement placement) {
     return new SnapshotRecord.RecordedPlacement(
-        p.task(), p.attempt(), machineInfo.apply(p.machine()), p.agentEpoch());
+        placement.task(),
+        placement.attempt(),
+        machineInfo.apply(placement.machine()),
+        placement.agentEpoch());
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/progress/ProgressFlusher.java
@@ -0,0 +1,184 @@
+package org.ploverspindle.progress;
+
+import java.util.OptionalLong;
+import org.ploverspindle.eventloop.Scheduler;
+import org.ploverspindle.state.StateStore;
+import org.ploverspindle.state.StateStore.TransactionResult;
+import org.ploverspindle.state.TokenBucket;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Sends pending progress to the state service, one transaction at a time. */
+final class ProgressFlusher {
+  private static final Logger LOG = LoggerFactory.getLogger(ProgressFlusher.class);
+
+  /** Changes of this time go into one transaction. */
+  static final long GATHER_MS = 8;
+
+  private static final long NO_BUDGET_MS = 40;
+  private static final long NO_ROOM_MS = 100;
+  private static final long MIN_BACKOFF_MS = 60;
+  private static final long MAX_BACKOFF_MS = 1_000;
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
+
+  /** Status of a transaction that is malformed or beyond the limits. */
+  private static final int BEYOND_LIMITS = 400;
+
+  private static final int TOO_MANY_REQUESTS = 429;
+
+  private final WriteBatchContext context;
+  private final StateStore store;
+  private final TokenBucket writes;
+  private final FlushTimer timer;
+  private final PlacementClearing clearing;
+  private final WriteOutcome outcome;
+  private final WriteReadBack readBack;
+
+  /** Makes the ids of log records unique, also of those that were never sent. */
+  private long recordsTried;
+
+  /** The last transaction had no room for all completions. */
+  private boolean completionsLeftOver;
+
+  private int consecutiveFailures;
+  private OptionalLong failingSinceMs = OptionalLong.empty();
+
+  /**
+   * @param writes the budget of changes
+   */
+  ProgressFlusher(
+      WriteBatchContext context,
+      StateStore store,
+      TokenBucket writes,
+      FlushTimer timer,
+      PlacementClearing clearing,
+      WriteOutcome outcome,
+      WriteReadBack readBack) {
+    this.context = context;
+    this.store = store;
+    this.writes = writes;
+    this.timer = timer;
+    this.clearing = clearing;
+    this.outcome = outcome;
+    this.readBack = readBack;
+  }
+
+  /** Since when no transaction has been committed although some were sent; empty: none failed. */
+  OptionalLong failingSinceMs() {
+    return failingSinceMs;
+  }
+
+  /** Sends one transaction with as much of the pending progress as the limits allow. */
+  void flush() {
+    PendingProgress pending = context.pending();
+    boolean othersWait =
+        pending.hasChanges() || pending.hasCompletions() || pending.hasSnapshotRemovals();
+    if (!othersWait && !clearing.isDue()) {
+      clearing.scheduleFlush();
+      return;
+    }
+    clearing.examine();
+    boolean clearingIsDue = pending.hasClearings() && clearing.isDue();
+    if (!othersWait && !clearingIsDue) {
+      return;
+    }
+    int budget = (int) Math.min(context.limits().changes(), Math.floor(writes.available()));
+    if (budget < 1) {
+      timer.flushWithin(NO_BUDGET_MS);
+      return;
+    }
+    WriteBatch batch = plan(budget, clearingIsDue);
+    if (batch.isEmpty()) {
+      timer.flushWithin(NO_ROOM_MS);
+      return;
+    }
+    send(batch);
+  }
+
+  private WriteBatch plan(int budget, boolean clearingIsDue) {
+    PendingProgress pending = context.pending();
+    WriteBatchPlanner planner = new WriteBatchPlanner(context, budget, this::nextRecordId);
+    // Without a removed snapshot older log records count again. What they say of ended placements
+    // must be cleared in the same transaction at the latest.
+    WriteBatch batch =
+        planner.plan(completionsLeftOver, clearingIsDue || pending.hasSnapshotRemovals());
+    completionsLeftOver = pending.hasCompletions();
+    return batch;
+  }
+
+  private String nextRecordId() {
+    return context.term().fencingToken() + "." + ++recordsTried;
+  }
+
+  private void send(WriteBatch batch) {
+    Scheduler scheduler = context.scheduler();
+    // From now on the records may be stored, whether the transaction is answered or not.
+    batch
+        .records()
+        .forEach(
+            (sequence, shards) ->
+                shards
+                    .keySet()
+                    .forEach(shard -> context.slots().addMention(shard.job().uid(), sequence)));
+    batch.statuses().forEach(context.state().durable()::sending);
+    timer.writeStarted();
+    writes.take(batch.changes());
+    long sentMs = scheduler.nowMs();
+    LOG.debug("progress write sent: {} jobs_left={}", batch, context.pending().jobsWithChanges());
+    store.commit(
+        batch.transaction(),
+        result -> {
+          LOG.debug("progress write answered: duration_ms={}", scheduler.nowMs() - sentMs);
+          answered(batch, result);
+        });
+  }
+
+  private void answered(WriteBatch batch, TransactionResult result) {
+    timer.writeEnded();
+    if (timer.isClosed()) {
+      return;
+    }
+    if (result instanceof TransactionResult.Committed committed) {
+      consecutiveFailures = 0;
+      failingSinceMs = OptionalLong.empty();
+      outcome.committed(batch, committed.revision());
+      timer.flushWithin(GATHER_MS);
+      return;
+    }
+    consecutiveFailures++;
+    outcome.requeue(batch);
+    if (failingSinceMs.isEmpty() && isServiceFailure(result)) {
+      failingSinceMs = OptionalLong.of(context.scheduler().nowMs());
+    }
+    if (result instanceof TransactionResult.Refused refused) {
+      refused(batch, refused.status());
+      return;
+    }
+    if (result instanceof TransactionResult.Unknown) {
+      // It may yet be stored: later records get higher sequence numbers, so that they count.
+      batch.records().keySet().forEach(context.slots()::reserve);
+    }
+    readBack.start(batch, result);
+  }
+
+  /** Whether the result is neither a conflict nor a refusal for the rate of requests. */
+  private static boolean isServiceFailure(TransactionResult result) {
+    boolean rateLimited =
+        result instanceof TransactionResult.Refused refused
+            && refused.status() == TOO_MANY_REQUESTS;
+    return !rateLimited && !(result instanceof TransactionResult.Conflict);
+  }
+
+  private void refused(WriteBatch batch, int status) {
+    if (status == BEYOND_LIMITS) {
+      LOG.error(
+          "progress write refused as too large, the next ones are smaller: {}"
+              + " largest_value_bytes={}",
+          batch,
+          batch.largestValueBytes());
+      context.limits().refused(batch.changes(), batch.bytes(), batch.largestValueBytes());
+    }
+    int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures);
+    timer.flushWithin(Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << doublings));
+  }
+}
--- a/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
@@ -17,35 +17,48 @@
 import org.ploverspindle.state.ProgressLogRecord;
 
 /**
- * What stands in the slots of the progress log, and in which record each task's newest statement
- * is. A slot may be used again only when no newest statement rests on the record that stands there.
+ * The records in the slots of the progress log, and which of them holds the latest status of each
+ * task. A slot may be reused only when its record holds no task's latest status.
  */
 final class ProgressLogSlots {
-  /** By the log's record: chunks with tasks whose newest statement is there, and which. */
+  /** By sequence number: the tasks whose latest status is in that record, by shard. */
   private final TreeMap<Long, Map<TaskShard, BitSet>> latestStatus = new TreeMap<>();
 
-  /** The records in {@link #latestStatus} that speak of the chunk. */
+  /** The sequence numbers in {@link #latestStatus} under which the shard is found. */
   private final Map<TaskShard, TreeSet<Long>> recordsByShard = new HashMap<>();
 
-  /** By the log's record: the jobs that it speaks of, or would if its unanswered write stood. */
+  /** By sequence number: the jobs in that record, also if it is not known whether it is stored. */
   private final TreeMap<Long, Set<String>> jobsByRecord = new TreeMap<>();
 
-  /** The version of each slot's key, or 0. */
+  /** The mod revision of each slot's key; 0: the slot is empty. */
   private final long[] modRevisions = new long[ProgressLogRecord.SLOTS];
 
-  /** The number of the record that stands in each slot, or 0. */
+  /** The sequence number of the record in each slot; 0: none. */
   private final long[] storedSequences = new long[ProgressLogRecord.SLOTS];
 
-  /** Slots whose record can't be read: it stays, as a later leader must see it too. */
+  /** Slots with an unreadable record: it is kept, since a later leader must notice it too. */
   private final BitSet unreadable = new BitSet();
 
-  /** Record {@code n} stands in its slot. */
+  private long nextSequence = 1;
+
+  /** The sequence number of the next record to be written. */
+  long nextSequence() {
+    return nextSequence;
+  }
+
+  /** The sequence number may be in use: records that are written from now on get higher ones. */
+  void reserve(long sequence) {
+    nextSequence = Math.max(nextSequence, sequence + 1);
+  }
+
+  /** The record is stored in its slot, whose key has this mod revision. */
   void recordStored(long sequence, long modRevision) {
     modRevisions[ProgressLogRecord.slot(sequence)] = modRevision;
     storedSequences[ProgressLogRecord.slot(sequence)] = sequence;
+    reserve(sequence);
   }
 
-  /** What stands under this key of the log can't be read. */
+  /** The record under this key of the log is unreadable. */
   void markUnreadable(String key) {
     for (int slot = 0; slot < ProgressLogRecord.SLOTS; slot++) {
       if (Keys.progressLog(slot).equals(key)) {
@@ -58,41 +71,42 @@
     return unreadable.get(ProgressLogRecord.slot(sequence));
   }
 
-  /** The version of the key of record {@code n}'s slot, or 0 if nothing stands there. */
+  /** The mod revision of the key of the record's slot; 0: the slot is empty. */
   long modRevisionAt(long sequence) {
     return modRevisions[ProgressLogRecord.slot(sequence)];
   }
 
-  /** The number of the record that stands in record {@code n}'s slot, or 0. */
+  /** The sequence number of the record that is stored in this record's slot; 0: none. */
   long storedSequenceAt(long sequence) {
     return storedSequences[ProgressLogRecord.slot(sequence)];
   }
 
-  /** Record {@code n} speaks of the job, be it covered or not, or would if it stood. */
+  /** The record, which may or may not be stored, has statuses of the job, covered or not. */
   void addMention(String uid, long sequence) {
     jobsByRecord.computeIfAbsent(sequence, x -> new HashSet<>()).add(uid);
   }
 
+  /** Whether any record has statuses of the job. */
   boolean isMentioned(String uid) {
     return jobsByRecord.values().stream().anyMatch(m -> m.contains(uid));
   }
 
-  /** Does a record older than this one speak of the job? */
+  /** Whether a record older than this one has statuses of the job. */
   boolean isMentionedBefore(String uid, long sequence) {
     return jobsByRecord.headMap(sequence).values().stream().anyMatch(m -> m.contains(uid));
   }
 
-  /** The newest statements that rest on the record. */
+  /** The tasks whose latest status is in this record. */
   Map<TaskShard, BitSet> latestStatusIn(long sequence) {
-    return latestStatus.getOrDefault(sequence, Map.of());
+    return Collections.unmodifiableMap(latestStatus.getOrDefault(sequence, Map.of()));
   }
 
-  /** The newest statements that rest on records up to this one, by record. */
+  /** The tasks whose latest status is in a record up to this one, by record. */
   SortedMap<Long, Map<TaskShard, BitSet>> latestStatusUpTo(long sequence) {
     return Collections.unmodifiableSortedMap(latestStatus.headMap(sequence, true));
   }
 
-  /** A job with a newest statement in the log. */
+  /** A job with a task whose latest status is in the log. */
   Optional<Job> findJob(String uid) {
     return recordsByShard.keySet().stream()
         .map(TaskShard::job)
@@ -100,7 +114,7 @@
         .findFirst();
   }
 
-  /** The tasks' statements move on to record {@code n}, unless newer ones stand. */
+  /** The record has these tasks' latest status, except of tasks that newer records have. */
   void statusRecorded(TaskShard shard, BitSet tasks, long sequence) {
     BitSet newest = (BitSet) tasks.clone();
     for (Long otherSequence : List.copyOf(recordsByShard.getOrDefault(shard, new TreeSet<>()))) {
@@ -123,7 +137,7 @@
     }
   }
 
-  /** No record up to {@code upTo} is needed for the chunk any more. */
+  /** No record up to {@code lastSequence} is needed for the shard any more. */
   void releaseUpTo(TaskShard shard, long lastSequence) {
     for (Long sequence :
         List.copyOf(
@@ -145,7 +159,7 @@
     }
   }
 
-  /** Record {@code n} comes to stand in its slot: what stood there says nothing any more. */
+  /** The record overwrites the one that was in its slot. */
   void slotOverwritten(long sequence) {
     int slot = ProgressLogRecord.slot(sequence);
     jobsByRecord
--- a/src/main/java/org/ploverspindle/progress/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/progress/RecordedProgress.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.OptionalInt;
 import java.util.TreeMap;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.state.Keys;
@@ -18,35 +19,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What earlier leaders recorded, put together for a new one: each job's checkpoints, and over them
- * the records of the log that are newer.
+ * The progress that earlier leaders recorded, put together for a new one: each job's snapshots, and
+ * over them the log records that no snapshot covers. Fills the writer's view of the records too.
  */
 public final class RecordedProgress {
   private static final Logger LOG = LoggerFactory.getLogger(RecordedProgress.class);
 
   private final Replica replica;
-  private final ProgressWriter writer;
+  private final ProgressLoader loader;
   private final Map<String, List<ProgressLogRecord>> logByJob = new HashMap<>();
   private boolean logDamaged;
 
-  /** A job's tasks as they were recorded last. */
+  /** The latest recorded statuses of a job's tasks: those done, and the placements by task. */
   public record State(BitSet done, Map<Integer, SnapshotRecord.RecordedPlacement> live) {}
 
+  /** Reads the whole log from the replica. */
   public RecordedProgress(Replica replica, ProgressWriter writer) {
     this.replica = replica;
-    this.writer = writer;
-    List<ProgressLogRecord> records = new ArrayList<>();
-    for (Entry e : replica.withPrefix(Keys.PROGRESS_LOG).values()) {
-      Optional<ProgressLogRecord> record = ProgressLogRecord.decode(e.value());
-      if (record.isPresent() && Keys.progressLog(record.get().sequence()).equals(e.key())) {
-        writer.loadRecord(e, record.get().sequence());
-        records.add(record.get());
-      } else {
-        LOG.error("the record {} can't be read: nothing starts until every lease is over", e.key());
-        writer.loadUnreadable(e.key());
-        logDamaged = true;
-      }
-    }
+    this.loader = writer.loader();
+    List<ProgressLogRecord> records = readLog();
     records.sort(Comparator.comparingLong(ProgressLogRecord::sequence));
     for (ProgressLogRecord record : records) {
       record.deltas().stream()
@@ -56,85 +47,115 @@
     }
   }
 
-  /** A record of the log is lost: tasks may be where nothing says that they are. */
+  private List<ProgressLogRecord> readLog() {
+    List<ProgressLogRecord> records = new ArrayList<>();
+    for (Entry entry : replica.withPrefix(Keys.PROGRESS_LOG).values()) {
+      Optional<ProgressLogRecord> record = ProgressLogRecord.decode(entry.value());
+      if (record.isPresent() && Keys.progressLog(record.get().sequence()).equals(entry.key())) {
+        loader.loadRecord(entry, record.get().sequence());
+        records.add(record.get());
+      } else {
+        LOG.error(
+            "progress log record unreadable, no task starts until all agent leases have expired:"
+                + " key={}",
+            entry.key());
+        loader.loadUnreadable(entry.key());
+        logDamaged = true;
+      }
+    }
+    return records;
+  }
+
+  /** Whether a record of the log is unreadable: tasks may run that no readable record places. */
   public boolean logDamaged() {
     return logDamaged;
   }
 
-  /** Does any record speak of the job's tasks? */
+  /** Whether any record has statuses of the job's tasks. */
   public boolean speaksOf(String uid) {
     return logByJob.containsKey(uid) || !replica.withPrefix(Keys.snapshotsOf(uid)).isEmpty();
   }
 
-  /** The job's progress; the job is blocked if a checkpoint of it can't be read. */
+  /** The job's progress. Quarantines the job if a snapshot of it is unreadable. */
   public State of(Job job) {
     State state = new State(new BitSet(), new TreeMap<>());
-    long[] upTo = new long[job.shardCount()];
-    for (Entry e : replica.withPrefix(Keys.snapshotsOf(job.uid())).values()) {
-      Optional<SnapshotRecord> record = SnapshotRecord.decode(e.value());
-      int chunk = chunkOf(e.key());
-      if (record.isEmpty() || chunk < 0 || chunk >= job.shardCount()) {
-        LOG.error(
-            "the record {} can't be read; its job is not run and it is left as it is", e.key());
-        job.quarantine();
-        continue;
-      }
-      writer.loadSnapshot(job, chunk, e.modRevision());
-      upTo[chunk] = record.get().coveredUpTo();
-      state.done.or(record.get().done());
-      record.get().placements().forEach(l -> state.live.put(l.task(), l));
-    }
+    long[] coveredUpTo = readSnapshots(job, state);
     for (ProgressLogRecord record : logByJob.getOrDefault(job.uid(), List.of())) {
-      for (ProgressLogRecord.Delta d : record.deltas()) {
-        if (d.uid().equals(job.uid())) {
-          writer.loadMention(job, record.sequence());
-          apply(job, record.sequence(), d, upTo, state);
+      for (ProgressLogRecord.Delta delta : record.deltas()) {
+        if (delta.uid().equals(job.uid())) {
+          loader.loadMention(job, record.sequence());
+          apply(job, record.sequence(), delta, coveredUpTo, state);
         }
       }
     }
     state.done.clear(job.spec().tasks(), Math.max(job.spec().tasks(), state.done.length()));
-    writer.loadCompleted(job, state.done);
-    writer.loadPlaced(job, state.live.keySet());
+    loader.loadCompleted(job, state.done);
+    loader.loadPlaced(job, state.live.keySet());
     return state;
   }
 
-  private void apply(Job job, long n, ProgressLogRecord.Delta d, long[] upTo, State state) {
-    BitSet newer = new BitSet();
-    d.completed().stream()
-        .filter(t -> newer(job, t, n, upTo))
+  /** Adds what the job's snapshots hold; returns the last log record that each shard's covers. */
+  private long[] readSnapshots(Job job, State state) {
+    long[] coveredUpTo = new long[job.shardCount()];
+    for (Entry entry : replica.withPrefix(Keys.snapshotsOf(job.uid())).values()) {
+      Optional<SnapshotRecord> snapshot = SnapshotRecord.decode(entry.value());
+      OptionalInt shard = shardIndex(entry.key(), job);
+      if (snapshot.isEmpty() || shard.isEmpty()) {
+        LOG.error(
+            "snapshot unreadable, job quarantined and snapshot kept: key={} job={}",
+            entry.key(),
+            job.uid());
+        job.quarantine();
+        continue;
+      }
+      loader.loadSnapshot(job, shard.getAsInt(), entry.modRevision());
+      coveredUpTo[shard.getAsInt()] = snapshot.get().coveredUpTo();
+      state.done.or(snapshot.get().done());
+      snapshot.get().placements().forEach(p -> state.live.put(p.task(), p));
+    }
+    return coveredUpTo;
+  }
+
+  private void apply(
+      Job job, long sequence, ProgressLogRecord.Delta delta, long[] coveredUpTo, State state) {
+    BitSet uncovered = new BitSet();
+    delta.completed().stream()
+        .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
         .forEach(
-            t -> {
-              newer.set(t);
-              state.done.set(t);
-              state.live.remove(t);
+            task -> {
+              uncovered.set(task);
+              state.done.set(task);
+              state.live.remove(task);
             });
-    d.cleared().stream()
-        .filter(t -> newer(job, t, n, upTo))
+    delta.cleared().stream()
+        .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
         .forEach(
-            t -> {
-              newer.set(t);
-              state.live.remove(t);
+            task -> {
+              uncovered.set(task);
+              state.live.remove(task);
             });
-    for (SnapshotRecord.RecordedPlacement l : d.placements()) {
-      if (newer(job, l.task(), n, upTo)) {
-        newer.set(l.task());
-        state.live.put(l.task(), l);
+    for (SnapshotRecord.RecordedPlacement placement : delta.placements()) {
+      if (isUncovered(job, placement.task(), sequence, coveredUpTo)) {
+        uncovered.set(placement.task());
+        state.live.put(placement.task(), placement);
       }
     }
     if (!job.quarantined()) {
-      writer.loadUncovered(job, newer, n);
+      loader.loadUncovered(job, uncovered, sequence);
     }
   }
 
-  private static boolean newer(Job job, int task, long n, long[] upTo) {
-    return task < job.spec().tasks() && n > upTo[job.shardOf(task)];
+  private static boolean isUncovered(Job job, int task, long sequence, long[] coveredUpTo) {
+    return task < job.spec().tasks() && sequence > coveredUpTo[job.shardOf(task)];
   }
 
-  private static int chunkOf(String key) {
+  /** The index of the shard that the key of a snapshot names; empty if the job has no such one. */
+  private static OptionalInt shardIndex(String key, Job job) {
     try {
-      return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
+      int index = Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
+      return index >= 0 && index < job.shardCount() ? OptionalInt.of(index) : OptionalInt.empty();
     } catch (NumberFormatException e) {
-      return -1;
+      return OptionalInt.empty();
     }
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ShardSnapshots.java
+++ b/src/main/java/org/ploverspindle/progress/ShardSnapshots.java
@@ -3,18 +3,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Which checkpoints stand, and which would be too large to be written. */
+/** Which snapshots are stored, and which would be too large to be written. */
 final class ShardSnapshots {
-  /** The least that a placement takes in a checkpoint. */
+  /** The least that a placement takes in a snapshot. */
   private static final int MIN_PLACEMENT_BYTES = 16;
 
-  /** A chunk whose checkpoint does not fit is not tried again before. */
+  /** A shard whose snapshot did not fit is not tried again within this time. */
   private static final long RETRY_AFTER_MS = 1_000;
 
   private final Map<TaskShard, Long> modRevisions = new HashMap<>();
   private final Map<TaskShard, Long> tooLargeUntilMs = new HashMap<>();
 
-  /** The chunk's checkpoint stands with this version; 0: none does. */
+  /** The shard's snapshot is stored with this mod revision; 0: there is none. */
   void stored(TaskShard shard, long modRevision) {
     modRevisions.put(shard, modRevision);
   }
@@ -23,7 +23,7 @@
     modRevisions.remove(shard);
   }
 
-  /** The version of the chunk's checkpoint, or 0. */
+  /** The mod revision of the shard's snapshot; 0: there is none. */
   long modRevision(TaskShard shard) {
     return modRevisions.getOrDefault(shard, 0L);
   }
@@ -32,17 +32,17 @@
     return modRevision(shard) != 0;
   }
 
-  /** Its checkpoint did not fit into a value. */
+  /** The shard's snapshot did not fit into a value. */
   void markTooLarge(TaskShard shard, long nowMs) {
     tooLargeUntilMs.put(shard, nowMs + RETRY_AFTER_MS);
   }
 
-  /** No checkpoint of it will be written any more. */
+  /** No snapshot of the shard will be written any more. */
   void jobTerminated(TaskShard shard) {
     tooLargeUntilMs.remove(shard);
   }
 
-  /** Does its checkpoint not fit into a value, as far as is known? */
+  /** Whether the shard's snapshot is known not to fit into a value of this size. */
   boolean isTooLarge(TaskShard shard, int valueBytes, long nowMs) {
     if (tooLargeUntilMs.getOrDefault(shard, Long.MIN_VALUE) > nowMs) {
       return true;
--- a/src/main/java/org/ploverspindle/progress/TaskShard.java
+++ b/src/main/java/org/ploverspindle/progress/TaskShard.java
@@ -6,9 +6,9 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.state.Keys;
 
-/** A run of a job's tasks that is checkpointed as a whole. */
+/** Consecutive tasks of a job whose statuses are kept in one snapshot. */
 record TaskShard(Job job, int index) {
-  /** The key of its checkpoint. */
+  /** The key of its snapshot. */
   String key() {
     return Keys.snapshot(job.uid(), index);
   }
@@ -22,7 +22,7 @@
     return Math.min(job.spec().tasks(), firstTask() + job.shardSize());
   }
 
-  /** The chunks that these tasks of the job are in, each with those that are in it. */
+  /** The shards that these tasks of the job are in, each with those of the tasks in it. */
   static Map<TaskShard, BitSet> of(Job job, BitSet tasks) {
     Map<TaskShard, BitSet> shards = new LinkedHashMap<>();
     for (int task = tasks.nextSetBit(0); task >= 0; task = tasks.nextSetBit(task + 1)) {
--- a/src/main/java/org/ploverspindle/progress/TaskStatuses.java
+++ b/src/main/java/org/ploverspindle/progress/TaskStatuses.java
@@ -7,16 +7,16 @@
 import org.ploverspindle.cluster.Placement;
 
 /**
- * What a transaction says of some tasks of a job, for when it is known to be durable.
+ * The statuses of some tasks of a job, as a transaction writes them.
  *
- * @param completed those of the tasks that it says to be done
- * @param placements those that it says to be on machines
+ * @param completed those of the tasks that have completed
+ * @param placements the placements of those of the tasks that are on machines
  */
 record TaskStatuses(Job job, BitSet tasks, BitSet completed, List<Placement> placements) {
-  /** How these tasks are now. */
+  /** The present statuses of these tasks. */
   static TaskStatuses of(Job job, BitSet tasks) {
-    BitSet done = (BitSet) job.completedTasks().clone();
-    done.and(tasks);
+    BitSet completed = (BitSet) job.completedTasks().clone();
+    completed.and(tasks);
     List<Placement> placements = new ArrayList<>();
     for (int task = tasks.nextSetBit(0); task >= 0; task = tasks.nextSetBit(task + 1)) {
       Placement placement = job.activePlacement(task);
@@ -24,6 +24,6 @@
         placements.add(placement);
       }
     }
-    return new TaskStatuses(job, tasks, done, placements);
+    return new TaskStatuses(job, tasks, completed, placements);
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/progress/TransactionBuilder.java
@@ -0,0 +1,89 @@
+package org.ploverspindle.progress;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.net.Cbor;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.StateStore;
+import org.ploverspindle.state.StateStore.Change;
+import org.ploverspindle.state.StateStore.Condition;
+
+/** The conditions and changes of a transaction, with an estimate of its size. */
+final class TransactionBuilder {
+  // What the parts of a transaction take beside their values, in bytes, by estimate.
+  private static final int FIXED_BYTES = 300;
+  private static final int COMPLETION_BYTES = 250;
+  private static final int CHANGE_BYTES = 150;
+
+  private final WriteLimits limits;
+  private final List<Condition> conditions = new ArrayList<>();
+  private final List<Change> changes = new ArrayList<>();
+  private int bytes = FIXED_BYTES;
+  private int largestValueBytes;
+
+  /**
+   * @param leaderRevision the mod revision of the leader key that the transaction is bound to
+   */
+  TransactionBuilder(WriteLimits limits, long leaderRevision) {
+    this.limits = limits;
+    conditions.add(new Condition(Keys.LEADER, leaderRevision));
+  }
+
+  /** Whether a change with a value of any size fits, within this number of changes. */
+  boolean hasRoom(int maxChanges) {
+    return hasRoomForRemoval(maxChanges) && (changes.isEmpty() || limits.roomForValue(bytes));
+  }
+
+  /** Whether a change without a value fits, within this number of changes. */
+  boolean hasRoomForRemoval(int maxChanges) {
+    return changes.size() < maxChanges && limits.roomForConditions(conditions.size());
+  }
+
+  /** Writes that the job is complete, unless it was cancelled or completed before. */
+  void putCompletion(Job job) {
+    // Cancelled and completed exclude each other: each is written only if the other is absent.
+    conditions.add(new Condition(Keys.cancellation(job.uid()), 0));
+    conditions.add(new Condition(Keys.completion(job.uid()), 0));
+    changes.add(
+        new Change.Put(Keys.completion(job.uid()), Cbor.map().put("tasks", job.spec().tasks())));
+    bytes += COMPLETION_BYTES;
+  }
+
+  /**
+   * Writes a value.
+   *
+   * @param modRevision the expected mod revision of the key; 0: it does not exist
+   * @param size the size of the value in bytes
+   */
+  void put(String key, long modRevision, JsonNode value, int size) {
+    conditions.add(new Condition(key, modRevision));
+    changes.add(new Change.Put(key, value));
+    bytes += size + CHANGE_BYTES;
+    largestValueBytes = Math.max(largestValueBytes, size);
+  }
+
+  /** Removes a key that has this mod revision. */
+  void remove(String key, long modRevision) {
+    conditions.add(new Condition(key, modRevision));
+    changes.add(new Change.Remove(key));
+    bytes += CHANGE_BYTES;
+  }
+
+  StateStore.Transaction build() {
+    return new StateStore.Transaction(conditions, changes);
+  }
+
+  int changes() {
+    return changes.size();
+  }
+
+  int bytes() {
+    return bytes;
+  }
+
+  int largestValueBytes() {
+    return largestValueBytes;
+  }
+}
--- a/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
@@ -3,17 +3,28 @@
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.model.Term;
 
-/** What a transaction is made from. */
+/** What a transaction is planned from. */
 record WriteBatchContext(
     Scheduler scheduler,
     Term term,
     WriteLimits limits,
     ProgressEncoder encoder,
-    PendingProgress pending,
-    ProgressLogSlots slots,
-    ShardSnapshots snapshots) {
-  /** Does its checkpoint not fit into a value, as far as is known? */
+    ProgressState state) {
+
+  PendingProgress pending() {
+    return state.pending();
+  }
+
+  ProgressLogSlots slots() {
+    return state.slots();
+  }
+
+  ShardSnapshots snapshots() {
+    return state.snapshots();
+  }
+
+  /** Whether the shard's snapshot is known not to fit into a value. */
   boolean isTooLarge(TaskShard shard) {
-    return snapshots.isTooLarge(shard, limits.valueBytes(), scheduler.nowMs());
+    return snapshots().isTooLarge(shard, limits.valueBytes(), scheduler.nowMs());
   }
 }
--- a/src/main/java/org/ploverspindle/progress/WriteLimits.java
+++ b/src/main/java/org/ploverspindle/progress/WriteLimits.java
@@ -2,24 +2,27 @@
 
 import org.ploverspindle.state.ProgressLogRecord;
 
-/** How much may go into one transaction. The bounds only ever fall. */
+/** How much may go into one transaction. The limits are lowered when a transaction is refused. */
 final class WriteLimits {
   private static final int MAX_TXN_BYTES = 56 * 1024;
 
-  /** Whatever the store would take: several records should fit into one transaction. */
+  /** Also where the state service allows more: several records should fit into a transaction. */
   private static final int MAX_VALUE_BYTES = 16 * 1024;
 
-  /** As small as a refused write's values are made: a record of one task still fits. */
-  private static final int LEAST_VALUE_BYTES = 512;
+  /** Lowest limit on values: a record of a single task still fits. */
+  private static final int MIN_VALUE_BYTES = 512;
 
-  /** What a log record's value may take beyond its counted size. */
+  /** How much larger a log record's value may be than the size that its builder counts. */
   private static final int RECORD_MARGIN_BYTES = 100;
 
-  /** What a task takes in a record in most cases; a record that gets too large is cut. */
+  /** Typical size of a task in a record; a record that gets too large holds fewer tasks. */
   private static final int TYPICAL_TASK_BYTES = 16;
 
+  /** The state service allows so many conditions for each change that it allows. */
   private static final int CONDITIONS_PER_CHANGE = 4;
 
+  private static final int MAX_CONDITIONS_OF_A_CHANGE = 2;
+
   private int changes;
   private int valueBytes;
   private int txnBytes = MAX_TXN_BYTES;
@@ -41,31 +44,31 @@
     return valueBytes - RECORD_MARGIN_BYTES;
   }
 
-  /** The first guess at how many tasks of a job fit into a record. */
+  /** How many tasks of a job are tried first to fit into a record. */
   int tasksInRecord() {
     return Math.max(
         ProgressLogRecord.Builder.tasksThatFit(valueBytes), valueBytes / TYPICAL_TASK_BYTES);
   }
 
-  /** Is there room for two more conditions, which is as many as a change needs? */
-  boolean roomForConditions(int taken) {
-    return taken + 2 <= changes * CONDITIONS_PER_CHANGE;
+  /** Whether the conditions that a change may need fit beside this number of conditions. */
+  boolean roomForConditions(int conditions) {
+    return conditions + MAX_CONDITIONS_OF_A_CHANGE <= changes * CONDITIONS_PER_CHANGE;
   }
 
-  /** Is there room for one more value of any size? */
-  boolean roomForValue(int takenBytes) {
-    return takenBytes < txnBytes - valueBytes;
+  /** Whether a value of any size fits into a transaction that has this many bytes. */
+  boolean roomForValue(int bytes) {
+    return bytes < txnBytes - valueBytes;
   }
 
   /**
-   * A write as large as this is not tried again: what the service does not take now it never takes.
-   * The lower bounds stay for the term, as nobody tells when more would be taken.
+   * A transaction of this size was refused. The limits are lowered below it and stay so for the
+   * term, since the state service does not announce when it accepts more again.
    */
   void refused(int refusedChanges, int refusedBytes, int largestValueBytes) {
     changes = Math.max(1, Math.min(changes, refusedChanges) / 2);
-    if (largestValueBytes > LEAST_VALUE_BYTES) {
-      valueBytes = Math.max(LEAST_VALUE_BYTES, Math.min(valueBytes, largestValueBytes) / 2);
+    if (largestValueBytes > MIN_VALUE_BYTES) {
+      valueBytes = Math.max(MIN_VALUE_BYTES, Math.min(valueBytes, largestValueBytes) / 2);
     }
-    txnBytes = Math.max(2 * LEAST_VALUE_BYTES, Math.min(txnBytes, refusedBytes) / 2);
+    txnBytes = Math.max(2 * MIN_VALUE_BYTES, Math.min(txnBytes, refusedBytes) / 2);
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/progress/WriteReadBack.java
@@ -0,0 +1,124 @@
+package org.ploverspindle.progress;
+
+import java.util.BitSet;
+import java.util.Optional;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.model.Term;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.ProgressLogRecord;
+import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.StateStore.Entry;
+import org.ploverspindle.state.StateStore.TransactionResult;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reads back what is stored after a transaction that was not answered, or that conflicted. The next
+ * transaction then has the right conditions; whatever this one wrote is pending again in any case.
+ */
+final class WriteReadBack {
+  private static final Logger LOG = LoggerFactory.getLogger(WriteReadBack.class);
+
+  private static final long FLUSH_AFTER_SUCCESS_MS = 10;
+  private static final long FLUSH_AFTER_FAILURE_MS = 300;
+
+  private final Replica replica;
+  private final Term term;
+  private final ProgressState state;
+  private final ProgressLoader loader;
+  private final FlushTimer timer;
+  private final WriteOutcome outcome;
+  private final ProgressWriter.Listener listener;
+
+  WriteReadBack(
+      Replica replica,
+      Term term,
+      ProgressState state,
+      FlushTimer timer,
+      WriteOutcome outcome,
+      ProgressWriter.Listener listener) {
+    this.replica = replica;
+    this.term = term;
+    this.state = state;
+    this.loader = new ProgressLoader(state);
+    this.timer = timer;
+    this.outcome = outcome;
+    this.listener = listener;
+  }
+
+  /** Reads back, and then schedules the next flush; no flush runs before. */
+  void start(WriteBatch batch, TransactionResult result) {
+    timer.writeStarted();
+    replica.readBarrier(
+        success -> {
+          timer.writeEnded();
+          if (timer.isClosed()) {
+            return;
+          }
+          if (success) {
+            apply(batch, result);
+          }
+          timer.flushWithin(success ? FLUSH_AFTER_SUCCESS_MS : FLUSH_AFTER_FAILURE_MS);
+        });
+  }
+
+  private void apply(WriteBatch batch, TransactionResult result) {
+    if (!isLeaderKeyUnchanged()) {
+      listener.deposed("the leader key changed under a write");
+      return;
+    }
+    LOG.debug("progress write read back: result={}", result);
+    batch.snapshots().forEach(this::readSnapshot);
+    batch.removedSnapshots().forEach(this::readSnapshot);
+    state.pending().retainExisting(state.snapshots());
+    for (Job job : batch.completedJobs()) {
+      if (replica.get(Keys.completion(job.uid())).isPresent()) {
+        outcome.completed(job);
+      }
+    }
+    // A record of this or an earlier unanswered transaction may have been stored late. The statuses
+    // in it are pending again anyway; what has to be known is that its slot is taken.
+    replica.withPrefix(Keys.PROGRESS_LOG).values().forEach(this::readRecord);
+  }
+
+  private boolean isLeaderKeyUnchanged() {
+    return replica
+        .get(Keys.LEADER)
+        .map(entry -> entry.modRevision() == term.leaderRevision())
+        .orElse(false);
+  }
+
+  private void readSnapshot(TaskShard shard) {
+    long modRevision = replica.get(shard.key()).map(Entry::modRevision).orElse(0L);
+    state.snapshots().stored(shard, modRevision);
+  }
+
+  /** Takes over a log record that is not known to be stored yet. */
+  private void readRecord(Entry entry) {
+    Optional<ProgressLogRecord> record = ProgressLogRecord.decode(entry.value());
+    if (record.isEmpty()) {
+      return;
+    }
+    long sequence = record.get().sequence();
+    if (sequence < 0
+        || !Keys.progressLog(sequence).equals(entry.key())
+        || state.slots().modRevisionAt(sequence) == entry.modRevision()) {
+      return;
+    }
+    for (ProgressLogRecord.Delta delta : record.get().deltas()) {
+      state.slots().addMention(delta.uid(), sequence);
+      state
+          .findJob(delta.uid())
+          .ifPresent(job -> loader.loadUncovered(job, tasksOf(delta), sequence));
+    }
+    state.slots().slotOverwritten(sequence);
+    loader.loadRecord(entry, sequence);
+  }
+
+  private static BitSet tasksOf(ProgressLogRecord.Delta delta) {
+    BitSet tasks = (BitSet) delta.completed().clone();
+    tasks.or(delta.cleared());
+    delta.placements().forEach(placement -> tasks.set(placement.task()));
+    return tasks;
+  }
+}
