--- a/src/main/java/org/ploverspindle/progress/PendingProgress.java
+++ b/src/main/java/org/ploverspindle/progress/PendingProgress.java
@@ -1,6 +1,7 @@
 package org.ploverspindle.progress;
 
 import java.util.BitSet;
+import java.util.Collections;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -8,126 +9,126 @@
 import java.util.Optional;
 import org.ploverspindle.cluster.Job;
 
-/** What is to be written, in the order in which it came. */
+/** Progress that is not written yet, in the order in which it arose. */
 final class PendingProgress {
-  /** Tasks that changed. */
-  private final LinkedHashMap<Job, BitSet> changed = new LinkedHashMap<>();
+  private final LinkedHashMap<Job, BitSet> changedTasks = new LinkedHashMap<>();
 
-  /** Tasks of cancelled jobs that are gone, while a record may yet say where they are. */
-  private final LinkedHashMap<Job, BitSet> toClear = new LinkedHashMap<>();
+  /** Ended tasks of cancelled jobs that a record may still place on a machine. */
+  private final LinkedHashMap<Job, BitSet> clearings = new LinkedHashMap<>();
 
-  /** Jobs of which all tasks are done, by uid. */
-  private final LinkedHashMap<String, Job> ending = new LinkedHashMap<>();
+  /** Jobs of which all tasks have completed, by uid. */
+  private final LinkedHashMap<String, Job> completions = new LinkedHashMap<>();
 
-  /** Chunks whose checkpoint nobody needs any more. */
-  private final LinkedHashSet<TaskShard> removable = new LinkedHashSet<>();
+  /** Shards whose snapshot is no longer needed. */
+  private final LinkedHashSet<TaskShard> snapshotRemovals = new LinkedHashSet<>();
 
-  void changed(Job job, int task) {
-    changed.computeIfAbsent(job, j -> new BitSet()).set(task);
+  void markChanged(Job job, int task) {
+    changedTasks.computeIfAbsent(job, j -> new BitSet()).set(task);
   }
 
-  void changed(Job job, BitSet tasks) {
-    changed.computeIfAbsent(job, j -> new BitSet()).or(tasks);
+  void markChanged(Job job, BitSet tasks) {
+    changedTasks.computeIfAbsent(job, j -> new BitSet()).or(tasks);
   }
 
-  void clear(Job job, BitSet tasks) {
-    toClear.computeIfAbsent(job, j -> new BitSet()).or(tasks);
+  void markForClearing(Job job, BitSet tasks) {
+    clearings.computeIfAbsent(job, j -> new BitSet()).or(tasks);
   }
 
-  void ending(Job job) {
-    ending.putIfAbsent(job.uid(), job);
+  void markCompleted(Job job) {
+    completions.putIfAbsent(job.uid(), job);
   }
 
-  void ended(Job job) {
-    ending.remove(job.uid());
+  void completionRecorded(Job job) {
+    completions.remove(job.uid());
   }
 
-  void removable(TaskShard c) {
-    removable.add(c);
+  void markRemovable(TaskShard shard) {
+    snapshotRemovals.add(shard);
   }
 
   void forgetChanges(Job job) {
-    changed.remove(job);
+    changedTasks.remove(job);
   }
 
   void forgetClearing(Job job) {
-    toClear.remove(job);
+    clearings.remove(job);
   }
 
-  /** A record that speaks of these tasks is about to be sent. */
-  void said(Job job, BitSet tasks) {
-    remove(changed, job, tasks);
-    remove(toClear, job, tasks);
+  /** A log record with the status of these tasks is about to be sent. */
+  void included(Job job, BitSet tasks) {
+    remove(changedTasks, job, tasks);
+    remove(clearings, job, tasks);
   }
 
-  private static void remove(Map<Job, BitSet> from, Job job, BitSet tasks) {
-    BitSet left = from.get(job);
-    if (left != null) {
-      left.andNot(tasks);
-      if (left.isEmpty()) {
-        from.remove(job);
+  private static void remove(Map<Job, BitSet> tasksByJob, Job job, BitSet tasks) {
+    BitSet remaining = tasksByJob.get(job);
+    if (remaining != null) {
+      remaining.andNot(tasks);
+      if (remaining.isEmpty()) {
+        tasksByJob.remove(job);
       }
     }
   }
 
-  /** What changed; of jobs that nothing is to be said of any more it is dropped. */
+  /** Tasks that changed; drops those of jobs whose progress is not written any more. */
   Map<Job, BitSet> changes() {
-    changed
+    changedTasks
         .entrySet()
         .removeIf(e -> e.getKey().quarantined() || e.getKey().finished() || e.getValue().isEmpty());
-    return changed;
+    return Collections.unmodifiableMap(changedTasks);
   }
 
+  /** Tasks whose recorded placement is to be cleared. */
   Map<Job, BitSet> clearings() {
-    return toClear;
+    return Collections.unmodifiableMap(clearings);
   }
 
-  /** The jobs to end; what is taken is removed. */
-  Iterator<Job> endings() {
-    return ending.values().iterator();
+  /** Jobs whose completion is to be recorded; whoever takes one removes it. */
+  Iterator<Job> completions() {
+    return completions.values().iterator();
   }
 
-  /** The chunks to remove; what is taken is removed. */
-  Iterator<TaskShard> removals() {
-    return removable.iterator();
+  /** Shards whose snapshot is to be removed; whoever takes one removes it. */
+  Iterator<TaskShard> snapshotRemovals() {
+    return snapshotRemovals.iterator();
   }
 
-  /** Those whose checkpoint does not stand need no removal. */
-  void keepRemovable(ShardSnapshots checkpoints) {
-    removable.removeIf(c -> !checkpoints.exists(c));
+  /** Drops the removals of snapshots that don't exist. */
+  void retainExisting(ShardSnapshots snapshots) {
+    snapshotRemovals.removeIf(shard -> !snapshots.exists(shard));
   }
 
   boolean hasChanges() {
-    return !changed.isEmpty();
+    return !changedTasks.isEmpty();
   }
 
-  boolean hasEndings() {
-    return !ending.isEmpty();
+  boolean hasCompletions() {
+    return !completions.isEmpty();
   }
 
-  boolean hasRemovals() {
-    return !removable.isEmpty();
+  boolean hasSnapshotRemovals() {
+    return !snapshotRemovals.isEmpty();
   }
 
   boolean hasClearings() {
-    return !toClear.isEmpty();
+    return !clearings.isEmpty();
   }
 
   boolean isToBeCleared(Job job) {
-    return toClear.containsKey(job);
+    return clearings.containsKey(job);
   }
 
-  /** A job with changes. */
-  Optional<Job> job(String uid) {
-    return changed.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
+  /** A job with changed tasks. */
+  Optional<Job> findJob(String uid) {
+    return changedTasks.keySet().stream().filter(job -> job.uid().equals(uid)).findFirst();
   }
 
   int jobsWithChanges() {
-    return changed.size();
+    return changedTasks.size();
   }
 
-  /** How much waits to be written. */
+  /** The number of jobs with changes, completions and clearings, added up. */
   int size() {
-    return changed.size() + ending.size() + toClear.size();
+    return changedTasks.size() + completions.size() + clearings.size();
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
@@ -17,141 +17,160 @@
 import org.ploverspindle.state.ProgressLogRecord;
 
 /**
- * What stands in the slots of the progress log, and in which record each task's newest statement
- * is. A slot may be used again only when no newest statement rests on the record that stands there.
+ * The records in the slots of the progress log, and which of them holds the latest status of each
+ * task. A slot may be reused only when its record holds no task's latest status.
  */
 final class ProgressLogSlots {
-  /** By the log's record: chunks with tasks whose newest statement is there, and which. */
-  private final TreeMap<Long, Map<TaskShard, BitSet>> resting = new TreeMap<>();
+  /** By sequence number: the tasks whose latest status is in that record, by shard. */
+  private final TreeMap<Long, Map<TaskShard, BitSet>> latestStatus = new TreeMap<>();
 
-  /** The records in {@link #resting} that speak of the chunk. */
-  private final Map<TaskShard, TreeSet<Long>> recordsOf = new HashMap<>();
+  /** The sequence numbers in {@link #latestStatus} under which the shard is found. */
+  private final Map<TaskShard, TreeSet<Long>> recordsByShard = new HashMap<>();
 
-  /** By the log's record: the jobs that it speaks of, or would if its unanswered write stood. */
-  private final TreeMap<Long, Set<String>> mentions = new TreeMap<>();
+  /** By sequence number: the jobs in that record, also if it is not known whether it is stored. */
+  private final TreeMap<Long, Set<String>> jobsByRecord = new TreeMap<>();
 
-  /** The version of each slot's key, or 0. */
-  private final long[] stamps = new long[ProgressLogRecord.SLOTS];
+  /** The mod revision of each slot's key; 0: the slot is empty. */
+  private final long[] modRevisions = new long[ProgressLogRecord.SLOTS];
 
-  /** The number of the record that stands in each slot, or 0. */
-  private final long[] standing = new long[ProgressLogRecord.SLOTS];
+  /** The sequence number of the record in each slot; 0: none. */
+  private final long[] storedSequences = new long[ProgressLogRecord.SLOTS];
 
-  /** Slots whose record can't be read: it stays, as a later leader must see it too. */
-  private final BitSet damaged = new BitSet();
+  /** Slots with an unreadable record: it is kept, since a later leader must notice it too. */
+  private final BitSet unreadable = new BitSet();
 
-  /** Record {@code n} stands in its slot. */
-  void stands(long n, long stamp) {
-    stamps[ProgressLogRecord.slot(n)] = stamp;
-    standing[ProgressLogRecord.slot(n)] = n;
+  private long nextSequence = 1;
+
+  /** The sequence number of the next record to be written. */
+  long nextSequence() {
+    return nextSequence;
+  }
+
+  /** The sequence number may be in use: records that are written from now on get higher ones. */
+  void reserve(long sequence) {
+    nextSequence = Math.max(nextSequence, sequence + 1);
+  }
+
+  /** The record is stored in its slot, whose key has this mod revision. */
+  void recordStored(long sequence, long modRevision) {
+    modRevisions[ProgressLogRecord.slot(sequence)] = modRevision;
+    storedSequences[ProgressLogRecord.slot(sequence)] = sequence;
+    reserve(sequence);
   }
 
-  /** What stands under this key of the log can't be read. */
-  void markDamaged(String key) {
+  /** The record under this key of the log is unreadable. */
+  void markUnreadable(String key) {
     for (int slot = 0; slot < ProgressLogRecord.SLOTS; slot++) {
       if (Keys.progressLog(slot).equals(key)) {
-        damaged.set(slot);
+        unreadable.set(slot);
       }
     }
   }
 
-  boolean isDamaged(long n) {
-    return damaged.get(ProgressLogRecord.slot(n));
+  boolean isUnreadable(long sequence) {
+    return unreadable.get(ProgressLogRecord.slot(sequence));
   }
 
-  /** The version of the key of record {@code n}'s slot, or 0 if nothing stands there. */
-  long stampAt(long n) {
-    return stamps[ProgressLogRecord.slot(n)];
+  /** The mod revision of the key of the record's slot; 0: the slot is empty. */
+  long modRevisionAt(long sequence) {
+    return modRevisions[ProgressLogRecord.slot(sequence)];
   }
 
-  /** The number of the record that stands in record {@code n}'s slot, or 0. */
-  long standingAt(long n) {
-    return standing[ProgressLogRecord.slot(n)];
+  /** The sequence number of the record that is stored in this record's slot; 0: none. */
+  long storedSequenceAt(long sequence) {
+    return storedSequences[ProgressLogRecord.slot(sequence)];
   }
 
-  /** Record {@code n} speaks of the job, be it covered or not, or would if it stood. */
-  void mention(String uid, long n) {
-    mentions.computeIfAbsent(n, x -> new HashSet<>()).add(uid);
+  /** The record, which may or may not be stored, has statuses of the job, covered or not. */
+  void addMention(String uid, long sequence) {
+    jobsByRecord.computeIfAbsent(sequence, x -> new HashSet<>()).add(uid);
   }
 
+  /** Whether any record has statuses of the job. */
   boolean isMentioned(String uid) {
-    return mentions.values().stream().anyMatch(m -> m.contains(uid));
+    return jobsByRecord.values().stream().anyMatch(m -> m.contains(uid));
   }
 
-  /** Does a record older than this one speak of the job? */
-  boolean isMentionedBefore(String uid, long record) {
-    return mentions.headMap(record).values().stream().anyMatch(m -> m.contains(uid));
+  /** Whether a record older than this one has statuses of the job. */
+  boolean isMentionedBefore(String uid, long sequence) {
+    return jobsByRecord.headMap(sequence).values().stream().anyMatch(m -> m.contains(uid));
   }
 
-  /** The newest statements that rest on the record. */
-  Map<TaskShard, BitSet> restingOn(long record) {
-    return resting.getOrDefault(record, Map.of());
+  /** The tasks whose latest status is in this record. */
+  Map<TaskShard, BitSet> latestStatusIn(long sequence) {
+    return Collections.unmodifiableMap(latestStatus.getOrDefault(sequence, Map.of()));
   }
 
-  /** The newest statements that rest on records up to this one, by record. */
-  SortedMap<Long, Map<TaskShard, BitSet>> restingUpTo(long record) {
-    return Collections.unmodifiableSortedMap(resting.headMap(record, true));
+  /** The tasks whose latest status is in a record up to this one, by record. */
+  SortedMap<Long, Map<TaskShard, BitSet>> latestStatusUpTo(long sequence) {
+    return Collections.unmodifiableSortedMap(latestStatus.headMap(sequence, true));
   }
 
-  /** A job with a newest statement in the log. */
-  Optional<Job> job(String uid) {
-    return recordsOf.keySet().stream()
+  /** A job with a task whose latest status is in the log. */
+  Optional<Job> findJob(String uid) {
+    return recordsByShard.keySet().stream()
         .map(TaskShard::job)
         .filter(j -> j.uid().equals(uid))
         .findFirst();
   }
 
-  /** The tasks' statements move on to record {@code n}, unless newer ones stand. */
-  void spoken(TaskShard c, BitSet tasks, long n) {
+  /** The record has these tasks' latest status, except of tasks that newer records have. */
+  void statusRecorded(TaskShard shard, BitSet tasks, long sequence) {
     BitSet newest = (BitSet) tasks.clone();
-    for (Long at : List.copyOf(recordsOf.getOrDefault(c, new TreeSet<>()))) {
-      BitSet there = resting.get(at).get(c);
-      if (at > n) {
-        newest.andNot(there);
-      } else if (at < n) {
-        there.andNot(tasks);
-        if (there.isEmpty()) {
-          drop(c, at);
+    for (Long otherSequence : List.copyOf(recordsByShard.getOrDefault(shard, new TreeSet<>()))) {
+      BitSet otherTasks = latestStatus.get(otherSequence).get(shard);
+      if (otherSequence > sequence) {
+        newest.andNot(otherTasks);
+      } else if (otherSequence < sequence) {
+        otherTasks.andNot(tasks);
+        if (otherTasks.isEmpty()) {
+          release(shard, otherSequence);
         }
       }
     }
     if (!newest.isEmpty()) {
-      resting
-          .computeIfAbsent(n, x -> new LinkedHashMap<>())
-          .computeIfAbsent(c, x -> new BitSet())
+      latestStatus
+          .computeIfAbsent(sequence, x -> new LinkedHashMap<>())
+          .computeIfAbsent(shard, x -> new BitSet())
           .or(newest);
-      recordsOf.computeIfAbsent(c, x -> new TreeSet<>()).add(n);
+      recordsByShard.computeIfAbsent(shard, x -> new TreeSet<>()).add(sequence);
     }
   }
 
-  /** No record up to {@code upTo} is needed for the chunk any more. */
-  void covered(TaskShard c, long upTo) {
-    for (Long n : List.copyOf(recordsOf.getOrDefault(c, new TreeSet<>()).headSet(upTo, true))) {
-      drop(c, n);
+  /** No record up to {@code lastSequence} is needed for the shard any more. */
+  void releaseUpTo(TaskShard shard, long lastSequence) {
+    for (Long sequence :
+        List.copyOf(
+            recordsByShard.getOrDefault(shard, new TreeSet<>()).headSet(lastSequence, true))) {
+      release(shard, sequence);
     }
   }
 
-  private void drop(TaskShard c, long n) {
-    Map<TaskShard, BitSet> there = resting.get(n);
-    there.remove(c);
-    if (there.isEmpty()) {
-      resting.remove(n);
+  private void release(TaskShard shard, long sequence) {
+    Map<TaskShard, BitSet> shards = latestStatus.get(sequence);
+    shards.remove(shard);
+    if (shards.isEmpty()) {
+      latestStatus.remove(sequence);
     }
-    TreeSet<Long> on = recordsOf.get(c);
-    on.remove(n);
-    if (on.isEmpty()) {
-      recordsOf.remove(c);
+    TreeSet<Long> records = recordsByShard.get(shard);
+    records.remove(sequence);
+    if (records.isEmpty()) {
+      recordsByShard.remove(shard);
     }
   }
 
-  /** Record {@code n} comes to stand in its slot: what stood there says nothing any more. */
-  void replaced(long n) {
-    int slot = ProgressLogRecord.slot(n);
-    mentions.headMap(n).keySet().removeIf(old -> ProgressLogRecord.slot(old) == slot);
-    long old = standing[slot];
-    if (old < n) {
-      List.copyOf(restingOn(old).keySet()).stream()
+  /** The record overwrites the one that was in its slot. */
+  void slotOverwritten(long sequence) {
+    int slot = ProgressLogRecord.slot(sequence);
+    jobsByRecord
+        .headMap(sequence)
+        .keySet()
+        .removeIf(overwritten -> ProgressLogRecord.slot(overwritten) == slot);
+    long overwritten = storedSequences[slot];
+    if (overwritten < sequence) {
+      List.copyOf(latestStatusIn(overwritten).keySet()).stream()
           .filter(c -> c.job().isFullyStopped())
-          .forEach(c -> drop(c, old));
+          .forEach(c -> release(c, overwritten));
     }
   }
 }
