--- a/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
@@ -13,7 +13,7 @@
 
 /** One transaction that stores several jobs, as many as fit into each record. */
 final class AcceptanceBatch {
-  private static final int MAX_TXN_BYTES = 56 * 1024;
+  private static final int MAX_TRANSACTION_BYTES = 56 * 1024;
   private static final int CONDITIONS_PER_CHANGE = 4;
 
   /** Two of the job itself, and one for the record that it will stand in. */
@@ -25,16 +25,16 @@
   private static final int GUARD_BYTES = 100;
   private static final int EMPTY_MAP_BYTES = 2;
 
-  private final int valueBytes;
-  private final int mostConditions;
-  private final List<PendingAcceptance> creations = new ArrayList<>();
+  private final int maxValueBytes;
+  private final int maxConditions;
+  private final List<PendingAcceptance> acceptances = new ArrayList<>();
   private final List<Condition> conditions = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
   private int bytes = FRAME_BYTES;
 
   AcceptanceBatch(int valueBytes, int txnOps) {
-    this.valueBytes = valueBytes;
-    this.mostConditions = conditionsOf(txnOps);
+    this.maxValueBytes = valueBytes;
+    this.maxConditions = conditionsOf(txnOps);
   }
 
   private static int conditionsOf(int txnOps) {
@@ -42,7 +42,7 @@
   }
 
   /** Conditions that one job's guards may take. */
-  static int mostGuards(int txnOps) {
+  static int maxGuards(int txnOps) {
     return conditionsOf(txnOps) - OWN_CONDITIONS;
   }
 
@@ -50,7 +50,7 @@
   void fill(Deque<PendingAcceptance> waiting, int mostRecords, Supplier<String> nextKey) {
     while (changes.size() < mostRecords
         && nextFits(waiting)
-        && bytes < MAX_TXN_BYTES - valueBytes) {
+        && bytes < MAX_TRANSACTION_BYTES - maxValueBytes) {
       addRecord(waiting, nextKey);
     }
   }
@@ -58,12 +58,12 @@
   private void addRecord(Deque<PendingAcceptance> waiting, Supplier<String> nextKey) {
     ObjectNode jobs = Cbor.map();
     int size = EMPTY_MAP_BYTES;
-    while (nextFits(waiting) && size + waiting.peek().bytes() <= valueBytes) {
+    while (nextFits(waiting) && size + waiting.peek().bytes() <= maxValueBytes) {
       PendingAcceptance creation = waiting.poll();
       addConditions(creation);
-      jobs.set(creation.uid(), creation.value());
+      jobs.set(creation.uid(), creation.record());
       size += creation.bytes();
-      creations.add(creation);
+      acceptances.add(creation);
     }
     String key = nextKey.get();
     conditions.add(new Condition(key, 0));
@@ -84,11 +84,11 @@
 
   private boolean nextFits(Deque<PendingAcceptance> waiting) {
     return !waiting.isEmpty()
-        && conditions.size() + OWN_CONDITIONS + waiting.peek().guards().size() <= mostConditions;
+        && conditions.size() + OWN_CONDITIONS + waiting.peek().guards().size() <= maxConditions;
   }
 
-  List<PendingAcceptance> creations() {
-    return creations;
+  List<PendingAcceptance> acceptances() {
+    return acceptances;
   }
 
   /** How many changes the transaction has. */
@@ -96,7 +96,7 @@
     return changes.size();
   }
 
-  StateStore.Transaction txn() {
+  StateStore.Transaction transaction() {
     return new StateStore.Transaction(conditions, changes);
   }
 }
--- a/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
@@ -24,7 +24,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(AcceptanceWriter.class);
 
   /** So long after it came a submission is not written any more: its user is about to give up. */
-  static final long CREATE_LIMIT_MS = 2_500;
+  static final long WRITE_DEADLINE_MS = 2_500;
 
   private static final int MOST_WAITING = 200;
 
@@ -104,11 +104,13 @@
       // The user asks again while its first request is under way: one record answers both. What
       // comes after the write went out has to be told how things are after it.
       boolean covered = same.isGuarded() && !sent.contains(uid);
-      (covered ? same.askers() : same.late()).add(submission.then());
+      (covered ? same.askers() : same.late()).add(submission.responder());
       return;
     }
     if (creations.size() >= MOST_WAITING) {
-      submission.then().accept(ApiResponse.retryLater(TOO_MANY, "too many submissions at once", 2));
+      submission
+          .responder()
+          .accept(ApiResponse.retryLater(TOO_MANY, "too many submissions at once", 2));
       return;
     }
     PendingAcceptance creation = PendingAcceptance.of(submission, guards);
@@ -147,17 +149,17 @@
     flushedMs = nowMs;
     AcceptanceBatch batch = new AcceptanceBatch(valueBytes, txnOps);
     batch.fill(creations, Math.max(1, budget), () -> Keys.jobBatch(nonce + "-" + ++batches));
-    batch.creations().forEach(creation -> sent.add(creation.uid()));
+    batch.acceptances().forEach(creation -> sent.add(creation.uid()));
     creating = true;
     if (!beyond) {
       writes.take(batch.size());
     }
-    store.commit(batch.txn(), result -> answered(batch.creations(), result));
+    store.commit(batch.transaction(), result -> answered(batch.acceptances(), result));
   }
 
   private void giveUpLateOnes() {
     while (!creations.isEmpty()
-        && scheduler.nowMs() - creations.peek().cameMs() > CREATE_LIMIT_MS) {
+        && scheduler.nowMs() - creations.peek().receivedMs() > WRITE_DEADLINE_MS) {
       PendingAcceptance late = creations.poll();
       pending.remove(late.uid());
       late.answerAll(ApiResponse.retryLater(UNAVAILABLE, "the state service is busy", 2));
@@ -167,7 +169,7 @@
   private void answered(List<PendingAcceptance> batch, TransactionResult result) {
     creating = false;
     if (result instanceof TransactionResult.Conflict) {
-      reads.barrier(fresh -> batch.forEach(creation -> afterConflict(creation, fresh)));
+      reads.readBarrier(fresh -> batch.forEach(creation -> afterConflict(creation, fresh)));
       // What came meanwhile waits for nobody: all of the batch may be over already.
       flushTheRest();
       return;
@@ -182,7 +184,8 @@
       refused(batch, refused);
     } else {
       // It may stand or may yet come to stand: only what is read back is said.
-      reads.barrier(fresh -> batch.forEach(c -> c.answerAll(states.readBack(c.uid(), fresh))));
+      reads.readBarrier(
+          fresh -> batch.forEach(c -> c.answerAll(states.responseAfterRead(c.uid(), fresh))));
     }
     flushTheRest();
   }
@@ -198,7 +201,7 @@
         "accepted {} jobs, the first {} after {} ms",
         batch.size(),
         batch.get(0).uid(),
-        scheduler.nowMs() - batch.get(0).cameMs());
+        scheduler.nowMs() - batch.get(0).receivedMs());
     for (PendingAcceptance creation : batch) {
       boolean aborted = creation.spec().dependencies().stream().anyMatch(states::isAborted);
       String status = aborted ? "aborted" : "queued";
@@ -239,7 +242,7 @@
       planFlush(GATHER_MS);
     } else {
       pending.remove(uid);
-      creation.answer(states.readBack(uid, fresh));
+      creation.answer(states.responseAfterRead(uid, fresh));
       answerLate(creation);
     }
   }
@@ -247,11 +250,11 @@
   /** Some of them may have asked after the last read went out. */
   private void answerLate(PendingAcceptance creation) {
     if (!creation.late().isEmpty()) {
-      reads.barrier(
+      reads.readBarrier(
           fresh ->
               creation
                   .late()
-                  .forEach(asker -> asker.accept(states.readBack(creation.uid(), fresh))));
+                  .forEach(asker -> asker.accept(states.responseAfterRead(creation.uid(), fresh))));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/api/CancellationService.java
+++ b/src/main/java/org/ploverspindle/api/CancellationService.java
@@ -11,28 +11,34 @@
 /** Takes cancellations in, and confirms them when they are durable. */
 final class CancellationService {
   /** One that shares its transaction with jobs that end meanwhile is tried again for so long. */
-  private static final long CANCEL_LIMIT_MS = 2_000;
+  private static final long RETRY_LIMIT_MS = 2_000;
 
   private static final int OK = 200;
 
   private final Scheduler scheduler;
   private final LinearizableReads reads;
-  private final JobStatusReader states;
-  private final Cancellations cancellations;
+  private final JobStatusReader statuses;
+  private final CancellationWriter cancellations;
 
   CancellationService(
       Scheduler scheduler,
       StateStore store,
       LinearizableReads reads,
-      JobStatusReader states,
+      JobStatusReader statuses,
       TokenBucket writes,
       int txnOps,
-      LeaderNotifier leaderHints) {
+      LeaderNotifier leaderNotifier) {
     this.scheduler = scheduler;
     this.reads = reads;
-    this.states = states;
+    this.statuses = statuses;
     this.cancellations =
-        new Cancellations(scheduler, store, writes, txnOps, reads::barrier, new Hints(leaderHints));
+        new CancellationWriter(
+            scheduler,
+            store,
+            writes,
+            txnOps,
+            reads::readBarrier,
+            new ForwardToLeader(leaderNotifier));
   }
 
   /**
@@ -40,7 +46,8 @@
    * is confirmed, and once more when it is durable, as that read may have come too early. On the
    * leader itself the replica shows it before anybody is told.
    */
-  private record Hints(LeaderNotifier leaderHints) implements Cancellations.Listener {
+  private record ForwardToLeader(LeaderNotifier leaderHints)
+      implements CancellationWriter.Listener {
     @Override
     public void sent() {
       leaderHints.cancelling();
@@ -56,41 +63,43 @@
   void cancel(String uid, Consumer<ApiResponse> then) {
     if (!SubmissionCodec.validUid(uid)) {
       then.accept(QueryService.noSuchJob());
-    } else if (states.isOver(uid)) {
-      then.accept(over(uid));
+    } else if (statuses.isTerminal(uid)) {
+      then.accept(terminalResponse(uid));
     } else if (!reads.isLoaded()) {
-      then.accept(JobStatusReader.notNow());
+      then.accept(JobStatusReader.stateUnavailable());
     } else {
-      long cameMs = scheduler.nowMs();
-      reads.barrier(fresh -> cancelAt(uid, fresh, 0, cameMs, then));
+      long receivedMs = scheduler.nowMs();
+      reads.readBarrier(fresh -> cancelAfterRead(uid, fresh, 0, receivedMs, then));
     }
   }
 
-  private ApiResponse over(String uid) {
-    return told(uid, states.isDone(uid) ? "done" : "aborted");
+  private ApiResponse terminalResponse(String uid) {
+    return response(uid, statuses.isDone(uid) ? "done" : "aborted");
   }
 
-  private static ApiResponse told(String uid, String status) {
+  private static ApiResponse response(String uid, String status) {
     return ApiResponse.of(OK, Cbor.map().put("uid", uid).put("status", status));
   }
 
-  private void cancelAt(
-      String uid, boolean fresh, int tries, long cameMs, Consumer<ApiResponse> then) {
-    if (states.isOver(uid)) {
-      then.accept(over(uid));
-    } else if (!fresh || tries > 0 && scheduler.nowMs() - cameMs > CANCEL_LIMIT_MS) {
-      then.accept(JobStatusReader.notNow());
-    } else if (!states.isKnown(uid)) {
+  private void cancelAfterRead(
+      String uid, boolean fresh, int attempts, long receivedMs, Consumer<ApiResponse> then) {
+    if (statuses.isTerminal(uid)) {
+      then.accept(terminalResponse(uid));
+    } else if (!fresh || attempts > 0 && scheduler.nowMs() - receivedMs > RETRY_LIMIT_MS) {
+      then.accept(JobStatusReader.stateUnavailable());
+    } else if (!statuses.isKnown(uid)) {
       then.accept(QueryService.noSuchJob());
     } else {
       cancellations.write(
           uid,
           outcome -> {
             switch (outcome) {
-              case STANDS -> then.accept(told(uid, "aborted"));
-              case REFUSED -> then.accept(JobStatusReader.notNow());
-              case UNCERTAIN -> reads.barrier(read -> cancelAt(uid, read, tries + 1, cameMs, then));
-              case READ_BACK -> cancelAt(uid, true, tries + 1, cameMs, then);
+              case DURABLE -> then.accept(response(uid, "aborted"));
+              case REFUSED -> then.accept(JobStatusReader.stateUnavailable());
+              case UNCERTAIN ->
+                  reads.readBarrier(
+                      read -> cancelAfterRead(uid, read, attempts + 1, receivedMs, then));
+              case READ_BACK -> cancelAfterRead(uid, true, attempts + 1, receivedMs, then);
             }
           });
     }
--- a/src/main/java/org/ploverspindle/api/Cancellations.java
+++ b/src/main/java/org/ploverspindle/api/CancellationWriter.java
@@ -30,10 +30,10 @@
  * one takes effect, and none does once the job is done. If a late one takes effect after its user
  * was told to ask again, the job is cancelled as that user demanded, and nobody was told otherwise.
  */
-final class Cancellations {
+final class CancellationWriter {
   /** How the record of a cancellation came out. */
   enum Outcome {
-    STANDS,
+    DURABLE,
     REFUSED,
     /** Another record stood in the way, or nobody knows: only reading back tells. */
     UNCERTAIN,
@@ -49,13 +49,13 @@
     void sent();
 
     /** These cancellations are durable, as of that revision. */
-    void committed(List<Change.Put> cancellations, long ledger);
+    void committed(List<Change.Put> cancellations, long revision);
   }
 
   /**
    * Beyond so many transactions without an answer the store does not serve, and more are no use.
    */
-  static final int MOST_IN_FLIGHT = 4;
+  static final int MAX_IN_FLIGHT = 4;
 
   /**
    * An answer that takes longer is late, and the others do not wait for it. Below that they share
@@ -80,35 +80,35 @@
 
   private final Scheduler scheduler;
   private final StateStore store;
-  private final TokenBucket writes;
-  private final int most;
+  private final TokenBucket writeBudget;
+  private final int maxChanges;
   private final Consumer<Consumer<Boolean>> readBarrier;
   private final Listener listener;
 
   /** By job, so that a user who asks again meanwhile shares the record. */
-  private Map<String, List<Consumer<Outcome>>> waiting = new LinkedHashMap<>();
+  private Map<String, List<Consumer<Outcome>>> pendingRequests = new LinkedHashMap<>();
 
   /** Who asks again for one of these shares its outcome, and needs no record of their own. */
   private final List<InFlight> inFlight = new ArrayList<>();
 
-  private Optional<Cancellable> planned = Optional.empty();
-  private long sentMs = Long.MIN_VALUE / 2;
+  private Optional<Cancellable> scheduledSend = Optional.empty();
+  private long lastSentMs = Long.MIN_VALUE / 2;
 
   /**
-   * @param most changes that a transaction may hold
+   * @param maxChanges changes that a transaction may hold
    * @param readBarrier brings the replica past the moment of the call, or says false
    */
-  Cancellations(
+  CancellationWriter(
       Scheduler scheduler,
       StateStore store,
-      TokenBucket writes,
-      int most,
+      TokenBucket writeBudget,
+      int maxChanges,
       Consumer<Consumer<Boolean>> readBarrier,
       Listener listener) {
     this.scheduler = scheduler;
     this.store = store;
-    this.writes = writes;
-    this.most = most;
+    this.writeBudget = writeBudget;
+    this.maxChanges = maxChanges;
     this.readBarrier = readBarrier;
     this.listener = listener;
   }
@@ -120,49 +120,50 @@
             .map(sent -> sent.askers)
             .filter(askers -> askers.containsKey(uid))
             .findFirst()
-            .orElse(waiting);
+            .orElse(pendingRequests);
     shared.computeIfAbsent(uid, u -> new ArrayList<>()).add(then);
-    plan();
+    scheduleSend();
   }
 
-  private void plan() {
-    planned.ifPresent(Cancellable::cancel);
-    planned = Optional.empty();
-    if (waiting.isEmpty() || inFlight.size() >= MOST_IN_FLIGHT) {
+  private void scheduleSend() {
+    scheduledSend.ifPresent(Cancellable::cancel);
+    scheduledSend = Optional.empty();
+    if (pendingRequests.isEmpty() || inFlight.size() >= MAX_IN_FLIGHT) {
       return;
     }
     // Those that came with the same read of the replica go together.
     long delayMs = 1;
     if (!inFlight.isEmpty()) {
-      delayMs = Math.max(delayMs, sentMs + NEXT_AFTER_MS - scheduler.nowMs());
+      delayMs = Math.max(delayMs, lastSentMs + NEXT_AFTER_MS - scheduler.nowMs());
     }
-    planned = Optional.of(scheduler.schedule(delayMs, this::send));
+    scheduledSend = Optional.of(scheduler.schedule(delayMs, this::send));
   }
 
   private void send() {
-    planned = Optional.empty();
-    InFlight sent = new InFlight(takeWaiting());
+    scheduledSend = Optional.empty();
+    InFlight sent = new InFlight(takePendingRequests());
     inFlight.add(sent);
-    sentMs = scheduler.nowMs();
-    writes.take(sent.askers.size());
-    readBackLater(sent);
-    List<Change.Put> cancellations = cancellations(sent);
+    lastSentMs = scheduler.nowMs();
+    writeBudget.take(sent.askers.size());
+    scheduleReadBack(sent);
+    List<Change.Put> cancellations = cancellationRecords(sent);
     StateStore.Transaction txn =
         new StateStore.Transaction(conditions(sent), List.copyOf(cancellations));
-    store.commit(txn, result -> answered(sent, cancellations, result));
+    store.commit(txn, result -> handleResult(sent, cancellations, result));
     listener.sent();
-    plan();
+    scheduleSend();
   }
 
-  private Map<String, List<Consumer<Outcome>>> takeWaiting() {
+  private Map<String, List<Consumer<Outcome>>> takePendingRequests() {
     Map<String, List<Consumer<Outcome>>> taken = new LinkedHashMap<>();
     Map<String, List<Consumer<Outcome>>> rest = new LinkedHashMap<>();
-    waiting.forEach((uid, askers) -> (taken.size() < most ? taken : rest).put(uid, askers));
-    waiting = rest;
+    pendingRequests.forEach(
+        (uid, askers) -> (taken.size() < maxChanges ? taken : rest).put(uid, askers));
+    pendingRequests = rest;
     return taken;
   }
 
-  private List<Change.Put> cancellations(InFlight sent) {
+  private List<Change.Put> cancellationRecords(InFlight sent) {
     List<Change.Put> cancellations = new ArrayList<>();
     for (String uid : sent.askers.keySet()) {
       cancellations.add(
@@ -181,7 +182,8 @@
     return conditions;
   }
 
-  private void answered(InFlight sent, List<Change.Put> cancellations, TransactionResult result) {
+  private void handleResult(
+      InFlight sent, List<Change.Put> cancellations, TransactionResult result) {
     if (result instanceof TransactionResult.Committed committed) {
       listener.committed(cancellations, committed.revision());
     }
@@ -190,13 +192,13 @@
 
   private static Outcome outcome(TransactionResult result) {
     if (result instanceof TransactionResult.Committed) {
-      return Outcome.STANDS;
+      return Outcome.DURABLE;
     }
     return result instanceof TransactionResult.Refused ? Outcome.REFUSED : Outcome.UNCERTAIN;
   }
 
   /** Again and again until it is settled: the read may fail as well. */
-  private void readBackLater(InFlight sent) {
+  private void scheduleReadBack(InFlight sent) {
     scheduler.schedule(
         READ_BACK_AFTER_MS,
         () -> {
@@ -206,7 +208,7 @@
                   if (ok) {
                     settle(sent, Outcome.READ_BACK);
                   } else {
-                    readBackLater(sent);
+                    scheduleReadBack(sent);
                   }
                 });
           }
@@ -219,7 +221,7 @@
   private void settle(InFlight sent, Outcome outcome) {
     if (inFlight.remove(sent)) {
       sent.askers.values().forEach(askers -> askers.forEach(a -> a.accept(outcome)));
-      plan();
+      scheduleSend();
     }
   }
 }
--- a/src/main/java/org/ploverspindle/api/DependencyCheck.java
+++ b/src/main/java/org/ploverspindle/api/DependencyCheck.java
@@ -16,28 +16,28 @@
  */
 final class DependencyCheck {
   /** Beyond so many unfinished jobs before it a job is accepted after a read instead. */
-  private static final int MOST_GUARDS = 6;
+  private static final int MAX_GUARDS = 6;
 
-  private final AcceptedJobIndex specs;
+  private final AcceptedJobIndex acceptedJobs;
   private final Pipelines pipelines;
-  private final JobStatusReader states;
-  private final int mostGuards;
+  private final JobStatusReader statuses;
+  private final int maxGuards;
 
   /**
    * @param conditions how many conditions a transaction has for one job's guards
    */
   DependencyCheck(
       AcceptedJobIndex specs, Pipelines pipelines, JobStatusReader states, int conditions) {
-    this.specs = specs;
+    this.acceptedJobs = specs;
     this.pipelines = pipelines;
-    this.states = states;
-    this.mostGuards = Math.min(MOST_GUARDS, conditions);
+    this.statuses = states;
+    this.maxGuards = Math.min(MAX_GUARDS, conditions);
   }
 
   /** Why the job can't depend on what it names; to be asked after a barrier. */
-  Optional<String> wrongDependency(JobSpec spec) {
+  Optional<String> invalidDependency(JobSpec spec) {
     for (String uid : spec.dependencies()) {
-      Optional<AcceptedJobIndex.AcceptedJob> dependency = specs.get(uid);
+      Optional<AcceptedJobIndex.AcceptedJob> dependency = acceptedJobs.get(uid);
       if (dependency.isEmpty()) {
         return Optional.of("awaits a job that was never accepted: " + uid);
       }
@@ -54,18 +54,18 @@
    * when the replica does not show them all, or they are too many for a transaction's conditions.
    */
   Optional<List<String>> guards(JobSpec spec) {
-    if (wrongDependency(spec).isPresent()) {
+    if (invalidDependency(spec).isPresent()) {
       return Optional.empty();
     }
     Set<String> unfinished = new LinkedHashSet<>();
     Deque<String> work = new ArrayDeque<>(spec.dependencies());
     while (!work.isEmpty()) {
       String uid = work.poll();
-      if (states.isAborted(uid)) {
+      if (statuses.isAborted(uid)) {
         return Optional.of(List.of());
       }
-      if (!states.isDone(uid) && unfinished.add(uid)) {
-        if (unfinished.size() > mostGuards || !pipelines.graph().isKnown(uid)) {
+      if (!statuses.isDone(uid) && unfinished.add(uid)) {
+        if (unfinished.size() > maxGuards || !pipelines.graph().isKnown(uid)) {
           return Optional.empty();
         }
         work.addAll(pipelines.graph().dependenciesOf(uid));
--- a/src/main/java/org/ploverspindle/api/DependenciesWriter.java
+++ b/src/main/java/org/ploverspindle/api/DependencyListWriter.java
@@ -24,8 +24,8 @@
  * that stands is the right one whoever wrote it, also late, and a list that was begun is gone on
  * with, here after its user was sent away, and elsewhere when the user's repeat comes there.
  */
-final class DependenciesWriter {
-  private static final Logger LOG = LoggerFactory.getLogger(DependenciesWriter.class);
+final class DependencyListWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(DependencyListWriter.class);
   private static final int MOST_BYTES = 56 * 1024;
   private static final int MOST_LISTS = 20;
 
@@ -40,13 +40,13 @@
   /** Of all nodes' changes; the rest is for the leader's work meanwhile. */
   private static final double SHARE = 0.4;
 
-  private static final class Upload {
+  private static final class PendingList {
     private final DependenciesRecord list;
     private final BitSet standing = new BitSet();
     private final List<Consumer<Boolean>> askers = new ArrayList<>();
     private long untilMs;
 
-    private Upload(DependenciesRecord list) {
+    private PendingList(DependenciesRecord list) {
       this.list = list;
     }
   }
@@ -56,10 +56,10 @@
   private final Replica replica;
   private final int txnOps;
   private final double perPartMs;
-  private final Map<String, Upload> uploads = new LinkedHashMap<>();
+  private final Map<String, PendingList> uploads = new LinkedHashMap<>();
   private boolean busy;
 
-  DependenciesWriter(
+  DependencyListWriter(
       Scheduler scheduler, StateStore store, Replica replica, int txnOps, double writeRps) {
     this.scheduler = scheduler;
     this.store = store;
@@ -74,7 +74,7 @@
 
   /** Calls with true once every part stands, and with false when that can't be reached. */
   void write(DependenciesRecord list, Consumer<Boolean> then) {
-    Upload upload = uploads.computeIfAbsent(list.name(), n -> new Upload(list));
+    PendingList upload = uploads.computeIfAbsent(list.name(), n -> new PendingList(list));
     upload.askers.add(then);
     upload.untilMs = scheduler.nowMs() + KEEPS_ON_MS;
     step();
@@ -83,7 +83,7 @@
   /** The oldest list first, one transaction at a time. */
   private void step() {
     while (!busy && !uploads.isEmpty()) {
-      Upload upload = uploads.values().iterator().next();
+      PendingList upload = uploads.values().iterator().next();
       List<Integer> missing = missing(upload);
       if (missing.isEmpty()) {
         end(upload, true);
@@ -95,7 +95,7 @@
     }
   }
 
-  private List<Integer> missing(Upload upload) {
+  private List<Integer> missing(PendingList upload) {
     List<Integer> missing = new ArrayList<>();
     for (int i = 0; i < upload.list.parts().size(); i++) {
       if (!upload.standing.get(i) && replica.get(upload.list.key(i)).isEmpty()) {
@@ -105,12 +105,12 @@
     return missing;
   }
 
-  private void end(Upload upload, boolean stands) {
+  private void end(PendingList upload, boolean stands) {
     uploads.remove(upload.list.name());
     upload.askers.forEach(a -> a.accept(stands));
   }
 
-  private void send(Upload upload, List<Integer> missing) {
+  private void send(PendingList upload, List<Integer> missing) {
     List<Condition> conditions = new ArrayList<>();
     List<Change> changes = new ArrayList<>();
     List<Integer> sent = new ArrayList<>();
@@ -131,7 +131,8 @@
         new StateStore.Transaction(conditions, changes), r -> answered(upload, sent, nextMs, r));
   }
 
-  private void answered(Upload upload, List<Integer> sent, long nextMs, TransactionResult result) {
+  private void answered(
+      PendingList upload, List<Integer> sent, long nextMs, TransactionResult result) {
     if (result instanceof TransactionResult.Committed) {
       sent.forEach(upload.standing::set);
       boolean last = missing(upload).isEmpty();
--- a/src/main/java/org/ploverspindle/api/Feasibility.java
+++ b/src/main/java/org/ploverspindle/api/Feasibility.java
@@ -26,14 +26,14 @@
   }
 
   /** Why the job can never run, if so. */
-  Optional<String> neverRuns(JobSpec spec) {
+  Optional<String> reasonNeverRuns(JobSpec spec) {
     Optional<Settings.Team> team = settings.team(spec.team());
     if (team.isEmpty()) {
       return Optional.of("unknown team");
     }
     int counted = spec.kind() == JobKind.BATCH ? 1 : spec.tasks();
-    if (isBeyond(team.get().coresMax(), spec.cores() * counted)
-        || isBeyond(team.get().acceleratorsMax(), spec.accelerators() * counted)) {
+    if (exceeds(team.get().coresMax(), spec.cores() * counted)
+        || exceeds(team.get().acceleratorsMax(), spec.accelerators() * counted)) {
       return Optional.of("more than the team's limit");
     }
     boolean fits = catalogue.types().stream().anyMatch(type -> fits(spec, type));
@@ -44,7 +44,7 @@
     return catalogue.typeIndex(name).isPresent();
   }
 
-  private static boolean isBeyond(double limit, double amount) {
+  private static boolean exceeds(double limit, double amount) {
     return limit > 0 && amount > limit + ROUNDING;
   }
 
--- a/src/main/java/org/ploverspindle/api/JobStatusReader.java
+++ b/src/main/java/org/ploverspindle/api/JobStatusReader.java
@@ -15,30 +15,30 @@
   private static final int UNAVAILABLE = 503;
 
   private final Replica replica;
-  private final AcceptedJobIndex specs;
+  private final AcceptedJobIndex acceptedJobs;
   private final Pipelines pipelines;
   private final ProgressCounts counts;
 
   JobStatusReader(
-      Replica replica, AcceptedJobIndex specs, Pipelines pipelines, ProgressCounts counts) {
+      Replica replica, AcceptedJobIndex acceptedJobs, Pipelines pipelines, ProgressCounts counts) {
     this.replica = replica;
-    this.specs = specs;
+    this.acceptedJobs = acceptedJobs;
     this.pipelines = pipelines;
     this.counts = counts;
   }
 
   /** The answer to who asks when the replica can't be read in time. */
-  static ApiResponse notNow() {
+  static ApiResponse stateUnavailable() {
     return ApiResponse.retryLater(UNAVAILABLE, "the state can't be read now", 1);
   }
 
   boolean isKnown(String uid) {
-    return specs.get(uid).isPresent();
+    return acceptedJobs.get(uid).isPresent();
   }
 
   /** The job's state; empty when the replica has no such job. */
   Optional<ObjectNode> state(String uid) {
-    Optional<AcceptedJobIndex.AcceptedJob> spec = specs.get(uid);
+    Optional<AcceptedJobIndex.AcceptedJob> spec = acceptedJobs.get(uid);
     if (spec.isEmpty()) {
       return Optional.empty();
     }
@@ -57,13 +57,13 @@
   }
 
   /** The state as an answer; empty when the replica has no such job. */
-  Optional<ApiResponse> answer(String uid) {
+  Optional<ApiResponse> response(String uid) {
     return state(uid).map(state -> ApiResponse.of(OK, state));
   }
 
   /** What is read back after a write, if the replica was read since. */
-  ApiResponse readBack(String uid, boolean fresh) {
-    return fresh ? answer(uid).orElseGet(JobStatusReader::notNow) : notNow();
+  ApiResponse responseAfterRead(String uid, boolean fresh) {
+    return fresh ? response(uid).orElseGet(JobStatusReader::stateUnavailable) : stateUnavailable();
   }
 
   boolean isDone(String uid) {
@@ -71,7 +71,7 @@
   }
 
   /** Done or cancelled: it stays so, and no newer answer can differ. */
-  boolean isOver(String uid) {
+  boolean isTerminal(String uid) {
     return isKnown(uid) && (isDone(uid) || isAborted(uid));
   }
 
--- a/src/main/java/org/ploverspindle/api/LinearizableReads.java
+++ b/src/main/java/org/ploverspindle/api/LinearizableReads.java
@@ -6,10 +6,10 @@
 
 /** Waits until the replica is as new as a user's question, for as long as the user waits. */
 final class LinearizableReads {
-  private static final long BARRIER_LIMIT_MS = 1_400;
+  private static final long BARRIER_TIMEOUT_MS = 1_400;
 
   /** The replica is read more often than that: who waits for the next read would wait in vain. */
-  private static final long STALE_MS = 4_000;
+  private static final long STALE_AFTER_MS = 4_000;
 
   private final Scheduler scheduler;
   private final Replica replica;
@@ -20,16 +20,16 @@
   }
 
   /** Calls with true at the barrier, or with false when it can't be had in the user's time. */
-  void barrier(Consumer<Boolean> then) {
-    barrier(replica::readBarrier, then);
+  void readBarrier(Consumer<Boolean> then) {
+    readBarrier(replica::readBarrier, then);
   }
 
   /** The same for who has time. */
-  void lowPriorityBarrier(Consumer<Boolean> then) {
-    barrier(replica::lowPriorityReadBarrier, then);
+  void lowPriorityReadBarrier(Consumer<Boolean> then) {
+    readBarrier(replica::lowPriorityReadBarrier, then);
   }
 
-  private void barrier(Consumer<Consumer<Boolean>> read, Consumer<Boolean> then) {
+  private void readBarrier(Consumer<Consumer<Boolean>> read, Consumer<Boolean> then) {
     long cameMs = scheduler.nowMs();
     boolean[] answered = {false};
     Consumer<Boolean> once =
@@ -37,7 +37,7 @@
           if (!answered[0]) {
             answered[0] = true;
             // Where this process stood still in between, others may have said newer things.
-            then.accept(fresh && scheduler.nowMs() - cameMs <= BARRIER_LIMIT_MS);
+            then.accept(fresh && scheduler.nowMs() - cameMs <= BARRIER_TIMEOUT_MS);
           }
         };
     if (isStale()) {
@@ -47,12 +47,12 @@
       return;
     }
     read.accept(once);
-    scheduler.schedule(BARRIER_LIMIT_MS, () -> once.accept(false));
+    scheduler.schedule(BARRIER_TIMEOUT_MS, () -> once.accept(false));
   }
 
   /** Has the replica not been read for so long that the next read will hardly come in time? */
   boolean isStale() {
-    return scheduler.nowMs() - replica.freshAsOfMs() > STALE_MS;
+    return scheduler.nowMs() - replica.freshAsOfMs() > STALE_AFTER_MS;
   }
 
   boolean isLoaded() {
--- a/src/main/java/org/ploverspindle/api/PendingAcceptance.java
+++ b/src/main/java/org/ploverspindle/api/PendingAcceptance.java
@@ -16,9 +16,9 @@
  */
 record PendingAcceptance(
     JobSpec spec,
-    JsonNode value,
+    JsonNode record,
     int bytes,
-    long cameMs,
+    long receivedMs,
     List<String> guards,
     List<Consumer<ApiResponse>> askers,
     List<Consumer<ApiResponse>> late) {
@@ -26,16 +26,16 @@
   static PendingAcceptance of(Submission submission, List<String> guards) {
     return new PendingAcceptance(
         submission.spec(),
-        submission.value(),
+        submission.record(),
         submission.bytes(),
-        submission.cameMs(),
+        submission.receivedMs(),
         guards,
-        new ArrayList<>(List.of(submission.then())),
+        new ArrayList<>(List.of(submission.responder())),
         new ArrayList<>());
   }
 
   PendingAcceptance guardedBy(List<String> others) {
-    return new PendingAcceptance(spec, value, bytes, cameMs, others, askers, late);
+    return new PendingAcceptance(spec, record, bytes, receivedMs, others, askers, late);
   }
 
   String uid() {
--- a/src/main/java/org/ploverspindle/api/QueryService.java
+++ b/src/main/java/org/ploverspindle/api/QueryService.java
@@ -11,15 +11,15 @@
 /** Answers questions about jobs. */
 final class QueryService {
   private static final int NOT_FOUND = 404;
-  private static final int MOST_EXPLAINED = 50;
+  private static final int MAX_EXPLAINED_DEPENDENCIES = 50;
 
   private final LinearizableReads reads;
-  private final JobStatusReader states;
+  private final JobStatusReader statuses;
   private final Pipelines pipelines;
 
   QueryService(LinearizableReads reads, JobStatusReader states, Pipelines pipelines) {
     this.reads = reads;
-    this.states = states;
+    this.statuses = states;
     this.pipelines = pipelines;
   }
 
@@ -27,19 +27,19 @@
   void poll(String uid, Consumer<ApiResponse> then) {
     if (!SubmissionCodec.validUid(uid)) {
       then.accept(noSuchJob());
-    } else if (states.isOver(uid)) {
+    } else if (statuses.isTerminal(uid)) {
       // What is over stays so: no newer answer can differ.
-      then.accept(states.answer(uid).orElseThrow());
+      then.accept(statuses.response(uid).orElseThrow());
     } else if (!reads.isLoaded()) {
-      then.accept(JobStatusReader.notNow());
+      then.accept(JobStatusReader.stateUnavailable());
     } else {
       // Polls come every few seconds for each job, and nobody waits for one to go on.
-      reads.lowPriorityBarrier(
+      reads.lowPriorityReadBarrier(
           fresh ->
               then.accept(
                   fresh
-                      ? states.answer(uid).orElseGet(QueryService::noSuchJob)
-                      : JobStatusReader.notNow()));
+                      ? statuses.response(uid).orElseGet(QueryService::noSuchJob)
+                      : JobStatusReader.stateUnavailable()));
     }
   }
 
@@ -49,7 +49,7 @@
 
   /** For people: how the replica has the job, and what it awaits. */
   String explain(String uid) {
-    Optional<String> status = states.state(uid).map(state -> state.path("status").asText());
+    Optional<String> status = statuses.state(uid).map(state -> state.path("status").asText());
     if (status.isEmpty()) {
       return uid + " is not known here";
     }
@@ -62,7 +62,10 @@
     }
     List<String> unfinished = graph.unfinished(uid);
     String named =
-        unfinished.stream().limit(MOST_EXPLAINED).map(this::named).collect(joining(", "));
+        unfinished.stream()
+            .limit(MAX_EXPLAINED_DEPENDENCIES)
+            .map(this::describe)
+            .collect(joining(", "));
     return uid
         + " is queued and awaits "
         + unfinished.size()
@@ -70,12 +73,12 @@
         + graph.dependenciesOf(uid).size()
         + " jobs: "
         + named
-        + (unfinished.size() > MOST_EXPLAINED ? ", ..." : "");
+        + (unfinished.size() > MAX_EXPLAINED_DEPENDENCIES ? ", ..." : "");
   }
 
-  private String named(String uid) {
+  private String describe(String uid) {
     String status =
-        states.state(uid).map(state -> state.path("status").asText()).orElse("not known here");
+        statuses.state(uid).map(state -> state.path("status").asText()).orElse("not known here");
     int others = pipelines.isWaiting(uid) ? pipelines.graph().unfinished(uid).size() : 0;
     return uid + " (" + status + (others > 0 ? ", awaits " + others : "") + ")";
   }
--- a/src/main/java/org/ploverspindle/api/SubmissionCodec.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionCodec.java
@@ -21,10 +21,10 @@
   private static final int MAX_TEXT = 200;
 
   /** A field that is missing or invalid. */
-  static final class Malformed extends Exception {
+  static final class MalformedSubmissionException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String message) {
+    MalformedSubmissionException(String message) {
       super(message);
     }
   }
@@ -47,18 +47,18 @@
         .filter(SubmissionCodec::validUid);
   }
 
-  static JobSpec decode(ObjectNode body) throws Malformed {
+  static JobSpec decode(ObjectNode body) throws MalformedSubmissionException {
     return new SubmissionCodec(body).decode();
   }
 
-  private JobSpec decode() throws Malformed {
-    String uid = uid(body).orElseThrow(() -> new Malformed("uid"));
+  private JobSpec decode() throws MalformedSubmissionException {
+    String uid = uid(body).orElseThrow(() -> new MalformedSubmissionException("uid"));
     JsonNode pieces = body.path("pieces");
     if (!pieces.isIntegralNumber()
         || !pieces.canConvertToInt()
         || pieces.asInt() < 1
         || pieces.asInt() > JobSpec.MAX_TASKS) {
-      throw new Malformed("pieces");
+      throw new MalformedSubmissionException("pieces");
     }
     double cores = amount("cores");
     double accelerators = amount("accelerators");
@@ -69,7 +69,7 @@
           // Not in the protocol's table, yet the bench's trial on real processes asks for it.
           case "group" -> JobKind.GANG;
           case "daemon" -> JobKind.SERVICE;
-          default -> throw new Malformed("shape: " + text("shape"));
+          default -> throw new MalformedSubmissionException("shape: " + text("shape"));
         };
     Priority urgency =
         switch (text("urgency")) {
@@ -77,7 +77,7 @@
           case "high" -> Priority.HIGH;
           case "normal" -> Priority.NORMAL;
           case "best_effort" -> Priority.BEST_EFFORT;
-          default -> throw new Malformed("urgency: " + text("urgency"));
+          default -> throw new MalformedSubmissionException("urgency: " + text("urgency"));
         };
     return new JobSpec(
         uid,
@@ -107,64 +107,64 @@
     return body.path(field).isMissingNode() || body.path(field).isNull();
   }
 
-  private double amount(String field) throws Malformed {
+  private double amount(String field) throws MalformedSubmissionException {
     JsonNode n = body.path(field);
     double value = n.asDouble();
     if (!n.isNumber() || !Double.isFinite(value) || value < 0 || value > 1e12) {
-      throw new Malformed(field);
+      throw new MalformedSubmissionException(field);
     }
     return value;
   }
 
-  private String text(String field) throws Malformed {
+  private String text(String field) throws MalformedSubmissionException {
     JsonNode n = body.path(field);
     if (!n.isTextual() || n.asText().isEmpty() || n.asText().length() > MAX_TEXT) {
-      throw new Malformed(field);
+      throw new MalformedSubmissionException(field);
     }
     return n.asText();
   }
 
-  private Optional<String> optionalText(String field) throws Malformed {
+  private Optional<String> optionalText(String field) throws MalformedSubmissionException {
     return absent(field) ? Optional.empty() : Optional.of(text(field));
   }
 
-  private boolean flag(String field) throws Malformed {
+  private boolean flag(String field) throws MalformedSubmissionException {
     JsonNode n = body.path(field);
     if (!n.isBoolean()) {
-      throw new Malformed(field);
+      throw new MalformedSubmissionException(field);
     }
     return n.asBoolean();
   }
 
   /** Ids of jobs, each once however often it is named. */
-  private List<String> uids(String field) throws Malformed {
+  private List<String> uids(String field) throws MalformedSubmissionException {
     if (absent(field)) {
       return List.of();
     }
     if (!body.path(field).isArray()) {
-      throw new Malformed(field);
+      throw new MalformedSubmissionException(field);
     }
     Set<String> uids = new LinkedHashSet<>();
     for (JsonNode n : body.path(field)) {
       if (!n.isTextual() || !validUid(n.asText())) {
-        throw new Malformed(field);
+        throw new MalformedSubmissionException(field);
       }
       uids.add(n.asText());
     }
     return List.copyOf(uids);
   }
 
-  private Optional<List<String>> names(String field) throws Malformed {
+  private Optional<List<String>> names(String field) throws MalformedSubmissionException {
     if (absent(field)) {
       return Optional.empty();
     }
     if (!body.path(field).isArray()) {
-      throw new Malformed(field);
+      throw new MalformedSubmissionException(field);
     }
     List<String> names = new ArrayList<>();
     for (JsonNode n : body.path(field)) {
       if (!n.isTextual() || n.asText().length() > MAX_TEXT) {
-        throw new Malformed(field);
+        throw new MalformedSubmissionException(field);
       }
       names.add(n.asText());
     }
--- a/src/main/java/org/ploverspindle/api/SubmissionService.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionService.java
@@ -36,7 +36,7 @@
   private final JobStatusReader states;
   private final Feasibility feasibility;
   private final DependencyCheck dependencies;
-  private final DependenciesWriter lists;
+  private final DependencyListWriter lists;
   private final AcceptanceWriter writer;
   private final int valueBytes;
   private final int chunk;
@@ -51,7 +51,7 @@
       JobStatusReader states,
       Feasibility feasibility,
       DependencyCheck dependencies,
-      DependenciesWriter lists,
+      DependencyListWriter lists,
       AcceptanceWriter writer,
       int valueBytes,
       int chunk) {
@@ -78,7 +78,7 @@
       then.accept(ApiResponse.error(MALFORMED, "missing or invalid: uid"));
     } else if (!reads.isLoaded() || reads.isStale()) {
       reads.refresh();
-      then.accept(JobStatusReader.notNow());
+      then.accept(JobStatusReader.stateUnavailable());
     } else if (states.isKnown(uid.get())) {
       known(uid.get(), then);
     } else {
@@ -90,7 +90,7 @@
     JobSpec spec;
     try {
       spec = SubmissionCodec.decode(body);
-    } catch (SubmissionCodec.Malformed e) {
+    } catch (SubmissionCodec.MalformedSubmissionException e) {
       LOG.info("submission {} is malformed: {}", uid, e.getMessage());
       ApiResponse refusal = ApiResponse.error(MALFORMED, "missing or invalid: " + e.getMessage());
       refuseUnlessKnown(uid, refusal, then);
@@ -101,7 +101,7 @@
       return;
     }
     Submission submission = submission(spec, then);
-    Optional<String> never = feasibility.neverRuns(spec);
+    Optional<String> never = feasibility.reasonNeverRuns(spec);
     if (never.isEmpty() && submission.bytes() > mostBytes()) {
       never = Optional.of("the job's description is too long to be kept");
     }
@@ -147,27 +147,27 @@
    */
   private void acceptWithDependencies(Submission submission) {
     Optional<List<String>> guards = dependencies.guards(submission.spec());
-    if (guards.isPresent() && submission.list().isEmpty()) {
+    if (guards.isPresent() && submission.dependencyList().isEmpty()) {
       writer.accept(submission, guards.get());
     } else {
-      reads.barrier(fresh -> acceptAfterRead(submission, fresh));
+      reads.readBarrier(fresh -> acceptAfterRead(submission, fresh));
     }
   }
 
   private void acceptAfterRead(Submission submission, boolean fresh) {
     JobSpec spec = submission.spec();
     if (!fresh) {
-      submission.then().accept(JobStatusReader.notNow());
+      submission.responder().accept(JobStatusReader.stateUnavailable());
       return;
     }
     Optional<ApiResponse> answer =
         states
-            .answer(spec.uid())
-            .or(() -> dependencies.wrongDependency(spec).map(SubmissionService::neverRuns));
+            .response(spec.uid())
+            .or(() -> dependencies.invalidDependency(spec).map(SubmissionService::neverRuns));
     if (answer.isPresent()) {
-      submission.then().accept(answer.get());
-    } else if (submission.list().isPresent()) {
-      storeList(submission, submission.list().get());
+      submission.responder().accept(answer.get());
+    } else if (submission.dependencyList().isPresent()) {
+      storeList(submission, submission.dependencyList().get());
     } else {
       writer.accept(submission, dependencies.guards(spec).orElse(List.of()));
     }
@@ -180,7 +180,7 @@
   private void storeList(Submission submission, DependenciesRecord list) {
     if (lists.isFull()) {
       submission
-          .then()
+          .responder()
           .accept(
               ApiResponse.retryLater(TOO_MANY, "too many long lists at once", MANY_LISTS_RETRY_S));
       return;
@@ -194,34 +194,36 @@
           }
         };
     scheduler.schedule(
-        Math.max(0, submission.cameMs() + LIST_LIMIT_MS - scheduler.nowMs()),
+        Math.max(0, submission.receivedMs() + LIST_LIMIT_MS - scheduler.nowMs()),
         () -> once.accept(false));
     lists.write(list, once);
   }
 
   private void afterList(Submission submission, boolean stands) {
     if (stands) {
-      long cameMs = scheduler.nowMs() - AcceptanceWriter.CREATE_LIMIT_MS + AFTER_LIST_MS;
-      writer.accept(submission.cameAt(Math.max(cameMs, submission.cameMs())), List.of());
+      long cameMs = scheduler.nowMs() - AcceptanceWriter.WRITE_DEADLINE_MS + AFTER_LIST_MS;
+      writer.accept(
+          submission.withReceivedMs(Math.max(cameMs, submission.receivedMs())), List.of());
     } else {
       submission
-          .then()
+          .responder()
           .accept(ApiResponse.retryLater(UNAVAILABLE, "the list of jobs is not stored yet", 1));
     }
   }
 
   private void known(String uid, Consumer<ApiResponse> then) {
-    if (states.isOver(uid)) {
-      then.accept(states.answer(uid).orElseThrow());
+    if (states.isTerminal(uid)) {
+      then.accept(states.response(uid).orElseThrow());
     } else {
-      reads.barrier(fresh -> then.accept(states.readBack(uid, fresh)));
+      reads.readBarrier(fresh -> then.accept(states.responseAfterRead(uid, fresh)));
     }
   }
 
   /** A job that any node accepted is never refused, also when the repeat's body is not as good. */
   private void refuseUnlessKnown(String uid, ApiResponse refusal, Consumer<ApiResponse> then) {
-    reads.barrier(
+    reads.readBarrier(
         fresh ->
-            then.accept(fresh ? states.answer(uid).orElse(refusal) : JobStatusReader.notNow()));
+            then.accept(
+                fresh ? states.response(uid).orElse(refusal) : JobStatusReader.stateUnavailable()));
   }
 }
--- a/src/main/java/org/ploverspindle/api/UserRequests.java
+++ b/src/main/java/org/ploverspindle/api/UserRequests.java
@@ -47,9 +47,9 @@
     JobStatusReader states = new JobStatusReader(replica, specs, pipelines, counts);
     DependencyCheck dependencies =
         new DependencyCheck(
-            specs, pipelines, states, AcceptanceBatch.mostGuards(settings.writeLimits().txnOps()));
-    DependenciesWriter lists =
-        new DependenciesWriter(scheduler, store, replica, limits.txnOps(), limits.writeRps());
+            specs, pipelines, states, AcceptanceBatch.maxGuards(settings.writeLimits().txnOps()));
+    DependencyListWriter lists =
+        new DependencyListWriter(scheduler, store, replica, limits.txnOps(), limits.writeRps());
     AcceptanceWriter writer =
         new AcceptanceWriter(
             scheduler,
--- a/src/test/java/org/ploverspindle/api/ManualStateStore.java
+++ b/src/test/java/org/ploverspindle/api/ManualStateStore.java
@@ -28,15 +28,15 @@
   }
 
   /** A transaction that was sent and not answered. */
-  record Sent(Transaction txn, Consumer<TransactionResult> then) {}
+  record PendingTransaction(Transaction transaction, Consumer<TransactionResult> then) {}
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-  private final Map<String, Long> stamps = new HashMap<>();
+  private final Map<String, Long> modRevisions = new HashMap<>();
   private final List<ChangedEntry> history = new ArrayList<>();
-  private final Deque<Sent> sent = new ArrayDeque<>();
+  private final Deque<PendingTransaction> sent = new ArrayDeque<>();
   private long nowMs;
   private long order;
-  private long ledger = 1;
+  private long revision = 1;
 
   void run(long forMs) {
     long endMs = nowMs + forMs;
@@ -48,48 +48,48 @@
     nowMs = endMs;
   }
 
-  int underWay() {
+  int inFlight() {
     return sent.size();
   }
 
   /** The oldest transaction without an answer. */
-  Transaction oldest() {
-    return sent.element().txn();
+  Transaction oldestTransaction() {
+    return sent.element().transaction();
   }
 
   /** Carries the oldest one out and has it answered. */
-  TransactionResult carryOut() {
-    Sent s = sent.remove();
-    TransactionResult result = execute(s.txn());
+  TransactionResult commitAndRespond() {
+    PendingTransaction s = sent.remove();
+    TransactionResult result = execute(s.transaction());
     s.then().accept(result);
     return result;
   }
 
   /** Carries the oldest one out; what is returned has it answered. */
-  Runnable carryOutAndHold() {
-    Sent s = sent.remove();
-    TransactionResult result = execute(s.txn());
+  Runnable commitAndDelayResponse() {
+    PendingTransaction s = sent.remove();
+    TransactionResult result = execute(s.transaction());
     return () -> s.then().accept(result);
   }
 
   /** The oldest one is held up on its way; what is returned has it carried out, unanswered. */
-  Runnable holdUp() {
-    Sent s = sent.remove();
-    return () -> execute(s.txn());
+  Runnable delayCommit() {
+    PendingTransaction s = sent.remove();
+    return () -> execute(s.transaction());
   }
 
   /** Has the oldest one answered so, and does not carry it out. */
-  void answer(TransactionResult result) {
+  void respondWithoutCommit(TransactionResult result) {
     sent.remove().then().accept(result);
   }
 
   /** What somebody else writes. */
-  void put(String key, JsonNode value) {
+  void writeByOthers(String key, JsonNode value) {
     execute(new Transaction(List.of(), List.of(new Change.Put(key, value))));
   }
 
-  boolean holds(String key) {
-    return stamps.containsKey(key);
+  boolean contains(String key) {
+    return modRevisions.containsKey(key);
   }
 
   long timesWritten(String key) {
@@ -99,23 +99,23 @@
   private TransactionResult execute(Transaction txn) {
     List<String> failed =
         txn.conditions().stream()
-            .filter(c -> stamps.getOrDefault(c.key(), 0L) != c.modRevision())
+            .filter(c -> modRevisions.getOrDefault(c.key(), 0L) != c.modRevision())
             .map(Condition::key)
             .toList();
     if (!failed.isEmpty()) {
       return new TransactionResult.Conflict(failed);
     }
-    ledger++;
+    revision++;
     for (Change c : txn.changes()) {
-      stamps.put(c.key(), ledger);
-      history.add(new ChangedEntry(c.key(), Optional.of(((Change.Put) c).value()), ledger));
+      modRevisions.put(c.key(), revision);
+      history.add(new ChangedEntry(c.key(), Optional.of(((Change.Put) c).value()), revision));
     }
-    return new TransactionResult.Committed(ledger);
+    return new TransactionResult.Committed(revision);
   }
 
   @Override
   public void commit(Transaction txn, Consumer<TransactionResult> then) {
-    sent.add(new Sent(txn, then));
+    sent.add(new PendingTransaction(txn, then));
   }
 
   @Override
@@ -127,7 +127,7 @@
   public void readChanges(String prefix, long after, Consumer<ChangesResult> then) {
     ChangesResult news =
         new ChangesResult.Changes(
-            ledger, history.stream().filter(c -> c.modRevision() > after).toList());
+            revision, history.stream().filter(c -> c.modRevision() > after).toList());
     schedule(1, () -> then.accept(news));
   }
 
--- a/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
+++ b/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
@@ -94,7 +94,8 @@
             ? Cbor.map().numberNode(Double.POSITIVE_INFINITY)
             : new ObjectMapper().readTree(value);
     body.set(field, node);
-    assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode(body));
+    assertThrows(
+        SubmissionCodec.MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
   }
 
   @Test
@@ -117,6 +118,7 @@
   @Test
   void nanIsNoAmount() throws Exception {
     ObjectNode body = good().put("cores", Double.NaN);
-    assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode(body));
+    assertThrows(
+        SubmissionCodec.MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
   }
 }
--- a/src/test/java/org/ploverspindle/api/UserRequestsTest.java
+++ b/src/test/java/org/ploverspindle/api/UserRequestsTest.java
@@ -107,14 +107,14 @@
     List<Integer> over = submit("run-0");
     store.run(10);
     // Another node accepted it meanwhile, and its user called it off.
-    store.put(Keys.jobBatch("n1-1"), Cbor.map().set("run-0", Cbor.map().put("tasks", 1)));
-    store.put(Keys.cancellation("run-0"), Cbor.map());
+    store.writeByOthers(Keys.jobBatch("n1-1"), Cbor.map().set("run-0", Cbor.map().put("tasks", 1)));
+    store.writeByOthers(Keys.cancellation("run-0"), Cbor.map());
     List<Integer> behind = submit("run-1");
-    assertEquals(TransactionResult.Conflict.class, store.carryOut().getClass());
+    assertEquals(TransactionResult.Conflict.class, store.commitAndRespond().getClass());
     store.run(1_000);
     assertEquals(List.of(200), over);
-    assertEquals(1, store.underWay(), "the next one goes out by itself");
-    store.carryOut();
+    assertEquals(1, store.inFlight(), "the next one goes out by itself");
+    store.commitAndRespond();
     assertEquals(List.of(201), behind);
   }
 
@@ -123,11 +123,11 @@
   void aRepeatIsNotAnsweredByAWriteThatIsOlder() {
     List<String> first = words("run-0");
     store.run(10);
-    Change.Put written = (Change.Put) store.oldest().changes().get(0);
-    store.put(written.key(), written.value());
-    store.put(Keys.cancellation("run-0"), Cbor.map());
+    Change.Put written = (Change.Put) store.oldestTransaction().changes().get(0);
+    store.writeByOthers(written.key(), written.value());
+    store.writeByOthers(Keys.cancellation("run-0"), Cbor.map());
     List<String> repeat = words("run-0");
-    store.answer(new TransactionResult.Committed(2));
+    store.respondWithoutCommit(new TransactionResult.Committed(2));
     store.run(1_000);
     assertEquals(List.of("201 queued"), first);
     assertEquals(List.of("200 aborted"), repeat);
@@ -141,8 +141,8 @@
   void aRepeatThatCameAfterTheWriteWentOutIsToldHowThingsAreAfterIt() {
     List<String> first = words("run-0");
     store.run(10);
-    Runnable answer = store.carryOutAndHold();
-    store.put(Keys.cancellation("run-0"), Cbor.map());
+    Runnable answer = store.commitAndDelayResponse();
+    store.writeByOthers(Keys.cancellation("run-0"), Cbor.map());
     List<String> repeat = words("run-0");
     answer.run();
     store.run(1_000);
