--- a/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.Deque;
 import java.util.List;
 import java.util.function.Supplier;
@@ -11,59 +12,74 @@
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 
-/** One transaction that stores several jobs, as many as fit into each record. */
+/** One transaction that stores several accepted jobs, as many as fit into each record. */
 final class AcceptanceBatch {
+  /**
+   * What the state service allows.
+   *
+   * @param maxValueBytes size of a record's value
+   * @param maxChanges changes of a transaction
+   */
+  record Limits(int maxValueBytes, int maxChanges) {
+    private int maxConditions() {
+      return maxConditions(maxChanges);
+    }
+
+    private static int maxConditions(int maxChanges) {
+      return CONDITIONS_PER_CHANGE * maxChanges;
+    }
+  }
+
   private static final int MAX_TRANSACTION_BYTES = 56 * 1024;
   private static final int CONDITIONS_PER_CHANGE = 4;
 
-  /** Two of the job itself, and one for the record that it will stand in. */
+  /** Two for the job itself, and one for the record that it is stored in. */
   private static final int OWN_CONDITIONS = 3;
 
-  /** What the transaction, a record and a job's conditions take, beyond what is counted. */
+  /** Upper bound of what a transaction, a record or a job's own conditions add in size. */
   private static final int FRAME_BYTES = 200;
 
   private static final int GUARD_BYTES = 100;
   private static final int EMPTY_MAP_BYTES = 2;
 
-  private final int maxValueBytes;
-  private final int maxConditions;
+  private final Limits limits;
   private final List<PendingAcceptance> acceptances = new ArrayList<>();
   private final List<Condition> conditions = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
   private int bytes = FRAME_BYTES;
 
-  AcceptanceBatch(int valueBytes, int txnOps) {
-    this.maxValueBytes = valueBytes;
-    this.maxConditions = conditionsOf(txnOps);
-  }
-
-  private static int conditionsOf(int txnOps) {
-    return CONDITIONS_PER_CHANGE * txnOps;
+  AcceptanceBatch(Limits limits) {
+    this.limits = limits;
   }
 
-  /** Conditions that one job's guards may take. */
-  static int maxGuards(int txnOps) {
-    return conditionsOf(txnOps) - OWN_CONDITIONS;
+  /** How many guards one job may have, so that its conditions fit into a transaction. */
+  static int maxGuards(int maxChanges) {
+    return Limits.maxConditions(maxChanges) - OWN_CONDITIONS;
   }
 
-  /** Takes as many of the waiting ones as fit, in records with the names that are given. */
-  void fill(Deque<PendingAcceptance> waiting, int mostRecords, Supplier<String> nextKey) {
-    while (changes.size() < mostRecords
-        && nextFits(waiting)
-        && bytes < MAX_TRANSACTION_BYTES - maxValueBytes) {
-      addRecord(waiting, nextKey);
+  /**
+   * Moves jobs from the head of the queue into this batch, as many as fit.
+   *
+   * @param maxRecords how many records the batch may have
+   * @param nextKey names each record
+   */
+  void fill(Deque<PendingAcceptance> queue, int maxRecords, Supplier<String> nextKey) {
+    while (changes.size() < maxRecords
+        && nextFits(queue)
+        && bytes < MAX_TRANSACTION_BYTES - limits.maxValueBytes()) {
+      addRecord(queue, nextKey);
     }
   }
 
-  private void addRecord(Deque<PendingAcceptance> waiting, Supplier<String> nextKey) {
+  private void addRecord(Deque<PendingAcceptance> queue, Supplier<String> nextKey) {
     ObjectNode jobs = Cbor.map();
     int size = EMPTY_MAP_BYTES;
-    while (nextFits(waiting) && size + waiting.peek().bytes() <= maxValueBytes) {
-      PendingAcceptance creation = waiting.poll();
-      addConditions(creation);
-      jobs.set(creation.uid(), creation.record());
-      size += creation.bytes();
-      acceptances.add(creation);
+    while (nextFits(queue) && size + queue.peek().bytes() <= limits.maxValueBytes()) {
+      PendingAcceptance acceptance = queue.poll();
+      addConditions(acceptance);
+      jobs.set(acceptance.uid(), acceptance.record());
+      size += acceptance.bytes();
+      acceptances.add(acceptance);
     }
     String key = nextKey.get();
     conditions.add(new Condition(key, 0));
@@ -72,27 +88,31 @@
   }
 
   /**
-   * Another node may have accepted the job long ago, which this replica need not show yet: a job
-   * that was called done or cancelled must not be called queued for it.
+   * The job may have been accepted at another controller before, which this replica may not show
+   * yet. Without these conditions a job that was reported as done or aborted would be reported as
+   * queued again.
    */
-  private void addConditions(PendingAcceptance creation) {
-    conditions.add(new Condition(Keys.cancellation(creation.uid()), 0));
-    conditions.add(new Condition(Keys.completion(creation.uid()), 0));
-    creation.guards().forEach(guard -> conditions.add(new Condition(Keys.cancellation(guard), 0)));
-    bytes += FRAME_BYTES + GUARD_BYTES * creation.guards().size();
+  private void addConditions(PendingAcceptance acceptance) {
+    conditions.add(new Condition(Keys.cancellation(acceptance.uid()), 0));
+    conditions.add(new Condition(Keys.completion(acceptance.uid()), 0));
+    for (String guard : acceptance.guards()) {
+      conditions.add(new Condition(Keys.cancellation(guard), 0));
+    }
+    bytes += FRAME_BYTES + GUARD_BYTES * acceptance.guards().size();
   }
 
-  private boolean nextFits(Deque<PendingAcceptance> waiting) {
-    return !waiting.isEmpty()
-        && conditions.size() + OWN_CONDITIONS + waiting.peek().guards().size() <= maxConditions;
+  private boolean nextFits(Deque<PendingAcceptance> queue) {
+    return !queue.isEmpty()
+        && conditions.size() + OWN_CONDITIONS + queue.peek().guards().size()
+            <= limits.maxConditions();
   }
 
   List<PendingAcceptance> acceptances() {
-    return acceptances;
+    return Collections.unmodifiableList(acceptances);
   }
 
   /** How many changes the transaction has. */
-  int size() {
+  int changeCount() {
     return changes.size();
   }
 
--- a/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
@@ -1,260 +1,238 @@
 package org.ploverspindle.api;
 
+import io.undertow.util.StatusCodes;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import org.ploverspindle.eventloop.Scheduler;
-import org.ploverspindle.net.Cbor;
+import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.TransactionResult;
-import org.ploverspindle.state.TokenBucket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores accepted jobs, many in one transaction, and answers their users when they are durable. One
- * transaction is under way at a time.
+ * Stores accepted jobs, many in one transaction, and answers their users once they are durable. One
+ * transaction is in flight at a time.
  */
 final class AcceptanceWriter {
   private static final Logger LOG = LoggerFactory.getLogger(AcceptanceWriter.class);
 
-  /** So long after it came a submission is not written any more: its user is about to give up. */
+  /** Age from which a submission is not written any more, as its user is about to give up. */
   static final long WRITE_DEADLINE_MS = 2_500;
 
-  private static final int MOST_WAITING = 200;
+  private static final int MAX_QUEUED = 200;
 
-  /** Jobs that come within this time share a transaction. */
-  private static final long GATHER_MS = 4;
+  /** Jobs that arrive within this time share a transaction. */
+  private static final long BATCH_WINDOW_MS = 4;
 
-  private static final long NO_BUDGET_MS = 20;
-
-  /** After a refusal for its rate every node keeps to its share of the changes for a while. */
-  private static final long STRICT_MS = 5_000;
-
-  /** Beyond the share one write in so long, while the state service refuses nobody. */
-  private static final long BEYOND_SHARE_MS = 60;
-
-  private static final double REFUSED_COST = 2;
-  private static final int CREATED = 201;
-  private static final int TOO_LARGE = 400;
-  private static final int TOO_MANY = 429;
-  private static final int UNAVAILABLE = 503;
+  private static final long NO_BUDGET_RETRY_MS = 20;
 
   private final Scheduler scheduler;
   private final StateStore store;
   private final LinearizableReads reads;
-  private final JobStatusReader states;
+  private final JobStatusReader statuses;
   private final DependencyCheck dependencies;
-  private final TokenBucket writes;
-  private final String nonce;
-  private final LeaderNotifier leaderHints;
-  private final int valueBytes;
-  private final int txnOps;
-  private final Deque<PendingAcceptance> creations = new ArrayDeque<>();
-  private final Map<String, PendingAcceptance> pending = new HashMap<>();
+  private final AcceptanceBudget budget;
+  private final String recordPrefix;
+  private final LeaderNotifier leaderNotifier;
+  private final AcceptanceBatch.Limits limits;
 
-  /** Those of them whose write is out. */
-  private final Set<String> sent = new HashSet<>();
+  /** Jobs whose write is not sent yet, the oldest first. */
+  private final Deque<PendingAcceptance> queue = new ArrayDeque<>();
 
-  private long batches;
-  private boolean creating;
-  private boolean flushPlanned;
-  private long flushedMs = Long.MIN_VALUE / 2;
-  private long refusedMs = Long.MIN_VALUE / 2;
+  /** All that are not answered yet, by job. */
+  private final Map<String, PendingAcceptance> pending = new HashMap<>();
+
+  private long recordCount;
+  private boolean inFlight;
+  private boolean flushScheduled;
 
-  /**
-   * @param writes this node's share of the changes
-   * @param nonce names this process's records: no other's, and none of an earlier run's
-   * @param valueBytes the largest value
-   * @param txnOps the most changes of a transaction
-   */
   AcceptanceWriter(
       Scheduler scheduler,
-      StateStore store,
+      StateWrites writes,
       LinearizableReads reads,
-      JobStatusReader states,
+      JobStatusReader statuses,
       DependencyCheck dependencies,
-      TokenBucket writes,
-      String nonce,
-      LeaderNotifier leaderHints,
-      int valueBytes,
-      int txnOps) {
+      AcceptanceBatch.Limits limits) {
     this.scheduler = scheduler;
-    this.store = store;
+    this.store = writes.store();
     this.reads = reads;
-    this.states = states;
+    this.statuses = statuses;
     this.dependencies = dependencies;
-    this.writes = writes;
-    this.nonce = nonce;
-    this.leaderHints = leaderHints;
-    this.valueBytes = valueBytes;
-    this.txnOps = txnOps;
+    this.budget = new AcceptanceBudget(scheduler, writes.budget());
+    this.recordPrefix = writes.recordPrefix();
+    this.leaderNotifier = writes.leaderNotifier();
+    this.limits = limits;
   }
 
-  /** Stores the job and answers its user, or tells the user at once to come back. */
+  /**
+   * Stores the job and answers its user, or tells the user at once to ask again.
+   *
+   * @param guards jobs that the write requires not to be cancelled; see {@link DependencyCheck}
+   */
   void accept(Submission submission, List<String> guards) {
     String uid = submission.spec().uid();
     PendingAcceptance same = pending.get(uid);
     if (same != null) {
-      // The user asks again while its first request is under way: one record answers both. What
-      // comes after the write went out has to be told how things are after it.
-      boolean covered = same.isGuarded() && !sent.contains(uid);
-      (covered ? same.askers() : same.late()).add(submission.responder());
+      same.addRequest(submission.responder());
       return;
     }
-    if (creations.size() >= MOST_WAITING) {
+    if (queue.size() >= MAX_QUEUED) {
       submission
           .responder()
-          .accept(ApiResponse.retryLater(TOO_MANY, "too many submissions at once", 2));
+          .accept(
+              ApiResponse.retryLater(
+                  StatusCodes.TOO_MANY_REQUESTS, "too many submissions at once", 2));
       return;
     }
-    PendingAcceptance creation = PendingAcceptance.of(submission, guards);
-    pending.put(uid, creation);
-    creations.add(creation);
-    planFlush(GATHER_MS);
+    PendingAcceptance acceptance = PendingAcceptance.of(submission, guards);
+    pending.put(uid, acceptance);
+    queue.add(acceptance);
+    scheduleFlush(BATCH_WINDOW_MS);
   }
 
-  private void planFlush(long delayMs) {
-    if (!flushPlanned && !creating) {
-      flushPlanned = true;
+  private void scheduleFlush(long delayMs) {
+    if (!flushScheduled && !inFlight) {
+      flushScheduled = true;
       scheduler.schedule(
           delayMs,
           () -> {
-            flushPlanned = false;
+            flushScheduled = false;
             flush();
           });
     }
   }
 
+  private void scheduleFlushOfRemaining() {
+    if (!queue.isEmpty()) {
+      scheduleFlush(BATCH_WINDOW_MS);
+    }
+  }
+
   private void flush() {
-    if (creating) {
+    if (inFlight) {
       return;
     }
-    giveUpLateOnes();
-    if (creations.isEmpty()) {
+    expireQueue();
+    if (queue.isEmpty()) {
       return;
     }
-    long nowMs = scheduler.nowMs();
-    int budget = (int) Math.min(txnOps, Math.floor(writes.available()));
-    boolean beyond = budget < 1;
-    if (beyond && (nowMs - refusedMs < STRICT_MS || nowMs - flushedMs < BEYOND_SHARE_MS)) {
-      planFlush(NO_BUDGET_MS);
+    AcceptanceBudget.Grant grant = budget.grant(limits.maxChanges());
+    if (grant.records() == 0) {
+      scheduleFlush(NO_BUDGET_RETRY_MS);
       return;
     }
-    flushedMs = nowMs;
-    AcceptanceBatch batch = new AcceptanceBatch(valueBytes, txnOps);
-    batch.fill(creations, Math.max(1, budget), () -> Keys.jobBatch(nonce + "-" + ++batches));
-    batch.acceptances().forEach(creation -> sent.add(creation.uid()));
-    creating = true;
-    if (!beyond) {
-      writes.take(batch.size());
-    }
-    store.commit(batch.transaction(), result -> answered(batch.acceptances(), result));
+    AcceptanceBatch batch = new AcceptanceBatch(limits);
+    batch.fill(queue, grant.records(), this::nextRecordKey);
+    batch.acceptances().forEach(PendingAcceptance::markSent);
+    inFlight = true;
+    budget.recordWrite(grant, batch.changeCount());
+    store.commit(batch.transaction(), result -> handleResult(batch.acceptances(), result));
   }
 
-  private void giveUpLateOnes() {
-    while (!creations.isEmpty()
-        && scheduler.nowMs() - creations.peek().receivedMs() > WRITE_DEADLINE_MS) {
-      PendingAcceptance late = creations.poll();
-      pending.remove(late.uid());
-      late.answerAll(ApiResponse.retryLater(UNAVAILABLE, "the state service is busy", 2));
+  private String nextRecordKey() {
+    recordCount++;
+    return Keys.jobBatch(recordPrefix + "-" + recordCount);
+  }
+
+  private void expireQueue() {
+    while (!queue.isEmpty() && scheduler.nowMs() - queue.peek().receivedMs() > WRITE_DEADLINE_MS) {
+      PendingAcceptance expired = queue.poll();
+      pending.remove(expired.uid());
+      expired.respondToAll(unavailable("the state service is busy", 2));
     }
   }
 
-  private void answered(List<PendingAcceptance> batch, TransactionResult result) {
-    creating = false;
+  private static ApiResponse unavailable(String message, int retryAfterS) {
+    return ApiResponse.retryLater(StatusCodes.SERVICE_UNAVAILABLE, message, retryAfterS);
+  }
+
+  private void handleResult(List<PendingAcceptance> batch, TransactionResult result) {
+    inFlight = false;
     if (result instanceof TransactionResult.Conflict) {
-      reads.readBarrier(fresh -> batch.forEach(creation -> afterConflict(creation, fresh)));
-      // What came meanwhile waits for nobody: all of the batch may be over already.
-      flushTheRest();
+      reads.readBarrier(fresh -> batch.forEach(job -> handleConflict(job, fresh)));
+      // Jobs that arrived meanwhile don't wait for that read: it may show that the whole batch is
+      // terminal, and then nothing else would start their write.
+      scheduleFlushOfRemaining();
       return;
     }
-    for (PendingAcceptance creation : batch) {
-      pending.remove(creation.uid());
-      sent.remove(creation.uid());
-    }
+    batch.forEach(acceptance -> pending.remove(acceptance.uid()));
     if (result instanceof TransactionResult.Committed) {
-      committed(batch);
+      handleCommitted(batch);
     } else if (result instanceof TransactionResult.Refused refused) {
-      refused(batch, refused);
+      handleRefused(batch, refused);
     } else {
-      // It may stand or may yet come to stand: only what is read back is said.
+      // The write may have been executed, or may yet be: only what is read back is reported.
       reads.readBarrier(
-          fresh -> batch.forEach(c -> c.answerAll(states.responseAfterRead(c.uid(), fresh))));
-    }
-    flushTheRest();
-  }
-
-  private void flushTheRest() {
-    if (!creations.isEmpty()) {
-      planFlush(GATHER_MS);
+          fresh ->
+              batch.forEach(job -> job.respondToAll(statuses.responseAfterRead(job.uid(), fresh))));
     }
+    scheduleFlushOfRemaining();
   }
 
-  private void committed(List<PendingAcceptance> batch) {
+  private void handleCommitted(List<PendingAcceptance> batch) {
     LOG.debug(
-        "accepted {} jobs, the first {} after {} ms",
+        "jobs accepted: count={} first_job={} first_latency_ms={}",
         batch.size(),
         batch.get(0).uid(),
         scheduler.nowMs() - batch.get(0).receivedMs());
-    for (PendingAcceptance creation : batch) {
-      boolean aborted = creation.spec().dependencies().stream().anyMatch(states::isAborted);
-      String status = aborted ? "aborted" : "queued";
-      creation.answer(
-          ApiResponse.of(CREATED, Cbor.map().put("uid", creation.uid()).put("status", status)));
-      answerLate(creation);
+    for (PendingAcceptance acceptance : batch) {
+      acceptance.respond(accepted(acceptance.spec()));
+      respondToLateRequests(acceptance);
     }
-    leaderHints.accepted();
+    leaderNotifier.accepted();
+  }
+
+  private ApiResponse accepted(JobSpec spec) {
+    boolean aborted = spec.dependencies().stream().anyMatch(statuses::isAborted);
+    JobStatus status = aborted ? JobStatus.ABORTED : JobStatus.QUEUED;
+    return ApiResponse.of(StatusCodes.CREATED, ResponseCodec.encodeStatus(spec.uid(), status));
   }
 
-  private void refused(List<PendingAcceptance> batch, TransactionResult.Refused refused) {
-    if (refused.status() == TOO_LARGE) {
+  private void handleRefused(List<PendingAcceptance> batch, TransactionResult.Refused refused) {
+    if (refused.status() == StatusCodes.BAD_REQUEST) {
       LOG.error(
-          "the state service takes no write of {} jobs, {} bytes together",
+          "job acceptance rejected by the state service: jobs={} bytes={}",
           batch.size(),
           batch.stream().mapToInt(PendingAcceptance::bytes).sum());
     }
-    // All nodes together ask for more than the service gives: the leader's writes go first.
-    writes.take(REFUSED_COST);
-    refusedMs = scheduler.nowMs();
-    batch.forEach(
-        c -> c.answerAll(ApiResponse.retryLater(UNAVAILABLE, "the state service refuses", 1)));
+    budget.recordRefusal();
+    batch.forEach(job -> job.respondToAll(unavailable("the state service refuses", 1)));
   }
 
-  /** Some of the batch are over already and are answered so; the others are tried again. */
-  private void afterConflict(PendingAcceptance creation, boolean fresh) {
-    String uid = creation.uid();
-    sent.remove(uid);
-    if (fresh && !states.isKnown(uid)) {
-      // The conditions are worked out anew: a job before it may have been cancelled, or done.
-      PendingAcceptance again =
-          creation.guardedBy(
-              creation.guards().isEmpty()
-                  ? List.of()
-                  : dependencies.guards(creation.spec()).orElse(List.of()));
-      pending.put(uid, again);
-      creations.addFirst(again);
-      planFlush(GATHER_MS);
+  /** Jobs of the batch that are known by now are answered so; the others are written again. */
+  private void handleConflict(PendingAcceptance acceptance, boolean fresh) {
+    String uid = acceptance.uid();
+    if (fresh && !statuses.isKnown(uid)) {
+      PendingAcceptance retry = acceptance.retryWith(newGuards(acceptance));
+      pending.put(uid, retry);
+      queue.addFirst(retry);
+      scheduleFlush(BATCH_WINDOW_MS);
     } else {
       pending.remove(uid);
-      creation.answer(states.responseAfterRead(uid, fresh));
-      answerLate(creation);
+      acceptance.respond(statuses.responseAfterRead(uid, fresh));
+      respondToLateRequests(acceptance);
     }
   }
 
-  /** Some of them may have asked after the last read went out. */
-  private void answerLate(PendingAcceptance creation) {
-    if (!creation.late().isEmpty()) {
+  /** Computed anew: a dependency may have been cancelled or done since. */
+  private List<String> newGuards(PendingAcceptance acceptance) {
+    return acceptance.guards().isEmpty()
+        ? List.of()
+        : dependencies.guards(acceptance.spec()).orElse(List.of());
+  }
+
+  /** By a read of their own, as some of them may have arrived after the last one was sent. */
+  private void respondToLateRequests(PendingAcceptance acceptance) {
+    if (acceptance.hasLateRequests()) {
       reads.readBarrier(
           fresh ->
-              creation
-                  .late()
-                  .forEach(asker -> asker.accept(states.responseAfterRead(creation.uid(), fresh))));
+              acceptance.respondToLateRequests(
+                  statuses.responseAfterRead(acceptance.uid(), fresh)));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/api/ApiResponse.java
+++ b/src/main/java/org/ploverspindle/api/ApiResponse.java
@@ -1,40 +1,65 @@
 package org.ploverspindle.api;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.ploverspindle.net.Cbor;
+import io.undertow.util.StatusCodes;
 
-/** What a request is answered with. {@code retryAfterS} of 0: nothing is said of coming back. */
+/**
+ * A response to a request of a user or a worker.
+ *
+ * @param status the HTTP status
+ * @param body a CBOR map
+ * @param retryAfterS seconds for the {@code Retry-After} header; 0 leaves the header out
+ */
 public record ApiResponse(int status, byte[] body, int retryAfterS) {
+  private static final int MISDIRECTED_REQUEST = 421;
 
-  static ApiResponse of(int status, ObjectNode body) {
-    return new ApiResponse(status, Cbor.write(body), 0);
+  /** Statuses from here on are not successes. */
+  private static final int FIRST_NON_SUCCESS = 300;
+
+  static ApiResponse of(int status, byte[] body) {
+    return new ApiResponse(status, body, 0);
   }
 
   static ApiResponse error(int status, String message) {
-    return of(status, Cbor.map().put("error", message));
+    return of(status, ResponseCodec.encodeError(message));
   }
 
-  /** Another node is the one to ask. */
+  /** 421: another controller leads, and is the one to ask. */
   public static ApiResponse redirectToLeader(String member) {
-    return of(421, Cbor.map().put("steward", member));
+    return of(MISDIRECTED_REQUEST, ResponseCodec.encodeLeader(member));
   }
 
-  /** A line for people. */
+  /** 200 with a line for operators. */
   public static ApiResponse text(String line) {
-    return of(200, Cbor.map().put("status", line));
+    return of(StatusCodes.OK, ResponseCodec.encodeText(line));
   }
 
-  /**
-   * What goes out for this answer when so much time has passed since it was made: a process that
-   * stood still in between must not say what others may have contradicted meanwhile.
-   */
-  ApiResponse after(long ageMs, long keepsMs) {
-    boolean tells = status < 300 || status == 404;
-    return tells && ageMs > keepsMs ? retryLater(503, "the answer is no longer new", 1) : this;
+  /** A failure that is reported at once, with the time after which to ask again. */
+  public static ApiResponse retryLater(int status, String message, int afterS) {
+    return new ApiResponse(status, ResponseCodec.encodeError(message), afterS);
   }
 
-  /** Can't be done now: said at once, with when to come back. */
-  public static ApiResponse retryLater(int status, String message, int afterS) {
-    return new ApiResponse(status, Cbor.write(Cbor.map().put("error", message)), afterS);
+  /** 404: the replica, read after the request was received, has no such job. */
+  static ApiResponse noSuchJob() {
+    return error(StatusCodes.NOT_FOUND, "no such job");
+  }
+
+  /** 503: the replica can't be brought up to date in the user's time. */
+  static ApiResponse stateUnavailable() {
+    return retryLater(StatusCodes.SERVICE_UNAVAILABLE, "the state can't be read now", 1);
+  }
+
+  /**
+   * This response, or a 503 in its place when it asserts a state and has become too old to be sent.
+   * A process that was suspended in between must not assert what other controllers may have
+   * contradicted meanwhile.
+   *
+   * @param ageMs time since this response was made
+   * @param maxAgeMs age up to which it may be sent
+   */
+  ApiResponse orExpired(long ageMs, long maxAgeMs) {
+    boolean assertsState = status < FIRST_NON_SUCCESS || status == StatusCodes.NOT_FOUND;
+    return assertsState && ageMs > maxAgeMs
+        ? retryLater(StatusCodes.SERVICE_UNAVAILABLE, "the answer is no longer new", 1)
+        : this;
   }
 }
--- a/src/main/java/org/ploverspindle/api/CancellationService.java
+++ b/src/main/java/org/ploverspindle/api/CancellationService.java
@@ -1,107 +1,105 @@
 package org.ploverspindle.api;
 
+import io.undertow.util.StatusCodes;
 import java.util.List;
 import java.util.function.Consumer;
 import org.ploverspindle.eventloop.Scheduler;
-import org.ploverspindle.net.Cbor;
-import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.TokenBucket;
 
-/** Takes cancellations in, and confirms them when they are durable. */
+/** Cancels jobs, and confirms that once it is durable. */
 final class CancellationService {
-  /** One that shares its transaction with jobs that end meanwhile is tried again for so long. */
+  /** Age from which an undecided request is no longer retried, as its user is about to give up. */
   private static final long RETRY_LIMIT_MS = 2_000;
 
-  private static final int OK = 200;
-
   private final Scheduler scheduler;
   private final LinearizableReads reads;
   private final JobStatusReader statuses;
-  private final CancellationWriter cancellations;
+  private final CancellationWriter writer;
 
+  /**
+   * @param maxChanges changes that a transaction may hold
+   */
   CancellationService(
       Scheduler scheduler,
-      StateStore store,
+      StateWrites writes,
       LinearizableReads reads,
       JobStatusReader statuses,
-      TokenBucket writes,
-      int txnOps,
-      LeaderNotifier leaderNotifier) {
+      int maxChanges) {
     this.scheduler = scheduler;
     this.reads = reads;
     this.statuses = statuses;
-    this.cancellations =
+    this.writer =
         new CancellationWriter(
             scheduler,
-            store,
-            writes,
-            txnOps,
+            writes.store(),
+            writes.budget(),
+            maxChanges,
             reads::readBarrier,
-            new ForwardToLeader(leaderNotifier));
+            new ForwardToLeader(writes.leaderNotifier()));
   }
 
   /**
-   * The leader hears of a cancellation when it is sent, so that it reads it by the time at which it
-   * is confirmed, and once more when it is durable, as that read may have come too early. On the
-   * leader itself the replica shows it before anybody is told.
+   * The leader is notified when a cancellation is sent, so that it has read it by the time at which
+   * it is confirmed, and again when it is durable, as that read may have been too early. On the
+   * leader itself the replica shows the cancellation before any user gets a response.
    */
-  private record ForwardToLeader(LeaderNotifier leaderHints)
+  private record ForwardToLeader(LeaderNotifier leaderNotifier)
       implements CancellationWriter.Listener {
     @Override
     public void sent() {
-      leaderHints.cancelling();
+      leaderNotifier.cancelling();
     }
 
     @Override
-    public void committed(List<Change.Put> cancellations, long ledger) {
-      leaderHints.cancelled(cancellations, ledger);
+    public void committed(List<Change.Put> cancellations, long revision) {
+      leaderNotifier.cancelled(cancellations, revision);
     }
   }
 
-  /** Cancels the job, unless it is over. */
+  /** Cancels the job, unless it is terminal. Answers with its status. */
   void cancel(String uid, Consumer<ApiResponse> then) {
-    if (!SubmissionCodec.validUid(uid)) {
-      then.accept(QueryService.noSuchJob());
+    if (!SubmissionCodec.isValidUid(uid)) {
+      then.accept(ApiResponse.noSuchJob());
     } else if (statuses.isTerminal(uid)) {
       then.accept(terminalResponse(uid));
     } else if (!reads.isLoaded()) {
-      then.accept(JobStatusReader.stateUnavailable());
+      then.accept(ApiResponse.stateUnavailable());
     } else {
-      long receivedMs = scheduler.nowMs();
-      reads.readBarrier(fresh -> cancelAfterRead(uid, fresh, 0, receivedMs, then));
+      Request request = new Request(uid, scheduler.nowMs(), then);
+      reads.readBarrier(fresh -> cancelAfterRead(request, fresh, 0));
     }
   }
 
+  private record Request(String uid, long receivedMs, Consumer<ApiResponse> then) {}
+
   private ApiResponse terminalResponse(String uid) {
-    return response(uid, statuses.isDone(uid) ? "done" : "aborted");
+    return response(uid, statuses.isDone(uid) ? JobStatus.DONE : JobStatus.ABORTED);
   }
 
-  private static ApiResponse response(String uid, String status) {
-    return ApiResponse.of(OK, Cbor.map().put("uid", uid).put("status", status));
+  private static ApiResponse response(String uid, JobStatus status) {
+    return ApiResponse.of(StatusCodes.OK, ResponseCodec.encodeStatus(uid, status));
   }
 
-  private void cancelAfterRead(
-      String uid, boolean fresh, int attempts, long receivedMs, Consumer<ApiResponse> then) {
+  private void cancelAfterRead(Request request, boolean fresh, int attempts) {
+    String uid = request.uid();
+    boolean expired = attempts > 0 && scheduler.nowMs() - request.receivedMs() > RETRY_LIMIT_MS;
     if (statuses.isTerminal(uid)) {
-      then.accept(terminalResponse(uid));
-    } else if (!fresh || attempts > 0 && scheduler.nowMs() - receivedMs > RETRY_LIMIT_MS) {
-      then.accept(JobStatusReader.stateUnavailable());
+      request.then().accept(terminalResponse(uid));
+    } else if (!fresh || expired) {
+      request.then().accept(ApiResponse.stateUnavailable());
     } else if (!statuses.isKnown(uid)) {
-      then.accept(QueryService.noSuchJob());
+      request.then().accept(ApiResponse.noSuchJob());
     } else {
-      cancellations.write(
-          uid,
-          outcome -> {
-            switch (outcome) {
-              case DURABLE -> then.accept(response(uid, "aborted"));
-              case REFUSED -> then.accept(JobStatusReader.stateUnavailable());
-              case UNCERTAIN ->
-                  reads.readBarrier(
-                      read -> cancelAfterRead(uid, read, attempts + 1, receivedMs, then));
-              case READ_BACK -> cancelAfterRead(uid, true, attempts + 1, receivedMs, then);
-            }
-          });
+      writer.write(uid, outcome -> handleOutcome(request, outcome, attempts + 1));
+    }
+  }
+
+  private void handleOutcome(Request request, CancellationWriter.Outcome outcome, int attempts) {
+    switch (outcome) {
+      case DURABLE -> request.then().accept(response(request.uid(), JobStatus.ABORTED));
+      case REFUSED -> request.then().accept(ApiResponse.stateUnavailable());
+      case UNCERTAIN -> reads.readBarrier(fresh -> cancelAfterRead(request, fresh, attempts));
+      case READ_BACK -> cancelAfterRead(request, true, attempts);
     }
   }
 }
--- a/src/main/java/org/ploverspindle/api/CancellationWriter.java
+++ b/src/main/java/org/ploverspindle/api/CancellationWriter.java
@@ -17,33 +17,36 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * Cancellations on their way into the store. While the store answers promptly, one transaction is
- * in flight and all that are asked for meanwhile share the next, since under many small jobs
- * requests are scarcer than changes. Once an answer is late, the others go on in transactions of
- * their own, a bounded number of them. Nothing is acknowledged before the record is durable.
+ * Writes cancellations to the state service. While it answers promptly, one transaction is in
+ * flight and all cancellations that are requested meanwhile share the next, since under many small
+ * jobs requests are scarcer than changes. Once a response is late, others are sent in transactions
+ * of their own, a bounded number of them. Nothing is acknowledged before the record is durable.
  *
- * <p>A transaction without an answer is read back early: the replica is read past the moment at
- * which it was sent, and whoever waits for it decides by the replica, which may mean to write the
- * same record again. The first transaction may still be carried out afterwards. That is harmless:
- * each has the absence of the job's end and of its cancellation as conditions and only creates the
- * cancellation, so of all transactions for a job, in whatever order they are carried out, at most
- * one takes effect, and none does once the job is done. If a late one takes effect after its user
- * was told to ask again, the job is cancelled as that user demanded, and nobody was told otherwise.
+ * <p>A transaction without a response is read back early: a read barrier is reached after it was
+ * sent, and each of its requests is decided by the replica, which may lead to the same record being
+ * written again. The first transaction may still be executed afterwards. That is harmless: each has
+ * the absence of the job's completion and of its cancellation as conditions and only creates the
+ * cancellation. So of all transactions for a job, in whatever order they are executed, at most one
+ * takes effect, and none does once the job is done. If a late one takes effect after its user was
+ * told to ask again, the job is cancelled as that user requested, and nobody was told otherwise.
  */
 final class CancellationWriter {
-  /** How the record of a cancellation came out. */
+  /** The outcome of writing one cancellation. */
   enum Outcome {
+    /** The cancellation is durable. */
     DURABLE,
+    /** The state service refused the transaction; nothing was written. */
     REFUSED,
-    /** Another record stood in the way, or nobody knows: only reading back tells. */
+    /** A condition failed, or there was no response: read the replica to find out. */
     UNCERTAIN,
     /**
-     * No answer came, and the replica has been read since: it tells, or the record is due again.
+     * There was no response, and the replica has been read since: it shows the job as terminal, or
+     * the cancellation is to be written again.
      */
     READ_BACK
   }
 
-  /** What others learn of the transactions, before anybody who waits for them is told. */
+  /** Is notified of the transactions, before the requests that wait for them are answered. */
   interface Listener {
     /** A transaction has just been sent. */
     void sent();
@@ -53,28 +56,35 @@
   }
 
   /**
-   * Beyond so many transactions without an answer the store does not serve, and more are no use.
+   * With this many transactions unanswered the state service is taken to be unavailable, and
+   * sending more would not help.
    */
   static final int MAX_IN_FLIGHT = 4;
 
   /**
-   * An answer that takes longer is late, and the others do not wait for it. Below that they share
-   * the next transaction; it also spaces the requests of a node whose answers are all lost.
+   * A response that takes longer is late, and the next transaction does not wait for it. Also
+   * bounds the rate of requests of a controller whose responses are all lost.
    */
   static final long NEXT_AFTER_MS = 100;
 
-  /**
-   * A transaction that is unanswered for so long is read back. The store answers within 10 ms as a
-   * rule and rarely takes a few hundred, so that few are read back for nothing.
-   */
+  /** Far above the usual time of a response, so that few are read back needlessly. */
   static final long READ_BACK_AFTER_MS = 300;
 
-  /** A transaction that was sent, with those who wait for its records. */
+  /** Requests that arrive in one turn of the event loop go into one transaction. */
+  private static final long FIRST_AFTER_MS = 1;
+
+  /** Field of a stored cancellation: the wall clock in milliseconds. */
+  private static final String STORED_AT = "at";
+
+  /**
+   * A transaction without an outcome, with the requests that wait for its records by job. A class,
+   * not a record: two transactions for the same jobs must not be equal.
+   */
   private static final class InFlight {
-    private final Map<String, List<Consumer<Outcome>>> askers;
+    private final Map<String, List<Consumer<Outcome>>> requests;
 
-    InFlight(Map<String, List<Consumer<Outcome>>> askers) {
-      this.askers = askers;
+    InFlight(Map<String, List<Consumer<Outcome>>> requests) {
+      this.requests = requests;
     }
   }
 
@@ -85,18 +95,21 @@
   private final Consumer<Consumer<Boolean>> readBarrier;
   private final Listener listener;
 
-  /** By job, so that a user who asks again meanwhile shares the record. */
+  /** By job, so that repeated requests share one record. */
   private Map<String, List<Consumer<Outcome>>> pendingRequests = new LinkedHashMap<>();
 
-  /** Who asks again for one of these shares its outcome, and needs no record of their own. */
+  /** A repeated request for a job of one of these shares its outcome. */
   private final List<InFlight> inFlight = new ArrayList<>();
 
   private Optional<Cancellable> scheduledSend = Optional.empty();
-  private long lastSentMs = Long.MIN_VALUE / 2;
+
+  /** Meaningful while a transaction is in flight. */
+  private long lastSentMs;
 
   /**
    * @param maxChanges changes that a transaction may hold
-   * @param readBarrier brings the replica past the moment of the call, or says false
+   * @param readBarrier reads the replica: calls with true once it is as new as the call, with false
+   *     when that fails
    */
   CancellationWriter(
       Scheduler scheduler,
@@ -113,15 +126,15 @@
     this.listener = listener;
   }
 
-  /** Writes the cancellation of a job that is not over by the replica. */
+  /** Writes the cancellation of a job that is not terminal by the replica. Calls once. */
   void write(String uid, Consumer<Outcome> then) {
     Map<String, List<Consumer<Outcome>>> shared =
         inFlight.stream()
-            .map(sent -> sent.askers)
-            .filter(askers -> askers.containsKey(uid))
+            .map(transaction -> transaction.requests)
+            .filter(requests -> requests.containsKey(uid))
             .findFirst()
             .orElse(pendingRequests);
-    shared.computeIfAbsent(uid, u -> new ArrayList<>()).add(then);
+    shared.computeIfAbsent(uid, job -> new ArrayList<>()).add(then);
     scheduleSend();
   }
 
@@ -131,8 +144,7 @@
     if (pendingRequests.isEmpty() || inFlight.size() >= MAX_IN_FLIGHT) {
       return;
     }
-    // Those that came with the same read of the replica go together.
-    long delayMs = 1;
+    long delayMs = FIRST_AFTER_MS;
     if (!inFlight.isEmpty()) {
       delayMs = Math.max(delayMs, lastSentMs + NEXT_AFTER_MS - scheduler.nowMs());
     }
@@ -144,12 +156,12 @@
     InFlight sent = new InFlight(takePendingRequests());
     inFlight.add(sent);
     lastSentMs = scheduler.nowMs();
-    writeBudget.take(sent.askers.size());
+    writeBudget.take(sent.requests.size());
     scheduleReadBack(sent);
-    List<Change.Put> cancellations = cancellationRecords(sent);
-    StateStore.Transaction txn =
-        new StateStore.Transaction(conditions(sent), List.copyOf(cancellations));
-    store.commit(txn, result -> handleResult(sent, cancellations, result));
+    List<Change.Put> records = cancellationRecords(sent);
+    StateStore.Transaction transaction =
+        new StateStore.Transaction(conditions(sent), List.copyOf(records));
+    store.commit(transaction, result -> handleResult(sent, records, result));
     listener.sent();
     scheduleSend();
   }
@@ -158,34 +170,33 @@
     Map<String, List<Consumer<Outcome>>> taken = new LinkedHashMap<>();
     Map<String, List<Consumer<Outcome>>> rest = new LinkedHashMap<>();
     pendingRequests.forEach(
-        (uid, askers) -> (taken.size() < maxChanges ? taken : rest).put(uid, askers));
+        (uid, requests) -> (taken.size() < maxChanges ? taken : rest).put(uid, requests));
     pendingRequests = rest;
     return taken;
   }
 
   private List<Change.Put> cancellationRecords(InFlight sent) {
-    List<Change.Put> cancellations = new ArrayList<>();
-    for (String uid : sent.askers.keySet()) {
-      cancellations.add(
-          new Change.Put(Keys.cancellation(uid), Cbor.map().put("at", scheduler.wallMs())));
+    List<Change.Put> records = new ArrayList<>();
+    for (String uid : sent.requests.keySet()) {
+      records.add(
+          new Change.Put(Keys.cancellation(uid), Cbor.map().put(STORED_AT, scheduler.wallMs())));
     }
-    return cancellations;
+    return records;
   }
 
-  /** Done and cancelled exclude each other: each is written only where the other is absent. */
+  /** Done and cancelled exclude each other: each is written only if the other is absent. */
   private static List<Condition> conditions(InFlight sent) {
     List<Condition> conditions = new ArrayList<>();
-    for (String uid : sent.askers.keySet()) {
+    for (String uid : sent.requests.keySet()) {
       conditions.add(new Condition(Keys.completion(uid), 0));
       conditions.add(new Condition(Keys.cancellation(uid), 0));
     }
     return conditions;
   }
 
-  private void handleResult(
-      InFlight sent, List<Change.Put> cancellations, TransactionResult result) {
+  private void handleResult(InFlight sent, List<Change.Put> records, TransactionResult result) {
     if (result instanceof TransactionResult.Committed committed) {
-      listener.committed(cancellations, committed.revision());
+      listener.committed(records, committed.revision());
     }
     settle(sent, outcome(result));
   }
@@ -197,30 +208,31 @@
     return result instanceof TransactionResult.Refused ? Outcome.REFUSED : Outcome.UNCERTAIN;
   }
 
-  /** Again and again until it is settled: the read may fail as well. */
+  /** Repeated until the transaction has an outcome, as the read may fail too. */
   private void scheduleReadBack(InFlight sent) {
     scheduler.schedule(
         READ_BACK_AFTER_MS,
         () -> {
           if (inFlight.contains(sent)) {
-            readBarrier.accept(
-                ok -> {
-                  if (ok) {
-                    settle(sent, Outcome.READ_BACK);
-                  } else {
-                    scheduleReadBack(sent);
-                  }
-                });
+            readBarrier.accept(fresh -> handleReadBack(sent, fresh));
           }
         });
   }
 
-  /** By identity: two transactions for the same jobs are not the same. */
+  private void handleReadBack(InFlight sent, boolean fresh) {
+    if (fresh) {
+      settle(sent, Outcome.READ_BACK);
+    } else {
+      scheduleReadBack(sent);
+    }
+  }
 
-  /** Once only: an answer that comes after the read-back, or the reverse, changes nothing. */
+  /** Takes effect once: of the response and the read-back, the later one is ignored. */
   private void settle(InFlight sent, Outcome outcome) {
     if (inFlight.remove(sent)) {
-      sent.askers.values().forEach(askers -> askers.forEach(a -> a.accept(outcome)));
+      for (List<Consumer<Outcome>> requests : sent.requests.values()) {
+        requests.forEach(request -> request.accept(outcome));
+      }
       scheduleSend();
     }
   }
--- a/src/main/java/org/ploverspindle/api/DependencyCheck.java
+++ b/src/main/java/org/ploverspindle/api/DependencyCheck.java
@@ -9,13 +9,15 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.AcceptedJobIndex.AcceptedJob;
 import org.ploverspindle.state.JobRecord;
 
 /**
- * May a job depend on the jobs that it names, and what can change about that while it is stored?
+ * Checks the dependencies of a job that is to be accepted, and finds the jobs whose cancellation
+ * would abort it while it is stored.
  */
 final class DependencyCheck {
-  /** Beyond so many unfinished jobs before it a job is accepted after a read instead. */
+  /** With more unfinished dependencies the job is accepted after a read instead. */
   private static final int MAX_GUARDS = 6;
 
   private final AcceptedJobIndex acceptedJobs;
@@ -24,20 +26,26 @@
   private final int maxGuards;
 
   /**
-   * @param conditions how many conditions a transaction has for one job's guards
+   * @param maxConditions how many conditions a transaction has for one job's guards
    */
   DependencyCheck(
-      AcceptedJobIndex specs, Pipelines pipelines, JobStatusReader states, int conditions) {
-    this.acceptedJobs = specs;
+      AcceptedJobIndex acceptedJobs,
+      Pipelines pipelines,
+      JobStatusReader statuses,
+      int maxConditions) {
+    this.acceptedJobs = acceptedJobs;
     this.pipelines = pipelines;
-    this.statuses = states;
-    this.maxGuards = Math.min(MAX_GUARDS, conditions);
+    this.statuses = statuses;
+    this.maxGuards = Math.min(MAX_GUARDS, maxConditions);
   }
 
-  /** Why the job can't depend on what it names; to be asked after a barrier. */
+  /**
+   * Why the job can't depend on what it names, as a message for its user. To be called after a read
+   * barrier, as the replica may not show a dependency before.
+   */
   Optional<String> invalidDependency(JobSpec spec) {
     for (String uid : spec.dependencies()) {
-      Optional<AcceptedJobIndex.AcceptedJob> dependency = acceptedJobs.get(uid);
+      Optional<AcceptedJob> dependency = acceptedJobs.get(uid);
       if (dependency.isEmpty()) {
         return Optional.of("awaits a job that was never accepted: " + uid);
       }
@@ -49,18 +57,21 @@
   }
 
   /**
-   * All jobs before this one that are not done, so that it is aborted exactly if one of them is
-   * cancelled. None if the replica shows that it is aborted, which no later fact can change. Empty
-   * when the replica does not show them all, or they are too many for a transaction's conditions.
+   * The guards of a job: all its direct and indirect dependencies that are not done, so that it is
+   * aborted exactly if one of them is cancelled.
+   *
+   * @return an empty list if the replica shows that the job is aborted already, which is final; no
+   *     list when the replica does not show all dependencies, or they are too many for the
+   *     conditions of a transaction
    */
   Optional<List<String>> guards(JobSpec spec) {
     if (invalidDependency(spec).isPresent()) {
       return Optional.empty();
     }
     Set<String> unfinished = new LinkedHashSet<>();
-    Deque<String> work = new ArrayDeque<>(spec.dependencies());
-    while (!work.isEmpty()) {
-      String uid = work.poll();
+    Deque<String> unvisited = new ArrayDeque<>(spec.dependencies());
+    while (!unvisited.isEmpty()) {
+      String uid = unvisited.poll();
       if (statuses.isAborted(uid)) {
         return Optional.of(List.of());
       }
@@ -68,7 +79,7 @@
         if (unfinished.size() > maxGuards || !pipelines.graph().isKnown(uid)) {
           return Optional.empty();
         }
-        work.addAll(pipelines.graph().dependenciesOf(uid));
+        unvisited.addAll(pipelines.graph().dependenciesOf(uid));
       }
     }
     return Optional.of(List.copyOf(unfinished));
--- a/src/main/java/org/ploverspindle/api/DependencyListWriter.java
+++ b/src/main/java/org/ploverspindle/api/DependencyListWriter.java
@@ -1,5 +1,6 @@
 package org.ploverspindle.api;
 
+import io.undertow.util.StatusCodes;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.LinkedHashMap;
@@ -20,141 +21,171 @@
 /**
  * Stores long lists of dependencies, part by part, before the jobs that they belong to.
  *
- * <p>Parts are named by the whole list's content and written only where they are absent. So a part
- * that stands is the right one whoever wrote it, also late, and a list that was begun is gone on
- * with, here after its user was sent away, and elsewhere when the user's repeat comes there.
+ * <p>Writing is idempotent: parts are named by the whole list's content and written only if absent.
+ * So a stored part is the right one whoever wrote it, even late, and a list that was begun is
+ * completed: here after its user got a response, and elsewhere when the user repeats the request
+ * there.
  */
 final class DependencyListWriter {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyListWriter.class);
-  private static final int MOST_BYTES = 56 * 1024;
-  private static final int MOST_LISTS = 20;
+  private static final int MAX_TRANSACTION_BYTES = 56 * 1024;
+  private static final int MAX_LISTS = 20;
+  private static final int TRANSACTION_FRAME_BYTES = 200;
 
-  /** A part's key stands in its change and in its condition. */
-  private static final int FRAME_BYTES = 250;
+  /** A part's key occurs in its change and in its condition. */
+  private static final int PART_FRAME_BYTES = 250;
 
-  /** So long after its last request users no longer repeat it. */
-  private static final long KEEPS_ON_MS = 60_000;
+  /** Time after its last request in which a user may still repeat it. */
+  private static final long KEEP_AFTER_REQUEST_MS = 60_000;
 
-  private static final long AGAIN_MS = 700;
+  private static final long RETRY_MS = 700;
 
-  /** Of all nodes' changes; the rest is for the leader's work meanwhile. */
-  private static final double SHARE = 0.4;
+  /** Share of the state service's changes; the rest is left to the leader. */
+  private static final double SHARE_OF_CHANGES = 0.4;
 
   private static final class PendingList {
     private final DependenciesRecord list;
-    private final BitSet standing = new BitSet();
-    private final List<Consumer<Boolean>> askers = new ArrayList<>();
-    private long untilMs;
+    private final BitSet storedParts = new BitSet();
+    private final List<Consumer<Boolean>> requests = new ArrayList<>();
+    private long expiresMs;
 
     private PendingList(DependenciesRecord list) {
       this.list = list;
     }
   }
 
+  /** The parts of one transaction, as many as fit. */
+  private static final class PartBatch {
+    private final List<Condition> conditions = new ArrayList<>();
+    private final List<Change> changes = new ArrayList<>();
+    private final List<Integer> parts = new ArrayList<>();
+    private int bytes = TRANSACTION_FRAME_BYTES;
+
+    /** Adds the part, unless the transaction is full. A first part always fits. */
+    boolean add(DependenciesRecord list, int part, int maxChanges) {
+      int size = Cbor.jsonSize(list.parts().get(part)) + PART_FRAME_BYTES;
+      if (changes.size() >= maxChanges
+          || !changes.isEmpty() && bytes + size > MAX_TRANSACTION_BYTES) {
+        return false;
+      }
+      conditions.add(new Condition(list.key(part), 0));
+      changes.add(new Change.Put(list.key(part), list.parts().get(part)));
+      parts.add(part);
+      bytes += size;
+      return true;
+    }
+  }
+
   private final Scheduler scheduler;
   private final StateStore store;
   private final Replica replica;
-  private final int txnOps;
-  private final double perPartMs;
-  private final Map<String, PendingList> uploads = new LinkedHashMap<>();
+  private final int maxChanges;
+  private final double msPerPart;
+
+  /** By the list's name, the oldest first. */
+  private final Map<String, PendingList> pendingLists = new LinkedHashMap<>();
+
+  /** A transaction is in flight, or the time before the next one has not passed. */
   private boolean busy;
 
+  /**
+   * @param maxChanges changes that a transaction may hold
+   * @param changesPerSecond what the state service allows all controllers together
+   */
   DependencyListWriter(
-      Scheduler scheduler, StateStore store, Replica replica, int txnOps, double writeRps) {
+      Scheduler scheduler,
+      StateStore store,
+      Replica replica,
+      int maxChanges,
+      double changesPerSecond) {
     this.scheduler = scheduler;
     this.store = store;
     this.replica = replica;
-    this.txnOps = txnOps;
-    this.perPartMs = 1000 / (writeRps * SHARE);
+    this.maxChanges = maxChanges;
+    this.msPerPart = 1000 / (changesPerSecond * SHARE_OF_CHANGES);
   }
 
+  /** Whether no further list may be written now. */
   boolean isFull() {
-    return uploads.size() >= MOST_LISTS;
+    return pendingLists.size() >= MAX_LISTS;
   }
 
-  /** Calls with true once every part stands, and with false when that can't be reached. */
+  /** Calls with true once every part is durable, and with false when that can't be reached. */
   void write(DependenciesRecord list, Consumer<Boolean> then) {
-    PendingList upload = uploads.computeIfAbsent(list.name(), n -> new PendingList(list));
-    upload.askers.add(then);
-    upload.untilMs = scheduler.nowMs() + KEEPS_ON_MS;
-    step();
+    PendingList pending = pendingLists.computeIfAbsent(list.name(), name -> new PendingList(list));
+    pending.requests.add(then);
+    pending.expiresMs = scheduler.nowMs() + KEEP_AFTER_REQUEST_MS;
+    writeNext();
   }
 
   /** The oldest list first, one transaction at a time. */
-  private void step() {
-    while (!busy && !uploads.isEmpty()) {
-      PendingList upload = uploads.values().iterator().next();
-      List<Integer> missing = missing(upload);
+  private void writeNext() {
+    while (!busy && !pendingLists.isEmpty()) {
+      PendingList pending = pendingLists.values().iterator().next();
+      List<Integer> missing = missingParts(pending);
       if (missing.isEmpty()) {
-        end(upload, true);
-      } else if (scheduler.nowMs() > upload.untilMs) {
-        end(upload, false);
+        finish(pending, true);
+      } else if (scheduler.nowMs() > pending.expiresMs) {
+        finish(pending, false);
       } else {
-        send(upload, missing);
+        send(pending, missing);
       }
     }
   }
 
-  private List<Integer> missing(PendingList upload) {
+  private List<Integer> missingParts(PendingList pending) {
     List<Integer> missing = new ArrayList<>();
-    for (int i = 0; i < upload.list.parts().size(); i++) {
-      if (!upload.standing.get(i) && replica.get(upload.list.key(i)).isEmpty()) {
-        missing.add(i);
+    for (int part = 0; part < pending.list.parts().size(); part++) {
+      if (!pending.storedParts.get(part) && replica.get(pending.list.key(part)).isEmpty()) {
+        missing.add(part);
       }
     }
     return missing;
   }
 
-  private void end(PendingList upload, boolean stands) {
-    uploads.remove(upload.list.name());
-    upload.askers.forEach(a -> a.accept(stands));
+  private void finish(PendingList pending, boolean stored) {
+    pendingLists.remove(pending.list.name());
+    pending.requests.forEach(request -> request.accept(stored));
   }
 
-  private void send(PendingList upload, List<Integer> missing) {
-    List<Condition> conditions = new ArrayList<>();
-    List<Change> changes = new ArrayList<>();
-    List<Integer> sent = new ArrayList<>();
-    int bytes = 200;
+  private void send(PendingList pending, List<Integer> missing) {
+    PartBatch batch = new PartBatch();
     for (int part : missing) {
-      int size = Cbor.jsonSize(upload.list.parts().get(part)) + FRAME_BYTES;
-      if (changes.size() >= txnOps || !changes.isEmpty() && bytes + size > MOST_BYTES) {
+      if (!batch.add(pending.list, part, maxChanges)) {
         break;
       }
-      conditions.add(new Condition(upload.list.key(part), 0));
-      changes.add(new Change.Put(upload.list.key(part), upload.list.parts().get(part)));
-      sent.add(part);
-      bytes += size;
     }
     busy = true;
-    long nextMs = scheduler.nowMs() + Math.round(sent.size() * perPartMs);
+    long nextMs = scheduler.nowMs() + Math.round(batch.parts.size() * msPerPart);
     store.commit(
-        new StateStore.Transaction(conditions, changes), r -> answered(upload, sent, nextMs, r));
+        new StateStore.Transaction(batch.conditions, batch.changes),
+        result -> handleResult(pending, batch.parts, nextMs, result));
   }
 
-  private void answered(
-      PendingList upload, List<Integer> sent, long nextMs, TransactionResult result) {
+  private void handleResult(
+      PendingList pending, List<Integer> parts, long nextMs, TransactionResult result) {
     if (result instanceof TransactionResult.Committed) {
-      sent.forEach(upload.standing::set);
-      boolean last = missing(upload).isEmpty();
-      goOnIn(last ? 0 : nextMs - scheduler.nowMs());
+      parts.forEach(pending.storedParts::set);
+      boolean complete = missingParts(pending).isEmpty();
+      continueAfter(complete ? 0 : nextMs - scheduler.nowMs());
     } else if (result instanceof TransactionResult.Refused refused) {
-      if (refused.status() == 400) {
-        LOG.error("a part of {}'s list of jobs is refused for good", upload.list.name());
-        end(upload, false);
+      if (refused.status() == StatusCodes.BAD_REQUEST) {
+        LOG.error("dependency list rejected by the state service: list={}", pending.list.name());
+        finish(pending, false);
       }
-      goOnIn(AGAIN_MS);
+      continueAfter(RETRY_MS);
     } else {
-      // Some stand already, or may yet come to stand: what is read says which are missing.
-      replica.readBarrier(ok -> goOnIn(ok ? nextMs - scheduler.nowMs() : AGAIN_MS));
+      // Some parts are stored already, or may yet become so: the replica shows which are missing.
+      replica.readBarrier(fresh -> continueAfter(fresh ? nextMs - scheduler.nowMs() : RETRY_MS));
     }
   }
 
-  private void goOnIn(long ms) {
-    if (ms <= 0) {
-      busy = false;
-      step();
+  private void continueAfter(long delayMs) {
+    if (delayMs > 0) {
+      scheduler.schedule(delayMs, () -> continueAfter(0));
     } else {
-      scheduler.schedule(ms, () -> goOnIn(0));
+      busy = false;
+      writeNext();
     }
   }
 }
--- a/src/main/java/org/ploverspindle/api/Feasibility.java
+++ b/src/main/java/org/ploverspindle/api/Feasibility.java
@@ -7,9 +7,9 @@
 import org.ploverspindle.model.MachineType;
 import org.ploverspindle.settings.Settings;
 
-/** Can a job ever run, given the teams' limits and the machine types? */
+/** Whether a job can ever run, given the teams' limits and the machine types. */
 final class Feasibility {
-  /** Amounts are sums of decimal numbers. */
+  /** Amounts are sums of decimal fractions, which are not exact. */
   private static final double ROUNDING = 1e-9;
 
   private final Settings settings;
@@ -20,26 +20,28 @@
     this.catalogue = catalogue;
   }
 
-  /** Without the machine types nothing can be decided. */
+  /** Whether the machine types are known, without which nothing can be decided. */
   boolean isDecidable() {
     return catalogue.isKnown();
   }
 
-  /** Why the job can never run, if so. */
+  /** Why the job can never run, as a message for its user; empty if it can. */
   Optional<String> reasonNeverRuns(JobSpec spec) {
     Optional<Settings.Team> team = settings.team(spec.team());
     if (team.isEmpty()) {
       return Optional.of("unknown team");
     }
-    int counted = spec.kind() == JobKind.BATCH ? 1 : spec.tasks();
-    if (exceeds(team.get().coresMax(), spec.cores() * counted)
-        || exceeds(team.get().acceleratorsMax(), spec.accelerators() * counted)) {
+    // A batch job can run one task at a time; the others need all of theirs at once.
+    int simultaneousTasks = spec.kind() == JobKind.BATCH ? 1 : spec.tasks();
+    if (exceeds(team.get().coresMax(), spec.cores() * simultaneousTasks)
+        || exceeds(team.get().acceleratorsMax(), spec.accelerators() * simultaneousTasks)) {
       return Optional.of("more than the team's limit");
     }
     boolean fits = catalogue.types().stream().anyMatch(type -> fits(spec, type));
     return fits ? Optional.empty() : Optional.of("a task fits no allowed machine type");
   }
 
+  /** Whether the cloud has a machine type of that name. */
   boolean isKnownType(String name) {
     return catalogue.typeIndex(name).isPresent();
   }
--- a/src/main/java/org/ploverspindle/api/JobStatusReader.java
+++ b/src/main/java/org/ploverspindle/api/JobStatusReader.java
@@ -1,84 +1,88 @@
 package org.ploverspindle.api;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.undertow.util.StatusCodes;
 import java.util.Optional;
-import org.ploverspindle.net.Cbor;
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.state.AcceptedJobIndex;
+import org.ploverspindle.state.AcceptedJobIndex.AcceptedJob;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressCounts;
 import org.ploverspindle.state.Replica;
 
-/** How jobs are by the replica. Whether the replica is new enough is the caller's question. */
+/**
+ * The state of jobs as the replica shows it. Whether the replica is new enough to answer by is up
+ * to the caller; see {@link LinearizableReads}.
+ */
 final class JobStatusReader {
-  private static final int OK = 200;
-  private static final int UNAVAILABLE = 503;
+  /** Field of a stored job record. */
+  private static final String STORED_TASKS = "tasks";
 
   private final Replica replica;
   private final AcceptedJobIndex acceptedJobs;
   private final Pipelines pipelines;
   private final ProgressCounts counts;
 
-  JobStatusReader(
-      Replica replica, AcceptedJobIndex acceptedJobs, Pipelines pipelines, ProgressCounts counts) {
-    this.replica = replica;
-    this.acceptedJobs = acceptedJobs;
-    this.pipelines = pipelines;
-    this.counts = counts;
-  }
-
-  /** The answer to who asks when the replica can't be read in time. */
-  static ApiResponse stateUnavailable() {
-    return ApiResponse.retryLater(UNAVAILABLE, "the state can't be read now", 1);
+  JobStatusReader(JobViews views) {
+    this.replica = views.replica();
+    this.acceptedJobs = views.acceptedJobs();
+    this.pipelines = views.pipelines();
+    this.counts = views.counts();
   }
 
+  /** Whether the replica shows that the job was accepted. */
   boolean isKnown(String uid) {
     return acceptedJobs.get(uid).isPresent();
   }
 
   /** The job's state; empty when the replica has no such job. */
-  Optional<ObjectNode> state(String uid) {
-    Optional<AcceptedJobIndex.AcceptedJob> spec = acceptedJobs.get(uid);
-    if (spec.isEmpty()) {
-      return Optional.empty();
-    }
-    int tasks = spec.get().value().path("tasks").asInt();
-    ObjectNode body = Cbor.map().put("uid", uid);
+  Optional<JobState> state(String uid) {
+    return acceptedJobs.get(uid).map(job -> state(uid, job));
+  }
+
+  private JobState state(String uid, AcceptedJob job) {
     if (isDone(uid)) {
-      return Optional.of(body.put("status", "done").put("done", tasks).put("running", 0));
+      return new JobState(uid, JobStatus.DONE, job.value().path(STORED_TASKS).asInt(), 0);
     }
     ProgressCounts.Counts known = counts.of(uid);
     if (isAborted(uid)) {
-      return Optional.of(body.put("status", "aborted").put("done", known.done()).put("running", 0));
+      return new JobState(uid, JobStatus.ABORTED, known.done(), 0);
     }
-    String status = known.running() > 0 ? "running" : "queued";
-    return Optional.of(
-        body.put("status", status).put("done", known.done()).put("running", known.running()));
+    JobStatus status = known.running() > 0 ? JobStatus.RUNNING : JobStatus.QUEUED;
+    return new JobState(uid, status, known.done(), known.running());
   }
 
-  /** The state as an answer; empty when the replica has no such job. */
+  /** The state as a 200 response; empty when the replica has no such job. */
   Optional<ApiResponse> response(String uid) {
-    return state(uid).map(state -> ApiResponse.of(OK, state));
+    return state(uid).map(job -> ApiResponse.of(StatusCodes.OK, ResponseCodec.encodeState(job)));
   }
 
-  /** What is read back after a write, if the replica was read since. */
+  /**
+   * The state of a job that was written before the read barrier.
+   *
+   * @param fresh whether the read barrier was reached
+   * @return a 503 if it was not, or if the replica does not have the job, as the write may still be
+   *     executed
+   */
   ApiResponse responseAfterRead(String uid, boolean fresh) {
-    return fresh ? response(uid).orElseGet(JobStatusReader::stateUnavailable) : stateUnavailable();
+    return fresh
+        ? response(uid).orElseGet(ApiResponse::stateUnavailable)
+        : ApiResponse.stateUnavailable();
   }
 
+  /** Whether the job's completion is durable. */
   boolean isDone(String uid) {
     return replica.get(Keys.completion(uid)).isPresent();
   }
 
-  /** Done or cancelled: it stays so, and no newer answer can differ. */
+  /** Done or aborted: it stays so, hence a response needs no newer read. */
   boolean isTerminal(String uid) {
     return isKnown(uid) && (isDone(uid) || isAborted(uid));
   }
 
   /**
-   * By its own cancellation, or by that of a job before it: the replica shows all of them at once,
-   * so that this is as new as the replica. While it is loaded it need not be known yet which of two
-   * records of a job counts.
+   * Aborted by its own cancellation, or by that of a direct or indirect dependency. The replica
+   * shows all of them as of one revision, so this is as new as the replica. Dependencies count only
+   * once the replica is loaded: before that, which of two records of a job is valid may be unknown.
    */
   boolean isAborted(String uid) {
     return replica.get(Keys.cancellation(uid)).isPresent()
--- a/src/main/java/org/ploverspindle/api/LeaderNotifier.java
+++ b/src/main/java/org/ploverspindle/api/LeaderNotifier.java
@@ -4,16 +4,16 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /**
- * Tells whoever leads that there is something to read in the state service. A hint may be lost; the
- * leader then learns by its next read.
+ * Notifies the leader, wherever it is, that there is something to read in the state service. A
+ * notification may be lost; the leader then learns of it by its next read.
  */
 public interface LeaderNotifier {
-  /** A cancellation was just sent to the state service, and may stand there in a moment. */
+  /** A cancellation was just sent to the state service, and may become durable any time. */
   void cancelling();
 
-  /** These cancellations are durable, as of that revision; nobody has been told yet. */
-  void cancelled(List<Change.Put> cancellations, long ledger);
+  /** These cancellations are durable, as of that revision; no user has got a response yet. */
+  void cancelled(List<Change.Put> cancellations, long revision);
 
-  /** A job of this node is durable. */
+  /** Jobs that this controller accepted are durable. */
   void accepted();
 }
--- a/src/main/java/org/ploverspindle/api/LinearizableReads.java
+++ b/src/main/java/org/ploverspindle/api/LinearizableReads.java
@@ -4,11 +4,17 @@
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.state.Replica;
 
-/** Waits until the replica is as new as a user's question, for as long as the user waits. */
+/**
+ * Linearizable reads for users: waits until the replica is as new as a request, for as long as its
+ * user waits.
+ */
 final class LinearizableReads {
   private static final long BARRIER_TIMEOUT_MS = 1_400;
 
-  /** The replica is read more often than that: who waits for the next read would wait in vain. */
+  /**
+   * Far above the replica's read interval. At such an age the state service can't be reached, and
+   * waiting for the next read would only use up the user's time.
+   */
   private static final long STALE_AFTER_MS = 4_000;
 
   private final Scheduler scheduler;
@@ -19,47 +25,47 @@
     this.replica = replica;
   }
 
-  /** Calls with true at the barrier, or with false when it can't be had in the user's time. */
+  /**
+   * Calls once: with true when the replica is as new as this call, with false when that takes
+   * longer than the user waits.
+   */
   void readBarrier(Consumer<Boolean> then) {
     readBarrier(replica::readBarrier, then);
   }
 
-  /** The same for who has time. */
+  /** The same for a request that may wait for reads that others need anyway. */
   void lowPriorityReadBarrier(Consumer<Boolean> then) {
     readBarrier(replica::lowPriorityReadBarrier, then);
   }
 
   private void readBarrier(Consumer<Consumer<Boolean>> read, Consumer<Boolean> then) {
-    long cameMs = scheduler.nowMs();
-    boolean[] answered = {false};
-    Consumer<Boolean> once =
-        fresh -> {
-          if (!answered[0]) {
-            answered[0] = true;
-            // Where this process stood still in between, others may have said newer things.
-            then.accept(fresh && scheduler.nowMs() - cameMs <= BARRIER_TIMEOUT_MS);
-          }
-        };
     if (isStale()) {
-      // It is tried all the same, for those who come later; this one is told at once.
+      // The read is started all the same, for later requests.
       refresh();
-      once.accept(false);
+      then.accept(false);
       return;
     }
-    read.accept(once);
-    scheduler.schedule(BARRIER_TIMEOUT_MS, () -> once.accept(false));
+    long receivedMs = scheduler.nowMs();
+    // The clock is read again: when this process was suspended in between, other controllers may
+    // have answered with something newer.
+    Consumer<Boolean> first =
+        new SingleUse<>(
+            fresh -> then.accept(fresh && scheduler.nowMs() - receivedMs <= BARRIER_TIMEOUT_MS));
+    read.accept(first);
+    scheduler.schedule(BARRIER_TIMEOUT_MS, () -> first.accept(false));
   }
 
-  /** Has the replica not been read for so long that the next read will hardly come in time? */
+  /** Whether the last read is so long ago that the next one will hardly be answered in time. */
   boolean isStale() {
     return scheduler.nowMs() - replica.freshAsOfMs() > STALE_AFTER_MS;
   }
 
+  /** Whether the replica has read the whole state at least once. */
   boolean isLoaded() {
     return replica.isLoaded();
   }
 
-  /** Has the replica read, for those who come later. */
+  /** Starts a read of the replica, for later requests. */
   void refresh() {
     replica.readBarrier(fresh -> {});
   }
--- a/src/main/java/org/ploverspindle/api/QueryService.java
+++ b/src/main/java/org/ploverspindle/api/QueryService.java
@@ -8,60 +8,58 @@
 import org.ploverspindle.pipelines.DependencyGraph;
 import org.ploverspindle.pipelines.Pipelines;
 
-/** Answers questions about jobs. */
+/** Answers queries about jobs. */
 final class QueryService {
-  private static final int NOT_FOUND = 404;
   private static final int MAX_EXPLAINED_DEPENDENCIES = 50;
 
   private final LinearizableReads reads;
   private final JobStatusReader statuses;
   private final Pipelines pipelines;
 
-  QueryService(LinearizableReads reads, JobStatusReader states, Pipelines pipelines) {
+  QueryService(LinearizableReads reads, JobStatusReader statuses, Pipelines pipelines) {
     this.reads = reads;
-    this.statuses = states;
+    this.statuses = statuses;
     this.pipelines = pipelines;
   }
 
-  /** Answers a poll, no older than what any node told before it came. */
+  /** Answers with the job's state, no older than what any controller answered before. */
   void poll(String uid, Consumer<ApiResponse> then) {
-    if (!SubmissionCodec.validUid(uid)) {
-      then.accept(noSuchJob());
+    if (!SubmissionCodec.isValidUid(uid)) {
+      then.accept(ApiResponse.noSuchJob());
     } else if (statuses.isTerminal(uid)) {
-      // What is over stays so: no newer answer can differ.
       then.accept(statuses.response(uid).orElseThrow());
     } else if (!reads.isLoaded()) {
-      then.accept(JobStatusReader.stateUnavailable());
+      then.accept(ApiResponse.stateUnavailable());
     } else {
-      // Polls come every few seconds for each job, and nobody waits for one to go on.
-      reads.lowPriorityReadBarrier(
-          fresh ->
-              then.accept(
-                  fresh
-                      ? statuses.response(uid).orElseGet(QueryService::noSuchJob)
-                      : JobStatusReader.stateUnavailable()));
+      // Every job is polled every few seconds, and no user's work waits for the response.
+      reads.lowPriorityReadBarrier(fresh -> then.accept(responseAfterRead(uid, fresh)));
     }
   }
 
-  static ApiResponse noSuchJob() {
-    return ApiResponse.error(NOT_FOUND, "no such job");
+  private ApiResponse responseAfterRead(String uid, boolean fresh) {
+    return fresh
+        ? statuses.response(uid).orElseGet(ApiResponse::noSuchJob)
+        : ApiResponse.stateUnavailable();
   }
 
-  /** For people: how the replica has the job, and what it awaits. */
+  /** For operators: the job's state by the replica, and its unfinished dependencies. */
   String explain(String uid) {
-    Optional<String> status = statuses.state(uid).map(state -> state.path("status").asText());
-    if (status.isEmpty()) {
+    Optional<JobState> job = statuses.state(uid);
+    if (job.isEmpty()) {
       return uid + " is not known here";
     }
     if (!pipelines.isWaiting(uid)) {
-      return uid + " is " + status.get() + " and awaits nothing";
+      return uid + " is " + job.get().status().wireName() + " and awaits nothing";
     }
-    DependencyGraph graph = pipelines.graph();
-    if (!graph.isKnown(uid)) {
+    if (!pipelines.graph().isKnown(uid)) {
       return uid + " is queued; the list of jobs that it awaits is not read yet";
     }
+    return explainDependencies(uid, pipelines.graph());
+  }
+
+  private String explainDependencies(String uid, DependencyGraph graph) {
     List<String> unfinished = graph.unfinished(uid);
-    String named =
+    String described =
         unfinished.stream()
             .limit(MAX_EXPLAINED_DEPENDENCIES)
             .map(this::describe)
@@ -72,14 +70,14 @@
         + " of "
         + graph.dependenciesOf(uid).size()
         + " jobs: "
-        + named
+        + described
         + (unfinished.size() > MAX_EXPLAINED_DEPENDENCIES ? ", ..." : "");
   }
 
   private String describe(String uid) {
     String status =
-        statuses.state(uid).map(state -> state.path("status").asText()).orElse("not known here");
-    int others = pipelines.isWaiting(uid) ? pipelines.graph().unfinished(uid).size() : 0;
-    return uid + " (" + status + (others > 0 ? ", awaits " + others : "") + ")";
+        statuses.state(uid).map(job -> job.status().wireName()).orElse("not known here");
+    int unfinished = pipelines.isWaiting(uid) ? pipelines.graph().unfinished(uid).size() : 0;
+    return uid + " (" + status + (unfinished > 0 ? ", awaits " + unfinished : "") + ")";
   }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/api/RequestDispatcher.java
@@ -0,0 +1,103 @@
+package org.ploverspindle.api;
+
+import io.undertow.io.Receiver;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.Headers;
+import io.undertow.util.SameThreadExecutor;
+import io.undertow.util.StatusCodes;
+import java.nio.ByteBuffer;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.ploverspindle.eventloop.EventLoop;
+import org.ploverspindle.eventloop.EventPriority;
+
+/** Takes requests from the I/O thread to the event loop, and responses back. */
+final class RequestDispatcher {
+  static final int MAX_BODY_BYTES = 64 * 1024;
+
+  /** Age at which a response is not sent any more: users give up after two seconds. */
+  private static final long MAX_RESPONSE_AGE_MS = 1_000;
+
+  /** The same for heartbeats: workers give up after four seconds. */
+  private static final long MAX_HEARTBEAT_RESPONSE_AGE_MS = 2_500;
+
+  private static final String CONTENT_TYPE = "application/cbor";
+
+  /** Work for the event loop that needs the request's body. */
+  @FunctionalInterface
+  interface BodyHandler {
+    void accept(byte[] body, Consumer<ApiResponse> then);
+  }
+
+  private final EventLoop loop;
+  private final BooleanSupplier ready;
+
+  /**
+   * @param ready whether this controller is the one to ask
+   */
+  RequestDispatcher(EventLoop loop, BooleanSupplier ready) {
+    this.loop = loop;
+    this.ready = ready;
+  }
+
+  /** Reads the body, and then has the work done on the event loop. */
+  void dispatchBody(HttpServerExchange exchange, EventPriority priority, BodyHandler work) {
+    Receiver receiver = exchange.getRequestReceiver();
+    receiver.setMaxBufferSize(MAX_BODY_BYTES);
+    receiver.receiveFullBytes(
+        (received, body) -> dispatch(received, priority, then -> work.accept(body, then)),
+        this::refuseBody);
+  }
+
+  private void refuseBody(HttpServerExchange exchange, Exception cause) {
+    // What remains of the body would be taken for the next request.
+    exchange.setPersistent(false);
+    boolean tooLarge =
+        cause instanceof Receiver.RequestToLargeException
+            || exchange.getRequestContentLength() > MAX_BODY_BYTES;
+    send(
+        exchange,
+        tooLarge
+            ? ApiResponse.error(StatusCodes.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+            : ApiResponse.error(StatusCodes.BAD_REQUEST, "the body could not be read"));
+  }
+
+  /** Has the work done on the event loop; it calls its argument with the response. */
+  void dispatch(
+      HttpServerExchange exchange, EventPriority priority, Consumer<Consumer<ApiResponse>> work) {
+    long maxAgeMs =
+        priority == EventPriority.HEARTBEAT ? MAX_HEARTBEAT_RESPONSE_AGE_MS : MAX_RESPONSE_AGE_MS;
+    Runnable task = () -> work.accept(response -> respond(exchange, response, maxAgeMs));
+    if (exchange.isInIoThread()) {
+      exchange.dispatch(SameThreadExecutor.INSTANCE, () -> loop.execute(priority, task));
+    } else {
+      loop.execute(priority, task);
+    }
+  }
+
+  private void respond(HttpServerExchange exchange, ApiResponse response, long maxAgeMs) {
+    long madeMs = loop.nowMs();
+    exchange
+        .getIoThread()
+        .execute(() -> send(exchange, response.orExpired(loop.nowMs() - madeMs, maxAgeMs)));
+  }
+
+  /** Sends the response, on the I/O thread. Does nothing if there has been one. */
+  void send(HttpServerExchange exchange, ApiResponse response) {
+    if (exchange.isResponseStarted()) {
+      return;
+    }
+    if (response.status() == StatusCodes.SERVICE_UNAVAILABLE && !ready.getAsBoolean()) {
+      // Through a new connection the load balancer can choose a controller that is ready; on this
+      // one the client would ask here again.
+      exchange.setPersistent(false);
+    }
+    exchange.setStatusCode(response.status());
+    if (response.retryAfterS() > 0) {
+      exchange.getResponseHeaders().put(Headers.RETRY_AFTER, response.retryAfterS());
+    }
+    exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, CONTENT_TYPE);
+    exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, response.body().length);
+    exchange.getResponseSender().send(ByteBuffer.wrap(response.body()));
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/api/RequestRouter.java
@@ -0,0 +1,134 @@
+package org.ploverspindle.api;
+
+import io.undertow.server.HttpHandler;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import io.undertow.util.Methods;
+import io.undertow.util.StatusCodes;
+import java.util.Deque;
+import java.util.Optional;
+import java.util.function.BooleanSupplier;
+import org.ploverspindle.eventloop.EventPriority;
+
+/** Routes requests by path and method. Runs on the I/O thread. */
+final class RequestRouter implements HttpHandler {
+  private static final String HEARTBEATS = "/checkin";
+  private static final String READINESS = "/ready";
+  private static final String STATUS = "/status";
+  private static final String JOBS = "/submissions";
+  private static final String CANCEL_SUFFIX = "/withdraw";
+  private static final String JOB_PARAMETER = "job";
+
+  private final UserApi.RequestHandler handler;
+  private final UserAdmission admission;
+  private final RequestDispatcher dispatcher;
+  private final BooleanSupplier ready;
+
+  RequestRouter(
+      UserApi.RequestHandler handler,
+      UserAdmission admission,
+      RequestDispatcher dispatcher,
+      BooleanSupplier ready) {
+    this.handler = handler;
+    this.admission = admission;
+    this.dispatcher = dispatcher;
+    this.ready = ready;
+  }
+
+  @Override
+  public void handleRequest(HttpServerExchange exchange) {
+    String path = exchange.getRequestPath();
+    switch (path) {
+      case HEARTBEATS -> heartbeat(exchange);
+      case READINESS -> readiness(exchange);
+      case STATUS -> status(exchange);
+      case JOBS -> submit(exchange);
+      default -> {
+        if (path.startsWith(JOBS + "/")) {
+          job(exchange, path.substring(JOBS.length() + 1));
+        } else {
+          notFound(exchange);
+        }
+      }
+    }
+  }
+
+  private void heartbeat(HttpServerExchange exchange) {
+    if (allows(exchange, Methods.POST)) {
+      dispatcher.dispatchBody(exchange, EventPriority.HEARTBEAT, handler::heartbeat);
+    }
+  }
+
+  private void readiness(HttpServerExchange exchange) {
+    if (allows(exchange, Methods.GET)) {
+      dispatcher.send(
+          exchange,
+          ready.getAsBoolean()
+              ? ApiResponse.error(StatusCodes.OK, "")
+              : ApiResponse.retryLater(StatusCodes.SERVICE_UNAVAILABLE, "not ready", 1));
+    }
+  }
+
+  private void status(HttpServerExchange exchange) {
+    if (!allows(exchange, Methods.GET)) {
+      return;
+    }
+    Optional<String> job =
+        Optional.ofNullable(exchange.getQueryParameters().get(JOB_PARAMETER)).map(Deque::peek);
+    dispatcher.dispatch(
+        exchange,
+        EventPriority.SUBMISSION,
+        then ->
+            job.ifPresentOrElse(uid -> handler.explainJob(uid, then), () -> handler.status(then)));
+  }
+
+  private void submit(HttpServerExchange exchange) {
+    if (allows(exchange, Methods.POST) && admission.admit(exchange, EventPriority.SUBMISSION)) {
+      dispatcher.dispatchBody(exchange, EventPriority.SUBMISSION, handler::submit);
+    }
+  }
+
+  /**
+   * @param rest the path after that of all jobs: an id, and for a cancellation its suffix
+   */
+  private void job(HttpServerExchange exchange, String rest) {
+    int slash = rest.indexOf('/');
+    if (slash < 0) {
+      poll(exchange, rest);
+    } else if (rest.substring(slash).equals(CANCEL_SUFFIX)) {
+      cancel(exchange, rest.substring(0, slash));
+    } else {
+      notFound(exchange);
+    }
+  }
+
+  private void poll(HttpServerExchange exchange, String uid) {
+    if (allows(exchange, Methods.GET) && admission.admit(exchange, EventPriority.QUERY)) {
+      dispatcher.dispatch(exchange, EventPriority.QUERY, then -> handler.poll(uid, then));
+    }
+  }
+
+  private void cancel(HttpServerExchange exchange, String uid) {
+    if (allows(exchange, Methods.POST) && admission.admit(exchange, EventPriority.SUBMISSION)) {
+      dispatcher.dispatchBody(
+          exchange, EventPriority.SUBMISSION, (body, then) -> handler.cancel(uid, then));
+    }
+  }
+
+  private void notFound(HttpServerExchange exchange) {
+    dispatcher.send(exchange, ApiResponse.error(StatusCodes.NOT_FOUND, "no such path"));
+  }
+
+  /** Whether the request has the path's only method; if not, it is answered here. */
+  private boolean allows(HttpServerExchange exchange, HttpString method) {
+    if (exchange.getRequestMethod().equals(method)) {
+      return true;
+    }
+    exchange.getResponseHeaders().put(Headers.ALLOW, method.toString());
+    dispatcher.send(
+        exchange,
+        ApiResponse.error(StatusCodes.METHOD_NOT_ALLOWED, "the method must be " + method));
+    return false;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/api/ResponseCodec.java
@@ -0,0 +1,48 @@
+package org.ploverspindle.api;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.ploverspindle.net.Cbor;
+
+/** The wire form of response bodies: CBOR maps with the protocol's field names. */
+final class ResponseCodec {
+  private static final String UID = "uid";
+  private static final String STATUS = "status";
+  private static final String COMPLETED_TASKS = "done";
+  private static final String RUNNING_TASKS = "running";
+  private static final String ERROR = "error";
+  private static final String LEADER = "steward";
+
+  private ResponseCodec() {}
+
+  /** A job's status alone, as submissions and cancellations are answered. */
+  static byte[] encodeStatus(String uid, JobStatus status) {
+    return Cbor.write(jobStatus(uid, status));
+  }
+
+  /** A job's status and its counts of tasks, as queries and repeated submissions are answered. */
+  static byte[] encodeState(JobState job) {
+    return Cbor.write(
+        jobStatus(job.uid(), job.status())
+            .put(COMPLETED_TASKS, job.completedTasks())
+            .put(RUNNING_TASKS, job.runningTasks()));
+  }
+
+  /** Why a request failed. */
+  static byte[] encodeError(String message) {
+    return Cbor.write(Cbor.map().put(ERROR, message));
+  }
+
+  /** The controller that leads. */
+  static byte[] encodeLeader(String member) {
+    return Cbor.write(Cbor.map().put(LEADER, member));
+  }
+
+  /** A line for operators. */
+  static byte[] encodeText(String line) {
+    return Cbor.write(Cbor.map().put(STATUS, line));
+  }
+
+  private static ObjectNode jobStatus(String uid, JobStatus status) {
+    return Cbor.map().put(UID, uid).put(STATUS, status.wireName());
+  }
+}
--- a/src/main/java/org/ploverspindle/api/Submission.java
+++ b/src/main/java/org/ploverspindle/api/Submission.java
@@ -10,9 +10,10 @@
 /**
  * A job that a user submits, checked as far as that can be done without the replica.
  *
- * @param record its record
+ * @param record the job's stored form
  * @param dependencyList its dependencies, if they are too many for that record
- * @param receivedMs when it came, which is what its user's patience counts from
+ * @param receivedMs from when on its user waits
+ * @param responder is called once with the response
  */
 record Submission(
     JobSpec spec,
@@ -23,12 +24,12 @@
   /** Quotes, colon and comma around the name of a value. */
   private static final int NAME_FRAME_BYTES = 4;
 
-  /** What the record and its name take of a value. */
+  /** What the record and its name take of a value's size. */
   int bytes() {
     return Cbor.jsonSize(record) + spec.uid().length() + NAME_FRAME_BYTES;
   }
 
-  Submission withReceivedMs(long otherMs) {
-    return new Submission(spec, record, dependencyList, otherMs, responder);
+  Submission withReceivedMs(long newReceivedMs) {
+    return new Submission(spec, record, dependencyList, newReceivedMs, responder);
   }
 }
--- a/src/main/java/org/ploverspindle/api/SubmissionCodec.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionCodec.java
@@ -13,21 +13,15 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 
-/** The wire form of submissions, checked field by field. */
+/** The wire form of submissions, checked field by field. The wire's names occur here alone. */
 final class SubmissionCodec {
   /** The form of the protocol's ids: a word, a dash, a number. */
   private static final Pattern UID = Pattern.compile("[a-z][a-z0-9]{0,31}-[0-9]{1,18}");
 
-  private static final int MAX_TEXT = 200;
+  private static final int MAX_TEXT_LENGTH = 200;
 
-  /** A field that is missing or invalid. */
-  static final class MalformedSubmissionException extends Exception {
-    private static final long serialVersionUID = 1L;
-
-    MalformedSubmissionException(String message) {
-      super(message);
-    }
-  }
+  /** A larger amount is taken for a mistake. */
+  private static final double MAX_AMOUNT = 1e12;
 
   private final ObjectNode body;
 
@@ -35,60 +29,41 @@
     this.body = body;
   }
 
-  static boolean validUid(String uid) {
+  static boolean isValidUid(String uid) {
     return UID.matcher(uid).matches();
   }
 
-  /** The id alone, when it can be read: a repeat is answered by it, whatever else the body says. */
+  /** The id alone, if it is valid: a repeated request is answered by it, whatever else is wrong. */
   static Optional<String> uid(ObjectNode body) {
     return Optional.of(body.path("uid"))
         .filter(JsonNode::isTextual)
         .map(JsonNode::asText)
-        .filter(SubmissionCodec::validUid);
+        .filter(SubmissionCodec::isValidUid);
   }
 
+  /** The job. The exception names the first field that is missing or invalid. */
   static JobSpec decode(ObjectNode body) throws MalformedSubmissionException {
     return new SubmissionCodec(body).decode();
   }
 
   private JobSpec decode() throws MalformedSubmissionException {
     String uid = uid(body).orElseThrow(() -> new MalformedSubmissionException("uid"));
-    JsonNode pieces = body.path("pieces");
-    if (!pieces.isIntegralNumber()
-        || !pieces.canConvertToInt()
-        || pieces.asInt() < 1
-        || pieces.asInt() > JobSpec.MAX_TASKS) {
-      throw new MalformedSubmissionException("pieces");
-    }
+    int tasks = tasks("pieces");
     double cores = amount("cores");
     double accelerators = amount("accelerators");
-    double memory = amount("mem_gb");
-    JobKind shape =
-        switch (text("shape")) {
-          case "batch" -> JobKind.BATCH;
-          // Not in the protocol's table, yet the bench's trial on real processes asks for it.
-          case "group" -> JobKind.GANG;
-          case "daemon" -> JobKind.SERVICE;
-          default -> throw new MalformedSubmissionException("shape: " + text("shape"));
-        };
-    Priority urgency =
-        switch (text("urgency")) {
-          case "critical" -> Priority.CRITICAL;
-          case "high" -> Priority.HIGH;
-          case "normal" -> Priority.NORMAL;
-          case "best_effort" -> Priority.BEST_EFFORT;
-          default -> throw new MalformedSubmissionException("urgency: " + text("urgency"));
-        };
+    double memoryGb = amount("mem_gb");
+    JobKind kind = kind("shape");
+    Priority priority = priority("urgency");
     return new JobSpec(
         uid,
         text("jobclass"),
         text("owner"),
-        shape,
-        urgency,
-        pieces.asInt(),
+        kind,
+        priority,
+        tasks,
         cores,
         accelerators,
-        memory,
+        memoryGb,
         names("flavours"),
         optionalText("site"),
         flag("one_zone"),
@@ -99,75 +74,114 @@
         amount("expected_s"),
         amount("save_every_s"),
         amount("save_cost_s"),
-        absent("due_s") ? OptionalDouble.empty() : OptionalDouble.of(amount("due_s")),
+        optionalAmount("due_s"),
         uids("awaits"));
   }
 
-  private boolean absent(String field) {
+  private int tasks(String field) throws MalformedSubmissionException {
+    JsonNode node = body.path(field);
+    if (!node.isIntegralNumber()
+        || !node.canConvertToInt()
+        || node.asInt() < 1
+        || node.asInt() > JobSpec.MAX_TASKS) {
+      throw new MalformedSubmissionException(field);
+    }
+    return node.asInt();
+  }
+
+  private JobKind kind(String field) throws MalformedSubmissionException {
+    String name = text(field);
+    return switch (name) {
+      case "batch" -> JobKind.BATCH;
+      // Not in the protocol's table, but sent by the bench's trial with real processes.
+      case "group" -> JobKind.GANG;
+      case "daemon" -> JobKind.SERVICE;
+      default -> throw new MalformedSubmissionException(field, name);
+    };
+  }
+
+  private Priority priority(String field) throws MalformedSubmissionException {
+    String name = text(field);
+    return switch (name) {
+      case "critical" -> Priority.CRITICAL;
+      case "high" -> Priority.HIGH;
+      case "normal" -> Priority.NORMAL;
+      case "best_effort" -> Priority.BEST_EFFORT;
+      default -> throw new MalformedSubmissionException(field, name);
+    };
+  }
+
+  private boolean isAbsent(String field) {
     return body.path(field).isMissingNode() || body.path(field).isNull();
   }
 
   private double amount(String field) throws MalformedSubmissionException {
-    JsonNode n = body.path(field);
-    double value = n.asDouble();
-    if (!n.isNumber() || !Double.isFinite(value) || value < 0 || value > 1e12) {
+    JsonNode node = body.path(field);
+    double value = node.asDouble();
+    if (!node.isNumber() || !Double.isFinite(value) || value < 0 || value > MAX_AMOUNT) {
       throw new MalformedSubmissionException(field);
     }
     return value;
   }
 
+  private OptionalDouble optionalAmount(String field) throws MalformedSubmissionException {
+    return isAbsent(field) ? OptionalDouble.empty() : OptionalDouble.of(amount(field));
+  }
+
   private String text(String field) throws MalformedSubmissionException {
-    JsonNode n = body.path(field);
-    if (!n.isTextual() || n.asText().isEmpty() || n.asText().length() > MAX_TEXT) {
+    JsonNode node = body.path(field);
+    if (!node.isTextual() || node.asText().isEmpty() || node.asText().length() > MAX_TEXT_LENGTH) {
       throw new MalformedSubmissionException(field);
     }
-    return n.asText();
+    return node.asText();
   }
 
   private Optional<String> optionalText(String field) throws MalformedSubmissionException {
-    return absent(field) ? Optional.empty() : Optional.of(text(field));
+    return isAbsent(field) ? Optional.empty() : Optional.of(text(field));
   }
 
   private boolean flag(String field) throws MalformedSubmissionException {
-    JsonNode n = body.path(field);
-    if (!n.isBoolean()) {
+    JsonNode node = body.path(field);
+    if (!node.isBoolean()) {
       throw new MalformedSubmissionException(field);
     }
-    return n.asBoolean();
+    return node.asBoolean();
   }
 
-  /** Ids of jobs, each once however often it is named. */
+  /** Ids of jobs, each once however often it is named; none if the field is absent. */
   private List<String> uids(String field) throws MalformedSubmissionException {
-    if (absent(field)) {
+    if (isAbsent(field)) {
       return List.of();
     }
-    if (!body.path(field).isArray()) {
-      throw new MalformedSubmissionException(field);
-    }
     Set<String> uids = new LinkedHashSet<>();
-    for (JsonNode n : body.path(field)) {
-      if (!n.isTextual() || !validUid(n.asText())) {
+    for (JsonNode node : array(field)) {
+      if (!node.isTextual() || !isValidUid(node.asText())) {
         throw new MalformedSubmissionException(field);
       }
-      uids.add(n.asText());
+      uids.add(node.asText());
     }
     return List.copyOf(uids);
   }
 
   private Optional<List<String>> names(String field) throws MalformedSubmissionException {
-    if (absent(field)) {
+    if (isAbsent(field)) {
       return Optional.empty();
     }
-    if (!body.path(field).isArray()) {
-      throw new MalformedSubmissionException(field);
-    }
     List<String> names = new ArrayList<>();
-    for (JsonNode n : body.path(field)) {
-      if (!n.isTextual() || n.asText().length() > MAX_TEXT) {
+    for (JsonNode node : array(field)) {
+      if (!node.isTextual() || node.asText().length() > MAX_TEXT_LENGTH) {
         throw new MalformedSubmissionException(field);
       }
-      names.add(n.asText());
+      names.add(node.asText());
     }
     return Optional.of(List.copyOf(names));
   }
+
+  private JsonNode array(String field) throws MalformedSubmissionException {
+    JsonNode node = body.path(field);
+    if (!node.isArray()) {
+      throw new MalformedSubmissionException(field);
+    }
+    return node;
+  }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/api/UserAdmission.java
@@ -0,0 +1,49 @@
+package org.ploverspindle.api;
+
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.StatusCodes;
+import java.util.function.LongSupplier;
+import org.ploverspindle.eventloop.EventLoop;
+import org.ploverspindle.eventloop.EventPriority;
+
+/**
+ * Load shedding: under overload users' requests are refused at once, so that workers and decisions
+ * go first.
+ */
+final class UserAdmission {
+  private final EventLoop loop;
+  private final int maxWithUsers;
+  private final int maxUserBacklog;
+  private final LongSupplier activeConnections;
+  private final RequestDispatcher dispatcher;
+
+  UserAdmission(
+      EventLoop loop,
+      ConnectionLimits limits,
+      LongSupplier activeConnections,
+      RequestDispatcher dispatcher) {
+    this.loop = loop;
+    this.maxWithUsers = limits.maxWithUsers();
+    this.maxUserBacklog = limits.maxUserBacklog();
+    this.activeConnections = activeConnections;
+    this.dispatcher = dispatcher;
+  }
+
+  /** Whether a user's request may be handled; if not, it is answered here. */
+  boolean admit(HttpServerExchange exchange, EventPriority priority) {
+    if (activeConnections.getAsLong() > maxWithUsers) {
+      // The remaining sockets are for workers: one that can't send heartbeats loses its tasks.
+      exchange.setPersistent(false);
+      dispatcher.send(
+          exchange,
+          ApiResponse.retryLater(StatusCodes.SERVICE_UNAVAILABLE, "no connections are left", 2));
+      return false;
+    }
+    if (loop.backlog(priority) < maxUserBacklog) {
+      return true;
+    }
+    dispatcher.send(
+        exchange, ApiResponse.retryLater(StatusCodes.TOO_MANY_REQUESTS, "too much to do", 2));
+    return false;
+  }
+}
--- a/src/main/java/org/ploverspindle/api/UserRequests.java
+++ b/src/main/java/org/ploverspindle/api/UserRequests.java
@@ -3,98 +3,102 @@
 import java.util.function.Consumer;
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.model.Catalogue;
-import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.state.AcceptedJobIndex;
-import org.ploverspindle.state.ProgressCounts;
-import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SnapshotRecord;
-import org.ploverspindle.state.StateStore;
-import org.ploverspindle.state.TokenBucket;
 
 /**
- * Users' requests, on any node: nothing is said before it is durable, and nothing from the replica
- * before it is as new as the question. Wires the services that answer them.
+ * Answers users' requests on any controller. Nothing is acknowledged before it is durable, and
+ * nothing is answered from the replica before that is as new as the request. Connects the services
+ * that do so.
  */
 public final class UserRequests {
-  /** Whatever the store would take: several records should fit into one transaction. */
+  /** Lower than what the state service allows, so that several records fit into a transaction. */
   private static final int MAX_VALUE_BYTES = 16 * 1024;
 
   private final SubmissionService submissions;
   private final QueryService queries;
   private final CancellationService cancellations;
 
-  /**
-   * @param writes this node's share of the changes
-   * @param nonce names this process's records: no other's, and none of an earlier run's
-   * @param leaderHints told of what was written here
-   */
   public UserRequests(
       Scheduler scheduler,
-      StateStore store,
-      Replica replica,
-      AcceptedJobIndex specs,
-      Pipelines pipelines,
-      ProgressCounts counts,
+      JobViews views,
+      StateWrites writes,
       Catalogue catalogue,
-      Settings settings,
-      TokenBucket writes,
-      String nonce,
-      LeaderNotifier leaderHints) {
-    Settings.StateLimits limits = settings.writeLimits();
-    int valueBytes = Math.min(limits.valueBytes(), MAX_VALUE_BYTES);
-    LinearizableReads reads = new LinearizableReads(scheduler, replica);
-    JobStatusReader states = new JobStatusReader(replica, specs, pipelines, counts);
+      Settings settings) {
+    LinearizableReads reads = new LinearizableReads(scheduler, views.replica());
+    JobStatusReader statuses = new JobStatusReader(views);
+    this.submissions =
+        submissionService(
+            scheduler,
+            views,
+            writes,
+            reads,
+            statuses,
+            new Feasibility(settings, catalogue),
+            settings.writeLimits());
+    this.queries = new QueryService(reads, statuses, views.pipelines());
+    this.cancellations =
+        new CancellationService(
+            scheduler, writes, reads, statuses, settings.writeLimits().txnOps());
+  }
+
+  private static SubmissionService submissionService(
+      Scheduler scheduler,
+      JobViews views,
+      StateWrites writes,
+      LinearizableReads reads,
+      JobStatusReader statuses,
+      Feasibility feasibility,
+      Settings.StateLimits limits) {
+    int maxValueBytes = Math.min(limits.valueBytes(), MAX_VALUE_BYTES);
     DependencyCheck dependencies =
         new DependencyCheck(
-            specs, pipelines, states, AcceptanceBatch.maxGuards(settings.writeLimits().txnOps()));
+            views.acceptedJobs(),
+            views.pipelines(),
+            statuses,
+            AcceptanceBatch.maxGuards(limits.txnOps()));
     DependencyListWriter lists =
-        new DependencyListWriter(scheduler, store, replica, limits.txnOps(), limits.writeRps());
+        new DependencyListWriter(
+            scheduler, writes.store(), views.replica(), limits.txnOps(), limits.writeRps());
     AcceptanceWriter writer =
         new AcceptanceWriter(
             scheduler,
-            store,
-            reads,
-            states,
-            dependencies,
             writes,
-            nonce,
-            leaderHints,
-            valueBytes,
-            limits.txnOps());
-    this.submissions =
-        new SubmissionService(
-            scheduler,
             reads,
-            states,
-            new Feasibility(settings, catalogue),
+            statuses,
             dependencies,
-            lists,
-            writer,
-            valueBytes,
+            new AcceptanceBatch.Limits(maxValueBytes, limits.txnOps()));
+    SubmissionEncoder encoder =
+        new SubmissionEncoder(
+            scheduler,
+            feasibility,
+            maxValueBytes,
             SnapshotRecord.shardSizeFor(limits.valueBytes()));
-    this.queries = new QueryService(reads, states, pipelines);
-    this.cancellations =
-        new CancellationService(
-            scheduler, store, reads, states, writes, limits.txnOps(), leaderHints);
+    return new SubmissionService(
+        reads,
+        statuses,
+        feasibility,
+        encoder,
+        writer,
+        new DependentSubmissions(scheduler, reads, statuses, dependencies, lists, writer));
   }
 
-  /** Answers a submission. */
+  /** Accepts a job, or answers why it is not accepted. */
   public void submit(byte[] body, Consumer<ApiResponse> then) {
     submissions.submit(body, then);
   }
 
-  /** Answers a question about a job's state. */
+  /** Answers with a job's state. */
   public void poll(String uid, Consumer<ApiResponse> then) {
     queries.poll(uid, then);
   }
 
-  /** Answers a request to cancel a job. */
+  /** Cancels a job, and confirms it once that is durable. */
   public void cancel(String uid, Consumer<ApiResponse> then) {
     cancellations.cancel(uid, then);
   }
 
-  /** For people: how the replica has the job, and what it awaits. */
+  /** For operators: the job's state by the replica, and its unfinished dependencies. */
   public String explain(String uid) {
     return queries.explain(uid);
   }
--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -4,6 +4,7 @@
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.util.random.RandomGenerator;
+import org.ploverspindle.api.ConnectionLimits;
 import org.ploverspindle.api.UserApi;
 import org.ploverspindle.cloud.HttpCloudClient;
 import org.ploverspindle.cluster.HttpWorkerClient;
@@ -58,7 +59,7 @@
             loop,
             worker,
             settings.front(),
-            UserApi.Limits.of(
+            ConnectionLimits.of(
                 settings.quota().maxConnections(), sockets.own(), settings.workers().reportS()),
             controller,
             controller::ready);
--- a/src/main/java/org/ploverspindle/controller/Controller.java
+++ b/src/main/java/org/ploverspindle/controller/Controller.java
@@ -5,7 +5,9 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.ploverspindle.api.ApiResponse;
+import org.ploverspindle.api.JobViews;
 import org.ploverspindle.api.LeaderNotifier;
+import org.ploverspindle.api.StateWrites;
 import org.ploverspindle.api.UserApi;
 import org.ploverspindle.api.UserRequests;
 import org.ploverspindle.cloud.CloudClient;
@@ -105,16 +107,10 @@
     this.requests =
         new UserRequests(
             loop,
-            store,
-            replica,
-            specs,
-            pipelines,
-            counts,
+            new JobViews(replica, specs, pipelines, counts),
+            new StateWrites(store, accepting, nonce, leaderHints()),
             catalogue,
-            settings,
-            accepting,
-            nonce,
-            leaderHints());
+            settings);
     this.leaderContext =
         new LeaderContext(
             loop,
--- a/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
+++ b/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
@@ -94,8 +94,7 @@
             ? Cbor.map().numberNode(Double.POSITIVE_INFINITY)
             : new ObjectMapper().readTree(value);
     body.set(field, node);
-    assertThrows(
-        SubmissionCodec.MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
+    assertThrows(MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
   }
 
   @Test
@@ -118,7 +117,6 @@
   @Test
   void nanIsNoAmount() throws Exception {
     ObjectNode body = good().put("cores", Double.NaN);
-    assertThrows(
-        SubmissionCodec.MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
+    assertThrows(MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
   }
 }
--- a/src/test/java/org/ploverspindle/api/UserApiTest.java
+++ b/src/test/java/org/ploverspindle/api/UserApiTest.java
@@ -33,12 +33,12 @@
   private static final class Echo implements UserApi.RequestHandler {
     @Override
     public void submit(byte[] body, Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.of(201, Cbor.map().put("size", body.length)));
+      then.accept(ApiResponse.of(201, Cbor.write(Cbor.map().put("size", body.length))));
     }
 
     @Override
     public void poll(String uid, Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.of(200, Cbor.map().put("uid", uid)));
+      then.accept(ApiResponse.of(200, Cbor.write(Cbor.map().put("uid", uid))));
     }
 
     @Override
@@ -81,7 +81,7 @@
             loop,
             worker,
             new Address("127.0.0.1", port),
-            new UserApi.Limits(24, 4, 10_000),
+            new ConnectionLimits(24, 4, 10_000),
             new Echo(),
             () -> ready);
     userApi.open();
--- a/src/test/java/org/ploverspindle/api/UserRequestsTest.java
+++ b/src/test/java/org/ploverspindle/api/UserRequestsTest.java
@@ -63,16 +63,11 @@
     requests =
         new UserRequests(
             store,
-            store,
-            replica,
-            specs,
-            new Pipelines(store, replica, specs),
-            counts,
+            new JobViews(replica, specs, new Pipelines(store, replica, specs), counts),
+            new StateWrites(
+                store, new TokenBucket(store, 100, 100), "n0-1", new NoOpLeaderNotifier()),
             catalogue,
-            settings,
-            new TokenBucket(store, 100, 100),
-            "n0-1",
-            new NoOpLeaderNotifier());
+            settings);
     replica.start();
     store.run(1_000);
   }
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -13,6 +13,8 @@
 import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.NoOpLeaderNotifier;
 import org.ploverspindle.api.ApiResponse;
+import org.ploverspindle.api.JobViews;
+import org.ploverspindle.api.StateWrites;
 import org.ploverspindle.api.UserRequests;
 import org.ploverspindle.model.Catalogue;
 import org.ploverspindle.model.JobSpec;
@@ -57,16 +59,14 @@
       requests =
           new UserRequests(
               process,
-              this,
-              replica,
-              specs,
-              pipelines,
-              new ProgressCounts(replica),
+              new JobViews(replica, specs, pipelines, new ProgressCounts(replica)),
+              new StateWrites(
+                  this,
+                  new TokenBucket(process, Math.max(1, share), Math.max(3, share)),
+                  "n" + i,
+                  new NoOpLeaderNotifier()),
               catalogue,
-              settings,
-              new TokenBucket(process, Math.max(1, share), Math.max(3, share)),
-              "n" + i,
-              new NoOpLeaderNotifier());
+              settings);
       // What a node of seven has of sixty requests a second.
       replica.setReadInterval(220);
       replica.start();
