--- a/src/main/java/org/ploverspindle/api/CancellationService.java
+++ b/src/main/java/org/ploverspindle/api/CancellationService.java
@@ -1,98 +1,105 @@
 package org.ploverspindle.api;
 
+import io.undertow.util.StatusCodes;
 import java.util.List;
 import java.util.function.Consumer;
 import org.ploverspindle.eventloop.Scheduler;
-import org.ploverspindle.net.Cbor;
-import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.TokenBucket;
 
-/** Takes cancellations in, and confirms them when they are durable. */
+/** Cancels jobs, and confirms that once it is durable. */
 final class CancellationService {
-  /** One that shares its transaction with jobs that end meanwhile is tried again for so long. */
-  private static final long CANCEL_LIMIT_MS = 2_000;
-
-  private static final int OK = 200;
+  /** Age from which an undecided request is no longer retried, as its user is about to give up. */
+  private static final long RETRY_LIMIT_MS = 2_000;
 
   private final Scheduler scheduler;
   private final LinearizableReads reads;
-  private final JobStatusReader states;
-  private final Cancellations cancellations;
+  private final JobStatusReader statuses;
+  private final CancellationWriter writer;
 
+  /**
+   * @param maxChanges changes that a transaction may hold
+   */
   CancellationService(
       Scheduler scheduler,
-      StateStore store,
+      StateWrites writes,
       LinearizableReads reads,
-      JobStatusReader states,
-      TokenBucket writes,
-      int txnOps,
-      LeaderNotifier leaderHints) {
+      JobStatusReader statuses,
+      int maxChanges) {
     this.scheduler = scheduler;
     this.reads = reads;
-    this.states = states;
-    this.cancellations =
-        new Cancellations(scheduler, store, writes, txnOps, reads::barrier, new Hints(leaderHints));
+    this.statuses = statuses;
+    this.writer =
+        new CancellationWriter(
+            scheduler,
+            writes.store(),
+            writes.budget(),
+            maxChanges,
+            reads::readBarrier,
+            new ForwardToLeader(writes.leaderNotifier()));
   }
 
   /**
-   * The leader hears of a cancellation when it is sent, so that it reads it by the time at which it
-   * is confirmed, and once more when it is durable, as that read may have come too early. On the
-   * leader itself the replica shows it before anybody is told.
+   * The leader is notified when a cancellation is sent, so that it has read it by the time at which
+   * it is confirmed, and again when it is durable, as that read may have been too early. On the
+   * leader itself the replica shows the cancellation before any user gets a response.
    */
-  private record Hints(LeaderNotifier leaderHints) implements Cancellations.Listener {
+  private record ForwardToLeader(LeaderNotifier leaderNotifier)
+      implements CancellationWriter.Listener {
     @Override
     public void sent() {
-      leaderHints.cancelling();
+      leaderNotifier.cancelling();
     }
 
     @Override
-    public void committed(List<Change.Put> cancellations, long ledger) {
-      leaderHints.cancelled(cancellations, ledger);
+    public void committed(List<Change.Put> cancellations, long revision) {
+      leaderNotifier.cancelled(cancellations, revision);
     }
   }
 
-  /** Cancels the job, unless it is over. */
+  /** Cancels the job, unless it is terminal. Answers with its status. */
   void cancel(String uid, Consumer<ApiResponse> then) {
-    if (!SubmissionCodec.validUid(uid)) {
-      then.accept(QueryService.noSuchJob());
-    } else if (states.isOver(uid)) {
-      then.accept(over(uid));
+    if (!SubmissionCodec.isValidUid(uid)) {
+      then.accept(ApiResponse.noSuchJob());
+    } else if (statuses.isTerminal(uid)) {
+      then.accept(terminalResponse(uid));
     } else if (!reads.isLoaded()) {
-      then.accept(JobStatusReader.notNow());
+      then.accept(ApiResponse.stateUnavailable());
     } else {
-      long cameMs = scheduler.nowMs();
-      reads.barrier(fresh -> cancelAt(uid, fresh, 0, cameMs, then));
+      Request request = new Request(uid, scheduler.nowMs(), then);
+      reads.readBarrier(fresh -> cancelAfterRead(request, fresh, 0));
     }
   }
 
-  private ApiResponse over(String uid) {
-    return told(uid, states.isDone(uid) ? "done" : "aborted");
+  private record Request(String uid, long receivedMs, Consumer<ApiResponse> then) {}
+
+  private ApiResponse terminalResponse(String uid) {
+    return response(uid, statuses.isDone(uid) ? JobStatus.DONE : JobStatus.ABORTED);
   }
 
-  private static ApiResponse told(String uid, String status) {
-    return ApiResponse.of(OK, Cbor.map().put("uid", uid).put("status", status));
+  private static ApiResponse response(String uid, JobStatus status) {
+    return ApiResponse.of(StatusCodes.OK, ResponseCodec.encodeStatus(uid, status));
   }
 
-  private void cancelAt(
-      String uid, boolean fresh, int tries, long cameMs, Consumer<ApiResponse> then) {
-    if (states.isOver(uid)) {
-      then.accept(over(uid));
-    } else if (!fresh || tries > 0 && scheduler.nowMs() - cameMs > CANCEL_LIMIT_MS) {
-      then.accept(JobStatusReader.notNow());
-    } else if (!states.isKnown(uid)) {
-      then.accept(QueryService.noSuchJob());
+  private void cancelAfterRead(Request request, boolean fresh, int attempts) {
+    String uid = request.uid();
+    boolean expired = attempts > 0 && scheduler.nowMs() - request.receivedMs() > RETRY_LIMIT_MS;
+    if (statuses.isTerminal(uid)) {
+      request.then().accept(terminalResponse(uid));
+    } else if (!fresh || expired) {
+      request.then().accept(ApiResponse.stateUnavailable());
+    } else if (!statuses.isKnown(uid)) {
+      request.then().accept(ApiResponse.noSuchJob());
     } else {
-      cancellations.write(
-          uid,
-          outcome -> {
-            switch (outcome) {
-              case STANDS -> then.accept(told(uid, "aborted"));
-              case REFUSED -> then.accept(JobStatusReader.notNow());
-              case UNCERTAIN -> reads.barrier(read -> cancelAt(uid, read, tries + 1, cameMs, then));
-              case READ_BACK -> cancelAt(uid, true, tries + 1, cameMs, then);
-            }
-          });
+      writer.write(uid, outcome -> handleOutcome(request, outcome, attempts + 1));
+    }
+  }
+
+  private void handleOutcome(Request request, CancellationWriter.Outcome outcome, int attempts) {
+    switch (outcome) {
+      case DURABLE -> request.then().accept(response(request.uid(), JobStatus.ABORTED));
+      case REFUSED -> request.then().accept(ApiResponse.stateUnavailable());
+      case UNCERTAIN -> reads.readBarrier(fresh -> cancelAfterRead(request, fresh, attempts));
+      case READ_BACK -> cancelAfterRead(request, true, attempts);
     }
   }
 }
--- a/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
+++ b/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
@@ -94,7 +94,7 @@
             ? Cbor.map().numberNode(Double.POSITIVE_INFINITY)
             : new ObjectMapper().readTree(value);
     body.set(field, node);
-    assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode(body));
+    assertThrows(MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
   }
 
   @Test
@@ -117,6 +117,6 @@
   @Test
   void nanIsNoAmount() throws Exception {
     ObjectNode body = good().put("cores", Double.NaN);
-    assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.decode(body));
+    assertThrows(MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
   }
 }
