--- a/src/main/java/org/ploverspindle/state/Replica.java
+++ b/src/main/java/org/ploverspindle/state/Replica.java
@@ -5,9 +5,9 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.Set;
 import java.util.SortedMap;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.ploverspindle.eventloop.Cancellable;
 import org.ploverspindle.eventloop.Scheduler;
@@ -18,104 +18,108 @@
 import org.ploverspindle.state.StateStore.PageResult;
 
 /**
- * This node's copy of the state service, brought up to date by short reads of what changed.
+ * This process's replica of the state service, brought up to date by short reads of what changed.
  *
- * <p>Every such read is also the barrier that answers need: it was sent after the questions that
- * wait for it had come, so what it returns holds everything that any node can have been told before
- * then. One read serves all questions that wait.
+ * <p>Each read is also a read barrier: it is sent after the requests that wait for it arrived, so
+ * its result holds everything that any controller can have confirmed before then. One read serves
+ * all requests that wait.
  */
 public final class Replica {
-  /** Told of every change of a key; the entry is empty when the key is gone. */
+  /** Notified of every change of a key; the entry is empty when the key was removed. */
   public interface Listener {
+    /** Called after the change was applied to the replica. */
     void changed(String key, Optional<Entry> entry);
   }
 
-  private static final int PAGE = 500;
-  private static final long FIRST_SPACING_MS = 150;
-
-  /** So many reads may go out ahead of this node's share. */
-  private static final long BURST = 2;
-
-  /** Who has time gets half of the share, so that the other half is there for who has not. */
-  private static final long PATIENT_SPACINGS = 2;
+  private static final int PAGE_SIZE = 500;
 
   private final Scheduler scheduler;
   private final StateStore store;
   private final String prefix;
   private final long idlePeriodMs;
-  private final TreeMap<String, Entry> entries = new TreeMap<>();
-  private final List<Listener> listeners = new ArrayList<>();
-  private List<Consumer<Boolean>> waitingReaders = new ArrayList<>();
-  private boolean isLoaded;
-  private boolean busy;
-  private Optional<Cancellable> planned = Optional.empty();
-  private long plannedMs;
+  private final ReplicaEntries entries = new ReplicaEntries();
+  private final ReadPacing pacing;
 
-  /** Somebody waits who should not wait for long. */
+  private List<Consumer<Boolean>> waitingReaders = new ArrayList<>();
   private boolean urgentReadWaiting;
+  private boolean readInFlight;
+  private Optional<Cancellable> plannedRead = Optional.empty();
+  private long plannedForMs;
 
-  /** Until then this node's share of requests is used up by the reads that went out. */
-  private long spentUntilMs = Long.MIN_VALUE / 2;
-
+  private boolean loaded;
   private long revision;
-  private long lastSentMs = Long.MIN_VALUE / 2;
-  private long freshAsOfMs = Long.MIN_VALUE / 2;
-  private int failures;
-  private long readIntervalMs = FIRST_SPACING_MS;
+  private long freshAsOfMs = ReadPacing.NEVER_MS;
 
+  /**
+   * @param prefix the prefix of the keys that are replicated
+   * @param idlePeriodMs the longest time between two reads when nobody waits for one
+   */
   public Replica(Scheduler scheduler, StateStore store, String prefix, long idlePeriodMs) {
     this.scheduler = scheduler;
     this.store = store;
     this.prefix = prefix;
     this.idlePeriodMs = idlePeriodMs;
+    this.pacing = new ReadPacing(scheduler);
   }
 
-  /** Cancelled with the term of whoever listens: a leader that was must not be kept for ever. */
+  /**
+   * Adds a listener. A listener that belongs to a term must be cancelled with it, since the replica
+   * would keep the deposed leader's objects for the life of the process.
+   */
   public Cancellable addListener(Listener listener) {
-    listeners.add(listener);
-    return () -> listeners.remove(listener);
+    return entries.addListener(listener);
   }
 
+  /** Loads the replica, and keeps it up to date until it is cancelled. */
   public Cancellable start() {
     reload();
-    return scheduler.every(idlePeriodMs, this::readIfIdle);
+    return scheduler.every(idlePeriodMs, () -> readIfOlderThan(idlePeriodMs));
   }
 
-  /** Reads go out this far apart on average: this node's share of the state service's requests. */
+  /** Sets the average time between reads: this process's share of the state service's requests. */
   public void setReadInterval(long ms) {
-    readIntervalMs = ms;
-  }
-
-  private void readIfIdle() {
-    readIfOlderThan(idlePeriodMs);
+    pacing.setInterval(ms);
   }
 
+  /** Reads at once if the last read was sent at least this long ago. */
   public void readIfOlderThan(long ms) {
-    if (scheduler.nowMs() - lastSentMs >= ms * (1 + failures)) {
+    if (pacing.isLastReadOlderThan(ms)) {
       read();
     }
   }
 
+  /** Whether all keys were read at least once, and the changes since then can still be read. */
   public boolean isLoaded() {
-    return isLoaded;
+    return loaded;
   }
 
-  /** When the last answered read was sent: the copy holds all that was true then. */
+  /** When the last answered read was sent: the replica holds all that was committed before then. */
   public long freshAsOfMs() {
     return freshAsOfMs;
   }
 
+  /** The entry of a key; empty if the key does not exist. */
   public Optional<Entry> get(String key) {
-    return Optional.ofNullable(entries.get(key));
+    return entries.get(key);
   }
 
+  /** The entries with this prefix in the order of their keys; an unmodifiable live view. */
   public SortedMap<String, Entry> withPrefix(String keyPrefix) {
-    return entries.subMap(keyPrefix, keyPrefix + Character.MAX_VALUE);
+    return entries.withPrefix(keyPrefix);
+  }
+
+  /** The text in a field of the key's value, if the key exists and the field is a text. */
+  public Optional<String> text(String key, String field) {
+    return get(key)
+        .map(Entry::value)
+        .map(value -> value.path(field))
+        .filter(JsonNode::isTextual)
+        .map(JsonNode::asText);
   }
 
   /**
-   * Calls {@code then} once the copy has reached a state read after this call, or with false when
-   * it could not be read.
+   * Calls {@code then} with true once the replica holds everything that was committed before this
+   * call, or with false if the state service could not be read.
    */
   public void readBarrier(Consumer<Boolean> then) {
     waitingReaders.add(then);
@@ -124,8 +128,8 @@
   }
 
   /**
-   * The same for who has time: questions come all the while, and the reads that each would have at
-   * once are left to those whose users wait to go on.
+   * Like {@link #readBarrier}, for frequent requests that can wait: their reads leave half of the
+   * share of requests to readers on which users wait.
    */
   public void lowPriorityReadBarrier(Consumer<Boolean> then) {
     waitingReaders.add(then);
@@ -133,78 +137,69 @@
   }
 
   private void planRead() {
-    if (busy) {
+    if (readInFlight) {
       return;
     }
-    long dueMs = dueMs();
-    if (planned.isPresent() && plannedMs <= dueMs) {
+    long dueMs = pacing.nextReadMs(urgentReadWaiting);
+    if (plannedRead.isPresent() && plannedForMs <= dueMs) {
       return;
     }
-    planned.ifPresent(Cancellable::cancel);
-    planned = Optional.empty();
-    long wait = dueMs - scheduler.nowMs();
-    if (wait <= 0) {
+    plannedRead.ifPresent(Cancellable::cancel);
+    plannedRead = Optional.empty();
+    long waitMs = dueMs - scheduler.nowMs();
+    if (waitMs <= 0) {
       read();
-    } else {
-      plannedMs = dueMs;
-      planned =
-          Optional.of(
-              scheduler.schedule(
-                  wait,
-                  () -> {
-                    planned = Optional.empty();
-                    read();
-                  }));
-    }
-  }
-
-  /** When the next read may go out, given who waits for it. */
-  private long dueMs() {
-    if (failures > 0) {
-      // Wider apart while reads fail: polls must not use up the requests that leadership needs.
-      return lastSentMs + Math.min(600, readIntervalMs * (1 + failures));
-    }
-    if (urgentReadWaiting) {
-      return spentUntilMs - BURST * readIntervalMs;
+      return;
     }
-    return lastSentMs + Math.min(600, PATIENT_SPACINGS * readIntervalMs);
+    plannedForMs = dueMs;
+    plannedRead =
+        Optional.of(
+            scheduler.schedule(
+                waitMs,
+                () -> {
+                  plannedRead = Optional.empty();
+                  read();
+                }));
   }
 
   private void read() {
-    if (busy) {
+    if (readInFlight) {
       return;
     }
-    if (!isLoaded) {
+    if (!loaded) {
       reload();
       return;
     }
-    busy = true;
-    sending();
-    long sentMs = lastSentMs;
-    List<Consumer<Boolean>> served = waitingReaders;
-    waitingReaders = new ArrayList<>();
+    readInFlight = true;
+    pacing.sent();
+    long sentMs = pacing.lastSentMs();
+    List<Consumer<Boolean>> served = takeWaitingReaders();
     urgentReadWaiting = false;
-    store.readChanges(prefix, revision, news -> received(news, sentMs, served));
+    store.readChanges(prefix, revision, result -> received(result, sentMs, served));
   }
 
-  private void received(ChangesResult news, long sentMs, List<Consumer<Boolean>> served) {
-    busy = false;
-    if (news instanceof ChangesResult.Changes changes) {
-      failures = 0;
-      for (ChangedEntry c : changes.changes()) {
-        apply(c);
-      }
+  private List<Consumer<Boolean>> takeWaitingReaders() {
+    List<Consumer<Boolean>> readers = waitingReaders;
+    waitingReaders = new ArrayList<>();
+    return readers;
+  }
+
+  private void received(ChangesResult result, long sentMs, List<Consumer<Boolean>> served) {
+    readInFlight = false;
+    if (result instanceof ChangesResult.Changes changes) {
+      pacing.succeeded();
+      changes.changes().forEach(entries::apply);
       revision = Math.max(revision, changes.revision());
       freshAsOfMs = Math.max(freshAsOfMs, sentMs);
-      served.forEach(w -> w.accept(true));
-    } else if (news instanceof ChangesResult.TooOld) {
-      isLoaded = false;
+      served.forEach(reader -> reader.accept(true));
+    } else if (result instanceof ChangesResult.TooOld) {
+      loaded = false;
       waitingReaders.addAll(served);
       urgentReadWaiting = true;
       reload();
     } else {
-      failures++;
-      served.forEach(w -> w.accept(false));
+      pacing.failed();
+      served.forEach(reader -> reader.accept(false));
     }
     if (!waitingReaders.isEmpty()) {
       planRead();
@@ -212,117 +207,88 @@
   }
 
   /**
-   * Shows what a transaction of this node created as soon as its answer is there, ahead of the
-   * reads, which bring it again. Only for keys that are created once and never change: a reader of
-   * the replica must not conclude anything from what such a key is shown without.
+   * Shows what a transaction of this process created as soon as it is answered, before a read
+   * brings it. Only for keys that are created once and never change: a reader of the replica must
+   * not conclude anything from which other keys are still missing.
    *
-   * @param revision the revision of the transaction
+   * @param createdRevision the revision of the transaction
    */
-  public void applyCreated(Change.Put put, long revision) {
-    // While it is read anew a page that is older than the key would seem to say that it is gone.
-    if (isLoaded) {
-      apply(new ChangedEntry(put.key(), Optional.of(put.value()), revision));
-    }
-  }
-
-  private void apply(ChangedEntry c) {
-    Entry known = entries.get(c.key());
-    if (known != null && known.modRevision() >= c.modRevision()) {
-      return;
+  public void applyCreated(Change.Put put, long createdRevision) {
+    // During a reload a page that was read before the key was created would make it seem removed.
+    if (loaded) {
+      entries.apply(new ChangedEntry(put.key(), Optional.of(put.value()), createdRevision));
     }
-    if (c.value().isPresent()) {
-      Entry entry = new Entry(c.key(), c.value().get(), c.modRevision());
-      entries.put(c.key(), entry);
-      notifyAll(c.key(), Optional.of(entry));
-    } else if (known != null) {
-      entries.remove(c.key());
-      notifyAll(c.key(), Optional.empty());
-    }
-  }
-
-  private void notifyAll(String key, Optional<Entry> entry) {
-    for (Listener l : List.copyOf(listeners)) {
-      l.changed(key, entry);
-    }
-  }
-
-  private void sending() {
-    lastSentMs = scheduler.nowMs();
-    spentUntilMs = Math.max(spentUntilMs, lastSentMs) + readIntervalMs;
   }
 
   private void reload() {
-    if (busy) {
+    if (readInFlight) {
       return;
     }
-    busy = true;
-    sending();
-    long sentMs = lastSentMs;
-    loadPage("", -1, new HashSet<>(), sentMs);
+    readInFlight = true;
+    pacing.sent();
+    loadPage("", OptionalLong.empty(), new HashSet<>(), pacing.lastSentMs());
   }
 
-  private void loadPage(String after, long firstLedger, Set<String> seen, long sentMs) {
+  /**
+   * Loads a page and those after it.
+   *
+   * @param after the last key of the page before; empty for the first page
+   * @param firstRevision the revision of the first page, if this is a later one
+   * @param loadedKeys the keys of the pages before
+   * @param sentMs when the first page was requested
+   */
+  private void loadPage(
+      String after, OptionalLong firstRevision, Set<String> loadedKeys, long sentMs) {
     store.readPage(
         prefix,
         after,
-        PAGE,
+        PAGE_SIZE,
         result -> {
           if (!(result instanceof PageResult.Page page)) {
             reloadFailed();
             return;
           }
           String lastKey = after;
-          for (Entry e : page.entries()) {
-            seen.add(e.key());
-            lastKey = e.key();
-            apply(new ChangedEntry(e.key(), Optional.of(e.value()), e.modRevision()));
+          for (Entry entry : page.entries()) {
+            loadedKeys.add(entry.key());
+            lastKey = entry.key();
+            entries.apply(
+                new ChangedEntry(entry.key(), Optional.of(entry.value()), entry.modRevision()));
           }
-          // Changes made while pages are read are read again from the first page's revision on.
-          long base = firstLedger < 0 ? page.revision() : firstLedger;
+          // Changes that are made between pages are read afterwards, from the first page's
+          // revision.
+          long baseRevision = firstRevision.orElse(page.revision());
           if (page.hasNext() && !page.entries().isEmpty()) {
-            loadPage(lastKey, base, seen, sentMs);
+            loadPage(lastKey, OptionalLong.of(baseRevision), loadedKeys, sentMs);
           } else {
-            loadedAll(base, seen, sentMs);
+            reloaded(baseRevision, loadedKeys, sentMs);
           }
         });
   }
 
   private void reloadFailed() {
-    busy = false;
-    failures++;
-    List<Consumer<Boolean>> served = waitingReaders;
-    waitingReaders = new ArrayList<>();
-    served.forEach(w -> w.accept(false));
-    // Backs off: a service that just came back must not be met by all nodes' reloads at once.
+    readInFlight = false;
+    pacing.failed();
+    takeWaitingReaders().forEach(reader -> reader.accept(false));
+    // Backs off: a service that just came back must not receive the reloads of all controllers at
+    // once.
     scheduler.schedule(
-        Math.min(2_000, 200L * failures),
+        pacing.reloadBackoffMs(),
         () -> {
-          if (!isLoaded) {
+          if (!loaded) {
             reload();
           }
         });
   }
 
-  private void loadedAll(long base, Set<String> seen, long sentMs) {
-    for (String gone : entries.keySet().stream().filter(k -> !seen.contains(k)).toList()) {
-      entries.remove(gone);
-      notifyAll(gone, Optional.empty());
-    }
-    revision = base;
-    busy = false;
-    isLoaded = true;
-    failures = 0;
+  private void reloaded(long baseRevision, Set<String> loadedKeys, long sentMs) {
+    entries.retainOnly(loadedKeys);
+    revision = baseRevision;
+    readInFlight = false;
+    loaded = true;
+    pacing.succeeded();
     freshAsOfMs = Math.max(freshAsOfMs, sentMs);
-    // Everybody waiting asked before this load ended, not before it began: read once more.
+    // Readers that wait may have arrived after the reload was sent: they need another read.
     planRead();
   }
-
-  /** The value of a key, when it is a text. */
-  public Optional<String> text(String key, String field) {
-    return get(key)
-        .map(Entry::value)
-        .map(v -> v.path(field))
-        .filter(JsonNode::isTextual)
-        .map(JsonNode::asText);
-  }
 }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/state/ReplicaEntries.java
@@ -0,0 +1,62 @@
+package org.ploverspindle.state;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import org.ploverspindle.eventloop.Cancellable;
+import org.ploverspindle.state.StateStore.ChangedEntry;
+import org.ploverspindle.state.StateStore.Entry;
+
+/** The entries of a replica, and the listeners that are notified of their changes. */
+final class ReplicaEntries {
+  private final TreeMap<String, Entry> entries = new TreeMap<>();
+  private final List<Replica.Listener> listeners = new ArrayList<>();
+
+  Cancellable addListener(Replica.Listener listener) {
+    listeners.add(listener);
+    return () -> listeners.remove(listener);
+  }
+
+  Optional<Entry> get(String key) {
+    return Optional.ofNullable(entries.get(key));
+  }
+
+  SortedMap<String, Entry> withPrefix(String prefix) {
+    return Collections.unmodifiableSortedMap(entries.subMap(prefix, prefix + Character.MAX_VALUE));
+  }
+
+  /** Applies a change, unless this or a later change of the key was applied before. */
+  void apply(ChangedEntry change) {
+    Entry known = entries.get(change.key());
+    if (known != null && known.modRevision() >= change.modRevision()) {
+      return;
+    }
+    if (change.value().isPresent()) {
+      Entry entry = new Entry(change.key(), change.value().get(), change.modRevision());
+      entries.put(change.key(), entry);
+      notifyListeners(change.key(), Optional.of(entry));
+    } else if (known != null) {
+      entries.remove(change.key());
+      notifyListeners(change.key(), Optional.empty());
+    }
+  }
+
+  /** Removes all entries whose key is not among these. */
+  void retainOnly(Set<String> keys) {
+    List<String> removed = entries.keySet().stream().filter(key -> !keys.contains(key)).toList();
+    for (String key : removed) {
+      entries.remove(key);
+      notifyListeners(key, Optional.empty());
+    }
+  }
+
+  private void notifyListeners(String key, Optional<Entry> entry) {
+    for (Replica.Listener listener : List.copyOf(listeners)) {
+      listener.changed(key, entry);
+    }
+  }
+}
