--- a/src/main/java/org/ploverspindle/state/JobRecord.java
+++ b/src/main/java/org/ploverspindle/state/JobRecord.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Optional;
 import java.util.OptionalDouble;
 import org.ploverspindle.model.JobKind;
@@ -13,133 +12,152 @@
 import org.ploverspindle.net.Cbor;
 
 /**
- * A job as it is stored: what was asked, when it came by the accepting node's time of day, and how
- * many tasks one progress record holds (fixed for good, as the settings may change).
+ * An accepted job as it is stored.
+ *
+ * @param acceptedWallMs when the job was accepted, by the accepting controller's wall clock
+ * @param shardSize how many of the job's tasks share a progress snapshot; fixed when the job is
+ *     accepted, since the settings that it follows from may change
  */
 public record JobRecord(JobSpec spec, long acceptedWallMs, int shardSize) {
+  private static final String KIND = "shape";
   private static final String DEPENDENCIES = "awaits";
   private static final String DEPENDENCIES_KEY = "awaits_in";
 
   /**
-   * Jobs that await nothing are written as they always were, to the letter: an earlier version may
-   * read them.
+   * The stored form, with the dependencies in it. A job without dependencies is stored without the
+   * field, since earlier versions, which may read the record, don't know it.
    */
   public ObjectNode encode() {
-    ObjectNode v = withoutDependencies();
+    ObjectNode value = encodeWithoutDependencies();
     if (!spec.dependencies().isEmpty()) {
-      spec.dependencies().forEach(v.putArray(DEPENDENCIES)::add);
+      spec.dependencies().forEach(value.putArray(DEPENDENCIES)::add);
     }
-    return v;
+    return value;
   }
 
-  /** With the dependencies in records of their own, which are written before this one. */
-  public ObjectNode encode(DependenciesRecord elsewhere) {
-    ObjectNode v = withoutDependencies();
-    v.putObject(DEPENDENCIES_KEY)
-        .put("key", elsewhere.name())
-        .put("parts", elsewhere.parts().size());
-    return v;
+  /** The stored form that refers to separate records, which must be written before this one. */
+  public ObjectNode encode(DependenciesRecord separate) {
+    ObjectNode value = encodeWithoutDependencies();
+    value
+        .putObject(DEPENDENCIES_KEY)
+        .put("key", separate.name())
+        .put("parts", separate.parts().size());
+    return value;
   }
 
-  /** What the job of a record awaits. */
+  /** Where the dependencies of a stored job are. */
   public sealed interface StoredDependencies {
-    /** Empty for a job that awaits nothing. */
+    /** In the job's own record; the list is empty for a job without dependencies. */
     record Inline(List<String> uids) implements StoredDependencies {}
 
+    /** In a {@link DependenciesRecord} of this name with so many parts. */
     record Separate(String name, int parts) implements StoredDependencies {}
   }
 
-  public static StoredDependencies storedDependencies(JsonNode v) {
-    JsonNode elsewhere = v.path(DEPENDENCIES_KEY);
-    if (elsewhere.isObject()) {
+  /** Where the dependencies of the job with this record are; does not decode the rest of it. */
+  public static StoredDependencies storedDependencies(JsonNode value) {
+    JsonNode separate = value.path(DEPENDENCIES_KEY);
+    if (separate.isObject()) {
       return new StoredDependencies.Separate(
-          elsewhere.path("key").asText(), elsewhere.path("parts").asInt());
+          separate.path("key").asText(), separate.path("parts").asInt());
     }
     List<String> uids = new ArrayList<>();
-    v.path(DEPENDENCIES).forEach(uid -> uids.add(uid.asText()));
+    value.path(DEPENDENCIES).forEach(uid -> uids.add(uid.asText()));
     return new StoredDependencies.Inline(List.copyOf(uids));
   }
 
-  private ObjectNode withoutDependencies() {
-    ObjectNode v = Cbor.map();
-    v.put("class", spec.jobClass());
-    v.put("team", spec.team());
-    v.put("shape", spec.kind().name().toLowerCase(Locale.ROOT));
-    v.put("urgency", spec.priority().name().toLowerCase(Locale.ROOT));
-    v.put("tasks", spec.tasks());
-    v.put("cores", spec.cores());
-    v.put("accel", spec.accelerators());
-    v.put("mem", spec.memoryGb());
-    spec.types().ifPresent(types -> types.forEach(v.putArray("types")::add));
-    spec.zone().ifPresent(z -> v.put("zone", z));
-    v.put("one_zone", spec.oneZone());
-    v.put("apart", spec.spreadOverZones());
-    v.put("spot", spec.spot());
-    v.put("image", spec.image());
-    v.put("image_gb", spec.imageGb());
-    v.put("expected", spec.expectedS());
-    v.put("save_every", spec.checkpointIntervalS());
-    v.put("save_cost", spec.checkpointCostS());
-    spec.deadlineS().ifPresent(d -> v.put("due", d));
-    v.put("at", acceptedWallMs);
-    v.put("chunk", shardSize);
-    return v;
+  private ObjectNode encodeWithoutDependencies() {
+    ObjectNode value = Cbor.map();
+    value.put("class", spec.jobClass());
+    value.put("team", spec.team());
+    value.put(KIND, StoredNames.of(spec.kind()));
+    value.put("urgency", StoredNames.of(spec.priority()));
+    value.put("tasks", spec.tasks());
+    value.put("cores", spec.cores());
+    value.put("accel", spec.accelerators());
+    value.put("mem", spec.memoryGb());
+    spec.types().ifPresent(types -> types.forEach(value.putArray("types")::add));
+    spec.zone().ifPresent(zone -> value.put("zone", zone));
+    value.put("one_zone", spec.oneZone());
+    value.put("apart", spec.spreadOverZones());
+    value.put("spot", spec.spot());
+    value.put("image", spec.image());
+    value.put("image_gb", spec.imageGb());
+    value.put("expected", spec.expectedS());
+    value.put("save_every", spec.checkpointIntervalS());
+    value.put("save_cost", spec.checkpointCostS());
+    spec.deadlineS().ifPresent(deadline -> value.put("due", deadline));
+    value.put("at", acceptedWallMs);
+    value.put("chunk", shardSize);
+    return value;
   }
 
-  /** The time of acceptance alone, for looking at many records. */
-  public static long acceptedWallMs(JsonNode v) {
-    return v.path("at").asLong();
+  /** When the job was accepted; does not decode the rest of the record. */
+  public static long acceptedWallMs(JsonNode value) {
+    return value.path("at").asLong();
   }
 
-  /** Alone, for looking at many records. */
-  public static boolean isService(JsonNode v) {
-    return v.path("shape").asText().equals(JobKind.SERVICE.name().toLowerCase(Locale.ROOT));
+  /** Whether the job is a service; does not decode the rest of the record. */
+  public static boolean isService(JsonNode value) {
+    return value.path(KIND).asText().equals(StoredNames.of(JobKind.SERVICE));
   }
 
-  /** Empty when the record can't be read. */
-  public static Optional<JobRecord> decode(String uid, JsonNode v) {
-    try {
-      int tasks = v.path("tasks").asInt(0);
-      int chunk = v.path("chunk").asInt(0);
-      if (tasks < 1 || chunk < 1 || !v.path("cores").isNumber() || !v.path("team").isTextual()) {
-        return Optional.empty();
-      }
-      Optional<List<String>> types = Optional.empty();
-      if (v.path("types").isArray()) {
-        List<String> names = new ArrayList<>();
-        v.path("types").forEach(t -> names.add(t.asText()));
-        types = Optional.of(List.copyOf(names));
-      }
-      JobSpec spec =
-          new JobSpec(
-              uid,
-              v.path("class").asText(),
-              v.path("team").asText(),
-              JobKind.valueOf(v.path("shape").asText().toUpperCase(Locale.ROOT)),
-              Priority.valueOf(v.path("urgency").asText().toUpperCase(Locale.ROOT)),
-              tasks,
-              v.path("cores").asDouble(),
-              v.path("accel").asDouble(),
-              v.path("mem").asDouble(),
-              types,
-              Optional.of(v.path("zone")).filter(JsonNode::isTextual).map(JsonNode::asText),
-              v.path("one_zone").asBoolean(),
-              v.path("apart").asBoolean(),
-              v.path("spot").asBoolean(),
-              v.path("image").asText(),
-              v.path("image_gb").asDouble(),
-              v.path("expected").asDouble(),
-              v.path("save_every").asDouble(),
-              v.path("save_cost").asDouble(),
-              v.path("due").isNumber()
-                  ? OptionalDouble.of(v.path("due").asDouble())
-                  : OptionalDouble.empty(),
-              storedDependencies(v) instanceof StoredDependencies.Inline here
-                  ? here.uids()
-                  : List.of());
-      return Optional.of(new JobRecord(spec, acceptedWallMs(v), chunk));
-    } catch (IllegalArgumentException e) {
+  /** Decodes a record; empty if it is unreadable. */
+  public static Optional<JobRecord> decode(String uid, JsonNode value) {
+    int tasks = value.path("tasks").asInt(0);
+    int shardSize = value.path("chunk").asInt(0);
+    if (tasks < 1
+        || shardSize < 1
+        || !value.path("cores").isNumber()
+        || !value.path("team").isTextual()) {
       return Optional.empty();
     }
+    Optional<JobKind> kind = StoredNames.kind(value.path(KIND).asText());
+    Optional<Priority> priority = StoredNames.priority(value.path("urgency").asText());
+    if (kind.isEmpty() || priority.isEmpty()) {
+      return Optional.empty();
+    }
+    JobSpec spec = decodeSpec(uid, value, kind.get(), priority.get());
+    return Optional.of(new JobRecord(spec, acceptedWallMs(value), shardSize));
+  }
+
+  private static JobSpec decodeSpec(String uid, JsonNode value, JobKind kind, Priority priority) {
+    return new JobSpec(
+        uid,
+        value.path("class").asText(),
+        value.path("team").asText(),
+        kind,
+        priority,
+        value.path("tasks").asInt(),
+        value.path("cores").asDouble(),
+        value.path("accel").asDouble(),
+        value.path("mem").asDouble(),
+        decodeTypes(value.path("types")),
+        Optional.of(value.path("zone")).filter(JsonNode::isTextual).map(JsonNode::asText),
+        value.path("one_zone").asBoolean(),
+        value.path("apart").asBoolean(),
+        value.path("spot").asBoolean(),
+        value.path("image").asText(),
+        value.path("image_gb").asDouble(),
+        value.path("expected").asDouble(),
+        value.path("save_every").asDouble(),
+        value.path("save_cost").asDouble(),
+        decodeDeadline(value.path("due")),
+        storedDependencies(value) instanceof StoredDependencies.Inline inline
+            ? inline.uids()
+            : List.of());
+  }
+
+  private static Optional<List<String>> decodeTypes(JsonNode types) {
+    if (!types.isArray()) {
+      return Optional.empty();
+    }
+    List<String> names = new ArrayList<>();
+    types.forEach(type -> names.add(type.asText()));
+    return Optional.of(List.copyOf(names));
+  }
+
+  private static OptionalDouble decodeDeadline(JsonNode deadline) {
+    return deadline.isNumber() ? OptionalDouble.of(deadline.asDouble()) : OptionalDouble.empty();
   }
 }
--- /dev/null
+++ b/src/test/java/org/ploverspindle/state/StoredNamesTest.java
@@ -0,0 +1,35 @@
+package org.ploverspindle.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import org.ploverspindle.model.JobKind;
+import org.ploverspindle.model.Priority;
+
+/** Other versions run on the same records: a renamed constant must keep its stored name. */
+class StoredNamesTest {
+  @Test
+  void theStoredNamesAreFixed() {
+    assertEquals(
+        List.of("batch", "gang", "service"),
+        Arrays.stream(JobKind.values()).map(StoredNames::of).toList());
+    assertEquals(
+        List.of("critical", "high", "normal", "best_effort"),
+        Arrays.stream(Priority.values()).map(StoredNames::of).toList());
+  }
+
+  @Test
+  void whatIsStoredIsRead() {
+    for (JobKind kind : JobKind.values()) {
+      assertEquals(Optional.of(kind), StoredNames.kind(StoredNames.of(kind)));
+    }
+    for (Priority priority : Priority.values()) {
+      assertEquals(Optional.of(priority), StoredNames.priority(StoredNames.of(priority)));
+    }
+    assertEquals(Optional.empty(), StoredNames.kind(""));
+    assertEquals(Optional.empty(), StoredNames.priority("urgent"));
+  }
+}
