--- a/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
+++ b/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
@@ -12,100 +12,123 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /**
- * The machine types as last heard from the cloud. Kept so that nodes that all start anew while the
- * cloud is down can still lead, answer workers, and judge submissions.
+ * The machine types that the cloud listed last. They are stored so that controllers that all
+ * restart while the cloud is unreachable can still lead, answer workers, and validate submissions.
  */
 public final class MachineTypesRecord {
+  private static final String PARTS = "parts";
+
+  /** What the field with the number of parts takes in a part. */
+  private static final int PARTS_FIELD_BYTES = 20;
+
   private MachineTypesRecord() {}
 
   /**
-   * The writes that keep the types: one, or several parts where one value can't hold them. Then the
-   * record of all types stays as it may stand, for a reader that knows no parts: half of the types
-   * would mislead it.
+   * The writes that store the types: one, or several parts where one value can't hold them. In that
+   * case the single record is left as it is, for readers of versions that don't know parts: some of
+   * the types alone would mislead them.
    */
   public static List<Change.Put> puts(List<MachineType> types, int valueBytes) {
     JsonNode whole = encode(types);
     if (Cbor.jsonSize(whole) <= valueBytes) {
       return List.of(new Change.Put(Keys.TYPES, whole));
     }
-    List<List<MachineType>> parts = new ArrayList<>();
-    for (MachineType type : types) {
-      List<MachineType> longer = new ArrayList<>(parts.isEmpty() ? List.of() : last(parts));
-      longer.add(type);
-      if (parts.isEmpty() || Cbor.jsonSize(encode(longer)) > valueBytes - 20) {
-        parts.add(new ArrayList<>(List.of(type)));
-      } else {
-        parts.set(parts.size() - 1, longer);
-      }
-    }
+    List<List<MachineType>> parts = split(types, valueBytes - PARTS_FIELD_BYTES);
     List<Change.Put> puts = new ArrayList<>();
     for (int i = 0; i < parts.size(); i++) {
-      ObjectNode part = encode(parts.get(i)).put("parts", parts.size());
+      ObjectNode part = encode(parts.get(i)).put(PARTS, parts.size());
       puts.add(new Change.Put(Keys.types(i), part));
     }
     return puts;
   }
 
-  private static <T> T last(List<T> list) {
-    return list.get(list.size() - 1);
+  private static List<List<MachineType>> split(List<MachineType> types, int maxBytes) {
+    List<List<MachineType>> parts = new ArrayList<>();
+    List<MachineType> part = new ArrayList<>();
+    for (MachineType type : types) {
+      List<MachineType> extended = new ArrayList<>(part);
+      extended.add(type);
+      if (part.isEmpty() || Cbor.jsonSize(encode(extended)) > maxBytes) {
+        part = new ArrayList<>();
+        parts.add(part);
+      }
+      part.add(type);
+    }
+    return parts;
   }
 
-  /** All types that are recorded, the newest last; empty when not all can be read. */
+  /** All types that are recorded, the newest last; empty when there are none. */
   public static Optional<List<MachineType>> read(Replica replica) {
     List<MachineType> types = new ArrayList<>();
-    replica.get(Keys.TYPES).flatMap(e -> decode(e.value())).ifPresent(types::addAll);
-    int parts = replica.get(Keys.types(0)).map(e -> e.value().path("parts").asInt()).orElse(0);
-    List<MachineType> inParts = new ArrayList<>();
+    replica.get(Keys.TYPES).flatMap(entry -> decode(entry.value())).ifPresent(types::addAll);
+    readParts(replica).ifPresent(types::addAll);
+    return types.isEmpty() ? Optional.empty() : Optional.of(types);
+  }
+
+  /** The types that are stored in parts; empty if a part is missing or unreadable. */
+  private static Optional<List<MachineType>> readParts(Replica replica) {
+    int parts =
+        replica.get(Keys.types(0)).map(entry -> entry.value().path(PARTS).asInt()).orElse(0);
+    List<MachineType> types = new ArrayList<>();
     for (int i = 0; i < parts; i++) {
-      Optional<List<MachineType>> part = replica.get(Keys.types(i)).flatMap(e -> decode(e.value()));
+      Optional<List<MachineType>> part =
+          replica.get(Keys.types(i)).flatMap(entry -> decode(entry.value()));
       if (part.isEmpty()) {
-        return types.isEmpty() ? Optional.empty() : Optional.of(types);
+        return Optional.empty();
       }
-      inParts.addAll(part.get());
+      types.addAll(part.get());
     }
-    types.addAll(inParts);
-    return types.isEmpty() ? Optional.empty() : Optional.of(types);
+    return Optional.of(types);
   }
 
+  /** The stored form of these types. */
   public static ObjectNode encode(List<MachineType> types) {
-    ObjectNode v = Cbor.map();
-    ArrayNode list = v.putArray("types");
-    for (MachineType t : types) {
-      ObjectNode o = list.addObject();
-      o.put("name", t.name());
-      o.put("cores", t.size().cores());
-      o.put("accel", t.size().accelerators());
-      o.put("mem", t.size().memory());
-      o.put("cache_gb", t.cacheGb());
-      o.put("fetch", t.fetchGbPerS());
-      o.put("price", t.price());
-      o.put("spot_price", t.spotPrice());
-      o.put("boot_s", t.bootS());
-      t.zones().forEach(o.putArray("zones")::add);
+    ObjectNode value = Cbor.map();
+    ArrayNode list = value.putArray("types");
+    for (MachineType type : types) {
+      ObjectNode node = list.addObject();
+      node.put("name", type.name());
+      node.put("cores", type.size().cores());
+      node.put("accel", type.size().accelerators());
+      node.put("mem", type.size().memory());
+      node.put("cache_gb", type.cacheGb());
+      node.put("fetch", type.fetchGbPerS());
+      node.put("price", type.price());
+      node.put("spot_price", type.spotPrice());
+      node.put("boot_s", type.bootS());
+      type.zones().forEach(node.putArray("zones")::add);
     }
-    return v;
+    return value;
   }
 
-  public static Optional<List<MachineType>> decode(JsonNode v) {
+  /** Decodes a record; empty if a type in it is unreadable, or it holds none. */
+  public static Optional<List<MachineType>> decode(JsonNode value) {
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode o : v.path("types")) {
+    for (JsonNode node : value.path("types")) {
       List<String> zones = new ArrayList<>();
-      o.path("zones").forEach(z -> zones.add(z.asText()));
-      if (!o.path("name").isTextual() || !o.path("cores").isIntegralNumber() || zones.isEmpty()) {
+      node.path("zones").forEach(zone -> zones.add(zone.asText()));
+      if (!node.path("name").isTextual()
+          || !node.path("cores").isIntegralNumber()
+          || zones.isEmpty()) {
         return Optional.empty();
       }
-      types.add(
-          new MachineType(
-              o.path("name").asText(),
-              new Resources(
-                  o.path("cores").asLong(), o.path("accel").asLong(), o.path("mem").asLong()),
-              o.path("cache_gb").asDouble(),
-              o.path("fetch").asDouble(),
-              o.path("price").asDouble(),
-              o.path("spot_price").asDouble(),
-              o.path("boot_s").asDouble(),
-              List.copyOf(zones)));
+      types.add(decodeType(node, List.copyOf(zones)));
     }
     return types.isEmpty() ? Optional.empty() : Optional.of(types);
   }
+
+  private static MachineType decodeType(JsonNode node, List<String> zones) {
+    Resources size =
+        new Resources(
+            node.path("cores").asLong(), node.path("accel").asLong(), node.path("mem").asLong());
+    return new MachineType(
+        node.path("name").asText(),
+        size,
+        node.path("cache_gb").asDouble(),
+        node.path("fetch").asDouble(),
+        node.path("price").asDouble(),
+        node.path("spot_price").asDouble(),
+        node.path("boot_s").asDouble(),
+        zones);
+  }
 }
--- a/src/main/java/org/ploverspindle/state/ProgressCounts.java
+++ b/src/main/java/org/ploverspindle/state/ProgressCounts.java
@@ -1,23 +1,33 @@
 package org.ploverspindle.state;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
 import org.ploverspindle.state.StateStore.Entry;
 
-/** How many tasks of each unfinished job are done and placed, by the log: for display alone. */
+/**
+ * How many tasks of each unfinished job are recorded as completed and placed; for display alone.
+ */
 public final class ProgressCounts {
-  /** Of a whole job; by the log's record {@code n}. */
+  /**
+   * Counts of a whole job.
+   *
+   * @param n sequence number of the log record that they are from, or that the snapshot covers
+   */
   public record Counts(long n, int done, int running) {
+    /** Older than any record. */
     static final Counts NONE = new Counts(-1, 0, 0);
   }
 
   private final Map<String, Counts> counts = new HashMap<>();
 
+  /** Follows the records in the replica. */
   public ProgressCounts(Replica replica) {
     replica.addListener(this::changed);
   }
 
+  /** The latest counts of the job; zeros if none are recorded. */
   public Counts of(String uid) {
     return counts.getOrDefault(uid, Counts.NONE);
   }
@@ -26,26 +36,25 @@
     if (entry.isEmpty()) {
       return;
     }
+    JsonNode value = entry.get().value();
     if (key.startsWith(Keys.PROGRESS_LOG)) {
-      long n = entry.get().value().path("n").asLong();
-      ProgressLogRecord.counts(
-          entry.get().value(), (uid, done, running) -> put(uid, n, done, running));
+      long sequence = value.path("n").asLong();
+      ProgressLogRecord.counts(value, (uid, done, running) -> update(uid, sequence, done, running));
     } else if (key.startsWith(Keys.SNAPSHOTS)) {
-      int slash = key.lastIndexOf('/');
-      var v = entry.get().value();
-      put(
-          key.substring(Keys.SNAPSHOTS.length(), slash),
-          v.path("upto").asLong(0),
-          v.path("job_done").asInt(v.path("n").asInt()),
-          v.path("job_running").asInt(v.path("r").asInt()));
+      // Versions without a progress log stored the counts of the snapshot alone.
+      update(
+          key.substring(Keys.SNAPSHOTS.length(), key.lastIndexOf('/')),
+          value.path("upto").asLong(0),
+          value.path("job_done").asInt(value.path("n").asInt()),
+          value.path("job_running").asInt(value.path("r").asInt()));
     } else if (key.startsWith(Keys.COMPLETIONS)) {
       counts.remove(key.substring(Keys.COMPLETIONS.length()));
     }
   }
 
-  private void put(String uid, long n, int done, int running) {
-    if (counts.getOrDefault(uid, Counts.NONE).n() <= n) {
-      counts.put(uid, new Counts(n, done, running));
+  private void update(String uid, long sequence, int done, int running) {
+    if (of(uid).n() <= sequence) {
+      counts.put(uid, new Counts(sequence, done, running));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
+++ b/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
@@ -14,20 +14,22 @@
 import org.ploverspindle.state.SnapshotRecord.RecordedPlacement;
 
 /**
- * One record of the leader's progress log: what the touched tasks of any number of jobs are now.
- * Changes are the scarcest thing that the state service gives, so one put carries all that happened
- * since the last one. It says how tasks are, not what happened to them: applying it again, or
- * together with a newer checkpoint, does no harm.
+ * One record of the leader's progress log: the present statuses of the changed tasks of any number
+ * of jobs. Changes are the scarcest resource of the state service, so one put carries all that
+ * happened since the last one. Records hold statuses and not events: applying one again, or
+ * together with a newer snapshot, is idempotent.
  *
- * @param sequence place in the log; later records say newer things
- * @param id who wrote it, so that an unanswered write can be recognised
+ * @param sequence place in the log; the statuses in later records are newer
+ * @param id identifies the attempt to write the record
  */
 public record ProgressLogRecord(long sequence, String id, List<Delta> deltas) {
 
   /**
-   * How the touched tasks of a job are: done, on a machine, or on none.
+   * The statuses of the changed tasks of a job: completed, on a machine, or neither.
    *
-   * @param doneCount of the whole job, for display; so is {@code running}
+   * @param doneCount completed tasks of the whole job, for display
+   * @param running tasks of the whole job that are on machines, for display
+   * @param cleared tasks that are neither completed nor on a machine
    */
   public record Delta(
       String uid,
@@ -37,199 +39,252 @@
       BitSet cleared,
       List<RecordedPlacement> placements) {}
 
-  /** How many records the log holds; the oldest is replaced once checkpoints cover it. */
+  /** How many records the log holds; the oldest is replaced once snapshots cover it. */
   public static final int SLOTS = 256;
 
-  public static int slot(long n) {
-    return (int) (n % SLOTS);
+  // The fields of a job's line, which are separated by bars.
+  private static final int UID = 0;
+  private static final int DONE_COUNT = 1;
+  private static final int RUNNING = 2;
+  private static final int COMPLETED = 3;
+  private static final int CLEARED = 4;
+  private static final int PLACEMENTS = 5;
+
+  private static final int DECIMAL = 10;
+
+  /** The slot of the log that the record with this sequence number is stored in. */
+  public static int slot(long sequence) {
+    return (int) (sequence % SLOTS);
   }
 
   /** Builds the value of a record within a size, counted in JSON form. */
   public static final class Builder {
-    private static final int FIXED = 120;
+    private static final int FIXED_BYTES = 120;
+
+    /** What the line of a job takes beside its placements, by estimate. */
+    private static final int JOB_BYTES = 300;
+
+    /** Upper bound for a placement with a machine of its own, with usual names. */
+    private static final int PLACEMENT_BYTES = 75;
 
-    private final long n;
+    /** Quotes and comma of a text in a list. */
+    private static final int TEXT_FRAME_BYTES = 3;
+
+    /** Quotes, commas and the index of the kind in the text of a machine. */
+    private static final int MACHINE_FRAME_BYTES = 6;
+
+    private final long sequence;
     private final String id;
     private final int maxBytes;
+
+    /** Type, zone and spot or on-demand of the machines, each with its index. */
     private final Map<String, Integer> kinds = new LinkedHashMap<>();
-    private final Map<MachineInfo, Integer> hosts = new LinkedHashMap<>();
+
+    private final Map<MachineInfo, Integer> machines = new LinkedHashMap<>();
     private final List<String> lines = new ArrayList<>();
-    private int bytes = FIXED;
+    private int bytes = FIXED_BYTES;
 
-    public Builder(long n, String id, int maxBytes) {
-      this.n = n;
+    /**
+     * @param maxBytes the largest size of the value
+     */
+    public Builder(long sequence, String id, int maxBytes) {
+      this.sequence = sequence;
       this.id = id;
       this.maxBytes = maxBytes;
     }
 
-    /** A task on a machine of its own takes at most about this much. */
+    /** How many tasks of a job, each on a machine of its own, certainly fit into a record. */
     public static int tasksThatFit(int maxBytes) {
-      return Math.max(1, (maxBytes - FIXED - 300) / 75);
+      return Math.max(1, (maxBytes - FIXED_BYTES - JOB_BYTES) / PLACEMENT_BYTES);
     }
 
-    /** Adds what is said of a job; false, and nothing is added, when it does not fit any more. */
-    public boolean add(Delta d) {
-      int hostsBefore = hosts.size();
+    /** Adds the statuses of a job; false, and nothing is added, if they don't fit. */
+    public boolean add(Delta delta) {
+      int machinesBefore = machines.size();
       int kindsBefore = kinds.size();
-      StringBuilder line = new StringBuilder(64);
-      line.append(d.uid()).append('|').append(d.doneCount()).append('|').append(d.running());
-      line.append('|').append(SnapshotRecord.ranges(d.completed()));
-      line.append('|').append(SnapshotRecord.ranges(d.cleared())).append('|');
-      int more = 0;
-      for (int i = 0; i < d.placements().size(); ) {
-        RecordedPlacement first = d.placements().get(i);
-        int run = 1;
-        while (i + run < d.placements().size()
-            && continues(first, d.placements().get(i + run), run)) {
-          run++;
-        }
-        Integer known = hosts.get(first.machine());
-        if (known == null) {
-          known = hosts.size();
-          hosts.put(first.machine(), known);
-          String kind = kind(first.machine());
-          if (kinds.putIfAbsent(kind, kinds.size()) == null) {
-            more += kind.length() + 3;
-          }
-          more += first.machine().id().length() + 6;
-        }
-        if (i > 0) {
-          line.append(',');
-        }
-        line.append(first.task());
-        if (run > 1) {
-          line.append('-').append(first.task() + run - 1);
-        }
-        line.append(':').append(Long.toString(first.attempt(), 36)).append(':').append(known);
-        line.append(':').append(first.agentEpoch());
-        i += run;
-      }
-      more += line.length() + 3;
-      if (bytes + more > maxBytes) {
-        trim(hosts, hostsBefore);
-        trim(kinds, kindsBefore);
+      StringBuilder line = new StringBuilder(delta.uid());
+      line.append('|').append(delta.doneCount()).append('|').append(delta.running());
+      line.append('|').append(TaskRanges.format(delta.completed()));
+      line.append('|').append(TaskRanges.format(delta.cleared())).append('|');
+      int addedBytes = appendPlacements(line, delta.placements());
+      addedBytes += line.length() + TEXT_FRAME_BYTES;
+      if (bytes + addedBytes > maxBytes) {
+        truncate(machines, machinesBefore);
+        truncate(kinds, kindsBefore);
         return false;
       }
-      bytes += more;
+      bytes += addedBytes;
       lines.add(line.toString());
       return true;
     }
 
-    private static <K> void trim(Map<K, Integer> map, int size) {
-      map.values().removeIf(index -> index >= size);
+    private static <K> void truncate(Map<K, Integer> indexes, int size) {
+      indexes.values().removeIf(index -> index >= size);
+    }
+
+    /** Appends the placements; returns the size of the machines that this adds to the record. */
+    private int appendPlacements(StringBuilder line, List<RecordedPlacement> placements) {
+      int addedBytes = 0;
+      int next = 0;
+      while (next < placements.size()) {
+        RecordedPlacement first = placements.get(next);
+        int length = runLength(placements, next);
+        addedBytes += addMachine(first.machine());
+        line.append(next > 0 ? "," : "").append(first.task());
+        if (length > 1) {
+          line.append('-').append(first.task() + length - 1);
+        }
+        PlacementText.appendDetails(line, first, machines.get(first.machine()));
+        next += length;
+      }
+      return addedBytes;
+    }
+
+    /** How many placements from this one on differ only in consecutive tasks and attempts. */
+    private static int runLength(List<RecordedPlacement> placements, int start) {
+      RecordedPlacement first = placements.get(start);
+      int length = 1;
+      while (start + length < placements.size()
+          && continues(first, placements.get(start + length), length)) {
+        length++;
+      }
+      return length;
     }
 
-    private static boolean continues(RecordedPlacement first, RecordedPlacement next, int run) {
-      return next.task() == first.task() + run
-          && next.attempt() == first.attempt() + run
+    private static boolean continues(
+        RecordedPlacement first, RecordedPlacement next, int distance) {
+      return next.task() == first.task() + distance
+          && next.attempt() == first.attempt() + distance
           && next.agentEpoch() == first.agentEpoch()
           && next.machine().equals(first.machine());
     }
 
-    private static String kind(MachineInfo h) {
-      return h.type() + "," + h.zone() + "," + (h.spot() ? "spot" : "ordinary");
+    /** Adds the machine if it is new; returns the size that this adds to the record. */
+    private int addMachine(MachineInfo machine) {
+      if (machines.containsKey(machine)) {
+        return 0;
+      }
+      machines.put(machine, machines.size());
+      int addedBytes = machine.id().length() + MACHINE_FRAME_BYTES;
+      String kind = PlacementText.kind(machine);
+      if (kinds.putIfAbsent(kind, kinds.size()) == null) {
+        addedBytes += kind.length() + TEXT_FRAME_BYTES;
+      }
+      return addedBytes;
     }
 
+    /** Whether no statuses were added. */
     public boolean isEmpty() {
       return lines.isEmpty();
     }
 
+    /** The size of the value, counted in JSON form. */
     public int bytes() {
       return bytes;
     }
 
+    /** The stored form. */
     public JsonNode value() {
-      ObjectNode v = Cbor.map();
-      v.put("n", n);
-      v.put("id", id);
-      ArrayNode kindNames = v.putArray("kinds");
+      ObjectNode value = Cbor.map();
+      value.put("n", sequence);
+      value.put("id", id);
+      ArrayNode kindNames = value.putArray("kinds");
       kinds.keySet().forEach(kindNames::add);
-      ArrayNode hostNames = v.putArray("hosts");
-      hosts.keySet().forEach(h -> hostNames.add(h.id() + "," + kinds.get(kind(h))));
-      ArrayNode jobs = v.putArray("jobs");
+      ArrayNode hosts = value.putArray("hosts");
+      machines.keySet().forEach(m -> hosts.add(m.id() + "," + kinds.get(PlacementText.kind(m))));
+      ArrayNode jobs = value.putArray("jobs");
       lines.forEach(jobs::add);
-      return v;
+      return value;
     }
   }
 
-  /** Calls for each job of a record with its counts, without reading the rest of it. */
+  /** Receives the counts of a job in a record. */
   public interface CountsReader {
+    /** The job has so many completed tasks, and so many on machines. */
     void counts(String uid, int done, int running);
   }
 
-  /** For display alone: what can't be read is passed over, as {@link #decode} reports it. */
-  public static void counts(JsonNode v, CountsReader reader) {
-    for (JsonNode line : v.path("jobs")) {
-      String text = line.asText();
-      int a = text.indexOf('|');
-      int b = text.indexOf('|', a + 1);
-      int c = text.indexOf('|', b + 1);
-      if (a > 0 && b > 0 && c > 0) {
+  /**
+   * Reads the counts of each job in a record, without the rest of it; for display alone. Unreadable
+   * lines are skipped, as {@link #decode} reports them.
+   */
+  public static void counts(JsonNode value, CountsReader reader) {
+    for (JsonNode job : value.path("jobs")) {
+      String line = job.asText();
+      int uidEnd = line.indexOf('|');
+      int doneEnd = line.indexOf('|', uidEnd + 1);
+      int runningEnd = line.indexOf('|', doneEnd + 1);
+      if (uidEnd > 0 && doneEnd > 0 && runningEnd > 0) {
         try {
           reader.counts(
-              text.substring(0, a),
-              Integer.parseInt(text, a + 1, b, 10),
-              Integer.parseInt(text, b + 1, c, 10));
+              line.substring(0, uidEnd),
+              Integer.parseInt(line, uidEnd + 1, doneEnd, DECIMAL),
+              Integer.parseInt(line, doneEnd + 1, runningEnd, DECIMAL));
         } catch (NumberFormatException e) {
-          // Passed over, see above.
+          // Skipped, see above.
         }
       }
     }
   }
 
-  /** Empty when the record can't be read as a whole. */
-  public static Optional<ProgressLogRecord> decode(JsonNode v) {
-    if (!v.path("n").canConvertToLong() || !v.path("n").isIntegralNumber()) {
+  /** Decodes a record; empty if any part of it is unreadable. */
+  public static Optional<ProgressLogRecord> decode(JsonNode value) {
+    JsonNode sequence = value.path("n");
+    if (!sequence.canConvertToLong() || !sequence.isIntegralNumber()) {
       return Optional.empty();
     }
-    if (!v.path("id").isTextual() || !v.path("jobs").isArray()) {
+    if (!value.path("id").isTextual() || !value.path("jobs").isArray()) {
       return Optional.empty();
     }
     try {
-      List<String[]> kinds = new ArrayList<>();
-      v.path("kinds").forEach(k -> kinds.add(k.asText().split(",", -1)));
-      List<MachineInfo> hosts = new ArrayList<>();
-      for (JsonNode h : v.path("hosts")) {
-        String[] f = h.asText().split(",", -1);
-        String[] kind = kinds.get(Integer.parseInt(f[1]));
-        hosts.add(new MachineInfo(f[0], kind[0], kind[1], kind[2].equals("spot")));
-      }
+      List<MachineInfo> machines = decodeMachines(value);
       List<Delta> deltas = new ArrayList<>();
-      for (JsonNode line : v.path("jobs")) {
-        String[] f = line.asText().split("\\|", -1);
-        deltas.add(
-            new Delta(
-                f[0],
-                Integer.parseInt(f[1]),
-                Integer.parseInt(f[2]),
-                SnapshotRecord.ranges(f[3]),
-                SnapshotRecord.ranges(f[4]),
-                live(f[5], hosts)));
+      for (JsonNode line : value.path("jobs")) {
+        deltas.add(decodeDelta(line.asText(), machines));
       }
       return Optional.of(
-          new ProgressLogRecord(v.path("n").asLong(), v.path("id").asText(), deltas));
+          new ProgressLogRecord(sequence.asLong(), value.path("id").asText(), deltas));
     } catch (NumberFormatException | IndexOutOfBoundsException e) {
       return Optional.empty();
     }
   }
 
-  private static List<RecordedPlacement> live(String text, List<MachineInfo> hosts) {
-    List<RecordedPlacement> live = new ArrayList<>();
-    for (String place : SnapshotRecord.parts(text)) {
-      String[] f = place.split(":", -1);
-      int dash = f[0].indexOf('-');
-      int from = Integer.parseInt(dash < 0 ? f[0] : f[0].substring(0, dash));
-      int to = dash < 0 ? from : Integer.parseInt(f[0].substring(dash + 1));
-      long attempt = Long.parseLong(f[1], 36);
+  private static List<MachineInfo> decodeMachines(JsonNode value) {
+    List<String[]> kinds = new ArrayList<>();
+    value.path("kinds").forEach(kind -> kinds.add(kind.asText().split(",", -1)));
+    List<MachineInfo> machines = new ArrayList<>();
+    for (JsonNode host : value.path("hosts")) {
+      String[] fields = host.asText().split(",", -1);
+      String[] kind = kinds.get(Integer.parseInt(fields[1]));
+      machines.add(new MachineInfo(fields[0], kind[0], kind[1], PlacementText.isSpot(kind[2])));
+    }
+    return machines;
+  }
+
+  private static Delta decodeDelta(String line, List<MachineInfo> machines) {
+    String[] fields = line.split("\\|", -1);
+    return new Delta(
+        fields[UID],
+        Integer.parseInt(fields[DONE_COUNT]),
+        Integer.parseInt(fields[RUNNING]),
+        TaskRanges.parse(fields[COMPLETED]),
+        TaskRanges.parse(fields[CLEARED]),
+        decodePlacements(fields[PLACEMENTS], machines));
+  }
+
+  private static List<RecordedPlacement> decodePlacements(String text, List<MachineInfo> machines) {
+    List<RecordedPlacement> placements = new ArrayList<>();
+    for (String item : TaskRanges.items(text)) {
+      String[] fields = PlacementText.fields(item);
+      String tasks = fields[PlacementText.TASK];
+      int dash = tasks.indexOf('-');
+      int from = Integer.parseInt(dash < 0 ? tasks : tasks.substring(0, dash));
+      int to = dash < 0 ? from : Integer.parseInt(tasks.substring(dash + 1));
+      long attempt = PlacementText.attempt(fields);
       for (int task = from; task <= to; task++) {
-        live.add(
-            new RecordedPlacement(
-                task,
-                attempt + task - from,
-                hosts.get(Integer.parseInt(f[2])),
-                Long.parseLong(f[3])));
+        placements.add(PlacementText.placement(task, attempt + task - from, fields, machines));
       }
     }
-    return live;
+    return placements;
   }
 }
--- a/src/main/java/org/ploverspindle/state/SnapshotRecord.java
+++ b/src/main/java/org/ploverspindle/state/SnapshotRecord.java
@@ -12,124 +12,118 @@
 import org.ploverspindle.net.Cbor;
 
 /**
- * A checkpoint of a run of a job's tasks: which are done, and where each other one was last placed.
- * Packed as text, ranges for the done ones, since a value may hold only a few kilobytes. Records of
- * the progress log after {@code upTo} say newer things; an earlier landing's records, which knew no
- * log, are read as from before its beginning.
+ * The progress snapshot of a shard of a job's tasks, packed as text since a value may hold only a
+ * few kilobytes.
+ *
+ * @param done the tasks that have completed
+ * @param placements where tasks were last placed
+ * @param running how many tasks are on machines, for display
+ * @param coveredUpTo the last record of the progress log that the snapshot covers: later records
+ *     are newer than the snapshot. 0 in snapshots of versions without a progress log.
  */
 public record SnapshotRecord(
     BitSet done, List<RecordedPlacement> placements, int running, long coveredUpTo) {
 
-  /** Counts of the whole job, for display. */
-  public JsonNode encode(int jobDone, int jobRunning) {
-    ObjectNode v = encode();
-    v.put("job_done", jobDone);
-    v.put("job_running", jobRunning);
-    return v;
-  }
-
-  /** A machine with what a new leader must know of it before it reports or is listed. */
+  /** What a new leader must know of a machine before the machine sends a heartbeat or is listed. */
   public record MachineInfo(String id, String type, String zone, boolean spot) {}
 
-  /** A task's placement: recorded before its launch is ordered. */
+  /** A placement of a task; it is recorded before the launch command is sent. */
   public record RecordedPlacement(int task, long attempt, MachineInfo machine, long agentEpoch) {}
 
-  /** A placement takes at most about this many bytes, with a machine of its own. */
-  private static final int LIVE_BYTES = 100;
+  /** Upper bound for a placement with a machine of its own, with usual names. */
+  private static final int PLACEMENT_BYTES = 100;
+
+  /** Upper bound for the rest of a snapshot. */
+  private static final int FIXED_BYTES = 250;
+
+  /** Also where the state service allows more: several records should fit into a transaction. */
+  private static final int MAX_VALUE_BYTES = 16 * 1024;
+
+  private static final int MIN_SHARD_SIZE = 8;
 
-  /** How many tasks one record may hold so that it always fits in a value. */
+  private static final int MACHINE_FIELDS = 4;
+  private static final int MACHINE_SPOT = 3;
+
+  /** How many tasks a shard may have so that its snapshot always fits in a value. */
   public static int shardSizeFor(int valueBytes) {
-    return Math.max(8, (Math.min(valueBytes, 16 * 1024) - 250) / LIVE_BYTES);
+    int placementBytes = Math.min(valueBytes, MAX_VALUE_BYTES) - FIXED_BYTES;
+    return Math.max(MIN_SHARD_SIZE, placementBytes / PLACEMENT_BYTES);
   }
 
+  /** The stored form, with counts of the whole job for display. */
+  public JsonNode encode(int jobDone, int jobRunning) {
+    ObjectNode value = encode();
+    value.put("job_done", jobDone);
+    value.put("job_running", jobRunning);
+    return value;
+  }
+
+  /** The stored form. */
   public ObjectNode encode() {
-    Map<MachineInfo, Integer> hosts = new LinkedHashMap<>();
+    Map<MachineInfo, Integer> machines = new LinkedHashMap<>();
     StringBuilder places = new StringBuilder();
-    for (RecordedPlacement l : placements) {
-      int host = hosts.computeIfAbsent(l.machine(), h -> hosts.size());
-      places
-          .append(places.isEmpty() ? "" : ",")
-          .append(l.task())
-          .append(':')
-          .append(Long.toString(l.attempt(), 36))
-          .append(':')
-          .append(host)
-          .append(':')
-          .append(l.agentEpoch());
+    for (RecordedPlacement placement : placements) {
+      int machine = machines.computeIfAbsent(placement.machine(), m -> machines.size());
+      places.append(places.isEmpty() ? "" : ",").append(placement.task());
+      PlacementText.appendDetails(places, placement, machine);
     }
-    ObjectNode v = Cbor.map();
-    v.put("n", done.cardinality());
-    v.put("r", running);
-    v.put("upto", coveredUpTo);
-    v.put("done", ranges(done));
-    v.put("live", places.toString());
-    ArrayNode names = v.putArray("hosts");
-    for (MachineInfo h : hosts.keySet()) {
-      names.add(h.id() + "," + h.type() + "," + h.zone() + "," + (h.spot() ? "spot" : "ordinary"));
+    ObjectNode value = Cbor.map();
+    value.put("n", done.cardinality());
+    value.put("r", running);
+    value.put("upto", coveredUpTo);
+    value.put("done", TaskRanges.format(done));
+    value.put("live", places.toString());
+    ArrayNode names = value.putArray("hosts");
+    for (MachineInfo machine : machines.keySet()) {
+      names.add(machine.id() + "," + PlacementText.kind(machine));
     }
-    return v;
+    return value;
   }
 
-  /** Empty when the record can't be read. */
-  public static Optional<SnapshotRecord> decode(JsonNode v) {
-    if (!v.path("done").isTextual() || !v.path("live").isTextual()) {
+  /** Decodes a record; empty if it is unreadable. */
+  public static Optional<SnapshotRecord> decode(JsonNode value) {
+    if (!value.path("done").isTextual() || !value.path("live").isTextual()) {
       return Optional.empty();
     }
     try {
-      BitSet done = ranges(v.path("done").asText());
-      List<MachineInfo> hosts = new ArrayList<>();
-      for (JsonNode h : v.path("hosts")) {
-        String[] f = h.asText().split(",", -1);
-        if (f.length != 4) {
-          return Optional.empty();
-        }
-        hosts.add(new MachineInfo(f[0], f[1], f[2], f[3].equals("spot")));
-      }
-      List<RecordedPlacement> live = new ArrayList<>();
-      for (String place : parts(v.path("live").asText())) {
-        String[] f = place.split(":", -1);
-        if (f.length != 4) {
-          return Optional.empty();
-        }
-        live.add(
-            new RecordedPlacement(
-                Integer.parseInt(f[0]),
-                Long.parseLong(f[1], 36),
-                hosts.get(Integer.parseInt(f[2])),
-                Long.parseLong(f[3])));
-      }
+      BitSet done = TaskRanges.parse(value.path("done").asText());
+      List<MachineInfo> machines = decodeMachines(value.path("hosts"));
+      List<RecordedPlacement> placements = decodePlacements(value.path("live").asText(), machines);
       return Optional.of(
-          new SnapshotRecord(done, live, v.path("r").asInt(), v.path("upto").asLong(0)));
+          new SnapshotRecord(
+              done, placements, value.path("r").asInt(), value.path("upto").asLong(0)));
     } catch (NumberFormatException | IndexOutOfBoundsException e) {
       return Optional.empty();
     }
   }
 
-  static String ranges(BitSet set) {
-    StringBuilder ranges = new StringBuilder();
-    for (int from = set.nextSetBit(0); from >= 0; ) {
-      int to = set.nextClearBit(from) - 1;
-      ranges.append(ranges.isEmpty() ? "" : ",").append(from);
-      if (to > from) {
-        ranges.append('-').append(to);
-      }
-      from = set.nextSetBit(to + 1);
+  private static List<MachineInfo> decodeMachines(JsonNode hosts) {
+    List<MachineInfo> machines = new ArrayList<>();
+    for (JsonNode host : hosts) {
+      String[] fields = host.asText().split(",", -1);
+      requireFields(fields, MACHINE_FIELDS);
+      machines.add(
+          new MachineInfo(
+              fields[0], fields[1], fields[2], PlacementText.isSpot(fields[MACHINE_SPOT])));
     }
-    return ranges.toString();
+    return machines;
   }
 
-  static BitSet ranges(String text) {
-    BitSet set = new BitSet();
-    for (String range : parts(text)) {
-      int dash = range.indexOf('-');
-      int from = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
-      int to = dash < 0 ? from : Integer.parseInt(range.substring(dash + 1));
-      set.set(from, to + 1);
+  private static List<RecordedPlacement> decodePlacements(String text, List<MachineInfo> machines) {
+    List<RecordedPlacement> placements = new ArrayList<>();
+    for (String item : TaskRanges.items(text)) {
+      String[] fields = PlacementText.fields(item);
+      requireFields(fields, PlacementText.FIELDS);
+      int task = Integer.parseInt(fields[PlacementText.TASK]);
+      placements.add(
+          PlacementText.placement(task, PlacementText.attempt(fields), fields, machines));
     }
-    return set;
+    return placements;
   }
 
-  static String[] parts(String text) {
-    return text.isEmpty() ? new String[0] : text.split(",", -1);
+  private static void requireFields(String[] fields, int count) {
+    if (fields.length != count) {
+      throw new IndexOutOfBoundsException(fields.length + " fields instead of " + count);
+    }
   }
 }
