--- a/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
+++ b/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,13 +12,16 @@
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
- * Accepted jobs by their id, over the copy. A record holds all jobs that a node accepted at once,
- * as changes are scarce; so nothing in the store keeps two nodes from accepting one id. The record
- * that was written first counts, on every node and for good: it can't be overtaken by one that is
- * executed late, and whoever told its user "accepted" by the other record told the truth.
+ * Accepted jobs by id, as found in the replica.
+ *
+ * <p>A record holds all jobs that a controller accepted at once, since changes are scarce. So no
+ * condition on a key keeps two controllers from accepting jobs with the same id. The record that
+ * was written first counts, at every controller and permanently: a transaction that is executed
+ * late can't come before it. The controller that wrote the other record did not mislead its user,
+ * as a job with this id was accepted.
  */
 public final class AcceptedJobIndex {
-  /** An accepted job's record, and the revision that wrote it. */
+  /** An accepted job's record, with the key that holds it and the key's mod revision. */
   public record AcceptedJob(String uid, JsonNode value, long modRevision, String key) {
     private boolean isBefore(AcceptedJob other) {
       return modRevision != other.modRevision
@@ -26,59 +30,64 @@
     }
   }
 
-  /** Told of every job that is new here. */
+  /** Notified of the jobs in the index. */
   public interface Listener {
+    /** A job was added. */
     void accepted(AcceptedJob spec);
 
-    /** The record that counts is an earlier one, which came here later; seen only while loading. */
+    /** An earlier record of the job replaces the known one; happens during loading alone. */
     default void corrected(AcceptedJob spec) {}
   }
 
-  private final Map<String, AcceptedJob> specs = new HashMap<>();
+  private final Map<String, AcceptedJob> jobs = new HashMap<>();
   private final List<Listener> listeners = new ArrayList<>();
 
+  /** Follows the jobs in the replica. */
   public AcceptedJobIndex(Replica replica) {
     replica.addListener(this::changed);
   }
 
-  /** Cancelled with the term of whoever listens. */
+  /** Adds a listener; one that belongs to a term must be cancelled with it. */
   public Cancellable addListener(Listener listener) {
     listeners.add(listener);
     return () -> listeners.remove(listener);
   }
 
+  /** The accepted job with this id. */
   public Optional<AcceptedJob> get(String uid) {
-    return Optional.ofNullable(specs.get(uid));
+    return Optional.ofNullable(jobs.get(uid));
   }
 
+  /** The ids of all accepted jobs; an unmodifiable live view. */
   public Set<String> uids() {
-    return specs.keySet();
+    return Collections.unmodifiableSet(jobs.keySet());
   }
 
   private void changed(String key, Optional<Entry> entry) {
     if (entry.isEmpty()) {
       return;
     }
-    Entry e = entry.get();
+    JsonNode value = entry.get().value();
+    long modRevision = entry.get().modRevision();
     if (key.startsWith(Keys.JOBS)) {
-      add(new AcceptedJob(key.substring(Keys.JOBS.length()), e.value(), e.modRevision(), key));
+      add(new AcceptedJob(key.substring(Keys.JOBS.length()), value, modRevision, key));
     } else if (key.startsWith(Keys.JOB_BATCHES)) {
-      for (Map.Entry<String, JsonNode> job : e.value().properties()) {
-        add(new AcceptedJob(job.getKey(), job.getValue(), e.modRevision(), key));
+      for (Map.Entry<String, JsonNode> job : value.properties()) {
+        add(new AcceptedJob(job.getKey(), job.getValue(), modRevision, key));
       }
     }
   }
 
-  private void add(AcceptedJob spec) {
-    AcceptedJob known = specs.get(spec.uid());
-    if (known != null && !spec.isBefore(known)) {
+  private void add(AcceptedJob job) {
+    AcceptedJob known = jobs.get(job.uid());
+    if (known != null && !job.isBefore(known)) {
       return;
     }
-    specs.put(spec.uid(), spec);
+    jobs.put(job.uid(), job);
     if (known == null) {
-      List.copyOf(listeners).forEach(l -> l.accepted(spec));
+      List.copyOf(listeners).forEach(l -> l.accepted(job));
     } else {
-      List.copyOf(listeners).forEach(l -> l.corrected(spec));
+      List.copyOf(listeners).forEach(l -> l.corrected(job));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/state/DependenciesRecord.java
+++ b/src/main/java/org/ploverspindle/state/DependenciesRecord.java
@@ -11,34 +11,42 @@
 import org.ploverspindle.net.Cbor;
 
 /**
- * A list of dependencies that is too long for its job's record, in parts that each fit a value.
+ * A list of dependencies that is too long for its job's record, in parts that each fit into a
+ * value.
  *
- * <p>The name follows from the content: a repeat at any controller goes on where an earlier request
- * ended, two controllers that write one list write the same, and no part can come to stand that is
- * of another list.
+ * <p>The name is derived from the content, so that writing the list is idempotent: a retry at any
+ * controller continues where an earlier request stopped, two controllers that write the same list
+ * write the same keys and values, and parts of different lists never mix.
+ *
+ * @param name identifies the list among all jobs
+ * @param parts the stored values, in order
  */
 public record DependenciesRecord(String name, List<JsonNode> parts) {
   private static final String IDS = "ids";
 
-  /** A part's braces, its field's name, and quotes. */
+  /** Braces, field name and quotes of a part. */
   private static final int FRAME_BYTES = 20;
 
-  public static DependenciesRecord split(String uid, List<String> dependencies, int valueBytes) {
+  /** How much of the SHA-256 digest of the list is in its name. */
+  private static final int DIGEST_BYTES = 10;
+
+  /** Splits a job's list into parts of at most {@code valueBytes}. */
+  public static DependenciesRecord split(String jobUid, List<String> dependencies, int valueBytes) {
     List<JsonNode> parts = new ArrayList<>();
     StringBuilder ids = new StringBuilder();
     MessageDigest digest = sha256();
-    for (String d : dependencies) {
-      if (!ids.isEmpty() && ids.length() + 1 + d.length() > valueBytes - FRAME_BYTES) {
+    for (String uid : dependencies) {
+      if (!ids.isEmpty() && ids.length() + 1 + uid.length() > valueBytes - FRAME_BYTES) {
         parts.add(Cbor.map().put(IDS, ids.toString()));
         digest.update((byte) '\n');
         ids.setLength(0);
       }
-      ids.append(ids.isEmpty() ? "" : ",").append(d);
-      digest.update((d + ",").getBytes(StandardCharsets.US_ASCII));
+      ids.append(ids.isEmpty() ? "" : ",").append(uid);
+      digest.update((uid + ",").getBytes(StandardCharsets.US_ASCII));
     }
     parts.add(Cbor.map().put(IDS, ids.toString()));
-    String hash = HexFormat.of().formatHex(digest.digest(), 0, 10);
-    return new DependenciesRecord(uid + "-" + hash, List.copyOf(parts));
+    String hash = HexFormat.of().formatHex(digest.digest(), 0, DIGEST_BYTES);
+    return new DependenciesRecord(jobUid + "-" + hash, List.copyOf(parts));
   }
 
   private static MessageDigest sha256() {
@@ -49,16 +57,17 @@
     }
   }
 
+  /** The key of a part. */
   public String key(int part) {
     return Keys.dependencies(name, part);
   }
 
-  /** The whole list by the copy; empty while a part of it is missing. */
+  /** Reads the whole list from the replica; empty while a part of it is missing. */
   public static Optional<List<String>> read(
-      Replica replica, JobRecord.StoredDependencies.Separate where) {
+      Replica replica, JobRecord.StoredDependencies.Separate stored) {
     List<String> uids = new ArrayList<>();
-    for (int i = 0; i < where.parts(); i++) {
-      Optional<String> ids = replica.text(Keys.dependencies(where.name(), i), IDS);
+    for (int i = 0; i < stored.parts(); i++) {
+      Optional<String> ids = replica.text(Keys.dependencies(stored.name(), i), IDS);
       if (ids.isEmpty()) {
         return Optional.empty();
       }
--- a/src/main/java/org/ploverspindle/state/HttpStateStore.java
+++ b/src/main/java/org/ploverspindle/state/HttpStateStore.java
@@ -17,40 +17,58 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state service's own protocol. Broken or unexpected answers count as none. */
+/** Speaks the protocol of the state service. Malformed or unexpected answers count as none. */
 public final class HttpStateStore implements StateStore {
   private static final byte[] EMPTY = {};
+
+  private static final int OK = 200;
+  private static final int BAD_REQUEST = 400;
+  private static final int NOT_FOUND = 404;
+  private static final int CONFLICT = 409;
+  private static final int GONE = 410;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int UNAVAILABLE = 503;
+
+  /** The status that is reported for a transaction that was not sent. */
+  private static final int NOT_SENT = 0;
+
   private static final long TIMEOUT_MS = 2_500;
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpStateStore.class);
 
-  private final HttpClient caller;
+  private final HttpClient client;
 
-  /** Answers that were named in the log, once each. */
-  private final Set<Integer> told = new HashSet<>();
+  /** Unexpected statuses that were logged: each is logged once. */
+  private final Set<Integer> loggedStatuses = new HashSet<>();
 
-  public HttpStateStore(HttpClient caller) {
-    this.caller = caller;
+  /** Sends all requests through this client. */
+  public HttpStateStore(HttpClient client) {
+    this.client = client;
   }
 
   @Override
-  public void commit(Transaction txn, Consumer<TransactionResult> then) {
-    caller.send(
-        "POST", "/txn", Cbor.write(encode(txn)), TIMEOUT_MS, r -> then.accept(txnResult(r)));
+  public void commit(Transaction transaction, Consumer<TransactionResult> then) {
+    client.send(
+        "POST",
+        "/txn",
+        Cbor.write(encode(transaction)),
+        TIMEOUT_MS,
+        result -> then.accept(transactionResult(result)));
   }
 
-  public static ObjectNode encode(Transaction txn) {
+  /** The body of the request that executes this transaction. */
+  public static ObjectNode encode(Transaction transaction) {
     ObjectNode body = Cbor.map();
     ArrayNode conditions = body.putArray("if");
-    for (Condition c : txn.conditions()) {
-      conditions.addObject().put("path", c.key()).put("stamp", c.modRevision());
+    for (Condition condition : transaction.conditions()) {
+      conditions.addObject().put("path", condition.key()).put("stamp", condition.modRevision());
     }
     ArrayNode apply = body.putArray("apply");
-    for (Change change : txn.changes()) {
+    for (Change change : transaction.changes()) {
       if (change instanceof Change.Put put) {
         ObjectNode node = apply.addObject().put("put", put.key());
         node.set("v", put.value());
-        put.lease().ifPresent(h -> node.put("hold", h));
+        put.lease().ifPresent(lease -> node.put("hold", lease));
       } else {
         apply.addObject().put("remove", change.key());
       }
@@ -58,45 +76,50 @@
     return body;
   }
 
-  private TransactionResult txnResult(HttpResult reply) {
-    if (reply instanceof HttpResult.NotSent) {
-      return new TransactionResult.Refused(0);
+  private TransactionResult transactionResult(HttpResult result) {
+    if (result instanceof HttpResult.NotSent) {
+      return new TransactionResult.Refused(NOT_SENT);
     }
-    if (!(reply instanceof HttpResult.Response answer)) {
+    if (!(result instanceof HttpResult.Response response)) {
       return new TransactionResult.Unknown();
     }
-    Optional<ObjectNode> body = Cbor.readMap(answer.body());
-    switch (answer.status()) {
-      case 200:
+    Optional<ObjectNode> body = Cbor.readMap(response.body());
+    switch (response.status()) {
+      case OK:
         return body.filter(b -> b.path("ledger").canConvertToLong())
             .<TransactionResult>map(b -> new TransactionResult.Committed(b.path("ledger").asLong()))
             .orElse(new TransactionResult.Unknown());
-      case 409:
-        List<String> failed = new ArrayList<>();
-        body.ifPresent(b -> b.path("failed").forEach(f -> failed.add(f.asText())));
-        return new TransactionResult.Conflict(failed);
-      case 400:
+      case CONFLICT:
+        return conflict(body);
+      case BAD_REQUEST:
         return body.map(b -> b.path("error").asText("")).orElse("").contains("lease")
             ? new TransactionResult.NoSuchLease()
-            : new TransactionResult.Refused(400);
-      case 429, 503:
-        return new TransactionResult.Refused(answer.status());
+            : new TransactionResult.Refused(BAD_REQUEST);
+      case TOO_MANY_REQUESTS, UNAVAILABLE:
+        return new TransactionResult.Refused(response.status());
       default:
-        if (told.add(answer.status())) {
+        if (loggedStatuses.add(response.status())) {
           LOG.warn(
-              "a write was answered {}, which no page names: it is read back", answer.status());
+              "transaction answered with an unexpected status, outcome is read back: status={}",
+              response.status());
         }
         return new TransactionResult.Unknown();
     }
   }
 
-  private static Optional<ObjectNode> ok(HttpResult reply) {
-    return reply instanceof HttpResult.Response a && a.status() == 200
-        ? Cbor.readMap(a.body())
+  private static TransactionResult conflict(Optional<ObjectNode> body) {
+    List<String> failed = new ArrayList<>();
+    body.ifPresent(b -> b.path("failed").forEach(key -> failed.add(key.asText())));
+    return new TransactionResult.Conflict(failed);
+  }
+
+  private static Optional<ObjectNode> successBody(HttpResult result) {
+    return result instanceof HttpResult.Response response && response.status() == OK
+        ? Cbor.readMap(response.body())
         : Optional.empty();
   }
 
-  private static String escape(String text) {
+  private static String urlEncode(String text) {
     return URLEncoder.encode(text, StandardCharsets.UTF_8);
   }
 
@@ -104,21 +127,22 @@
   public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
     String path =
         "/kv?starts="
-            + escape(prefix)
-            + (after.isEmpty() ? "" : "&after=" + escape(after))
+            + urlEncode(prefix)
+            + (after.isEmpty() ? "" : "&after=" + urlEncode(after))
             + "&page="
             + size;
-    caller.send("GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(pageResult(r)));
+    client.send("GET", path, EMPTY, TIMEOUT_MS, result -> then.accept(pageResult(result)));
   }
 
-  private static PageResult pageResult(HttpResult reply) {
-    Optional<ObjectNode> body = ok(reply);
+  private static PageResult pageResult(HttpResult result) {
+    Optional<ObjectNode> body = successBody(result);
     if (body.isEmpty() || !body.get().path("entries").isArray()) {
       return new PageResult.Failed();
     }
     List<Entry> entries = new ArrayList<>();
-    for (JsonNode e : body.get().path("entries")) {
-      entries.add(new Entry(e.path("path").asText(), e.path("v"), e.path("stamp").asLong()));
+    for (JsonNode entry : body.get().path("entries")) {
+      entries.add(
+          new Entry(entry.path("path").asText(), entry.path("v"), entry.path("stamp").asLong()));
     }
     return new PageResult.Page(
         entries, body.get().path("has_next").asBoolean(), body.get().path("ledger").asLong());
@@ -126,68 +150,69 @@
 
   @Override
   public void readChanges(String prefix, long revision, Consumer<ChangesResult> then) {
-    String path = "/follow?starts=" + escape(prefix) + "&after=" + revision + "&wait_ms=0";
-    caller.send("GET", path, EMPTY, TIMEOUT_MS, r -> then.accept(news(r)));
+    String path = "/follow?starts=" + urlEncode(prefix) + "&after=" + revision + "&wait_ms=0";
+    client.send("GET", path, EMPTY, TIMEOUT_MS, result -> then.accept(changesResult(result)));
   }
 
-  private static ChangesResult news(HttpResult reply) {
-    // Changes have no size limit, pages have: after a long gap in a busy store the changes alone
-    // may be more than is read, and would be so again each time.
-    boolean overflow = reply instanceof HttpResult.TooLarge;
-    if (overflow || reply instanceof HttpResult.Response a && a.status() == 410) {
+  private static ChangesResult changesResult(HttpResult result) {
+    // Changes have no size limit, pages have. After a long outage of a busy store the changes may
+    // be more than the client accepts, and asking again would give the same: read pages instead.
+    boolean tooLarge = result instanceof HttpResult.TooLarge;
+    if (tooLarge || result instanceof HttpResult.Response response && response.status() == GONE) {
       return new ChangesResult.TooOld();
     }
-    Optional<ObjectNode> body = ok(reply);
+    Optional<ObjectNode> body = successBody(result);
     if (body.isEmpty() || !body.get().path("ledger").canConvertToLong()) {
       return new ChangesResult.Failed();
     }
     List<ChangedEntry> changes = new ArrayList<>();
-    for (JsonNode n : body.get().path("news")) {
-      boolean put = n.has("put");
+    for (JsonNode change : body.get().path("news")) {
+      boolean put = change.has("put");
       changes.add(
           new ChangedEntry(
-              n.path(put ? "put" : "remove").asText(),
-              put ? Optional.of(n.path("v")) : Optional.empty(),
-              n.path("stamp").asLong()));
+              change.path(put ? "put" : "remove").asText(),
+              put ? Optional.of(change.path("v")) : Optional.empty(),
+              change.path("stamp").asLong()));
     }
     return new ChangesResult.Changes(body.get().path("ledger").asLong(), changes);
   }
 
   @Override
   public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
-    caller.send(
+    client.send(
         "POST",
         "/holds",
         Cbor.write(Cbor.map().put("ttl_ms", ttlMs)),
         TIMEOUT_MS,
-        r ->
+        result ->
             then.accept(
-                ok(r)
-                    .map(b -> b.path("hold"))
+                successBody(result)
+                    .map(body -> body.path("hold"))
                     .filter(JsonNode::canConvertToLong)
                     .map(JsonNode::asLong)));
   }
 
   @Override
   public void renewLease(long lease, Consumer<Renewal> then) {
-    caller.send(
+    client.send(
         "POST",
         "/holds/" + lease + "/extend",
         EMPTY,
         TIMEOUT_MS,
-        r -> {
-          if (r instanceof HttpResult.Response a && a.status() == 200) {
-            then.accept(Renewal.RENEWED);
-          } else if (r instanceof HttpResult.Response a && a.status() == 404) {
-            then.accept(Renewal.GONE);
-          } else {
-            then.accept(Renewal.FAILED);
-          }
-        });
+        result -> then.accept(renewal(result)));
+  }
+
+  private static Renewal renewal(HttpResult result) {
+    int status = result instanceof HttpResult.Response response ? response.status() : NOT_SENT;
+    return switch (status) {
+      case OK -> Renewal.RENEWED;
+      case NOT_FOUND -> Renewal.GONE;
+      default -> Renewal.FAILED;
+    };
   }
 
   @Override
   public void closeLease(long lease) {
-    caller.send("DELETE", "/holds/" + lease, EMPTY, TIMEOUT_MS, r -> {});
+    client.send("DELETE", "/holds/" + lease, EMPTY, TIMEOUT_MS, result -> {});
   }
 }
--- a/src/main/java/org/ploverspindle/state/Keys.java
+++ b/src/main/java/org/ploverspindle/state/Keys.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * Names of this program's keys. The prefix carries the format's version, and leaves room for a
- * site's name in between once one state service serves several.
+ * The keys in the state service. All start with a prefix that names the version of the format. A
+ * {@code uid} is the id of a job.
  */
 public final class Keys {
   public static final String PREFIX = "ps1/";
@@ -14,7 +14,7 @@
   public static final String JOBS = PREFIX + "j/";
   public static final String JOB_BATCHES = PREFIX + "b/";
 
-  /** Before the jobs' own keys in their order: who reads all keys reads these lists first. */
+  /** Sorts before the jobs' keys, so that a load reads the lists before the jobs that need them. */
   public static final String DEPENDENCIES = PREFIX + "a/";
 
   public static final String CANCELLATIONS = PREFIX + "c/";
@@ -24,53 +24,62 @@
   public static final String PROVISIONING_INTENTS = PREFIX + "r/";
   public static final String BOUNDS = PREFIX + "g/";
 
-  /** Returns of machines that are decided for good. */
+  /** Terminations of machines: recorded before the cloud is asked, and never revoked. */
   public static final String TERMINATIONS = PREFIX + "x/";
 
   private Keys() {}
 
+  /** Jobs that were accepted together. */
   public static String jobBatch(String name) {
     return JOB_BATCHES + name;
   }
 
+  /** A part of a list of dependencies. */
   public static String dependencies(String name, int part) {
     return DEPENDENCIES + name + "/" + String.format(Locale.ROOT, "%04d", part);
   }
 
-  public static String progressLog(long n) {
-    return PROGRESS_LOG + String.format(Locale.ROOT, "%03d", ProgressLogRecord.slot(n));
+  /** The slot of the record with this sequence number. */
+  public static String progressLog(long sequence) {
+    return PROGRESS_LOG + String.format(Locale.ROOT, "%03d", ProgressLogRecord.slot(sequence));
   }
 
+  /** Exists once the job is cancelled. */
   public static String cancellation(String uid) {
     return CANCELLATIONS + uid;
   }
 
+  /** Exists once the job is complete. */
   public static String completion(String uid) {
     return COMPLETIONS + uid;
   }
 
+  /** Prefix of the job's progress snapshots. */
   public static String snapshotsOf(String uid) {
     return SNAPSHOTS + uid + "/";
   }
 
-  public static String snapshot(String uid, int chunk) {
-    return snapshotsOf(uid) + String.format(Locale.ROOT, "%05d", chunk);
+  /** The progress snapshot of a shard of the job. */
+  public static String snapshot(String uid, int shard) {
+    return snapshotsOf(uid) + String.format(Locale.ROOT, "%05d", shard);
   }
 
-  /** One of several records of the machine types, where one value can't hold them. */
+  /** A part of the machine types, where one value can't hold them. */
   public static String types(int part) {
     return TYPES + "/" + String.format(Locale.ROOT, "%04d", part);
   }
 
+  /** The record of a provisioning intent. */
   public static String provisioningIntent(String name) {
     return PROVISIONING_INTENTS + name;
   }
 
-  /** A return's record; its name is used once over all terms. */
+  /** A termination; its name is used once over all terms. */
   public static String termination(String name) {
     return TERMINATIONS + name;
   }
 
+  /** The recorded bounds of the groups of a machine type. */
   public static String bounds(String machineType) {
     return BOUNDS + machineType;
   }
--- a/src/main/java/org/ploverspindle/state/LeaderWriter.java
+++ b/src/main/java/org/ploverspindle/state/LeaderWriter.java
@@ -9,17 +9,24 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
- * Single writes of a leader besides progress: bound to the leader key, read back when unanswered.
+ * Single writes of a leader other than progress. Each is conditional on the leader key's mod
+ * revision, so that writes of a deposed leader fail.
  */
 public final class LeaderWriter {
   /** The status of a transaction that is malformed or beyond the limits. */
   private static final int BEYOND_LIMITS = 400;
 
+  /** How much of the budget is left for writes that can't wait. */
+  private static final double RESERVED_BUDGET = 2;
+
   private final StateStore store;
   private final Replica replica;
   private final TokenBucket writes;
   private final Term term;
 
+  /**
+   * @param writes the budget of changes
+   */
   public LeaderWriter(StateStore store, Replica replica, TokenBucket writes, Term term) {
     this.store = store;
     this.replica = replica;
@@ -27,24 +34,24 @@
     this.term = term;
   }
 
-  /** True when the writer's share allows more that can wait. */
+  /** Whether the budget allows a write that can wait. */
   public boolean hasSpareBudget() {
-    return writes.available() >= 2;
+    return writes.available() >= RESERVED_BUDGET;
   }
 
   /** What is known of a key that was to be created. */
   public enum CreateOutcome {
-    /** It stands, with the value that was given. */
+    /** It exists with the given value. */
     CREATED,
     /** It was certainly not created. */
     REFUSED,
     /** It was certainly not created, as it is beyond the state service's limits. */
     TOO_LARGE,
-    /** It may stand, or may yet come to stand. */
+    /** It may exist, or may still be created. */
     UNKNOWN
   }
 
-  /** Creates the key, and reads it back when the answer does not tell whether it stands. */
+  /** Creates the key; reads it back when the answer does not show whether it exists. */
   public void create(Change.Put put, Consumer<CreateOutcome> then) {
     write(
         List.of(new Condition(put.key(), 0)),
@@ -61,16 +68,16 @@
             replica.readBarrier(
                 read ->
                     then.accept(
-                        read && stands(put) ? CreateOutcome.CREATED : CreateOutcome.UNKNOWN));
+                        read && isStored(put) ? CreateOutcome.CREATED : CreateOutcome.UNKNOWN));
           }
         });
   }
 
-  private boolean stands(Change.Put put) {
+  private boolean isStored(Change.Put put) {
     return replica.get(put.key()).filter(entry -> entry.value().equals(put.value())).isPresent();
   }
 
-  /** Writes or removes a key whose loss costs nothing but time. */
+  /** Writes or removes a key without a retry: losing it may only cost time. */
   public void writeBestEffort(Change change, Consumer<Boolean> then) {
     write(List.of(), change, result -> then.accept(result instanceof TransactionResult.Committed));
   }
--- a/src/main/java/org/ploverspindle/state/TokenBucket.java
+++ b/src/main/java/org/ploverspindle/state/TokenBucket.java
@@ -2,50 +2,54 @@
 
 import org.ploverspindle.eventloop.Scheduler;
 
-/** Budget of a rate with a burst, on the injected clock. */
+/** A token bucket on the injected clock: a budget with a rate and a burst. */
 public final class TokenBucket {
   private final Scheduler clock;
   private final double burst;
-  private double perSecond;
+  private double ratePerSecond;
   private double tokens;
   private long lastMs;
 
-  public TokenBucket(Scheduler clock, double perSecond, double burst) {
+  /** A full bucket. */
+  public TokenBucket(Scheduler clock, double ratePerSecond, double burst) {
     this.clock = clock;
-    this.perSecond = perSecond;
+    this.ratePerSecond = ratePerSecond;
     this.burst = burst;
     this.tokens = burst;
     this.lastMs = clock.nowMs();
   }
 
-  public void rate(double newPerSecond) {
+  /** Changes the rate from now on. */
+  public void rate(double newRatePerSecond) {
     refill();
-    perSecond = newPerSecond;
+    ratePerSecond = newRatePerSecond;
   }
 
   private void refill() {
-    long now = clock.nowMs();
-    tokens = Math.min(burst, tokens + (now - lastMs) * perSecond / 1000.0);
-    lastMs = now;
+    long nowMs = clock.nowMs();
+    tokens = Math.min(burst, tokens + (nowMs - lastMs) * ratePerSecond / 1000.0);
+    lastMs = nowMs;
   }
 
+  /** The tokens that may be taken now; negative while there is debt. */
   public double available() {
     refill();
     return tokens;
   }
 
-  public boolean tryTake(double n) {
+  /** Takes the tokens if they are available. */
+  public boolean tryTake(double amount) {
     refill();
-    if (tokens < n) {
+    if (tokens < amount) {
       return false;
     }
-    tokens -= n;
+    tokens -= amount;
     return true;
   }
 
-  /** Takes what must go out in any case; the debt is paid by what comes later. */
-  public void take(double n) {
+  /** Takes tokens for what must be sent in any case; the bucket may go into debt. */
+  public void take(double amount) {
     refill();
-    tokens -= n;
+    tokens -= amount;
   }
 }
