--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
@@ -0,0 +1,276 @@
+package org.ploverspindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import org.ploverspindle.JobSpecFixtures;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.Placement;
+import org.ploverspindle.model.Priority;
+import org.ploverspindle.model.Resources;
+import org.ploverspindle.model.Term;
+import org.ploverspindle.net.Cbor;
+import org.ploverspindle.progress.ProgressWriter;
+import org.ploverspindle.progress.RecordedProgress;
+import org.ploverspindle.settings.Settings;
+import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.Replica;
+import org.ploverspindle.state.SnapshotRecord;
+import org.ploverspindle.state.StateStore.Change;
+import org.ploverspindle.state.StateStore.Condition;
+import org.ploverspindle.state.StateStore.Entry;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
+import org.ploverspindle.state.TokenBucket;
+
+/**
+ * Leaders that place and end tasks through a progress writer, on a simulated state service that may
+ * lose or delay any transaction.
+ */
+abstract class CancelledPlacementsScenario {
+  static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 200, 16, 24);
+
+  /** Well over what the ends wait for a write that goes out anyway. */
+  static final long QUIET_MS = 8_000;
+
+  /** Well under it. */
+  static final long SHORT_MS = 400;
+
+  enum Fate {
+    ANSWERED,
+    /** Carried out, and nobody hears of it. */
+    ANSWER_LOST,
+    /** Carried out seconds later, and nobody hears of it. */
+    LATE,
+    /** Never arrives. */
+    LOST
+  }
+
+  final SimClock clock = new SimClock();
+  final SimStateStore state = new SimStateStore(clock, LIMITS);
+  final Random random = new Random(7);
+  double faults;
+  Fate nextFate = Fate.ANSWERED;
+  long lateMs = 3_000;
+  long terms;
+  long attempts;
+  int transactions;
+  final List<TransactionResult> lateResults = new ArrayList<>();
+
+  final class FaultyStateClient extends ReadingStateClient {
+    private final SimClock.Process process;
+
+    FaultyStateClient(SimClock.Process process) {
+      super(clock, state, process);
+      this.process = process;
+    }
+
+    private Fate fate() {
+      Fate fate = nextFate;
+      nextFate = Fate.ANSWERED;
+      return random.nextDouble() < faults ? Fate.values()[1 + random.nextInt(3)] : fate;
+    }
+
+    @Override
+    public void commit(Transaction transaction, Consumer<TransactionResult> then) {
+      transactions++;
+      switch (fate()) {
+        case ANSWERED ->
+            clock.at(
+                3,
+                () -> {
+                  TransactionResult result = state.txn(transaction);
+                  process.schedule(3, () -> then.accept(result));
+                });
+        case ANSWER_LOST -> {
+          clock.at(3, () -> state.txn(transaction));
+          process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
+        }
+        case LATE -> {
+          clock.at(lateMs, () -> lateResults.add(state.txn(transaction)));
+          process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
+        }
+        case LOST -> process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
+      }
+    }
+  }
+
+  void runFor(long ms) {
+    clock.runUntil(clock.nowMs() + ms);
+  }
+
+  long newTerm() {
+    long before =
+        Optional.ofNullable(LowerLimitsTest.all(state).get(Keys.LEADER))
+            .map(Entry::modRevision)
+            .orElse(0L);
+    TransactionResult result =
+        state.txn(
+            new Transaction(
+                List.of(new Condition(Keys.LEADER, before)),
+                List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
+    return ((TransactionResult.Committed) result).revision();
+  }
+
+  /** A term: what it was told to be recorded, and the tasks of which it places and ends. */
+  final class Leader implements ProgressWriter.Listener {
+    private final SimClock.Process process = clock.new Process(0, 1, 0);
+    final ProgressWriter writer;
+    private final RecordedProgress recorded;
+    private final Map<String, Job> jobs = new LinkedHashMap<>();
+    private final Map<String, Machine> machines = new HashMap<>();
+    boolean deposed;
+
+    Leader() {
+      long leaderRevision = newTerm();
+      FaultyStateClient client = new FaultyStateClient(process);
+      Replica replica = new Replica(process, client, Keys.PREFIX, 700);
+      replica.start();
+      runFor(1_000);
+      assertTrue(replica.isLoaded());
+      writer =
+          new ProgressWriter(
+              process,
+              client,
+              replica,
+              new TokenBucket(process, 100, 40),
+              LIMITS.txnOps(),
+              LIMITS.valueBytes(),
+              new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
+              m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
+              this);
+      recorded = new RecordedProgress(replica, writer);
+    }
+
+    Job accept(Kind kind) {
+      Job job =
+          new Job(
+              JobSpecFixtures.batch(
+                  kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
+              0,
+              kind.chunk(),
+              0,
+              new BitSet(),
+              -1,
+              1);
+      jobs.put(kind.uid(), job);
+      return job;
+    }
+
+    /** As an earlier leader left it: what is recorded is presumed to be there. */
+    Job takeOver(Kind kind, boolean cancelled) {
+      Job job = accept(kind);
+      if (cancelled) {
+        job.cancel();
+      }
+      RecordedProgress.State read = recorded.of(job);
+      read.done().stream().forEach(job::markCompleted);
+      read.live().values().forEach(l -> place(job, l.task(), l.attempt(), l.machine().id()));
+      if (cancelled) {
+        recordEnds(job);
+      }
+      return job;
+    }
+
+    private void place(Job job, int task, long attempt, String host) {
+      Machine machine =
+          machines.computeIfAbsent(
+              host, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
+      job.addPlacement(new Placement(job, task, attempt, machine, 3, Placement.Phase.RECOVERED));
+    }
+
+    void place(Job job, int... tasks) {
+      for (int t : tasks) {
+        place(job, t, (terms << 40) + ++attempts, "i-" + (100_000 + random.nextInt(50)));
+        writer.changed(job, t);
+      }
+    }
+
+    void cancel(Job job) {
+      job.cancel();
+      recordEnds(job);
+    }
+
+    /** Proven gone. */
+    void ended(Job job, int... tasks) {
+      for (int t : tasks) {
+        job.removePlacement(job.activePlacement(t));
+        if (job.cancelled()) {
+          recordEnds(job);
+        } else {
+          writer.changed(job, t);
+        }
+      }
+    }
+
+    private void recordEnds(Job job) {
+      writer.cancelledTasksEnded(job);
+      if (job.activePlacements().isEmpty()) {
+        writer.over(job);
+        jobs.remove(job.uid());
+      }
+    }
+
+    void end() {
+      writer.close();
+      process.kill();
+    }
+
+    @Override
+    public void durable(List<Placement> placements) {}
+
+    @Override
+    public void finished(Job job) {
+      jobs.remove(job.uid());
+    }
+
+    @Override
+    public void deposed(String cause) {
+      deposed = true;
+    }
+  }
+
+  static final Kind CANCELLED = new Kind("run-cancelled", 6, 4);
+  static final Kind OTHER = new Kind("run-other", 2_000, 50);
+
+  /** The tasks that a reader of the documented forms, of whichever version, takes to be placed. */
+  Set<Integer> recordedPlacements(Kind kind) {
+    String[] read = ReferenceProgressRecords.read(LowerLimitsTest.all(state), kind);
+    Set<Integer> live = new TreeSet<>();
+    for (int t = 0; t < read.length; t++) {
+      if (read[t].startsWith("live")) {
+        live.add(t);
+      }
+    }
+    return live;
+  }
+
+  /** A leader that takes over now reads the same; it ends at once. */
+  void assertNextLeaderCounts(Kind kind, Set<Integer> tasks) {
+    assertEquals(tasks, recordedPlacements(kind));
+    Leader reader = new Leader();
+    assertEquals(tasks, reader.recorded.of(reader.accept(kind)).live().keySet());
+    reader.end();
+  }
+
+  Job placedAndCancelled(Leader leader, Kind kind, int... tasks) {
+    Job job = leader.accept(kind);
+    leader.place(job, tasks);
+    runFor(SHORT_MS);
+    leader.cancel(job);
+    return job;
+  }
+}
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -4,281 +4,27 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.BitSet;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
-import java.util.Random;
 import java.util.Set;
 import java.util.TreeSet;
-import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ploverspindle.JobSpecFixtures;
 import org.ploverspindle.cluster.Job;
-import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.cluster.Placement;
-import org.ploverspindle.model.Priority;
-import org.ploverspindle.model.Resources;
-import org.ploverspindle.model.Term;
-import org.ploverspindle.net.Cbor;
-import org.ploverspindle.progress.ProgressWriter;
-import org.ploverspindle.progress.RecordedProgress;
-import org.ploverspindle.settings.Settings;
 import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
 import org.ploverspindle.state.Keys;
-import org.ploverspindle.state.Replica;
-import org.ploverspindle.state.SnapshotRecord;
-import org.ploverspindle.state.StateStore.Change;
-import org.ploverspindle.state.StateStore.Condition;
-import org.ploverspindle.state.StateStore.Entry;
-import org.ploverspindle.state.StateStore.Transaction;
 import org.ploverspindle.state.StateStore.TransactionResult;
-import org.ploverspindle.state.TokenBucket;
 
 /**
  * Ends of cancelled jobs' placements are durably known, so that a new leader does not count them,
  * and none is said to have ended before its proof. The writer alone, on the stand-in for the state
  * service.
  */
-class CancelledPlacementsTest {
-  private static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 200, 16, 24);
-
-  /** Well over what the ends wait for a write that goes out anyway. */
-  private static final long QUIET_MS = 8_000;
-
-  /** Well under it. */
-  private static final long SHORT_MS = 400;
-
-  private enum Fate {
-    ANSWERED,
-    /** Carried out, and nobody hears of it. */
-    ANSWER_LOST,
-    /** Carried out seconds later, and nobody hears of it. */
-    LATE,
-    /** Never arrives. */
-    LOST
-  }
-
-  private final SimClock clock = new SimClock();
-  private final SimStateStore state = new SimStateStore(clock, LIMITS);
-  private final Random random = new Random(7);
-  private double faults;
-  private Fate next = Fate.ANSWERED;
-  private long lateMs = 3_000;
-  private long terms;
-  private long attempts;
-  private int transactions;
-  private final List<TransactionResult> lateResults = new ArrayList<>();
-
-  private final class Line extends ReadingStateClient {
-    private final SimClock.Process p;
-
-    Line(SimClock.Process p) {
-      super(clock, state, p);
-      this.p = p;
-    }
-
-    private Fate fate() {
-      Fate fate = next;
-      next = Fate.ANSWERED;
-      return random.nextDouble() < faults ? Fate.values()[1 + random.nextInt(3)] : fate;
-    }
-
-    @Override
-    public void commit(Transaction txn, Consumer<TransactionResult> then) {
-      transactions++;
-      switch (fate()) {
-        case ANSWERED ->
-            clock.at(
-                3,
-                () -> {
-                  TransactionResult result = state.txn(txn);
-                  p.schedule(3, () -> then.accept(result));
-                });
-        case ANSWER_LOST -> {
-          clock.at(3, () -> state.txn(txn));
-          p.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
-        }
-        case LATE -> {
-          clock.at(lateMs, () -> lateResults.add(state.txn(txn)));
-          p.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
-        }
-        case LOST -> p.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
-      }
-    }
-  }
-
-  private void runFor(long ms) {
-    clock.runUntil(clock.nowMs() + ms);
-  }
-
-  private long newTerm() {
-    long before =
-        Optional.ofNullable(LowerLimitsTest.all(state).get(Keys.LEADER))
-            .map(Entry::modRevision)
-            .orElse(0L);
-    TransactionResult result =
-        state.txn(
-            new Transaction(
-                List.of(new Condition(Keys.LEADER, before)),
-                List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
-    return ((TransactionResult.Committed) result).revision();
-  }
-
-  /** A term: what it was told to be recorded, and the tasks of which it places and ends. */
-  private final class Leader implements ProgressWriter.Listener {
-    private final SimClock.Process p = clock.new Process(0, 1, 0);
-    private final ProgressWriter writer;
-    private final RecordedProgress recorded;
-    private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, Machine> machines = new HashMap<>();
-    private boolean deposed;
-
-    Leader() {
-      long stamp = newTerm();
-      Line line = new Line(p);
-      Replica replica = new Replica(p, line, Keys.PREFIX, 700);
-      replica.start();
-      runFor(1_000);
-      assertTrue(replica.isLoaded());
-      writer =
-          new ProgressWriter(
-              p,
-              line,
-              replica,
-              new TokenBucket(p, 100, 40),
-              LIMITS.txnOps(),
-              LIMITS.valueBytes(),
-              new Term(1 + terms * Term.TOKENS_PER_TERM, stamp, p.nowMs()),
-              m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
-              this);
-      recorded = new RecordedProgress(replica, writer);
-    }
-
-    Job accept(Kind kind) {
-      Job job =
-          new Job(
-              JobSpecFixtures.batch(
-                  kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
-              0,
-              kind.chunk(),
-              0,
-              new BitSet(),
-              -1,
-              1);
-      jobs.put(kind.uid(), job);
-      return job;
-    }
-
-    /** As an earlier leader left it: what is recorded is presumed to be there. */
-    Job takeOver(Kind kind, boolean cancelled) {
-      Job job = accept(kind);
-      if (cancelled) {
-        job.cancel();
-      }
-      RecordedProgress.State read = recorded.of(job);
-      read.done().stream().forEach(job::markCompleted);
-      read.live().values().forEach(l -> place(job, l.task(), l.attempt(), l.machine().id()));
-      if (cancelled) {
-        tidy(job);
-      }
-      return job;
-    }
-
-    private void place(Job job, int task, long attempt, String host) {
-      Machine m =
-          machines.computeIfAbsent(
-              host, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
-      job.addPlacement(new Placement(job, task, attempt, m, 3, Placement.Phase.RECOVERED));
-    }
-
-    void place(Job job, int... tasks) {
-      for (int t : tasks) {
-        place(job, t, (terms << 40) + ++attempts, "i-" + (100_000 + random.nextInt(50)));
-        writer.changed(job, t);
-      }
-    }
-
-    void cancel(Job job) {
-      job.cancel();
-      tidy(job);
-    }
-
-    /** Proven gone. */
-    void ended(Job job, int... tasks) {
-      for (int t : tasks) {
-        job.removePlacement(job.activePlacement(t));
-        if (job.cancelled()) {
-          tidy(job);
-        } else {
-          writer.changed(job, t);
-        }
-      }
-    }
-
-    private void tidy(Job job) {
-      writer.cancelledTasksEnded(job);
-      if (job.activePlacements().isEmpty()) {
-        writer.over(job);
-        jobs.remove(job.uid());
-      }
-    }
-
-    void end() {
-      writer.close();
-      p.kill();
-    }
-
-    @Override
-    public void durable(List<Placement> placements) {}
-
-    @Override
-    public void finished(Job job) {
-      jobs.remove(job.uid());
-    }
-
-    @Override
-    public void deposed(String cause) {
-      deposed = true;
-    }
-  }
-
-  private static final Kind CANCELLED = new Kind("run-cancelled", 6, 4);
-  private static final Kind OTHER = new Kind("run-other", 2_000, 50);
-
-  /** The tasks that a reader of the documented forms, of whichever version, takes to be placed. */
-  private Set<Integer> recordedLive(Kind kind) {
-    String[] read = ReferenceProgressRecords.read(LowerLimitsTest.all(state), kind);
-    Set<Integer> live = new TreeSet<>();
-    for (int t = 0; t < read.length; t++) {
-      if (read[t].startsWith("live")) {
-        live.add(t);
-      }
-    }
-    return live;
-  }
-
-  /** A leader that takes over now reads the same; it ends at once. */
-  private void assertNextLeaderCounts(Kind kind, Set<Integer> tasks) {
-    assertEquals(tasks, recordedLive(kind));
-    Leader reader = new Leader();
-    assertEquals(tasks, reader.recorded.of(reader.accept(kind)).live().keySet());
-    reader.end();
-  }
-
-  private Job placedAndCancelled(Leader leader, Kind kind, int... tasks) {
-    Job job = leader.accept(kind);
-    leader.place(job, tasks);
-    runFor(SHORT_MS);
-    leader.cancel(job);
-    return job;
-  }
-
+class CancelledPlacementsTest extends CancelledPlacementsScenario {
   @Test
   void endsRideOnTheNextRecordAndTakeNoTransactionOfTheirOwn() {
     Leader leader = new Leader();
@@ -287,11 +33,11 @@
     leader.ended(job, 0, 1, 5);
     runFor(SHORT_MS);
     assertEquals(1, transactions);
-    assertEquals(Set.of(0, 1, 5), recordedLive(CANCELLED));
+    assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED));
     leader.place(other, 0);
     runFor(SHORT_MS);
     assertEquals(2, transactions);
-    assertEquals(Set.of(), recordedLive(CANCELLED));
+    assertEquals(Set.of(), recordedPlacements(CANCELLED));
     runFor(3 * QUIET_MS);
     assertEquals(2, transactions, "nothing is left to say");
     leader.end();
@@ -312,7 +58,7 @@
     int before = transactions;
     runFor(QUIET_MS);
     assertTrue(transactions - before <= 1, transactions - before + " transactions");
-    kinds.forEach(k -> assertEquals(Set.of(), recordedLive(k), k.uid()));
+    kinds.forEach(k -> assertEquals(Set.of(), recordedPlacements(k), k.uid()));
   }
 
   @Test
@@ -320,7 +66,7 @@
     Leader leader = new Leader();
     Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
     runFor(QUIET_MS);
-    assertEquals(Set.of(0, 1, 5), recordedLive(CANCELLED));
+    assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED));
     leader.ended(job, 1);
     runFor(QUIET_MS);
     leader.end();
@@ -334,14 +80,14 @@
     Job job = leader.accept(CANCELLED);
     leader.place(job, 0, 1);
     runFor(SHORT_MS);
-    next = Fate.LOST;
+    nextFate = Fate.LOST;
     job.markCompleted(1);
     leader.ended(job, 1);
     runFor(100);
     leader.cancel(job);
     leader.ended(job, 0);
     runFor(QUIET_MS);
-    assertEquals(Set.of(), recordedLive(CANCELLED));
+    assertEquals(Set.of(), recordedPlacements(CANCELLED));
   }
 
   @Test
@@ -367,7 +113,7 @@
     Leader leader = new Leader();
     Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
     leader.ended(job, 0, 1, 5);
-    next = Fate.valueOf(fate);
+    nextFate = Fate.valueOf(fate);
     runFor(3 * QUIET_MS);
     assertTrue(!leader.deposed);
     leader.end();
@@ -380,7 +126,7 @@
     Leader leader = new Leader();
     Job other = leader.accept(OTHER);
     Job job = leader.accept(CANCELLED);
-    next = Fate.LATE;
+    nextFate = Fate.LATE;
     lateMs = 2_000;
     leader.place(job, 0, 1, 5);
     runFor(100);
@@ -401,7 +147,7 @@
     Leader first = new Leader();
     Job job = placedAndCancelled(first, CANCELLED, 0, 1);
     first.ended(job, 0, 1);
-    next = Fate.LATE;
+    nextFate = Fate.LATE;
     lateMs = 4_000;
     runFor(5_100);
     first.end();
@@ -434,17 +180,17 @@
     runFor(SHORT_MS);
     // Its slot's turn is near: the placements are in checkpoints, and older records still stand.
     records(leader, other, 110);
-    assertTrue(hasCheckpoint(CANCELLED));
-    assertEquals(Set.of(0, 1, 5), recordedLive(CANCELLED));
+    assertTrue(hasSnapshot(CANCELLED));
+    assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED));
     leader.cancel(job);
     leader.ended(job, 0, 1, 5);
     for (int i = 0; i < 300; i++) {
       runFor(10);
-      if (!hasCheckpoint(CANCELLED)) {
-        assertEquals(Set.of(), recordedLive(CANCELLED));
+      if (!hasSnapshot(CANCELLED)) {
+        assertEquals(Set.of(), recordedPlacements(CANCELLED));
       }
     }
-    assertTrue(!hasCheckpoint(CANCELLED));
+    assertTrue(!hasSnapshot(CANCELLED));
     leader.end();
     assertNextLeaderCounts(CANCELLED, Set.of());
   }
@@ -462,7 +208,7 @@
     }
     runFor(SHORT_MS);
     records(leader, other, 110);
-    jobs.keySet().forEach(k -> assertTrue(hasCheckpoint(k)));
+    jobs.keySet().forEach(k -> assertTrue(hasSnapshot(k)));
     Job burst = leader.accept(new Kind("run-burst", 6_000, 160));
     leader.place(burst, IntStream.range(0, 6_000).toArray());
     jobs.values().forEach(leader::cancel);
@@ -470,13 +216,13 @@
     for (int i = 0; i < 300; i++) {
       runFor(10);
       for (Kind kind : jobs.keySet()) {
-        assertTrue(hasCheckpoint(kind) || recordedLive(kind).isEmpty(), kind.uid());
+        assertTrue(hasSnapshot(kind) || recordedPlacements(kind).isEmpty(), kind.uid());
       }
     }
-    jobs.keySet().forEach(k -> assertTrue(!hasCheckpoint(k)));
+    jobs.keySet().forEach(k -> assertTrue(!hasSnapshot(k)));
   }
 
-  private boolean hasCheckpoint(Kind kind) {
+  private boolean hasSnapshot(Kind kind) {
     return LowerLimitsTest.all(state).keySet().stream()
         .anyMatch(k -> k.startsWith(Keys.snapshotsOf(kind.uid())));
   }
@@ -488,7 +234,7 @@
     Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
     leader.ended(job, 0, 1, 5);
     records(leader, other, 260);
-    assertEquals(Set.of(), recordedLive(CANCELLED));
+    assertEquals(Set.of(), recordedPlacements(CANCELLED));
     boolean mentioned =
         LowerLimitsTest.all(state).values().stream()
             .anyMatch(e -> e.value().toString().contains(CANCELLED.uid()));
@@ -529,7 +275,7 @@
       for (Map.Entry<Kind, Job> e : leads.entrySet()) {
         Set<Integer> live = new TreeSet<>();
         e.getValue().activePlacements().forEach(p -> live.add(p.task()));
-        assertEquals(live, recordedLive(e.getKey()), e.getKey() + " after term " + term);
+        assertEquals(live, recordedPlacements(e.getKey()), e.getKey() + " after term " + term);
       }
       assertTrue(!leader.deposed);
       leader.end();
@@ -545,12 +291,12 @@
     } else if (what < 55 && !job.pendingTasks().isEmpty()) {
       leader.place(job, job.pendingTasks().nextSetBit(0));
     } else if (!job.activePlacements().isEmpty()) {
-      Placement p = job.activePlacements().iterator().next();
+      Placement placement = job.activePlacements().iterator().next();
       // One task stays, so that the job is not done: its end is another matter.
       if (!job.cancelled() && job.completedTasks().cardinality() + 1 < kind.tasks()) {
-        job.markCompleted(p.task());
+        job.markCompleted(placement.task());
       }
-      leader.ended(job, p.task());
+      leader.ended(job, placement.task());
     }
   }
 }
--- /dev/null
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
@@ -0,0 +1,296 @@
+package org.ploverspindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.stream.IntStream;
+import org.ploverspindle.JobSpecFixtures;
+import org.ploverspindle.model.JobSpec;
+import org.ploverspindle.model.Priority;
+import org.ploverspindle.model.Term;
+import org.ploverspindle.net.Cbor;
+import org.ploverspindle.settings.Settings;
+import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.state.DependenciesRecord;
+import org.ploverspindle.state.JobRecord;
+import org.ploverspindle.state.Keys;
+import org.ploverspindle.state.SnapshotRecord;
+import org.ploverspindle.state.StateStore.Change;
+import org.ploverspindle.state.StateStore.Condition;
+import org.ploverspindle.state.StateStore.Entry;
+import org.ploverspindle.state.StateStore.Transaction;
+import org.ploverspindle.state.StateStore.TransactionResult;
+
+/**
+ * Jobs that controllers of this version and of an earlier one accept into the same records, with
+ * what happened to each of their tasks.
+ */
+abstract class MixedVersionScenario {
+  static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 60, 1, 6);
+  static final int CHUNK = SnapshotRecord.shardSizeFor(LIMITS.valueBytes());
+  static final long AGENT_EPOCH = 3;
+
+  final SimClock clock = new SimClock();
+  final SimStateStore state = new SimStateStore(clock, LIMITS);
+  final Map<String, Truth> truths = new TreeMap<>();
+  Random random = new Random(1);
+  JsonNode specWithoutDependencies = Cbor.map();
+  double faults;
+  long terms = 1;
+  int jobCount;
+  long attempts;
+
+  /** Jobs that waited for others when a leader took over, summed over all terms. */
+  int blockedAtTakeOver;
+
+  /** What was asked, how each task is by the last leader, and all that it ever was. */
+  static final class Truth {
+    final Kind kind;
+    final List<String> dependencies;
+    final String[] now;
+    final List<Set<String>> ever = new ArrayList<>();
+
+    Truth(Kind kind, List<String> dependencies, String[] now) {
+      this.kind = kind;
+      this.dependencies = dependencies;
+      this.now = now;
+      for (String task : now) {
+        ever.add(new HashSet<>(Set.of(task)));
+      }
+    }
+
+    void now(int task, String text) {
+      now[task] = text;
+      ever.get(task).add(text);
+    }
+
+    void isRecorded(String[] recorded) {
+      System.arraycopy(recorded, 0, now, 0, recorded.length);
+    }
+  }
+
+  // ---- the state service
+
+  /** Waits while the rate of changes refuses. */
+  TransactionResult commit(Transaction transaction) {
+    TransactionResult result = state.txn(transaction);
+    while (result instanceof TransactionResult.Refused) {
+      clock.runUntil(clock.nowMs() + 50);
+      result = state.txn(transaction);
+    }
+    return result;
+  }
+
+  void put(String key, JsonNode value) {
+    Transaction transaction =
+        new Transaction(List.of(new Condition(key, 0)), List.of(new Change.Put(key, value)));
+    assertInstanceOf(TransactionResult.Committed.class, commit(transaction));
+  }
+
+  /** The state service as a leader of this version reaches it: some answers are lost or late. */
+  final class FaultyStateClient extends ReadingStateClient {
+    private final SimClock.Process process;
+
+    FaultyStateClient(SimClock.Process process) {
+      super(clock, state, process);
+      this.process = process;
+    }
+
+    @Override
+    public void commit(Transaction transaction, Consumer<TransactionResult> then) {
+      if (random.nextDouble() < faults) {
+        // Never executed, executed unseen, or executed when the next leader may be there.
+        int kind = random.nextInt(3);
+        if (kind > 0) {
+          clock.at(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.txn(transaction));
+        }
+        process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
+        return;
+      }
+      clock.at(
+          3,
+          () -> {
+            TransactionResult result = state.txn(transaction);
+            process.schedule(3, () -> then.accept(result));
+          });
+    }
+  }
+
+  long newTerm() {
+    long before = LowerLimitsTest.all(state).get(Keys.LEADER).modRevision();
+    JsonNode leader =
+        Cbor.map().put("member", "n0").put("token", 1 + terms++ * Term.TOKENS_PER_TERM);
+    TransactionResult result =
+        commit(
+            new Transaction(
+                List.of(new Condition(Keys.LEADER, before)),
+                List.of(new Change.Put(Keys.LEADER, leader))));
+    return assertInstanceOf(TransactionResult.Committed.class, result).revision();
+  }
+
+  // ---- jobs
+
+  void startFromFixture() throws IOException {
+    JsonNode records = FixtureStore.fixture(FixtureStore.HEAD_F659783).path("records");
+    FixtureStore fixture = new FixtureStore(records);
+    fixture.entries().forEach(e -> put(e.key(), e.value()));
+    specWithoutDependencies =
+        fixture.under("ps1/b/n1-1uy9swvfcl9p-16").get(0).value().path("prepare-1");
+    assertTrue(specWithoutDependencies.isObject());
+    SortedMap<String, Entry> all = LowerLimitsTest.all(state);
+    ReferenceJobRecords reference = new ReferenceJobRecords(all);
+    reference
+        .jobs()
+        .forEach(
+            (uid, job) -> {
+              String[] now = ReferenceProgressRecords.read(all, job.kind());
+              if (reference.status(uid).equals(ReferenceJobRecords.DONE)) {
+                Arrays.fill(now, ReferenceProgressRecords.DONE);
+              }
+              truths.put(uid, new Truth(job.kind(), job.awaits(), now));
+            });
+  }
+
+  /** Jobs that are not over: what a new one may await. */
+  List<String> open(ReferenceJobRecords reference) {
+    List<String> open = new ArrayList<>();
+    for (String uid : reference.jobs().keySet()) {
+      if (Set.of(ReferenceJobRecords.WAITING, ReferenceJobRecords.READY)
+          .contains(reference.status(uid))) {
+        open.add(uid);
+      }
+    }
+    return open;
+  }
+
+  /** A node of either version accepts a job, some with lists too long for its record. */
+  void accept(boolean byEarlierVersion) {
+    ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.all(state));
+    List<String> open = open(reference);
+    Set<String> dependencies = new HashSet<>();
+    for (int i = 1 + random.nextInt(3); i > 0 && !open.isEmpty(); i--) {
+      dependencies.add(open.get(random.nextInt(open.size())));
+    }
+    boolean isLong = random.nextInt(4) == 0;
+    if (isLong) {
+      // Those of f659783's run, whose names fill a list in two parts.
+      truths.keySet().stream().filter(uid -> uid.startsWith("step")).forEach(dependencies::add);
+    }
+    List<String> list = List.copyOf(dependencies);
+    String uid = String.format("job-%06d", ++jobCount);
+    int tasks = 1 + random.nextInt(30);
+    JsonNode spec =
+        byEarlierVersion
+            ? acceptedByEarlierVersion(uid, tasks, list, isLong)
+            : acceptedByThisVersion(uid, tasks, list, isLong);
+    put("ps1/b/n2-test-" + jobCount, Cbor.map().set(uid, spec));
+    String[] waiting = new String[tasks];
+    Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
+    truths.put(uid, new Truth(new Kind(uid, tasks, CHUNK), list, waiting));
+  }
+
+  JsonNode acceptedByEarlierVersion(
+      String uid, int tasks, List<String> dependencies, boolean isLong) {
+    ObjectNode spec = ReferenceJobRecords.spec(specWithoutDependencies, tasks);
+    if (isLong) {
+      String name = uid + "-0123456789abcdef0123";
+      int half = dependencies.size() / 2;
+      List<List<String>> parts =
+          List.of(dependencies.subList(0, half), dependencies.subList(half, dependencies.size()));
+      for (int part = 0; part < parts.size(); part++) {
+        JsonNode ids = Cbor.map().put("ids", String.join(",", parts.get(part)));
+        put(ReferenceJobRecords.listKey(name, part), ids);
+      }
+      spec.putObject("awaits_in").put("key", name).put("parts", parts.size());
+    } else if (!dependencies.isEmpty()) {
+      dependencies.forEach(spec.putArray("awaits")::add);
+    }
+    return spec;
+  }
+
+  JsonNode acceptedByThisVersion(String uid, int tasks, List<String> dependencies, boolean isLong) {
+    JobSpec spec =
+        JobSpecFixtures.after(
+            JobSpecFixtures.batch(uid, "class-0", "blue", Priority.NORMAL, tasks, 1, 1, 5, 0),
+            dependencies.toArray(String[]::new));
+    JobRecord record = new JobRecord(spec, clock.nowMs(), CHUNK);
+    if (!isLong) {
+      return record.encode();
+    }
+    DependenciesRecord list = DependenciesRecord.split(uid, dependencies, LIMITS.valueBytes());
+    IntStream.range(0, list.parts().size())
+        .forEach(part -> put(list.key(part), list.parts().get(part)));
+    return record.encode(list);
+  }
+
+  void cancelOne() {
+    List<String> open = open(new ReferenceJobRecords(LowerLimitsTest.all(state)));
+    if (open.size() > 12) {
+      put("ps1/c/" + open.get(random.nextInt(open.size())), Cbor.map().put("at", 1_800_000_000L));
+    }
+  }
+
+  // ---- taking over
+
+  /** Checks the records against what happened; gives what is recorded of the jobs that may run. */
+  Map<Truth, String[]> takeOver(boolean settled) {
+    SortedMap<String, Entry> all = LowerLimitsTest.all(state);
+    ReferenceJobRecords reference = new ReferenceJobRecords(all);
+    assertEquals(truths.keySet(), reference.jobs().keySet());
+    Map<Truth, String[]> ready = new LinkedHashMap<>();
+    truths.forEach(
+        (uid, truth) -> {
+          assertEquals(truth.dependencies, reference.jobs().get(uid).awaits(), uid);
+          String status = reference.status(uid);
+          String[] read = ReferenceProgressRecords.read(all, truth.kind);
+          if (status.equals(ReferenceJobRecords.DONE)) {
+            truth.ever.forEach(e -> assertTrue(e.contains(ReferenceProgressRecords.DONE), uid));
+          } else if (status.equals(ReferenceJobRecords.WAITING)) {
+            blockedAtTakeOver++;
+            assertTrue(Arrays.stream(read).allMatch(ReferenceProgressRecords.WAITING::equals), uid);
+          } else if (status.equals(ReferenceJobRecords.READY)) {
+            assertHappened(truth, read);
+            if (settled) {
+              assertArrayEquals(truth.now, read, uid);
+            }
+            truth.isRecorded(read);
+            ready.put(truth, read);
+          }
+        });
+    return ready;
+  }
+
+  static void assertHappened(Truth truth, String[] read) {
+    for (int task = 0; task < read.length; task++) {
+      String what = truth.kind.uid() + "/" + task + " is recorded as " + read[task];
+      assertTrue(truth.ever.get(task).contains(read[task]), what);
+    }
+  }
+
+  void assertMayRun(String uid) {
+    assertEquals(
+        ReferenceJobRecords.READY,
+        new ReferenceJobRecords(LowerLimitsTest.all(state)).status(uid),
+        uid + " is placed");
+  }
+
+  String newHost() {
+    return "i-" + (100_000 + random.nextInt(60));
+  }
+}
