--- /dev/null
+++ b/src/main/java/org/ploverspindle/controller/HeartbeatAdmission.java
@@ -0,0 +1,126 @@
+package org.ploverspindle.controller;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.ploverspindle.api.ApiResponse;
+import org.ploverspindle.cluster.Heartbeat;
+import org.ploverspindle.cluster.HeartbeatCodec;
+import org.ploverspindle.cluster.HeartbeatHandler;
+import org.ploverspindle.eventloop.Scheduler;
+import org.ploverspindle.leadership.Election;
+import org.ploverspindle.leadership.Leader;
+import org.ploverspindle.model.SafetyTiming;
+import org.ploverspindle.model.Term;
+import org.ploverspindle.peers.PeerMessage;
+import org.ploverspindle.peers.Peers;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Passes heartbeats to the leader on this controller, and redirects them to another one. Rejects
+ * what is malformed, and what can't be answered safely.
+ */
+final class HeartbeatAdmission {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatAdmission.class);
+  private static final int HTTP_OK = 200;
+  private static final int HTTP_BAD_REQUEST = 400;
+  private static final int HTTP_UNAVAILABLE = 503;
+
+  private final Scheduler scheduler;
+  private final SafetyTiming timing;
+  private final Election election;
+  private final Peers peers;
+  private final String member;
+  private final Supplier<Optional<Leader>> localLeader;
+  private int misdirected;
+
+  /**
+   * @param member the name of this controller
+   * @param localLeader the leader while this controller leads
+   */
+  HeartbeatAdmission(
+      Scheduler scheduler,
+      SafetyTiming timing,
+      Election election,
+      Peers peers,
+      String member,
+      Supplier<Optional<Leader>> localLeader) {
+    this.scheduler = scheduler;
+    this.timing = timing;
+    this.election = election;
+    this.peers = peers;
+    this.member = member;
+    this.localLeader = localLeader;
+  }
+
+  /**
+   * Responds to an encoded heartbeat.
+   *
+   * @param responder is called once, at once or after a short delay
+   */
+  void accept(byte[] body, Consumer<ApiResponse> responder) {
+    Optional<Heartbeat> heartbeat = HeartbeatCodec.decode(body);
+    if (heartbeat.isEmpty()) {
+      LOG.warn("heartbeat rejected, malformed: bytes={}", body.length);
+      responder.accept(new ApiResponse(HTTP_BAD_REQUEST, new byte[0], 0));
+    } else {
+      accept(heartbeat.get(), responder);
+    }
+  }
+
+  private void accept(Heartbeat heartbeat, Consumer<ApiResponse> responder) {
+    Optional<Term> term = election.term();
+    Optional<Leader> leader = localLeader.get();
+    if (leader.isEmpty() || term.isEmpty()) {
+      responder.accept(redirect(heartbeat));
+    } else if (term.get().isBefore(heartbeat.fencingToken())) {
+      election.deposed("a worker has seen a higher token");
+      responder.accept(redirect(heartbeat));
+    } else if (isStateTooOld()) {
+      responder.accept(ApiResponse.retryLater(HTTP_UNAVAILABLE, "the state is not known", 1));
+    } else {
+      leader.get().handleHeartbeat(heartbeat, response -> responder.accept(encode(response)));
+    }
+  }
+
+  /**
+   * A response renews the worker's lease. If a leader with an older replica responded, a worker
+   * could go on for too long with tasks whose cancellation this leader can't know of.
+   */
+  private boolean isStateTooOld() {
+    return scheduler.nowMs() > election.lastConfirmedMs() + timing.heartbeatGraceMs();
+  }
+
+  private static ApiResponse encode(HeartbeatHandler.Response response) {
+    byte[] body = HeartbeatCodec.encodeResponse(response.fencingToken(), response.commands());
+    return new ApiResponse(HTTP_OK, body, 0);
+  }
+
+  /**
+   * Redirects the machine to the leader. A machine that has had a response of that leader and turns
+   * to this controller all the same is a sign that the leader's responses are lost, so it is
+   * counted; one that has just booted, or had another leader, is not.
+   */
+  private ApiResponse redirect(Heartbeat heartbeat) {
+    Optional<String> otherLeader = election.leaderName().filter(name -> !name.equals(member));
+    boolean hadItsResponse =
+        election.leaderToken().map(token -> heartbeat.fencingToken() >= token).orElse(false);
+    misdirected += otherLeader.isPresent() && hadItsResponse ? 1 : 0;
+    return otherLeader
+        .map(ApiResponse::redirectToLeader)
+        .orElseGet(() -> ApiResponse.retryLater(HTTP_UNAVAILABLE, "no leader is known", 1));
+  }
+
+  /**
+   * Sends the leader the number of misdirected heartbeats since the last call, if there are any.
+   */
+  void reportMisdirected() {
+    if (misdirected == 0) {
+      return;
+    }
+    PeerMessage message = new PeerMessage.MisdirectedHeartbeats(member, misdirected);
+    election.leaderName().ifPresent(leader -> peers.send(leader, message));
+    misdirected = 0;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ploverspindle/controller/Readiness.java
@@ -0,0 +1,83 @@
+package org.ploverspindle.controller;
+
+import java.util.function.BooleanSupplier;
+import org.ploverspindle.leadership.Election;
+import org.ploverspindle.state.Replica;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Decides when this controller joins the election, whether users should be sent to it, and when it
+ * resigns because only this controller lacks the state service.
+ */
+final class Readiness {
+  private static final Logger LOG = LoggerFactory.getLogger(Readiness.class);
+
+  private final Replica replica;
+  private final MachineTypeLoader machineTypes;
+  private final Election election;
+  private final StateReachability stateReachability;
+  private final BooleanSupplier isFailingToWrite;
+  private final Runnable startElection;
+  private boolean started;
+  private volatile boolean ready;
+
+  /**
+   * @param isFailingToWrite whether this controller leads and none of its writes is executed
+   * @param startElection has this controller take part in the election; called once
+   */
+  Readiness(
+      Replica replica,
+      MachineTypeLoader machineTypes,
+      Election election,
+      StateReachability stateReachability,
+      BooleanSupplier isFailingToWrite,
+      Runnable startElection) {
+    this.replica = replica;
+    this.machineTypes = machineTypes;
+    this.election = election;
+    this.stateReachability = stateReachability;
+    this.isFailingToWrite = isFailingToWrite;
+    this.startElection = startElection;
+  }
+
+  /** Should users be sent to this controller? May be called from any thread. */
+  boolean isReady() {
+    return ready;
+  }
+
+  /**
+   * To be called regularly. A controller takes part in the election only when it knows the machine
+   * types: without them it can't understand the records. It accepts users only while it can answer
+   * them, unless no controller can.
+   */
+  void update() {
+    machineTypes.loadFromReplica();
+    boolean writesFail = isFailingToWrite.getAsBoolean();
+    stateReachability.probeIfStale(writesFail);
+    if (!started && replica.isLoaded() && machineTypes.isLoaded()) {
+      started = true;
+      startElection.run();
+    }
+    setReady(started && !stateReachability.isUnreachableHereOnly());
+    resignIfOfNoUse(writesFail);
+  }
+
+  private void setReady(boolean isReady) {
+    if (isReady != ready) {
+      LOG.info(
+          isReady
+              ? "controller ready"
+              : "controller not ready: only this controller can't reach the state service");
+      ready = isReady;
+    }
+  }
+
+  /** A leader whose lease is renewed, but whose other requests fail, would lead to no effect. */
+  private void resignIfOfNoUse(boolean writesFail) {
+    boolean readsFail = election.isAuthoritative() && stateReachability.isUnreachableHereOnly();
+    if (stateReachability.isReachableByPeers() && (writesFail || readsFail)) {
+      election.resignWithBackoff("the state service serves others, and refuses this leader");
+    }
+  }
+}
--- a/src/main/java/org/ploverspindle/controller/StateReachability.java
+++ b/src/main/java/org/ploverspindle/controller/StateReachability.java
@@ -2,6 +2,7 @@
 
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.Set;
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.peers.PeerMessage;
@@ -14,19 +15,20 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
- * Does this controller alone lack the state service? It can't tell an outage from refusals that
- * only it gets, so it asks the others. What they say is a hint: it sends users elsewhere and gives
- * up a lead that is of no use, and nothing is decided by it.
+ * Finds out whether only this controller can't reach the state service. A controller can't tell an
+ * outage of the service from requests that fail for itself alone, so it probes the others. Their
+ * replies are hints: they send users elsewhere and end a leadership that is of no use, and nothing
+ * else is decided by them.
  */
 final class StateReachability {
   private static final long PROBE_INTERVAL_MS = 1_000;
 
-  /** The copy is read every 700 ms; one lost answer is no reason to ask. */
+  /** Above several intervals of reading the replica: one lost answer is no reason to probe. */
   private static final long PROBE_AFTER_STALE_MS = 2_500;
 
   private static final long UNREACHABLE_AFTER_STALE_MS = 4_000;
 
-  /** Who answers for the state service has read it itself just now. */
+  /** A controller replies to probes only if it has just read the state service itself. */
   private static final long MAX_STALENESS_TO_REPLY_MS = 1_500;
 
   private static final long REPLY_VALID_MS = 3_000;
@@ -38,9 +40,12 @@
   private final String member;
   private final Set<String> probingMembers = new LinkedHashSet<>();
   private boolean replyPending;
-  private long lastProbeMs = Long.MIN_VALUE / 2;
-  private long lastReplyMs = Long.MIN_VALUE / 2;
+  private OptionalLong lastProbeMs = OptionalLong.empty();
+  private OptionalLong lastReplyMs = OptionalLong.empty();
 
+  /**
+   * @param member the name of this controller
+   */
   StateReachability(
       Scheduler scheduler, Replica replica, StateStore store, Peers peers, String member) {
     this.scheduler = scheduler;
@@ -55,18 +60,23 @@
   }
 
   /**
-   * @param failing this controller's writes are not carried out
+   * Probes the other controllers if this one seems to lack the state service.
+   *
+   * @param isFailingToWrite whether this controller leads and none of its writes is executed
    */
   void probeIfStale(boolean isFailingToWrite) {
     long nowMs = scheduler.nowMs();
-    if ((isFailingToWrite || staleMs() > PROBE_AFTER_STALE_MS)
-        && nowMs - lastProbeMs >= PROBE_INTERVAL_MS) {
-      lastProbeMs = nowMs;
+    boolean isDue = lastProbeMs.isEmpty() || nowMs - lastProbeMs.getAsLong() >= PROBE_INTERVAL_MS;
+    if ((isFailingToWrite || staleMs() > PROBE_AFTER_STALE_MS) && isDue) {
+      lastProbeMs = OptionalLong.of(nowMs);
       peers.broadcast(new PeerMessage.ReachabilityProbe(member));
     }
   }
 
-  /** Another controller asks whether the state service is there: a comparison shows it. */
+  /**
+   * Replies to another controller's probe if the state service executes a transaction for this one.
+   * One transaction serves all probes that arrive meanwhile.
+   */
   void replyToProbe(String probingMember) {
     if (staleMs() > MAX_STALENESS_TO_REPLY_MS) {
       return;
@@ -83,22 +93,28 @@
           replyPending = false;
           if (result instanceof TransactionResult.Committed
               || result instanceof TransactionResult.Conflict) {
-            probingMembers.forEach(a -> peers.send(a, new PeerMessage.ReachabilityReply(member)));
+            replyToAll();
           }
           probingMembers.clear();
         });
   }
 
-  /** Another controller reads and writes the state service. */
+  private void replyToAll() {
+    PeerMessage reply = new PeerMessage.ReachabilityReply(member);
+    probingMembers.forEach(probing -> peers.send(probing, reply));
+  }
+
+  /** Another controller replied that it reads and writes the state service. */
   void replyReceived() {
-    lastReplyMs = scheduler.nowMs();
+    lastReplyMs = OptionalLong.of(scheduler.nowMs());
   }
 
+  /** Did another controller show lately that it reaches the state service? */
   boolean isReachableByPeers() {
-    return scheduler.nowMs() - lastReplyMs < REPLY_VALID_MS;
+    return lastReplyMs.isPresent() && scheduler.nowMs() - lastReplyMs.getAsLong() < REPLY_VALID_MS;
   }
 
-  /** Others have what this controller lacks: its users are better served there. */
+  /** Other controllers reach the state service and this one does not: they serve users better. */
   boolean isUnreachableHereOnly() {
     return staleMs() > UNREACHABLE_AFTER_STALE_MS && isReachableByPeers();
   }
--- /dev/null
+++ b/src/main/java/org/ploverspindle/controller/StatusPage.java
@@ -0,0 +1,45 @@
+package org.ploverspindle.controller;
+
+import java.util.Optional;
+import org.ploverspindle.leadership.Election;
+import org.ploverspindle.leadership.Leader;
+import org.ploverspindle.leases.FencingRejections;
+import org.ploverspindle.pipelines.Pipelines;
+
+/** The text of the status page. Its keys are an interface: operators' tools read them. */
+final class StatusPage {
+  private final String member;
+  private final Election election;
+  private final Pipelines pipelines;
+  private final FencingRejections rejections;
+
+  StatusPage(String member, Election election, Pipelines pipelines, FencingRejections rejections) {
+    this.member = member;
+    this.election = election;
+    this.pipelines = pipelines;
+    this.rejections = rejections;
+  }
+
+  /**
+   * @param localLeader the leader if this controller leads
+   */
+  String render(boolean ready, Optional<Leader> localLeader) {
+    return "member="
+        + member
+        + " ready="
+        + ready
+        + " leader="
+        + election.leaderName().orElse("none")
+        + " waiting="
+        + pipelines.waiting()
+        + localLeader.map(StatusPage::leaderPart).orElse("")
+        + "\n"
+        + election.summary()
+        + " "
+        + rejections.summary();
+  }
+
+  private static String leaderPart(Leader leader) {
+    return " token=" + leader.term().fencingToken() + " " + leader.summary();
+  }
+}
