--- a/src/main/java/org/ploverspindle/peers/PeerClient.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -17,11 +17,12 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
 import org.xnio.conduits.ConduitStreamSinkChannel;
+import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
  * The outgoing connection to one other controller, for sending only. All state is confined to the
- * I/O thread. While a peer refuses connections or does not read, a new one is tried only after a
- * pause, and what was to be sent is dropped.
+ * I/O thread. After a peer has refused a connection or stopped reading, a new connection is tried
+ * only after a pause, and frames are dropped meanwhile.
  */
 final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
@@ -42,10 +43,11 @@
     this.address = new InetSocketAddress(address.host(), address.port());
   }
 
+  /** Sends a frame, or queues it while the connection is being opened or is busy. */
   void send(byte[] frame) {
     if (queue.size() >= MAX_QUEUED_FRAMES) {
-      // The peer does not take what it is told; older hints are worth no more than this one.
-      dropQueue("it takes nothing");
+      // The peer does not read. The queue must not grow, and older hints are worth no more.
+      dropQueue("the peer does not read");
     }
     queue.add(ByteBuffer.wrap(frame));
     if (connection.isPresent()) {
@@ -68,49 +70,48 @@
     IoFuture<StreamConnection> future =
         io.openStreamConnection(address, this::connected, null, options);
     future.addNotifier(
-        (f, nothing) -> {
-          if (f.getStatus() != IoFuture.Status.DONE) {
+        (finished, attachment) -> {
+          if (finished.getStatus() != IoFuture.Status.DONE) {
             io.execute(() -> dropQueue("no connection"));
           }
         },
         null);
-    io.executeAfter(
-        () -> {
-          if (connecting && future.getStatus() == IoFuture.Status.WAITING) {
-            future.cancel();
-          }
-        },
-        CONNECT_TIMEOUT_MS,
-        TimeUnit.MILLISECONDS);
+    io.executeAfter(() -> cancelIfPending(future), CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+  }
+
+  private void cancelIfPending(IoFuture<StreamConnection> future) {
+    if (connecting && future.getStatus() == IoFuture.Status.WAITING) {
+      future.cancel();
+    }
   }
 
   private void connected(StreamConnection opened) {
     connecting = false;
     connection = Optional.of(opened);
-    opened.getSinkChannel().setWriteListener(c -> writeQueue());
-    opened.setCloseListener(
-        c -> {
-          if (connection.filter(now -> now == opened).isPresent()) {
-            connection = Optional.empty();
-          }
-        });
-    // Nothing is said here; reading notices the peer's end.
-    opened
-        .getSourceChannel()
-        .setReadListener(
-            c -> {
-              try {
-                if (c.read(ByteBuffer.allocate(READ_BUFFER_BYTES)) < 0) {
-                  IoUtils.safeClose(opened);
-                }
-              } catch (IOException e) {
-                IoUtils.safeClose(opened);
-              }
-            });
+    opened.getSinkChannel().setWriteListener(sink -> writeQueue());
+    opened.setCloseListener(closed -> forget(opened));
+    // Peers send nothing on this connection; reading notices when they close it.
+    opened.getSourceChannel().setReadListener(source -> closeAtEnd(opened, source));
     opened.getSourceChannel().resumeReads();
     writeQueue();
   }
 
+  private void forget(StreamConnection closed) {
+    if (connection.filter(current -> current == closed).isPresent()) {
+      connection = Optional.empty();
+    }
+  }
+
+  private static void closeAtEnd(StreamConnection opened, ConduitStreamSourceChannel source) {
+    try {
+      if (source.read(ByteBuffer.allocate(READ_BUFFER_BYTES)) < 0) {
+        IoUtils.safeClose(opened);
+      }
+    } catch (IOException exception) {
+      IoUtils.safeClose(opened);
+    }
+  }
+
   private void writeQueue() {
     if (connection.isEmpty()) {
       return;
@@ -135,7 +136,7 @@
   }
 
   private void dropQueue(String reason) {
-    LOG.debug("nothing can be told to {}: {}", address, reason);
+    LOG.debug("messages to peer dropped: address={} reason=\"{}\"", address, reason);
     connecting = false;
     queue.clear();
     nextConnectNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RECONNECT_PAUSE_MS);
@@ -143,6 +144,7 @@
     connection = Optional.empty();
   }
 
+  /** Closes the connection; queued frames are not sent. */
   void close() {
     connection.ifPresent(IoUtils::safeClose);
     connection = Optional.empty();
--- a/src/main/java/org/ploverspindle/peers/PeerCodec.java
+++ b/src/main/java/org/ploverspindle/peers/PeerCodec.java
@@ -10,15 +10,27 @@
 import java.util.Optional;
 
 /**
- * Records between controllers: a length, a version, a kind, and the fields. A record of another
- * version or kind is passed over, so that versions can be mixed while controllers are restarted one
- * after the other; a length that no record has ends the connection.
+ * Encodes messages between controllers as frames: the length of the body, then in the body a format
+ * version, the kind of the message, and its fields. A body of another format version or an unknown
+ * kind is skipped, so that versions can be mixed while controllers are upgraded one after the
+ * other. A malformed frame ends the connection, as nothing after it can be trusted.
  */
 public final class PeerCodec {
+  /** The longest body, in bytes. */
   public static final int MAX_LENGTH = 1024;
+
+  /** A format version and a kind. */
+  private static final int MIN_LENGTH = 2;
+
+  /** What {@link #wholeFrame} returns while a frame is incomplete. */
+  private static final int INCOMPLETE = -1;
+
   private static final int FORMAT_VERSION = 1;
   private static final int INITIAL_BUFFER_BYTES = 64;
+
+  /** The kinds as they are on the wire: a number is never changed or used again. */
   private static final int LEADING = 1;
+
   private static final int RESIGNED = 2;
   private static final int STATE_CHANGED = 3;
   private static final int MISDIRECTED_HEARTBEATS = 4;
@@ -27,7 +39,7 @@
 
   private PeerCodec() {}
 
-  /** The bytes on a connection are not of this format. */
+  /** The bytes on a connection are no frames of this format. */
   public static final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -36,29 +48,31 @@
     }
   }
 
-  /** The record as a frame: its length, then its body. */
+  /** Encodes a message as a frame. */
   public static byte[] encode(PeerMessage message) {
-    ByteArrayOutputStream body = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
-    ByteArrayOutputStream framed = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     try {
-      DataOutputStream out = new DataOutputStream(body);
-      out.writeByte(FORMAT_VERSION);
-      out.writeByte(kind(message));
-      out.writeUTF(message.member());
-      if (message instanceof PeerMessage.Leading leading) {
-        out.writeLong(leading.token());
-      } else if (message instanceof PeerMessage.Resigned resigned) {
-        out.writeLong(resigned.token());
-      } else if (message instanceof PeerMessage.MisdirectedHeartbeats misdirected) {
-        out.writeInt(misdirected.count());
-      }
-      DataOutputStream frame = new DataOutputStream(framed);
-      frame.writeInt(body.size());
+      ByteArrayOutputStream body = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
+      writeBody(message, new DataOutputStream(body));
+      ByteArrayOutputStream frame = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
+      new DataOutputStream(frame).writeInt(body.size());
       body.writeTo(frame);
+      return frame.toByteArray();
     } catch (IOException exception) {
-      throw new UncheckedIOException("memory could not be written", exception);
+      throw new UncheckedIOException("writing to memory failed", exception);
+    }
+  }
+
+  private static void writeBody(PeerMessage message, DataOutputStream out) throws IOException {
+    out.writeByte(FORMAT_VERSION);
+    out.writeByte(kind(message));
+    out.writeUTF(message.member());
+    if (message instanceof PeerMessage.Leading leading) {
+      out.writeLong(leading.token());
+    } else if (message instanceof PeerMessage.Resigned resigned) {
+      out.writeLong(resigned.token());
+    } else if (message instanceof PeerMessage.MisdirectedHeartbeats misdirected) {
+      out.writeInt(misdirected.count());
     }
-    return framed.toByteArray();
   }
 
   private static int kind(PeerMessage message) {
@@ -77,19 +91,30 @@
     return message instanceof PeerMessage.Resigned ? RESIGNED : STATE_CHANGED;
   }
 
-  /** The length of the next whole frame's body, or -1 while it is not all there. */
+  /**
+   * The length of the next frame's body, in bytes, or -1 while the frame is incomplete. Takes no
+   * bytes from the buffer.
+   *
+   * @throws MalformedFrameException if no frame has this length
+   */
   static int wholeFrame(ByteBuffer received) throws MalformedFrameException {
     if (received.remaining() < Integer.BYTES) {
-      return -1;
+      return INCOMPLETE;
     }
     int length = received.getInt(received.position());
-    if (length < 2 || length > MAX_LENGTH) {
-      throw new MalformedFrameException("a record of " + length + " bytes");
+    if (length < MIN_LENGTH || length > MAX_LENGTH) {
+      throw new MalformedFrameException("a frame of " + length + " bytes");
     }
-    return received.remaining() < Integer.BYTES + length ? -1 : length;
+    return received.remaining() < Integer.BYTES + length ? INCOMPLETE : length;
   }
 
-  /** Takes a whole frame; empty for a version or kind that is not known here. */
+  /**
+   * Takes a whole frame from the buffer and decodes it; empty for an unknown format version or
+   * kind.
+   *
+   * @param length of the body, as {@link #wholeFrame} returned it
+   * @throws MalformedFrameException if the body is shorter than its fields
+   */
   static Optional<PeerMessage> take(ByteBuffer received, int length)
       throws MalformedFrameException {
     received.getInt();
@@ -112,7 +137,7 @@
         default -> Optional.empty();
       };
     } catch (IOException exception) {
-      throw new MalformedFrameException("a record that ends too early");
+      throw new MalformedFrameException("a message that ends too early");
     }
   }
 }
--- a/src/main/java/org/ploverspindle/peers/PeerServer.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -26,7 +26,10 @@
 import org.xnio.channels.AcceptingChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** Listens for the other controllers, and sends to them over one connection each. */
+/**
+ * Accepts connections of the other controllers, and sends to each of them over one connection of
+ * its own. Sockets are confined to one I/O thread; received messages are handed to the event loop.
+ */
 public final class PeerServer implements Peers {
   private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
 
@@ -41,7 +44,7 @@
   private Optional<AcceptingChannel<StreamConnection>> listeningChannel = Optional.empty();
 
   /**
-   * @param listener is called on the scheduler's thread of control
+   * @param listener is called on the event loop
    */
   public PeerServer(
       Scheduler scheduler,
@@ -53,13 +56,18 @@
     this.worker = worker;
     this.io = worker.getIoThread();
     this.listenAddress = listenAddress;
-    // Each peer has one line to here; a second one while a lost first one is not noticed yet.
+    // Each peer has one connection to here, and a second one until the loss of the first is
+    // noticed.
     this.maxConnections = 2 * members.size() + 2;
     this.listener = listener;
-    members.forEach(m -> clients.put(m.name(), new PeerClient(io, m.address())));
+    members.forEach(member -> clients.put(member.name(), new PeerClient(io, member.address())));
   }
 
-  /** Starts to listen. */
+  /**
+   * Starts to listen.
+   *
+   * @throws IOException if the address can't be bound
+   */
   public void open() throws IOException {
     ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
     AcceptingChannel<StreamConnection> channel =
@@ -71,11 +79,11 @@
     listeningChannel = Optional.of(channel);
   }
 
-  /** The port that is listened on, for a server opened at port 0. */
+  /** The port that an open server listens on, also if it was opened at port 0. */
   public int port() {
     return listeningChannel
-        .map(s -> s.getLocalAddress(InetSocketAddress.class).getPort())
-        .orElse(-1);
+        .map(channel -> channel.getLocalAddress(InetSocketAddress.class).getPort())
+        .orElseThrow();
   }
 
   /** Stops listening and closes all connections. */
@@ -114,12 +122,12 @@
         return;
       }
       openConnections.add(connection);
-      connection.setCloseListener(c -> openConnections.remove(connection));
+      connection.setCloseListener(closed -> openConnections.remove(connection));
       ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_LENGTH);
       connection.getSourceChannel().setReadListener(source -> read(connection, source, received));
       connection.getSourceChannel().resumeReads();
     } catch (IOException exception) {
-      LOG.debug("a controller's connection could not be accepted", exception);
+      LOG.debug("peer connection not accepted", exception);
     }
   }
 
@@ -136,17 +144,24 @@
           return;
         }
         received.flip();
-        for (int length = PeerCodec.wholeFrame(received);
-            length >= 0;
-            length = PeerCodec.wholeFrame(received)) {
-          PeerCodec.take(received, length)
-              .ifPresent(r -> scheduler.execute(EventPriority.DECISION, () -> listener.accept(r)));
-        }
+        handleFrames(received);
         received.compact();
       }
     } catch (PeerCodec.MalformedFrameException | IOException exception) {
-      LOG.info("a connection from a controller is ended: {}", exception.getMessage());
+      LOG.info("peer connection closed: reason=\"{}\"", exception.getMessage());
       IoUtils.safeClose(connection);
     }
   }
+
+  private void handleFrames(ByteBuffer received) throws PeerCodec.MalformedFrameException {
+    int length = PeerCodec.wholeFrame(received);
+    while (length >= 0) {
+      PeerCodec.take(received, length).ifPresent(this::handOver);
+      length = PeerCodec.wholeFrame(received);
+    }
+  }
+
+  private void handOver(PeerMessage message) {
+    scheduler.execute(EventPriority.DECISION, () -> listener.accept(message));
+  }
 }
--- a/src/main/java/org/ploverspindle/peers/Peers.java
+++ b/src/main/java/org/ploverspindle/peers/Peers.java
@@ -1,6 +1,9 @@
 package org.ploverspindle.peers;
 
-/** Sends messages to the other controllers. What can't be sent at once is dropped. */
+/**
+ * Sends messages to the other controllers. Delivery is not guaranteed: while a controller can't be
+ * reached, messages to it are dropped.
+ */
 public interface Peers {
   /** Sends to one controller; an unknown name is ignored. */
   void send(String member, PeerMessage message);
