--- a/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
+++ b/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
@@ -13,7 +13,7 @@
 import org.ploverspindle.cluster.Placement;
 import org.ploverspindle.cluster.WorkerCommand;
 
-/** When a held answer goes out, and with what. */
+/** When a delayed response is sent, and with which commands. */
 class DelayedResponsesTest {
   private static final long MAX_DELAY_MS = 1_800;
 
@@ -34,7 +34,7 @@
     return heartbeat;
   }
 
-  private Placement recorded() {
+  private Placement placeDurably() {
     Placement placement = fixture.place();
     placement.markRecorded(fixture.nowMs);
     return placement;
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void theNewestReportOfAMachineWithRoomIsWorthHolding() {
+  void theNewestHeartbeatOfAMachineWithFreeCoresIsWorthDelaying() {
     Heartbeat older = fixture.heartbeat(OptionalDouble.empty());
     assertTrue(isWorthDelaying(older));
     Heartbeat newer = fixture.heartbeat(OptionalDouble.empty());
@@ -54,19 +54,19 @@
   }
 
   @Test
-  void aMachineThatIsFullOrTakenBackIsAnsweredAtOnce() {
+  void aFullOrReclaimedMachineIsAnsweredAtOnce() {
     Heartbeat heartbeat = fixture.heartbeat(OptionalDouble.empty());
     for (int i = 0; i < 4; i++) {
       fixture.place();
     }
     assertFalse(isWorthDelaying(heartbeat), "all four cores are taken");
-    SingleMachineFixture recalled = new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
-    Heartbeat notice = recalled.heartbeat(OptionalDouble.of(20));
-    assertFalse(delayed.isWorthDelaying(recalled.machine(), notice, recalled.nowMs));
+    SingleMachineFixture reclaimed = new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
+    Heartbeat notice = reclaimed.heartbeat(OptionalDouble.of(20));
+    assertFalse(delayed.isWorthDelaying(reclaimed.machine(), notice, reclaimed.nowMs));
   }
 
   @Test
-  void aLaunchGoesOutAsSoonAsItIsDurableAndNotBefore() {
+  void aLaunchIsSentAsSoonAsItsPlacementIsDurableAndNotBefore() {
     delayOne();
     Placement placement = fixture.place();
     delayed.releaseDue();
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void withoutOrdersTheAnswerGoesOutWhenItsTimeIsOver() {
+  void withoutCommandsTheResponseIsSentWhenItsDelayIsOver() {
     delayOne();
     fixture.nowMs += MAX_DELAY_MS - 1;
     delayed.releaseDue();
@@ -90,11 +90,11 @@
     assertEquals(List.of(), responses.get(0).commands());
   }
 
-  /** A leader that is not sure of its lead would launch what another one has placed elsewhere. */
+  /** Without authority, a leader could launch what another leader has placed elsewhere. */
   @Test
-  void withoutASureLeadTheAnswerGoesOutAtOnceAndLaunchesNothing() {
+  void withoutAuthorityTheResponseIsSentAtOnceAndLaunchesNothing() {
     delayOne();
-    Placement placement = recorded();
+    Placement placement = placeDurably();
     fixture.authoritative = false;
     delayed.releaseDue();
     assertEquals(List.of(), responses.get(0).commands());
@@ -102,19 +102,19 @@
   }
 
   @Test
-  void anAnswerToAReportThatIsNoLongerTheNewestLaunchesNothing() {
+  void aResponseToAnOutdatedHeartbeatLaunchesNothing() {
     delayOne();
     fixture.authoritative = false;
     fixture.heartbeat(OptionalDouble.empty());
     fixture.authoritative = true;
-    Placement placement = recorded();
+    Placement placement = placeDurably();
     delayed.release(SingleMachineFixture.HOST);
     assertEquals(List.of(), responses.get(0).commands());
     assertEquals(Placement.Phase.READY, placement.phase());
   }
 
   @Test
-  void eachIsAnsweredOnce() {
+  void eachHeartbeatIsAnsweredOnce() {
     delayOne();
     delayed.release(SingleMachineFixture.HOST);
     delayed.release(SingleMachineFixture.HOST);
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void allAreAnsweredWhenTheTermEnds() {
+  void allHeartbeatsAreAnsweredWhenTheTermEnds() {
     delayOne();
     delayed.releaseAll();
     assertEquals(1, responses.size());
--- a/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
+++ b/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
@@ -12,7 +12,7 @@
 import org.ploverspindle.leases.FencingRejections;
 import org.ploverspindle.model.Term;
 
-/** A token raised for one machine is of this term; only a later term's refuses a former leader. */
+/** A token raised for one machine is of the same term; only one of a later term is a rejection. */
 class FencedWorkerClientTest {
   private static final Term TERM = new Term(Term.TOKENS_PER_TERM, 7, 0);
 
--- a/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
+++ b/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
@@ -26,7 +26,7 @@
 import org.ploverspindle.settings.Address;
 import org.ploverspindle.settings.Settings;
 
-/** A leader of 100 machines that report every three seconds, and what it makes of their silence. */
+/** A leader of 100 machines with heartbeats every three seconds: when it steps down. */
 class LeaderConnectivityTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final int MACHINES = 100;
@@ -73,7 +73,7 @@
         new Settings.Quota(1, 200, 500));
   }
 
-  /** All report, each at its own moment of the three seconds before. */
+  /** The heartbeat of one machine. */
   private void heartbeat(int machine, long fencingToken, long nowMs) {
     connectivity.recordHeartbeat(nowMs);
     heartbeatHandler.handle(
@@ -91,7 +91,7 @@
         nowMs);
   }
 
-  /** Looks every 400 ms while the machines report; true if there ever was trouble. */
+  /** Checks every 390 ms; true if there was any reason to step down in that time. */
   private boolean stepsDown(long fromMs, long toMs, boolean reporting, long fencingToken) {
     boolean steppedDown = false;
     for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
@@ -106,101 +106,104 @@
   }
 
   @Test
-  void whoseMachinesReportAndHearHasNoTrouble() {
+  void keepsLeadingWhileHeartbeatsArriveAndResponsesAreReceived() {
     assertFalse(stepsDown(0, 60_000, true, 7));
   }
 
   @Test
-  void whoseMachinesAllFallSilentIsInTroubleBeforeAnyLeaseEnds() {
+  void stepsDownBeforeAnyWorkerLeaseExpiresWhenAllMachinesFallSilent() {
     stepsDown(0, 30_000, true, 7);
     assertFalse(stepsDown(30_000, 33_000, false, 7));
     assertTrue(stepsDown(33_000, 36_000, false, 7));
   }
 
   @Test
-  void machinesThatAskOthersMeanwhileMakeItClearSooner() {
+  void stepsDownSoonerWhenSilentMachinesTryOtherControllers() {
     stepsDown(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(31_500, 40);
     assertTrue(stepsDown(30_000, 32_500, false, 7));
   }
 
   @Test
-  void strayReportsAloneAreNoTroubleWhileTheirSendersAreHeardAndFew() {
+  void fewMisdirectedHeartbeatsAloneAreNoReasonToStepDown() {
     stepsDown(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(30_000, 40);
     assertFalse(stepsDown(30_000, 36_000, true, 7));
     connectivity.misdirectedHeartbeats(36_000, 70);
-    assertTrue(stepsDown(36_000, 37_000, true, 7), "most of them have had answers and ask others");
+    assertTrue(
+        stepsDown(36_000, 37_000, true, 7), "most of them had responses and try other controllers");
   }
 
   @Test
-  void whoStoodStillListensAnewBeforeItCallsAnybodySilent() {
+  void listensAgainAfterAPauseBeforeItCallsMachinesSilent() {
     stepsDown(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(33_000, 300);
-    // It stood still; what came meanwhile is not read yet.
+    // The process was paused, and has not read yet what arrived meanwhile.
     assertFalse(stepsDown(35_100, 38_000, false, 7));
     assertFalse(stepsDown(38_010, 60_000, true, 7));
   }
 
-  /** Leaders that change in a circle would never prove machines gone that are gone. */
+  /** Leaders that replace each other too soon would never prove machines gone that are gone. */
   @Test
-  void whereTheLeadChangesOftenWhoHearsNothingWaitsForTheProof() {
-    for (int m = 0; m < MACHINES; m++) {
-      machines.adopt("i-" + m, "t", "a", true, 0);
+  void waitsForTheProofOfSilenceWhereLeadershipIsUnstable() {
+    for (int machine = 0; machine < MACHINES; machine++) {
+      machines.adopt("i-" + machine, "t", "a", true, 0);
     }
     JobSpec spec =
         JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, MACHINES, 1, 1, 10, 0);
     Job job = new Job(spec, 0, MACHINES, 0, new BitSet(), -1, 1);
-    for (Machine m : List.copyOf(machines.all())) {
+    for (Machine machine : List.copyOf(machines.all())) {
       int task = job.activePlacements().size();
-      machines.addPlacement(new Placement(job, task, task + 1, m, 1, Placement.Phase.RECOVERED));
+      machines.addPlacement(
+          new Placement(job, task, task + 1, machine, 1, Placement.Phase.RECOVERED));
     }
-    assertTrue(stepsDown(0, 20_000, false, 7), "the first ones look for a better one soon");
+    assertTrue(stepsDown(0, 20_000, false, 7), "the first leaders step down soon");
     connectivity = new LeaderConnectivity(machines, TERM, settings, () -> listRead, 40_000);
     assertFalse(stepsDown(0, 39_000, false, 7));
     assertTrue(stepsDown(39_000, 42_000, false, 7));
   }
 
   @Test
-  void whoseAnswersNeverArriveIsInTrouble() {
-    assertTrue(stepsDown(0, 30_000, true, 3), "they report under an older token for ever");
+  void stepsDownWhenNoMachineShowsItsToken() {
+    assertTrue(stepsDown(0, 30_000, true, 3), "all heartbeats have an older token");
   }
 
-  /** Six machines on which earlier leaders recorded tasks; none of them is ever heard. */
+  /** Six machines on which earlier leaders recorded tasks; none of them sends a heartbeat. */
   private void addMachinesKnownFromRecordsOnly() {
     JobSpec spec = JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 6, 4, 1, 20, 0);
     Job job = new Job(spec, 0, 80, 0, new BitSet(), -1, 1);
-    for (int i = 0; i < 6; i++) {
-      Machine m = machines.adopt("i-" + i, "t", "a", true, 0).orElseThrow();
-      machines.addPlacement(new Placement(job, i, 100 + i, m, 1, Placement.Phase.RECOVERED));
+    for (int index = 0; index < 6; index++) {
+      Machine machine = machines.adopt("i-" + index, "t", "a", true, 0).orElseThrow();
+      machines.addPlacement(
+          new Placement(job, index, 100 + index, machine, 1, Placement.Phase.RECOVERED));
     }
   }
 
   @Test
-  void machinesThatAreInRecordsOnlyAreNotMissed() {
+  void doesNotWaitForMachinesThatOnlyRecordsMention() {
     addMachinesKnownFromRecordsOnly();
     listRead = true;
-    assertFalse(stepsDown(0, 40_000, false, 7), "nobody else would hear them either");
+    assertFalse(stepsDown(0, 40_000, false, 7), "no other leader would hear them");
   }
 
   @Test
-  void machinesThatAreListedOrMayBeAreMissed() {
+  void stepsDownForSilentMachinesThatAreListedOrMayBe() {
     addMachinesKnownFromRecordsOnly();
     assertTrue(stepsDown(0, 39_000, false, 7), "no list was read");
     listRead = true;
-    machines.all().forEach(m -> m.listedAt(0));
+    machines.all().forEach(machine -> machine.listedAt(0));
     assertTrue(stepsDown(39_000, 78_000, false, 7));
   }
 
   @Test
-  void lateReportsOfMachinesThatAreGoneAreNoSignOfLostAnswers() {
+  void lateHeartbeatsOfTerminatedMachinesAreNoSignOfLostResponses() {
     stepsDown(0, 30_000, true, 7);
-    for (int i = 0; i < 10 * MACHINES; i++) {
-      Machine gone = machines.adopt("gone-" + i, "t", "a", true, 30_000).orElseThrow();
-      machines.confirmTermination(gone.host(), 30_000);
+    for (int index = 0; index < 10 * MACHINES; index++) {
+      Machine terminated = machines.adopt("gone-" + index, "t", "a", true, 30_000).orElseThrow();
+      machines.confirmTermination(terminated.host(), 30_000);
     }
-    assertFalse(stepsDownWhileMisdirected(30_000, 60_000), "they are of machines that are gone");
-    assertTrue(stepsDownWhileMisdirected(120_000, 150_000), "no late ones come any more");
+    assertFalse(stepsDownWhileMisdirected(30_000, 60_000), "they are of terminated machines");
+    assertTrue(stepsDownWhileMisdirected(120_000, 150_000), "no late heartbeats arrive any more");
   }
 
   private boolean stepsDownWhileMisdirected(long fromMs, long toMs) {
--- a/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
+++ b/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
@@ -25,7 +25,7 @@
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
 
-/** A job presses as the jobs that need it do, from when they come until they are over. */
+/** A job inherits from the jobs that depend on it, from their acceptance until they are over. */
 class PriorityInheritanceTest {
   private static final long ACCEPTED = 5_000_000;
   private static final ServiceLevelObjectives OBJECTIVES =
@@ -41,9 +41,11 @@
   private long nowMs = 1_000;
 
   PriorityInheritanceTest() {
-    Replica none = new Replica(new EventLoop(), null, "x/", 700);
+    Replica emptyReplica = new Replica(new EventLoop(), null, "x/", 700);
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
-    jobs = new JobTable(none, new AcceptedJobIndex(none), new Catalogue(List.of("a")), teams);
+    jobs =
+        new JobTable(
+            emptyReplica, new AcceptedJobIndex(emptyReplica), new Catalogue(List.of("a")), teams);
     inheritance =
         new PriorityInheritance(
             graph,
@@ -82,7 +84,7 @@
   }
 
   @Test
-  void theLastJobsDueTimeAndUrgencyReachTheFirstUntilItIsCancelled() {
+  void theFirstJobInheritsTheLastOnesDeadlineAndPriorityUntilThatIsCancelled() {
     accept("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = addToTable("index");
     update();
@@ -107,7 +109,7 @@
   }
 
   @Test
-  void theMostUrgentAndTheEarliestCountWhereBranchesMeet() {
+  void theHighestPriorityAndTheEarliestDeadlineCountWhereBranchesMeet() {
     accept("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = addToTable("index");
     accept("left", "left", Priority.HIGH, 50, 0, "index");
@@ -121,7 +123,7 @@
   }
 
   @Test
-  void correctedEstimatesMoveItNowAndThenAndNothingIsReadTwice() {
+  void newEstimatesMoveDeadlinesPeriodicallyAndNoRecordIsReadTwice() {
     accept("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = addToTable("index");
     accept("compare", "compare", Priority.BEST_EFFORT, 20, 0, "index");
@@ -130,7 +132,7 @@
     assertEquals(OptionalDouble.of(72), index.deadlineS());
     estimates.observed(addToTable("compare"), 30);
     update();
-    assertEquals(OptionalDouble.of(72), index.deadlineS(), "not worked out at every turn");
+    assertEquals(OptionalDouble.of(72), index.deadlineS(), "not computed with each update");
     nowMs += 5_000;
     update();
     assertEquals(OptionalDouble.of(62), index.deadlineS());
--- a/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
+++ b/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
@@ -30,7 +30,7 @@
   static final String HOST = "i-1";
   private static final Term TERM = new Term(7, 1, 0);
 
-  /** Its time is what the test says; nothing is ever run. */
+  /** Its time is set by the test; nothing is ever run. */
   private final class StillScheduler implements Scheduler {
     @Override
     public long nowMs() {
@@ -85,7 +85,7 @@
 
   /**
    * @param expectedS 0 for a service
-   * @param saveCostS 0 for what never saves
+   * @param saveCostS 0 for a job without checkpoints
    */
   static JobSpec spec(double expectedS, double checkpointCostS) {
     return new JobSpec(
@@ -116,7 +116,7 @@
     return machines.get(HOST).orElseThrow();
   }
 
-  /** The machine's next report, which the handler takes in. */
+  /** The machine's next heartbeat, already processed by the handler. */
   Heartbeat heartbeat(OptionalDouble spotNoticeS, Heartbeat.TaskStatus... tasks) {
     Heartbeat heartbeat =
         new Heartbeat(
@@ -134,7 +134,7 @@
     return heartbeat;
   }
 
-  /** Places the next task; its intent is not durable yet. */
+  /** Places the next task; the placement is not durable yet. */
   Placement place() {
     int task = (int) attempts;
     Placement placement =
@@ -143,7 +143,7 @@
     return placement;
   }
 
-  /** Places the next task, and has a report show it running from now on. */
+  /** Places the next task, and has a heartbeat show it running from now on. */
   Placement run() {
     Placement placement = place();
     heartbeat(
--- a/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
+++ b/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
@@ -11,21 +11,21 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.placement.RuntimeEstimates;
 
-/** What a running task is told when its spot machine has only so long left. */
+/** What happens to a running task when its spot machine is reclaimed after a notice. */
 class SpotDrainTest {
   private final SpotDrain drain = new SpotDrain(new RuntimeEstimates());
 
-  /** A task that has run for so long, on a machine that has so long left. */
+  /** A task that has run for so long, on a machine with a notice of so long. */
   private Placement drained(JobSpec spec, double ranS, double noticeS) {
     SingleMachineFixture fixture = new SingleMachineFixture(spec);
     fixture.heartbeat(OptionalDouble.empty());
     Placement placement = fixture.run();
     fixture.nowMs += Math.round(ranS * 1_000);
-    notice(fixture, placement, noticeS);
+    sendNotice(fixture, placement, noticeS);
     return placement;
   }
 
-  private void notice(SingleMachineFixture fixture, Placement placement, double noticeS) {
+  private void sendNotice(SingleMachineFixture fixture, Placement placement, double noticeS) {
     fixture.heartbeat(
         OptionalDouble.of(noticeS),
         new Heartbeat.TaskStatus(
@@ -39,32 +39,32 @@
   }
 
   @Test
-  void whatEndsInTimeRunsOn() {
+  void aTaskThatEndsInTimeRunsOn() {
     assertFalse(drained(SingleMachineFixture.spec(20, 0), 15, 10).stopping());
     assertFalse(drained(SingleMachineFixture.spec(20, 2), 15, 10).stopping());
   }
 
   @Test
-  void whatSavesIsGivenTwiceItsCostToSave() {
+  void aCheckpointIsGivenTwiceItsCost() {
     Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 10);
     assertTrue(placement.stopping());
     assertEquals(4, placement.gracePeriodS());
   }
 
   @Test
-  void aSaveIsGivenNoMoreThanTheNotice() {
+  void aCheckpointIsGivenNoMoreThanTheNotice() {
     assertEquals(3, drained(SingleMachineFixture.spec(60, 2), 5, 3).gracePeriodS());
   }
 
   @Test
-  void whatCannotSaveInTimeIsStoppedAtOnceToStartElsewhere() {
+  void aTaskThatCannotCheckpointInTimeIsStoppedAtOnce() {
     Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 1.5);
     assertTrue(placement.stopping());
     assertEquals(0, placement.gracePeriodS());
   }
 
   @Test
-  void whatNeverSavesIsGivenUpOnlyWhenItsEndIsFarBeyondTheNotice() {
+  void aTaskWithoutCheckpointsIsStoppedOnlyWhenItsEndIsFarBeyondTheNotice() {
     assertFalse(
         drained(SingleMachineFixture.spec(20, 0), 8, 10).stopping(), "12 s are left to run");
     assertTrue(drained(SingleMachineFixture.spec(20, 0), 4, 10).stopping(), "16 s are left to run");
@@ -78,13 +78,13 @@
   }
 
   @Test
-  void laterReportsOfTheNoticeDoNotCutASaveShort() {
+  void laterHeartbeatsWithTheNoticeDoNotShortenACheckpoint() {
     SingleMachineFixture fixture = new SingleMachineFixture(SingleMachineFixture.spec(60, 2));
     fixture.heartbeat(OptionalDouble.empty());
     Placement placement = fixture.run();
-    notice(fixture, placement, 10);
+    sendNotice(fixture, placement, 10);
     fixture.nowMs += 8_500;
-    notice(fixture, placement, 1.5);
+    sendNotice(fixture, placement, 1.5);
     assertEquals(4, placement.gracePeriodS());
   }
 }
--- a/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
@@ -21,9 +21,9 @@
           new PeerMessage.ReachabilityProbe("n-4"),
           new PeerMessage.ReachabilityReply("n-5"));
 
-  /** Records come in pieces of any size, as TCP has it. */
+  /** TCP delivers frames in pieces of any size. */
   @Test
-  void recordsSurviveAnyCutOfTheStream() throws PeerCodec.MalformedFrameException {
+  void messagesSurviveAnySplitOfTheStream() throws PeerCodec.MalformedFrameException {
     Random random = new Random(1);
     List<PeerMessage> sent = new ArrayList<>();
     List<PeerMessage> decoded = new ArrayList<>();
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void anotherVersionOrKindIsPassedOver() throws PeerCodec.MalformedFrameException {
+  void anUnknownVersionOrKindIsSkipped() throws PeerCodec.MalformedFrameException {
     byte[] frame = PeerCodec.encode(ALL.get(0));
     frame[4] = 99;
     ByteBuffer received = ByteBuffer.wrap(frame);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void whatIsNotOursEndsTheConnection() {
+  void malformedBytesAreRejected() {
     ByteBuffer http = ByteBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes());
     assertThrows(PeerCodec.MalformedFrameException.class, () -> PeerCodec.wholeFrame(http));
     byte[] frame = PeerCodec.encode(ALL.get(0));
--- a/src/test/java/org/ploverspindle/peers/PeerServerTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerServerTest.java
@@ -19,7 +19,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Doors of controllers over real sockets on loopback. */
+/** Peer servers over real sockets on loopback. */
 class PeerServerTest {
   private final EventLoop loop = new EventLoop();
   private final BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
@@ -34,9 +34,10 @@
     Address any = new Address("127.0.0.1", 0);
     receiver = new PeerServer(loop, worker, any, List.of(), received::add);
     receiver.open();
-    Settings.Member to = new Settings.Member("n1", "a", new Address("127.0.0.1", receiver.port()));
-    Settings.Member refuses = new Settings.Member("n2", "a", new Address("127.0.0.1", 1));
-    sender = new PeerServer(loop, worker, any, List.of(to, refuses), r -> {});
+    Settings.Member listening =
+        new Settings.Member("n1", "a", new Address("127.0.0.1", receiver.port()));
+    Settings.Member refusing = new Settings.Member("n2", "a", new Address("127.0.0.1", 1));
+    sender = new PeerServer(loop, worker, any, List.of(listening, refusing), message -> {});
   }
 
   @AfterEach
@@ -48,7 +49,7 @@
   }
 
   @Test
-  void recordsArriveInOrderAlthoughAnotherPeerRefuses() throws Exception {
+  void messagesArriveInOrderAlthoughAnotherPeerRefuses() throws Exception {
     PeerMessage first = new PeerMessage.Leading("n0", 5);
     PeerMessage second = new PeerMessage.StateChanged("n0");
     sender.broadcast(first);
@@ -59,7 +60,7 @@
   }
 
   @Test
-  void aConnectionWithSomethingElseIsEndedAndOthersGoOn() throws Exception {
+  void aMalformedConnectionIsClosedAndOthersGoOn() throws Exception {
     try (Socket socket = new Socket("127.0.0.1", receiver.port())) {
       OutputStream out = socket.getOutputStream();
       out.write("GET / HTTP/1.1\r\n\r\n".getBytes());
