--- a/src/main/java/org/ploverspindle/cluster/DirectCommands.java
+++ b/src/main/java/org/ploverspindle/cluster/DirectCommands.java
@@ -4,20 +4,21 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 
-/** Says which orders may go straight to a machine, before its next report. */
+/**
+ * Decides which commands may be sent directly to a machine, before its next heartbeat. Beside
+ * {@link HeartbeatHandler} it is the only class that lets a launch out.
+ */
 public final class DirectCommands {
-  /** Orders for one machine, and what they are sent with. */
+  /** Commands for one machine, with the token and agent epoch that they are bound to. */
   public record Request(
       String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
-    static Optional<Request> of(Machine machine, CommandBatch batch) {
-      return batch.commands().isEmpty()
-          ? Optional.empty()
-          : Optional.of(
-              new Request(
-                  machine.address(),
-                  machine.fencingToken(),
-                  machine.agentEpoch(),
-                  batch.commands()));
+    private static Optional<Request> of(Machine machine, CommandBatch batch) {
+      if (batch.commands().isEmpty()) {
+        return Optional.empty();
+      }
+      return Optional.of(
+          new Request(
+              machine.address(), machine.fencingToken(), machine.agentEpoch(), batch.commands()));
     }
   }
 
@@ -25,7 +26,8 @@
   private final BooleanSupplier isAuthoritative;
 
   /**
-   * @param isAuthoritative whether this leader is sure of its lead: without it nothing is ordered
+   * @param isAuthoritative whether this leader's lease is certainly valid; while it is not, nothing
+   *     is sent
    */
   public DirectCommands(MachineRegistry registry, BooleanSupplier isAuthoritative) {
     this.registry = registry;
@@ -33,21 +35,19 @@
   }
 
   /**
-   * Launches on the machine that are recorded and were in no answer yet, to go straight to it. A
-   * launch that goes this way may be executed late, so from here on the attempt counts as possibly
-   * there until a report shows otherwise under a higher token, or the session ends.
+   * The launches on the machine whose intent is recorded and that were in no response yet, to be
+   * sent at once. A direct launch may be executed late or twice: from here on the attempt counts as
+   * possibly on the machine, until a heartbeat under a higher token does not show it or the agent
+   * epoch ends.
    */
   public Optional<Request> launches(Machine machine, long nowMs) {
-    // Without tokens to spare a late copy of the launch could not be made void.
+    // Without a higher token left, a late copy of the launch could not be made void.
     if (!canReceive(machine) || !registry.hasFencingTokensLeft()) {
       return Optional.empty();
     }
     CommandBatch batch = new CommandBatch();
     for (Placement placement : machine.placements()) {
-      if (isLaunchable(machine, placement)
-          && batch.add(
-              new WorkerCommand.Launch(
-                  placement.job().uid(), placement.task(), placement.attempt()))) {
+      if (isLaunchable(machine, placement) && batch.add(placement.launchCommand())) {
         placement.markSentDirectly(machine.fencingToken(), nowMs);
         machine.recordDirectLaunch(placement.attempt());
       }
@@ -58,16 +58,15 @@
   private static boolean isLaunchable(Machine machine, Placement placement) {
     return placement.phase() == Placement.Phase.READY
         && placement.agentEpoch() == machine.agentEpoch()
-        && !placement.job().isTerminal()
-        && !placement.stopping()
+        && placement.isWanted()
         && !machine.isTerminating();
   }
 
   /**
-   * Stops of cancelled jobs' tasks, to go straight to their machine: until its next report they
-   * would run on, or even begin, for nobody. Executed late or twice they do no harm, whoever leads
-   * by then, as a cancellation is never taken back; that a launch still in flight comes after them
-   * is seen in the next report.
+   * Stops for the tasks of cancelled jobs on the machine, to be sent at once: until the next
+   * heartbeat they would run on, or even start, for nothing. Executed late or twice they do no
+   * harm, whoever leads by then, as a cancellation is final. If a launch in flight arrives after
+   * its stop, the next heartbeat shows it.
    */
   public Optional<Request> cancelledStops(Machine machine) {
     if (!canReceive(machine)) {
@@ -78,9 +77,7 @@
       if (placement.job().cancelled()
           && !placement.neverSent()
           && placement.agentEpoch() == machine.agentEpoch()) {
-        batch.add(
-            new WorkerCommand.Stop(
-                placement.job().uid(), placement.task(), placement.attempt(), 0));
+        batch.add(placement.stopCommand());
       }
     }
     return Request.of(machine, batch);
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A report while it is taken in, and the orders that answer it. */
+/** A heartbeat that is being handled, and the commands that are collected for its response. */
 final class HeartbeatContext {
   private final MachineRegistry registry;
   private final Machine machine;
@@ -13,8 +13,10 @@
   private final CommandBatch batch = new CommandBatch();
 
   /**
-   * @param underOwnToken whether the worker had taken a token of this term when it reported
-   * @param direct whether the report answers a direct command: it can't be answered itself
+   * @param underOwnToken whether the agent had accepted a token of this term when it wrote the
+   *     heartbeat
+   * @param direct whether the heartbeat is the response to a direct command, so that no commands
+   *     can be sent in response to it
    */
   HeartbeatContext(
       MachineRegistry registry,
@@ -51,20 +53,20 @@
     return nowMs;
   }
 
-  /** The answer's orders so far. */
+  /** The commands of the response so far. */
   List<WorkerCommand> commands() {
     return batch.commands();
   }
 
-  /** Adds an order to the answer; false if it does not fit and must wait for a later one. */
+  /** Adds a command; false if it does not fit and has to go with a later response. */
   boolean addCommand(WorkerCommand command) {
     if (!batch.add(command)) {
       return false;
     }
     if (command instanceof WorkerCommand.Forget
         && machine.isDirectLaunchPending(command.attempt())) {
-      // Once forgotten, a late copy of the launch would start it again: the same answer raises
-      // the token, under which that copy is void.
+      // Once the agent has forgotten the attempt, a late copy of its direct launch would start it
+      // again. The same response raises the token, under which the agent refuses that copy.
       machine.raiseFencingToken(registry.nextFencingToken());
     }
     return true;
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
@@ -13,32 +13,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes reports in and says what the worker is to do. Beside {@link DirectCommandSender} it is the
- * only place that lets a launch go out.
+ * Handles heartbeats and decides which commands are sent in response. Beside {@link DirectCommands}
+ * it is the only class that lets a launch out, and it does so only while the leader is
+ * authoritative and the agent has accepted a token of this term.
  */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  /** What a report shows, for the other parts of the leader. */
+  /** Receives what heartbeats show about tasks. */
   public interface Listener {
-    /** The task completed there. */
+    /** The task of the placement completed; the placement is removed. */
     void completed(Placement placement, long nowMs);
 
-    /** The task ended there without completing, or never arrived; it is gone from its machine. */
+    /**
+     * The task ended without completing, or never started; the placement is removed.
+     *
+     * @param exitReason as the agent gave it; {@code NONE} if no heartbeat showed an exit
+     * @param checkpointed whether the task wrote a checkpoint when it was stopped
+     */
     void ended(
         Placement placement, Heartbeat.ExitReason exitReason, boolean checkpointed, long nowMs);
 
-    /** A task that nobody had placed there has completed: its result counts all the same. */
+    /** A task without a placement has completed there; its result counts all the same. */
     void completedUnrecorded(Job job, int task);
 
-    /** Its place is as recorded, but what is shown of it has changed. */
+    /** The phase of the placement has changed. */
     void changed(Placement placement);
   }
 
-  /** What is known of a job that is not in the table: whose it is and what a task takes. */
+  /**
+   * What is known of a job that is not in the table.
+   *
+   * @param team index of its team in the settings
+   * @param resources what one of its tasks takes
+   */
   public record Owner(int team, Resources resources) {}
 
-  /** What goes out in answer to a report. */
+  /** The response to a heartbeat. */
   public record Response(long fencingToken, List<WorkerCommand> commands) {}
 
   private final MachineRegistry registry;
@@ -48,10 +59,10 @@
   private final MissingTasks missingTasks;
 
   /**
-   * @param isAuthoritative whether this leader is sure of its lead
-   * @param jobs the jobs in the table
-   * @param owners what is known of any other job
-   * @param durablyCompleted whether a task's completion is recorded
+   * @param isAuthoritative whether this leader's lease is certainly valid
+   * @param jobs the jobs in the table, by uid
+   * @param owners what is known of any other job, by uid
+   * @param durablyCompleted whether the completion of a job's task is recorded
    */
   public HeartbeatHandler(
       MachineRegistry registry,
@@ -68,24 +79,28 @@
     this.missingTasks = new MissingTasks(registry, listener);
   }
 
-  /** An answer with no orders, which renews the lease. */
+  /** A response without commands, which renews the agent's lease. */
   public Response emptyResponse(String host) {
-    return new Response(
-        registry.get(host).map(Machine::fencingToken).orElse(term.fencingToken()), List.of());
+    return new Response(fencingTokenFor(host), List.of());
   }
 
+  /** The token is read last, as a command may have raised it. */
   private Response response(Heartbeat heartbeat, List<WorkerCommand> commands) {
-    return new Response(emptyResponse(heartbeat.host()).fencingToken(), commands);
+    return new Response(fencingTokenFor(heartbeat.host()), commands);
+  }
+
+  private long fencingTokenFor(String host) {
+    return registry.get(host).map(Machine::fencingToken).orElse(term.fencingToken());
   }
 
-  /** Orders for the worker, or none at all when the report tells nothing that can be relied on. */
+  /** Handles a heartbeat; its response has no commands if the heartbeat is not to be relied on. */
   public Response handle(Heartbeat heartbeat, long nowMs) {
     return response(heartbeat, process(heartbeat, nowMs, false));
   }
 
   /**
-   * What a machine answered to launches that went straight to it. It shows what is there, and can't
-   * be answered: what it calls for is ordered with the next report.
+   * Handles the heartbeat with which an agent responds to direct commands. No commands can be sent
+   * in response to it: those that it calls for go with the response to the next heartbeat.
    */
   public void handleDirectResponse(Heartbeat heartbeat, long nowMs) {
     process(heartbeat, nowMs, true);
@@ -99,80 +114,102 @@
         registry.adopt(
             heartbeat.host(), heartbeat.type(), heartbeat.zone(), heartbeat.spot(), nowMs);
     if (found.isEmpty()) {
-      LOG.warn("machine {} of unknown type {} reports", heartbeat.host(), heartbeat.type());
+      LOG.warn(
+          "heartbeat ignored, not a machine of a known type and zone: host={} type={} zone={}",
+          heartbeat.host(),
+          heartbeat.type(),
+          heartbeat.zone());
       return List.of();
     }
     Machine machine = found.get();
-    // A report that was held up on the way is older than what we know: its list of tasks would
-    // call running ones gone. It is answered, as silence could cost the lease, and not believed.
+    // A delayed heartbeat is older than what is known: its list of tasks would prove running tasks
+    // gone. It gets a response, as the agent's lease could expire without, but is not evaluated.
     if (machine.isUp() && !heartbeat.isNewerThan(machine.agentEpoch(), machine.lastSequence())) {
       return List.of();
     }
-    record(machine, heartbeat, nowMs);
-    return commandsFor(context(machine, heartbeat, direct, nowMs));
+    recordHeartbeat(machine, heartbeat, nowMs);
+    return evaluate(newContext(machine, heartbeat, direct, nowMs));
+  }
+
+  private void recordHeartbeat(Machine machine, Heartbeat heartbeat, long nowMs) {
+    boolean isNewEpoch = heartbeat.agentEpoch() > machine.agentEpoch();
+    if (isNewEpoch && machine.isUp()) {
+      // The agent's lease expired although its heartbeats arrive: responses may not reach it.
+      machine.markUnreachable(registry.nextFencingToken(), nowMs);
+    }
+    machine.recordHeartbeat(heartbeat, nowMs, term.owns(heartbeat.fencingToken()));
+    if (isNewEpoch) {
+      endOlderEpochs(machine, nowMs);
+    }
+  }
+
+  /** An agent epoch begins without tasks: all placements of older epochs are proven gone. */
+  private void endOlderEpochs(Machine machine, long nowMs) {
+    for (Placement placement : List.copyOf(machine.placements())) {
+      if (placement.agentEpoch() < machine.agentEpoch()) {
+        missingTasks.endWithoutExit(placement, nowMs);
+      }
+    }
+    machine.clearImages();
   }
 
-  private HeartbeatContext context(
+  private HeartbeatContext newContext(
       Machine machine, Heartbeat heartbeat, boolean direct, long nowMs) {
     return new HeartbeatContext(
         registry, machine, heartbeat, term.owns(heartbeat.fencingToken()), direct, nowMs);
   }
 
-  private List<WorkerCommand> commandsFor(HeartbeatContext context) {
+  private List<WorkerCommand> evaluate(HeartbeatContext context) {
     Machine machine = context.machine();
     registry.clearOrphans(machine);
-    Set<Long> reportedAttempts = new HashSet<>();
-    for (Heartbeat.TaskStatus status : context.heartbeat().tasks()) {
-      Placement placement = machine.placement(status.attempt());
-      if (placement != null && isOf(placement, status)) {
-        reportedAttempts.add(status.attempt());
-        reportedTasks.handlePlaced(context, placement, status);
-      } else {
-        reportedTasks.handleUnplaced(context, status);
-      }
-    }
+    Set<Long> reportedAttempts = handleReported(context);
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!reportedAttempts.contains(placement.attempt())) {
         missingTasks.handle(context, placement);
       }
     }
-    if (context.underOwnToken() && !context.direct() && isAuthoritative.getAsBoolean()) {
+    if (!context.direct()) {
       launch(context);
     }
     return context.commands();
   }
 
-  private static boolean isOf(Placement placement, Heartbeat.TaskStatus status) {
-    return placement.job().uid().equals(status.uid()) && placement.task() == status.task();
-  }
-
-  private void record(Machine machine, Heartbeat heartbeat, long nowMs) {
-    boolean newEpoch = heartbeat.agentEpoch() > machine.agentEpoch();
-    if (newEpoch && machine.isUp()) {
-      // Its lease ran out although it reports: our answers may not reach it.
-      machine.markUnreachable(registry.nextFencingToken(), nowMs);
-    }
-    machine.recordHeartbeat(heartbeat, nowMs, term.owns(heartbeat.fencingToken()));
-    if (newEpoch) {
-      endOlderEpochs(machine, nowMs);
+  /** Handles all attempts that the heartbeat shows; returns those that have a placement. */
+  private Set<Long> handleReported(HeartbeatContext context) {
+    Set<Long> placedAttempts = new HashSet<>();
+    for (Heartbeat.TaskStatus status : context.heartbeat().tasks()) {
+      Placement placement = context.machine().placement(status.attempt());
+      if (placement != null && placement.isOf(status.uid(), status.task())) {
+        placedAttempts.add(status.attempt());
+        reportedTasks.handlePlaced(context, placement, status);
+      } else {
+        reportedTasks.handleUnplaced(context, status);
+      }
     }
+    return placedAttempts;
   }
 
   /**
-   * What can be ordered by now in answer to a report that was taken before: what has become durable
-   * since. Nothing when a newer report came, as its answer is the one that counts.
+   * The response to a heartbeat that was handled before and whose response was delayed: the
+   * commands that have become possible since, as records became durable. It has none if a newer
+   * heartbeat arrived, as then the response to that one counts.
    */
   public Response handleDelayed(Heartbeat heartbeat, long nowMs) {
-    Optional<Machine> found = registry.get(heartbeat.host());
-    if (found.isEmpty()
-        || found.get().agentEpoch() != heartbeat.agentEpoch()
-        || found.get().lastSequence() != heartbeat.sequence()) {
+    Optional<Machine> machine =
+        registry.get(heartbeat.host()).filter(known -> isLastHeartbeat(known, heartbeat));
+    if (machine.isEmpty()) {
       return emptyResponse(heartbeat.host());
     }
-    return response(heartbeat, delayedCommandsFor(context(found.get(), heartbeat, false, nowMs)));
+    HeartbeatContext context = newContext(machine.get(), heartbeat, false, nowMs);
+    return response(heartbeat, evaluateDelayed(context));
+  }
+
+  private static boolean isLastHeartbeat(Machine machine, Heartbeat heartbeat) {
+    return machine.agentEpoch() == heartbeat.agentEpoch()
+        && machine.lastSequence() == heartbeat.sequence();
   }
 
-  private List<WorkerCommand> delayedCommandsFor(HeartbeatContext context) {
+  private List<WorkerCommand> evaluateDelayed(HeartbeatContext context) {
     Machine machine = context.machine();
     for (Heartbeat.TaskStatus status : context.heartbeat().tasks()) {
       if (status.phase() == Heartbeat.Phase.EXITED && machine.placement(status.attempt()) == null) {
@@ -180,62 +217,50 @@
       }
     }
     for (Placement placement : List.copyOf(machine.placements())) {
-      if (placement.stopping() || placement.job().isTerminal()) {
+      if (!placement.isWanted()) {
         stopIfReported(context, placement);
       }
     }
-    if (context.underOwnToken() && isAuthoritative.getAsBoolean()) {
-      launch(context);
-    }
+    launch(context);
     return context.commands();
   }
 
-  /** The stop was decided after the report was taken. */
+  /** The stop was decided after the heartbeat was handled. */
   private static void stopIfReported(HeartbeatContext context, Placement placement) {
-    boolean shownThere =
+    boolean isReported =
         context.heartbeat().tasks().stream()
             .anyMatch(
                 status ->
                     status.attempt() == placement.attempt()
                         && status.phase() != Heartbeat.Phase.EXITED);
-    if (shownThere && placement.phase() != Placement.Phase.CHECKPOINTING) {
-      context.addCommand(
-          new WorkerCommand.Stop(
-              placement.job().uid(),
-              placement.task(),
-              placement.attempt(),
-              placement.job().isTerminal() ? 0 : placement.gracePeriodS()));
+    if (isReported && placement.phase() != Placement.Phase.CHECKPOINTING) {
+      context.addCommand(placement.stopCommand());
     }
   }
 
-  /** Launches what is recorded, was in no answer yet, and is still to run in this session. */
+  /**
+   * Launches what is recorded, is in no response yet, and is still wanted in this agent epoch. What
+   * is not wanted ends here, unless a direct launch of it may still be executed.
+   */
   private void launch(HeartbeatContext context) {
+    if (!context.underOwnToken() || !isAuthoritative.getAsBoolean()) {
+      return;
+    }
     Heartbeat heartbeat = context.heartbeat();
-    for (Placement placement : List.copyOf(context.machine().placements())) {
-      boolean unwanted =
-          placement.job().isTerminal() || placement.stopping() || context.machine().isTerminating();
-      if (placement.phase() != Placement.Phase.READY || unwanted && placement.directToken() >= 0) {
+    Machine machine = context.machine();
+    for (Placement placement : List.copyOf(machine.placements())) {
+      boolean isWanted = placement.isWanted() && !machine.isTerminating();
+      if (placement.phase() != Placement.Phase.READY || !isWanted && placement.hasDirectLaunch()) {
         continue;
       }
-      if (unwanted || placement.agentEpoch() != heartbeat.agentEpoch()) {
+      if (!isWanted || placement.agentEpoch() != heartbeat.agentEpoch()) {
         missingTasks.endWithoutExit(placement, context.nowMs());
         continue;
       }
-      if (!context.addCommand(
-          new WorkerCommand.Launch(placement.job().uid(), placement.task(), placement.attempt()))) {
+      if (!context.addCommand(placement.launchCommand())) {
         return;
       }
       placement.markSent(heartbeat.sequence(), context.nowMs());
     }
   }
-
-  /** A new session began with nothing on the machine: what was placed in older ones is gone. */
-  private void endOlderEpochs(Machine machine, long nowMs) {
-    for (Placement placement : List.copyOf(machine.placements())) {
-      if (placement.agentEpoch() < machine.agentEpoch()) {
-        missingTasks.endWithoutExit(placement, nowMs);
-      }
-    }
-    machine.clearImages();
-  }
 }
--- a/src/main/java/org/ploverspindle/cluster/MissingTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/MissingTasks.java
@@ -1,8 +1,11 @@
 package org.ploverspindle.cluster;
 
-/** What follows from the placements that a report does not show on their machine. */
+/**
+ * Decides what follows from placements that a heartbeat does not show on their machine: whether
+ * that proves them gone, and whether the launch is to be sent again.
+ */
 final class MissingTasks {
-  /** A machine that lost so many answers one after the other does not hear us. */
+  /** A machine that lost so many responses with one launch does not receive responses. */
   private static final int LOST_RESPONSES_UNTIL_UNREACHABLE = 2;
 
   private final MachineRegistry registry;
@@ -13,16 +16,16 @@
     this.listener = listener;
   }
 
-  /** The placement is proven gone without having ended on its machine. */
+  /** Removes a placement that is proven gone though no heartbeat showed its exit. */
   void endWithoutExit(Placement placement, long nowMs) {
     registry.removePlacement(placement, nowMs);
     listener.ended(placement, Heartbeat.ExitReason.NONE, false, nowMs);
   }
 
   /**
-   * A placement that the report does not show. Proof that it is not there needs a report made after
-   * the worker took our token, as an earlier leader's answer may have come after an older one; and,
-   * for a launch of ours, made after the answer that held it.
+   * Handles a placement that the heartbeat does not show. This proves it gone only if the heartbeat
+   * was written after the agent accepted our token, as an earlier leader's response may have
+   * arrived after an older one, and, for a launch of ours, after the response that held it.
    */
   void handle(HeartbeatContext context, Placement placement) {
     if (placement.neverSent()) {
@@ -34,57 +37,57 @@
     if (!context.underOwnToken()) {
       return;
     }
-    if (placement.directToken() >= 0
+    if (placement.hasDirectLaunch()
         && context.heartbeat().fencingToken() <= placement.directToken()) {
-      handleMissingDirect(context, placement);
+      handlePendingDirectLaunch(context, placement);
       return;
     }
     placement.voidDirectLaunch();
-    handleMissingSent(context, placement);
+    handleWithoutDirectLaunch(context, placement);
   }
 
-  /** No direct command can bring it any more, but an answer that is under way might. */
-  private void handleMissingSent(HeartbeatContext context, Placement placement) {
+  /** No direct launch can be executed any more, but a response in flight may hold a launch. */
+  private void handleWithoutDirectLaunch(HeartbeatContext context, Placement placement) {
     if (placement.neverSent()) {
-      if (placement.job().isTerminal() || placement.stopping()) {
+      if (!placement.isWanted()) {
         endWithoutExit(placement, context.nowMs());
       }
     } else if (placement.phase() != Placement.Phase.SENT) {
       endWithoutExit(placement, context.nowMs());
     } else if (!context.direct() && isResponseSettled(context, placement)) {
-      // Only a report proves that the answer before it is over: what answers a direct command
-      // may have been written in between.
+      // The response to a direct command proves nothing about the response to the last heartbeat:
+      // it may have been written before that arrived.
       handleLostResponse(context, placement);
     }
   }
 
   private static boolean isResponseSettled(HeartbeatContext context, Placement placement) {
-    return context.heartbeat().sequence() > placement.sentSequence()
-        || placement.sentSequence() == Long.MAX_VALUE;
+    return placement.isResponseSettled(context.heartbeat().sequence());
   }
 
-  /** The launch went straight there, is not shown, and may still arrive. */
-  private void handleMissingDirect(HeartbeatContext context, Placement placement) {
+  /** The launch was sent directly, is not shown, and may still be executed. */
+  private void handlePendingDirectLaunch(HeartbeatContext context, Placement placement) {
     if (context.direct()) {
       return;
     }
     Machine machine = context.machine();
-    if (placement.job().isTerminal() || placement.stopping()) {
+    if (!placement.isWanted()) {
+      // Under a higher token the launch is void, and a later heartbeat can prove the task gone.
       if (machine.fencingToken() <= placement.directToken()) {
         machine.raiseFencingToken(registry.nextFencingToken());
       }
     } else if (placement.phase() == Placement.Phase.SENT && isResponseSettled(context, placement)) {
-      // The same launch in an answer does no harm where the direct one arrives as well.
+      // The same launch in a response has no effect if the direct one arrives as well.
       placement.markResponseLost();
     }
   }
 
   /**
-   * The answer with the launch was lost, and answers are never executed late: it can be sent again.
-   * A machine that loses one after another does not hear us; its tasks go elsewhere.
+   * The response with the launch was lost, and responses are never executed late: the launch can be
+   * sent again. A machine that loses several gets no new tasks, and this one goes elsewhere.
    */
   private void handleLostResponse(HeartbeatContext context, Placement placement) {
-    if (placement.job().isTerminal() || placement.stopping()) {
+    if (!placement.isWanted()) {
       endWithoutExit(placement, context.nowMs());
       return;
     }
--- a/src/main/java/org/ploverspindle/cluster/Placement.java
+++ b/src/main/java/org/ploverspindle/cluster/Placement.java
@@ -1,25 +1,32 @@
 package org.ploverspindle.cluster;
 
 /**
- * A task's place on a machine, from the intent until it is proven gone. While it exists the task
- * may start nowhere else, and it counts for limits, room and zones.
+ * A task's place on a machine, from the recorded intent until the task is proven gone. While it
+ * exists the task may start nowhere else, and it counts for its team's limit, the machine's
+ * resources and the job's zones.
  */
 public final class Placement {
-  /** How far the attempt has come, as far as is known here. */
+  /** How far the attempt has got, as far as the leader knows. */
   public enum Phase {
-    /** Being recorded; no order may go out yet. */
+    /** The intent is being recorded; no launch may be sent yet. */
     INTENT,
-    /** Recorded; the launch was in no answer yet, so the task is certainly not there. */
+    /** Recorded; no launch that is still valid was sent, so a launch may be sent. */
     READY,
-    /** The launch was in an answer that may have arrived. */
+    /** A launch was sent and may have arrived. */
     SENT,
-    /** Found in the records of an earlier leader: presumed there until a report says. */
+    /** Found in an earlier leader's records: presumed on the machine until a heartbeat shows. */
     RECOVERED,
     FETCHING,
     RUNNING,
     CHECKPOINTING
   }
 
+  /** In place of a fencing token: no launch that was sent directly can still be executed. */
+  private static final long NO_TOKEN = -1;
+
+  /** In place of a sequence number: the launch was sent directly and is in no response. */
+  private static final long NO_RESPONSE = Long.MAX_VALUE;
+
   private final Job job;
   private final int task;
   private final long attempt;
@@ -27,14 +34,17 @@
   private final long agentEpoch;
   private Phase phase;
   private long sentSequence;
-  private long runningSinceMs = -1;
+  private long directToken = NO_TOKEN;
+  private int lostResponses;
   private boolean stopping;
   private double gracePeriodS;
-  private long directToken = -1;
-  private int lostResponses;
-  private long recordedMs = -1;
-  private long sentMs = -1;
+  private long recordedMs = Machine.NEVER_MS;
+  private long sentMs = Machine.NEVER_MS;
+  private long runningSinceMs = Machine.NEVER_MS;
 
+  /**
+   * @param agentEpoch the agent epoch in which the task is to run; it is gone in any later one
+   */
   public Placement(Job job, int task, long attempt, Machine machine, long agentEpoch, Phase phase) {
     this.job = job;
     this.task = task;
@@ -64,18 +74,24 @@
     return agentEpoch;
   }
 
+  /** Whether it is the placement of that task; a reported attempt number alone is not trusted. */
+  boolean isOf(String uid, int otherTask) {
+    return job.uid().equals(uid) && task == otherTask;
+  }
+
   public Phase phase() {
     return phase;
   }
 
-  void phase(Phase next, long nowMs) {
-    if (next == Phase.RUNNING && runningSinceMs < 0) {
+  /** Sets the phase that a heartbeat shows. */
+  void phase(Phase reported, long nowMs) {
+    if (reported == Phase.RUNNING && runningSinceMs < 0) {
       runningSinceMs = nowMs;
     }
-    phase = next;
+    phase = reported;
   }
 
-  /** The intent is durable. */
+  /** The record of the intent is durable. */
   public void markRecorded(long nowMs) {
     if (phase == Phase.INTENT) {
       phase = Phase.READY;
@@ -83,77 +99,113 @@
     }
   }
 
-  /** When the intent became durable and when the launch went out first, or -1; for the log. */
+  /** When the intent became durable in this term; negative if it did not. */
   public long recordedMs() {
     return recordedMs;
   }
 
+  /** When its launch was first sent in this term; negative if it was not. */
   public long sentMs() {
     return sentMs;
   }
 
-  /** True as long as no launch can have reached the machine, nor can reach it any more. */
+  /** When it was first seen running in this term; negative if it was not. */
+  public long runningSinceMs() {
+    return runningSinceMs;
+  }
+
+  /** Whether no launch can have reached the machine, and none can still reach it. */
   public boolean neverSent() {
-    return (phase == Phase.INTENT || phase == Phase.READY) && directToken < 0;
+    return (phase == Phase.INTENT || phase == Phase.READY) && !hasDirectLaunch();
+  }
+
+  // Launches. Only HeartbeatHandler and DirectCommands send them, and mark them here.
+
+  WorkerCommand.Launch launchCommand() {
+    return new WorkerCommand.Launch(job.uid(), task, attempt);
+  }
+
+  /** The launch is in the response to the heartbeat with this sequence number. */
+  void markSent(long sequence, long nowMs) {
+    markFirstSent(nowMs);
+    phase = Phase.SENT;
+    sentSequence = sequence;
   }
 
   /**
-   * The launch was sent straight to the machine under this token, and may be executed at any time
-   * until the machine has seen a higher one or begins a new session; -1 when it was not.
+   * The launch is sent directly under this token. It may be executed at any time until the machine
+   * has received a higher token or begins a new agent epoch.
    */
-  long directToken() {
-    return directToken;
+  void markSentDirectly(long fencingToken, long nowMs) {
+    markFirstSent(nowMs);
+    phase = Phase.SENT;
+    sentSequence = NO_RESPONSE;
+    directToken = fencingToken;
   }
 
-  void markSentDirectly(long fencingToken, long nowMs) {
+  private void markFirstSent(long nowMs) {
     sentMs = sentMs < 0 ? nowMs : sentMs;
-    directToken = fencingToken;
-    phase = Phase.SENT;
-    sentSequence = Long.MAX_VALUE;
   }
 
-  /** The machine has seen a higher token: what went straight to it is void. */
+  /** Whether a launch was sent directly that may still be executed. */
+  boolean hasDirectLaunch() {
+    return directToken != NO_TOKEN;
+  }
+
+  /** The token of the direct launch; only if {@link #hasDirectLaunch}. */
+  long directToken() {
+    return directToken;
+  }
+
+  /** The machine has received a higher token: the direct launch will not be executed any more. */
   void voidDirectLaunch() {
-    directToken = -1;
+    directToken = NO_TOKEN;
   }
 
-  void markSent(long sequence, long nowMs) {
-    sentMs = sentMs < 0 ? nowMs : sentMs;
-    phase = Phase.SENT;
-    sentSequence = sequence;
+  /**
+   * Whether no response with the launch can still be executed when a heartbeat with this sequence
+   * number has arrived. An agent has one heartbeat in flight: by the next one it has executed or
+   * dropped the response to the last one.
+   */
+  boolean isResponseSettled(long heartbeatSequence) {
+    return heartbeatSequence > sentSequence || sentSequence == NO_RESPONSE;
   }
 
-  /** The answer that held the launch did not arrive: the next one holds it again. */
+  /** The response with the launch was lost: the launch is to be sent again. */
   void markResponseLost() {
     phase = Phase.READY;
     lostResponses++;
   }
 
-  /** How often an answer with its launch was lost. */
+  /** How often a response with the launch was lost. */
   int lostResponses() {
     return lostResponses;
   }
 
-  long sentSequence() {
-    return sentSequence;
-  }
+  // Stops.
 
-  /** When it was first seen running, or -1. */
-  public long runningSinceMs() {
-    return runningSinceMs;
+  /** Asks for a stop; a repeat can only shorten the time that the task has for a checkpoint. */
+  public void stop(double newGracePeriodS) {
+    gracePeriodS = stopping ? Math.min(gracePeriodS, newGracePeriodS) : newGracePeriodS;
+    stopping = true;
   }
 
   public boolean stopping() {
     return stopping;
   }
 
+  /** Seconds that a stopping task has for a checkpoint. */
   public double gracePeriodS() {
     return gracePeriodS;
   }
 
-  /** Asks for a stop; a second one may only shorten the time to save. */
-  public void stop(double newGracePeriodS) {
-    gracePeriodS = stopping ? Math.min(gracePeriodS, newGracePeriodS) : newGracePeriodS;
-    stopping = true;
+  /** Whether the task is to run on: neither it nor its job is to end. */
+  boolean isWanted() {
+    return !job.isTerminal() && !stopping;
+  }
+
+  /** The stop that ends the task: at once if its job is terminal, else after the grace period. */
+  WorkerCommand.Stop stopCommand() {
+    return new WorkerCommand.Stop(job.uid(), task, attempt, job.isTerminal() ? 0 : gracePeriodS);
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 import org.ploverspindle.model.Resources;
 
-/** What follows from the attempts that a report shows on its machine. */
+/** Decides what follows from the attempts that a heartbeat shows on its machine. */
 final class ReportedTasks {
   private final MachineRegistry registry;
   private final Function<String, Optional<Job>> jobs;
@@ -26,14 +26,14 @@
     this.listener = listener;
   }
 
-  /** An attempt that is placed on the machine. */
+  /** Handles an attempt for which there is a placement on the machine. */
   void handlePlaced(HeartbeatContext context, Placement placement, Heartbeat.TaskStatus status) {
     switch (status.phase()) {
       case EXITED -> handleExited(context, placement, status);
       case FETCHING -> handlePresent(context, placement, Placement.Phase.FETCHING);
       case RUNNING -> handlePresent(context, placement, Placement.Phase.RUNNING);
       case CHECKPOINTING -> handlePresent(context, placement, Placement.Phase.CHECKPOINTING);
-      default -> throw new IllegalStateException("a phase without a meaning");
+      default -> throw new IllegalStateException("unknown phase " + status.phase());
     }
   }
 
@@ -42,48 +42,55 @@
       placement.phase(phase, context.nowMs());
       listener.changed(placement);
     }
-    if (placement.job().isTerminal()) {
-      context.addCommand(stop(placement, 0));
-    } else if (placement.stopping()
-        && (phase != Placement.Phase.CHECKPOINTING || placement.gracePeriodS() == 0)) {
-      // A task that saves is told again only to make it end: repeating the order is not needed.
-      context.addCommand(stop(placement, placement.gracePeriodS()));
+    if (needsStop(placement, phase)) {
+      context.addCommand(placement.stopCommand());
     }
   }
 
-  private static WorkerCommand.Stop stop(Placement placement, double gracePeriodS) {
-    return new WorkerCommand.Stop(
-        placement.job().uid(), placement.task(), placement.attempt(), gracePeriodS);
+  /** A task that writes its checkpoint needs no repeated stop, unless it is to end at once. */
+  private static boolean needsStop(Placement placement, Placement.Phase phase) {
+    if (placement.job().isTerminal()) {
+      return true;
+    }
+    return placement.stopping()
+        && (phase != Placement.Phase.CHECKPOINTING || placement.gracePeriodS() == 0);
   }
 
   private void handleExited(
       HeartbeatContext context, Placement placement, Heartbeat.TaskStatus status) {
     registry.removePlacement(placement, context.nowMs());
+    MachineFailureHistory failures = context.machine().failures();
     if (status.exitReason() == Heartbeat.ExitReason.DONE) {
-      context.machine().failures().recordCompletion(placement.runningSinceMs());
-      // Forgotten only once the completion is durable: until then the worker is its only record.
+      failures.recordCompletion(placement.runningSinceMs());
+      // The agent is told to forget it only once the completion is durable: until then it holds
+      // the only record.
       listener.completed(placement, context.nowMs());
       return;
     }
     if (status.exitReason() == Heartbeat.ExitReason.ERROR) {
-      context.machine().failures().recordFailure(status.uid(), context.nowMs());
+      failures.recordFailure(status.uid(), context.nowMs());
     }
-    context.addCommand(new WorkerCommand.Forget(status.uid(), status.task(), status.attempt()));
+    context.addCommand(forget(status));
     listener.ended(placement, status.exitReason(), status.checkpointed(), context.nowMs());
   }
 
-  /** An attempt that is not placed there: it is stopped, or forgotten once its result is safe. */
+  /** Handles an attempt without a placement: it is stopped, or forgotten once that is safe. */
   void handleUnplaced(HeartbeatContext context, Heartbeat.TaskStatus status) {
     Optional<Job> job = jobs.apply(status.uid());
     if (status.phase() != Heartbeat.Phase.EXITED) {
-      addOrphan(context, status, job);
+      stopOrphan(context, status, job);
     } else if (mayBeForgotten(status, job)) {
-      context.addCommand(new WorkerCommand.Forget(status.uid(), status.task(), status.attempt()));
+      context.addCommand(forget(status));
     }
   }
 
+  private static WorkerCommand.Forget forget(Heartbeat.TaskStatus status) {
+    return new WorkerCommand.Forget(status.uid(), status.task(), status.attempt());
+  }
+
   /**
-   * A completion counts whoever placed it, and until it is durable the worker is its only record.
+   * A completion counts whoever placed the task, and until it is durable the agent holds the only
+   * record of it.
    */
   private boolean mayBeForgotten(Heartbeat.TaskStatus status, Optional<Job> known) {
     if (known.isEmpty()
@@ -101,8 +108,9 @@
     return durablyCompleted.test(job, status.task());
   }
 
-  /** It takes room, and counts for its team, until a report shows it no more. */
-  private void addOrphan(HeartbeatContext context, Heartbeat.TaskStatus status, Optional<Job> job) {
+  /** Until a heartbeat shows it no more, an orphaned task counts for its machine and its team. */
+  private void stopOrphan(
+      HeartbeatContext context, Heartbeat.TaskStatus status, Optional<Job> job) {
     HeartbeatHandler.Owner owner =
         job.map(known -> new HeartbeatHandler.Owner(known.team(), known.perTask()))
             .or(() -> owners.apply(status.uid()))
