--- a/src/main/java/org/ploverspindle/cluster/CommandBatch.java
+++ b/src/main/java/org/ploverspindle/cluster/CommandBatch.java
@@ -1,20 +1,21 @@
 package org.ploverspindle.cluster;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 
 /**
- * Orders that go out together, no more than a worker takes at once. What does not fit is ordered
- * with a later answer.
+ * Commands that are sent together, no more than an agent accepts in one message. What does not fit
+ * goes with a later response.
  */
 final class CommandBatch {
-  /** Before the first order: the token and the frame around the list. */
+  /** The fencing token, and the frame around the list of commands. */
   private static final int ENVELOPE_BYTES = 40;
 
   private final List<WorkerCommand> commands = new ArrayList<>();
   private int batchBytes = ENVELOPE_BYTES;
 
-  /** Adds the order if it fits; false if it does not. */
+  /** Adds the command; false if it does not fit. */
   boolean add(WorkerCommand command) {
     int commandBytes = HeartbeatCodec.size(command);
     if (batchBytes + commandBytes > HeartbeatCodec.MAX_COMMAND_BYTES) {
@@ -25,7 +26,8 @@
     return true;
   }
 
+  /** A live, unmodifiable view. */
   List<WorkerCommand> commands() {
-    return commands;
+    return Collections.unmodifiableList(commands);
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
@@ -7,31 +7,31 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalDouble;
+import java.util.OptionalInt;
 import org.ploverspindle.net.Cbor;
 
-/** The wire form of reports and orders. */
+/**
+ * The wire form of heartbeats and commands. Only here are the protocol's names mapped to the terms
+ * of the program: {@code tenure} is the agent epoch, {@code tally} the sequence number, {@code
+ * warrant} the fencing token, {@code recall_s} the spot notice, {@code piece} a task, {@code try}
+ * an attempt.
+ */
 public final class HeartbeatCodec {
-  /** What an order takes besides the job's id. */
+  /** About what a command takes in JSON form besides the job's uid. */
   private static final int COMMAND_BYTES = 90;
 
-  /** Orders of one answer, well within 64 KiB in JSON form; the rest goes with later answers. */
+  /** The commands of one message, in JSON form: well within the protocol's limit of 64 KiB. */
   public static final int MAX_COMMAND_BYTES = 48 * 1024;
 
   private HeartbeatCodec() {}
 
-  /** Empty when malformed. */
+  /** The heartbeat in a message's body; empty when it is malformed. */
   public static Optional<Heartbeat> decode(byte[] body) {
     return Cbor.readMap(body).flatMap(HeartbeatCodec::decode);
   }
 
   private static Optional<Heartbeat> decode(ObjectNode map) {
-    if (!hasText(map, "host")
-        || !hasText(map, "flavour")
-        || !hasText(map, "site")
-        || !hasCount(map, "tenure")
-        || !hasCount(map, "tally")
-        || !hasCount(map, "warrant")
-        || !hasTaskList(map)) {
+    if (!isWellFormed(map)) {
       return Optional.empty();
     }
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>(map.path("pieces").size());
@@ -59,6 +59,16 @@
             tasks));
   }
 
+  private static boolean isWellFormed(ObjectNode map) {
+    return hasText(map, "host")
+        && hasText(map, "flavour")
+        && hasText(map, "site")
+        && hasCount(map, "tenure")
+        && hasCount(map, "tally")
+        && hasCount(map, "warrant")
+        && hasTaskList(map);
+  }
+
   private static boolean hasTaskList(ObjectNode map) {
     JsonNode pieces = map.path("pieces");
     return pieces.isArray() || pieces.isNull() || pieces.isMissingNode();
@@ -79,50 +89,61 @@
     if (slash <= 0 || !hasCount(piece, "try")) {
       return Optional.empty();
     }
-    int task;
-    try {
-      task = Integer.parseInt(name.substring(slash + 1));
-    } catch (NumberFormatException e) {
+    OptionalInt task = decodeTaskIndex(name.substring(slash + 1));
+    Optional<Heartbeat.Phase> phase = decodePhase(piece.path("status").asText(""));
+    if (task.isEmpty() || phase.isEmpty()) {
       return Optional.empty();
     }
-    Heartbeat.Phase phase;
-    switch (piece.path("status").asText("")) {
-      case "running" -> phase = Heartbeat.Phase.RUNNING;
-      case "saving" -> phase = Heartbeat.Phase.CHECKPOINTING;
-      case "exited" -> phase = Heartbeat.Phase.EXITED;
-      case "" -> {
-        return Optional.empty();
-      }
-      // Fetching, or a state that a newer worker has: the task is there and does not run yet. To
-      // refuse the whole report for it would cost the lease of everything on the machine.
-      default -> phase = Heartbeat.Phase.FETCHING;
-    }
-    Heartbeat.ExitReason cause =
-        switch (piece.path("cause").asText("")) {
-          case "done" -> Heartbeat.ExitReason.DONE;
-          case "stopped" -> Heartbeat.ExitReason.STOPPED;
-          case "error" -> Heartbeat.ExitReason.ERROR;
-          case "no_room" -> Heartbeat.ExitReason.NO_ROOM;
-          case "busy" -> Heartbeat.ExitReason.BUSY;
-          case "no_such" -> Heartbeat.ExitReason.NO_SUCH;
-          default -> Heartbeat.ExitReason.NONE;
-        };
     return Optional.of(
         new Heartbeat.TaskStatus(
             name.substring(0, slash),
-            task,
+            task.getAsInt(),
             piece.path("try").asLong(),
-            phase,
-            cause,
+            phase.get(),
+            decodeExitReason(piece.path("cause").asText("")),
             piece.path("stored").asBoolean(false)));
   }
 
-  /** The answer to a report: as many orders, in their order, as the limit on bodies allows. */
+  private static OptionalInt decodeTaskIndex(String text) {
+    try {
+      return OptionalInt.of(Integer.parseInt(text));
+    } catch (NumberFormatException malformed) {
+      return OptionalInt.empty();
+    }
+  }
+
+  /**
+   * An unknown state is one that a newer agent has: the task is on the machine and not known to
+   * run. To refuse the whole heartbeat for it would cost the lease of every task on the machine.
+   */
+  private static Optional<Heartbeat.Phase> decodePhase(String status) {
+    return switch (status) {
+      case "" -> Optional.empty();
+      case "running" -> Optional.of(Heartbeat.Phase.RUNNING);
+      case "saving" -> Optional.of(Heartbeat.Phase.CHECKPOINTING);
+      case "exited" -> Optional.of(Heartbeat.Phase.EXITED);
+      default -> Optional.of(Heartbeat.Phase.FETCHING);
+    };
+  }
+
+  private static Heartbeat.ExitReason decodeExitReason(String cause) {
+    return switch (cause) {
+      case "done" -> Heartbeat.ExitReason.DONE;
+      case "stopped" -> Heartbeat.ExitReason.STOPPED;
+      case "error" -> Heartbeat.ExitReason.ERROR;
+      case "no_room" -> Heartbeat.ExitReason.NO_ROOM;
+      case "busy" -> Heartbeat.ExitReason.BUSY;
+      case "no_such" -> Heartbeat.ExitReason.NO_SUCH;
+      default -> Heartbeat.ExitReason.NONE;
+    };
+  }
+
+  /** The body of the response to a heartbeat, with the commands in this order. */
   public static byte[] encodeResponse(long fencingToken, List<WorkerCommand> commands) {
     return Cbor.write(encode(Cbor.map().put("warrant", fencingToken), commands));
   }
 
-  /** Commands that go straight to a worker. */
+  /** The body of a message with direct commands, which are bound to the agent epoch. */
   public static byte[] encodeDirectCommand(
       long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
     return Cbor.write(
@@ -130,24 +151,27 @@
   }
 
   private static ObjectNode encode(ObjectNode body, List<WorkerCommand> commands) {
-    ArrayNode encoded = body.putArray("orders");
+    ArrayNode orders = body.putArray("orders");
     for (WorkerCommand command : commands) {
-      ObjectNode entry = encoded.addObject();
-      entry.put(
-          "verb",
-          command instanceof WorkerCommand.Launch
-              ? "launch"
-              : command instanceof WorkerCommand.Stop ? "stop" : "forget");
-      entry.put("piece", command.uid() + "/" + command.task());
-      entry.put("try", command.attempt());
+      ObjectNode order = orders.addObject();
+      order.put("verb", verb(command));
+      order.put("piece", command.uid() + "/" + command.task());
+      order.put("try", command.attempt());
       if (command instanceof WorkerCommand.Stop stop) {
-        entry.put("wind_down_s", stop.gracePeriodS());
+        order.put("wind_down_s", stop.gracePeriodS());
       }
     }
     return body;
   }
 
-  /** About what an order takes in JSON form. */
+  private static String verb(WorkerCommand command) {
+    if (command instanceof WorkerCommand.Launch) {
+      return "launch";
+    }
+    return command instanceof WorkerCommand.Stop ? "stop" : "forget";
+  }
+
+  /** About how many bytes a command takes in JSON form. */
   public static int size(WorkerCommand command) {
     return command.uid().length() + COMMAND_BYTES;
   }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatTimeout.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatTimeout.java
@@ -3,11 +3,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether a machine has missed its reports. A leader that stood still has missed them itself: its
- * own listening counts from the end of its pause. Silence proves nothing about tasks.
+ * Whether a machine's heartbeats have stopped. A leader whose process was paused has missed them
+ * itself, so the time counts from the end of its last pause. A timeout is a reason to place nothing
+ * on the machine; it proves nothing about the tasks there, unlike the expiry of its lease.
  */
 public final class HeartbeatTimeout {
-  /** Beyond its report period and a quarter, for a report that is on its way. */
+  /** A quarter more than the period, for a heartbeat that is under way. */
   private static final double TIMEOUT_MS_PER_PERIOD_S = 1_250;
 
   private static final long MARGIN_MS = 1_500;
@@ -17,9 +18,10 @@
   private final LongSupplier receivingSinceMs;
 
   /**
-   * @param reportS the time between a machine's reports
+   * @param heartbeatPeriodS seconds between two heartbeats of a machine
    * @param termStartMs when the leader's term began, on the steady clock
-   * @param receivingSinceMs since when the leader has listened without a pause of its own
+   * @param receivingSinceMs since when the leader has received heartbeats without a pause of its
+   *     own, on the steady clock
    */
   public HeartbeatTimeout(
       double heartbeatPeriodS, long termStartMs, LongSupplier receivingSinceMs) {
@@ -28,7 +30,7 @@
     this.receivingSinceMs = receivingSinceMs;
   }
 
-  /** Has it been silent for longer than a machine that reports can be? */
+  /** Whether no heartbeat arrived for longer than the period and its margin. */
   public boolean isExpired(Machine machine, long nowMs) {
     long lastSignMs =
         machine.isUp() ? machine.lastHeartbeatMs() : Math.max(machine.knownSinceMs(), termStartMs);
--- a/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
@@ -8,8 +8,8 @@
 import org.ploverspindle.net.HttpResult;
 
 /**
- * Orders to workers over HTTP. Each call has a connection of its own: calls are rare, and hundreds
- * of kept-alive connections would take the sockets that reports and users need.
+ * Sends commands to agents over HTTP. Each request has a connection of its own: requests are rare,
+ * and hundreds of kept connections would use up the sockets that heartbeats and users need.
  */
 public final class HttpWorkerClient implements WorkerClient {
   private static final int HTTP_OK = 200;
@@ -18,6 +18,9 @@
 
   private final Function<String, HttpClient> clients;
 
+  /**
+   * @param clients the client for an agent's address
+   */
   public HttpWorkerClient(Function<String, HttpClient> clients) {
     this.clients = clients;
   }
@@ -40,7 +43,8 @@
   }
 
   /**
-   * A refusal carries a report as well: the session has ended, or a higher token is known there.
+   * The heartbeat in the response. A refusal has one as well: the agent is in a later epoch, or has
+   * received a higher token.
    */
   private static Optional<Heartbeat> heartbeat(HttpResult result) {
     return result instanceof HttpResult.Response response
--- a/src/main/java/org/ploverspindle/cluster/JobTable.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTable.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -18,7 +19,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The jobs that may run and are not over, and cancelled ones until their tasks are gone. */
+/**
+ * The jobs of a term that may run and are not terminal, and cancelled ones until their tasks are
+ * proven gone.
+ */
 public final class JobTable {
   private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
 
@@ -27,6 +31,7 @@
   private final Catalogue catalogue;
   private final TeamUsage teams;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
+  private final Collection<Job> jobsView = Collections.unmodifiableCollection(jobs.values());
 
   public JobTable(
       Replica replica, AcceptedJobIndex acceptedJobs, Catalogue catalogue, TeamUsage teams) {
@@ -37,11 +42,12 @@
   }
 
   /**
-   * Every job that is not done and that belongs here. Cancelled ones are among them as their tasks
-   * may still be there.
+   * Adds all accepted jobs that are not completed and that may run, cancelled ones among them, as
+   * their tasks may still be on machines.
    *
-   * @param belongs false for jobs that await others: until they are ready they hold nothing of
-   *     limits, guarantees and room, and are not looked at
+   * @param mayRun by uid; false for jobs that are blocked on dependencies, which take part in no
+   *     limit, guarantee or placement
+   * @return the added jobs
    */
   public List<Job> loadAll(Predicate<String> mayRun) {
     List<Job> loaded = new ArrayList<>();
@@ -53,7 +59,11 @@
     return loaded;
   }
 
-  /** Adds the job of a record, if it is readable, not done, and not known yet. */
+  /**
+   * Adds an accepted job.
+   *
+   * @return empty if it is in the table, completed, unreadable, or of a team that is not known
+   */
   public Optional<Job> add(AcceptedJobIndex.AcceptedJob accepted) {
     String uid = accepted.uid();
     if (jobs.containsKey(uid) || replica.get(Keys.completion(uid)).isPresent()) {
@@ -62,39 +72,47 @@
     boolean cancelled = replica.get(Keys.cancellation(uid)).isPresent();
     Optional<JobRecord> record = JobRecord.decode(uid, accepted.value());
     if (record.isEmpty()) {
-      LOG.error("what {} says of {} can't be read and is left as it is", accepted.key(), uid);
+      LOG.error(
+          "job record can't be read, it is left as it is: job={} key={}", uid, accepted.key());
       return Optional.empty();
     }
-    JobSpec spec = record.get().spec();
+    Optional<Job> job = newJob(record.get());
+    job.ifPresent(added -> jobs.put(uid, added));
+    if (cancelled) {
+      job.ifPresent(Job::cancel);
+    }
+    return job;
+  }
+
+  private Optional<Job> newJob(JobRecord record) {
+    JobSpec spec = record.spec();
     Optional<Integer> team = teams.index(spec.team());
     if (team.isEmpty()) {
-      LOG.error("job {} belongs to team {}, which the settings no longer name", uid, spec.team());
+      LOG.error(
+          "job is not run, the settings don't name its team: job={} team={}",
+          spec.uid(),
+          spec.team());
       return Optional.empty();
     }
-    Job job =
+    return Optional.of(
         new Job(
             spec,
-            record.get().acceptedWallMs(),
-            record.get().shardSize(),
+            record.acceptedWallMs(),
+            record.shardSize(),
             team.get(),
             typesThatFit(spec),
             spec.zone().map(catalogue::zone).orElse(Job.ANY_ZONE),
-            catalogue.zoneCount());
-    if (cancelled) {
-      job.cancel();
-    }
-    jobs.put(uid, job);
-    return Optional.of(job);
+            catalogue.zoneCount()));
   }
 
-  /** Machine types that the job allows and that one of its tasks fits on, by index. */
+  /** The indexes of the machine types that the job allows and that one of its tasks fits on. */
   private BitSet typesThatFit(JobSpec spec) {
     BitSet fitting = new BitSet();
-    for (int i = 0; i < catalogue.types().size(); i++) {
-      MachineType type = catalogue.type(i);
-      if (spec.types().map(t -> t.contains(type.name())).orElse(true)
-          && spec.perTask().fitsIn(type.size())) {
-        fitting.set(i);
+    for (int index = 0; index < catalogue.types().size(); index++) {
+      MachineType type = catalogue.type(index);
+      boolean isAllowed = spec.types().map(names -> names.contains(type.name())).orElse(true);
+      if (isAllowed && spec.perTask().fitsIn(type.size())) {
+        fitting.set(index);
       }
     }
     return fitting;
@@ -104,8 +122,9 @@
     return Optional.ofNullable(jobs.get(uid));
   }
 
+  /** All jobs in the order in which they were added: a live, unmodifiable view. */
   public Collection<Job> all() {
-    return jobs.values();
+    return jobsView;
   }
 
   public void remove(Job job) {
--- a/src/main/java/org/ploverspindle/cluster/MachineFailureHistory.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineFailureHistory.java
@@ -1,38 +1,44 @@
 package org.ploverspindle.cluster;
 
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
 
-/** What failed on a machine since the last task that completed there, and what follows from it. */
+/**
+ * The task failures on one machine since the last completion there, and what follows from them: the
+ * machine is cordoned for a time, or suspect.
+ */
 final class MachineFailureHistory {
-  private static final long NEVER_MS = Long.MIN_VALUE / 2;
+  /** Cordoned until a time that is always past. */
+  private static final long NOT_CORDONED_MS = Long.MIN_VALUE;
 
   private final Map<String, Integer> failuresByJob = new HashMap<>();
-  private boolean markSuspect;
+  private final Map<String, Integer> failuresByJobView = Collections.unmodifiableMap(failuresByJob);
+  private boolean suspect;
   private long lastFailureMs;
-  private long cordonedUntilMs = NEVER_MS;
+  private long cordonedUntilMs = NOT_CORDONED_MS;
 
   void recordFailure(String uid, long nowMs) {
     failuresByJob.merge(uid, 1, Integer::sum);
     lastFailureMs = nowMs;
   }
 
-  /** A completion clears the machine only if the task began after the last failure. */
+  /** A completion clears the machine only if the task began to run after the last failure. */
   void recordCompletion(long runningSinceMs) {
     if (!failuresByJob.isEmpty() && runningSinceMs <= lastFailureMs) {
       return;
     }
     failuresByJob.clear();
-    markSuspect = false;
-    cordonedUntilMs = NEVER_MS;
+    suspect = false;
+    cordonedUntilMs = NOT_CORDONED_MS;
   }
 
-  /** By job, how many of its tasks have failed here since the last one that completed. */
+  /** By job uid, the failed tasks since the last completion: a live, unmodifiable view. */
   Map<String, Integer> byJob() {
-    return failuresByJob;
+    return failuresByJobView;
   }
 
-  /** No new tasks for a while. */
+  /** No new tasks until this time, or a later one that was given before. */
   void cordon(long untilMs) {
     cordonedUntilMs = Math.max(cordonedUntilMs, untilMs);
   }
@@ -41,12 +47,12 @@
     return nowMs < cordonedUntilMs;
   }
 
-  /** Jobs that run elsewhere fail here: one task at a time is the trial from now on. */
+  /** Jobs that are known to run fail here: from now on the machine is tried with single tasks. */
   void markSuspect() {
-    markSuspect = true;
+    suspect = true;
   }
 
   boolean isSuspect() {
-    return markSuspect;
+    return suspect;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -17,12 +18,12 @@
 
 /**
  * The machines of a term and the tasks that are placed on them. The only class that removes a
- * placement, and only when the task is proven gone.
+ * placement, and only when the task is proven gone (docs/safety.md lists the proofs).
  */
 public final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
-  /** When a term has used this many tokens, nothing goes out any more that needs another. */
+  /** Of a term's tokens, those that may be used before direct launches are no longer sent. */
   private static final long USABLE_RAISED_TOKENS = Term.TOKENS_PER_TERM * 3 / 4;
 
   private final Catalogue catalogue;
@@ -30,14 +31,16 @@
   private final SafetyTiming timing;
   private final Term term;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
-  private final Set<String> confirmTermination = new HashSet<>();
+  private final Collection<Machine> machinesView =
+      Collections.unmodifiableCollection(machines.values());
   private final Set<String> terminating = new HashSet<>();
+  private final Set<String> terminated = new HashSet<>();
   private final Map<String, LastHeartbeat> forgotten = new HashMap<>();
   private long raisedTokens;
   private long removedCount;
   private long quarantinedUntilMs = MachineLifecycle.NOT_QUARANTINED_MS;
 
-  /** The newest report that was known of a machine which is no longer kept. */
+  /** The last heartbeat of a machine that was forgotten. */
   private record LastHeartbeat(long agentEpoch, long sequence) {}
 
   public MachineRegistry(Catalogue catalogue, TeamUsage teams, SafetyTiming timing, Term term) {
@@ -51,21 +54,30 @@
     return Optional.ofNullable(machines.get(host));
   }
 
+  /** All machines in the order in which they became known: a live, unmodifiable view. */
   public Collection<Machine> all() {
-    return machines.values();
+    return machinesView;
   }
 
-  /** How many machines were returned or dropped in the term. */
+  /** How many machines were terminated or forgotten in this term. */
   public long removedCount() {
     return removedCount;
   }
 
-  /** True for machines whose return the cloud confirmed: a report or list that names one is old. */
+  /**
+   * Whether the cloud confirmed the machine's termination: a heartbeat or list that names it is
+   * outdated.
+   */
   public boolean wasTerminated(String host) {
-    return confirmTermination.contains(host);
+    return terminated.contains(host);
   }
 
-  /** Adds a machine that a rental, a list or a report names; empty if its type is unknown. */
+  /**
+   * The machine of this name; it is added if it is not known, as a response of the cloud, a list or
+   * a heartbeat names it.
+   *
+   * @return empty if the machine was terminated, or its name, type or zone is not valid
+   */
   public Optional<Machine> adopt(String host, String type, String zone, boolean spot, long nowMs) {
     Machine known = machines.get(host);
     if (known != null) {
@@ -73,11 +85,7 @@
     }
     Optional<Integer> typeIndex = catalogue.typeIndex(type);
     Optional<Integer> zoneIndex = catalogue.zoneIndex(zone);
-    if (typeIndex.isEmpty()
-        || zoneIndex.isEmpty()
-        || confirmTermination.contains(host)
-        || host.indexOf(':') >= 0
-        || host.indexOf(',') >= 0) {
+    if (typeIndex.isEmpty() || zoneIndex.isEmpty() || wasTerminated(host) || !isValidName(host)) {
       return Optional.empty();
     }
     Machine machine =
@@ -97,29 +105,38 @@
     return Optional.of(machine);
   }
 
+  /** Progress records separate their fields by these characters. */
+  private static boolean isValidName(String host) {
+    return host.indexOf(':') < 0 && host.indexOf(',') < 0;
+  }
+
   /**
-   * The return of a machine begins, known or not: from now on nothing is placed on it in this term,
-   * under whatever sign it appears.
+   * The termination of a machine begins, whether it is known yet or not: from now on nothing is
+   * placed on it in this term.
    */
   public void beginTermination(String host) {
     terminating.add(host);
     get(host).ifPresent(Machine::beginTermination);
   }
 
-  /** Machines that this term did not rent get no new work until then. */
+  /** No new tasks until this time on machines that were not provisioned in this term. */
   public void quarantineEarlierMachines(long untilMs) {
     quarantinedUntilMs = untilMs;
     machines.values().forEach(machine -> machine.quarantine(untilMs));
   }
 
-  /** Puts a task on a machine: from now on it counts for the machine, its job and its team. */
+  /** Adds a placement, which counts for its machine, job and team from now on. */
   public void addPlacement(Placement placement) {
     placement.machine().add(placement);
     placement.job().addPlacement(placement);
     teams.add(placement.job().team(), placement.job().perTask());
   }
 
-  /** The one way for a placement to end: only with proof that the task is not on the machine. */
+  /**
+   * Removes a placement, after which its task may start elsewhere. This is the only way for a
+   * placement to end: the caller must have proof that the task is not on the machine and can't
+   * start there any more.
+   */
   public void removePlacement(Placement placement, long nowMs) {
     placement.machine().remove(placement, nowMs);
     placement.job().removePlacement(placement);
@@ -142,8 +159,8 @@
     machine.clearOrphans();
   }
 
-  /** All that is on the machine is proven gone. */
-  public List<Placement> removeAllPlacements(Machine machine, long nowMs) {
+  /** All tasks on the machine are proven gone. */
+  private List<Placement> removeAllPlacements(Machine machine, long nowMs) {
     List<Placement> lost = List.copyOf(machine.placements());
     lost.forEach(placement -> removePlacement(placement, nowMs));
     clearOrphans(machine);
@@ -152,12 +169,12 @@
   }
 
   /**
-   * The cloud confirmed the return: the machine and all tasks on it are gone.
+   * The cloud confirmed the termination, which proves the machine and all tasks on it gone.
    *
-   * @return the tasks that were recorded there
+   * @return the placements that were removed
    */
   public List<Placement> confirmTermination(String host, long nowMs) {
-    confirmTermination.add(host);
+    terminated.add(host);
     terminating.remove(host);
     Optional<Machine> machine = get(host);
     if (machine.isEmpty()) {
@@ -168,7 +185,7 @@
     return lost;
   }
 
-  /** The machine is not listed any more and its lease is over. */
+  /** Removes a machine that the cloud does not list any more and whose lease has expired. */
   public void forget(Machine machine) {
     remove(machine);
     forgotten.put(machine.host(), new LastHeartbeat(machine.agentEpoch(), machine.lastSequence()));
@@ -181,46 +198,52 @@
   }
 
   /**
-   * True for a delayed copy of a report that was made before the machine was dropped: it must not
-   * bring the machine back as usable.
+   * Whether it is a delayed heartbeat from before its machine was forgotten: it must not make the
+   * machine usable again.
    */
   boolean isStale(Heartbeat heartbeat) {
     LastHeartbeat last = forgotten.get(heartbeat.host());
     return last != null && !heartbeat.isNewerThan(last.agentEpoch(), last.sequence());
   }
 
-  /** A token for one machine, higher than all that were given in this term. */
+  /** A token for one machine, higher than all that were given out in this term. */
   long nextFencingToken() {
-    return term.fencingToken() + Math.min(Term.TOKENS_PER_TERM - 1, ++raisedTokens);
+    raisedTokens++;
+    return term.fencingToken() + Math.min(Term.TOKENS_PER_TERM - 1, raisedTokens);
   }
 
-  /** False when the term's tokens come to their end: then nothing may go out that needs more. */
+  /** False when the term's tokens are nearly used up: the term is to be given up then. */
   public boolean hasFencingTokensLeft() {
     return raisedTokens < USABLE_RAISED_TOKENS;
   }
 
   /**
-   * When the worker's lease has certainly run out if it is not heard again. Until the worker has
-   * shown our token, an earlier leader that can't reach the state service may still be answering
-   * it: the lease is counted from the last moment at which that can happen.
+   * When the machine's lease has certainly expired, if no further heartbeat arrives.
+   *
+   * <p>Until the agent has accepted a token of this term, an earlier leader that can't reach the
+   * state service may still be answering its heartbeats. Then the lease counts from the last moment
+   * at which that can happen.
    */
   public long leaseExpiryMs(Machine machine) {
-    long underOwnTokenMs =
-        (machine.isUp() ? machine.lastHeartbeatMs() : machine.knownSinceMs())
-            + timing.agentLeaseMs();
+    long lastSignMs = machine.isUp() ? machine.lastHeartbeatMs() : machine.knownSinceMs();
+    long expiryMs = lastSignMs + timing.agentLeaseMs();
     return machine.hasAcceptedToken()
-        ? underOwnTokenMs
-        : Math.max(underOwnTokenMs, term.startMs() + timing.takeoverSilenceMs());
+        ? expiryMs
+        : Math.max(expiryMs, term.startMs() + timing.takeoverSilenceMs());
   }
 
-  /** Ends the placements of machines that were silent for longer than their lease. */
+  /**
+   * Removes all placements on machines whose lease has expired.
+   *
+   * @return the placements that were removed
+   */
   public List<Placement> expireLeases(long nowMs) {
     List<Placement> lost = new ArrayList<>();
     for (Machine machine : machines.values()) {
-      if (!(machine.placements().isEmpty() && machine.orphans().isEmpty())
-          && nowMs > leaseExpiryMs(machine)) {
+      boolean hasTasks = !machine.placements().isEmpty() || !machine.orphans().isEmpty();
+      if (hasTasks && nowMs > leaseExpiryMs(machine)) {
         LOG.info(
-            "machine {} was silent for its lease: {} tasks gone",
+            "machine lease expired: host={} lost_placements={}",
             machine.host(),
             machine.placements().size());
         lost.addAll(removeAllPlacements(machine, nowMs));
--- a/src/main/java/org/ploverspindle/cluster/TeamUsage.java
+++ b/src/main/java/org/ploverspindle/cluster/TeamUsage.java
@@ -6,75 +6,99 @@
 import org.ploverspindle.model.Resources;
 import org.ploverspindle.settings.Settings;
 
-/** What each team's tasks take, from the intent until they are proven gone, and its bounds. */
+/**
+ * What each team's tasks take, from the recorded intent until they are proven gone, compared with
+ * its guarantee and limit. Teams are named by their index in the settings; amounts are in
+ * thousandths, as in {@link Resources}.
+ */
 public final class TeamUsage {
+  private static final double THOUSANDTHS = 1000;
+
+  /** Added before rounding down, so that a limit such as 0.3 is not taken for 299 thousandths. */
+  private static final double ROUNDING_TOLERANCE = 1e-6;
+
+  /** A guarantee covers what exceeds it by less than the smallest amount, through rounding. */
+  private static final double HALF_THOUSANDTH = 0.5;
+
   private final List<Settings.Team> teams;
-  private final long[] cores;
-  private final long[] accelerators;
+  private final long[] usedCores;
+  private final long[] usedAccelerators;
 
   public TeamUsage(List<Settings.Team> teams) {
     this.teams = teams;
-    this.cores = new long[teams.size()];
-    this.accelerators = new long[teams.size()];
+    this.usedCores = new long[teams.size()];
+    this.usedAccelerators = new long[teams.size()];
   }
 
+  /** The index of the team with this name; empty if the settings name no such team. */
   public Optional<Integer> index(String name) {
-    for (int i = 0; i < teams.size(); i++) {
-      if (teams.get(i).name().equals(name)) {
-        return Optional.of(i);
+    for (int team = 0; team < teams.size(); team++) {
+      if (teams.get(team).name().equals(name)) {
+        return Optional.of(team);
       }
     }
     return Optional.empty();
   }
 
   public void add(int team, Resources resources) {
-    cores[team] += resources.cores();
-    accelerators[team] += resources.accelerators();
+    usedCores[team] += resources.cores();
+    usedAccelerators[team] += resources.accelerators();
   }
 
   public void remove(int team, Resources resources) {
-    cores[team] -= resources.cores();
-    accelerators[team] -= resources.accelerators();
+    usedCores[team] -= resources.cores();
+    usedAccelerators[team] -= resources.accelerators();
   }
 
-  /** How many more such tasks the team's limit allows. */
+  /** How many more such tasks the team's limit allows; the largest integer if it has none. */
   public int tasksWithinLimit(int team, Resources perTask) {
     Settings.Team settings = teams.get(team);
     return Math.min(
-        tasksWithinLimit(settings.coresMax(), cores[team], perTask.cores()),
-        tasksWithinLimit(settings.acceleratorsMax(), accelerators[team], perTask.accelerators()));
+        tasksWithinLimit(settings.coresMax(), usedCores[team], perTask.cores()),
+        tasksWithinLimit(
+            settings.acceleratorsMax(), usedAccelerators[team], perTask.accelerators()));
   }
 
-  private static int tasksWithinLimit(double limit, long used, long each) {
-    if (limit <= 0 || each <= 0) {
+  private static int tasksWithinLimit(double limit, long used, long perTask) {
+    if (limit <= 0 || perTask <= 0) {
       return Integer.MAX_VALUE;
     }
-    return (int) Math.max(0, ((long) Math.floor(limit * 1000 + 1e-6) - used) / each);
+    return (int) Math.max(0, (limitInThousandths(limit) - used) / perTask);
   }
 
-  /** Would the team stay within its guarantee with this much more? */
+  private static long limitInThousandths(double limit) {
+    return (long) Math.floor(limit * THOUSANDTHS + ROUNDING_TOLERANCE);
+  }
+
+  /** Whether the team would stay within its guarantee if it used this much more. */
   public boolean withinGuarantee(int team, Resources more) {
     return guarantees(
         team,
-        new Resources(cores[team] + more.cores(), accelerators[team] + more.accelerators(), 0));
+        new Resources(
+            usedCores[team] + more.cores(), usedAccelerators[team] + more.accelerators(), 0));
   }
 
-  /** Does the team's guarantee cover this much in all? */
+  /** Whether the team's guarantee covers this much in all. */
   public boolean guarantees(int team, Resources all) {
     Settings.Team settings = teams.get(team);
-    return all.cores() <= settings.cores() * 1000 + 0.5
-        && all.accelerators() <= settings.accelerators() * 1000 + 0.5;
+    return isCovered(all.cores(), settings.cores())
+        && isCovered(all.accelerators(), settings.accelerators());
+  }
+
+  private static boolean isCovered(long amount, double guarantee) {
+    return amount <= guarantee * THOUSANDTHS + HALF_THOUSANDTH;
   }
 
+  /** Thousandths of cores that the team uses. */
   public long cores(int team) {
-    return cores[team];
+    return usedCores[team];
   }
 
-  /** Cores, in thousandths, that the team's limit leaves; empty when it has none. */
+  /** Thousandths of cores that the team's limit leaves; empty if it has no limit. */
   public OptionalLong coresWithinLimit(int team) {
     double limit = teams.get(team).coresMax();
     return limit <= 0
         ? OptionalLong.empty()
-        : OptionalLong.of(Math.max(0, (long) Math.floor(limit * 1000 + 1e-6) - cores[team]));
+        : OptionalLong.of(Math.max(0, limitInThousandths(limit) - usedCores[team]));
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/WorkerClient.java
+++ b/src/main/java/org/ploverspindle/cluster/WorkerClient.java
@@ -4,12 +4,14 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Sends orders straight to a worker, instead of in the response to its report. */
+/** Sends commands directly to a machine's agent, instead of in the response to its heartbeat. */
 public interface WorkerClient {
   /**
-   * Sends orders. {@code then} is called with the worker's report after it took them, or with an
-   * empty value when there was no response: the orders may have been executed, or may be executed
-   * later.
+   * Sends commands, which the agent executes only if the token is not lower than the highest that
+   * it has received, and in this agent epoch.
+   *
+   * @param then called with the heartbeat that the agent responds with, or with an empty value if
+   *     there was no response: then the commands may have been executed, or may yet be
    */
   void send(
       String address,
--- a/src/main/java/org/ploverspindle/cluster/WorkerCommand.java
+++ b/src/main/java/org/ploverspindle/cluster/WorkerCommand.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.cluster;
 
-/** An order to a worker, about one attempt of a task. */
+/** A command to a machine's agent, about one attempt of a task. */
 public sealed interface WorkerCommand {
   String uid();
 
@@ -8,12 +8,12 @@
 
   long attempt();
 
-  /** Start the attempt. */
+  /** Start the attempt. It has no effect if the attempt is on the machine already. */
   record Launch(String uid, int task, long attempt) implements WorkerCommand {}
 
-  /** Stop the attempt; it has {@code windDownS} seconds to save. */
+  /** Stop the attempt; it has {@code gracePeriodS} seconds to write a checkpoint. */
   record Stop(String uid, int task, long attempt, double gracePeriodS) implements WorkerCommand {}
 
-  /** Do not report the ended attempt any more. */
+  /** Leave the exited attempt out of further heartbeats. */
   record Forget(String uid, int task, long attempt) implements WorkerCommand {}
 }
