--- a/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
+++ b/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
@@ -17,9 +17,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries returns out: records each, asks the cloud until it confirms, and removes the record once
- * no list can show the machines any more. A return that was begun is never taken back in its term,
- * and one that is recorded in no term.
+ * Carries out the terminations of machines: records each durably, asks the cloud until it confirms,
+ * and removes the record once no list can show the machines any more.
+ *
+ * <p>Guarantees: the cloud is asked only after the record is known to be durable; a termination
+ * that has begun is not taken back in its term, and one that is recorded is not taken back in any.
  */
 public final class MachineTerminations {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTerminations.class);
@@ -27,14 +29,13 @@
   private static final long WRITE_RETRY_MS = 500;
   private static final long REMOVE_RETRY_MS = 2_000;
 
-  /**
-   * A return that has not come further for so long: the state service or the cloud is in trouble.
-   */
+  /** A termination that takes longer shows that the state service or the cloud is failing. */
   private static final long STALLED_MS = 3_000;
 
   /**
-   * Requests that were held up on the way are executed within this time. So long after a record
-   * could not be read, its machines may still be taken by a request of an earlier leader.
+   * A delayed request to the cloud is executed within this time. For so long after a record was
+   * found unreadable, a request of an earlier leader may still terminate the machines that the
+   * record names.
    */
   private static final long LATE_REQUEST_MS = 300_000;
 
@@ -46,12 +47,14 @@
   private final long recordRetentionMs;
   private final Consumer<List<Placement>> onLost;
   private final TerminationStatistics statistics = new TerminationStatistics();
+
+  /** By key of the record. */
   private final Map<String, PendingTermination> terminations = new LinkedHashMap<>();
 
   /**
-   * @param recordRetentionMs for how long a record outlives the cloud's confirmation: as long as a
-   *     list may still show the machines
-   * @param onLost told of tasks that went with a machine
+   * @param recordRetentionMs for how long a record is kept after the cloud's confirmation: as long
+   *     as a list may still show the machines
+   * @param onLost receives the placements that were on a machine when its end was confirmed
    */
   public MachineTerminations(
       Scheduler scheduler,
@@ -71,15 +74,15 @@
   }
 
   /**
-   * An earlier leader's return, which this leader completes. To be called for all records before
+   * Takes over a termination that an earlier leader recorded. To be called for all records before
    * the first placement of the term.
    */
   public void inherit(Entry entry) {
     Optional<TerminationRecord> record = TerminationRecord.decode(entry.value());
     if (record.isEmpty()) {
       LOG.error(
-          "the record {} can't be read and is left as it is: machines of earlier terms get no work"
-              + " for {} s",
+          "termination record can't be read, it is left as it is and machines of earlier terms are"
+              + " quarantined: key={} quarantine_s={}",
           entry.key(),
           LATE_REQUEST_MS / 1_000);
       registry.quarantineEarlierMachines(scheduler.nowMs() + LATE_REQUEST_MS);
@@ -91,20 +94,20 @@
         new PendingTermination(
             entry.key(), record.get(), PendingTermination.Phase.RECORDED, scheduler.nowMs()));
     hosts.forEach(registry::beginTermination);
-    statistics.inherited(hosts.size());
-    LOG.info("returning {} as an earlier leader recorded", hosts);
+    statistics.recordInherited(hosts.size());
+    LOG.info("termination inherited: key={} hosts={}", entry.key(), hosts);
   }
 
   /**
-   * Begins the return of these machines. From now on nothing is placed on them in this term,
-   * whatever becomes of the write: one without an answer may be carried out later.
+   * Begins the termination of these machines. From now on nothing is placed on them in this term,
+   * whatever the outcome of the write: one without a response may be carried out later.
    */
   public void begin(List<Machine> machines) {
     if (machines.isEmpty()) {
       return;
     }
     List<String> hosts = machines.stream().map(Machine::host).toList();
-    LOG.info("returning {}", hosts);
+    LOG.info("termination begun: hosts={}", hosts);
     statistics.recordDecided(hosts.size());
     hosts.forEach(registry::beginTermination);
     writer.prepare(hosts, scheduler.nowMs()).forEach(this::add);
@@ -115,12 +118,12 @@
     createRecord(pending);
   }
 
-  /** True when a record that can wait may be written now. */
+  /** Whether the write budget allows a record now whose machines could also wait. */
   public boolean hasSpareWrites() {
     return writer.hasSpareWrites();
   }
 
-  /** True while returns that were begun a while ago do not come further. */
+  /** Whether some termination has taken longer than it does while all services work. */
   public boolean isStalled() {
     long nowMs = scheduler.nowMs();
     return terminations.values().stream()
@@ -130,7 +133,10 @@
                     && nowMs - pending.startedMs() > STALLED_MS);
   }
 
-  /** Repeats what was not answered, and sends what may be sent by now. To be called each second. */
+  /**
+   * Repeats writes without a response, removes outdated records, and sends the requests that may be
+   * sent by now. To be called each second.
+   */
   public void advance() {
     long nowMs = scheduler.nowMs();
     for (PendingTermination pending : List.copyOf(terminations.values())) {
@@ -139,15 +145,18 @@
       }
       if (pending.phase() == PendingTermination.Phase.RECORDING) {
         createRecord(pending);
-      } else if (pending.phase() == PendingTermination.Phase.CONFIRMED
-          && nowMs - pending.confirmedMs() >= recordRetentionMs
-          && writer.hasSpareWrites()) {
+      } else if (isOutdated(pending, nowMs) && writer.hasSpareWrites()) {
         removeRecord(pending);
       }
     }
     sendDue();
   }
 
+  private boolean isOutdated(PendingTermination pending, long nowMs) {
+    return pending.phase() == PendingTermination.Phase.CONFIRMED
+        && nowMs - pending.confirmedMs() >= recordRetentionMs;
+  }
+
   private void createRecord(PendingTermination pending) {
     pending.markWriting();
     writer.create(pending, outcome -> onCreateResult(pending, outcome));
@@ -164,7 +173,7 @@
       writer.halve(pending, scheduler.nowMs()).forEach(this::add);
       return;
     }
-    // The same key again: an earlier write of it that is carried out late says the same.
+    // Under the same key: if an earlier write of it is carried out late, it writes the same value.
     pending.retryWriteAt(scheduler.nowMs() + WRITE_RETRY_MS);
   }
 
@@ -182,14 +191,7 @@
   }
 
   private void sendDue() {
-    List<String> due = new ArrayList<>();
-    for (PendingTermination pending : terminations.values()) {
-      if (pending.phase() == PendingTermination.Phase.RECORDED) {
-        pending.unconfirmed().stream()
-            .filter(host -> sender.maySend(host) && mayTerminate(host))
-            .forEach(due::add);
-      }
-    }
+    List<String> due = dueHosts();
     for (int from = 0; from < due.size(); from += TerminationClient.MAX_HOSTS_PER_RELEASE) {
       int end = Math.min(due.size(), from + TerminationClient.MAX_HOSTS_PER_RELEASE);
       List<String> hosts = List.copyOf(due.subList(from, end));
@@ -201,9 +203,21 @@
     }
   }
 
+  private List<String> dueHosts() {
+    List<String> due = new ArrayList<>();
+    for (PendingTermination pending : terminations.values()) {
+      if (pending.phase() == PendingTermination.Phase.RECORDED) {
+        pending.unconfirmed().stream()
+            .filter(host -> sender.maySend(host) && mayTerminate(host))
+            .forEach(due::add);
+      }
+    }
+    return due;
+  }
+
   /**
-   * A machine goes when it is empty, or silent: then the answer to its release is the proof that
-   * its tasks are gone. One that reports tasks is drained first.
+   * Whether the machine is empty, or its heartbeats have stopped: then the cloud's confirmation is
+   * the proof that its tasks are gone. A machine that reports tasks is drained first.
    */
   private boolean mayTerminate(String host) {
     Optional<Machine> machine = registry.get(host);
@@ -231,7 +245,7 @@
     }
   }
 
-  /** Numbers for people. */
+  /** Counts and latencies of this term's terminations, in one line for operators. */
   public String summary() {
     return statistics.text(
         count(PendingTermination.Phase.RECORDING),
@@ -240,6 +254,6 @@
   }
 
   private int count(PendingTermination.Phase phase) {
-    return (int) terminations.values().stream().filter(pending -> pending.phase() == phase).count();
+    return (int) terminations.values().stream().filter(each -> each.phase() == phase).count();
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/PendingTermination.java
+++ b/src/main/java/org/ploverspindle/scalein/PendingTermination.java
@@ -1,36 +1,45 @@
 package org.ploverspindle.scalein;
 
+import java.util.Collections;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 
-/** One record of a return, and how far the return has come in this term. */
+/** One termination record, and the progress of its termination in this term. */
 final class PendingTermination {
-  /** Steps of a return; it never goes back to an earlier one. */
+  /** Steps of a termination, which never goes back to an earlier one. */
   enum Phase {
-    /** The record may or may not stand; the cloud must not be asked yet. */
+    /** The record may or may not be durable: the cloud must not be asked yet. */
     RECORDING,
-    /** The record stands: the cloud is asked until it confirms. */
+    /** The record is durable: the cloud is asked until it confirms. */
     RECORDED,
-    /** The cloud confirmed; the record stays until no list can show the machines any more. */
+    /** The cloud confirmed; the record is kept until no list can show the machines any more. */
     CONFIRMED
   }
 
+  /** A time that is always past. */
+  private static final long AT_ONCE_MS = Long.MIN_VALUE;
+
   private final String key;
   private final TerminationRecord record;
   private final long startedMs;
   private final Set<String> unconfirmed;
+  private final Set<String> unconfirmedView;
   private Phase phase;
-  private boolean markWriting;
-  private long writeNotBeforeMs = Long.MIN_VALUE / 2;
+  private boolean writing;
+  private long writeNotBeforeMs = AT_ONCE_MS;
   private long confirmedMs;
 
+  /**
+   * @param nowMs when the termination began in this term, on the steady clock
+   */
   PendingTermination(String key, TerminationRecord record, Phase phase, long nowMs) {
     this.key = key;
     this.record = record;
     this.phase = phase;
     this.startedMs = nowMs;
     this.unconfirmed = new LinkedHashSet<>(record.hosts());
+    this.unconfirmedView = Collections.unmodifiableSet(unconfirmed);
   }
 
   String key() {
@@ -53,27 +62,28 @@
     return startedMs;
   }
 
-  /** Machines of whose end there is no proof yet. */
+  /** The machines that are not proven gone: a live, unmodifiable view. */
   Set<String> unconfirmed() {
-    return unconfirmed;
+    return unconfirmedView;
   }
 
-  /** True when a write of the record, or of its removal, may go out now. */
+  /** Whether a write of the record, or its removal, may be sent now. */
   boolean mayWrite(long nowMs) {
-    return !markWriting && nowMs >= writeNotBeforeMs;
+    return !writing && nowMs >= writeNotBeforeMs;
   }
 
   void markWriting() {
-    markWriting = true;
+    writing = true;
   }
 
+  /** The write failed or had no response. */
   void retryWriteAt(long retryAtMs) {
-    markWriting = false;
+    writing = false;
     writeNotBeforeMs = retryAtMs;
   }
 
   void markRecorded() {
-    markWriting = false;
+    writing = false;
     phase = Phase.RECORDED;
   }
 
@@ -86,7 +96,7 @@
     }
   }
 
-  /** When the last of its machines was confirmed to be gone; only in {@link Phase#CONFIRMED}. */
+  /** When the last machine was confirmed to be gone; only in {@link Phase#CONFIRMED}. */
   long confirmedMs() {
     return confirmedMs;
   }
--- a/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
@@ -6,22 +6,26 @@
 import org.ploverspindle.model.JobSpec;
 
 /**
- * Empties a machine whose return is recorded and that has tasks all the same: a leader of a version
- * that does not know these records placed them, or the machine was taken for gone and came back.
+ * Drains a machine whose termination is recorded and that has tasks all the same: they were placed
+ * by a leader of a version that does not know these records, or the machine's heartbeats stopped
+ * and began again.
  */
 final class TerminationDrain {
-  /** Beyond what a save costs, for the order and the save to arrive. */
-  private static final double SAVE_MARGIN_S = 0.5;
+  /** Added to what a checkpoint takes, for the stop to arrive and the checkpoint to be stored. */
+  private static final double CHECKPOINT_MARGIN_S = 0.5;
 
   private TerminationDrain() {}
 
-  /** Has each task stop, saving its progress where it can; what is stopping is left alone. */
+  /** Stops all tasks that are not stopping yet, with time for a checkpoint where they write one. */
   static void drain(Machine machine) {
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!placement.stopping()) {
-        JobSpec spec = placement.job().spec();
-        placement.stop(spec.isCheckpointed() ? spec.checkpointCostS() + SAVE_MARGIN_S : 0);
+        placement.stop(gracePeriodS(placement.job().spec()));
       }
     }
   }
+
+  private static double gracePeriodS(JobSpec spec) {
+    return spec.isCheckpointed() ? spec.checkpointCostS() + CHECKPOINT_MARGIN_S : 0;
+  }
 }
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecord.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecord.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.ploverspindle.net.Cbor;
 
-/** The stored form of a return: the names of the machines that go back together. */
+/** The stored form of a termination: the names of the machines that are terminated together. */
 record TerminationRecord(List<String> hosts) {
   private static final String HOSTS = "hosts";
 
@@ -19,7 +19,7 @@
     return value;
   }
 
-  /** Empty when any part of the value can't be read: part of the machines would be a guess. */
+  /** Empty if any part of the value can't be read: to terminate a part would be a guess. */
   static Optional<TerminationRecord> decode(JsonNode value) {
     JsonNode names = value.path(HOSTS);
     if (!names.isArray() || names.isEmpty()) {
@@ -36,7 +36,8 @@
   }
 
   /**
-   * Cuts the hosts into records of which each fits into a value and into one request to the cloud.
+   * Divides the hosts, in their order, into records of which each fits into a value of the state
+   * service and into one request to the cloud.
    *
    * @param valueBytes the state service's limit for a value in JSON form
    */
@@ -46,11 +47,11 @@
     List<String> chunk = new ArrayList<>();
     int bytes = emptyBytes;
     for (String host : hosts) {
-      // Its name in quotes, and a comma.
+      // The name in quotes, and a comma.
       int hostBytes = Cbor.jsonSize(Cbor.map().textNode(host)) + 1;
-      boolean full =
+      boolean isFull =
           chunk.size() == TerminationClient.MAX_HOSTS_PER_RELEASE || bytes + hostBytes > valueBytes;
-      if (full && !chunk.isEmpty()) {
+      if (isFull && !chunk.isEmpty()) {
         records.add(new TerminationRecord(List.copyOf(chunk)));
         chunk.clear();
         bytes = emptyBytes;
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
@@ -8,8 +8,8 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /**
- * Writes and removes the records of returns. A record is created once, under a name that no other
- * leader and no other return of this term uses, and is never changed.
+ * Writes and removes termination records. A record is created once, under a key that no other
+ * leader and no other termination of this term uses, and is never changed.
  */
 public final class TerminationRecordWriter {
   private final LeaderWriter leaderWriter;
@@ -18,9 +18,8 @@
   private long recordCount;
 
   /**
-   * @param fencingToken the term's first token, which makes the records' names unique over all
-   *     terms
-   * @param valueBytes the least limit of the state service for a value that was announced
+   * @param fencingToken the first token of the term, which makes the keys unique over all terms
+   * @param valueBytes the state service's lowest announced limit for a value in JSON form
    */
   public TerminationRecordWriter(LeaderWriter leaderWriter, long fencingToken, int valueBytes) {
     this.leaderWriter = leaderWriter;
@@ -28,28 +27,33 @@
     this.valueBytes = valueBytes;
   }
 
-  /** True when a write that can wait need not wait. */
+  /** Whether the write budget allows a write now that could also wait. */
   boolean hasSpareWrites() {
     return leaderWriter.hasSpareBudget();
   }
 
+  /** Divides the machines into terminations whose records fit into a value; writes nothing. */
   List<PendingTermination> prepare(List<String> hosts, long nowMs) {
     return TerminationRecord.partition(hosts, valueBytes).stream()
-        .map(record -> pending(record, nowMs))
+        .map(record -> newTermination(record, nowMs))
         .toList();
   }
 
-  /** Two returns in place of one whose record was refused for its size, so never carried out. */
+  /**
+   * Two terminations in place of one whose record was refused for its size, and so was never
+   * written.
+   */
   List<PendingTermination> halve(PendingTermination refused, long nowMs) {
     List<String> hosts = refused.hosts();
     int half = hosts.size() / 2;
     return List.of(
-        pending(new TerminationRecord(hosts.subList(0, half)), nowMs),
-        pending(new TerminationRecord(hosts.subList(half, hosts.size())), nowMs));
+        newTermination(new TerminationRecord(hosts.subList(0, half)), nowMs),
+        newTermination(new TerminationRecord(hosts.subList(half, hosts.size())), nowMs));
   }
 
-  private PendingTermination pending(TerminationRecord record, long nowMs) {
-    String key = Keys.termination(fencingToken + "-" + ++recordCount);
+  private PendingTermination newTermination(TerminationRecord record, long nowMs) {
+    recordCount++;
+    String key = Keys.termination(fencingToken + "-" + recordCount);
     return new PendingTermination(key, record, PendingTermination.Phase.RECORDING, nowMs);
   }
 
@@ -57,6 +61,9 @@
     leaderWriter.create(new Change.Put(pending.key(), pending.record().encode()), then);
   }
 
+  /**
+   * @param then called with whether the record is known to be removed
+   */
   void remove(PendingTermination pending, Consumer<Boolean> then) {
     leaderWriter.writeBestEffort(new Change.Remove(pending.key()), then);
   }
--- a/src/main/java/org/ploverspindle/scalein/TerminationSender.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationSender.java
@@ -9,9 +9,10 @@
 import org.ploverspindle.eventloop.Scheduler;
 
 /**
- * Sends releases within the budget of calls, and spaces repeats of those that were not answered.
+ * Sends terminations to the cloud within the call budget, and spaces repeats of unanswered ones.
  */
 public final class TerminationSender {
+  /** In place of the time from which on a request may be repeated: one is in flight. */
   private static final long IN_FLIGHT_MS = Long.MAX_VALUE;
 
   private final Scheduler scheduler;
@@ -19,13 +20,14 @@
   private final BooleanSupplier takeCallBudget;
   private final RetryDelay retryDelay;
 
-  /** When each machine that was asked for may be asked for again, on the steady clock. */
+  /** By host that a request named, when it may be named again, on the steady clock. */
   private final Map<String, Long> notBeforeMs = new HashMap<>();
 
   /**
-   * @param takeCallBudget takes a call to the cloud from its budget, if the lead is sure; asked
-   *     last before each send
-   * @param retryDelay before a release without an answer is sent again
+   * @param takeCallBudget takes one call from the budget for the cloud and returns true; false if
+   *     the budget is used up or the leader's lease is not certainly valid. Called last before each
+   *     request
+   * @param retryDelay the delay before an unanswered request is repeated
    */
   public TerminationSender(
       Scheduler scheduler,
@@ -38,21 +40,21 @@
     this.retryDelay = retryDelay;
   }
 
-  /** True when no request for the machine is out and its last one was long enough ago. */
+  /** Whether no request for the machine is in flight, and its retry delay has passed. */
   boolean maySend(String host) {
     return scheduler.nowMs() >= notBeforeMs.getOrDefault(host, Long.MIN_VALUE);
   }
 
-  /** True when the machine was asked for before, and that was not answered. */
+  /** Whether a request has named the machine and was not confirmed. */
   boolean wasSent(String host) {
     return notBeforeMs.containsKey(host);
   }
 
   /**
-   * Sends one request, if the lead is sure and the budget allows it.
+   * Sends one request, if the leader is authoritative and the budget allows it.
    *
    * @param hosts at most {@link TerminationClient#MAX_HOSTS_PER_RELEASE}
-   * @param confirmed called when the cloud confirmed that they are gone
+   * @param confirmed called with the hosts when the cloud confirmed that they are gone
    * @return whether it was sent
    */
   boolean send(List<String> hosts, Consumer<List<String>> confirmed) {
@@ -60,17 +62,17 @@
       return false;
     }
     hosts.forEach(host -> notBeforeMs.put(host, IN_FLIGHT_MS));
-    cloud.terminate(hosts, gone -> answered(hosts, gone, confirmed));
+    cloud.terminate(hosts, gone -> onResponse(hosts, gone, confirmed));
     return true;
   }
 
-  private void answered(List<String> hosts, boolean gone, Consumer<List<String>> confirmed) {
+  private void onResponse(List<String> hosts, boolean gone, Consumer<List<String>> confirmed) {
     if (gone) {
       hosts.forEach(notBeforeMs::remove);
       confirmed.accept(hosts);
       return;
     }
-    long retryMs = scheduler.nowMs() + retryDelay.nextMs();
-    hosts.forEach(host -> notBeforeMs.put(host, retryMs));
+    long retryAtMs = scheduler.nowMs() + retryDelay.nextMs();
+    hosts.forEach(host -> notBeforeMs.put(host, retryAtMs));
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/TerminationStatistics.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationStatistics.java
@@ -3,14 +3,17 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** What became of this term's returns, for people. */
+/** Counts and latencies of this term's terminations. */
 final class TerminationStatistics {
+  /** Longer latencies are recorded as this one. */
   private static final long MAX_RECORDED_MS = 3_600_000;
+
+  private static final int SIGNIFICANT_DIGITS = 2;
   private static final double MEDIAN_PERCENTILE = 50;
   private static final double TAIL_PERCENTILE = 99;
 
-  /** From the decision to return a machine to the cloud's confirmation, in milliseconds. */
-  private final Histogram confirmedAfterMs = new Histogram(MAX_RECORDED_MS, 2);
+  /** From the decision to terminate a machine to the cloud's confirmation, in milliseconds. */
+  private final Histogram confirmedAfterMs = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
 
   private long decided;
   private long inherited;
@@ -21,19 +24,26 @@
     decided += hosts;
   }
 
-  void inherited(int hosts) {
+  void recordInherited(int hosts) {
     inherited += hosts;
   }
 
-  void recordRequest(boolean again) {
+  void recordRequest(boolean isRepeat) {
     requests++;
-    repeated += again ? 1 : 0;
+    repeated += isRepeat ? 1 : 0;
   }
 
   void recordConfirmed(long afterMs) {
     confirmedAfterMs.recordValue(Math.max(0, Math.min(MAX_RECORDED_MS, afterMs)));
   }
 
+  /**
+   * The line for operators. Its wording is part of the status output and does not change.
+   *
+   * @param recording terminations whose record is not known to be durable
+   * @param recorded terminations that the cloud has not confirmed
+   * @param keptRecords terminations that are confirmed and whose record is kept
+   */
   String text(int recording, int recorded, int keptRecords) {
     return String.format(
         Locale.ROOT,
