--- /dev/null
+++ b/src/test/java/org/ploverspindle/cluster/CommandFencingTest.java
@@ -0,0 +1,54 @@
+package org.ploverspindle.cluster;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/**
+ * A machine counts as reached only by its current token, and a raised token voids older launches.
+ */
+class CommandFencingTest {
+  private static final long FIRST_TOKEN = 100;
+
+  private final CommandFencing fencing = new CommandFencing(FIRST_TOKEN);
+
+  @Test
+  void commandsArriveOnceAHeartbeatShowsTheCurrentToken() {
+    assertFalse(fencing.receivesCommands());
+    fencing.recordReportedToken(FIRST_TOKEN - 1);
+    assertFalse(fencing.receivesCommands());
+    fencing.recordReportedToken(FIRST_TOKEN);
+    assertTrue(fencing.receivesCommands());
+  }
+
+  @Test
+  void anUnreachableMachineHasToShowTheTokenThatWasRaisedForIt() {
+    fencing.recordReportedToken(FIRST_TOKEN);
+    fencing.markUnreachable(FIRST_TOKEN + 1, 5_000);
+    fencing.recordReportedToken(FIRST_TOKEN);
+    assertFalse(fencing.receivesCommands());
+    assertEquals(5_000, fencing.unreachableSinceMs());
+    fencing.recordReportedToken(FIRST_TOKEN + 1);
+    assertTrue(fencing.receivesCommands());
+    assertEquals(Machine.NEVER_MS, fencing.unreachableSinceMs());
+  }
+
+  @Test
+  void theTokenIsRaisedOnceForOneTimeOfUnreachability() {
+    fencing.markUnreachable(FIRST_TOKEN + 1, 5_000);
+    fencing.markUnreachable(FIRST_TOKEN + 2, 6_000);
+    assertEquals(FIRST_TOKEN + 1, fencing.fencingToken());
+    assertEquals(5_000, fencing.unreachableSinceMs());
+  }
+
+  @Test
+  void aDirectLaunchIsPendingUntilTheTokenIsRaised() {
+    fencing.recordDirectLaunch(7);
+    assertTrue(fencing.isDirectLaunchPending(7));
+    assertFalse(fencing.isDirectLaunchPending(8), "another attempt was not launched directly");
+    fencing.raiseToken(FIRST_TOKEN + 1);
+    assertFalse(fencing.isDirectLaunchPending(7));
+  }
+}
--- a/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
+++ b/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
@@ -14,12 +14,14 @@
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.model.Resources;
 
-/** A machine is at fault when jobs that run elsewhere fail there; a job, when it runs nowhere. */
+/**
+ * A machine is at fault when jobs that are known to run fail there; a job, when it runs nowhere.
+ */
 class FailureDetectorTest {
   private final Map<String, Job> jobs = new HashMap<>();
-  private long now = 100_000;
-  private final FailureDetector blame =
-      new FailureDetector(uid -> jobs.containsKey(uid) && jobs.get(uid).isKnownToRun(now));
+  private long nowMs = 100_000;
+  private final FailureDetector detector =
+      new FailureDetector(uid -> jobs.containsKey(uid) && jobs.get(uid).isKnownToRun(nowMs));
 
   private Job job(String uid) {
     Job job =
@@ -36,105 +38,106 @@
   }
 
   private Machine machine(String host) {
-    Machine m = new Machine(host, 0, 0, true, Resources.offered(16, 0, 64), 0, 1);
-    reported(m);
-    return m;
+    Machine machine = new Machine(host, 0, 0, true, Resources.offered(16, 0, 64), 0, 1);
+    recordHeartbeat(machine);
+    return machine;
   }
 
-  private void reported(Machine m) {
-    m.recordHeartbeat(
-        new Heartbeat(m.host(), "", "t", "a", true, 1, now, 1, OptionalDouble.empty(), List.of()),
-        now,
+  private void recordHeartbeat(Machine machine) {
+    machine.recordHeartbeat(
+        new Heartbeat(
+            machine.host(), "", "t", "a", true, 1, nowMs, 1, OptionalDouble.empty(), List.of()),
+        nowMs,
         true);
   }
 
-  private boolean fails(Job job, Machine m) {
-    m.failures().recordFailure(job.uid(), now);
-    job.failedOn(m.host(), 0, now);
-    return blame.failed(m, job, now);
+  private boolean failAndDetect(Job job, Machine machine) {
+    machine.failures().recordFailure(job.uid(), nowMs);
+    job.failedOn(machine.host(), 0, nowMs);
+    return detector.failed(machine, job, nowMs);
   }
 
   @Test
-  void aJobThatFailsEverywhereHasNoMachineReturnedAndHardlyAnyShunned() {
+  void aJobThatFailsEverywhereCostsNoMachineAndCordonsAtMostOne() {
     Job broken = job("run-1");
-    int shunned = 0;
+    int cordoned = 0;
     for (int i = 0; i < 40; i++) {
-      Machine m = machine("i-" + i);
-      for (int t = 0; t < 5; t++) {
-        assertFalse(fails(broken, m));
+      Machine machine = machine("i-" + i);
+      for (int failure = 0; failure < 5; failure++) {
+        assertFalse(failAndDetect(broken, machine));
       }
-      shunned += m.isSchedulable(now, 5_000) ? 0 : 1;
+      cordoned += machine.isSchedulable(nowMs, 5_000) ? 0 : 1;
     }
-    assertTrue(shunned <= 1, shunned + " machines are shunned for one job's mistake");
-    assertTrue(broken.isFailingEverywhere(now));
+    assertTrue(cordoned <= 1, cordoned + " machines are cordoned for one job's mistake");
+    assertTrue(broken.isFailingEverywhere(nowMs));
   }
 
   @Test
-  void aMachineThatFailsWhatRunsElsewhereIsReturned() {
-    Machine sick = machine("i-1");
+  void aMachineIsAtFaultWhenSeveralJobsThatRunElsewhereFailThere() {
+    Machine faulty = machine("i-1");
     Job first = job("run-1");
     Job second = job("run-2");
     first.markCompleted(0);
-    assertFalse(fails(first, sick));
-    assertFalse(sick.isSchedulable(now + 9_000, 20_000));
-    assertFalse(fails(second, sick), "the second job may be the one at fault");
+    assertFalse(failAndDetect(first, faulty));
+    assertFalse(faulty.isSchedulable(nowMs + 9_000, 20_000));
+    assertFalse(failAndDetect(second, faulty), "the second job may be the one at fault");
     second.markCompleted(0);
-    assertTrue(fails(second, sick));
+    assertTrue(failAndDetect(second, faulty));
   }
 
   @Test
-  void manyFailuresOfOneJobThatCompletesElsewhereAreEnough() {
-    Machine sick = machine("i-1");
+  void aMachineIsAtFaultAfterManyFailuresOfOneJobThatRunsElsewhere() {
+    Machine faulty = machine("i-1");
     Job job = job("run-1");
     job.markCompleted(3);
-    assertFalse(fails(job, sick));
-    assertFalse(fails(job, sick));
-    assertTrue(fails(job, sick));
+    assertFalse(failAndDetect(job, faulty));
+    assertFalse(failAndDetect(job, faulty));
+    assertTrue(failAndDetect(job, faulty));
   }
 
   @Test
-  void aBrokenMachineIsFoundAlsoAmongJobsWithMistakes() {
-    Machine sick = machine("i-1");
+  void aFaultyMachineIsFoundAmongJobsWithMistakes() {
+    Machine faulty = machine("i-1");
     Job broken = job("run-1");
-    fails(broken, machine("i-2"));
-    fails(broken, machine("i-3"));
-    assertFalse(fails(broken, sick));
+    failAndDetect(broken, machine("i-2"));
+    failAndDetect(broken, machine("i-3"));
+    assertFalse(failAndDetect(broken, faulty));
     Job good = job("run-2");
-    assertFalse(fails(good, sick));
-    assertFalse(sick.isSchedulable(now, 5_000), "in doubt it draws no more work for a moment");
+    assertFalse(failAndDetect(good, faulty));
+    assertFalse(
+        faulty.isSchedulable(nowMs, 5_000), "it is cordoned while it is unknown what is at fault");
     good.markCompleted(1);
-    fails(good, sick);
-    assertTrue(fails(good, sick));
+    failAndDetect(good, faulty);
+    assertTrue(failAndDetect(good, faulty));
   }
 
   @Test
-  void completionsOfTasksBegunBeforeTheFailureDoNotClearAMachine() {
-    Machine m = machine("i-1");
-    m.failures().recordFailure("run-1", 1_000);
-    m.failures().recordCompletion(500);
-    m.failures().recordFailure("run-2", 2_000);
-    assertEquals(2, m.failures().byJob().size());
-    m.failures().recordCompletion(2_500);
-    assertEquals(0, m.failures().byJob().size());
+  void completionsOfTasksStartedBeforeTheFailureDoNotClearAMachine() {
+    Machine machine = machine("i-1");
+    machine.failures().recordFailure("run-1", 1_000);
+    machine.failures().recordCompletion(500);
+    machine.failures().recordFailure("run-2", 2_000);
+    assertEquals(2, machine.failures().byJob().size());
+    machine.failures().recordCompletion(2_500);
+    assertEquals(0, machine.failures().byJob().size());
   }
 
   @Test
-  void aJobThatFailsIsTriedOnAtGrowingIntervalsWithOneTask() {
+  void aFailingJobIsRetriedAfterGrowingDelaysWithOneTask() {
     Job broken = job("run-1");
     int tries = 0;
-    long last = now;
-    for (long end = now + 600_000; now < end; now += 250) {
-      if (broken.schedulableTasks(now) > 0) {
-        assertEquals(tries == 0 ? 20 : 1, broken.schedulableTasks(now));
-        broken.failedOn("i-" + tries % 7, 0, now);
+    long lastTryMs = nowMs;
+    for (long endMs = nowMs + 600_000; nowMs < endMs; nowMs += 250) {
+      if (broken.schedulableTasks(nowMs) > 0) {
+        assertEquals(tries == 0 ? 20 : 1, broken.schedulableTasks(nowMs));
+        broken.failedOn("i-" + tries % 7, 0, nowMs);
         tries++;
-        assertTrue(now - last <= 61_000, "it waited for " + (now - last));
-        last = now;
+        assertTrue(nowMs - lastTryMs <= 61_000, "it waited for " + (nowMs - lastTryMs));
+        lastTryMs = nowMs;
       }
     }
     assertTrue(tries >= 12 && tries <= 17, tries + " tries in ten minutes");
     broken.markCompleted(0);
-    assertEquals(
-        19, broken.schedulableTasks(now), "what has shown that it runs is not held any more");
+    assertEquals(19, broken.schedulableTasks(nowMs), "a job that is known to run is not delayed");
   }
 }
