--- a/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
@@ -151,14 +151,14 @@
   }
 
   private static ObjectNode encode(ObjectNode body, List<WorkerCommand> commands) {
-    ArrayNode orders = body.putArray("orders");
+    ArrayNode encodedCommands = body.putArray("orders");
     for (WorkerCommand command : commands) {
-      ObjectNode order = orders.addObject();
-      order.put("verb", verb(command));
-      order.put("piece", command.uid() + "/" + command.task());
-      order.put("try", command.attempt());
+      ObjectNode encoded = encodedCommands.addObject();
+      encoded.put("verb", verb(command));
+      encoded.put("piece", command.uid() + "/" + command.task());
+      encoded.put("try", command.attempt());
       if (command instanceof WorkerCommand.Stop stop) {
-        order.put("wind_down_s", stop.gracePeriodS());
+        encoded.put("wind_down_s", stop.gracePeriodS());
       }
     }
     return body;
--- a/src/main/java/org/ploverspindle/cluster/OrphanedTask.java
+++ b/src/main/java/org/ploverspindle/cluster/OrphanedTask.java
@@ -3,8 +3,8 @@
 import org.ploverspindle.model.Resources;
 
 /**
- * An attempt that a heartbeat showed on a machine on which this leader has no placement for it. It
- * has been told to stop, and takes resources until a heartbeat shows it no more.
+ * An attempt that a heartbeat showed on a machine on which this leader has no placement for it. Its
+ * stop is sent, and it takes resources until a heartbeat shows it no more.
  *
  * @param team index of the team that the resources count for, or {@link #UNKNOWN_TEAM}
  */
--- a/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
@@ -62,8 +62,8 @@
     MachineFailureHistory failures = context.machine().failures();
     if (status.exitReason() == Heartbeat.ExitReason.DONE) {
       failures.recordCompletion(placement.runningSinceMs());
-      // The agent is told to forget it only once the completion is durable: until then it holds
-      // the only record.
+      // The agent forgets it only once the completion is durable: until then the agent holds the
+      // only record.
       listener.completed(placement, context.nowMs());
       return;
     }
--- a/src/main/java/org/ploverspindle/cluster/TeamUsage.java
+++ b/src/main/java/org/ploverspindle/cluster/TeamUsage.java
@@ -89,11 +89,6 @@
     return amount <= guarantee * THOUSANDTHS + HALF_THOUSANDTH;
   }
 
-  /** Thousandths of cores that the team uses. */
-  public long cores(int team) {
-    return usedCores[team];
-  }
-
   /** Thousandths of cores that the team's limit leaves; empty if it has no limit. */
   public OptionalLong coresWithinLimit(int team) {
     double limit = teams.get(team).coresMax();
