--- /dev/null
+++ b/src/test/java/org/ploverspindle/placement/CapacityTest.java
@@ -0,0 +1,40 @@
+package org.ploverspindle.placement;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Random;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.Placement;
+
+/** Capacity is counted in steps, and agrees with the exact sum over all placements. */
+class CapacityTest {
+  private static final long NOW = RandomFleet.NOW;
+
+  /** Cores that are free within the time, each for what is left of it then. */
+  private static double exactCapacity(RandomFleet fleet, double withinS) {
+    double sum = 0;
+    for (Machine machine : fleet.machines.all()) {
+      sum += machine.free().cores() * withinS;
+      for (Placement placement : machine.placements()) {
+        double freeS = withinS - fleet.estimates.remainingS(placement, NOW);
+        sum += placement.job().perTask().cores() * Math.max(0, freeS);
+      }
+    }
+    return sum;
+  }
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void capacityInStepsIsTheExactSum(long seed) {
+    Random random = new Random(seed);
+    RandomFleet fleet = new RandomFleet(random, 1_700);
+    Capacity capacity = new Capacity(fleet.machines, fleet.estimates, NOW, 60_000);
+    for (int i = 0; i < 200; i++) {
+      double withinS = random.nextDouble() * 240;
+      double exact = exactCapacity(fleet, withinS);
+      assertEquals(exact, capacity.within(withinS), exact * 0.005 + 20_000, "at " + withinS);
+    }
+  }
+}
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -32,10 +32,10 @@
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
 
-/** What placing goes by: a job's own values, as ever, unless jobs that need it press more. */
+/** Placement goes by a job's own values, unless its dependents' deadline or priority is tighter. */
 class EffectiveValuesTest {
   private static final long ACCEPTED = 5_000_000;
-  private static final List<Settings.Objective> AIMS =
+  private static final List<Settings.Objective> OBJECTIVES =
       List.of(
           new Settings.Objective("deadline", "c", 0.9, 1.5, 0),
           new Settings.Objective("deadline", "c", 0.9, 2, 0),
@@ -67,37 +67,37 @@
         new PendingJobOrder(
             new ClusterView(catalogue, fleet, jobs, teams),
             estimates,
-            new ServiceLevelObjectives(AIMS));
+            new ServiceLevelObjectives(OBJECTIVES));
   }
 
   private static Job job(JobSpec spec) {
     return new Job(spec, ACCEPTED, 80, 0, new BitSet(), -1, 1);
   }
 
-  private static JobSpec random(Random r, int i) {
+  private static JobSpec randomSpec(Random random, int i) {
     return JobSpecFixtures.batch(
         "run-" + i,
-        r.nextBoolean() ? "c" : "d",
+        random.nextBoolean() ? "c" : "d",
         "red",
-        Priority.values()[r.nextInt(4)],
-        1 + r.nextInt(9),
+        Priority.values()[random.nextInt(4)],
+        1 + random.nextInt(9),
         1,
         1,
-        1 + r.nextDouble() * 90,
-        r.nextInt(3) == 0 ? 0 : 10 + r.nextDouble() * 300);
+        1 + random.nextDouble() * 90,
+        random.nextInt(3) == 0 ? 0 : 10 + random.nextDouble() * 300);
   }
 
-  /** The formula for jobs that no pipeline touches, by what the user said and nothing else. */
-  private static OptionalDouble plainOpenSlackS(JobSpec s, double runS, long wallMs) {
+  /** The formula for jobs outside of pipelines, by the user's values alone. */
+  private static OptionalDouble referenceSlackS(JobSpec spec, double runS, long wallMs) {
     double waitedS = (wallMs - ACCEPTED) / 1000.0;
     List<Double> startBy = new ArrayList<>();
-    if (s.deadlineS().isPresent()) {
-      startBy.add(s.deadlineS().getAsDouble() - runS);
-      for (double times : s.jobClass().equals("c") ? List.of(1.5, 2.0) : List.<Double>of()) {
-        startBy.add(s.deadlineS().getAsDouble() * times - runS);
+    if (spec.deadlineS().isPresent()) {
+      startBy.add(spec.deadlineS().getAsDouble() - runS);
+      for (double times : spec.jobClass().equals("c") ? List.of(1.5, 2.0) : List.<Double>of()) {
+        startBy.add(spec.deadlineS().getAsDouble() * times - runS);
       }
     }
-    startBy.add(s.jobClass().equals("c") ? 70 : 300 - runS);
+    startBy.add(spec.jobClass().equals("c") ? 70 : 300 - runS);
     OptionalDouble first =
         startBy.stream()
             .filter(by -> by >= waitedS - 0.4 * runS - 2)
@@ -106,17 +106,17 @@
     if (first.isPresent()) {
       return OptionalDouble.of(first.getAsDouble() - waitedS);
     }
-    return s.deadlineS().isPresent() ? first : OptionalDouble.of(1e6 - waitedS - runS);
+    return spec.deadlineS().isPresent() ? first : OptionalDouble.of(1e6 - waitedS - runS);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void whatNoPipelineTouchesCountsAsItsUserSaid(long seed) {
-    Random r = new Random(seed);
+  void withoutTighterDependentsAJobsOwnValuesCount(long seed) {
+    Random random = new Random(seed);
     for (int i = 0; i < 200; i++) {
-      JobSpec spec = random(r, i);
+      JobSpec spec = randomSpec(random, i);
       Job job = job(spec);
-      if (r.nextBoolean()) {
+      if (random.nextBoolean()) {
         // In a pipeline whose other jobs ask for nothing more.
         OptionalLong own =
             spec.deadlineS().isPresent()
@@ -125,46 +125,48 @@
         job.inherit(Priority.BEST_EFFORT, own, own);
       }
       double runS = spec.expectedS();
-      long wall = ACCEPTED + r.nextInt(700_000);
+      long wall = ACCEPTED + random.nextInt(700_000);
       assertEquals(spec.priority(), job.priority());
       assertEquals(spec.deadlineS(), job.deadlineS());
       assertEquals(ACCEPTED, job.eligibleSinceWallMs());
       assertEquals(
           spec.deadlineS().orElse(1e6) - (wall - ACCEPTED) / 1000.0 - runS,
           jobOrder.slackS(job, wall));
-      assertEquals(plainOpenSlackS(spec, runS, wall), jobOrder.remainingSlackS(job, wall));
+      assertEquals(referenceSlackS(spec, runS, wall), jobOrder.remainingSlackS(job, wall));
       assertEquals(wall - ACCEPTED > 90_000, StarvationProtection.isStarving(job, wall));
     }
   }
 
   @Test
-  void dueTimesCountFromAcceptanceAndAllElseFromReadiness() {
+  void deadlinesCountFromAcceptanceAndAllElseFromReadiness() {
     Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
     job.markReady(ACCEPTED + 60_000);
-    ServiceLevelObjectives aims = new ServiceLevelObjectives(AIMS);
+    ServiceLevelObjectives objectives = new ServiceLevelObjectives(OBJECTIVES);
     assertEquals(OptionalDouble.of(40), job.deadlineS());
-    assertEquals(OptionalDouble.of(20), aims.startByS(job, 20, 0));
+    assertEquals(OptionalDouble.of(20), objectives.startByS(job, 20, 0));
     assertEquals(
-        OptionalDouble.of(70), aims.startByS(job, 20, 21), "a start counts from readiness");
-    assertEquals(OptionalDouble.of(120), aims.startByS(job, 20, 71), "twice the due time does not");
+        OptionalDouble.of(70), objectives.startByS(job, 20, 21), "a start counts from readiness");
+    assertEquals(
+        OptionalDouble.of(120), objectives.startByS(job, 20, 71), "twice the deadline does not");
     assertEquals(15, jobOrder.slackS(job, ACCEPTED + 65_000));
     assertTrue(
         !StarvationProtection.isStarving(job, ACCEPTED + 149_000),
-        "nobody ages while it waits for others");
+        "no job ages while it is blocked on dependencies");
     assertTrue(StarvationProtection.isStarving(job, ACCEPTED + 151_000));
   }
 
   @Test
-  void jobsThatNeedItMakeItPressMoreNeverLess() {
+  void dependentsRaiseAJobsPriorityAndNeverLowerIt() {
     Job job = job(JobSpecFixtures.batch("run-1", "d", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
     job.inherit(
         Priority.HIGH, OptionalLong.of(ACCEPTED + 60_000), OptionalLong.of(ACCEPTED + 90_000));
-    ServiceLevelObjectives aims = new ServiceLevelObjectives(List.of());
+    ServiceLevelObjectives objectives = new ServiceLevelObjectives(List.of());
     assertEquals(Priority.HIGH, job.priority());
     assertEquals(OptionalDouble.of(60), job.deadlineS());
-    assertEquals(OptionalDouble.of(40), aims.startByS(job, 20, 0));
-    assertEquals(OptionalDouble.of(70), aims.startByS(job, 20, 41), "their last multiple is next");
-    assertEquals(OptionalDouble.of(80), aims.startByS(job, 20, 71), "then its own due time");
+    assertEquals(OptionalDouble.of(40), objectives.startByS(job, 20, 0));
+    assertEquals(
+        OptionalDouble.of(70), objectives.startByS(job, 20, 41), "their last multiple is next");
+    assertEquals(OptionalDouble.of(80), objectives.startByS(job, 20, 71), "then its own deadline");
     job.inherit(Priority.BEST_EFFORT, OptionalLong.of(ACCEPTED + 160_000), OptionalLong.empty());
     assertEquals(Priority.NORMAL, job.priority());
     assertEquals(OptionalDouble.of(100), job.deadlineS());
@@ -172,7 +174,7 @@
   }
 
   @Test
-  void thePassedBackUrgencyAndDueTimeOrderTheWork() {
+  void inheritedPriorityAndDeadlineOrderTheJobs() {
     List<Job> waiting = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       JobSpec spec = JobSpecFixtures.batch("run-" + i, "e", "red", Priority.NORMAL, 2, 1, 1, 20, 0);
@@ -193,7 +195,7 @@
   }
 
   @Test
-  void whatIsOutThoughOthersAreNotDoneCountsAndNothingElseOfItStarts() {
+  void tasksOfAJobThatIsBlockedOnDependenciesAreNotSchedulable() {
     Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 0));
     job.blockOnDependencies();
     assertEquals(0, job.schedulableTasks(0));
--- /dev/null
+++ b/src/test/java/org/ploverspindle/placement/PreemptionTest.java
@@ -0,0 +1,136 @@
+package org.ploverspindle.placement;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
+import java.util.OptionalDouble;
+import java.util.Random;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.ploverspindle.JobSpecFixtures;
+import org.ploverspindle.NoOpHeartbeatListener;
+import org.ploverspindle.cluster.Heartbeat;
+import org.ploverspindle.cluster.HeartbeatHandler;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.MachineRegistry;
+import org.ploverspindle.cluster.Placement;
+import org.ploverspindle.cluster.TeamUsage;
+import org.ploverspindle.model.Catalogue;
+import org.ploverspindle.model.JobSpec;
+import org.ploverspindle.model.MachineType;
+import org.ploverspindle.model.Priority;
+import org.ploverspindle.model.Resources;
+import org.ploverspindle.model.SafetyTiming;
+import org.ploverspindle.model.Term;
+import org.ploverspindle.settings.Settings;
+
+class PreemptionTest {
+  private static final long NOW = 10_000;
+  private static final Term TERM = new Term(7, 1, 0);
+
+  private static Job job(String uid, Priority priority, int tasks, double runS, double deadlineS) {
+    JobSpec spec = JobSpecFixtures.batch(uid, "c", "red", priority, tasks, 4, 1, runS, deadlineS);
+    return new Job(spec, 0, 80, 0, new BitSet(), -1, 1);
+  }
+
+  private static final TeamUsage TEAMS =
+      new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
+
+  /** One empty machine of 16 cores that accepts the leader's token. */
+  private static MachineRegistry fleet() {
+    Catalogue catalogue = new Catalogue(List.of("a"));
+    catalogue.update(
+        List.of(
+            new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
+    MachineRegistry fleet =
+        new MachineRegistry(
+            catalogue, TEAMS, SafetyTiming.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
+    heartbeatHandler(fleet)
+        .handle(
+            new Heartbeat("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
+            NOW);
+    return fleet;
+  }
+
+  private static HeartbeatHandler heartbeatHandler(MachineRegistry fleet) {
+    return NoOpHeartbeatListener.reportHandler(fleet, TERM);
+  }
+
+  /** Fills the machine with four running tasks of the priority and asks for room for a HIGH job. */
+  private static int stoppedFor(Priority running, double expectedS, long ranMs) {
+    return stoppedFor(running, expectedS, ranMs, new ServiceLevelObjectives(List.of()));
+  }
+
+  private static int stoppedFor(
+      Priority running, double expectedS, long ranMs, ServiceLevelObjectives objectives) {
+    MachineRegistry fleet = fleet();
+    Machine machine = fleet.get("i-1").orElseThrow();
+    Job victim = job("run-1", running, 4, expectedS, 500);
+    victim.types().set(0);
+    List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
+    for (int task = 0; task < 4; task++) {
+      fleet.addPlacement(
+          new Placement(victim, task, task + 1, machine, 1, Placement.Phase.RECOVERED));
+      tasks.add(
+          new Heartbeat.TaskStatus(
+              "run-1", task, task + 1, Heartbeat.Phase.RUNNING, Heartbeat.ExitReason.NONE, false));
+    }
+    heartbeatHandler(fleet)
+        .handle(
+            new Heartbeat("i-1", "", "t", "a", true, 1, 2, 7, OptionalDouble.empty(), tasks), NOW);
+    Job high = job("run-2", Priority.HIGH, 2, 10, 60);
+    high.types().set(0);
+    return new Preemption(fleet, TEAMS, new RuntimeEstimates(), objectives, 1_000_000)
+        .run(List.of(high), NOW + ranMs);
+  }
+
+  @Test
+  void tasksOfLowerPriorityAreStoppedOneByOne() {
+    assertEquals(2, stoppedFor(Priority.NORMAL, 400, 60_000));
+  }
+
+  @Test
+  void tasksOfTheSamePriorityAreNotStopped() {
+    assertEquals(0, stoppedFor(Priority.HIGH, 400, 60_000));
+  }
+
+  @Test
+  void tasksThatJustStartedOrSoonEndAreNotStopped() {
+    ServiceLevelObjectives prompt =
+        new ServiceLevelObjectives(List.of(new Settings.Objective("wait", "c", 0.9, 1, 5)));
+    assertEquals(0, stoppedFor(Priority.NORMAL, 400, 10_000, prompt));
+    assertEquals(2, stoppedFor(Priority.NORMAL, 400, 10_000), "nobody waits for its start");
+    assertEquals(0, stoppedFor(Priority.NORMAL, 65, 60_000));
+  }
+
+  @ParameterizedTest
+  @CsvSource({"1,40", "2,40", "3,300", "4,300", "5,1700"})
+  void stopsTheSameTasksAsTheReference(long seed, int machines) {
+    Random random = new Random(seed);
+    RandomFleet fleet = new RandomFleet(random, machines);
+    List<Job> pending = new ArrayList<>();
+    for (int i = 100; i < 112; i++) {
+      Priority priority = Priority.values()[random.nextInt(4)];
+      pending.add(fleet.job(i, priority, 1 + random.nextInt(20)));
+    }
+    TreeSet<String> expected =
+        new ReferencePreemption(fleet).run(pending, Math.max(24, machines / 10));
+    ServiceLevelObjectives none = new ServiceLevelObjectives(List.of());
+    new Preemption(fleet.machines, fleet.teams, fleet.estimates, none, 60_000)
+        .run(pending, RandomFleet.NOW);
+    TreeSet<String> stopped = new TreeSet<>();
+    for (Machine machine : fleet.machines.all()) {
+      machine.placements().stream()
+          .filter(Placement::stopping)
+          .forEach(placement -> stopped.add(ReferencePreemption.name(placement)));
+    }
+    assertTrue(expected.size() >= 5, expected.size() + " are stopped");
+    assertEquals(expected, stopped);
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
@@ -0,0 +1,91 @@
+package org.ploverspindle.placement;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.MachineRegistry;
+import org.ploverspindle.model.Resources;
+
+/** Places each task on the best of all machines, one after the other. Team red has 60 cores. */
+final class ReferencePlacer {
+  private static final long RED_LIMIT = 60_000;
+
+  private final MachineRegistry fleet;
+  private final Map<Machine, Resources> free = new HashMap<>();
+  private final Map<Machine, Set<String>> images = new HashMap<>();
+  private long usedByRed;
+
+  ReferencePlacer(MachineRegistry fleet) {
+    this.fleet = fleet;
+    fleet.all().forEach(machine -> free.put(machine, machine.free()));
+  }
+
+  /** The host of each placed task. */
+  Map<String, String> place(List<Job> order) {
+    Map<String, String> hosts = new TreeMap<>();
+    for (Job job : order) {
+      Map<Integer, Integer> tasksInZone = new HashMap<>();
+      for (int task = 0; task < job.spec().tasks() && isWithinLimit(job); task++) {
+        Optional<Machine> best = best(job, tasksInZone);
+        if (best.isEmpty()) {
+          break;
+        }
+        place(job, best.get());
+        tasksInZone.merge(best.get().zone(), 1, Integer::sum);
+        hosts.put(job.uid() + "/" + task, best.get().host());
+      }
+    }
+    return hosts;
+  }
+
+  private static boolean isRed(Job job) {
+    return job.spec().team().equals("red");
+  }
+
+  private boolean isWithinLimit(Job job) {
+    return !isRed(job) || usedByRed + job.perTask().cores() <= RED_LIMIT;
+  }
+
+  private void place(Job job, Machine machine) {
+    free.merge(machine, job.perTask(), Resources::minus);
+    images.computeIfAbsent(machine, key -> new HashSet<>()).add(job.spec().image());
+    usedByRed += isRed(job) ? job.perTask().cores() : 0;
+  }
+
+  private Optional<Machine> best(Job job, Map<Integer, Integer> tasksInZone) {
+    Machine best = null;
+    double bestScore = Double.MAX_VALUE;
+    for (Machine machine : fleet.all()) {
+      if (allows(job, machine, tasksInZone) && score(job, machine) < bestScore) {
+        best = machine;
+        bestScore = score(job, machine);
+      }
+    }
+    return Optional.ofNullable(best);
+  }
+
+  private boolean allows(Job job, Machine machine, Map<Integer, Integer> tasksInZone) {
+    int here = tasksInZone.getOrDefault(machine.zone(), 0);
+    int all = tasksInZone.values().stream().mapToInt(Integer::intValue).sum();
+    return job.types().get(machine.type())
+        && (job.spec().spot() || !machine.spot())
+        && (job.zone() < 0 || job.zone() == machine.zone())
+        && (!job.spec().oneZone() || here == all)
+        && (!job.spec().spreadOverZones() || here < (job.spec().tasks() + 1) / 2)
+        && job.perTask().fitsIn(free.get(machine));
+  }
+
+  private double score(Job job, Machine machine) {
+    boolean hasImage = images.getOrDefault(machine, Set.of()).contains(job.spec().image());
+    double fetchCores = hasImage ? 0 : job.spec().imageGb() * 2;
+    boolean prefersOnDemand = job.spec().checkpointIntervalS() == 0 && job.spec().expectedS() > 20;
+    double otherKindCores = prefersOnDemand == machine.spot() ? 20 : 0;
+    return free.get(machine).cores() / 1000.0 + fetchCores + otherKindCores;
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ploverspindle/placement/ReferencePreemption.java
@@ -0,0 +1,120 @@
+package org.ploverspindle.placement;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+import org.ploverspindle.cluster.Job;
+import org.ploverspindle.cluster.Machine;
+import org.ploverspindle.cluster.Placement;
+import org.ploverspindle.model.Priority;
+import org.ploverspindle.model.Resources;
+
+/** Preemption task by task, with every machine searched anew for each: slow, and without caches. */
+final class ReferencePreemption {
+  private static final long NOW = RandomFleet.NOW;
+
+  private record Choice(Machine machine, List<Placement> victims, double lost) {}
+
+  private final RandomFleet fleet;
+  private final Map<Machine, Resources> free = new HashMap<>();
+  private final Map<Integer, Resources> promised = new HashMap<>();
+  private final TreeSet<String> stopped = new TreeSet<>();
+
+  ReferencePreemption(RandomFleet fleet) {
+    this.fleet = fleet;
+    fleet.machines.all().forEach(machine -> free.put(machine, machine.free()));
+  }
+
+  static String name(Placement placement) {
+    return placement.job().uid() + "/" + placement.task();
+  }
+
+  /** The tasks that are to be stopped for the pending jobs. */
+  TreeSet<String> run(List<Job> pending, int maxTasks) {
+    for (Job job : pending) {
+      boolean entitled =
+          job.spec().priority().compareTo(Priority.HIGH) <= 0
+              || fleet.teams.withinGuarantee(job.team(), job.perTask());
+      int tasks = job.pendingTasks().cardinality();
+      for (int i = 0; entitled && i < tasks && stopped.size() < maxTasks; i++) {
+        entitled = makeRoom(job);
+      }
+    }
+    return stopped;
+  }
+
+  /** Makes room for one task; false when no machine has any for it. */
+  private boolean makeRoom(Job job) {
+    Resources before = promised.getOrDefault(job.team(), Resources.NONE);
+    boolean within = fleet.teams.withinGuarantee(job.team(), before.plus(job.perTask()));
+    Choice best = null;
+    for (Machine machine : fleet.machines.all()) {
+      if (Placer.allows(job, machine)) {
+        Choice choice = choice(job, machine, within);
+        if (choice != null && (best == null || choice.lost() < best.lost())) {
+          best = choice;
+        }
+      }
+    }
+    if (best == null) {
+      return false;
+    }
+    promised.merge(job.team(), job.perTask(), Resources::plus);
+    for (Placement victim : best.victims()) {
+      stopped.add(name(victim));
+      free.merge(best.machine(), victim.job().perTask(), Resources::plus);
+    }
+    free.put(best.machine(), free.get(best.machine()).minus(job.perTask()));
+    return true;
+  }
+
+  private Choice choice(Job job, Machine machine, boolean within) {
+    List<Placement> candidates =
+        machine.placements().stream()
+            .filter(placement -> !stopped.contains(name(placement)))
+            .filter(placement -> mayStop(job, placement, within))
+            .sorted(
+                Comparator.comparingDouble(ReferencePreemption::lost)
+                    .thenComparingLong(Placement::attempt))
+            .toList();
+    Resources room = free.get(machine);
+    double lost = 0;
+    List<Placement> victims = new ArrayList<>();
+    for (Placement candidate : candidates) {
+      if (job.perTask().fitsIn(room)) {
+        break;
+      }
+      victims.add(candidate);
+      room = room.plus(candidate.job().perTask());
+      lost += lost(candidate);
+    }
+    return job.perTask().fitsIn(room) ? new Choice(machine, victims, lost) : null;
+  }
+
+  private static double ranS(Placement placement) {
+    return (NOW - placement.runningSinceMs()) / 1000.0;
+  }
+
+  private static double lost(Placement placement) {
+    Job job = placement.job();
+    return (job.spec().isCheckpointed() ? job.spec().checkpointCostS() : ranS(placement))
+        * job.perTask().cores()
+        / 1000.0;
+  }
+
+  private boolean mayStop(Job job, Placement placement, boolean within) {
+    Job other = placement.job();
+    boolean lower = other.spec().priority().compareTo(job.spec().priority()) > 0;
+    boolean borrowed =
+        within
+            && other.team() != job.team()
+            && !fleet.teams.withinGuarantee(other.team(), Resources.NONE);
+    double runS = other.spec().expectedS();
+    boolean justStarted =
+        ranS(placement) <= 30 && other.spec().priority().compareTo(Priority.HIGH) <= 0;
+    return (lower || borrowed) && !justStarted && (runS <= 0 || runS - ranS(placement) > 8);
+  }
+}
--- a/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
+++ b/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
@@ -22,7 +22,7 @@
 
 class ScaleOutPlannerTest {
   private static final long NOW = 1_000_000;
-  private static final List<ScaleOutPlanner.Candidate> OFFERS =
+  private static final List<ScaleOutPlanner.Candidate> CANDIDATES =
       List.of(
           new ScaleOutPlanner.Candidate(new MachineGroup(0, 0, true), 500, 0, false),
           new ScaleOutPlanner.Candidate(new MachineGroup(1, 0, true), 500, 0, false));
@@ -38,9 +38,10 @@
             new MachineType("large", Resources.offered(16, 0, 64), 40, 1, 1.2, 0.4, 30, zones)));
   }
 
-  private static Job job(double cores, int tasks, double runS, double dueS) {
+  private static Job job(double cores, int tasks, double runS, double deadlineS) {
     JobSpec spec =
-        JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, tasks, cores, 1, runS, dueS);
+        JobSpecFixtures.batch(
+            "run-1", "c", "red", Priority.NORMAL, tasks, cores, 1, runS, deadlineS);
     BitSet types = new BitSet();
     types.set(cores > 4 ? 1 : 0, 2);
     return new Job(spec, NOW, 80, 0, types, -1, 3);
@@ -55,21 +56,24 @@
     return new Machine("i-" + i, type, 0, true, catalogue.type(type).size(), NOW, 1);
   }
 
-  /** Cores that are asked for, by type, for the one job that waits. */
-  private double[] rented(Job job, List<Machine> machines, ServiceLevelObjectives aims) {
+  /** Requested cores, by type, for the one pending job. */
+  private double[] requested(Job job, List<Machine> machines, ServiceLevelObjectives objectives) {
     double[] cores = new double[2];
-    new ScaleOutPlanner(catalogue, teams, new RuntimeEstimates(), aims, 30)
-        .plan(onlyJob(job), new ScaleOutPlanner.Supply(machines, List.of(), OFFERS), NOW, NOW)
-        .forEach(w -> cores[w.group().type()] += w.count() * (w.group().type() == 0 ? 4 : 16));
+    new ScaleOutPlanner(catalogue, teams, new RuntimeEstimates(), objectives, 30)
+        .plan(onlyJob(job), new ScaleOutPlanner.Supply(machines, List.of(), CANDIDATES), NOW, NOW)
+        .forEach(
+            request ->
+                cores[request.group().type()] +=
+                    request.count() * (request.group().type() == 0 ? 4 : 16));
     return cores;
   }
 
   @Test
-  void coresOfMachinesThatATaskDoesNotFitAreNoHelpToIt() {
+  void coresOfMachinesThatATaskDoesNotFitDoNotCount() {
     ServiceLevelObjectives none = new ServiceLevelObjectives(List.of());
     List<Machine> small = IntStream.range(0, 200).mapToObj(i -> idle(i, 0)).toList();
-    double[] withSmall = rented(job(8, 40, 50, 400), small, none);
-    double[] alone = rented(job(8, 40, 50, 400), List.of(), none);
+    double[] withSmall = requested(job(8, 40, 50, 400), small, none);
+    double[] alone = requested(job(8, 40, 50, 400), List.of(), none);
     assertTrue(alone[1] >= 80, "40 tasks of 8 cores and 50 s within half of 400 s");
     assertEquals(alone[1], withSmall[1]);
     assertEquals(0, withSmall[0]);
@@ -78,25 +82,27 @@
   @Test
   void coresThatFitAreCounted() {
     List<Machine> large = IntStream.range(0, 40).mapToObj(i -> idle(i, 1)).toList();
-    assertEquals(0, rented(job(8, 40, 50, 400), large, new ServiceLevelObjectives(List.of()))[1]);
+    assertEquals(
+        0, requested(job(8, 40, 50, 400), large, new ServiceLevelObjectives(List.of()))[1]);
     List<Machine> small = IntStream.range(0, 200).mapToObj(i -> idle(i, 0)).toList();
-    assertEquals(0, rented(job(2, 40, 50, 400), small, new ServiceLevelObjectives(List.of()))[0]);
+    assertEquals(
+        0, requested(job(2, 40, 50, 400), small, new ServiceLevelObjectives(List.of()))[0]);
   }
 
   @Test
-  void aStartWithinATimeNeedsMoreThanALateDueTime() {
-    ServiceLevelObjectives aims =
+  void aStartObjectiveNeedsMoreThanALateDeadline() {
+    ServiceLevelObjectives objectives =
         new ServiceLevelObjectives(List.of(new Settings.Objective("wait", "c", 0.95, 1, 60)));
-    double patient =
-        rented(job(8, 100, 50, 900), List.of(), new ServiceLevelObjectives(List.of()))[1];
-    double prompt = rented(job(8, 100, 50, 900), List.of(), aims)[1];
-    assertTrue(prompt >= 3 * patient, prompt + " cores against " + patient);
+    double withoutObjective =
+        requested(job(8, 100, 50, 900), List.of(), new ServiceLevelObjectives(List.of()))[1];
+    double prompt = requested(job(8, 100, 50, 900), List.of(), objectives)[1];
+    assertTrue(prompt >= 3 * withoutObjective, prompt + " cores against " + withoutObjective);
   }
 
   @Test
   void machinesOfATypeAreSpreadOverItsZones() {
-    int[] rented = new int[3];
-    List<ScaleOutPlanner.Candidate> offers =
+    int[] requested = new int[3];
+    List<ScaleOutPlanner.Candidate> candidates =
         List.of(
             new ScaleOutPlanner.Candidate(new MachineGroup(1, 0, true), 450, 30, false),
             new ScaleOutPlanner.Candidate(new MachineGroup(1, 1, true), 450, 0, false),
@@ -104,32 +110,33 @@
     Job job = job(8, 100, 50, 60);
     new ScaleOutPlanner(
             catalogue, teams, new RuntimeEstimates(), new ServiceLevelObjectives(List.of()), 30)
-        .plan(onlyJob(job), new ScaleOutPlanner.Supply(List.of(), List.of(), offers), NOW, NOW)
-        .forEach(w -> rented[w.group().zone()] += w.count());
-    assertEquals(50, rented[0] + rented[1] + rented[2]);
-    assertEquals(4, rented[2], "a zone with little room is used up");
-    assertTrue(Math.abs(rented[0] + 30 - rented[1]) <= 1, rented[0] + " and " + rented[1]);
+        .plan(onlyJob(job), new ScaleOutPlanner.Supply(List.of(), List.of(), candidates), NOW, NOW)
+        .forEach(request -> requested[request.group().zone()] += request.count());
+    assertEquals(50, requested[0] + requested[1] + requested[2]);
+    assertEquals(4, requested[2], "a zone with little room is used up");
+    assertTrue(
+        Math.abs(requested[0] + 30 - requested[1]) <= 1, requested[0] + " and " + requested[1]);
   }
 
   @Test
-  void groupsWhoseMachinesComeLateAreRentedInOnlyWhereNoOtherHelps() {
+  void groupsThatBootLateAreUsedOnlyWhereNoOtherHelps() {
     Job job = job(2, 100, 50, 60);
-    List<ScaleOutPlanner.Candidate> offers =
+    List<ScaleOutPlanner.Candidate> candidates =
         List.of(
             new ScaleOutPlanner.Candidate(new MachineGroup(0, 0, true), 500, 0, true),
             new ScaleOutPlanner.Candidate(new MachineGroup(1, 0, true), 3, 0, false));
-    int[] rented = new int[2];
+    int[] requested = new int[2];
     new ScaleOutPlanner(
             catalogue, teams, new RuntimeEstimates(), new ServiceLevelObjectives(List.of()), 30)
-        .plan(onlyJob(job), new ScaleOutPlanner.Supply(List.of(), List.of(), offers), NOW, NOW)
-        .forEach(w -> rented[w.group().type()] += w.count());
-    assertEquals(3, rented[1], "all that come in time");
-    assertTrue(rented[0] >= 30, rented[0] + " of the others for the rest");
+        .plan(onlyJob(job), new ScaleOutPlanner.Supply(List.of(), List.of(), candidates), NOW, NOW)
+        .forEach(request -> requested[request.group().type()] += request.count());
+    assertEquals(3, requested[1], "all that boot in time");
+    assertTrue(requested[0] >= 30, requested[0] + " of the others for the rest");
   }
 
   @Test
-  void theNextAimThatCanStillBeMetSaysByWhenAJobStarts() {
-    ServiceLevelObjectives aims =
+  void theNextObjectiveThatCanBeMetSetsTheLatestStart() {
+    ServiceLevelObjectives objectives =
         new ServiceLevelObjectives(
             List.of(
                 new Settings.Objective("deadline", "c", 0.9, 2, 0),
@@ -137,12 +144,12 @@
                 new Settings.Objective("wait", "c", 0.9, 1, 1),
                 new Settings.Objective("finished", "c", 0.9, 1, 300)));
     Job job = job(1, 1, 20, 80);
-    assertEquals(OptionalDouble.of(60), aims.startByS(job, 20, 0));
-    assertEquals(OptionalDouble.of(70), aims.startByS(job, 20, 61));
-    assertEquals(OptionalDouble.of(140), aims.startByS(job, 20, 71));
-    assertEquals(OptionalDouble.of(280), aims.startByS(job, 20, 141));
-    assertEquals(OptionalDouble.empty(), aims.startByS(job, 20, 281));
-    assertTrue(aims.requiresPromptStart(job));
-    assertEquals(OptionalDouble.of(70), aims.lastStartS(job));
+    assertEquals(OptionalDouble.of(60), objectives.startByS(job, 20, 0));
+    assertEquals(OptionalDouble.of(70), objectives.startByS(job, 20, 61));
+    assertEquals(OptionalDouble.of(140), objectives.startByS(job, 20, 71));
+    assertEquals(OptionalDouble.of(280), objectives.startByS(job, 20, 141));
+    assertEquals(OptionalDouble.empty(), objectives.startByS(job, 20, 281));
+    assertTrue(objectives.requiresPromptStart(job));
+    assertEquals(OptionalDouble.of(70), objectives.lastStartS(job));
   }
 }
