--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -79,7 +79,7 @@
   }
 
   private UndertowHttpClient caller(ByteBufferPool buffers, String address, int connections) {
-    return new UndertowHttpClient(loop, worker.getIoThread(), buffers, address, connections);
+    return UndertowHttpClient.persistent(loop, worker.getIoThread(), buffers, address, connections);
   }
 
   private void heard(PeerMessage record) {
--- /dev/null
+++ b/src/main/java/org/ploverspindle/net/HttpCall.java
@@ -0,0 +1,181 @@
+package org.ploverspindle.net;
+
+import io.undertow.client.ClientCallback;
+import io.undertow.client.ClientConnection;
+import io.undertow.client.ClientExchange;
+import io.undertow.client.ClientRequest;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import io.undertow.util.Protocols;
+import java.io.IOException;
+import java.net.URI;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.ploverspindle.eventloop.EventPriority;
+import org.ploverspindle.eventloop.Scheduler;
+import org.xnio.XnioExecutor;
+import org.xnio.XnioIoThread;
+import org.xnio.channels.StreamSourceChannel;
+
+/**
+ * One request and its response, within a time limit. Has exactly one outcome, which is delivered on
+ * the event loop. For use on the I/O thread alone.
+ */
+final class HttpCall {
+  private static final String CONTENT_TYPE = "application/cbor";
+  private static final String CONNECTION_CLOSE = "close";
+
+  /**
+   * What is sent.
+   *
+   * @param target scheme, host and port
+   * @param body may be empty: then none is sent
+   */
+  record Request(URI target, String method, String path, byte[] body) {
+    boolean hasBody() {
+      return body.length > 0;
+    }
+
+    private ClientRequest toClientRequest() {
+      ClientRequest request =
+          new ClientRequest()
+              .setMethod(new HttpString(method))
+              .setPath(path)
+              .setProtocol(Protocols.HTTP_1_1);
+      request.getRequestHeaders().put(Headers.HOST, target.getAuthority());
+      if (hasBody()) {
+        request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
+        request.getRequestHeaders().put(Headers.CONTENT_TYPE, CONTENT_TYPE);
+      }
+      return request;
+    }
+  }
+
+  private final Scheduler scheduler;
+  private final XnioIoThread io;
+  private final ConnectionPool connections;
+  private final Request request;
+  private final Consumer<HttpResult> then;
+  private final ResponseBody responseBody = new ResponseBody();
+  private Optional<XnioExecutor.Key> timeout = Optional.empty();
+
+  /** Present once the request may have left this process. */
+  private Optional<ClientConnection> connection = Optional.empty();
+
+  private boolean finished;
+
+  HttpCall(
+      Scheduler scheduler,
+      XnioIoThread io,
+      ConnectionPool connections,
+      Request request,
+      Consumer<HttpResult> then) {
+    this.scheduler = scheduler;
+    this.io = io;
+    this.connections = connections;
+    this.request = request;
+    this.then = then;
+  }
+
+  /** Starts the time limit and waits for a connection. */
+  void submit(long timeoutMs) {
+    if (connections.isQueueFull()) {
+      finish(new HttpResult.NotSent("too many calls wait for " + request.target()));
+      return;
+    }
+    timeout = Optional.of(io.executeAfter(() -> fail("timeout"), timeoutMs, TimeUnit.MILLISECONDS));
+    connections.enqueue(this);
+  }
+
+  boolean isFinished() {
+    return finished;
+  }
+
+  /** Sends the request on this connection. */
+  void start(ClientConnection assigned) {
+    connection = Optional.of(assigned);
+    assigned.sendRequest(request.toClientRequest(), onSuccess(this::handleSent));
+  }
+
+  private ClientCallback<ClientExchange> onSuccess(Consumer<ClientExchange> next) {
+    return new ClientCallback<>() {
+      @Override
+      public void completed(ClientExchange exchange) {
+        next.accept(exchange);
+      }
+
+      @Override
+      public void failed(IOException cause) {
+        fail(cause);
+      }
+    };
+  }
+
+  private void handleSent(ClientExchange exchange) {
+    exchange.setResponseListener(onSuccess(this::handleResponse));
+    if (request.hasBody()) {
+      new RequestBodyWriter(request.body(), this::fail).writeTo(exchange.getRequestChannel());
+    }
+  }
+
+  private void handleResponse(ClientExchange exchange) {
+    StreamSourceChannel channel = exchange.getResponseChannel();
+    channel.getReadSetter().set(readable -> read(exchange, readable));
+    read(exchange, channel);
+  }
+
+  private void read(ClientExchange exchange, StreamSourceChannel channel) {
+    if (finished) {
+      return;
+    }
+    try {
+      switch (responseBody.readFrom(channel)) {
+        case INCOMPLETE -> channel.resumeReads();
+        case COMPLETE -> succeed(exchange);
+        case TOO_LARGE -> abandon(new HttpResult.TooLarge(ResponseBody.MAX_BYTES));
+      }
+    } catch (IOException e) {
+      fail(e);
+    }
+  }
+
+  private void succeed(ClientExchange exchange) {
+    int status = exchange.getResponse().getResponseCode();
+    String connectionHeader =
+        exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION);
+    finish(new HttpResult.Response(status, responseBody.toByteArray()));
+    connections.release(
+        connection.orElseThrow(), !CONNECTION_CLOSE.equalsIgnoreCase(connectionHeader));
+  }
+
+  /** Ends the call without a response, unless it has ended. */
+  void fail(IOException cause) {
+    fail("failed: " + cause.getMessage());
+  }
+
+  private void fail(String reason) {
+    if (finished) {
+      return;
+    }
+    connections.dequeue(this);
+    abandon(
+        connection.isPresent()
+            ? new HttpResult.NoResponse(reason)
+            : new HttpResult.NotSent(reason));
+  }
+
+  private void abandon(HttpResult result) {
+    finish(result);
+    connection.ifPresentOrElse(connections::discard, connections::releaseNone);
+  }
+
+  private void finish(HttpResult result) {
+    if (finished) {
+      return;
+    }
+    finished = true;
+    timeout.ifPresent(XnioExecutor.Key::remove);
+    scheduler.execute(EventPriority.DECISION, () -> then.accept(result));
+  }
+}
--- a/src/main/java/org/ploverspindle/net/HttpClient.java
+++ b/src/main/java/org/ploverspindle/net/HttpClient.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** Sends HTTP requests to one target. Outcomes are delivered on the decision loop. */
+/** Sends HTTP requests to one target. Outcomes are delivered on the event loop. */
 public interface HttpClient {
   /**
    * Sends one request.
--- a/src/main/java/org/ploverspindle/net/HttpResult.java
+++ b/src/main/java/org/ploverspindle/net/HttpResult.java
@@ -8,7 +8,7 @@
   /** No response: the request may have been executed, or may yet be executed later. */
   record NoResponse(String reason) implements HttpResult {}
 
-  /** The target answered with more than is read: asking again in the same way is no use. */
+  /** The response's body is larger than what is read: repeating the request is of no use. */
   record TooLarge(int maxBytes) implements HttpResult {}
 
   /** The request never left this process. */
