--- a/src/main/java/org/ploverspindle/eventloop/CancellableGroup.java
+++ b/src/main/java/org/ploverspindle/eventloop/CancellableGroup.java
@@ -5,18 +5,18 @@
 
 /** A group of cancellable work: cancelling it cancels all, the last added first. */
 public final class CancellableGroup implements Cancellable {
-  private final List<Cancellable> children = new ArrayList<>();
+  private final List<Cancellable> members = new ArrayList<>();
 
-  /** Adds work that ends with this scope. */
-  public void add(Cancellable child) {
-    children.add(child);
+  /** Adds work that is cancelled with this group. */
+  public void add(Cancellable member) {
+    members.add(member);
   }
 
   @Override
   public void cancel() {
-    for (int i = children.size() - 1; i >= 0; i--) {
-      children.get(i).cancel();
+    for (int i = members.size() - 1; i >= 0; i--) {
+      members.get(i).cancel();
     }
-    children.clear();
+    members.clear();
   }
 }
--- a/src/main/java/org/ploverspindle/eventloop/EventLoop.java
+++ b/src/main/java/org/ploverspindle/eventloop/EventLoop.java
@@ -12,13 +12,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The scheduler of a running service: one thread that takes reports first, then due timers, then
- * the other ranks of work in their order.
+ * The scheduler of a running service: one thread that runs heartbeats first, then due timers, then
+ * the other priorities of work in their order.
+ *
+ * <p>Work that throws is logged, and the loop goes on. Work that is still waiting when the loop is
+ * closed is not run.
  */
 public final class EventLoop implements Scheduler, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
   private static final long NANOS_PER_MS = 1_000_000;
 
+  /**
+   * @param order of two timers that are due at the same time, the one that was scheduled first runs
+   *     first
+   */
   private record Timer(long dueMs, long order, Runnable work) implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
@@ -29,17 +36,17 @@
   }
 
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition wake = lock.newCondition();
+  private final Condition changed = lock.newCondition();
   private final Map<EventPriority, Queue<Runnable>> queues = new EnumMap<>(EventPriority.class);
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final Thread thread;
-  private long order;
+  private long nextTimerOrder;
   private boolean closed;
   private boolean waiting;
 
   public EventLoop() {
-    for (EventPriority rank : EventPriority.values()) {
-      queues.put(rank, new ArrayDeque<>());
+    for (EventPriority priority : EventPriority.values()) {
+      queues.put(priority, new ArrayDeque<>());
     }
     thread = new Thread(this::run, "decisions");
   }
@@ -59,21 +66,21 @@
     return System.currentTimeMillis();
   }
 
-  /** How many units of work of this rank are waiting. The user API refuses submissions by it. */
-  public int backlog(EventPriority rank) {
+  /** How much work of this priority is waiting. The user API sheds load by it. */
+  public int backlog(EventPriority priority) {
     lock.lock();
     try {
-      return queues.get(rank).size();
+      return queues.get(priority).size();
     } finally {
       lock.unlock();
     }
   }
 
   @Override
-  public void execute(EventPriority rank, Runnable work) {
+  public void execute(EventPriority priority, Runnable work) {
     lock.lock();
     try {
-      queues.get(rank).add(work);
+      queues.get(priority).add(work);
       wakeUp();
     } finally {
       lock.unlock();
@@ -84,7 +91,7 @@
   public Cancellable schedule(long delayMs, Runnable work) {
     lock.lock();
     try {
-      Timer timer = new Timer(nowMs() + Math.max(0, delayMs), order++, work);
+      Timer timer = new Timer(nowMs() + Math.max(0, delayMs), nextTimerOrder++, work);
       timers.add(timer);
       wakeUp();
       return () -> remove(timer);
@@ -104,57 +111,60 @@
 
   private void wakeUp() {
     if (waiting) {
-      wake.signal();
+      changed.signal();
     }
   }
 
   private void run() {
-    while (true) {
-      Runnable next = take();
-      if (next == null) {
-        return;
-      }
+    for (Runnable work = awaitNext(); work != null; work = awaitNext()) {
       try {
-        next.run();
+        work.run();
       } catch (RuntimeException e) {
-        LOG.error("work failed on the decision loop", e);
+        LOG.error("work failed on the event loop", e);
       }
     }
   }
 
-  private Runnable take() {
+  /** The next work to run; null once the loop is closed. */
+  private Runnable awaitNext() {
     lock.lock();
     try {
       while (!closed) {
-        Runnable next = poll();
+        Runnable next = pollNext();
         if (next != null) {
           return next;
         }
-        waiting = true;
-        try {
-          Timer first = timers.peek();
-          if (first == null) {
-            wake.await();
-          } else {
-            wake.await(Math.max(1, first.dueMs() - nowMs()), TimeUnit.MILLISECONDS);
-          }
-        } catch (InterruptedException e) {
-          Thread.currentThread().interrupt();
-          return null;
-        } finally {
-          waiting = false;
-        }
+        awaitChange();
       }
       return null;
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      return null;
     } finally {
       lock.unlock();
     }
   }
 
-  private Runnable poll() {
-    Runnable report = queues.get(EventPriority.HEARTBEAT).poll();
-    if (report != null) {
-      return report;
+  /** Waits until work is added, a timer is due or the loop is closed. */
+  private void awaitChange() throws InterruptedException {
+    waiting = true;
+    try {
+      Timer first = timers.peek();
+      if (first == null) {
+        changed.await();
+      } else {
+        changed.await(Math.max(1, first.dueMs() - nowMs()), TimeUnit.MILLISECONDS);
+      }
+    } finally {
+      waiting = false;
+    }
+  }
+
+  /** The work of the highest priority that can run now; null if there is none. */
+  private Runnable pollNext() {
+    Runnable heartbeat = queues.get(EventPriority.HEARTBEAT).poll();
+    if (heartbeat != null) {
+      return heartbeat;
     }
     Timer first = timers.peek();
     if (first != null && first.dueMs() <= nowMs()) {
@@ -168,12 +178,13 @@
     return submission != null ? submission : queues.get(EventPriority.QUERY).poll();
   }
 
+  /** Ends the thread after the work that is running. */
   @Override
   public void close() {
     lock.lock();
     try {
       closed = true;
-      wake.signal();
+      changed.signal();
     } finally {
       lock.unlock();
     }
--- a/src/main/java/org/ploverspindle/eventloop/EventPriority.java
+++ b/src/main/java/org/ploverspindle/eventloop/EventPriority.java
@@ -1,10 +1,10 @@
 package org.ploverspindle.eventloop;
 
-/** Priority classes of waiting work, the first one first. */
+/** Priorities of waiting work, the highest first. */
 public enum EventPriority {
-  /** Workers' reports. A late response lets leases expire, which ends running tasks. */
+  /** Workers' heartbeats. A late response lets leases expire, which ends running tasks. */
   HEARTBEAT,
-  /** Decisions, timers, and responses of the state service, the cloud and workers. */
+  /** Decisions, and responses of the state service, the cloud and workers. */
   DECISION,
   /** Users' submissions and cancellations. */
   SUBMISSION,
--- a/src/main/java/org/ploverspindle/eventloop/PeriodicTask.java
+++ b/src/main/java/org/ploverspindle/eventloop/PeriodicTask.java
@@ -13,6 +13,7 @@
     this.work = work;
   }
 
+  /** Schedules the first run, a period from now. */
   PeriodicTask start() {
     scheduler.schedule(periodMs, this::run);
     return this;
@@ -25,7 +26,7 @@
     try {
       work.run();
     } finally {
-      // Rescheduled also when a run failed: one unreadable record must not end the work for good.
+      // Also after a run that threw: one unreadable record must not end the periodic work.
       if (!cancelled) {
         scheduler.schedule(periodMs, this::run);
       }
--- a/src/main/java/org/ploverspindle/eventloop/RetryDelay.java
+++ b/src/main/java/org/ploverspindle/eventloop/RetryDelay.java
@@ -2,14 +2,14 @@
 
 import java.util.random.RandomGenerator;
 
-/** How long to wait before a request is repeated: a least time and a random part beyond it. */
+/** How long to wait before a request is repeated: a least delay plus a random jitter. */
 public final class RetryDelay {
   private final RandomGenerator random;
   private final int leastMs;
   private final int jitterMs;
 
   /**
-   * @param jitterMs bound of the random part, above 0, so that repeats do not come all at once
+   * @param jitterMs exclusive bound of the jitter, above 0, so that repeats do not come all at once
    */
   public RetryDelay(RandomGenerator random, int leastMs, int jitterMs) {
     this.random = random;
@@ -17,7 +17,7 @@
     this.jitterMs = jitterMs;
   }
 
-  /** The next delay in milliseconds. */
+  /** The next delay in milliseconds; draws one random number. */
   public long nextMs() {
     return leastMs + random.nextInt(jitterMs);
   }
--- a/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
+++ b/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
@@ -4,57 +4,64 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** How long the decision loop was busy with each duty, for people who ask what a node does. */
+/** How long the event loop was busy with each kind of task, for operators. */
 public final class TaskTimings {
-  private static final class Sum {
-    private long nanos;
-    private long most;
+  private static final long NANOS_PER_MS = 1_000_000;
+
+  private static final class Timing {
+    private long totalNanos;
+    private long longestNanos;
     private long runs;
   }
 
-  private final Map<String, Sum> sums = new TreeMap<>();
+  /** By the task's name. */
+  private final Map<String, Timing> timings = new TreeMap<>();
 
-  public void run(String duty, Runnable work) {
-    long from = System.nanoTime();
+  /** Runs the work and records its time under the task's name, also if it throws. */
+  public void run(String task, Runnable work) {
+    long startNanos = System.nanoTime();
     try {
       work.run();
     } finally {
-      add(duty, System.nanoTime() - from);
+      record(task, System.nanoTime() - startNanos);
     }
   }
 
   /** The same for work with a result. */
-  public <T> T call(String duty, Supplier<T> work) {
-    long from = System.nanoTime();
+  public <T> T call(String task, Supplier<T> work) {
+    long startNanos = System.nanoTime();
     try {
       return work.get();
     } finally {
-      add(duty, System.nanoTime() - from);
+      record(task, System.nanoTime() - startNanos);
     }
   }
 
-  private void add(String duty, long took) {
-    Sum sum = sums.computeIfAbsent(duty, d -> new Sum());
-    sum.nanos += took;
-    sum.most = Math.max(sum.most, took);
-    sum.runs++;
+  private void record(String task, long nanos) {
+    Timing timing = timings.computeIfAbsent(task, name -> new Timing());
+    timing.totalNanos += nanos;
+    timing.longestNanos = Math.max(timing.longestNanos, nanos);
+    timing.runs++;
   }
 
-  /** Since the last call: each duty's milliseconds, its longest run, and how often it ran. */
+  /**
+   * What was recorded since the last call, in one line: for each task its total milliseconds, its
+   * runs, and the milliseconds of its longest run.
+   */
   public String take() {
-    StringBuilder text = new StringBuilder();
-    sums.forEach(
-        (duty, sum) ->
-            text.append(text.isEmpty() ? "" : ", ")
-                .append(duty)
+    StringBuilder line = new StringBuilder();
+    timings.forEach(
+        (task, timing) ->
+            line.append(line.isEmpty() ? "" : ", ")
+                .append(task)
                 .append(' ')
-                .append(sum.nanos / 1_000_000)
+                .append(timing.totalNanos / NANOS_PER_MS)
                 .append(" ms in ")
-                .append(sum.runs)
+                .append(timing.runs)
                 .append(" (longest ")
-                .append(sum.most / 1_000_000)
+                .append(timing.longestNanos / NANOS_PER_MS)
                 .append(')'));
-    sums.clear();
-    return text.toString();
+    timings.clear();
+    return line.toString();
   }
 }
