--- a/src/main/java/org/ploverspindle/cli/CheckCommand.java
+++ b/src/main/java/org/ploverspindle/cli/CheckCommand.java
@@ -65,7 +65,7 @@
           .printf(
               Locale.ROOT,
               "fleet: up to %d machines, by sockets, memory and processor share%n",
-              FleetRequirements.mostMachines(settings));
+              FleetRequirements.maxMachines(settings));
       return 0;
     } catch (InvalidSettingsException e) {
       problems.addAll(e.problems());
--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -60,7 +60,7 @@
             worker,
             settings.front(),
             ConnectionLimits.of(
-                settings.quota().maxConnections(), sockets.own(), settings.workers().reportS()),
+                settings.quota().maxConnections(), sockets.total(), settings.workers().reportS()),
             controller,
             controller::ready);
   }
--- a/src/main/java/org/ploverspindle/settings/Address.java
+++ b/src/main/java/org/ploverspindle/settings/Address.java
@@ -1,6 +1,10 @@
 package org.ploverspindle.settings;
 
-/** An IP number and a port, such as {@code 10.0.0.1:8080}. */
+/**
+ * A network address, such as {@code 10.0.0.1:8080}.
+ *
+ * @param host an IP number
+ */
 public record Address(String host, int port) {
   @Override
   public String toString() {
--- a/src/main/java/org/ploverspindle/settings/FleetRequirements.java
+++ b/src/main/java/org/ploverspindle/settings/FleetRequirements.java
@@ -5,47 +5,47 @@
 import java.util.Locale;
 
 /**
- * What a controller needs to lead a fleet of a given size, beside what its settings give it.
+ * What a controller needs to lead a fleet of a given size.
  *
  * <p>Sockets are counted: each machine keeps a connection to the leader, and some have a second one
- * for a while after a cut. Memory and processor time are rules of thumb, from measurements that
+ * for a while after a network cut. Memory and processor time are estimates, from measurements that
  * docs/operations.md names.
  *
- * @param sockets connections in all, those that the controller opens included
- * @param ramMb memory of the process
+ * @param sockets all connections, including those that the controller opens
+ * @param ramMb memory of the process in MB
  * @param cores mean share of a core while it leads
- * @param reportsPerS reports that come when nothing changes
+ * @param heartbeatsPerS heartbeats that arrive when nothing changes
  */
 public record FleetRequirements(
-    int machines, int sockets, double ramMb, double cores, double reportsPerS) {
-  /** Half-open connections of machines that were cut off, one for so many machines. */
+    int machines, int sockets, double ramMb, double cores, double heartbeatsPerS) {
+  /** Machines for each half-open connection that a network cut left behind. */
   private static final int MACHINES_PER_HALF_OPEN = 8;
 
   /** Users, health checks and the load balancer. */
   private static final int USER_SOCKETS = 32;
 
-  /** Above any fleet that is looked for. */
+  /** Upper end of the search; above any fleet. */
   private static final int LARGEST_FLEET = 10_000_000;
 
   private static final double BASE_RAM_MB = 50;
   private static final double RAM_MB_PER_MACHINE = 0.021;
   private static final double BASE_CORES = 0.01;
-  private static final double CORES_PER_REPORT_PER_S = 0.0003;
+  private static final double CORES_PER_HEARTBEAT_PER_S = 0.0003;
 
   /** What a fleet of this size needs under these settings. */
   public static FleetRequirements of(Settings settings, int machines) {
-    double reportsPerS = machines / settings.workers().reportS();
+    double heartbeatsPerS = machines / settings.workers().reportS();
     return new FleetRequirements(
         machines,
         SocketBudget.neededFor(
             settings, machines + machines / MACHINES_PER_HALF_OPEN + USER_SOCKETS),
         BASE_RAM_MB + RAM_MB_PER_MACHINE * machines,
-        BASE_CORES + CORES_PER_REPORT_PER_S * reportsPerS,
-        reportsPerS);
+        BASE_CORES + CORES_PER_HEARTBEAT_PER_S * heartbeatsPerS,
+        heartbeatsPerS);
   }
 
-  /** The largest fleet that the settings' sockets, memory and processor share carry. */
-  public static int mostMachines(Settings settings) {
+  /** The largest fleet that the settings' sockets, memory and processor share can carry. */
+  public static int maxMachines(Settings settings) {
     int low = 0;
     int high = LARGEST_FLEET;
     while (low < high) {
--- a/src/main/java/org/ploverspindle/settings/InvalidSettingsException.java
+++ b/src/main/java/org/ploverspindle/settings/InvalidSettingsException.java
@@ -14,6 +14,7 @@
     this.problems = List.copyOf(problems);
   }
 
+  /** All problems, in the order of the check. */
   public List<SettingsProblem> problems() {
     return problems;
   }
--- a/src/main/java/org/ploverspindle/settings/LimitChecks.java
+++ b/src/main/java/org/ploverspindle/settings/LimitChecks.java
@@ -6,23 +6,23 @@
 import java.util.Optional;
 
 /**
- * Limits that are valid and too small for the deployment's size. The service starts with them and
- * keeps the rules; what its users will see is said beforehand.
+ * Limits that are valid but too small for the deployment's size. The service starts with them and
+ * keeps the rules; the operator is warned of what users will notice.
  */
 public final class LimitChecks {
-  /** A leader's renewals, its own looks for news, and as many writes, at the least. */
+  /** Least requests a second of a leader: its renewals, its reads, and as many writes. */
   private static final double LEADER_RPS = 8;
 
-  /** A follower looks for news this often when nobody asks it anything. */
+  /** Requests a second of a follower that nobody asks anything. */
   private static final double FOLLOWER_RPS = 1.5;
 
   private static final double LEAST_WRITE_RPS = 4;
   private static final int LEAST_VALUE_BYTES = 1_500;
 
-  /** Below this a wait is not told any longer. */
-  private static final double LEAST_RATE = 0.01;
+  /** Lower rates are reported as this one. */
+  private static final double LEAST_REPORTED_RATE = 0.01;
 
-  /** What remains of the time to cancel for orders and clock drift; see leadership.Timing. */
+  /** Part of the time to cancel that commands and clock drift take; see model.SafetyTiming. */
   private static final double CANCEL_MARGIN_S = 2.5;
 
   private LimitChecks() {}
@@ -36,61 +36,72 @@
   }
 
   /** All limits that are too small, with what follows from each. */
-  public static List<Warning> warnings(Settings s) {
+  public static List<Warning> warnings(Settings settings) {
     List<Warning> warnings = new ArrayList<>();
-    Settings.StateLimits state = s.writeLimits();
-    double needed = LEADER_RPS + FOLLOWER_RPS * (s.nodes() - 1);
-    if (state.rps() < needed) {
-      warnings.add(
-          new Warning(
-              field("rps", s.stateLimits().rps(), state.rps()),
-              text(
-                  "%.1f requests a second are fewer than the %.1f that %d controllers need with"
-                      + " nothing to do: answers will be late and the lead may change hands",
-                  state.rps(), needed, s.nodes())));
-    }
-    if (state.writeRps() < LEAST_WRITE_RPS) {
-      warnings.add(
-          new Warning(
-              field("write_rps", s.stateLimits().writeRps(), state.writeRps()),
-              text(
-                  "%.1f changes a second: each start waits for its record for up to %.1f s",
-                  state.writeRps(), 2 / Math.max(LEAST_RATE, state.writeRps()))));
-    }
-    if (state.valueBytes() < LEAST_VALUE_BYTES) {
-      warnings.add(
-          new Warning(
-              field("value_kb", s.stateLimits().valueKb(), state.valueKb()),
-              text(
-                  "%d bytes hold no record for certain: jobs with longer descriptions are refused"
-                      + " with 422, and tasks may not start",
-                  state.valueBytes())));
-    }
-    graceWarning(s).ifPresent(warnings::add);
+    requestsWarning(settings).ifPresent(warnings::add);
+    writesWarning(settings).ifPresent(warnings::add);
+    valueWarning(settings).ifPresent(warnings::add);
+    graceWarning(settings).ifPresent(warnings::add);
     return warnings;
   }
 
-  /** A leader that lacks the state service answers reports for this long; see leadership.Timing. */
-  private static Optional<Warning> graceWarning(Settings s) {
-    double answerS = s.workers().cancelS() - CANCEL_MARGIN_S - s.workers().leaseS();
-    if (answerS >= s.workers().leaseS()) {
-      return Optional.empty();
-    }
-    return Optional.of(
-        new Warning(
-            "params.workers.cancel_s",
-            text(
-                "only %.1f s above the lease: a state service that is away for longer costs the"
-                    + " running tasks",
-                Math.max(0, answerS))));
+  private static Optional<Warning> requestsWarning(Settings settings) {
+    double rps = settings.writeLimits().rps();
+    double needed = LEADER_RPS + FOLLOWER_RPS * (settings.nodes() - 1);
+    return warningIf(
+        rps < needed,
+        stateField("rps", settings.stateLimits().rps(), rps),
+        "%.1f requests a second are fewer than the %.1f that %d controllers need with"
+            + " nothing to do: answers will be late and the lead may change hands",
+        rps,
+        needed,
+        settings.nodes());
   }
 
-  /** The place of the limit that is the smaller one. */
-  private static String field(String name, double now, double lowest) {
-    return (lowest < now ? "params.state.next." : "params.state.") + name;
+  private static Optional<Warning> writesWarning(Settings settings) {
+    double writeRps = settings.writeLimits().writeRps();
+    return warningIf(
+        writeRps < LEAST_WRITE_RPS,
+        stateField("write_rps", settings.stateLimits().writeRps(), writeRps),
+        "%.1f changes a second: each start waits for its record for up to %.1f s",
+        writeRps,
+        2 / Math.max(LEAST_REPORTED_RATE, writeRps));
+  }
+
+  private static Optional<Warning> valueWarning(Settings settings) {
+    Settings.StateLimits limits = settings.writeLimits();
+    return warningIf(
+        limits.valueBytes() < LEAST_VALUE_BYTES,
+        stateField("value_kb", settings.stateLimits().valueKb(), limits.valueKb()),
+        "%d bytes hold no record for certain: jobs with longer descriptions are refused"
+            + " with 422, and tasks may not start",
+        limits.valueBytes());
+  }
+
+  /**
+   * For how long a leader without the state service may respond to heartbeats; see
+   * model.SafetyTiming.
+   */
+  private static Optional<Warning> graceWarning(Settings settings) {
+    Settings.WorkerLimits workers = settings.workers();
+    double graceS = workers.cancelS() - CANCEL_MARGIN_S - workers.leaseS();
+    return warningIf(
+        graceS < workers.leaseS(),
+        "params.workers.cancel_s",
+        "only %.1f s above the lease: a state service that is away for longer costs the"
+            + " running tasks",
+        Math.max(0, graceS));
   }
 
-  private static String text(String format, Object... values) {
-    return String.format(Locale.ROOT, format, values);
+  private static Optional<Warning> warningIf(
+      boolean tooSmall, String field, String consequence, Object... values) {
+    return tooSmall
+        ? Optional.of(new Warning(field, String.format(Locale.ROOT, consequence, values)))
+        : Optional.empty();
+  }
+
+  /** The field that has the smaller one of two limits. */
+  private static String stateField(String name, double now, double lowest) {
+    return (lowest < now ? "params.state.next." : "params.state.") + name;
   }
 }
--- a/src/main/java/org/ploverspindle/settings/Settings.java
+++ b/src/main/java/org/ploverspindle/settings/Settings.java
@@ -6,10 +6,14 @@
 /**
  * The platform's settings of this controller, checked when they are read; see {@link SettingsFile}.
  *
- * @param front where users and workers connect
- * @param back where the other controllers connect
+ * @param member this controller's name
+ * @param location where it runs
+ * @param front address where users and workers connect
+ * @param back address where the other controllers connect
  * @param members the other controllers
- * @param skewMs by how much times of day may differ between machines
+ * @param cloud address of the cloud's API
+ * @param state address of the state service
+ * @param skewMs upper bound of the difference between the wall clocks of two machines
  */
 public record Settings(
     String member,
@@ -33,16 +37,33 @@
   /** Another controller. */
   public record Member(String name, String location, Address address) {}
 
-  /** A team's guarantee and limit; an amount of 0 means none. */
+  /**
+   * A team's guarantee and limit; an amount of 0 means none.
+   *
+   * @param cores guaranteed cores
+   * @param coresMax limit of cores
+   * @param accelerators guaranteed accelerators
+   * @param acceleratorsMax limit of accelerators
+   */
   public record Team(
       String name, double cores, double coresMax, double accelerators, double acceleratorsMax) {}
 
-  /** A service level objective. It affects the order of work and promises nothing. */
+  /**
+   * A service level objective. It affects the order of placement and is not guaranteed.
+   *
+   * @param kind {@code deadline}, {@code wait} or {@code finished}; others are ignored
+   * @param jobClass the job class that it is for
+   * @param share share of the class's jobs that is to meet it
+   * @param times of a {@code deadline}: multiple of a job's own deadline
+   * @param withinS of the others: seconds within which a job is to start or be done
+   */
   public record Objective(
       String kind, String jobClass, double share, double times, double withinS) {}
 
   /**
-   * @param reportS how often a worker reports
+   * Limits of the workers, in seconds.
+   *
+   * @param reportS interval of a worker's heartbeats
    * @param leaseS after how long without a response a worker stops all its tasks
    * @param cancelS within which time a cancelled job must be gone
    */
@@ -51,8 +72,12 @@
   /**
    * Limits of the state service.
    *
-   * @param next what the service will allow from some moment on that nobody is told; a limit that
-   *     it does not name stays as it is
+   * @param rps requests a second
+   * @param writeRps changes a second
+   * @param valueKb size of a value in KiB
+   * @param txnOps changes of a transaction
+   * @param next lower limits that the service will have from some unannounced time on; a limit that
+   *     is not named there stays as it is
    */
   public record StateLimits(
       double rps, double writeRps, double valueKb, int txnOps, Optional<StateLimits> next) {
@@ -65,15 +90,15 @@
       return (int) (valueKb * BYTES_PER_KB);
     }
 
-    /** What holds before and after the moment: the smaller of both, limit by limit. */
+    /** Limits that hold now as well as later: the smaller of both, one by one. */
     public StateLimits lowest() {
       return next.map(
-              n ->
+              later ->
                   new StateLimits(
-                      Math.min(rps, n.rps),
-                      Math.min(writeRps, n.writeRps),
-                      Math.min(valueKb, n.valueKb),
-                      Math.min(txnOps, n.txnOps)))
+                      Math.min(rps, later.rps),
+                      Math.min(writeRps, later.writeRps),
+                      Math.min(valueKb, later.valueKb),
+                      Math.min(txnOps, later.txnOps)))
           .orElse(this);
     }
   }
@@ -81,7 +106,8 @@
   /**
    * Limits of the cloud.
    *
-   * @param listLagS by how much its list of machines may be out of date
+   * @param rps requests a second
+   * @param listLagS by how many seconds its list of machines may be out of date
    */
   public record CloudLimits(double rps, double listLagS) {}
 
@@ -89,8 +115,8 @@
   public record Quota(double cores, double ramMb, int maxConnections) {}
 
   /**
-   * What every write and every rate keeps to from the start on, as the moment when the lower limits
-   * come is not told.
+   * The limits that every write and every rate keeps to from the start, as the time from which the
+   * lower ones hold is not announced.
    */
   public StateLimits writeLimits() {
     return stateLimits.lowest();
@@ -98,7 +124,7 @@
 
   /** The team of that name, if it is known. */
   public Optional<Team> team(String name) {
-    return teams.stream().filter(t -> t.name().equals(name)).findFirst();
+    return teams.stream().filter(team -> team.name().equals(name)).findFirst();
   }
 
   /** How many controllers there are, this one included. */
--- /dev/null
+++ b/src/main/java/org/ploverspindle/settings/SettingsProblems.java
@@ -0,0 +1,81 @@
+package org.ploverspindle.settings;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.regex.Pattern;
+
+/** Collects the problems of a settings file, each with the line that it is most likely about. */
+final class SettingsProblems {
+  private final String file;
+  private final List<String> lines;
+  private final List<SettingsProblem> problems = new ArrayList<>();
+
+  SettingsProblems(String file, String text) {
+    this.file = file;
+    this.lines = text.lines().toList();
+  }
+
+  boolean isEmpty() {
+    return problems.isEmpty();
+  }
+
+  /** In the order in which they were reported. */
+  List<SettingsProblem> list() {
+    return Collections.unmodifiableList(problems);
+  }
+
+  /**
+   * @param field the field's name with those of the tables around it
+   */
+  void report(String field, String message) {
+    problems.add(new SettingsProblem(file, line(field), field, message));
+  }
+
+  /** The first line that sets the field below its table's header; else the line of the table. */
+  private int line(String field) {
+    String table = parent(field);
+    Pattern header = Pattern.compile("\\s*\\[\\[?\\s*" + Pattern.quote(table) + "\\s*]]?.*");
+    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(last(field)) + "\\s*=.*");
+    int headerLine = 0;
+    boolean inTable = table.isEmpty();
+    for (int i = 0; i < lines.size(); i++) {
+      String line = lines.get(i);
+      if (line.stripLeading().startsWith("[")) {
+        inTable = header.matcher(line).matches();
+        headerLine = inTable && headerLine == 0 ? i + 1 : headerLine;
+      } else if (inTable && assignment.matcher(line).matches()) {
+        return i + 1;
+      }
+    }
+    return headerLine == 0 ? inlineLine(table) : headerLine;
+  }
+
+  /** The line that sets a table without a header of its own, inline or by dotted keys; else 0. */
+  private int inlineLine(String table) {
+    if (table.isEmpty()) {
+      return 0;
+    }
+    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(last(table)) + "\\s*[.=].*");
+    String parent = parent(table);
+    String current = "";
+    for (int i = 0; i < lines.size(); i++) {
+      String line = lines.get(i).strip();
+      if (line.startsWith("[")) {
+        current = line.replaceAll("[\\[\\]\\s]|#.*", "");
+      } else if (current.equals(parent) && assignment.matcher(line).matches()) {
+        return i + 1;
+      }
+    }
+    return 0;
+  }
+
+  /** The table that a field is in; empty at the top of the file. */
+  private static String parent(String field) {
+    return field.contains(".") ? field.substring(0, field.lastIndexOf('.')) : "";
+  }
+
+  private static String last(String field) {
+    return field.substring(field.lastIndexOf('.') + 1);
+  }
+}
--- a/src/main/java/org/ploverspindle/settings/SocketBudget.java
+++ b/src/main/java/org/ploverspindle/settings/SocketBudget.java
@@ -1,11 +1,11 @@
 package org.ploverspindle.settings;
 
 /**
- * The sockets that a controller opens or keeps for itself; all others are for machines and users.
+ * The sockets that a controller opens or keeps for itself; all others are for workers and users.
  *
  * @param state connections to the state service
  * @param cloud connections to the cloud
- * @param directCommands connections to machines, one for each direct command under way
+ * @param directCommands connections to workers, one for each direct command in flight
  * @param peers connections to and from other controllers
  */
 public record SocketBudget(int state, int cloud, int directCommands, int peers) {
@@ -13,17 +13,17 @@
   private static final int CLOUD_CONNECTIONS = 3;
 
   /**
-   * One connection to each other controller, one from it, and a second one from it while a lost
-   * first one is not noticed yet.
+   * One connection to each other controller, one from it, and a second one from it while the loss
+   * of the first is not detected yet.
    */
   private static final int CONNECTIONS_PER_CONTROLLER = 3;
 
   private static final int LEAST_DIRECT_COMMANDS = 48;
 
-  /** One socket in so many: who has sockets for a large fleet has them for its commands too. */
+  /** The budget for direct commands grows with the process's sockets, hence with its fleet. */
   private static final int SOCKETS_PER_DIRECT_COMMAND = 64;
 
-  /** Sockets that listen, and those that are being closed. */
+  /** Listening sockets, and those that are being closed. */
   private static final int SPARE = 10;
 
   /** The budget of a process with these settings. */
@@ -39,17 +39,17 @@
         CONNECTIONS_PER_CONTROLLER * settings.nodes());
   }
 
-  /** How many sockets a process needs for so many connections of machines and users. */
+  /** How many sockets a process needs for so many connections of workers and users. */
   static int neededFor(Settings settings, int connections) {
     int needed = connections;
-    while (needed < connections + of(settings, needed).own()) {
-      needed = connections + of(settings, needed).own();
+    while (needed < connections + of(settings, needed).total()) {
+      needed = connections + of(settings, needed).total();
     }
     return needed;
   }
 
-  /** All of them together. */
-  public int own() {
+  /** All sockets of this budget together. */
+  public int total() {
     return state + cloud + directCommands + peers + SPARE;
   }
 }
--- a/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
+++ b/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
@@ -45,7 +45,7 @@
   @Test
   void theLargestFleetIsTheLastOneThatIsCarried() throws Exception {
     Settings settings = settings(1, 1_000, 3_000);
-    int most = FleetRequirements.mostMachines(settings);
+    int most = FleetRequirements.maxMachines(settings);
     assertTrue(most > 2_000 && most < 3_000, "3,000 sockets carry " + most);
     assertEquals(List.of(), FleetRequirements.of(settings, most).shortages(settings));
     assertFalse(FleetRequirements.of(settings, most + 1).shortages(settings).isEmpty());
