--- a/src/main/java/org/ploverspindle/cli/BoundsCommand.java
+++ b/src/main/java/org/ploverspindle/cli/BoundsCommand.java
@@ -44,24 +44,25 @@
     }
     List<AdaptiveSizing.Bounds> bounds = AdaptiveSizing.bounds(min, max, groups);
     for (int i = 0; i < zones.size(); i++) {
-      spec.commandLine()
-          .getOut()
-          .printf(
-              "%s: min %d, max %d, held %d%s%n",
-              zones.get(i),
-              bounds.get(i).min(),
-              bounds.get(i).max(),
-              groups.get(i).held(),
-              groups.get(i).backedOff() ? " (backoff)" : "");
+      print(zones.get(i), bounds.get(i), groups.get(i));
     }
-    return 0;
+    return Main.OK;
+  }
+
+  private void print(String zone, AdaptiveSizing.Bounds bounds, AdaptiveSizing.Group group) {
+    spec.commandLine()
+        .getOut()
+        .printf(
+            "%s: min %d, max %d, held %d%s%n",
+            zone, bounds.min(), bounds.max(), group.held(), group.backedOff() ? " (backoff)" : "");
   }
 
   private void check() {
     if (min < 0 || max < min) {
       throw invalid("--min must be 0 or more and --max not below it");
     }
-    if (!held.isEmpty() && (held.size() != zones.size() || held.stream().anyMatch(h -> h < 0))) {
+    if (!held.isEmpty()
+        && (held.size() != zones.size() || held.stream().anyMatch(count -> count < 0))) {
       throw invalid("--held needs a count of 0 or more for each zone");
     }
     for (String zone : backedOff) {
--- a/src/main/java/org/ploverspindle/cli/CheckCommand.java
+++ b/src/main/java/org/ploverspindle/cli/CheckCommand.java
@@ -1,7 +1,7 @@
 package org.ploverspindle.cli;
 
+import java.io.PrintWriter;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Optional;
@@ -12,7 +12,6 @@
 import org.ploverspindle.settings.LimitChecks;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.settings.SettingsFile;
-import org.ploverspindle.settings.SettingsProblem;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -41,46 +40,46 @@
 
   @Override
   public Integer call() {
-    List<SettingsProblem> problems = new ArrayList<>();
     try {
       Settings settings = SettingsFile.load(config);
       Policy checked = Main.policy(policy, settings);
-      LimitChecks.warnings(settings)
-          .forEach(w -> spec.commandLine().getErr().println("warning: " + w));
-      machines.ifPresent(planned -> tellShortages(settings, planned));
-      Settings.StateLimits state = settings.writeLimits();
-      spec.commandLine().getOut().println("valid: " + settings.member() + ", " + checked);
-      spec.commandLine()
-          .getOut()
-          .printf(
-              Locale.ROOT,
-              "state service: %s requests/s, %s changes/s, %s KiB a value, %d changes a transaction"
-                  + " are kept to%n",
-              state.rps(),
-              state.writeRps(),
-              state.valueKb(),
-              state.txnOps());
-      spec.commandLine()
-          .getOut()
-          .printf(
-              Locale.ROOT,
-              "fleet: up to %d machines, by sockets, memory and processor share%n",
-              FleetRequirements.maxMachines(settings));
-      return 0;
+      printWarnings(LimitChecks.warnings(settings));
+      machines.ifPresent(planned -> printShortages(settings, planned));
+      printSummary(settings, checked);
+      return Main.OK;
     } catch (InvalidSettingsException e) {
-      problems.addAll(e.problems());
+      e.problems().forEach(spec.commandLine().getErr()::println);
+      return Main.INVALID;
     }
-    problems.forEach(spec.commandLine().getErr()::println);
-    return 2;
   }
 
-  private void tellShortages(Settings settings, int planned) {
+  private void printSummary(Settings settings, Policy checked) {
+    Settings.StateLimits state = settings.writeLimits();
+    PrintWriter out = spec.commandLine().getOut();
+    out.println("valid: " + settings.member() + ", " + checked);
+    out.printf(
+        Locale.ROOT,
+        "state service: %s requests/s, %s changes/s, %s KiB a value, %d changes a transaction"
+            + " are kept to%n",
+        state.rps(),
+        state.writeRps(),
+        state.valueKb(),
+        state.txnOps());
+    out.printf(
+        Locale.ROOT,
+        "fleet: up to %d machines, by sockets, memory and processor share%n",
+        FleetRequirements.maxMachines(settings));
+  }
+
+  private void printShortages(Settings settings, int planned) {
     if (planned < 1) {
       throw new ParameterException(
           spec.commandLine(), "--machines must be at least 1, and is " + planned);
     }
-    FleetRequirements.of(settings, planned)
-        .shortages(settings)
-        .forEach(w -> spec.commandLine().getErr().println("warning: " + w));
+    printWarnings(FleetRequirements.of(settings, planned).shortages(settings));
+  }
+
+  private void printWarnings(List<LimitChecks.Warning> warnings) {
+    warnings.forEach(warning -> spec.commandLine().getErr().println("warning: " + warning));
   }
 }
--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -24,7 +24,7 @@
 import org.xnio.XnioWorker;
 
 /**
- * A controller with its threads and sockets: the decision loop, and one I/O thread for all sockets.
+ * A controller with its threads and sockets: the event loop, and one I/O thread for all sockets.
  */
 final class ControllerProcess {
   private static final int BUFFER_BYTES = 4_096;
@@ -42,12 +42,13 @@
     SocketBudget sockets = SocketBudget.of(settings);
     ByteBufferPool buffers =
         new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, BUFFERS_PER_THREAD);
-    peers = new PeerServer(loop, worker, settings.back(), settings.members(), this::heard);
+    peers =
+        new PeerServer(loop, worker, settings.back(), settings.members(), this::handlePeerMessage);
     controller =
         new Controller(
             loop,
-            new HttpStateStore(caller(buffers, settings.state().toString(), sockets.state())),
-            new HttpCloudClient(caller(buffers, settings.cloud().toString(), sockets.cloud())),
+            new HttpStateStore(httpClient(buffers, settings.state().toString(), sockets.state())),
+            new HttpCloudClient(httpClient(buffers, settings.cloud().toString(), sockets.cloud())),
             new HttpWorkerClient(
                 address -> UndertowHttpClient.once(loop, worker.getIoThread(), buffers, address)),
             peers,
@@ -65,7 +66,7 @@
             controller::ready);
   }
 
-  /** Its one I/O thread owns all sockets. */
+  /** Has one I/O thread, which owns all sockets. */
   private static XnioWorker ioWorker() throws IOException {
     return Xnio.getInstance()
         .createWorker(
@@ -78,14 +79,16 @@
                 .getMap());
   }
 
-  private UndertowHttpClient caller(ByteBufferPool buffers, String address, int connections) {
+  private UndertowHttpClient httpClient(ByteBufferPool buffers, String address, int connections) {
     return UndertowHttpClient.persistent(loop, worker.getIoThread(), buffers, address, connections);
   }
 
-  private void heard(PeerMessage record) {
-    controller.handlePeerMessage(record);
+  /** A method, as the peers' server is made before the controller, which needs it. */
+  private void handlePeerMessage(PeerMessage message) {
+    controller.handlePeerMessage(message);
   }
 
+  /** Starts the threads, opens the sockets and starts the controller. */
   void start() throws IOException {
     loop.start();
     userApi.open();
@@ -93,6 +96,7 @@
     loop.execute(EventPriority.DECISION, controller::start);
   }
 
+  /** Stops the controller and closes all sockets and threads. */
   void stop() {
     loop.execute(EventPriority.DECISION, controller::stop);
     userApi.close();
--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -13,6 +13,7 @@
 import org.ploverspindle.settings.LimitChecks;
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.settings.SettingsFile;
+import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -40,6 +41,15 @@
       CommandLine.HelpCommand.class
     })
 public final class Main implements Callable<Integer> {
+  /** Exit code of success. */
+  static final int OK = 0;
+
+  /** Exit code of what could not be done. */
+  static final int FAILED = 1;
+
+  /** Exit code of an invalid command line, settings or policy. */
+  static final int INVALID = 2;
+
   /** Not an exit code: the process goes on, kept alive by the threads of the service. */
   private static final int RUNNING = -1;
 
@@ -64,7 +74,7 @@
     setUpLogging();
     if (args.length == 2 && args[0].equals("--config")) {
       if (!startAtOnce(Path.of(args[1]))) {
-        System.exit(2);
+        System.exit(INVALID);
       }
       return;
     }
@@ -75,9 +85,8 @@
   }
 
   /**
-   * The platform's start, {@code --config FILE} and no more, without picocli: its classes are of a
-   * format that a class-data archive can't hold, and reading them from the jar took a quarter of
-   * the start's processor time.
+   * The platform's start, {@code --config FILE} and no more, without picocli: a class-data archive
+   * can't hold its classes, and reading them from the jar would slow down the start.
    */
   private static boolean startAtOnce(Path config) {
     try {
@@ -94,8 +103,9 @@
 
   private static void run(Settings settings, Policy policy) throws IOException {
     new ControllerProcess(settings, policy, new SplittableRandom()).start();
-    LimitChecks.warnings(settings).forEach(w -> LoggerFactory.getLogger(Main.class).warn("{}", w));
-    LoggerFactory.getLogger(Main.class).info("{} serves {}", settings.member(), settings.front());
+    Logger log = LoggerFactory.getLogger(Main.class);
+    LimitChecks.warnings(settings).forEach(warning -> log.warn("{}", warning));
+    log.info("controller started: member={} address={}", settings.member(), settings.front());
   }
 
   static CommandLine commandLine() {
@@ -104,7 +114,7 @@
             (e, line, parsed) -> {
               line.getErr()
                   .println(e instanceof InvalidSettingsException ? e.getMessage() : "failed: " + e);
-              return e instanceof InvalidSettingsException ? 2 : 1;
+              return e instanceof InvalidSettingsException ? INVALID : FAILED;
             });
   }
 
@@ -130,7 +140,7 @@
       PrintWriter err = spec.commandLine().getErr();
       err.println("--config FILE or a command is needed");
       spec.commandLine().usage(err);
-      return 2;
+      return INVALID;
     }
     Settings settings = SettingsFile.load(config.get());
     run(settings, policy(policy, settings));
--- a/src/main/java/org/ploverspindle/cli/RehearseCommand.java
+++ b/src/main/java/org/ploverspindle/cli/RehearseCommand.java
@@ -9,8 +9,10 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
+import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.policy.Policy;
@@ -20,14 +22,23 @@
 
 /**
  * Starts a controller on loopback, with its own address as that of the state service and of the
- * cloud, sends it a few requests, and stops it. The build makes the class-data archive from the
- * classes that are loaded by this. A class that is missing there is later loaded from the jar,
- * which takes long on a small machine.
+ * cloud, sends it a few requests, and stops it. The build makes the class-data archive of the
+ * classes that are loaded meanwhile. A class that is missing there is later loaded from the jar,
+ * which is slow on a small machine.
  */
 @Command(name = "rehearse", hidden = true, description = "Used by the build.")
 final class RehearseCommand implements Callable<Integer> {
   private static final String OWN = "org/ploverspindle/";
   private static final String CLASS_SUFFIX = ".class";
+  private static final String SAMPLE_UID = "run-1";
+  private static final String SAMPLE_PATH = "/submissions/" + SAMPLE_UID;
+
+  /** Numbers of each kind that a body may hold: small, negative, 64 bits, floating point. */
+  private static final int SMALL = 3;
+
+  private static final int NEGATIVE = -7;
+  private static final long LARGE = 1L << 60;
+  private static final double FRACTION = 1.5;
   private static final int ROUNDS = 3;
   private static final long PAUSE_MS = 400;
   private static final int READ_TIMEOUT_MS = 5_000;
@@ -42,20 +53,20 @@
             new String(sample, StandardCharsets.UTF_8)
                 .replace("front = \"127.0.0.1:0\"", "front = \"" + front + "\"")
                 .replace("\"127.0.0.1:1\"", "\"" + front + "\""));
-    ControllerProcess service =
+    ControllerProcess process =
         new ControllerProcess(settings, Policy.DEFAULT, new SplittableRandom());
-    service.start();
+    process.start();
     loadOwnClasses();
     for (int round = 0; round < ROUNDS; round++) {
       Thread.sleep(PAUSE_MS);
       ask("GET", front, "/ready", new byte[0]);
-      ask("GET", front, "/submissions/run-1", new byte[0]);
+      ask("GET", front, SAMPLE_PATH, new byte[0]);
       ask("POST", front, "/submissions", sampleBody());
-      ask("POST", front, "/submissions/run-1/withdraw", sampleBody());
+      ask("POST", front, SAMPLE_PATH + "/withdraw", sampleBody());
       ask("POST", front, "/checkin", sampleBody());
       ask("GET", front, "/status", new byte[0]);
     }
-    service.stop();
+    process.stop();
     return 0;
   }
 
@@ -67,11 +78,11 @@
 
   private static byte[] sampleBody() {
     ObjectNode body = Cbor.map();
-    body.put("uid", "run-1").put("pieces", 3).put("cores", 1.5).put("one_zone", true);
-    body.put("large", 1L << 60).putNull("site");
-    body.putArray("flavours").add("a").addObject().put("b", -7);
+    body.put("uid", SAMPLE_UID).put("pieces", SMALL).put("cores", FRACTION).put("one_zone", true);
+    body.put("large", LARGE).putNull("site");
+    body.putArray("flavours").add("a").addObject().put("b", NEGATIVE);
     byte[] bytes = Cbor.write(body);
-    if (!Cbor.readMap(bytes).equals(java.util.Optional.of(body))) {
+    if (!Cbor.readMap(bytes).equals(Optional.of(body))) {
       throw new IllegalStateException("CBOR that was written is not what was read");
     }
     return bytes;
@@ -87,8 +98,8 @@
     try (JarFile jar = new JarFile(self.toFile())) {
       List<String> names =
           jar.stream()
-              .map(e -> e.getName())
-              .filter(n -> n.startsWith(OWN) && n.endsWith(CLASS_SUFFIX))
+              .map(JarEntry::getName)
+              .filter(name -> name.startsWith(OWN) && name.endsWith(CLASS_SUFFIX))
               .toList();
       for (String name : names) {
         Class.forName(name.substring(0, name.length() - CLASS_SUFFIX.length()).replace('/', '.'));
@@ -98,17 +109,17 @@
 
   private static void ask(String method, String front, String path, byte[] body)
       throws IOException {
-    HttpURLConnection c =
+    HttpURLConnection connection =
         (HttpURLConnection) URI.create("http://" + front + path).toURL().openConnection();
-    c.setRequestMethod(method);
-    c.setReadTimeout(READ_TIMEOUT_MS);
+    connection.setRequestMethod(method);
+    connection.setReadTimeout(READ_TIMEOUT_MS);
     if (body.length > 0) {
-      c.setDoOutput(true);
-      try (OutputStream out = c.getOutputStream()) {
+      connection.setDoOutput(true);
+      try (OutputStream out = connection.getOutputStream()) {
         out.write(body);
       }
     }
-    c.getResponseCode();
-    c.disconnect();
+    connection.getResponseCode();
+    connection.disconnect();
   }
 }
--- a/src/main/java/org/ploverspindle/cli/StatusCommand.java
+++ b/src/main/java/org/ploverspindle/cli/StatusCommand.java
@@ -36,29 +36,31 @@
 
   @Override
   public Integer call() {
-    String query =
-        job.map(uid -> "?job=" + URLEncoder.encode(uid, StandardCharsets.UTF_8)).orElse("");
     try {
-      HttpURLConnection c =
-          (HttpURLConnection)
-              URI.create("http://" + address + "/status" + query).toURL().openConnection();
-      c.setConnectTimeout(TIMEOUT_MS);
-      c.setReadTimeout(TIMEOUT_MS);
-      if (c.getResponseCode() != HttpURLConnection.HTTP_OK) {
-        throw new IOException("it answers " + c.getResponseCode());
-      }
-      try (InputStream in = c.getInputStream()) {
-        String line =
-            Cbor.readMap(in.readAllBytes())
-                .map(b -> b.path("status").asText(""))
-                .filter(s -> !s.isEmpty())
-                .orElseThrow(() -> new IOException("its answer can't be read"));
-        spec.commandLine().getOut().println(line);
-      }
-      return 0;
+      spec.commandLine().getOut().println(readStatus());
+      return Main.OK;
     } catch (IOException | IllegalArgumentException e) {
       spec.commandLine().getErr().println(address + " could not be asked: " + e.getMessage());
-      return 1;
+      return Main.FAILED;
+    }
+  }
+
+  private String readStatus() throws IOException {
+    String query =
+        job.map(uid -> "?job=" + URLEncoder.encode(uid, StandardCharsets.UTF_8)).orElse("");
+    HttpURLConnection connection =
+        (HttpURLConnection)
+            URI.create("http://" + address + "/status" + query).toURL().openConnection();
+    connection.setConnectTimeout(TIMEOUT_MS);
+    connection.setReadTimeout(TIMEOUT_MS);
+    if (connection.getResponseCode() != HttpURLConnection.HTTP_OK) {
+      throw new IOException("it answers " + connection.getResponseCode());
+    }
+    try (InputStream in = connection.getInputStream()) {
+      return Cbor.readMap(in.readAllBytes())
+          .map(body -> body.path("status").asText(""))
+          .filter(line -> !line.isEmpty())
+          .orElseThrow(() -> new IOException("its answer can't be read"));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/cli/package-info.java
+++ b/src/main/java/org/ploverspindle/cli/package-info.java
@@ -2,7 +2,7 @@
  * The command line and the assembly of a running service.
  *
  * <p>Duty: the commands and their exit codes, the start with the platform's settings, and the
- * creation of threads and sockets around {@code node.Controller}. Owns: the process.
+ * creation of threads and sockets around {@code controller.Controller}. Owns: the process.
  *
  * <p>May depend on: everything. Nothing may depend on it.
  */
--- a/src/test/java/org/ploverspindle/cli/CheckCommandTest.java
+++ b/src/test/java/org/ploverspindle/cli/CheckCommandTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** What {@code check} says of the fleet that the settings carry. */
+/** What {@code check} prints about the fleet that the settings can carry. */
 class CheckCommandTest {
   private static final int OK = 0;
   private static final int INVALID = 2;
