--- a/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Stores the job and answers its user, or tells the user at once to ask again.
+   * Stores the job and answers its user, or answers at once that the user is to ask again.
    *
    * @param guards jobs that the write requires not to be cancelled; see {@link DependencyCheck}
    */
--- a/src/main/java/org/ploverspindle/api/CancellationWriter.java
+++ b/src/main/java/org/ploverspindle/api/CancellationWriter.java
@@ -28,7 +28,7 @@
  * the absence of the job's completion and of its cancellation as conditions and only creates the
  * cancellation. So of all transactions for a job, in whatever order they are executed, at most one
  * takes effect, and none does once the job is done. If a late one takes effect after its user was
- * told to ask again, the job is cancelled as that user requested, and nobody was told otherwise.
+ * asked to retry, the job is cancelled as that user requested, and no response contradicts it.
  */
 final class CancellationWriter {
   /** The outcome of writing one cancellation. */
--- a/src/main/java/org/ploverspindle/api/ConnectionLimits.java
+++ b/src/main/java/org/ploverspindle/api/ConnectionLimits.java
@@ -6,7 +6,7 @@
  * @param maxConnections sockets that the process may have
  * @param reserved how many of these it opens itself
  * @param idleMs after how long without a request a connection is closed; one that a network cut
- *     left half-open looks idle, and takes a socket until then
+ *     left half-open appears idle, and takes a socket until then
  */
 public record ConnectionLimits(int maxConnections, int reserved, int idleMs) {
   private static final int LEAST_IDLE_MS = 10_000;
--- a/src/main/java/org/ploverspindle/api/DependentSubmissions.java
+++ b/src/main/java/org/ploverspindle/api/DependentSubmissions.java
@@ -108,7 +108,7 @@
                   StatusCodes.SERVICE_UNAVAILABLE, "the list of jobs is not stored yet", 1));
       return;
     }
-    // Submissions that were received before this moment would be past the writer's deadline.
+    // Submissions that were received before this time would be past the writer's deadline.
     long latestMs = scheduler.nowMs() - AcceptanceWriter.WRITE_DEADLINE_MS + AFTER_LIST_MS;
     writer.accept(
         submission.withReceivedMs(Math.max(latestMs, submission.receivedMs())), List.of());
--- a/src/main/java/org/ploverspindle/api/JobStatus.java
+++ b/src/main/java/org/ploverspindle/api/JobStatus.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.api;
 
-/** What users are told of a job. */
+/** A job's status as users see it. */
 enum JobStatus {
   /** Accepted, and none of its tasks runs. */
   QUEUED("queued"),
--- a/src/main/java/org/ploverspindle/api/PendingAcceptance.java
+++ b/src/main/java/org/ploverspindle/api/PendingAcceptance.java
@@ -10,9 +10,9 @@
  * A job whose acceptance is not durable yet, with all requests that wait for it here.
  *
  * <p>Requests that arrived before the write was sent are answered by its result. The write's
- * conditions say nothing about the time after it was sent: the job may have been accepted and
- * reported as aborted elsewhere before a later request arrived. Such a late request is answered by
- * a read after the write.
+ * conditions don't cover the time after it was sent: the job may have been accepted and reported as
+ * aborted elsewhere before a later request arrived. Such a late request is answered by a read after
+ * the write.
  */
 final class PendingAcceptance {
   private final Submission submission;
--- a/src/main/java/org/ploverspindle/eventloop/RetryDelay.java
+++ b/src/main/java/org/ploverspindle/eventloop/RetryDelay.java
@@ -9,7 +9,7 @@
   private final int jitterMs;
 
   /**
-   * @param jitterMs exclusive bound of the jitter, above 0, so that repeats do not come all at once
+   * @param jitterMs exclusive bound of the jitter, above 0, so that repeats are spread
    */
   public RetryDelay(RandomGenerator random, int leastMs, int jitterMs) {
     this.random = random;
--- a/src/test/java/org/ploverspindle/api/CancellationWriterTest.java
+++ b/src/test/java/org/ploverspindle/api/CancellationWriterTest.java
@@ -22,13 +22,14 @@
 import org.ploverspindle.state.TokenBucket;
 
 class CancellationWriterTest {
-  private static final int MOST = 5;
+  private static final int MAX_CHANGES = 5;
 
   private final ManualStateStore store = new ManualStateStore();
   private final TokenBucket writes = new TokenBucket(store, 0, 100);
   private final List<Consumer<Boolean>> reads = new ArrayList<>();
   private final CancellationWriter cancellations =
-      new CancellationWriter(store, store, writes, MOST, reads::add, new RecordingListener());
+      new CancellationWriter(
+          store, store, writes, MAX_CHANGES, reads::add, new RecordingListener());
   private final Map<String, List<Outcome>> outcomes = new TreeMap<>();
 
   private final List<String> events = new ArrayList<>();
@@ -57,10 +58,10 @@
   }
 
   @Test
-  void whatComesWhileOneIsUnderWaySharesTheNextUpToTheLimit() {
+  void requestsWhileOneIsInFlightShareTheNextUpToTheLimit() {
     cancel("run-0");
     store.run(10);
-    IntStream.rangeClosed(1, MOST + 2).forEach(i -> cancel("run-" + i));
+    IntStream.rangeClosed(1, MAX_CHANGES + 2).forEach(i -> cancel("run-" + i));
     store.run(80);
     assertEquals(1, store.inFlight(), "one at a time while answers are prompt");
     assertEquals(List.of("run-0"), cancelledByOldestTransaction());
@@ -75,14 +76,15 @@
     assertEquals(List.of("run-6", "run-7"), cancelledByOldestTransaction());
     store.commitAndRespond();
     assertEquals(
-        MOST + 3, outcomes.values().stream().filter(List.of(Outcome.DURABLE)::equals).count());
+        MAX_CHANGES + 3,
+        outcomes.values().stream().filter(List.of(Outcome.DURABLE)::equals).count());
     store.run(10);
     assertEquals(0, store.inFlight());
-    assertEquals(100 - MOST - 3, writes.available(), "each change is paid for");
+    assertEquals(100 - MAX_CHANGES - 3, writes.available(), "each change is paid for");
   }
 
   @Test
-  void repeatsOfAUserShareOneRecord() {
+  void repeatedRequestsShareOneRecord() {
     cancel("run-0");
     cancel("run-0");
     cancel("run-1");
@@ -95,7 +97,7 @@
   }
 
   @Test
-  void nothingIsSaidBeforeTheRecordStands() {
+  void nothingIsAcknowledgedBeforeTheRecordIsDurable() {
     cancel("run-0");
     store.run(60_000);
     assertTrue(outcomes.get("run-0").isEmpty());
@@ -114,7 +116,7 @@
   }
 
   @Test
-  void neitherAnEndNorAnEarlierRecordIsOverwritten() {
+  void neitherACompletionNorAnEarlierRecordIsOverwritten() {
     cancel("run-0");
     store.run(10);
     List<Condition> conditions = store.oldestTransaction().conditions();
@@ -123,7 +125,7 @@
   }
 
   @Test
-  void oneThatConflictsDoesNotFailTheOthersForGood() {
+  void oneThatConflictsDoesNotFailTheOthersFinally() {
     store.writeByOthers(Keys.completion("run-1"), Cbor.map());
     IntStream.range(0, 3).forEach(i -> cancel("run-" + i));
     store.run(10);
@@ -140,7 +142,7 @@
   }
 
   @Test
-  void aRepeatWhileTheRecordIsUnderWayDoesNotDelayTheOthersOfTheNext() {
+  void aRepeatWhileTheRecordIsInFlightDoesNotDelayTheOthersOfTheNext() {
     cancel("run-0");
     store.run(10);
     cancel("run-0");
@@ -153,7 +155,7 @@
   }
 
   @Test
-  void anAnswerThatIsLateHoldsBackNoOtherCancellation() {
+  void aLateResponseDelaysNoOtherCancellation() {
     cancel("run-0");
     store.run(10);
     store.delayCommit();
@@ -166,7 +168,7 @@
   }
 
   @Test
-  void onlySoManyAreInFlightAndAtSuchASpacing() {
+  void transactionsInFlightAreBoundedAndSpaced() {
     for (int i = 0; i < 100; i++) {
       cancel("run-" + i);
       store.run(10);
@@ -181,7 +183,7 @@
   }
 
   @Test
-  void oneWithoutAnAnswerIsReadBackLongBeforeItsTimeout() {
+  void oneWithoutAResponseIsReadBackLongBeforeItsTimeout() {
     cancel("run-0");
     store.run(10);
     Runnable answer = store.commitAndDelayResponse();
@@ -195,7 +197,7 @@
   }
 
   @Test
-  void aReadBackThatFailsIsTriedAgainAndTheAnswerCountsIfItComesFirst() {
+  void aFailedReadBackIsRetriedAndAnEarlierResponseCounts() {
     cancel("run-0");
     store.run(10);
     Runnable answer = store.commitAndDelayResponse();
@@ -261,7 +263,7 @@
   }
 
   @Test
-  void othersLearnOfItWhenItIsSentAndBeforeTheUserIsTold() {
+  void theListenerIsNotifiedWhenItIsSentAndBeforeTheUserGetsAResponse() {
     cancel("run-0");
     assertEquals(List.of(), events);
     store.run(10);
@@ -272,7 +274,7 @@
   }
 
   @Test
-  void anAnswerAfterTheReadBackStillSaysThatItIsDurable() {
+  void aResponseAfterTheReadBackStillNotifiesThatItIsDurable() {
     cancel("run-0");
     store.run(10);
     Runnable answer = store.commitAndDelayResponse();
--- a/src/test/java/org/ploverspindle/api/ManualStateStore.java
+++ b/src/test/java/org/ploverspindle/api/ManualStateStore.java
@@ -16,18 +16,18 @@
 import org.ploverspindle.state.StateStore;
 
 /**
- * A state service, with time, whose transactions wait until the test has them answered: what comes
- * while one is under way is what these tests are about. Reads are answered at once.
+ * A state service with a simulated clock. Its transactions wait until the test has them answered,
+ * so that requests can arrive while one is in flight. Reads are answered at once.
  */
 final class ManualStateStore implements StateStore, Scheduler {
   private record Timer(long atMs, long order, Runnable work) implements Comparable<Timer> {
     @Override
-    public int compareTo(Timer o) {
-      return atMs != o.atMs ? Long.compare(atMs, o.atMs) : Long.compare(order, o.order);
+    public int compareTo(Timer other) {
+      return atMs != other.atMs ? Long.compare(atMs, other.atMs) : Long.compare(order, other.order);
     }
   }
 
-  /** A transaction that was sent and not answered. */
+  /** A transaction without a response. */
   record PendingTransaction(Transaction transaction, Consumer<TransactionResult> then) {}
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
@@ -41,9 +41,9 @@
   void run(long forMs) {
     long endMs = nowMs + forMs;
     while (!timers.isEmpty() && timers.peek().atMs() <= endMs) {
-      Timer t = timers.poll();
-      nowMs = t.atMs();
-      t.work().run();
+      Timer timer = timers.poll();
+      nowMs = timer.atMs();
+      timer.work().run();
     }
     nowMs = endMs;
   }
@@ -52,38 +52,38 @@
     return sent.size();
   }
 
-  /** The oldest transaction without an answer. */
+  /** The oldest transaction without a response. */
   Transaction oldestTransaction() {
     return sent.element().transaction();
   }
 
-  /** Carries the oldest one out and has it answered. */
+  /** Executes the oldest transaction and delivers its response. */
   TransactionResult commitAndRespond() {
-    PendingTransaction s = sent.remove();
-    TransactionResult result = execute(s.transaction());
-    s.then().accept(result);
+    PendingTransaction oldest = sent.remove();
+    TransactionResult result = execute(oldest.transaction());
+    oldest.then().accept(result);
     return result;
   }
 
-  /** Carries the oldest one out; what is returned has it answered. */
+  /** Executes the oldest transaction; the result delivers its response. */
   Runnable commitAndDelayResponse() {
-    PendingTransaction s = sent.remove();
-    TransactionResult result = execute(s.transaction());
-    return () -> s.then().accept(result);
+    PendingTransaction oldest = sent.remove();
+    TransactionResult result = execute(oldest.transaction());
+    return () -> oldest.then().accept(result);
   }
 
-  /** The oldest one is held up on its way; what is returned has it carried out, unanswered. */
+  /** Delays the oldest transaction; the result executes it, without a response. */
   Runnable delayCommit() {
-    PendingTransaction s = sent.remove();
-    return () -> execute(s.transaction());
+    PendingTransaction oldest = sent.remove();
+    return () -> execute(oldest.transaction());
   }
 
-  /** Has the oldest one answered so, and does not carry it out. */
+  /** Delivers this response to the oldest transaction, which is not executed. */
   void respondWithoutCommit(TransactionResult result) {
     sent.remove().then().accept(result);
   }
 
-  /** What somebody else writes. */
+  /** Another process writes this. */
   void writeByOthers(String key, JsonNode value) {
     execute(new Transaction(List.of(), List.of(new Change.Put(key, value))));
   }
@@ -96,26 +96,27 @@
     return history.stream().filter(c -> c.key().equals(key)).count();
   }
 
-  private TransactionResult execute(Transaction txn) {
+  private TransactionResult execute(Transaction transaction) {
     List<String> failed =
-        txn.conditions().stream()
-            .filter(c -> modRevisions.getOrDefault(c.key(), 0L) != c.modRevision())
+        transaction.conditions().stream()
+            .filter(change -> modRevisions.getOrDefault(change.key(), 0L) != change.modRevision())
             .map(Condition::key)
             .toList();
     if (!failed.isEmpty()) {
       return new TransactionResult.Conflict(failed);
     }
     revision++;
-    for (Change c : txn.changes()) {
-      modRevisions.put(c.key(), revision);
-      history.add(new ChangedEntry(c.key(), Optional.of(((Change.Put) c).value()), revision));
+    for (Change change : transaction.changes()) {
+      modRevisions.put(change.key(), revision);
+      history.add(
+          new ChangedEntry(change.key(), Optional.of(((Change.Put) change).value()), revision));
     }
     return new TransactionResult.Committed(revision);
   }
 
   @Override
-  public void commit(Transaction txn, Consumer<TransactionResult> then) {
-    sent.add(new PendingTransaction(txn, then));
+  public void commit(Transaction transaction, Consumer<TransactionResult> then) {
+    sent.add(new PendingTransaction(transaction, then));
   }
 
   @Override
@@ -125,10 +126,10 @@
 
   @Override
   public void readChanges(String prefix, long after, Consumer<ChangesResult> then) {
-    ChangesResult news =
+    ChangesResult changes =
         new ChangesResult.Changes(
             revision, history.stream().filter(c -> c.modRevision() > after).toList());
-    schedule(1, () -> then.accept(news));
+    schedule(1, () -> then.accept(changes));
   }
 
   @Override
@@ -137,12 +138,12 @@
   }
 
   @Override
-  public void renewLease(long hold, Consumer<Renewal> then) {
+  public void renewLease(long lease, Consumer<Renewal> then) {
     throw new UnsupportedOperationException();
   }
 
   @Override
-  public void closeLease(long hold) {
+  public void closeLease(long lease) {
     throw new UnsupportedOperationException();
   }
 
@@ -157,7 +158,7 @@
   }
 
   @Override
-  public void execute(EventPriority rank, Runnable work) {
+  public void execute(EventPriority priority, Runnable work) {
     schedule(0, work);
   }
 
--- a/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
+++ b/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void whatMayBeNullMayBeLeftOut() throws Exception {
+  void optionalFieldsMayBeNullOrAbsent() throws Exception {
     ObjectNode body = good();
     body.remove("site");
     body.remove("due_s");
@@ -87,7 +87,7 @@
         "bundle|null",
         "bundle|\"\""
       })
-  void refusesWhatIsInvalid(String field, String value) throws Exception {
+  void refusesInvalidFields(String field, String value) throws Exception {
     ObjectNode body = good();
     JsonNode node =
         value.equals("1e999")
--- a/src/test/java/org/ploverspindle/api/UserApiTest.java
+++ b/src/test/java/org/ploverspindle/api/UserApiTest.java
@@ -28,7 +28,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The user API over real sockets on loopback; what lies behind it is a plain echo. */
+/** The user API over real sockets on loopback, with an echo as its request handler. */
 class UserApiTest {
   private static final class Echo implements UserApi.RequestHandler {
     @Override
@@ -95,18 +95,18 @@
   }
 
   private HttpURLConnection ask(String method, String path, byte[] body) throws Exception {
-    HttpURLConnection c =
+    HttpURLConnection connection =
         (HttpURLConnection) URI.create("http://127.0.0.1:" + port + path).toURL().openConnection();
-    c.setRequestMethod(method);
-    c.setReadTimeout(20_000);
+    connection.setRequestMethod(method);
+    connection.setReadTimeout(20_000);
     if (body.length > 0) {
-      c.setDoOutput(true);
-      c.setFixedLengthStreamingMode(body.length);
-      try (OutputStream out = c.getOutputStream()) {
+      connection.setDoOutput(true);
+      connection.setFixedLengthStreamingMode(body.length);
+      try (OutputStream out = connection.getOutputStream()) {
         out.write(body);
       }
     }
-    return c;
+    return connection;
   }
 
   private int status(String method, String path) throws Exception {
@@ -138,15 +138,15 @@
   }
 
   @Test
-  void saysWhenToComeBack() throws Exception {
-    HttpURLConnection c = ask("POST", "/submissions/run-1/withdraw", new byte[] {1});
-    assertEquals(503, c.getResponseCode());
-    assertEquals("3", c.getHeaderField("Retry-After"));
+  void refusalsNameWhenToRetry() throws Exception {
+    HttpURLConnection response = ask("POST", "/submissions/run-1/withdraw", new byte[] {1});
+    assertEquals(503, response.getResponseCode());
+    assertEquals("3", response.getHeaderField("Retry-After"));
     assertEquals(421, ask("POST", "/checkin", new byte[] {1}).getResponseCode());
   }
 
   @Test
-  void readinessIsAsked() throws Exception {
+  void readinessIsReported() throws Exception {
     assertEquals(200, status("GET", "/ready"));
     ready = false;
     assertEquals(503, status("GET", "/ready"));
@@ -154,22 +154,24 @@
 
   @Test
   void aBodyThatIsTooLargeIsRefusedBeforeItIsRead() throws Exception {
-    try (Socket s = new Socket("127.0.0.1", port)) {
-      s.setSoTimeout(20_000);
-      s.getOutputStream()
+    try (Socket socket = new Socket("127.0.0.1", port)) {
+      socket.setSoTimeout(20_000);
+      socket
+          .getOutputStream()
           .write(
               "POST /submissions HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n"
                   .getBytes(StandardCharsets.US_ASCII));
       byte[] head = new byte[12];
-      assertEquals(12, s.getInputStream().readNBytes(head, 0, 12));
+      assertEquals(12, socket.getInputStream().readNBytes(head, 0, 12));
       assertEquals("HTTP/1.1 413", new String(head, StandardCharsets.US_ASCII));
     }
   }
 
   @Test
-  void aRequestThatIsHalfSentDoesNotHoldUpOthers() throws Exception {
-    try (Socket s = new Socket("127.0.0.1", port)) {
-      s.getOutputStream()
+  void aRequestThatIsHalfSentDoesNotDelayOthers() throws Exception {
+    try (Socket socket = new Socket("127.0.0.1", port)) {
+      socket
+          .getOutputStream()
           .write(
               "POST /submissions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf"
                   .getBytes(StandardCharsets.US_ASCII));
@@ -181,15 +183,15 @@
   }
 
   @Test
-  void withHardlyAnySocketLeftUsersAreSentAwayAndWorkersServed() throws Exception {
+  void withFewSocketsLeftUsersAreRefusedAndWorkersServed() throws Exception {
     List<Socket> open = new ArrayList<>();
     try {
-      // Each has asked something, so that it is known to be accepted.
+      // Each sends a request, so that it is known to be accepted.
       for (int i = 0; i < 20; i++) {
-        Socket s = new Socket("127.0.0.1", port);
-        s.setSoTimeout(5_000);
-        open.add(s);
-        assertEquals(421, ask(s, "POST", "/checkin"), "connection " + i);
+        Socket socket = new Socket("127.0.0.1", port);
+        socket.setSoTimeout(5_000);
+        open.add(socket);
+        assertEquals(421, ask(socket, "POST", "/checkin"), "connection " + i);
       }
       assertEquals(503, ask(open.get(0), "GET", "/submissions/run-1"));
       assertEquals(-1, open.get(0).getInputStream().read(), "its socket is free again");
@@ -201,7 +203,7 @@
       assertEquals(421, ask(next, "POST", "/checkin"), "the freed socket serves another worker");
       open.remove(19).close();
       open.remove(18).close();
-      // The server learns of the two ends in its own time.
+      // The server notices that the two are closed at some later time.
       int status = 503;
       for (int tries = 0; status == 503 && tries < 500; tries++) {
         try (Socket user = new Socket("127.0.0.1", port)) {
@@ -212,24 +214,24 @@
       }
       assertEquals(200, status, "users are served again");
     } finally {
-      for (Socket s : open) {
-        s.close();
+      for (Socket socket : open) {
+        socket.close();
       }
     }
   }
 
-  /** One request on a connection that stays open; says its status. */
+  /** The status of one request on a connection that stays open. */
   private static int ask(Socket on, String method, String path) throws IOException {
     String head = method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
     on.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
     InputStream in = on.getInputStream();
     StringBuilder answer = new StringBuilder();
     while (answer.indexOf("\r\n\r\n") < 0) {
-      int c = in.read();
-      if (c < 0) {
+      int connection = in.read();
+      if (connection < 0) {
         throw new IOException("ended after " + answer);
       }
-      answer.append((char) c);
+      answer.append((char) connection);
     }
     Matcher length = Pattern.compile("(?i)content-length: (\\d+)").matcher(answer);
     in.readNBytes(length.find() ? Integer.parseInt(length.group(1)) : 0);
--- a/src/test/java/org/ploverspindle/api/UserRequestsTest.java
+++ b/src/test/java/org/ploverspindle/api/UserRequestsTest.java
@@ -24,7 +24,7 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 
-/** Users' requests that come while a write of earlier ones is under way. */
+/** Users' requests that arrive while a write of earlier ones is in flight. */
 class UserRequestsTest {
   private final ManualStateStore store = new ManualStateStore();
   private UserRequests requests;
@@ -74,34 +74,34 @@
 
   private List<Integer> submit(String uid) {
     List<Integer> statuses = new ArrayList<>();
-    submit(uid, a -> statuses.add(a.status()));
+    submit(uid, response -> statuses.add(response.status()));
     return statuses;
   }
 
   private void submit(String uid, Consumer<ApiResponse> then) {
-    ObjectNode b = Cbor.map().put("uid", uid).put("jobclass", "c").put("owner", "red");
-    b.put("shape", "batch").put("urgency", "normal").put("pieces", 1).put("cores", 1.0);
-    b.put("accelerators", 0.0).put("mem_gb", 1.0).put("bundle", "i").put("image_gb", 1.0);
-    b.put("one_zone", false).put("apart", false).put("loaners", true).put("expected_s", 5.0);
-    b.put("save_every_s", 0.0).put("save_cost_s", 0.0);
-    requests.submit(Cbor.write(b), then);
+    ObjectNode body = Cbor.map().put("uid", uid).put("jobclass", "c").put("owner", "red");
+    body.put("shape", "batch").put("urgency", "normal").put("pieces", 1).put("cores", 1.0);
+    body.put("accelerators", 0.0).put("mem_gb", 1.0).put("bundle", "i").put("image_gb", 1.0);
+    body.put("one_zone", false).put("apart", false).put("loaners", true).put("expected_s", 5.0);
+    body.put("save_every_s", 0.0).put("save_cost_s", 0.0);
+    requests.submit(Cbor.write(body), then);
   }
 
-  private List<String> words(String uid) {
+  private List<String> statusesAndStates(String uid) {
     List<String> words = new ArrayList<>();
-    submit(uid, a -> words.add(a.status() + " " + word(a)));
+    submit(uid, a -> words.add(a.status() + " " + state(a)));
     return words;
   }
 
-  private static String word(ApiResponse a) {
-    return Cbor.readMap(a.body()).orElseThrow().path("status").asText();
+  private static String state(ApiResponse response) {
+    return Cbor.readMap(response.body()).orElseThrow().path("status").asText();
   }
 
   @Test
-  void aSubmissionIsNotForgottenBehindOneThatIsOverAlready() {
+  void aSubmissionIsNotForgottenBehindOneThatIsTerminalAlready() {
     List<Integer> over = submit("run-0");
     store.run(10);
-    // Another node accepted it meanwhile, and its user called it off.
+    // Another controller accepted it meanwhile, and its user cancelled it.
     store.writeByOthers(Keys.jobBatch("n1-1"), Cbor.map().set("run-0", Cbor.map().put("tasks", 1)));
     store.writeByOthers(Keys.cancellation("run-0"), Cbor.map());
     List<Integer> behind = submit("run-1");
@@ -113,15 +113,18 @@
     assertEquals(List.of(201), behind);
   }
 
-  /** The first request's write stands, and another node said "aborted" before the repeat comes. */
+  /**
+   * The first request's write is durable, and another controller reported "aborted" before the
+   * repeat arrives.
+   */
   @Test
-  void aRepeatIsNotAnsweredByAWriteThatIsOlder() {
-    List<String> first = words("run-0");
+  void aRepeatIsNotAnsweredByAnOlderWrite() {
+    List<String> first = statusesAndStates("run-0");
     store.run(10);
     Change.Put written = (Change.Put) store.oldestTransaction().changes().get(0);
     store.writeByOthers(written.key(), written.value());
     store.writeByOthers(Keys.cancellation("run-0"), Cbor.map());
-    List<String> repeat = words("run-0");
+    List<String> repeat = statusesAndStates("run-0");
     store.respondWithoutCommit(new TransactionResult.Committed(2));
     store.run(1_000);
     assertEquals(List.of("201 queued"), first);
@@ -129,19 +132,20 @@
   }
 
   /**
-   * The write stands and its answer is on its way; another node reads the job, cancels it and says
-   * so; and the user asks here again. What the write's conditions excluded is older than that.
+   * The write is durable and its response is delayed; another controller reads the job, cancels it
+   * and reports that; and the user repeats the request here. The write's conditions hold for an
+   * earlier time than that.
    */
   @Test
-  void aRepeatThatCameAfterTheWriteWentOutIsToldHowThingsAreAfterIt() {
-    List<String> first = words("run-0");
+  void aRepeatAfterTheWriteWasSentIsAnsweredByALaterRead() {
+    List<String> first = statusesAndStates("run-0");
     store.run(10);
     Runnable answer = store.commitAndDelayResponse();
     store.writeByOthers(Keys.cancellation("run-0"), Cbor.map());
-    List<String> repeat = words("run-0");
+    List<String> repeat = statusesAndStates("run-0");
     answer.run();
     store.run(1_000);
-    assertEquals(List.of("201 queued"), first, "it was asked before");
+    assertEquals(List.of("201 queued"), first, "it was requested before");
     assertEquals(List.of("200 aborted"), repeat);
   }
 }
--- a/src/test/java/org/ploverspindle/eventloop/EventLoopTest.java
+++ b/src/test/java/org/ploverspindle/eventloop/EventLoopTest.java
@@ -11,19 +11,20 @@
 import org.junit.jupiter.api.Test;
 
 class EventLoopTest {
-  /** What waits when there is more than can be done: told by the order in which it is done. */
+  /** Work that waits is run by priority, as the order in which it is done shows. */
   @Test
-  void reportsGoFirstThenDecisionsThenSubmissionsAndQuestionsLast() throws InterruptedException {
+  void heartbeatsRunFirstThenDecisionsThenSubmissionsAndQueriesLast() throws InterruptedException {
     List<EventPriority> done = new ArrayList<>();
     CountDownLatch all = new CountDownLatch(400);
     Random random = new Random(1);
     try (EventLoop loop = new EventLoop()) {
       for (int i = 0; i < 400; i++) {
-        EventPriority rank = EventPriority.values()[random.nextInt(EventPriority.values().length)];
+        EventPriority priority =
+            EventPriority.values()[random.nextInt(EventPriority.values().length)];
         loop.execute(
-            rank,
+            priority,
             () -> {
-              done.add(rank);
+              done.add(priority);
               all.countDown();
             });
       }
--- a/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
+++ b/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What can't carry a fleet is named with the figure that would, and that figure is enough. */
+/** A limit that can't carry a fleet is named with one that can, and that one is enough. */
 class FleetRequirementsTest {
   private static final int LARGE = 6_000;
 
--- a/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
+++ b/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
@@ -17,18 +17,18 @@
   }
 
   private static List<String> problems(String text) {
-    InvalidSettingsException e =
+    InvalidSettingsException invalid =
         assertThrows(InvalidSettingsException.class, () -> SettingsFile.parse("s.toml", text));
-    return e.problems().stream().map(SettingsProblem::toString).toList();
+    return invalid.problems().stream().map(SettingsProblem::toString).toList();
   }
 
   @Test
-  void readsWhatThePlatformHandsOverAndIgnoresTheRest() throws Exception {
-    Settings s = SettingsFile.parse("s.toml", "novelty = 3\n" + sample());
-    assertEquals("rehearsal", s.member());
-    assertEquals(10.0, s.workers().leaseS());
-    assertEquals(1, s.nodes());
-    assertEquals(8192, s.stateLimits().valueBytes());
+  void readsThePlatformsFileAndIgnoresUnknownFields() throws Exception {
+    Settings settings = SettingsFile.parse("s.toml", "novelty = 3\n" + sample());
+    assertEquals("rehearsal", settings.member());
+    assertEquals(10.0, settings.workers().leaseS());
+    assertEquals(1, settings.nodes());
+    assertEquals(8192, settings.stateLimits().valueBytes());
   }
 
   @Test
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void whatIsNotTomlIsRefusedWithItsLine() {
+  void textThatIsNotTomlIsRefusedWithItsLine() {
     assertTrue(problems("a = 1\nb = = 2\n").get(0).startsWith("s.toml:2: "));
   }
 
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void limitsThatAreTooSmallAreNamedAndTaken() throws Exception {
+  void limitsThatAreTooSmallAreNamedAndAccepted() throws Exception {
     assertEquals(List.of(), LimitChecks.warnings(SettingsFile.parse("s.toml", sample())));
     for (String[] small :
         new String[][] {{"rps", "3.0"}, {"write_rps", "1.0"}, {"value_kb", "1.0"}}) {
@@ -75,15 +75,15 @@
   }
 
   @Test
-  void lowerLimitsToComeAreReadAndTheSmallerOfBothIsKeptTo() throws Exception {
-    Settings s = SettingsFile.parse("s.toml", sample());
-    assertEquals(s.stateLimits(), s.writeLimits());
+  void lowerLimitsThatWillHoldLaterAreReadAndTheSmallerOfBothIsUsed() throws Exception {
+    Settings settings = SettingsFile.parse("s.toml", sample());
+    assertEquals(settings.stateLimits(), settings.writeLimits());
     String next = sample() + "\n[params.state.next]\nvalue_kb = 2.5\ntxn_ops = 4000\n";
-    s = SettingsFile.parse("s.toml", next);
-    assertEquals(2560, s.writeLimits().valueBytes());
-    assertEquals(s.stateLimits().txnOps(), s.writeLimits().txnOps());
-    assertEquals(s.stateLimits().rps(), s.writeLimits().rps());
-    assertEquals(8192, s.stateLimits().valueBytes());
+    settings = SettingsFile.parse("s.toml", next);
+    assertEquals(2560, settings.writeLimits().valueBytes());
+    assertEquals(settings.stateLimits().txnOps(), settings.writeLimits().txnOps());
+    assertEquals(settings.stateLimits().rps(), settings.writeLimits().rps());
+    assertEquals(8192, settings.stateLimits().valueBytes());
   }
 
   @Test
