--- a/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
+++ b/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What can't carry a fleet is named with the figure that would, and that figure is enough. */
+/** A limit that can't carry a fleet is named with one that can, and that one is enough. */
 class FleetRequirementsTest {
   private static final int LARGE = 6_000;
 
@@ -45,7 +45,7 @@
   @Test
   void theLargestFleetIsTheLastOneThatIsCarried() throws Exception {
     Settings settings = settings(1, 1_000, 3_000);
-    int most = FleetRequirements.mostMachines(settings);
+    int most = FleetRequirements.maxMachines(settings);
     assertTrue(most > 2_000 && most < 3_000, "3,000 sockets carry " + most);
     assertEquals(List.of(), FleetRequirements.of(settings, most).shortages(settings));
     assertFalse(FleetRequirements.of(settings, most + 1).shortages(settings).isEmpty());
