--- a/src/main/java/org/ploverspindle/progress/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressWriter.java
@@ -100,7 +100,7 @@
     return new ProgressLoader(state);
   }
 
-  /** Whether a record that is known to be stored says that the task has completed. */
+  /** Whether the completion of the task is known to be durable. */
   public boolean isDurablyDone(Job job, int task) {
     return job.finished() || state.durable().isCompleted(job, task);
   }
--- a/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
+++ b/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
@@ -15,7 +15,7 @@
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressLogRecord;
 
-/** Where each task's newest statement rests, and what stands in the slots. */
+/** Which record holds the latest status of each task, and which records the slots hold. */
 class ProgressLogSlotsTest {
   private final ProgressLogSlots slots = new ProgressLogSlots();
   private final Job job =
@@ -27,55 +27,55 @@
           new BitSet(),
           -1,
           1);
-  private final TaskShard chunk = new TaskShard(job, 0);
+  private final TaskShard shard = new TaskShard(job, 0);
 
   private static BitSet tasks(int... tasks) {
     BitSet set = new BitSet();
-    for (int t : tasks) {
-      set.set(t);
+    for (int task : tasks) {
+      set.set(task);
     }
     return set;
   }
 
   @Test
-  void statementsMoveOnToNewerRecords() {
-    slots.statusRecorded(chunk, tasks(1, 2, 3), 5);
-    slots.statusRecorded(chunk, tasks(2), 9);
-    assertEquals(Map.of(chunk, tasks(1, 3)), slots.latestStatusIn(5));
-    assertEquals(Map.of(chunk, tasks(2)), slots.latestStatusIn(9));
-    slots.statusRecorded(chunk, tasks(1, 3), 9);
+  void aNewerRecordTakesOverTheLatestStatus() {
+    slots.statusRecorded(shard, tasks(1, 2, 3), 5);
+    slots.statusRecorded(shard, tasks(2), 9);
+    assertEquals(Map.of(shard, tasks(1, 3)), slots.latestStatusIn(5));
+    assertEquals(Map.of(shard, tasks(2)), slots.latestStatusIn(9));
+    slots.statusRecorded(shard, tasks(1, 3), 9);
     assertEquals(Set.of(9L), slots.latestStatusUpTo(100).keySet());
   }
 
-  /** An unanswered write is found late: what newer records say stays what counts. */
+  /** An unanswered write is found late: the statuses in newer records remain the latest. */
   @Test
-  void anOlderRecordThatIsFoundLateTakesOnlyWhatNoNewerOneSays() {
-    slots.statusRecorded(chunk, tasks(1, 2), 9);
-    slots.statusRecorded(chunk, tasks(2, 3), 7);
-    assertEquals(Map.of(chunk, tasks(3)), slots.latestStatusIn(7));
-    assertEquals(Map.of(chunk, tasks(1, 2)), slots.latestStatusIn(9));
+  void anOlderRecordThatIsFoundLateHoldsOnlyWhatNoNewerOneHas() {
+    slots.statusRecorded(shard, tasks(1, 2), 9);
+    slots.statusRecorded(shard, tasks(2, 3), 7);
+    assertEquals(Map.of(shard, tasks(3)), slots.latestStatusIn(7));
+    assertEquals(Map.of(shard, tasks(1, 2)), slots.latestStatusIn(9));
   }
 
   @Test
-  void aCheckpointCoversRecordsUpToItsOwn() {
-    slots.statusRecorded(chunk, tasks(1), 5);
-    slots.statusRecorded(chunk, tasks(2), 6);
-    slots.releaseUpTo(chunk, 5);
+  void aSnapshotCoversRecordsUpToItsOwn() {
+    slots.statusRecorded(shard, tasks(1), 5);
+    slots.statusRecorded(shard, tasks(2), 6);
+    slots.releaseUpTo(shard, 5);
     assertEquals(Map.of(), slots.latestStatusIn(5));
     assertEquals(Optional.of(job), slots.findJob("run-1"));
-    slots.releaseUpTo(chunk, 6);
+    slots.releaseUpTo(shard, 6);
     assertEquals(Optional.empty(), slots.findJob("run-1"));
   }
 
-  /** Nothing that still counts may be lost with the record that stood in the slot. */
+  /** No status that is still needed may be lost with the record that was in the slot. */
   @Test
-  void aReplacedRecordTakesOnlyTheStatementsOfJobsThatAreGone() {
+  void anOverwrittenRecordReleasesOnlyJobsThatAreFullyStopped() {
     long later = 5 + ProgressLogRecord.SLOTS;
     slots.recordStored(5, 70);
     slots.addMention("run-1", 5);
-    slots.statusRecorded(chunk, tasks(1), 5);
+    slots.statusRecorded(shard, tasks(1), 5);
     slots.slotOverwritten(later);
-    assertEquals(Map.of(chunk, tasks(1)), slots.latestStatusIn(5));
+    assertEquals(Map.of(shard, tasks(1)), slots.latestStatusIn(5));
     assertFalse(slots.isMentioned("run-1"));
     job.cancel();
     slots.slotOverwritten(later);
@@ -83,14 +83,14 @@
   }
 
   @Test
-  void onlyOlderRecordsContradictAStatement() {
+  void onlyOlderRecordsCountAsMentionedBefore() {
     slots.addMention("run-1", 5);
     assertFalse(slots.isMentionedBefore("run-1", 5));
     assertTrue(slots.isMentionedBefore("run-1", 6));
   }
 
   @Test
-  void slotsKeepTheirVersionAndDamage() {
+  void slotsKeepTheirModRevisionAndWhetherTheyAreReadable() {
     slots.recordStored(3, 41);
     slots.markUnreadable(Keys.progressLog(4));
     long later = 3 + ProgressLogRecord.SLOTS;
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
@@ -43,7 +43,7 @@
 abstract class CancelledPlacementsScenario {
   static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 200, 16, 24);
 
-  /** Well over what the ends wait for a write that goes out anyway. */
+  /** Well over the time that clearings wait for a record that goes out for other reasons. */
   static final long QUIET_MS = 8_000;
 
   /** Well under it. */
@@ -51,11 +51,11 @@
 
   enum Fate {
     ANSWERED,
-    /** Carried out, and nobody hears of it. */
+    /** Executed, but not answered. */
     ANSWER_LOST,
-    /** Carried out seconds later, and nobody hears of it. */
+    /** Executed seconds later, and not answered. */
     LATE,
-    /** Never arrives. */
+    /** Never executed. */
     LOST
   }
 
@@ -125,7 +125,7 @@
     return ((TransactionResult.Committed) result).revision();
   }
 
-  /** A term: what it was told to be recorded, and the tasks of which it places and ends. */
+  /** A leader for one term, which places tasks and ends them. */
   final class Leader implements ProgressWriter.Listener {
     private final SimClock.Process process = clock.new Process(0, 1, 0);
     final ProgressWriter writer;
@@ -170,7 +170,7 @@
       return job;
     }
 
-    /** As an earlier leader left it: what is recorded is presumed to be there. */
+    /** Restores a job from the records: recorded placements are presumed to be running. */
     Job takeOver(Kind kind, boolean cancelled) {
       Job job = accept(kind);
       if (cancelled) {
@@ -204,7 +204,7 @@
       recordEnds(job);
     }
 
-    /** Proven gone. */
+    /** The placements of these tasks are proven to have ended. */
     void ended(Job job, int... tasks) {
       for (int t : tasks) {
         job.removePlacement(job.activePlacement(t));
@@ -246,7 +246,7 @@
   static final Kind CANCELLED = new Kind("run-cancelled", 6, 4);
   static final Kind OTHER = new Kind("run-other", 2_000, 50);
 
-  /** The tasks that a reader of the documented forms, of whichever version, takes to be placed. */
+  /** The tasks that are recorded as placed, by the reference reader. */
   Set<Integer> recordedPlacements(Kind kind) {
     String[] read = ReferenceProgressRecords.read(LowerLimitsTest.all(state), kind);
     Set<Integer> live = new TreeSet<>();
@@ -258,7 +258,7 @@
     return live;
   }
 
-  /** A leader that takes over now reads the same; it ends at once. */
+  /** A leader that takes over now finds exactly these tasks placed. */
   void assertNextLeaderCounts(Kind kind, Set<Integer> tasks) {
     assertEquals(tasks, recordedPlacements(kind));
     Leader reader = new Leader();
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
@@ -58,7 +58,9 @@
   long attempts;
   int machines = 300;
 
-  /** What may stand in the records of each task: the last that is known to, and all since. */
+  /**
+   * The statuses that may be recorded for each task: the last confirmed one, and all later ones.
+   */
   static final class Truth {
     final List<List<String>> possible = new ArrayList<>();
     private boolean terminal;
@@ -92,7 +94,7 @@
     return all;
   }
 
-  /** To the store with faults; nothing larger than the lower limits may pass. */
+  /** Reaches the state service with faults; asserts that nothing exceeds the lower limits. */
   final class FaultyStateClient extends ReadingStateClient {
     private final SimClock.Process process;
     private final boolean bounded;
@@ -170,7 +172,9 @@
     return jobs.keySet().stream().filter(j -> !jobs.get(j).terminal).toList();
   }
 
-  /** Checks what is recorded of every job against what may be, and takes it as what is. */
+  /**
+   * Asserts that each recorded status is possible, and makes the recorded ones the only possible.
+   */
   Map<Kind, String[]> takeOver() {
     SortedMap<String, Entry> all = all(state);
     Map<Kind, String[]> recorded = new LinkedHashMap<>();
@@ -339,7 +343,7 @@
       writer.changed(job, ended.task());
     }
 
-    /** Everything comes to be written, and soon. */
+    /** Without faults, everything that is pending is written within a minute. */
     void settle() {
       faults = 0;
       for (int i = 0; i < 60 && (i < 3 || writer.backlog() > 0); i++) {
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -20,13 +20,13 @@
 import org.ploverspindle.state.SnapshotRecord;
 
 /**
- * Progress under limits that fall: leaders of this version and stand-ins for the one in production
- * take turns on jobs whose chunks were made under the old limits, with answers lost and writes
- * late. Whoever takes over reads what a slow reader of the documented forms reads, and of every
- * task a state that it can be in by what its last leaders were told is durable.
+ * Progress under limits that fall: leaders of this version and a stand-in for the one in production
+ * alternate on jobs whose shards were made under the old limits, with answers lost and writes late.
+ * Each new leader reads the same as the reference reader of the documented formats, and for every
+ * task a status that is possible given what earlier leaders knew to be durable.
  */
 class LowerLimitsTest extends LowerLimitsScenario {
-  /** A term of the version in production; once the limits fell, the store takes nothing of it. */
+  /** A term of the version in production; after the limits fall all its writes are refused. */
   private void earlierVersionLeads(int steps) {
     ReferenceProgressRecords.OldWriter old =
         new ReferenceProgressRecords.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
@@ -46,7 +46,7 @@
         cancelled(job);
         continue;
       }
-      // Some bursts: their records are larger than a value may be later.
+      // Some bursts, whose records are larger than a value may be after the limits fall.
       int touched = random.nextInt(12) == 0 ? 250 : 3;
       for (int k = 0; k < touched; k++) {
         int t = random.nextInt(job.tasks());
@@ -148,7 +148,7 @@
     assertEquals(0, cluster.state.tooLarge(), "refused for their size");
   }
 
-  /** Production's last records stand in every slot, and its oldest is more than one now holds. */
+  /** All slots hold records of the version in production, the oldest larger than a value may be. */
   @Test
   void aRecordTooLargeToBeReplacedIsPassedOverUntilItHasMovedOn() {
     random = new Random(9);
@@ -180,7 +180,7 @@
     state.limits(LOW);
     for (int term = 0; term < 16; term++) {
       WritingLeader leader = new WritingLeader(LOW, true);
-      // The first ones end between two of the writes that it takes.
+      // The first ones end before they have written all that it takes.
       for (int i = 0; i < (term < 12 ? 1 : 100); i++) {
         leader.step(true);
         clock.runUntil(clock.nowMs() + (term < 12 ? 10 + 2 * term : 100));
--- a/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
@@ -56,10 +56,10 @@
   int jobCount;
   long attempts;
 
-  /** Jobs that waited for others when a leader took over, summed over all terms. */
+  /** Jobs that were blocked on dependencies when a leader took over, summed over all terms. */
   int blockedAtTakeOver;
 
-  /** What was asked, how each task is by the last leader, and all that it ever was. */
+  /** A job with the present status of each task by its last leader, and all earlier ones. */
   static final class Truth {
     final Kind kind;
     final List<String> dependencies;
@@ -87,7 +87,7 @@
 
   // ---- the state service
 
-  /** Waits while the rate of changes refuses. */
+  /** Retries while the rate of changes is exceeded. */
   TransactionResult commit(Transaction transaction) {
     TransactionResult result = state.txn(transaction);
     while (result instanceof TransactionResult.Refused) {
@@ -115,7 +115,7 @@
     @Override
     public void commit(Transaction transaction, Consumer<TransactionResult> then) {
       if (random.nextDouble() < faults) {
-        // Never executed, executed unseen, or executed when the next leader may be there.
+        // Never executed, executed without an answer, or executed when the next leader may lead.
         int kind = random.nextInt(3);
         if (kind > 0) {
           clock.at(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.txn(transaction));
@@ -167,7 +167,7 @@
             });
   }
 
-  /** Jobs that are not over: what a new one may await. */
+  /** Jobs that are not terminal: those that a new one may depend on. */
   List<String> open(ReferenceJobRecords reference) {
     List<String> open = new ArrayList<>();
     for (String uid : reference.jobs().keySet()) {
@@ -179,7 +179,7 @@
     return open;
   }
 
-  /** A node of either version accepts a job, some with lists too long for its record. */
+  /** A controller of either version accepts a job, some with lists too long for its record. */
   void accept(boolean byEarlierVersion) {
     ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.all(state));
     List<String> open = open(reference);
@@ -189,7 +189,7 @@
     }
     boolean isLong = random.nextInt(4) == 0;
     if (isLong) {
-      // Those of f659783's run, whose names fill a list in two parts.
+      // Those of the fixture from f659783, whose names fill a list in two parts.
       truths.keySet().stream().filter(uid -> uid.startsWith("step")).forEach(dependencies::add);
     }
     List<String> list = List.copyOf(dependencies);
@@ -248,7 +248,9 @@
 
   // ---- taking over
 
-  /** Checks the records against what happened; gives what is recorded of the jobs that may run. */
+  /**
+   * Asserts that the records match what happened; returns the statuses of the jobs that may run.
+   */
   Map<Truth, String[]> takeOver(boolean settled) {
     SortedMap<String, Entry> all = LowerLimitsTest.all(state);
     ReferenceJobRecords reference = new ReferenceJobRecords(all);
--- a/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
+++ b/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
@@ -7,28 +7,29 @@
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.net.HttpResult;
 
-/** What the state service's answers mean. */
+/** How answers of the state service are interpreted. */
 class HttpStateStoreTest {
-  private static List<StateStore.ChangesResult> newsOf(HttpResult reply) {
+  private static List<StateStore.ChangesResult> changesFor(HttpResult result) {
     List<StateStore.ChangesResult> received = new ArrayList<>();
-    new HttpStateStore((method, path, body, timeoutMs, then) -> then.accept(reply))
+    new HttpStateStore((method, path, body, timeoutMs, then) -> then.accept(result))
         .readChanges("x/", 7, received::add);
     return received;
   }
 
   /**
-   * Changes have no size limit. A replica that was cut off for a minute in a busy deployment asked
-   * for more than it may read, and asked again in the same way until the service had forgotten
-   * them; meanwhile its controller was of no use.
+   * Changes have no size limit. A replica that was partitioned for a minute in a busy deployment
+   * requested more changes than it accepts, and repeated the same request until the service had
+   * discarded them; meanwhile its controller could not serve anything.
    */
   @Test
   void changesThatAreTooManyToReadAreReadAsPages() {
     assertEquals(
-        List.of(new StateStore.ChangesResult.TooOld()), newsOf(new HttpResult.TooLarge(1)));
+        List.of(new StateStore.ChangesResult.TooOld()), changesFor(new HttpResult.TooLarge(1)));
     assertEquals(
         List.of(new StateStore.ChangesResult.TooOld()),
-        newsOf(new HttpResult.Response(410, new byte[0])));
+        changesFor(new HttpResult.Response(410, new byte[0])));
     assertEquals(
-        List.of(new StateStore.ChangesResult.Failed()), newsOf(new HttpResult.NoResponse("lost")));
+        List.of(new StateStore.ChangesResult.Failed()),
+        changesFor(new HttpResult.NoResponse("lost")));
   }
 }
--- a/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
@@ -13,8 +13,8 @@
 import org.ploverspindle.state.StateStore.Change;
 
 class MachineTypesRecordTest {
-  private static List<MachineType> types(int n) {
-    return IntStream.range(0, n)
+  private static List<MachineType> types(int count) {
+    return IntStream.range(0, count)
         .mapToObj(
             i ->
                 new MachineType(
@@ -34,8 +34,8 @@
     assertEquals(
         List.of(new Change.Put(Keys.TYPES, MachineTypesRecord.encode(types(3)))),
         MachineTypesRecord.puts(types(3), 2048));
-    for (int n : new int[] {14, 40}) {
-      List<Change.Put> puts = MachineTypesRecord.puts(types(n), 2048);
+    for (int count : new int[] {14, 40}) {
+      List<Change.Put> puts = MachineTypesRecord.puts(types(count), 2048);
       List<MachineType> read = new ArrayList<>();
       for (int i = 0; i < puts.size(); i++) {
         assertEquals(Keys.types(i), puts.get(i).key());
@@ -43,7 +43,7 @@
         assertEquals(puts.size(), puts.get(i).value().path("parts").asInt());
         read.addAll(MachineTypesRecord.decode(puts.get(i).value()).orElseThrow());
       }
-      assertEquals(types(n), read);
+      assertEquals(types(count), read);
     }
   }
 }
--- a/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
@@ -18,83 +18,90 @@
 import org.ploverspindle.state.SnapshotRecord.RecordedPlacement;
 
 class ProgressLogRecordTest {
-  private static Delta delta(Random r, String uid, int tasks) {
-    BitSet done = new BitSet();
+  private static Delta delta(Random random, String uid, int tasks) {
+    BitSet completed = new BitSet();
     BitSet cleared = new BitSet();
-    List<RecordedPlacement> live = new ArrayList<>();
-    long attempt = (3L << 44) + r.nextInt(1000);
-    for (int t = 0; t < tasks; t++) {
-      switch (r.nextInt(5)) {
-        case 0 -> done.set(t);
-        case 1 -> cleared.set(t);
+    List<RecordedPlacement> placements = new ArrayList<>();
+    long attempt = (3L << 44) + random.nextInt(1000);
+    for (int task = 0; task < tasks; task++) {
+      switch (random.nextInt(5)) {
+        case 0 -> completed.set(task);
+        case 1 -> cleared.set(task);
         case 2 -> {}
         default -> {
-          attempt += r.nextInt(4) == 0 ? 5 : 1;
-          int host = r.nextInt(6);
-          live.add(
+          attempt += random.nextInt(4) == 0 ? 5 : 1;
+          int machine = random.nextInt(6);
+          placements.add(
               new RecordedPlacement(
-                  t,
+                  task,
                   attempt,
-                  new MachineInfo("i-00023" + host, "type-" + host % 2, "zone", host % 3 == 0),
-                  1 + host));
+                  new MachineInfo(
+                      "i-00023" + machine, "type-" + machine % 2, "zone", machine % 3 == 0),
+                  1 + machine));
         }
       }
     }
-    return new Delta(uid, done.cardinality(), live.size(), done, cleared, live);
+    return new Delta(
+        uid, completed.cardinality(), placements.size(), completed, cleared, placements);
   }
 
   @Test
   void whatIsWrittenIsRead() {
     for (int seed = 0; seed < 200; seed++) {
-      Random r = new Random(seed);
-      ProgressLogRecord.Builder b = new ProgressLogRecord.Builder(seed, "4.7", 64_000);
+      Random random = new Random(seed);
+      ProgressLogRecord.Builder builder = new ProgressLogRecord.Builder(seed, "4.7", 64_000);
       List<Delta> deltas = new ArrayList<>();
-      for (int i = 0; i < r.nextInt(6); i++) {
-        Delta d = delta(r, "run-" + i, r.nextInt(60));
-        assertTrue(b.add(d));
-        deltas.add(d);
+      for (int i = 0; i < random.nextInt(6); i++) {
+        Delta delta = delta(random, "run-" + i, random.nextInt(60));
+        assertTrue(builder.add(delta));
+        deltas.add(delta);
       }
       assertEquals(
           new ProgressLogRecord(seed, "4.7", deltas),
-          ProgressLogRecord.decode(b.value()).orElseThrow());
+          ProgressLogRecord.decode(builder.value()).orElseThrow());
       Map<String, String> counts = new HashMap<>();
       ProgressLogRecord.counts(
-          b.value(), (uid, done, running) -> counts.put(uid, done + "/" + running));
-      deltas.forEach(d -> assertEquals(d.doneCount() + "/" + d.running(), counts.get(d.uid())));
+          builder.value(), (uid, done, running) -> counts.put(uid, done + "/" + running));
+      deltas.forEach(
+          delta ->
+              assertEquals(delta.doneCount() + "/" + delta.running(), counts.get(delta.uid())));
     }
   }
 
   @Test
-  void aRecordNeverGrowsBeyondItsSizeAndTakesAGroupAlone() {
+  void aRecordNeverGrowsBeyondItsSizeAndHoldsTheGuaranteedTasks() {
     for (int kb : new int[] {1, 8, 16}) {
       int size = kb * 1024;
-      int group = ProgressLogRecord.Builder.tasksThatFit(size);
-      Random r = new Random(kb);
+      int taskCount = ProgressLogRecord.Builder.tasksThatFit(size);
+      Random random = new Random(kb);
       for (int round = 0; round < 50; round++) {
-        ProgressLogRecord.Builder b =
+        ProgressLogRecord.Builder builder =
             new ProgressLogRecord.Builder(Long.MAX_VALUE / 2, "9999999.99999", size);
-        List<RecordedPlacement> live = new ArrayList<>();
-        for (int t = 0; t < group; t++) {
-          MachineInfo host =
-              new MachineInfo("i-" + (100_000 + t), "type-with-a-name", "zone-with-a-name", true);
-          live.add(new RecordedPlacement(99_000 + t, (1L << 60) + t * 7L, host, 1_000 + t));
+        List<RecordedPlacement> placements = new ArrayList<>();
+        for (int task = 0; task < taskCount; task++) {
+          MachineInfo machine =
+              new MachineInfo(
+                  "i-" + (100_000 + task), "type-with-a-name", "zone-with-a-name", true);
+          placements.add(
+              new RecordedPlacement(99_000 + task, (1L << 60) + task * 7L, machine, 1_000 + task));
         }
         BitSet none = new BitSet();
-        assertTrue(b.add(new Delta("run-999999999", 1, 1, none, none, live)), kb + " KB");
-        while (b.add(delta(r, "run-" + r.nextInt(100), 1 + r.nextInt(8)))) {
-          assertTrue(Cbor.jsonSize(b.value()) <= size);
+        assertTrue(
+            builder.add(new Delta("run-999999999", 1, 1, none, none, placements)), kb + " KB");
+        while (builder.add(delta(random, "run-" + random.nextInt(100), 1 + random.nextInt(8)))) {
+          assertTrue(Cbor.jsonSize(builder.value()) <= size);
         }
-        assertTrue(Cbor.jsonSize(b.value()) <= size);
-        assertTrue(ProgressLogRecord.decode(b.value()).isPresent());
+        assertTrue(Cbor.jsonSize(builder.value()) <= size);
+        assertTrue(ProgressLogRecord.decode(builder.value()).isPresent());
       }
     }
   }
 
   @Test
-  void whatCanNotBeReadIsSaidToBe() {
-    ProgressLogRecord.Builder b = new ProgressLogRecord.Builder(5, "1.1", 8_000);
-    b.add(delta(new Random(3), "run-1", 20));
-    ObjectNode good = (ObjectNode) b.value();
+  void unreadableRecordsAreReported() {
+    ProgressLogRecord.Builder builder = new ProgressLogRecord.Builder(5, "1.1", 8_000);
+    builder.add(delta(new Random(3), "run-1", 20));
+    ObjectNode good = (ObjectNode) builder.value();
     for (String field : List.of("n", "id", "jobs")) {
       ObjectNode broken = good.deepCopy();
       broken.remove(field);
--- a/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
@@ -20,32 +20,35 @@
     Random random = new Random(3);
     for (int round = 0; round < 200; round++) {
       BitSet done = new BitSet();
-      List<RecordedPlacement> live = new ArrayList<>();
+      List<RecordedPlacement> placements = new ArrayList<>();
       for (int task = 0; task < 60; task++) {
         int fate = random.nextInt(3);
         if (fate == 0) {
           done.set(task);
         } else if (fate == 1) {
-          MachineInfo h = new MachineInfo("i-" + random.nextInt(9), "t", "z", random.nextBoolean());
-          live.add(new RecordedPlacement(task, random.nextLong() >>> 2, h, random.nextInt(100)));
+          MachineInfo machine =
+              new MachineInfo("i-" + random.nextInt(9), "t", "z", random.nextBoolean());
+          placements.add(
+              new RecordedPlacement(task, random.nextLong() >>> 2, machine, random.nextInt(100)));
         }
       }
-      SnapshotRecord record = new SnapshotRecord(done, live, live.size(), 0);
+      SnapshotRecord record = new SnapshotRecord(done, placements, placements.size(), 0);
       byte[] stored = Cbor.write(record.encode());
       assertEquals(Optional.of(record), SnapshotRecord.decode(Cbor.readMap(stored).orElseThrow()));
     }
   }
 
   @Test
-  void theLargestChunkFitsInAValue() {
+  void theLargestShardFitsInAValue() {
     for (int kb : new int[] {4, 8, 16}) {
-      List<RecordedPlacement> live = new ArrayList<>();
-      int chunk = SnapshotRecord.shardSizeFor(kb * 1024);
-      for (int task = 0; task < chunk; task++) {
-        MachineInfo h = new MachineInfo("i-99" + task, "machine-type-16", "some-zone-a1", false);
-        live.add(new RecordedPlacement(99_000 + task, (1L << 40) + task, h, 1234));
+      List<RecordedPlacement> placements = new ArrayList<>();
+      int shardSize = SnapshotRecord.shardSizeFor(kb * 1024);
+      for (int task = 0; task < shardSize; task++) {
+        MachineInfo machine =
+            new MachineInfo("i-99" + task, "machine-type-16", "some-zone-a1", false);
+        placements.add(new RecordedPlacement(99_000 + task, (1L << 40) + task, machine, 1234));
       }
-      int size = Cbor.jsonSize(new SnapshotRecord(new BitSet(), live, chunk, 0).encode());
+      int size = Cbor.jsonSize(new SnapshotRecord(new BitSet(), placements, shardSize, 0).encode());
       assertTrue(size <= kb * 1024, size + " bytes for " + kb + " KiB");
     }
   }
