--- a/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
@@ -226,29 +226,27 @@
               m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
               this);
       RecordedProgress recorded = new RecordedProgress(replica, writer);
-      takeOver()
-          .forEach(
-              (kind, expected) -> {
-                Job job = add(kind);
-                RecordedProgress.State read = recorded.of(job);
-                assertArrayEquals(expected, texts(kind, read), kind.toString());
-                read.done().stream().forEach(job::markCompleted);
-                read.live()
-                    .values()
-                    .forEach(
-                        l ->
-                            job.addPlacement(
-                                new Placement(
-                                    job,
-                                    l.task(),
-                                    l.attempt(),
-                                    machine(l.machine().id()),
-                                    l.agentEpoch(),
-                                    Placement.Phase.RECOVERED)));
-                if (job.allTasksCompleted()) {
-                  writer.changed(job, 0);
-                }
-              });
+      takeOver().forEach((kind, expected) -> restore(kind, expected, recorded));
+    }
+
+    private void restore(Kind kind, String[] expected, RecordedProgress recorded) {
+      Job job = add(kind);
+      RecordedProgress.State read = recorded.of(job);
+      assertArrayEquals(expected, texts(kind, read), kind.toString());
+      read.done().stream().forEach(job::markCompleted);
+      for (SnapshotRecord.RecordedPlacement placement : read.live().values()) {
+        job.addPlacement(
+            new Placement(
+                job,
+                placement.task(),
+                placement.attempt(),
+                machine(placement.machine().id()),
+                placement.agentEpoch(),
+                Placement.Phase.RECOVERED));
+      }
+      if (job.allTasksCompleted()) {
+        writer.changed(job, 0);
+      }
     }
 
     Job add(Kind kind) {
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -47,21 +47,9 @@
         continue;
       }
       // Some bursts, whose records are larger than a value may be after the limits fall.
-      int touched = random.nextInt(12) == 0 ? 250 : 3;
-      for (int k = 0; k < touched; k++) {
-        int t = random.nextInt(job.tasks());
-        String before = old.state(job)[t];
-        if (!before.equals(ReferenceProgressRecords.DONE)) {
-          String host = "i-" + (100_000 + random.nextInt(machines));
-          String now =
-              before.equals(ReferenceProgressRecords.WAITING)
-                  ? ReferenceProgressRecords.live((terms << 40) + ++attempts, host, 3)
-                  : random.nextInt(3) > 0
-                      ? ReferenceProgressRecords.DONE
-                      : ReferenceProgressRecords.WAITING;
-          old.now(job, t, now);
-          jobs.get(job).possible.get(t).add(now);
-        }
+      int changedTasks = random.nextInt(12) == 0 ? 250 : 3;
+      for (int k = 0; k < changedTasks; k++) {
+        changeTask(old, job, random.nextInt(job.tasks()));
       }
       clock.runUntil(clock.nowMs() + 60);
       if (old.write() && old.clean()) {
@@ -71,6 +59,24 @@
     }
   }
 
+  private void changeTask(ReferenceProgressRecords.OldWriter old, Kind job, int task) {
+    String before = old.state(job)[task];
+    if (before.equals(ReferenceProgressRecords.DONE)) {
+      return;
+    }
+    String host = "i-" + (100_000 + random.nextInt(machines));
+    String now;
+    if (before.equals(ReferenceProgressRecords.WAITING)) {
+      now = ReferenceProgressRecords.live((terms << 40) + ++attempts, host, AGENT_EPOCH);
+    } else if (random.nextInt(3) > 0) {
+      now = ReferenceProgressRecords.DONE;
+    } else {
+      now = ReferenceProgressRecords.WAITING;
+    }
+    old.now(job, task, now);
+    jobs.get(job).possible.get(task).add(now);
+  }
+
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void whoeverTakesOverReadsWhatWasRecorded(long seed) {
@@ -104,23 +110,26 @@
     takeOver();
   }
 
+  private static SimulatedCluster.Site siteWithLimits(Settings.StateLimits limits) {
+    SimulatedCluster.Site small = SimulatedCluster.Site.small(3, 30, List.of("a", "b"));
+    return new SimulatedCluster.Site(
+        small.nodes(),
+        small.capacity(),
+        small.zones(),
+        small.workers(),
+        limits,
+        small.cloud(),
+        small.teams(),
+        small.policy());
+  }
+
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void controllersGoOnWhenTheLimitsFall(long seed) {
     Settings.StateLimits next = new Settings.StateLimits(80, 20, 2, 4);
-    SimulatedCluster.Site small = SimulatedCluster.Site.small(3, 30, List.of("a", "b"));
     SimulatedCluster cluster =
         new SimulatedCluster(
-            seed,
-            new SimulatedCluster.Site(
-                small.nodes(),
-                small.capacity(),
-                small.zones(),
-                small.workers(),
-                new Settings.StateLimits(200, 60, 8, 12, Optional.of(next)),
-                small.cloud(),
-                small.teams(),
-                small.policy()));
+            seed, siteWithLimits(new Settings.StateLimits(200, 60, 8, 12, Optional.of(next))));
     List<String> unknown = new ArrayList<>(List.of("large"));
     for (int i = 0; i < 200; i++) {
       unknown.add("type-that-the-cloud-does-not-name-" + i);
@@ -152,6 +161,25 @@
   @Test
   void aRecordTooLargeToBeReplacedIsPassedOverUntilItHasMovedOn() {
     random = new Random(9);
+    fillAllSlotsByEarlierVersion();
+    state.limits(LOW);
+    for (int term = 0; term < 16; term++) {
+      WritingLeader leader = new WritingLeader(LOW, true);
+      // The first ones end before they have written all that it takes.
+      for (int i = 0; i < (term < 12 ? 1 : 100); i++) {
+        leader.step(true);
+        clock.runUntil(clock.nowMs() + (term < 12 ? 10 + 2 * term : 100));
+      }
+      assertEquals(0, leader.client.refused);
+      leader.end();
+    }
+    takeOver();
+    long sequence = all(state).get(Keys.progressLog(1)).value().path("n").asLong();
+    assertTrue(sequence > 257, "the slot of the large record holds " + sequence);
+  }
+
+  /** The oldest record holds the placements of all tasks of a large job. */
+  private void fillAllSlotsByEarlierVersion() {
     ReferenceProgressRecords.OldWriter old =
         new ReferenceProgressRecords.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
     Kind large = new Kind("run-large", 260, SnapshotRecord.shardSizeFor(OLD.valueBytes()));
@@ -177,20 +205,6 @@
       jobs.get(job).setRecorded(old.state(job));
     }
     jobs.get(other).possible.get(255).set(0, ReferenceProgressRecords.WAITING);
-    state.limits(LOW);
-    for (int term = 0; term < 16; term++) {
-      WritingLeader leader = new WritingLeader(LOW, true);
-      // The first ones end before they have written all that it takes.
-      for (int i = 0; i < (term < 12 ? 1 : 100); i++) {
-        leader.step(true);
-        clock.runUntil(clock.nowMs() + (term < 12 ? 10 + 2 * term : 100));
-      }
-      assertEquals(0, leader.client.refused);
-      leader.end();
-    }
-    takeOver();
-    long sequence = all(state).get(Keys.progressLog(1)).value().path("n").asLong();
-    assertTrue(sequence > 257, "the slot of the large record holds " + sequence);
   }
 
   @Test
