--- a/src/main/java/org/ploverspindle/cloud/Pools.java
+++ b/src/main/java/org/ploverspindle/cloud/Pools.java
@@ -39,7 +39,7 @@
     return AdaptiveSizing.bounds(pool.min(), pool.max(), groups);
   }
 
-  /** A type's groups in the order of the zones; each stands for both kinds, spot and on-demand. */
+  /** A type's groups in the order of the zones; each counts both kinds, spot and on-demand. */
   List<AdaptiveSizing.Group> groups(int type) {
     int[] held = new int[catalogue.zoneCount()];
     for (Machine machine : fleet.all()) {
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
@@ -106,7 +106,7 @@
     return count;
   }
 
-  /** Takes over an earlier leader's intent; a repeated request tells what it provisioned. */
+  /** Takes over an earlier leader's intent; a repeated request returns what it provisioned. */
   void inherit(Entry entry) {
     Optional<ProvisioningIntentRecords.Requested> requested = records.decode(entry.value());
     if (requested.isEmpty()) {
--- a/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
+++ b/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
@@ -23,7 +23,7 @@
   private static final int ARRIVALS_KEPT = 24;
   private static final int HIGH_PRIORITY_KEPT = 12;
 
-  /** With fewer arrivals nothing is said about their end. */
+  /** With fewer arrivals it is unknown whether they have stopped. */
   private static final int MIN_ARRIVALS = 4;
 
   /** After so many mean intervals without one, no more arrivals are expected. */
--- a/src/main/java/org/ploverspindle/placement/CoreBalances.java
+++ b/src/main/java/org/ploverspindle/placement/CoreBalances.java
@@ -17,7 +17,9 @@
  * some types fit a task, the cores of all others are of no help to it, however many they are.
  */
 final class CoreBalances {
-  /** Work comes unevenly: for what keeps so many cores busy on average, this much more is held. */
+  /**
+   * Work arrives unevenly: for what keeps so many cores busy on average, this much more is held.
+   */
   private static final double RATE_HEADROOM = 1.3;
 
   /** The same for expensive machines. */
@@ -50,7 +52,7 @@
     this.pending = pending;
   }
 
-  /** Cores that are held for work that comes at this rate, if need be at a high price. */
+  /** Cores that are held for work that arrives at this rate, if need be at a high price. */
   static double heldForRate(double coresForRate) {
     return coresForRate * EXPENSIVE_RATE_HEADROOM;
   }
--- a/src/main/java/org/ploverspindle/placement/PendingCapacity.java
+++ b/src/main/java/org/ploverspindle/placement/PendingCapacity.java
@@ -18,7 +18,7 @@
       this.free = free;
     }
 
-    /** Reserves room for up to so many of the job's tasks; says how many fit. */
+    /** Reserves room for up to so many of the job's tasks; returns how many fit. */
     int reserve(Job job, int tasks) {
       int fitting = Math.min(tasks, free.times(job.perTask()));
       for (int i = 0; i < fitting; i++) {
@@ -42,7 +42,9 @@
     machines.add(new PendingMachine(group, catalogue.type(group.type()).size()));
   }
 
-  /** Reserves room for up to so many of the job's tasks, machine by machine; says how many fit. */
+  /**
+   * Reserves room for up to so many of the job's tasks, machine by machine; returns how many fit.
+   */
   int reserve(Job job, int tasks) {
     int reserved = 0;
     for (PendingMachine machine : machines) {
--- a/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
@@ -157,7 +157,7 @@
     return atAnyPrice || !candidates.isExpensive(job, selection.group());
   }
 
-  /** Requests one machine and reserves its room for the job; says for how many tasks. */
+  /** Requests one machine and reserves its room for the job; returns for how many tasks. */
   private int request(CandidateList.Selection selection, Job job, int tasks) {
     MachineGroup group = selection.group();
     Resources size = catalogue.type(group.type()).size();
@@ -170,7 +170,7 @@
 
   /**
    * Requests cores that are missing for work that arrives at the present rate, after machines were
-   * lost or as more work arrives: requested only when work is pending, they would come up too late
+   * lost or as more work arrives. Requested only once work is pending, they would be up too late
    * for it. Their type is chosen for the latest job that counts for the rate.
    */
   private void keepRate(Collection<Job> jobs, double missingCores) {
