--- a/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
@@ -115,7 +115,7 @@
             heartbeat.host(), heartbeat.type(), heartbeat.zone(), heartbeat.spot(), nowMs);
     if (found.isEmpty()) {
       LOG.warn(
-          "heartbeat ignored, not a machine of a known type and zone: host={} type={} zone={}",
+          "heartbeat ignored, not a machine of a known type and zone: machine={} type={} zone={}",
           heartbeat.host(),
           heartbeat.type(),
           heartbeat.zone());
--- a/src/main/java/org/ploverspindle/cluster/JobTable.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTable.java
@@ -73,7 +73,7 @@
     Optional<JobRecord> record = JobRecord.decode(uid, accepted.value());
     if (record.isEmpty()) {
       LOG.error(
-          "job record can't be read, it is left as it is: job={} key={}", uid, accepted.key());
+          "unreadable job record, record kept as it is: job={} key={}", uid, accepted.key());
       return Optional.empty();
     }
     Optional<Job> job = newJob(record.get());
@@ -89,7 +89,7 @@
     Optional<Integer> team = teams.index(spec.team());
     if (team.isEmpty()) {
       LOG.error(
-          "job is not run, the settings don't name its team: job={} team={}",
+          "job not run, the settings don't name its team: job={} team={}",
           spec.uid(),
           spec.team());
       return Optional.empty();
--- a/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
@@ -243,7 +243,7 @@
       boolean hasTasks = !machine.placements().isEmpty() || !machine.orphans().isEmpty();
       if (hasTasks && nowMs > leaseExpiryMs(machine)) {
         LOG.info(
-            "machine lease expired: host={} lost_placements={}",
+            "machine lease expired: machine={} lost_placements={}",
             machine.host(),
             machine.placements().size());
         lost.addAll(removeAllPlacements(machine, nowMs));
--- a/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
+++ b/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
@@ -81,7 +81,7 @@
     Optional<TerminationRecord> record = TerminationRecord.decode(entry.value());
     if (record.isEmpty()) {
       LOG.error(
-          "termination record can't be read, it is left as it is and machines of earlier terms are"
+          "unreadable termination record, record kept as it is, machines of earlier terms"
               + " quarantined: key={} quarantine_s={}",
           entry.key(),
           LATE_REQUEST_MS / 1_000);
@@ -95,7 +95,7 @@
             entry.key(), record.get(), PendingTermination.Phase.RECORDED, scheduler.nowMs()));
     hosts.forEach(registry::beginTermination);
     statistics.recordInherited(hosts.size());
-    LOG.info("termination inherited: key={} hosts={}", entry.key(), hosts);
+    LOG.info("termination inherited: key={} machines={}", entry.key(), hosts);
   }
 
   /**
@@ -107,7 +107,7 @@
       return;
     }
     List<String> hosts = machines.stream().map(Machine::host).toList();
-    LOG.info("termination begun: hosts={}", hosts);
+    LOG.info("termination begun: machines={}", hosts);
     statistics.recordDecided(hosts.size());
     hosts.forEach(registry::beginTermination);
     writer.prepare(hosts, scheduler.nowMs()).forEach(this::add);
--- a/src/test/java/org/ploverspindle/api/CancellationWriterTest.java
+++ b/src/test/java/org/ploverspindle/api/CancellationWriterTest.java
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public void committed(List<Change.Put> cancellations, long revision) {
-      events.add("committed " + cancellations.size() + " while " + outcomes);
+    public void committed(List<Change.Put> changes, long revision) {
+      events.add("committed " + changes.size() + " while " + outcomes);
     }
   }
 
--- a/src/test/java/org/ploverspindle/sim/SimNetwork.java
+++ b/src/test/java/org/ploverspindle/sim/SimNetwork.java
@@ -147,8 +147,8 @@
   }
 
   long commandHeldMs() {
-    boolean held = heldCommands > 0 && random.nextDouble() < heldCommands;
-    return held ? 1_600 + random.nextInt(7_000) : 0;
+    boolean isHeld = heldCommands > 0 && random.nextDouble() < heldCommands;
+    return isHeld ? 1_600 + random.nextInt(7_000) : 0;
   }
 
   /** Each way to and from the host takes up to so long; 0: as ever. */
--- a/src/test/java/org/ploverspindle/sim/SimStateStore.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateStore.java
@@ -282,13 +282,13 @@
     if (history.size() > HISTORY && history.get(history.size() - HISTORY).modRevision() > after) {
       return new ChangesResult.TooOld();
     }
-    List<ChangedEntry> changes = new ArrayList<>();
+    List<ChangedEntry> newer = new ArrayList<>();
     for (int i = history.size() - 1; i >= 0 && history.get(i).modRevision() > after; i--) {
       if (history.get(i).key().startsWith(prefix)) {
-        changes.add(0, history.get(i));
+        newer.add(0, history.get(i));
       }
     }
-    return new ChangesResult.Changes(ledger, changes);
+    return new ChangesResult.Changes(ledger, newer);
   }
 
   /** The member that holds the lead, or an empty text. */
