--- /dev/null
+++ b/src/test/java/org/ploverspindle/api/AcceptanceBudgetTest.java
@@ -0,0 +1,52 @@
+package org.ploverspindle.api;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+import org.ploverspindle.api.AcceptanceBudget.Grant;
+import org.ploverspindle.state.TokenBucket;
+
+/** A share of three changes that is not refilled, so that each step's reason is visible. */
+class AcceptanceBudgetTest {
+  private static final int MAX_RECORDS = 12;
+  private static final Grant NONE = new Grant(0, false);
+  private static final Grant BEYOND_SHARE = new Grant(1, false);
+
+  private final ManualStateStore clock = new ManualStateStore();
+  private final TokenBucket share = new TokenBucket(clock, 0, 3);
+  private final AcceptanceBudget budget = new AcceptanceBudget(clock, share);
+
+  private void useUpTheShare() {
+    budget.recordWrite(budget.grant(MAX_RECORDS), 3);
+  }
+
+  @Test
+  void withinTheShareAsManyAreGrantedAsAreLeftAndFitATransaction() {
+    assertEquals(new Grant(2, true), budget.grant(2));
+    assertEquals(new Grant(3, true), budget.grant(MAX_RECORDS));
+    budget.recordWrite(budget.grant(MAX_RECORDS), 2);
+    assertEquals(new Grant(1, true), budget.grant(MAX_RECORDS));
+  }
+
+  @Test
+  void beyondTheShareOneIsGrantedAtATimeAndNotCharged() {
+    useUpTheShare();
+    assertEquals(NONE, budget.grant(MAX_RECORDS), "too soon after the last write");
+    clock.run(60);
+    assertEquals(BEYOND_SHARE, budget.grant(MAX_RECORDS));
+    budget.recordWrite(BEYOND_SHARE, 1);
+    assertEquals(0, share.available());
+    assertEquals(NONE, budget.grant(MAX_RECORDS));
+  }
+
+  @Test
+  void afterARefusalNothingBeyondTheShareIsGrantedForAWhile() {
+    useUpTheShare();
+    budget.recordRefusal();
+    assertEquals(-2, share.available(), "a refusal is charged");
+    clock.run(4_999);
+    assertEquals(NONE, budget.grant(MAX_RECORDS));
+    clock.run(1);
+    assertEquals(BEYOND_SHARE, budget.grant(MAX_RECORDS));
+  }
+}
