--- a/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
@@ -184,7 +184,7 @@
       acceptance.respond(accepted(acceptance.spec()));
       respondToLateRequests(acceptance);
     }
-    leaderNotifier.accepted();
+    leaderNotifier.jobsAccepted();
   }
 
   private ApiResponse accepted(JobSpec spec) {
--- a/src/main/java/org/ploverspindle/api/CancellationService.java
+++ b/src/main/java/org/ploverspindle/api/CancellationService.java
@@ -47,12 +47,12 @@
       implements CancellationWriter.Listener {
     @Override
     public void sent() {
-      leaderNotifier.cancelling();
+      leaderNotifier.cancellationSent();
     }
 
     @Override
     public void committed(List<Change.Put> cancellations, long revision) {
-      leaderNotifier.cancelled(cancellations, revision);
+      leaderNotifier.cancellationsCommitted(cancellations, revision);
     }
   }
 
--- a/src/main/java/org/ploverspindle/api/DependencyCheck.java
+++ b/src/main/java/org/ploverspindle/api/DependencyCheck.java
@@ -76,7 +76,7 @@
         return Optional.of(List.of());
       }
       if (!statuses.isDone(uid) && unfinished.add(uid)) {
-        if (unfinished.size() > maxGuards || !pipelines.graph().isKnown(uid)) {
+        if (unfinished.size() > maxGuards || !pipelines.graph().areDependenciesKnown(uid)) {
           return Optional.empty();
         }
         unvisited.addAll(pipelines.graph().dependenciesOf(uid));
--- a/src/main/java/org/ploverspindle/api/Feasibility.java
+++ b/src/main/java/org/ploverspindle/api/Feasibility.java
@@ -33,8 +33,8 @@
     }
     // A batch job can run one task at a time; the others need all of theirs at once.
     int simultaneousTasks = spec.kind() == JobKind.BATCH ? 1 : spec.tasks();
-    if (exceeds(team.get().coresMax(), spec.cores() * simultaneousTasks)
-        || exceeds(team.get().acceleratorsMax(), spec.accelerators() * simultaneousTasks)) {
+    if (exceeds(team.get().maxCores(), spec.cores() * simultaneousTasks)
+        || exceeds(team.get().maxAccelerators(), spec.accelerators() * simultaneousTasks)) {
       return Optional.of("more than the team's limit");
     }
     boolean fits = catalogue.types().stream().anyMatch(type -> fits(spec, type));
--- a/src/main/java/org/ploverspindle/api/JobStatusReader.java
+++ b/src/main/java/org/ploverspindle/api/JobStatusReader.java
@@ -45,10 +45,10 @@
     }
     ProgressCounts.Counts known = counts.of(uid);
     if (isAborted(uid)) {
-      return new JobState(uid, JobStatus.ABORTED, known.done(), 0);
+      return new JobState(uid, JobStatus.ABORTED, known.completed(), 0);
     }
     JobStatus status = known.running() > 0 ? JobStatus.RUNNING : JobStatus.QUEUED;
-    return new JobState(uid, status, known.done(), known.running());
+    return new JobState(uid, status, known.completed(), known.running());
   }
 
   /** The state as a 200 response; empty when the replica has no such job. */
--- a/src/main/java/org/ploverspindle/api/LeaderNotifier.java
+++ b/src/main/java/org/ploverspindle/api/LeaderNotifier.java
@@ -9,11 +9,11 @@
  */
 public interface LeaderNotifier {
   /** A cancellation was just sent to the state service, and may become durable any time. */
-  void cancelling();
+  void cancellationSent();
 
   /** These cancellations are durable, as of that revision; no user has got a response yet. */
-  void cancelled(List<Change.Put> cancellations, long revision);
+  void cancellationsCommitted(List<Change.Put> cancellations, long revision);
 
   /** Jobs that this controller accepted are durable. */
-  void accepted();
+  void jobsAccepted();
 }
--- a/src/main/java/org/ploverspindle/api/QueryService.java
+++ b/src/main/java/org/ploverspindle/api/QueryService.java
@@ -48,17 +48,17 @@
     if (job.isEmpty()) {
       return uid + " is not known here";
     }
-    if (!pipelines.isWaiting(uid)) {
+    if (!pipelines.isBlocked(uid)) {
       return uid + " is " + job.get().status().wireName() + " and awaits nothing";
     }
-    if (!pipelines.graph().isKnown(uid)) {
+    if (!pipelines.graph().areDependenciesKnown(uid)) {
       return uid + " is queued; the list of jobs that it awaits is not read yet";
     }
     return explainDependencies(uid, pipelines.graph());
   }
 
   private String explainDependencies(String uid, DependencyGraph graph) {
-    List<String> unfinished = graph.unfinished(uid);
+    List<String> unfinished = graph.unfinishedDependenciesOf(uid);
     String described =
         unfinished.stream()
             .limit(MAX_EXPLAINED_DEPENDENCIES)
@@ -77,7 +77,8 @@
   private String describe(String uid) {
     String status =
         statuses.state(uid).map(job -> job.status().wireName()).orElse("not known here");
-    int unfinished = pipelines.isWaiting(uid) ? pipelines.graph().unfinished(uid).size() : 0;
+    int unfinished =
+        pipelines.isBlocked(uid) ? pipelines.graph().unfinishedDependenciesOf(uid).size() : 0;
     return uid + " (" + status + (unfinished > 0 ? ", awaits " + unfinished : "") + ")";
   }
 }
--- a/src/main/java/org/ploverspindle/api/UserRequests.java
+++ b/src/main/java/org/ploverspindle/api/UserRequests.java
@@ -35,11 +35,15 @@
             reads,
             statuses,
             new Feasibility(settings, catalogue),
-            settings.writeLimits());
+            settings.effectiveStateLimits());
     this.queries = new QueryService(reads, statuses, views.pipelines());
     this.cancellations =
         new CancellationService(
-            scheduler, writes, reads, statuses, settings.writeLimits().txnOps());
+            scheduler,
+            writes,
+            reads,
+            statuses,
+            settings.effectiveStateLimits().maxChangesPerTransaction());
   }
 
   private static SubmissionService submissionService(
@@ -50,16 +54,20 @@
       JobStatusReader statuses,
       Feasibility feasibility,
       Settings.StateLimits limits) {
-    int maxValueBytes = Math.min(limits.valueBytes(), MAX_VALUE_BYTES);
+    int maxValueBytes = Math.min(limits.maxValueBytes(), MAX_VALUE_BYTES);
     DependencyCheck dependencies =
         new DependencyCheck(
             views.acceptedJobs(),
             views.pipelines(),
             statuses,
-            AcceptanceBatch.maxGuards(limits.txnOps()));
+            AcceptanceBatch.maxGuards(limits.maxChangesPerTransaction()));
     DependencyListWriter lists =
         new DependencyListWriter(
-            scheduler, writes.store(), views.replica(), limits.txnOps(), limits.writeRps());
+            scheduler,
+            writes.store(),
+            views.replica(),
+            limits.maxChangesPerTransaction(),
+            limits.changesPerS());
     AcceptanceWriter writer =
         new AcceptanceWriter(
             scheduler,
@@ -67,13 +75,13 @@
             reads,
             statuses,
             dependencies,
-            new AcceptanceBatch.Limits(maxValueBytes, limits.txnOps()));
+            new AcceptanceBatch.Limits(maxValueBytes, limits.maxChangesPerTransaction()));
     SubmissionEncoder encoder =
         new SubmissionEncoder(
             scheduler,
             feasibility,
             maxValueBytes,
-            SnapshotRecord.shardSizeFor(limits.valueBytes()));
+            SnapshotRecord.shardSizeFor(limits.maxValueBytes()));
     return new SubmissionService(
         reads,
         statuses,
--- a/src/main/java/org/ploverspindle/cli/CheckCommand.java
+++ b/src/main/java/org/ploverspindle/cli/CheckCommand.java
@@ -54,17 +54,17 @@
   }
 
   private void printSummary(Settings settings, Policy checked) {
-    Settings.StateLimits state = settings.writeLimits();
+    Settings.StateLimits state = settings.effectiveStateLimits();
     PrintWriter out = spec.commandLine().getOut();
     out.println("valid: " + settings.member() + ", " + checked);
     out.printf(
         Locale.ROOT,
         "state service: %s requests/s, %s changes/s, %s KiB a value, %d changes a transaction"
             + " are kept to%n",
-        state.rps(),
-        state.writeRps(),
-        state.valueKb(),
-        state.txnOps());
+        state.requestsPerS(),
+        state.changesPerS(),
+        state.maxValueKib(),
+        state.maxChangesPerTransaction());
     out.printf(
         Locale.ROOT,
         "fleet: up to %d machines, by sockets, memory and processor share%n",
--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -43,7 +43,8 @@
     ByteBufferPool buffers =
         new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, BUFFERS_PER_THREAD);
     peers =
-        new PeerServer(loop, worker, settings.back(), settings.members(), this::handlePeerMessage);
+        new PeerServer(
+            loop, worker, settings.peerAddress(), settings.members(), this::handlePeerMessage);
     controller =
         new Controller(
             loop,
@@ -59,11 +60,13 @@
         new UserApi(
             loop,
             worker,
-            settings.front(),
+            settings.userAddress(),
             ConnectionLimits.of(
-                settings.quota().maxConnections(), sockets.total(), settings.workers().reportS()),
+                settings.quota().maxConnections(),
+                sockets.total(),
+                settings.workers().heartbeatIntervalS()),
             controller,
-            controller::ready);
+            controller::isReady);
   }
 
   /** Has one I/O thread, which owns all sockets. */
--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -105,7 +105,7 @@
     new ControllerProcess(settings, policy, new SplittableRandom()).start();
     Logger log = LoggerFactory.getLogger(Main.class);
     LimitChecks.warnings(settings).forEach(warning -> log.warn("{}", warning));
-    log.info("controller started: member={} address={}", settings.member(), settings.front());
+    log.info("controller started: member={} address={}", settings.member(), settings.userAddress());
   }
 
   static CommandLine commandLine() {
--- a/src/main/java/org/ploverspindle/cloud/Autoscaler.java
+++ b/src/main/java/org/ploverspindle/cloud/Autoscaler.java
@@ -69,10 +69,10 @@
      * A predicate for idle machines, tested one after the other: true when the machine is not
      * needed as spare room for the next high-priority job, given those found surplus before.
      */
-    Predicate<Machine> surplus();
+    Predicate<Machine> surplusMachines();
 
     /** A predicate for any number of machines: true when a pending task could run there. */
-    Predicate<Machine> needed();
+    Predicate<Machine> usefulMachines();
 
     /**
      * Since when this leader has received heartbeats without a pause of its own, in milliseconds on
@@ -81,7 +81,7 @@
     long listeningSinceMs();
 
     /** Called with the placements that ended with a terminated machine. */
-    void lost(List<Placement> placements);
+    void placementsLost(List<Placement> placements);
 
     /** True while this leader's lease is certainly valid. */
     boolean isAuthoritative();
@@ -139,9 +139,10 @@
     CloudClient cloud = environment.cloud();
     RandomGenerator random = environment.random();
     RetryDelay retryDelay = new RetryDelay(random, RETRY_MS, RETRY_JITTER_MS);
-    int maxValueBytes = settings.writeLimits().valueBytes();
+    int maxValueBytes = settings.effectiveStateLimits().maxValueBytes();
     this.calls =
-        new CloudCallBudget(scheduler, settings.cloudLimits().rps(), workload::isAuthoritative);
+        new CloudCallBudget(
+            scheduler, settings.cloudLimits().requestsPerS(), workload::isAuthoritative);
     this.boots = new BootTracker(catalogue);
     this.backoffs = new GroupBackoffs(scheduler, catalogue, policy, random);
     ScaleOutLimits limits = new ScaleOutLimits(backoffs, policy, settings, calls.callsPerS());
@@ -151,7 +152,7 @@
     this.typesRefresh = new MachineTypesRefresh(cloud, catalogue, calls, writer, maxValueBytes);
     HeartbeatTimeout heartbeatTimeout =
         new HeartbeatTimeout(
-            settings.workers().reportS(), term.startMs(), workload::listeningSinceMs);
+            settings.workers().heartbeatIntervalS(), term.startMs(), workload::listeningSinceMs);
     this.terminations = newTerminations(cloud, heartbeatTimeout, retryDelay);
     this.scaleInPlanner = newScaleInPlanner();
     this.scaleOutRound = newScaleOutRound(limits);
@@ -173,17 +174,17 @@
   private MachineTerminations newTerminations(
       CloudClient cloud, HeartbeatTimeout heartbeatTimeout, RetryDelay retryDelay) {
     long keepMs =
-        Math.round(settings.cloudLimits().listLagS() * OLDEST_LIST_MS_PER_LAG_S)
+        Math.round(settings.cloudLimits().maxListLagS() * OLDEST_LIST_MS_PER_LAG_S)
             + OLDEST_LIST_MARGIN_MS;
     return new MachineTerminations(
         scheduler,
         fleet,
         heartbeatTimeout,
         new TerminationRecordWriter(
-            writer, term.fencingToken(), settings.writeLimits().valueBytes()),
+            writer, term.fencingToken(), settings.effectiveStateLimits().maxValueBytes()),
         new TerminationSender(scheduler, cloud, calls::tryTakeAsLeader, retryDelay),
         keepMs,
-        workload::lost);
+        workload::placementsLost);
   }
 
   private ScaleInPlanner newScaleInPlanner() {
@@ -208,7 +209,7 @@
   }
 
   private MachineListReader newListReader(CloudClient cloud, HeartbeatTimeout heartbeatTimeout) {
-    double lagS = settings.cloudLimits().listLagS();
+    double lagS = settings.cloudLimits().maxListLagS();
     ListedMachines listed =
         new ListedMachines(scheduler, fleet, heartbeatTimeout, lagS, term.startMs());
     return new MachineListReader(scheduler, cloud, calls, listed, lagS, this::listRead);
@@ -219,14 +220,16 @@
    * before the first placement of the term.
    */
   public Cancellable start() {
-    replica.withPrefix(Keys.TERMINATIONS).values().forEach(terminations::inherit);
+    replica.withPrefix(Keys.TERMINATIONS).values().forEach(terminations::inheritTermination);
     replica.withPrefix(Keys.PROVISIONING_INTENTS).values().forEach(intents::inherit);
     inheritedFleet = !intents.isEmpty();
     replica.withPrefix(Keys.BOUNDS).values().forEach(boundsRecords::inherit);
-    tasks.add(scheduler.every(Math.round(policy.scanS() * MS_PER_S), this::scaleOut));
-    tasks.add(scheduler.every(SCALE_IN_PERIOD_MS, scaleInPlanner::run));
-    tasks.add(scheduler.every(MACHINE_TYPES_PERIOD_MS, typesRefresh::run));
-    tasks.add(scheduler.every(UNANSWERED_INTENTS_PERIOD_MS, intents::retryUnanswered));
+    tasks.add(
+        scheduler.scheduleWithFixedDelay(Math.round(policy.scanS() * MS_PER_S), this::scaleOut));
+    tasks.add(scheduler.scheduleWithFixedDelay(SCALE_IN_PERIOD_MS, scaleInPlanner::run));
+    tasks.add(scheduler.scheduleWithFixedDelay(MACHINE_TYPES_PERIOD_MS, typesRefresh::run));
+    tasks.add(
+        scheduler.scheduleWithFixedDelay(UNANSWERED_INTENTS_PERIOD_MS, intents::retryUnanswered));
     tasks.add(listReader.start());
     typesRefresh.run();
     return tasks;
@@ -238,7 +241,7 @@
   }
 
   /** Scales out now, without waiting for the next round, if no machine exists or is requested. */
-  public void scanSoon() {
+  public void scaleOutSoon() {
     if (listReader.wasRead() && intents.isEmpty() && fleet.all().isEmpty()) {
       scaleOut();
     }
@@ -266,7 +269,7 @@
     }
     long heartbeatsReceivedMs =
         term.startMs()
-            + Math.round(settings.workers().reportS() * FIRST_HEARTBEAT_MS_PER_PERIOD_S)
+            + Math.round(settings.workers().heartbeatIntervalS() * FIRST_HEARTBEAT_MS_PER_PERIOD_S)
             + FIRST_HEARTBEAT_MARGIN_MS;
     return !inheritedFleet || scheduler.nowMs() >= heartbeatsReceivedMs;
   }
--- a/src/main/java/org/ploverspindle/cloud/BootTracker.java
+++ b/src/main/java/org/ploverspindle/cloud/BootTracker.java
@@ -84,8 +84,8 @@
         if (!machine.isDecommissioning() && isOverdue(machine, nowMs)) {
           bootsOf(machine).overdue++;
         }
-      } else if (machine.takeJustCameUp() && machine.provisionedSinceMs() >= 0) {
-        double bootedS = (machine.upSinceMs() - machine.provisionedSinceMs()) / MS_PER_S;
+      } else if (machine.observeFirstHeartbeat() && machine.provisionedSinceMs() >= 0) {
+        double bootedS = (machine.firstHeartbeatMs() - machine.provisionedSinceMs()) / MS_PER_S;
         bootsOf(machine).add(new Boot(nowMs, bootedS / expectedBootS(machine)));
       }
     }
--- a/src/main/java/org/ploverspindle/cloud/IdleMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/IdleMachines.java
@@ -43,8 +43,8 @@
     private final long nowMs;
 
     // Made once for all machines: each goes through all jobs or all machines.
-    private final Predicate<Machine> needed = workload.needed();
-    private final Predicate<Machine> surplus = workload.surplus();
+    private final Predicate<Machine> needed = workload.usefulMachines();
+    private final Predicate<Machine> surplus = workload.surplusMachines();
 
     private final Map<Integer, List<AdaptiveSizing.Group>> groupsByType = new HashMap<>();
 
--- a/src/main/java/org/ploverspindle/cloud/ListedMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/ListedMachines.java
@@ -83,7 +83,7 @@
       // The list is older than now by its lag, so this is not before the machine was provisioned.
       machine.provisionedAt(nowMs - Math.round(host.ageS() * MS_PER_S));
     }
-    machine.setListedAddress(host.address());
+    machine.setAddressFromList(host.address());
     if (host.status() == CloudClient.HostStatus.FAILED && !machine.isDecommissioning()) {
       // It has stopped by itself; the response to its termination proves that all its tasks ended.
       machine.markUnusable();
--- a/src/main/java/org/ploverspindle/cloud/MachineListReader.java
+++ b/src/main/java/org/ploverspindle/cloud/MachineListReader.java
@@ -81,7 +81,7 @@
 
   /** Reads the list now and then periodically until cancelled. */
   Cancellable start() {
-    Cancellable periodic = scheduler.every(periodMs, this::begin);
+    Cancellable periodic = scheduler.scheduleWithFixedDelay(periodMs, this::begin);
     begin();
     return periodic;
   }
--- a/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
@@ -50,7 +50,7 @@
     if (!isAuthoritative.getAsBoolean()) {
       return;
     }
-    terminations.begin(select());
+    terminations.beginTermination(select());
     terminations.advance();
   }
 
--- a/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
@@ -35,7 +35,7 @@
     this.backoffs = backoffs;
     double calls = callsPerS * policy.scanS() * CALL_SHARE;
     // Each intent is recorded first, and the leader's other writes must not wait for the records.
-    double writes = settings.writeLimits().writeRps() * policy.scanS() * WRITE_SHARE;
+    double writes = settings.effectiveStateLimits().changesPerS() * policy.scanS() * WRITE_SHARE;
     int maxRequests = Math.max(1, (int) Math.min(calls, writes));
     this.maxPerRound = ProvisioningIntents.MAX_MACHINES_PER_REQUEST * maxRequests;
   }
--- a/src/main/java/org/ploverspindle/cluster/FailureDetector.java
+++ b/src/main/java/org/ploverspindle/cluster/FailureDetector.java
@@ -40,7 +40,7 @@
    *
    * @return whether the machine is known to be at fault
    */
-  public boolean failed(Machine machine, Job job, long nowMs) {
+  public boolean detectFault(Machine machine, Job job, long nowMs) {
     int jobsKnownToRun = 0;
     int failuresOfThem = 0;
     MachineFailureHistory history = machine.failures();
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
@@ -38,7 +38,7 @@
     void completedUnrecorded(Job job, int task);
 
     /** The phase of the placement has changed. */
-    void changed(Placement placement);
+    void phaseChanged(Placement placement);
   }
 
   /**
@@ -47,7 +47,7 @@
    * @param team index of its team in the settings
    * @param resources what one of its tasks takes
    */
-  public record Owner(int team, Resources resources) {}
+  public record TaskOwner(int team, Resources resources) {}
 
   /** The response to a heartbeat. */
   public record Response(long fencingToken, List<WorkerCommand> commands) {}
@@ -69,7 +69,7 @@
       Term term,
       BooleanSupplier isAuthoritative,
       Function<String, Optional<Job>> jobs,
-      Function<String, Optional<Owner>> owners,
+      Function<String, Optional<TaskOwner>> owners,
       BiPredicate<Job, Integer> durablyCompleted,
       Listener listener) {
     this.registry = registry;
--- a/src/main/java/org/ploverspindle/cluster/Job.java
+++ b/src/main/java/org/ploverspindle/cluster/Job.java
@@ -38,7 +38,7 @@
    * @param shardSize tasks in each shard of the job's progress records
    * @param team index of the team in the settings
    * @param types indexes of the machine types that the job allows and that a task fits on
-   * @param zone index of the only allowed zone, or -1
+   * @param requiredZone index of the only allowed zone, or -1
    */
   public Job(
       JobSpec spec,
@@ -172,12 +172,12 @@
   // Zones.
 
   /** The index of the only allowed zone; negative if all are allowed. */
-  public int zone() {
+  public int requiredZone() {
     return zones.requiredZone();
   }
 
   /** Whether one more task may be placed in the zone, given where the others are. */
-  public boolean zoneAllowed(int zoneIndex) {
+  public boolean allowsZone(int zoneIndex) {
     return zones.allows(zoneIndex);
   }
 
@@ -249,7 +249,7 @@
     }
     boolean isRetryDelayed = failures.isRetryDelayed(nowMs);
     if (isKnownToRun(nowMs) || spec.kind() == JobKind.GANG && !isRetryDelayed) {
-      return tasks.pending().cardinality();
+      return tasks.pending().size();
     }
     boolean mayTryOneTask = !isRetryDelayed && tasks.activePlacements().isEmpty();
     return mayTryOneTask ? 1 : 0;
@@ -264,7 +264,7 @@
    *
    * @param ranForMs for how long the task had run
    */
-  public void failedOn(String host, long ranForMs, long nowMs) {
+  public void recordFailure(String host, long ranForMs, long nowMs) {
     failures.record(host, ranForMs, tasks, nowMs);
   }
 
@@ -303,7 +303,7 @@
   }
 
   /** The record of the job's completion is durable. */
-  public void finish() {
+  public void markFinished() {
     finished = true;
     tasks.clearPending();
   }
--- a/src/main/java/org/ploverspindle/cluster/JobFailures.java
+++ b/src/main/java/org/ploverspindle/cluster/JobFailures.java
@@ -29,7 +29,7 @@
     return count;
   }
 
-  /** See {@link Job#failedOn}. */
+  /** See {@link Job#recordFailure}. */
   void record(String host, long ranForMs, JobTasks tasks, long nowMs) {
     count++;
     failedHosts.add(host);
--- a/src/main/java/org/ploverspindle/cluster/JobTable.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTable.java
@@ -72,8 +72,7 @@
     boolean cancelled = replica.get(Keys.cancellation(uid)).isPresent();
     Optional<JobRecord> record = JobRecord.decode(uid, accepted.value());
     if (record.isEmpty()) {
-      LOG.error(
-          "unreadable job record, record kept as it is: job={} key={}", uid, accepted.key());
+      LOG.error("unreadable job record, record kept as it is: job={} key={}", uid, accepted.key());
       return Optional.empty();
     }
     Optional<Job> job = newJob(record.get());
@@ -89,9 +88,7 @@
     Optional<Integer> team = teams.index(spec.team());
     if (team.isEmpty()) {
       LOG.error(
-          "job not run, the settings don't name its team: job={} team={}",
-          spec.uid(),
-          spec.team());
+          "job not run, the settings don't name its team: job={} team={}", spec.uid(), spec.team());
       return Optional.empty();
     }
     return Optional.of(
--- a/src/main/java/org/ploverspindle/cluster/Machine.java
+++ b/src/main/java/org/ploverspindle/cluster/Machine.java
@@ -18,7 +18,7 @@
   private final String host;
   private final int type;
   private final int zone;
-  private final boolean spot;
+  private final boolean isSpot;
   private final Resources size;
   private final HeartbeatState heartbeats = new HeartbeatState();
   private final CommandFencing fencing;
@@ -43,7 +43,7 @@
     this.host = host;
     this.type = type;
     this.zone = zone;
-    this.spot = spot;
+    this.isSpot = spot;
     this.size = size;
     this.fencing = new CommandFencing(fencingToken);
     this.lifecycle = new MachineLifecycle(nowMs);
@@ -64,8 +64,8 @@
     return zone;
   }
 
-  public boolean spot() {
-    return spot;
+  public boolean isSpot() {
+    return isSpot;
   }
 
   public Resources size() {
@@ -83,7 +83,7 @@
   }
 
   /** Takes the address from the cloud's list, unless a heartbeat has given one. */
-  public void setListedAddress(String listedAddress) {
+  public void setAddressFromList(String listedAddress) {
     if (address.isEmpty()) {
       address = listedAddress;
     }
@@ -112,7 +112,7 @@
   }
 
   /** When the first heartbeat of this term arrived; negative if none has. */
-  public long upSinceMs() {
+  public long firstHeartbeatMs() {
     return heartbeats.firstHeartbeatMs();
   }
 
@@ -122,7 +122,7 @@
   }
 
   /** True for the first call after the first heartbeat of this term, false for every other call. */
-  public boolean takeJustCameUp() {
+  public boolean observeFirstHeartbeat() {
     return heartbeats.observeFirst();
   }
 
@@ -338,7 +338,7 @@
   }
 
   /** Whether jobs that run elsewhere have failed here. */
-  public boolean suspect() {
+  public boolean isSuspect() {
     return failures.isSuspect();
   }
 
--- a/src/main/java/org/ploverspindle/cluster/Placement.java
+++ b/src/main/java/org/ploverspindle/cluster/Placement.java
@@ -36,7 +36,7 @@
   private long sentSequence;
   private long directToken = NO_TOKEN;
   private int lostResponses;
-  private boolean stopping;
+  private boolean isStopping;
   private double gracePeriodS;
   private long recordedMs = Machine.NEVER_MS;
   private long sentMs = Machine.NEVER_MS;
@@ -186,12 +186,12 @@
 
   /** Asks for a stop; a repeat can only shorten the time that the task has for a checkpoint. */
   public void stop(double newGracePeriodS) {
-    gracePeriodS = stopping ? Math.min(gracePeriodS, newGracePeriodS) : newGracePeriodS;
-    stopping = true;
+    gracePeriodS = isStopping ? Math.min(gracePeriodS, newGracePeriodS) : newGracePeriodS;
+    isStopping = true;
   }
 
-  public boolean stopping() {
-    return stopping;
+  public boolean isStopping() {
+    return isStopping;
   }
 
   /** Seconds that a stopping task has for a checkpoint. */
@@ -201,7 +201,7 @@
 
   /** Whether the task is to run on: neither it nor its job is to end. */
   boolean isWanted() {
-    return !job.isTerminal() && !stopping;
+    return !job.isTerminal() && !isStopping;
   }
 
   /** The stop that ends the task: at once if its job is terminal, else after the grace period. */
--- a/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
@@ -9,14 +9,14 @@
 final class ReportedTasks {
   private final MachineRegistry registry;
   private final Function<String, Optional<Job>> jobs;
-  private final Function<String, Optional<HeartbeatHandler.Owner>> owners;
+  private final Function<String, Optional<HeartbeatHandler.TaskOwner>> owners;
   private final BiPredicate<Job, Integer> durablyCompleted;
   private final HeartbeatHandler.Listener listener;
 
   ReportedTasks(
       MachineRegistry registry,
       Function<String, Optional<Job>> jobs,
-      Function<String, Optional<HeartbeatHandler.Owner>> owners,
+      Function<String, Optional<HeartbeatHandler.TaskOwner>> owners,
       BiPredicate<Job, Integer> durablyCompleted,
       HeartbeatHandler.Listener listener) {
     this.registry = registry;
@@ -40,7 +40,7 @@
   private void handlePresent(HeartbeatContext context, Placement placement, Placement.Phase phase) {
     if (placement.phase() != phase) {
       placement.phase(phase, context.nowMs());
-      listener.changed(placement);
+      listener.phaseChanged(placement);
     }
     if (needsStop(placement, phase)) {
       context.addCommand(placement.stopCommand());
@@ -52,7 +52,7 @@
     if (placement.job().isTerminal()) {
       return true;
     }
-    return placement.stopping()
+    return placement.isStopping()
         && (phase != Placement.Phase.CHECKPOINTING || placement.gracePeriodS() == 0);
   }
 
@@ -102,7 +102,7 @@
     if (status.task() >= job.spec().tasks()) {
       return true;
     }
-    if (!job.completedTasks().get(status.task())) {
+    if (!job.completedTasks().contains(status.task())) {
       listener.completedUnrecorded(job, status.task());
     }
     return durablyCompleted.test(job, status.task());
@@ -111,10 +111,10 @@
   /** Until a heartbeat shows it no more, an orphaned task counts for its machine and its team. */
   private void stopOrphan(
       HeartbeatContext context, Heartbeat.TaskStatus status, Optional<Job> job) {
-    HeartbeatHandler.Owner owner =
-        job.map(known -> new HeartbeatHandler.Owner(known.team(), known.perTask()))
+    HeartbeatHandler.TaskOwner owner =
+        job.map(known -> new HeartbeatHandler.TaskOwner(known.team(), known.perTask()))
             .or(() -> owners.apply(status.uid()))
-            .orElse(new HeartbeatHandler.Owner(OrphanedTask.UNKNOWN_TEAM, Resources.NONE));
+            .orElse(new HeartbeatHandler.TaskOwner(OrphanedTask.UNKNOWN_TEAM, Resources.NONE));
     registry.addOrphan(
         context.machine(),
         new OrphanedTask(
--- a/src/main/java/org/ploverspindle/cluster/TaskSet.java
+++ b/src/main/java/org/ploverspindle/cluster/TaskSet.java
@@ -11,12 +11,12 @@
   }
 
   /** Whether the set contains the task. */
-  public boolean get(int task) {
+  public boolean contains(int task) {
     return tasks.get(task);
   }
 
   /** The first task of the set that is not below {@code from}, or -1. */
-  public int nextSetBit(int from) {
+  public int next(int from) {
     return tasks.nextSetBit(from);
   }
 
@@ -25,7 +25,7 @@
   }
 
   /** How many tasks the set contains. */
-  public int cardinality() {
+  public int size() {
     return tasks.cardinality();
   }
 
--- a/src/main/java/org/ploverspindle/cluster/TeamUsage.java
+++ b/src/main/java/org/ploverspindle/cluster/TeamUsage.java
@@ -54,9 +54,9 @@
   public int tasksWithinLimit(int team, Resources perTask) {
     Settings.Team settings = teams.get(team);
     return Math.min(
-        tasksWithinLimit(settings.coresMax(), usedCores[team], perTask.cores()),
+        tasksWithinLimit(settings.maxCores(), usedCores[team], perTask.cores()),
         tasksWithinLimit(
-            settings.acceleratorsMax(), usedAccelerators[team], perTask.accelerators()));
+            settings.maxAccelerators(), usedAccelerators[team], perTask.accelerators()));
   }
 
   private static int tasksWithinLimit(double limit, long used, long perTask) {
@@ -81,8 +81,8 @@
   /** Whether the team's guarantee covers this much in all. */
   public boolean guarantees(int team, Resources all) {
     Settings.Team settings = teams.get(team);
-    return isCovered(all.cores(), settings.cores())
-        && isCovered(all.accelerators(), settings.accelerators());
+    return isCovered(all.cores(), settings.guaranteedCores())
+        && isCovered(all.accelerators(), settings.guaranteedAccelerators());
   }
 
   private static boolean isCovered(long amount, double guarantee) {
@@ -91,7 +91,7 @@
 
   /** Thousandths of cores that the team's limit leaves; empty if it has no limit. */
   public OptionalLong coresWithinLimit(int team) {
-    double limit = teams.get(team).coresMax();
+    double limit = teams.get(team).maxCores();
     return limit <= 0
         ? OptionalLong.empty()
         : OptionalLong.of(Math.max(0, limitInThousandths(limit) - usedCores[team]));
--- a/src/main/java/org/ploverspindle/controller/Controller.java
+++ b/src/main/java/org/ploverspindle/controller/Controller.java
@@ -34,7 +34,7 @@
 /**
  * One controller without its sockets: wires the replica, the election, users' requests and, while
  * this controller leads, the leader of the term. Everything here runs on the event loop, except for
- * {@link #ready}.
+ * {@link #isReady}.
  */
 public final class Controller implements UserApi.RequestHandler {
   private static final long REPLICA_IDLE_READ_MS = 700;
@@ -136,9 +136,10 @@
   public void start() {
     replica.setReadInterval(rates.followerReadIntervalMs());
     periodicTasks.add(replica.start());
-    periodicTasks.add(scheduler.every(READINESS_INTERVAL_MS, readiness::update));
+    periodicTasks.add(scheduler.scheduleWithFixedDelay(READINESS_INTERVAL_MS, readiness::update));
     periodicTasks.add(
-        scheduler.every(MISDIRECTED_REPORT_INTERVAL_MS, heartbeats::reportMisdirected));
+        scheduler.scheduleWithFixedDelay(
+            MISDIRECTED_REPORT_INTERVAL_MS, heartbeats::reportMisdirected));
     machineTypes.loadFromCloud(readiness::update);
   }
 
@@ -150,12 +151,12 @@
   }
 
   /** Does this controller lead, as far as it knows? */
-  public boolean leads() {
+  public boolean isLeading() {
     return leader.isPresent();
   }
 
   /** Should users be sent to this controller? May be called from any thread. */
-  public boolean ready() {
+  public boolean isReady() {
     return readiness.isReady();
   }
 
@@ -208,7 +209,7 @@
 
   @Override
   public void status(Consumer<ApiResponse> responder) {
-    responder.accept(ApiResponse.text(statusPage.render(ready(), leader)));
+    responder.accept(ApiResponse.text(statusPage.render(isReady(), leader)));
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/controller/LeaderHints.java
+++ b/src/main/java/org/ploverspindle/controller/LeaderHints.java
@@ -37,7 +37,7 @@
   }
 
   @Override
-  public void cancelling() {
+  public void cancellationSent() {
     // A leader on this controller sees its cancellations in the replica without a read.
     if (localLeader.get().isEmpty()) {
       hintToOtherLeader();
@@ -45,7 +45,7 @@
   }
 
   @Override
-  public void cancelled(List<Change.Put> cancellations, long revision) {
+  public void cancellationsCommitted(List<Change.Put> cancellations, long revision) {
     if (localLeader.get().isPresent()) {
       // Applied before the user is answered, so that the leader launches nothing of the job after.
       cancellations.forEach(put -> replica.applyCreated(put, revision));
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void accepted() {
+  public void jobsAccepted() {
     if (localLeader.get().isPresent()) {
       replica.readBarrier(isRead -> {});
     } else {
--- a/src/main/java/org/ploverspindle/controller/RequestRates.java
+++ b/src/main/java/org/ploverspindle/controller/RequestRates.java
@@ -34,20 +34,21 @@
 
   /** How often the leader reads the state service at most. */
   long leaderReadIntervalMs() {
-    double perSecond = settings.writeLimits().rps() * LEADER_READ_SHARE;
+    double perSecond = settings.effectiveStateLimits().requestsPerS() * LEADER_READ_SHARE;
     return Math.max(MIN_LEADER_READ_INTERVAL_MS, Math.round(MS_PER_S / perSecond));
   }
 
   /** How often each other controller reads the state service at most. */
   long followerReadIntervalMs() {
-    int followers = Math.max(1, settings.nodes() - 1);
-    double perSecond = settings.writeLimits().rps() * FOLLOWER_READ_SHARE / followers;
+    int followers = Math.max(1, settings.controllerCount() - 1);
+    double perSecond =
+        settings.effectiveStateLimits().requestsPerS() * FOLLOWER_READ_SHARE / followers;
     return Math.max(MIN_FOLLOWER_READ_INTERVAL_MS, Math.round(MS_PER_S / perSecond));
   }
 
   /** The budget of a leader's own writes. */
   TokenBucket leaderWrites(Scheduler scheduler) {
-    double writesPerS = settings.writeLimits().writeRps();
+    double writesPerS = settings.effectiveStateLimits().changesPerS();
     return new TokenBucket(
         scheduler,
         writesPerS * LEADER_WRITE_SHARE,
@@ -61,7 +62,7 @@
    * number of controllers.
    */
   TokenBucket acceptanceWrites(Scheduler scheduler) {
-    double writesPerS = settings.writeLimits().writeRps() * ACCEPTANCE_WRITE_SHARE;
+    double writesPerS = settings.effectiveStateLimits().changesPerS() * ACCEPTANCE_WRITE_SHARE;
     return new TokenBucket(
         scheduler,
         Math.max(MIN_ACCEPTANCE_WRITES_PER_S, writesPerS),
--- a/src/main/java/org/ploverspindle/controller/StatusPage.java
+++ b/src/main/java/org/ploverspindle/controller/StatusPage.java
@@ -31,7 +31,7 @@
         + " leader="
         + election.leaderName().orElse("none")
         + " waiting="
-        + pipelines.waiting()
+        + pipelines.blockedJobs()
         + localLeader.map(StatusPage::leaderPart).orElse("")
         + "\n"
         + election.summary()
--- a/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
+++ b/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
@@ -48,7 +48,7 @@
    * What was recorded since the last call, in one line: for each task its total milliseconds, its
    * runs, and the milliseconds of its longest run.
    */
-  public String take() {
+  public String drainSummary() {
     StringBuilder line = new StringBuilder();
     timings.forEach(
         (task, timing) ->
--- a/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
+++ b/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
@@ -97,6 +97,6 @@
 
   private static boolean hasCommand(Placement placement) {
     return placement.phase() == Placement.Phase.READY
-        || !placement.neverSent() && (placement.stopping() || placement.job().isTerminal());
+        || !placement.neverSent() && (placement.isStopping() || placement.job().isTerminal());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -84,7 +84,8 @@
 
   /** Takes part from now on, until cancelled. */
   public Cancellable start() {
-    return scheduler.every(timing.stateLeaseMs() / TICKS_PER_LEASE, leaderLease::tick);
+    return scheduler.scheduleWithFixedDelay(
+        timing.stateLeaseMs() / TICKS_PER_LEASE, leaderLease::tick);
   }
 
   /** The term in which this controller leads, as far as it knows. */
--- a/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
+++ b/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
@@ -55,7 +55,7 @@
 
   /** Broadcasts periodically until cancelled. */
   Cancellable start() {
-    return scheduler.every(PERIOD_MS, this::broadcast);
+    return scheduler.scheduleWithFixedDelay(PERIOD_MS, this::broadcast);
   }
 
   private void broadcast() {
--- a/src/main/java/org/ploverspindle/leadership/HighPriorityHeadroom.java
+++ b/src/main/java/org/ploverspindle/leadership/HighPriorityHeadroom.java
@@ -38,7 +38,7 @@
   private int capacityFor(Job job, Machine machine) {
     return machine.isSchedulable(scheduler.nowMs(), MAX_HEARTBEAT_AGE_MS)
             && Placer.allows(job, machine)
-        ? machine.free().times(job.perTask())
+        ? machine.free().capacityFor(job.perTask())
         : 0;
   }
 
--- a/src/main/java/org/ploverspindle/leadership/JobArrivals.java
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -55,7 +55,7 @@
   }
 
   private void recordEarlierArrival(AcceptedJobIndex.AcceptedJob accepted) {
-    if (pipelines.graph().awaitsOthers(accepted.uid())) {
+    if (pipelines.graph().hasDependencies(accepted.uid())) {
       // It arrived when its dependencies were done, and that time is not recorded.
       return;
     }
@@ -99,7 +99,7 @@
 
   /** Records a job that has just become eligible for placement. */
   void recordArrival(Job job) {
-    if (pipelines.graph().awaitsOthers(job.uid())) {
+    if (pipelines.graph().hasDependencies(job.uid())) {
       forecast.recordReady(job.eligibleSinceWallMs());
     } else {
       forecast.recordSubmission(job.eligibleSinceWallMs());
--- a/src/main/java/org/ploverspindle/leadership/JobIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/JobIntake.java
@@ -56,7 +56,7 @@
     CancellableGroup listeners = new CancellableGroup();
     listeners.add(replica.addListener(this::recordChanged));
     listeners.add(acceptedJobs.addListener(this::accepted));
-    listeners.add(pipelines.graph().listen(new DependencyEvents()));
+    listeners.add(pipelines.graph().addListener(new DependencyEvents()));
     return listeners;
   }
 
@@ -79,7 +79,7 @@
       return;
     }
     LOG.debug("job accepted: job={}", accepted.uid());
-    if (pipelines.graph().awaitsOthers(accepted.uid())) {
+    if (pipelines.graph().hasDependencies(accepted.uid())) {
       arrivals.dependenciesChanged();
       if (pipelines.graph().isReady(accepted.uid())) {
         dependenciesDone(accepted);
@@ -113,7 +113,7 @@
     }
     arrivals.markReady(job);
     if (!job.isTerminal()) {
-      writer.changed(job, 0);
+      writer.taskChanged(job, 0);
     }
   }
 
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -77,14 +77,17 @@
   private void startPeriodicTasks() {
     periodicTasks.add(components.intake.start(replica));
     periodicTasks.add(components.autoscaler.start());
-    periodicTasks.add(scheduler.every(TICK_INTERVAL_MS, this::tick));
+    periodicTasks.add(scheduler.scheduleWithFixedDelay(TICK_INTERVAL_MS, this::tick));
     periodicTasks.add(
-        scheduler.every(DELAYED_RESPONSE_CHECK_MS, components.delayedResponses::releaseDue));
+        scheduler.scheduleWithFixedDelay(
+            DELAYED_RESPONSE_CHECK_MS, components.delayedResponses::releaseDue));
     periodicTasks.add(components.tokenBroadcast.start());
     periodicTasks.add(
-        scheduler.every(READ_INTERVAL_MS, () -> replica.readIfOlderThan(READ_INTERVAL_MS)));
-    periodicTasks.add(scheduler.every(PREEMPTION_INTERVAL_MS, components.rounds::preempt));
-    periodicTasks.add(scheduler.every(TIMINGS_LOG_INTERVAL_MS, this::logTimings));
+        scheduler.scheduleWithFixedDelay(
+            READ_INTERVAL_MS, () -> replica.readIfOlderThan(READ_INTERVAL_MS)));
+    periodicTasks.add(
+        scheduler.scheduleWithFixedDelay(PREEMPTION_INTERVAL_MS, components.rounds::preempt));
+    periodicTasks.add(scheduler.scheduleWithFixedDelay(TIMINGS_LOG_INTERVAL_MS, this::logTimings));
   }
 
   /** Ends all work of the term; delayed responses go out without commands that need authority. */
@@ -113,7 +116,7 @@
   }
 
   private void logTimings() {
-    LOG.debug("event loop time: {}", components.timings.take());
+    LOG.debug("event loop time: {}", components.timings.drainSummary());
   }
 
   /** The term that this leader leads in. */
--- a/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
@@ -140,8 +140,8 @@
         context.state().store(),
         context.state().replica(),
         context.state().writeBudget(),
-        settings.writeLimits().txnOps(),
-        settings.writeLimits().valueBytes(),
+        settings.effectiveStateLimits().maxChangesPerTransaction(),
+        settings.effectiveStateLimits().maxValueBytes(),
         term,
         this::machineInfo,
         new WriterEvents());
@@ -152,7 +152,7 @@
         machine.host(),
         catalogue.type(machine.type()).name(),
         catalogue.zoneName(machine.zone()),
-        machine.spot());
+        machine.isSpot());
   }
 
   private TaskProgress newTaskProgress() {
@@ -184,7 +184,8 @@
 
   private Placer newPlacer() {
     double unschedulableS =
-        settings.workers().reportS() * UNSCHEDULABLE_AFTER_INTERVALS + UNSCHEDULABLE_MARGIN_S;
+        settings.workers().heartbeatIntervalS() * UNSCHEDULABLE_AFTER_INTERVALS
+            + UNSCHEDULABLE_MARGIN_S;
     return new Placer(
         new ClusterView(catalogue, machines, jobs, teams),
         estimates,
@@ -248,7 +249,7 @@
         authority,
         jobs::get,
         new TaskOwners(context.state().acceptedJobs(), teams)::of,
-        writer::isDurablyDone,
+        writer::isDurablyCompleted,
         progress);
   }
 
@@ -265,7 +266,7 @@
     double maxDelayS =
         Math.min(
             MAX_RESPONSE_DELAY_S,
-            RESPONSE_DELAY_PER_HEARTBEAT_INTERVAL * settings.workers().reportS());
+            RESPONSE_DELAY_PER_HEARTBEAT_INTERVAL * settings.workers().heartbeatIntervalS());
     return new DelayedResponses(
         scheduler, machines, heartbeatHandler, authority, Math.round(maxDelayS * MS_PER_S));
   }
@@ -295,20 +296,20 @@
   }
 
   private void schedulePendingTasks() {
-    autoscaler.scanSoon();
+    autoscaler.scaleOutSoon();
     rounds.schedule();
   }
 
   /** Passes on what has become durable to the parts that waited for it. */
   private final class WriterEvents implements ProgressWriter.Listener {
     @Override
-    public void durable(List<Placement> placements) {
+    public void placementsRecorded(List<Placement> placements) {
       delayedResponses.releaseDue();
       commands.launchHighPriority(placements);
     }
 
     @Override
-    public void finished(Job job) {
+    public void completionRecorded(Job job) {
       LOG.info("job done: job={}", job.uid());
       progress.cleanUp(job);
       // The record is written: dependent jobs need not wait until it is read back.
--- a/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
@@ -68,10 +68,10 @@
       Settings settings,
       BooleanSupplier isMachineListRead,
       long minUnheardMs) {
-    double intervalS = settings.workers().reportS();
+    double intervalS = settings.workers().heartbeatIntervalS();
     this.machines = machines;
     this.isMachineListRead = isMachineListRead;
-    this.isOnlyController = settings.nodes() < 2;
+    this.isOnlyController = settings.controllerCount() < 2;
     this.windowMs = Math.round(intervalS * WINDOW_MS_PER_INTERVAL_S) + WINDOW_MARGIN_MS;
     this.shortSilenceMs = Math.round(intervalS * SHORT_SILENCE_MS_PER_INTERVAL_S);
     this.unheardMs = Math.max(2 * windowMs, minUnheardMs);
@@ -139,7 +139,7 @@
       if (machine.isUp() && nowMs - machine.lastHeartbeatMs() < 2 * windowMs) {
         up++;
         // A machine that has just come up has not had the time to show what it received.
-        boolean isSettled = nowMs - machine.upSinceMs() >= 2 * windowMs;
+        boolean isSettled = nowMs - machine.firstHeartbeatMs() >= 2 * windowMs;
         settled += isSettled ? 1 : 0;
         receiving += isSettled && machine.receivesCommands() ? 1 : 0;
       }
--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -70,8 +70,8 @@
   }
 
   private void compute() {
-    Map<String, CriticalPath.PriorityInheritance> byDeadline = inheritedWith(spec -> 1);
-    Map<String, CriticalPath.PriorityInheritance> byLatestDeadline =
+    Map<String, CriticalPath.EffectiveValues> byDeadline = inheritedWith(spec -> 1);
+    Map<String, CriticalPath.EffectiveValues> byLatestDeadline =
         inheritedWith(spec -> objectives.lastMultiple(spec.jobClass()));
     hasPipelines = !byDeadline.isEmpty();
     recordsByUid.keySet().retainAll(byDeadline.keySet());
@@ -80,13 +80,13 @@
 
   private void inherit(
       String uid,
-      CriticalPath.PriorityInheritance byDeadline,
-      CriticalPath.PriorityInheritance byLatestDeadline) {
+      CriticalPath.EffectiveValues byDeadline,
+      CriticalPath.EffectiveValues byLatestDeadline) {
     jobs.get(uid)
         .ifPresent(
             job ->
                 job.inherit(
-                    byDeadline.urgency(),
+                    byDeadline.priority(),
                     byDeadline.latestFinishMs(),
                     byLatestDeadline.latestFinishMs()));
   }
@@ -94,18 +94,18 @@
   /**
    * @param multiple of a job's deadline by which it is to be done
    */
-  private Map<String, CriticalPath.PriorityInheritance> inheritedWith(
+  private Map<String, CriticalPath.EffectiveValues> inheritedWith(
       ToDoubleFunction<JobSpec> multiple) {
     return CriticalPath.of(graph, uid -> record(uid).map(record -> ownValues(record, multiple)));
   }
 
-  private CriticalPath.Own ownValues(JobRecord record, ToDoubleFunction<JobSpec> multiple) {
+  private CriticalPath.OwnValues ownValues(JobRecord record, ToDoubleFunction<JobSpec> multiple) {
     JobSpec spec = record.spec();
     OptionalLong latestFinishMs =
         spec.deadlineS().isPresent()
             ? OptionalLong.of(record.acceptedWallMs() + scaledDeadlineMs(spec, multiple))
             : OptionalLong.empty();
-    return new CriticalPath.Own(latestFinishMs, spec.priority(), estimates.runS(spec));
+    return new CriticalPath.OwnValues(latestFinishMs, spec.priority(), estimates.runS(spec));
   }
 
   private static long scaledDeadlineMs(JobSpec spec, ToDoubleFunction<JobSpec> multiple) {
--- a/src/main/java/org/ploverspindle/leadership/Recovery.java
+++ b/src/main/java/org/ploverspindle/leadership/Recovery.java
@@ -51,13 +51,13 @@
    */
   boolean restore(long nowMs) {
     RecordedProgress recorded = new RecordedProgress(replica, writer);
-    for (Job job : jobs.loadAll(uid -> graph.isReady(uid) || recorded.speaksOf(uid))) {
+    for (Job job : jobs.loadAll(uid -> graph.isReady(uid) || recorded.hasRecords(uid))) {
       if (!graph.isReady(job.uid())) {
         LOG.error(
             "job blocked, its tasks are recorded before its dependencies are done: job={}",
             job.uid());
         job.blockOnDependencies();
-      } else if (graph.awaitsOthers(job.uid())) {
+      } else if (graph.hasDependencies(job.uid())) {
         arrivals.markReady(job);
       }
       restoreJob(job, recorded.of(job), nowMs);
@@ -65,13 +65,13 @@
     return recorded.logDamaged();
   }
 
-  private void restoreJob(Job job, RecordedProgress.State recorded, long nowMs) {
-    recorded.done().stream().forEach(job::markCompleted);
-    for (SnapshotRecord.RecordedPlacement placement : recorded.live().values()) {
+  private void restoreJob(Job job, RecordedProgress.RecordedStatuses recorded, long nowMs) {
+    recorded.completed().stream().forEach(job::markCompleted);
+    for (SnapshotRecord.RecordedPlacement placement : recorded.placements().values()) {
       restorePlacement(job, placement, nowMs);
     }
     if (job.allTasksCompleted() && !job.cancelled()) {
-      writer.changed(job, 0);
+      writer.taskChanged(job, 0);
     }
   }
 
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -43,7 +43,7 @@
   }
 
   @Override
-  public Predicate<Machine> needed() {
+  public Predicate<Machine> usefulMachines() {
     return requests.needed();
   }
 
@@ -53,12 +53,12 @@
   }
 
   @Override
-  public Predicate<Machine> surplus() {
+  public Predicate<Machine> surplusMachines() {
     return headroom.surplus();
   }
 
   @Override
-  public void lost(List<Placement> placements) {
+  public void placementsLost(List<Placement> placements) {
     progress.lost(placements);
   }
 
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutRequests.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutRequests.java
@@ -98,7 +98,7 @@
 
   private boolean isExpensive(Machine machine) {
     MachineType type = catalogue.type(machine.type());
-    return !machine.spot()
+    return !machine.isSpot()
         && type.price(false) > type.price(true) * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO;
   }
 
--- a/src/main/java/org/ploverspindle/leadership/SpotDrain.java
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -38,7 +38,7 @@
   void drain(Machine machine, long nowMs) {
     double noticeS = machine.spotNoticeS();
     for (Placement placement : List.copyOf(machine.placements())) {
-      if (!placement.stopping()) {
+      if (!placement.isStopping()) {
         stopIfLate(placement, noticeS, nowMs);
       }
     }
--- a/src/main/java/org/ploverspindle/leadership/TaskFailures.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskFailures.java
@@ -41,12 +41,12 @@
     Machine machine = placement.machine();
     boolean wasFailingEverywhere = job.isFailingEverywhere(nowMs);
     long runningSinceMs = placement.runningSinceMs();
-    job.failedOn(machine.host(), runningSinceMs < 0 ? 0 : nowMs - runningSinceMs, nowMs);
+    job.recordFailure(machine.host(), runningSinceMs < 0 ? 0 : nowMs - runningSinceMs, nowMs);
     if (job.isKnownToRun(nowMs)) {
       long retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_STEP_MS * (1 + job.failures()));
       job.backOff(placement.task(), nowMs + retryDelayMs);
     }
-    if (detector.failed(machine, job, nowMs) && !machine.isDraining()) {
+    if (detector.detectFault(machine, job, nowMs) && !machine.isDraining()) {
       LOG.info(
           "machine drained, it fails tasks of jobs that run elsewhere: machine={}", machine.host());
       machine.drain();
--- a/src/main/java/org/ploverspindle/leadership/TaskOwners.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskOwners.java
@@ -17,16 +17,16 @@
   }
 
   /** The owner of the job's tasks; empty if the job or its team is unknown. */
-  Optional<HeartbeatHandler.Owner> of(String uid) {
+  Optional<HeartbeatHandler.TaskOwner> of(String uid) {
     return acceptedJobs
         .get(uid)
         .flatMap(accepted -> JobRecord.decode(uid, accepted.value()))
         .flatMap(this::of);
   }
 
-  private Optional<HeartbeatHandler.Owner> of(JobRecord record) {
+  private Optional<HeartbeatHandler.TaskOwner> of(JobRecord record) {
     return teams
         .index(record.spec().team())
-        .map(team -> new HeartbeatHandler.Owner(team, record.spec().perTask()));
+        .map(team -> new HeartbeatHandler.TaskOwner(team, record.spec().perTask()));
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/TaskProgress.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -60,7 +60,7 @@
         placement.job().uid(),
         placement.task(),
         placement.machine().host());
-    writer.changed(placement.job(), placement.task());
+    writer.taskChanged(placement.job(), placement.task());
   }
 
   /** These tasks are proven gone with their machines. */
@@ -71,10 +71,10 @@
   /** Removes a terminal job as soon as none of its tasks can be on any machine. */
   void cleanUp(Job job) {
     if (job.cancelled()) {
-      writer.cancelledTasksEnded(job);
+      writer.cancelledPlacementsEnded(job);
     }
     if (job.isTerminal() && job.activePlacements().isEmpty()) {
-      writer.over(job);
+      writer.jobTerminated(job);
       jobs.remove(job);
     }
   }
@@ -82,7 +82,7 @@
   /** Stops an attempt that goes on although another attempt of its task has completed. */
   static void stopIfDone(Job job, int task) {
     Placement placement = job.activePlacement(task);
-    if (placement != null && job.completedTasks().get(task)) {
+    if (placement != null && job.completedTasks().contains(task)) {
       placement.stop(0);
     }
   }
@@ -104,7 +104,7 @@
     }
     job.markCompleted(task);
     stopIfDone(job, task);
-    writer.changed(job, task);
+    writer.taskChanged(job, task);
     scheduleRound.run();
   }
 
@@ -134,14 +134,14 @@
     if (placement.job().isTerminal()) {
       cleanUp(placement.job());
     } else {
-      writer.changed(placement.job(), placement.task());
+      writer.taskChanged(placement.job(), placement.task());
     }
     scheduleRound.run();
   }
 
   /** Logs how long a high-priority task waited, and for what. */
   @Override
-  public void changed(Placement placement) {
+  public void phaseChanged(Placement placement) {
     if (!LOG.isDebugEnabled()
         || placement.phase() != Placement.Phase.RUNNING
         || placement.job().priority().compareTo(Priority.HIGH) > 0) {
--- a/src/main/java/org/ploverspindle/model/Resources.java
+++ b/src/main/java/org/ploverspindle/model/Resources.java
@@ -50,7 +50,7 @@
    * How many tasks of this size fit into these resources; {@link Integer#MAX_VALUE} for a size of
    * {@link #NONE}.
    */
-  public int times(Resources taskSize) {
+  public int capacityFor(Resources taskSize) {
     long count = Integer.MAX_VALUE;
     if (taskSize.cores > 0) {
       count = Math.min(count, cores / taskSize.cores);
--- a/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
+++ b/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
@@ -24,7 +24,7 @@
    * @param latestFinishMs time of day in milliseconds
    * @param runS estimate of its run time in seconds
    */
-  public record Own(OptionalLong latestFinishMs, Priority urgency, double runS) {}
+  public record OwnValues(OptionalLong latestFinishMs, Priority priority, double runS) {}
 
   /**
    * A job's effective values: the earliest latest finish and the highest priority that follow from
@@ -32,24 +32,25 @@
    *
    * @param latestFinishMs time of day in milliseconds
    */
-  public record PriorityInheritance(OptionalLong latestFinishMs, Priority urgency) {}
+  public record EffectiveValues(OptionalLong latestFinishMs, Priority priority) {}
 
   /** The latest finish of a job that neither it nor a dependent sets. */
   private static final double NEVER = Double.POSITIVE_INFINITY;
 
   private static final double MS_PER_S = 1_000;
 
-  private static final Own UNKNOWN = new Own(OptionalLong.empty(), Priority.BEST_EFFORT, 0);
+  private static final OwnValues UNKNOWN =
+      new OwnValues(OptionalLong.empty(), Priority.BEST_EFFORT, 0);
 
-  private final Function<String, Optional<Own>> jobs;
-  private final Map<String, PriorityInheritance> effective = new HashMap<>();
+  private final Function<String, Optional<OwnValues>> jobs;
+  private final Map<String, EffectiveValues> effective = new HashMap<>();
 
   /** How many unfinished dependents of each vertex have no values yet. */
   private final int[] dependentsLeft;
 
   private final double[] latestStartMs;
 
-  private CriticalPath(int vertices, Function<String, Optional<Own>> jobs) {
+  private CriticalPath(int vertices, Function<String, Optional<OwnValues>> jobs) {
     this.jobs = jobs;
     this.dependentsLeft = new int[vertices];
     this.latestStartMs = new double[vertices];
@@ -61,13 +62,13 @@
    * @param jobs the job's own values; empty when its record can't be read: such a job passes on its
    *     dependents' values unchanged
    */
-  public static Map<String, PriorityInheritance> of(
-      DependencyGraph graph, Function<String, Optional<Own>> jobs) {
+  public static Map<String, EffectiveValues> of(
+      DependencyGraph graph, Function<String, Optional<OwnValues>> jobs) {
     List<Vertex> vertices = graph.vertices();
     return new CriticalPath(vertices.size(), jobs).compute(vertices);
   }
 
-  private Map<String, PriorityInheritance> compute(List<Vertex> vertices) {
+  private Map<String, EffectiveValues> compute(List<Vertex> vertices) {
     Deque<Vertex> ready = new ArrayDeque<>();
     for (Vertex vertex : vertices) {
       if (isUnfinished(vertex)) {
@@ -93,20 +94,20 @@
 
   /** Computes a job's values from its own and those of its dependents, which are known. */
   private void visit(Vertex vertex) {
-    Own own = jobs.apply(vertex.uid).orElse(UNKNOWN);
+    OwnValues own = jobs.apply(vertex.uid).orElse(UNKNOWN);
     double latestMs = own.latestFinishMs().isPresent() ? own.latestFinishMs().getAsLong() : NEVER;
-    Priority priority = own.urgency();
+    Priority priority = own.priority();
     for (Vertex dependent : vertex.dependents) {
       if (isUnfinished(dependent)) {
         latestMs = Math.min(latestMs, latestStartMs[dependent.index]);
-        Priority theirs = effective.get(dependent.uid).urgency();
+        Priority theirs = effective.get(dependent.uid).priority();
         priority = theirs.compareTo(priority) < 0 ? theirs : priority;
       }
     }
     latestStartMs[vertex.index] = latestMs - MS_PER_S * own.runS();
     OptionalLong latestFinishMs =
         latestMs == NEVER ? OptionalLong.empty() : OptionalLong.of(Math.round(latestMs));
-    effective.put(vertex.uid, new PriorityInheritance(latestFinishMs, priority));
+    effective.put(vertex.uid, new EffectiveValues(latestFinishMs, priority));
   }
 
   private static boolean isUnfinished(Vertex vertex) {
--- a/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
+++ b/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
@@ -96,7 +96,7 @@
   }
 
   /** Adds a listener; cancel the result to remove it. */
-  public Cancellable listen(Listener listener) {
+  public Cancellable addListener(Listener listener) {
     listeners.add(listener);
     return () -> listeners.remove(listener);
   }
@@ -155,18 +155,18 @@
   }
 
   /** False while the job's dependencies are not known. */
-  public boolean isKnown(String uid) {
+  public boolean areDependenciesKnown(String uid) {
     Vertex vertex = byUid.get(uid);
     return vertex == null || !vertex.hasDependencies || vertex.dependenciesKnown;
   }
 
   /** True when the job has dependencies. */
-  public boolean awaitsOthers(String uid) {
+  public boolean hasDependencies(String uid) {
     return withDependencies.contains(uid);
   }
 
   /** The direct dependencies that are not done yet, for display. */
-  public List<String> unfinished(String uid) {
+  public List<String> unfinishedDependenciesOf(String uid) {
     Vertex vertex = byUid.get(uid);
     return vertex == null
         ? List.of()
--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -31,7 +31,7 @@
         new DependencyGraph(
             uid -> replica.get(Keys.completion(uid)).isPresent(),
             uid -> replica.get(Keys.cancellation(uid)).isPresent());
-    graph.listen(
+    graph.addListener(
         new DependencyGraph.Listener() {
           @Override
           public void ready(String uid) {
@@ -74,21 +74,21 @@
   /**
    * True when the job is neither terminal nor ready. Such a job counts for no limit and no demand.
    */
-  public boolean isWaiting(String uid) {
+  public boolean isBlocked(String uid) {
     return !graph.isReady(uid)
         && !graph.isAborted(uid)
         && replica.get(Keys.completion(uid)).isEmpty();
   }
 
   /** How many jobs are blocked on dependencies. */
-  public long waiting() {
-    return graph.uids().stream().filter(this::isWaiting).count();
+  public long blockedJobs() {
+    return graph.uids().stream().filter(this::isBlocked).count();
   }
 
   private void put(AcceptedJobIndex.AcceptedJob job) {
     JobRecord.StoredDependencies stored = JobRecord.storedDependencies(job.value());
     if (stored instanceof JobRecord.StoredDependencies.Inline inline) {
-      if (!inline.uids().isEmpty() || graph.awaitsOthers(job.uid())) {
+      if (!inline.uids().isEmpty() || graph.hasDependencies(job.uid())) {
         graph.put(job.uid(), inline.uids());
       }
     } else if (stored instanceof JobRecord.StoredDependencies.Separate separate) {
--- a/src/main/java/org/ploverspindle/placement/CandidateList.java
+++ b/src/main/java/org/ploverspindle/placement/CandidateList.java
@@ -91,7 +91,7 @@
   }
 
   private double pricePerTask(MachineGroup group, Job job, int tasks) {
-    int fitting = catalogue.type(group.type()).size().times(job.perTask());
+    int fitting = catalogue.type(group.type()).size().capacityFor(job.perTask());
     return catalogue.type(group.type()).price(group.spot()) / Math.min(fitting, tasks);
   }
 
@@ -121,7 +121,7 @@
 
   /** The price for each task on a machine that is filled with them. */
   private double fullPricePerTask(Job job, int type, boolean spot) {
-    int fitting = Math.max(1, catalogue.type(type).size().times(job.perTask()));
+    int fitting = Math.max(1, catalogue.type(type).size().capacityFor(job.perTask()));
     return catalogue.type(type).price(spot) / fitting;
   }
 }
--- a/src/main/java/org/ploverspindle/placement/CoreBalances.java
+++ b/src/main/java/org/ploverspindle/placement/CoreBalances.java
@@ -108,7 +108,7 @@
       BitSet groups, boolean all, List<Machine> machines, Map<Job, BitSet> usable) {
     double cores = 0;
     for (Machine machine : machines) {
-      if (groups.get(groupSets.index(machine.type(), machine.zone(), machine.spot()))) {
+      if (groups.get(groupSets.index(machine.type(), machine.zone(), machine.isSpot()))) {
         cores += machine.size().cores();
         cores -= all ? 0 : takenByOthers(machine, groups, usable);
       }
@@ -153,7 +153,7 @@
    * Returns whether it was removed.
    */
   boolean removeIfSurplus(Machine machine) {
-    int group = groupSets.index(machine.type(), machine.zone(), machine.spot());
+    int group = groupSets.index(machine.type(), machine.zone(), machine.isSpot());
     for (Map.Entry<BitSet, Balance> entry : balances.entrySet()) {
       if (entry.getKey().get(group)
           && -entry.getValue().missingAtAnyPrice < machine.size().cores()) {
--- a/src/main/java/org/ploverspindle/placement/CoreDemand.java
+++ b/src/main/java/org/ploverspindle/placement/CoreDemand.java
@@ -133,7 +133,7 @@
   private static Resources required(Job job, long nowMs) {
     long tasks =
         job.isKnownToRun(nowMs)
-            ? job.spec().tasks() - job.completedTasks().cardinality()
+            ? job.spec().tasks() - job.completedTasks().size()
             : Math.max(1, job.activePlacements().size());
     return new Resources(job.perTask().cores() * tasks, job.perTask().accelerators() * tasks, 0);
   }
--- a/src/main/java/org/ploverspindle/placement/GroupSets.java
+++ b/src/main/java/org/ploverspindle/placement/GroupSets.java
@@ -37,7 +37,7 @@
     BitSet types = job.types();
     for (int type = types.nextSetBit(0); type >= 0; type = types.nextSetBit(type + 1)) {
       for (int zone = 0; zone < catalogue.zoneCount(); zone++) {
-        if (job.zone() < 0 || job.zone() == zone) {
+        if (job.requiredZone() < 0 || job.requiredZone() == zone) {
           groups.set(index(type, zone, false));
           groups.set(index(type, zone, true), job.spec().spot());
         }
--- a/src/main/java/org/ploverspindle/placement/MachineGroup.java
+++ b/src/main/java/org/ploverspindle/placement/MachineGroup.java
@@ -12,6 +12,6 @@
 public record MachineGroup(int type, int zone, boolean spot) {
   /** The group that the machine belongs to. */
   public static MachineGroup of(Machine machine) {
-    return new MachineGroup(machine.type(), machine.zone(), machine.spot());
+    return new MachineGroup(machine.type(), machine.zone(), machine.isSpot());
   }
 }
--- a/src/main/java/org/ploverspindle/placement/MachineSelector.java
+++ b/src/main/java/org/ploverspindle/placement/MachineSelector.java
@@ -45,7 +45,7 @@
   static boolean accepts(Machine machine, Job job) {
     return job.perTask().fitsIn(machine.free())
         && Placer.allows(job, machine)
-        && (!machine.suspect() || machine.placements().isEmpty());
+        && (!machine.isSuspect() || machine.placements().isEmpty());
   }
 
   /**
@@ -63,7 +63,7 @@
         continue;
       }
       double score = machine.free().cores() / CORE + fetchS(job, machine) * coresPerFetchS;
-      if (machine.spot() == prefersOnDemand && !machine.isScaleInCandidate()) {
+      if (machine.isSpot() == prefersOnDemand && !machine.isScaleInCandidate()) {
         score += OTHER_KIND_CORES;
       }
       if (job.hasFailedOn(machine.host())) {
--- a/src/main/java/org/ploverspindle/placement/PendingCapacity.java
+++ b/src/main/java/org/ploverspindle/placement/PendingCapacity.java
@@ -20,7 +20,7 @@
 
     /** Reserves room for up to so many of the job's tasks; returns how many fit. */
     int reserve(Job job, int tasks) {
-      int fitting = Math.min(tasks, free.times(job.perTask()));
+      int fitting = Math.min(tasks, free.capacityFor(job.perTask()));
       for (int i = 0; i < fitting; i++) {
         free = free.minus(job.perTask());
       }
--- a/src/main/java/org/ploverspindle/placement/Placer.java
+++ b/src/main/java/org/ploverspindle/placement/Placer.java
@@ -116,7 +116,7 @@
 
   /** True when the machine's type, kind and zone suit the job, given its other tasks' zones. */
   public static boolean allows(Job job, Machine machine) {
-    return allows(job, machine.type(), machine.zone(), machine.spot());
+    return allows(job, machine.type(), machine.zone(), machine.isSpot());
   }
 
   /** The same for any machine of a group. */
@@ -125,6 +125,6 @@
   }
 
   private static boolean allows(Job job, int type, int zone, boolean spot) {
-    return job.types().get(type) && (job.spec().spot() || !spot) && job.zoneAllowed(zone);
+    return job.types().get(type) && (job.spec().spot() || !spot) && job.allowsZone(zone);
   }
 }
--- a/src/main/java/org/ploverspindle/placement/Preemption.java
+++ b/src/main/java/org/ploverspindle/placement/Preemption.java
@@ -78,7 +78,8 @@
       boolean withinGuarantee,
       Optional<String> uidIfBoundToZones) {
     static Requirements of(Job job, boolean withinGuarantee) {
-      boolean bound = job.zone() >= 0 || job.spec().oneZone() || job.spec().spreadOverZones();
+      boolean bound =
+          job.requiredZone() >= 0 || job.spec().oneZone() || job.spec().spreadOverZones();
       return new Requirements(
           job.perTask(),
           job.types(),
--- a/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
@@ -41,7 +41,7 @@
       this.index = index;
       this.free = machine.free();
       for (Placement placement : machine.placements()) {
-        if (placement.stopping()) {
+        if (placement.isStopping()) {
           release(placement);
         }
       }
@@ -129,7 +129,7 @@
   private List<Placement> candidates(Job job, Room room, boolean withinGuarantee, long nowMs) {
     List<Placement> candidates = new ArrayList<>();
     for (Placement placement : room.machine.placements()) {
-      if (!placement.stopping() && mayStop(job, placement, withinGuarantee, nowMs)) {
+      if (!placement.isStopping() && mayStop(job, placement, withinGuarantee, nowMs)) {
         candidates.add(placement);
       }
     }
--- a/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
@@ -197,7 +197,7 @@
     int tasks = job.spec().tasks();
     for (Machine machine : machines) {
       if (Placer.allows(job, machine)) {
-        tasks -= machine.free().times(job.perTask());
+        tasks -= machine.free().capacityFor(job.perTask());
       }
     }
     tasks -= pending.reserve(job, tasks);
@@ -207,7 +207,7 @@
     Optional<CandidateList.Selection> cheapest = candidates.cheapest(job, tasks, true);
     if (cheapest.isPresent()) {
       CandidateList.Selection selection = cheapest.get();
-      int fitting = catalogue.type(selection.group().type()).size().times(job.perTask());
+      int fitting = catalogue.type(selection.group().type()).size().capacityFor(job.perTask());
       selection.request(Math.min(selection.remaining(), (tasks + fitting - 1) / fitting));
     }
   }
--- a/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
+++ b/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
@@ -19,8 +19,8 @@
 
   public ServiceLevelObjectives(List<Settings.Objective> objectives) {
     for (Settings.Objective objective : objectives) {
-      if (objective.kind().equals("deadline") && objective.times() > 1) {
-        add(deadlineMultiples, objective, objective.times());
+      if (objective.kind().equals("deadline") && objective.deadlineMultiple() > 1) {
+        add(deadlineMultiples, objective, objective.deadlineMultiple());
       } else if (objective.kind().equals("wait")) {
         add(startWithinS, objective, objective.withinS());
       } else if (objective.kind().equals("finished")) {
--- a/src/main/java/org/ploverspindle/placement/TaskPlacer.java
+++ b/src/main/java/org/ploverspindle/placement/TaskPlacer.java
@@ -90,9 +90,9 @@
 
   /** The first pending task from this index on that may start now, or {@link #NO_TASK}. */
   private static int nextTask(Job job, int from, long nowMs) {
-    int task = job.pendingTasks().nextSetBit(from);
+    int task = job.pendingTasks().next(from);
     while (task != NO_TASK && job.isBackedOff(task, nowMs)) {
-      task = job.pendingTasks().nextSetBit(task + 1);
+      task = job.pendingTasks().next(task + 1);
     }
     return task;
   }
--- a/src/main/java/org/ploverspindle/policy/PolicyFile.java
+++ b/src/main/java/org/ploverspindle/policy/PolicyFile.java
@@ -50,16 +50,16 @@
 
   private static Map<String, Double> names(Settings settings) {
     Map<String, Double> names = new HashMap<>();
-    names.put("nodes", (double) settings.nodes());
+    names.put("nodes", (double) settings.controllerCount());
     names.put("zones", (double) settings.zones().size());
     names.put("teams", (double) settings.teams().size());
-    names.put("report_s", settings.workers().reportS());
+    names.put("report_s", settings.workers().heartbeatIntervalS());
     names.put("lease_s", settings.workers().leaseS());
     names.put("cancel_s", settings.workers().cancelS());
-    names.put("state_rps", settings.writeLimits().rps());
-    names.put("state_write_rps", settings.writeLimits().writeRps());
-    names.put("cloud_rps", settings.cloudLimits().rps());
-    names.put("list_lag_s", settings.cloudLimits().listLagS());
+    names.put("state_rps", settings.effectiveStateLimits().requestsPerS());
+    names.put("state_write_rps", settings.effectiveStateLimits().changesPerS());
+    names.put("cloud_rps", settings.cloudLimits().requestsPerS());
+    names.put("list_lag_s", settings.cloudLimits().maxListLagS());
     return names;
   }
 
--- a/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
@@ -26,7 +26,7 @@
     Job job = statuses.job();
     return new ProgressLogRecord.Delta(
         job.uid(),
-        job.completedTasks().cardinality(),
+        job.completedTasks().size(),
         job.activePlacements().size(),
         statuses.completed(),
         cleared,
@@ -42,7 +42,7 @@
     List<SnapshotRecord.RecordedPlacement> placements = recorded(statuses.placements());
     Job job = statuses.job();
     return new SnapshotRecord(statuses.completed(), placements, placements.size(), coveredUpTo)
-        .encode(job.completedTasks().cardinality(), job.activePlacements().size());
+        .encode(job.completedTasks().size(), job.activePlacements().size());
   }
 
   private List<SnapshotRecord.RecordedPlacement> recorded(List<Placement> placements) {
--- a/src/main/java/org/ploverspindle/progress/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressWriter.java
@@ -43,10 +43,10 @@
   /** Receives the outcomes of writes. */
   public interface Listener {
     /** The placements became durable: their launch commands may be sent. */
-    void durable(List<Placement> placements);
+    void placementsRecorded(List<Placement> placements);
 
     /** The completion of the job became durable. */
-    void finished(Job job);
+    void completionRecorded(Job job);
 
     /** Another controller leads, or nobody does. */
     void deposed(String cause);
@@ -101,12 +101,12 @@
   }
 
   /** Whether the completion of the task is known to be durable. */
-  public boolean isDurablyDone(Job job, int task) {
+  public boolean isDurablyCompleted(Job job, int task) {
     return job.finished() || state.durable().isCompleted(job, task);
   }
 
   /** The task's progress changed, or the job may be complete. */
-  public void changed(Job job, int task) {
+  public void taskChanged(Job job, int task) {
     // A job is not complete before its dependencies are, as it might still be aborted with them.
     // And as long as an attempt of a completed task may still run, it is recorded, since it takes
     // resources.
@@ -125,7 +125,7 @@
    * Placements of a cancelled job may have ended: those that are recorded are to be cleared. To be
    * called only once it is proven that they ended.
    */
-  public void cancelledTasksEnded(Job job) {
+  public void cancelledPlacementsEnded(Job job) {
     clearing.placementsEnded(job);
   }
 
@@ -133,7 +133,7 @@
    * The job is terminal and none of its tasks is on a machine. Nobody reads the progress of a
    * finished job; of a cancelled one only what would otherwise be read is still written.
    */
-  public void over(Job job) {
+  public void jobTerminated(Job job) {
     state.pending().forgetChanges(job);
     state.durable().forgetCompleted(job);
     boolean recordsStillRead = job.isFullyStopped() && !job.quarantined();
@@ -162,9 +162,9 @@
   }
 
   private void completionRecorded(Job job) {
-    job.finish();
-    over(job);
-    listener.finished(job);
+    job.markFinished();
+    jobTerminated(job);
+    listener.completionRecorded(job);
   }
 
   /** Since when no write has been committed although some were sent, or -1 if none failed. */
--- a/src/main/java/org/ploverspindle/progress/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/progress/RecordedProgress.java
@@ -31,7 +31,8 @@
   private boolean logDamaged;
 
   /** The latest recorded statuses of a job's tasks: those done, and the placements by task. */
-  public record State(BitSet done, Map<Integer, SnapshotRecord.RecordedPlacement> live) {}
+  public record RecordedStatuses(
+      BitSet completed, Map<Integer, SnapshotRecord.RecordedPlacement> placements) {}
 
   /** Reads the whole log from the replica. */
   public RecordedProgress(Replica replica, ProgressWriter writer) {
@@ -72,13 +73,13 @@
   }
 
   /** Whether any record has statuses of the job's tasks. */
-  public boolean speaksOf(String uid) {
+  public boolean hasRecords(String uid) {
     return logByJob.containsKey(uid) || !replica.withPrefix(Keys.snapshotsOf(uid)).isEmpty();
   }
 
   /** The job's progress. Quarantines the job if a snapshot of it is unreadable. */
-  public State of(Job job) {
-    State state = new State(new BitSet(), new TreeMap<>());
+  public RecordedStatuses of(Job job) {
+    RecordedStatuses state = new RecordedStatuses(new BitSet(), new TreeMap<>());
     long[] coveredUpTo = readSnapshots(job, state);
     for (ProgressLogRecord record : logByJob.getOrDefault(job.uid(), List.of())) {
       for (ProgressLogRecord.Delta delta : record.deltas()) {
@@ -88,14 +89,15 @@
         }
       }
     }
-    state.done.clear(job.spec().tasks(), Math.max(job.spec().tasks(), state.done.length()));
-    loader.loadCompleted(job, state.done);
-    loader.loadPlaced(job, state.live.keySet());
+    state.completed.clear(
+        job.spec().tasks(), Math.max(job.spec().tasks(), state.completed.length()));
+    loader.loadCompleted(job, state.completed);
+    loader.loadPlaced(job, state.placements.keySet());
     return state;
   }
 
   /** Adds what the job's snapshots hold; returns the last log record that each shard's covers. */
-  private long[] readSnapshots(Job job, State state) {
+  private long[] readSnapshots(Job job, RecordedStatuses state) {
     long[] coveredUpTo = new long[job.shardCount()];
     for (Entry entry : replica.withPrefix(Keys.snapshotsOf(job.uid())).values()) {
       Optional<SnapshotRecord> snapshot = SnapshotRecord.decode(entry.value());
@@ -110,34 +112,38 @@
       }
       loader.loadSnapshot(job, shard.getAsInt(), entry.modRevision());
       coveredUpTo[shard.getAsInt()] = snapshot.get().coveredUpTo();
-      state.done.or(snapshot.get().done());
-      snapshot.get().placements().forEach(p -> state.live.put(p.task(), p));
+      state.completed.or(snapshot.get().completed());
+      snapshot.get().placements().forEach(p -> state.placements.put(p.task(), p));
     }
     return coveredUpTo;
   }
 
   private void apply(
-      Job job, long sequence, ProgressLogRecord.Delta delta, long[] coveredUpTo, State state) {
+      Job job,
+      long sequence,
+      ProgressLogRecord.Delta delta,
+      long[] coveredUpTo,
+      RecordedStatuses state) {
     BitSet uncovered = new BitSet();
     delta.completed().stream()
         .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
         .forEach(
             task -> {
               uncovered.set(task);
-              state.done.set(task);
-              state.live.remove(task);
+              state.completed.set(task);
+              state.placements.remove(task);
             });
     delta.cleared().stream()
         .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
         .forEach(
             task -> {
               uncovered.set(task);
-              state.live.remove(task);
+              state.placements.remove(task);
             });
     for (SnapshotRecord.RecordedPlacement placement : delta.placements()) {
       if (isUncovered(job, placement.task(), sequence, coveredUpTo)) {
         uncovered.set(placement.task());
-        state.live.put(placement.task(), placement);
+        state.placements.put(placement.task(), placement);
       }
     }
     if (!job.quarantined()) {
--- a/src/main/java/org/ploverspindle/progress/WriteOutcome.java
+++ b/src/main/java/org/ploverspindle/progress/WriteOutcome.java
@@ -48,7 +48,7 @@
     }
     batch.removedSnapshots().forEach(state.snapshots()::removed);
     batch.completedJobs().forEach(this::completed);
-    listener.durable(placements);
+    listener.placementsRecorded(placements);
   }
 
   private void recordCommitted(long sequence, Map<TaskShard, BitSet> shards, long revision) {
--- a/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
+++ b/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
@@ -77,7 +77,7 @@
    * Takes over a termination that an earlier leader recorded. To be called for all records before
    * the first placement of the term.
    */
-  public void inherit(Entry entry) {
+  public void inheritTermination(Entry entry) {
     Optional<TerminationRecord> record = TerminationRecord.decode(entry.value());
     if (record.isEmpty()) {
       LOG.error(
@@ -102,7 +102,7 @@
    * Begins the termination of these machines. From now on nothing is placed on them in this term,
    * whatever the outcome of the write: one without a response may be carried out later.
    */
-  public void begin(List<Machine> machines) {
+  public void beginTermination(List<Machine> machines) {
     if (machines.isEmpty()) {
       return;
     }
--- a/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
@@ -19,7 +19,7 @@
   /** Stops all tasks that are not stopping yet, with time for a checkpoint where they write one. */
   static void drain(Machine machine) {
     for (Placement placement : List.copyOf(machine.placements())) {
-      if (!placement.stopping()) {
+      if (!placement.isStopping()) {
         placement.stop(gracePeriodS(placement.job().spec()));
       }
     }
--- a/src/main/java/org/ploverspindle/settings/FleetRequirements.java
+++ b/src/main/java/org/ploverspindle/settings/FleetRequirements.java
@@ -34,7 +34,7 @@
 
   /** What a fleet of this size needs under these settings. */
   public static FleetRequirements of(Settings settings, int machines) {
-    double heartbeatsPerS = machines / settings.workers().reportS();
+    double heartbeatsPerS = machines / settings.workers().heartbeatIntervalS();
     return new FleetRequirements(
         machines,
         SocketBudget.neededFor(
--- a/src/main/java/org/ploverspindle/settings/LimitChecks.java
+++ b/src/main/java/org/ploverspindle/settings/LimitChecks.java
@@ -46,36 +46,36 @@
   }
 
   private static Optional<Warning> requestsWarning(Settings settings) {
-    double rps = settings.writeLimits().rps();
-    double needed = LEADER_RPS + FOLLOWER_RPS * (settings.nodes() - 1);
+    double rps = settings.effectiveStateLimits().requestsPerS();
+    double needed = LEADER_RPS + FOLLOWER_RPS * (settings.controllerCount() - 1);
     return warningIf(
         rps < needed,
-        stateField("rps", settings.stateLimits().rps(), rps),
+        stateField("rps", settings.stateLimits().requestsPerS(), rps),
         "%.1f requests a second are fewer than the %.1f that %d controllers need with"
             + " nothing to do: answers will be late and the lead may change hands",
         rps,
         needed,
-        settings.nodes());
+        settings.controllerCount());
   }
 
   private static Optional<Warning> writesWarning(Settings settings) {
-    double writeRps = settings.writeLimits().writeRps();
+    double writeRps = settings.effectiveStateLimits().changesPerS();
     return warningIf(
         writeRps < LEAST_WRITE_RPS,
-        stateField("write_rps", settings.stateLimits().writeRps(), writeRps),
+        stateField("write_rps", settings.stateLimits().changesPerS(), writeRps),
         "%.1f changes a second: each start waits for its record for up to %.1f s",
         writeRps,
         2 / Math.max(LEAST_REPORTED_RATE, writeRps));
   }
 
   private static Optional<Warning> valueWarning(Settings settings) {
-    Settings.StateLimits limits = settings.writeLimits();
+    Settings.StateLimits limits = settings.effectiveStateLimits();
     return warningIf(
-        limits.valueBytes() < LEAST_VALUE_BYTES,
-        stateField("value_kb", settings.stateLimits().valueKb(), limits.valueKb()),
+        limits.maxValueBytes() < LEAST_VALUE_BYTES,
+        stateField("value_kb", settings.stateLimits().maxValueKib(), limits.maxValueKib()),
         "%d bytes hold no record for certain: jobs with longer descriptions are refused"
             + " with 422, and tasks may not start",
-        limits.valueBytes());
+        limits.maxValueBytes());
   }
 
   /**
--- a/src/main/java/org/ploverspindle/settings/Settings.java
+++ b/src/main/java/org/ploverspindle/settings/Settings.java
@@ -8,8 +8,8 @@
  *
  * @param member this controller's name
  * @param location where it runs
- * @param front address where users and workers connect
- * @param back address where the other controllers connect
+ * @param userAddress address where users and workers connect
+ * @param peerAddress address where the other controllers connect
  * @param members the other controllers
  * @param cloud address of the cloud's API
  * @param state address of the state service
@@ -18,8 +18,8 @@
 public record Settings(
     String member,
     String location,
-    Address front,
-    Address back,
+    Address userAddress,
+    Address peerAddress,
     List<Member> members,
     Address cloud,
     Address state,
@@ -40,13 +40,17 @@
   /**
    * A team's guarantee and limit; an amount of 0 means none.
    *
-   * @param cores guaranteed cores
-   * @param coresMax limit of cores
-   * @param accelerators guaranteed accelerators
-   * @param acceleratorsMax limit of accelerators
+   * @param guaranteedCores guaranteed cores
+   * @param maxCores limit of cores
+   * @param guaranteedAccelerators guaranteed accelerators
+   * @param maxAccelerators limit of accelerators
    */
   public record Team(
-      String name, double cores, double coresMax, double accelerators, double acceleratorsMax) {}
+      String name,
+      double guaranteedCores,
+      double maxCores,
+      double guaranteedAccelerators,
+      double maxAccelerators) {}
 
   /**
    * A service level objective. It affects the order of placement and is not guaranteed.
@@ -54,40 +58,45 @@
    * @param kind {@code deadline}, {@code wait} or {@code finished}; others are ignored
    * @param jobClass the job class that it is for
    * @param share share of the class's jobs that is to meet it
-   * @param times of a {@code deadline}: multiple of a job's own deadline
+   * @param deadlineMultiple of a {@code deadline}: multiple of a job's own deadline
    * @param withinS of the others: seconds within which a job is to start or be done
    */
   public record Objective(
-      String kind, String jobClass, double share, double times, double withinS) {}
+      String kind, String jobClass, double share, double deadlineMultiple, double withinS) {}
 
   /**
    * Limits of the workers, in seconds.
    *
-   * @param reportS interval of a worker's heartbeats
+   * @param heartbeatIntervalS interval of a worker's heartbeats
    * @param leaseS after how long without a response a worker stops all its tasks
    * @param cancelS within which time a cancelled job must be gone
    */
-  public record WorkerLimits(double reportS, double leaseS, double cancelS) {}
+  public record WorkerLimits(double heartbeatIntervalS, double leaseS, double cancelS) {}
 
   /**
    * Limits of the state service.
    *
-   * @param rps requests a second
-   * @param writeRps changes a second
-   * @param valueKb size of a value in KiB
-   * @param txnOps changes of a transaction
+   * @param requestsPerS requests a second
+   * @param changesPerS changes a second
+   * @param maxValueKib size of a value in KiB
+   * @param maxChangesPerTransaction changes of a transaction
    * @param next lower limits that the service will have from some unannounced time on; a limit that
    *     is not named there stays as it is
    */
   public record StateLimits(
-      double rps, double writeRps, double valueKb, int txnOps, Optional<StateLimits> next) {
-    public StateLimits(double rps, double writeRps, double valueKb, int txnOps) {
-      this(rps, writeRps, valueKb, txnOps, Optional.empty());
+      double requestsPerS,
+      double changesPerS,
+      double maxValueKib,
+      int maxChangesPerTransaction,
+      Optional<StateLimits> next) {
+    public StateLimits(
+        double requestsPerS, double changesPerS, double maxValueKib, int maxChangesPerTransaction) {
+      this(requestsPerS, changesPerS, maxValueKib, maxChangesPerTransaction, Optional.empty());
     }
 
     /** The largest value that the service takes. */
-    public int valueBytes() {
-      return (int) (valueKb * BYTES_PER_KB);
+    public int maxValueBytes() {
+      return (int) (maxValueKib * BYTES_PER_KB);
     }
 
     /** Limits that hold now as well as later: the smaller of both, one by one. */
@@ -95,10 +104,10 @@
       return next.map(
               later ->
                   new StateLimits(
-                      Math.min(rps, later.rps),
-                      Math.min(writeRps, later.writeRps),
-                      Math.min(valueKb, later.valueKb),
-                      Math.min(txnOps, later.txnOps)))
+                      Math.min(requestsPerS, later.requestsPerS),
+                      Math.min(changesPerS, later.changesPerS),
+                      Math.min(maxValueKib, later.maxValueKib),
+                      Math.min(maxChangesPerTransaction, later.maxChangesPerTransaction)))
           .orElse(this);
     }
   }
@@ -106,10 +115,10 @@
   /**
    * Limits of the cloud.
    *
-   * @param rps requests a second
-   * @param listLagS by how many seconds its list of machines may be out of date
+   * @param requestsPerS requests a second
+   * @param maxListLagS by how many seconds its list of machines may be out of date
    */
-  public record CloudLimits(double rps, double listLagS) {}
+  public record CloudLimits(double requestsPerS, double maxListLagS) {}
 
   /** What one controller may use of its own machine. */
   public record Quota(double cores, double ramMb, int maxConnections) {}
@@ -118,7 +127,7 @@
    * The limits that every write and every rate keeps to from the start, as the time from which the
    * lower ones hold is not announced.
    */
-  public StateLimits writeLimits() {
+  public StateLimits effectiveStateLimits() {
     return stateLimits.lowest();
   }
 
@@ -128,7 +137,7 @@
   }
 
   /** How many controllers there are, this one included. */
-  public int nodes() {
+  public int controllerCount() {
     return members.size() + 1;
   }
 }
--- a/src/main/java/org/ploverspindle/settings/SettingsReader.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsReader.java
@@ -117,16 +117,20 @@
   /** A limit that the section does not name stays as it is now. */
   private static Settings.StateLimits nextStateLimits(TomlSection next, Settings.StateLimits now) {
     return new Settings.StateLimits(
-        next.amountOr("rps", 1, now.rps()),
-        next.amountOr("write_rps", 1, now.writeRps()),
-        next.amountOr("value_kb", 1, now.valueKb()),
-        (int) next.amountOr("txn_ops", LEAST_TXN_OPS, now.txnOps()));
+        next.amountOr("rps", 1, now.requestsPerS()),
+        next.amountOr("write_rps", 1, now.changesPerS()),
+        next.amountOr("value_kb", 1, now.maxValueKib()),
+        (int) next.amountOr("txn_ops", LEAST_TXN_OPS, now.maxChangesPerTransaction()));
   }
 
   private static Settings.StateLimits withNext(
       Settings.StateLimits now, Settings.StateLimits next) {
     return new Settings.StateLimits(
-        now.rps(), now.writeRps(), now.valueKb(), now.txnOps(), Optional.of(next));
+        now.requestsPerS(),
+        now.changesPerS(),
+        now.maxValueKib(),
+        now.maxChangesPerTransaction(),
+        Optional.of(next));
   }
 
   private static Settings.CloudLimits cloudLimits(TomlSection cloud) {
--- a/src/main/java/org/ploverspindle/settings/SettingsRules.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsRules.java
@@ -34,8 +34,8 @@
       if (!names.add(team.name())) {
         problems.report("params.teams.name", "\"" + team.name() + "\" stands twice");
       }
-      if (isBelow(team.coresMax(), team.cores())
-          || isBelow(team.acceleratorsMax(), team.accelerators())) {
+      if (isBelow(team.maxCores(), team.guaranteedCores())
+          || isBelow(team.maxAccelerators(), team.guaranteedAccelerators())) {
         problems.report(
             "params.teams.cpus_max", "the limit of \"" + team.name() + "\" is below its guarantee");
       }
--- a/src/main/java/org/ploverspindle/settings/SocketBudget.java
+++ b/src/main/java/org/ploverspindle/settings/SocketBudget.java
@@ -36,7 +36,7 @@
         STATE_CONNECTIONS,
         CLOUD_CONNECTIONS,
         Math.max(LEAST_DIRECT_COMMANDS, maxConnections / SOCKETS_PER_DIRECT_COMMAND),
-        CONNECTIONS_PER_CONTROLLER * settings.nodes());
+        CONNECTIONS_PER_CONTROLLER * settings.controllerCount());
   }
 
   /** How many sockets a process needs for so many connections of workers and users. */
--- a/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
+++ b/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
@@ -33,10 +33,10 @@
   /** Notified of the jobs in the index. */
   public interface Listener {
     /** A job was added. */
-    void accepted(AcceptedJob spec);
+    void accepted(AcceptedJob job);
 
     /** An earlier record of the job replaces the known one; happens during loading alone. */
-    default void corrected(AcceptedJob spec) {}
+    default void corrected(AcceptedJob job) {}
   }
 
   private final Map<String, AcceptedJob> jobs = new HashMap<>();
--- a/src/main/java/org/ploverspindle/state/Keys.java
+++ b/src/main/java/org/ploverspindle/state/Keys.java
@@ -10,7 +10,7 @@
   public static final String PREFIX = "ps1/";
   public static final String LEADER = PREFIX + "leader";
   public static final String TOKEN = PREFIX + "token";
-  public static final String TYPES = PREFIX + "types";
+  public static final String MACHINE_TYPES = PREFIX + "types";
   public static final String JOBS = PREFIX + "j/";
   public static final String JOB_BATCHES = PREFIX + "b/";
 
@@ -65,8 +65,8 @@
   }
 
   /** A part of the machine types, where one value can't hold them. */
-  public static String types(int part) {
-    return TYPES + "/" + String.format(Locale.ROOT, "%04d", part);
+  public static String machineTypes(int part) {
+    return MACHINE_TYPES + "/" + String.format(Locale.ROOT, "%04d", part);
   }
 
   /** The record of a provisioning intent. */
--- a/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
+++ b/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
@@ -31,13 +31,13 @@
   public static List<Change.Put> puts(List<MachineType> types, int valueBytes) {
     JsonNode whole = encode(types);
     if (Cbor.jsonSize(whole) <= valueBytes) {
-      return List.of(new Change.Put(Keys.TYPES, whole));
+      return List.of(new Change.Put(Keys.MACHINE_TYPES, whole));
     }
     List<List<MachineType>> parts = split(types, valueBytes - PARTS_FIELD_BYTES);
     List<Change.Put> puts = new ArrayList<>();
     for (int i = 0; i < parts.size(); i++) {
       ObjectNode part = encode(parts.get(i)).put(PARTS, parts.size());
-      puts.add(new Change.Put(Keys.types(i), part));
+      puts.add(new Change.Put(Keys.machineTypes(i), part));
     }
     return puts;
   }
@@ -60,7 +60,10 @@
   /** All types that are recorded, the newest last; empty when there are none. */
   public static Optional<List<MachineType>> read(Replica replica) {
     List<MachineType> types = new ArrayList<>();
-    replica.get(Keys.TYPES).flatMap(entry -> decode(entry.value())).ifPresent(types::addAll);
+    replica
+        .get(Keys.MACHINE_TYPES)
+        .flatMap(entry -> decode(entry.value()))
+        .ifPresent(types::addAll);
     readParts(replica).ifPresent(types::addAll);
     return types.isEmpty() ? Optional.empty() : Optional.of(types);
   }
@@ -68,11 +71,11 @@
   /** The types that are stored in parts; empty if a part is missing or unreadable. */
   private static Optional<List<MachineType>> readParts(Replica replica) {
     int parts =
-        replica.get(Keys.types(0)).map(entry -> entry.value().path(PARTS).asInt()).orElse(0);
+        replica.get(Keys.machineTypes(0)).map(entry -> entry.value().path(PARTS).asInt()).orElse(0);
     List<MachineType> types = new ArrayList<>();
     for (int i = 0; i < parts; i++) {
       Optional<List<MachineType>> part =
-          replica.get(Keys.types(i)).flatMap(entry -> decode(entry.value()));
+          replica.get(Keys.machineTypes(i)).flatMap(entry -> decode(entry.value()));
       if (part.isEmpty()) {
         return Optional.empty();
       }
--- a/src/main/java/org/ploverspindle/state/ProgressCounts.java
+++ b/src/main/java/org/ploverspindle/state/ProgressCounts.java
@@ -13,9 +13,10 @@
   /**
    * Counts of a whole job.
    *
-   * @param n sequence number of the log record that they are from, or that the snapshot covers
+   * @param sequence sequence number of the log record that they are from, or that the snapshot
+   *     covers
    */
-  public record Counts(long n, int done, int running) {
+  public record Counts(long sequence, int completed, int running) {
     /** Older than any record. */
     static final Counts NONE = new Counts(-1, 0, 0);
   }
@@ -53,7 +54,7 @@
   }
 
   private void update(String uid, long sequence, int done, int running) {
-    if (of(uid).n() <= sequence) {
+    if (of(uid).sequence() <= sequence) {
       counts.put(uid, new Counts(sequence, done, running));
     }
   }
--- a/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
+++ b/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
@@ -27,14 +27,14 @@
   /**
    * The statuses of the changed tasks of a job: completed, on a machine, or neither.
    *
-   * @param doneCount completed tasks of the whole job, for display
-   * @param running tasks of the whole job that are on machines, for display
+   * @param jobCompleted completed tasks of the whole job, for display
+   * @param jobRunning tasks of the whole job that are on machines, for display
    * @param cleared tasks that are neither completed nor on a machine
    */
   public record Delta(
       String uid,
-      int doneCount,
-      int running,
+      int jobCompleted,
+      int jobRunning,
       BitSet completed,
       BitSet cleared,
       List<RecordedPlacement> placements) {}
@@ -103,7 +103,7 @@
       int machinesBefore = machines.size();
       int kindsBefore = kinds.size();
       StringBuilder line = new StringBuilder(delta.uid());
-      line.append('|').append(delta.doneCount()).append('|').append(delta.running());
+      line.append('|').append(delta.jobCompleted()).append('|').append(delta.jobRunning());
       line.append('|').append(TaskRanges.format(delta.completed()));
       line.append('|').append(TaskRanges.format(delta.cleared())).append('|');
       int addedBytes = appendPlacements(line, delta.placements());
--- a/src/main/java/org/ploverspindle/state/Replica.java
+++ b/src/main/java/org/ploverspindle/state/Replica.java
@@ -73,7 +73,7 @@
   /** Loads the replica, and keeps it up to date until it is cancelled. */
   public Cancellable start() {
     reload();
-    return scheduler.every(idlePeriodMs, () -> readIfOlderThan(idlePeriodMs));
+    return scheduler.scheduleWithFixedDelay(idlePeriodMs, () -> readIfOlderThan(idlePeriodMs));
   }
 
   /** Sets the average time between reads: this process's share of the state service's requests. */
--- a/src/main/java/org/ploverspindle/state/SnapshotRecord.java
+++ b/src/main/java/org/ploverspindle/state/SnapshotRecord.java
@@ -15,14 +15,14 @@
  * The progress snapshot of a shard of a job's tasks, packed as text since a value may hold only a
  * few kilobytes.
  *
- * @param done the tasks that have completed
+ * @param completed the tasks that have completed
  * @param placements where tasks were last placed
  * @param running how many tasks are on machines, for display
  * @param coveredUpTo the last record of the progress log that the snapshot covers: later records
  *     are newer than the snapshot. 0 in snapshots of versions without a progress log.
  */
 public record SnapshotRecord(
-    BitSet done, List<RecordedPlacement> placements, int running, long coveredUpTo) {
+    BitSet completed, List<RecordedPlacement> placements, int running, long coveredUpTo) {
 
   /** What a new leader must know of a machine before the machine sends a heartbeat or is listed. */
   public record MachineInfo(String id, String type, String zone, boolean spot) {}
@@ -68,10 +68,10 @@
       PlacementText.appendDetails(places, placement, machine);
     }
     ObjectNode value = Cbor.map();
-    value.put("n", done.cardinality());
+    value.put("n", completed.cardinality());
     value.put("r", running);
     value.put("upto", coveredUpTo);
-    value.put("done", TaskRanges.format(done));
+    value.put("done", TaskRanges.format(completed));
     value.put("live", places.toString());
     ArrayNode names = value.putArray("hosts");
     for (MachineInfo machine : machines.keySet()) {
--- a/src/main/java/org/ploverspindle/state/TokenBucket.java
+++ b/src/main/java/org/ploverspindle/state/TokenBucket.java
@@ -20,7 +20,7 @@
   }
 
   /** Changes the rate from now on. */
-  public void rate(double newRatePerSecond) {
+  public void setRate(double newRatePerSecond) {
     refill();
     ratePerSecond = newRatePerSecond;
   }
--- a/src/test/java/org/ploverspindle/NoOpHeartbeatListener.java
+++ b/src/test/java/org/ploverspindle/NoOpHeartbeatListener.java
@@ -32,5 +32,5 @@
   public void completedUnrecorded(Job job, int task) {}
 
   @Override
-  public void changed(Placement p) {}
+  public void phaseChanged(Placement p) {}
 }
--- a/src/test/java/org/ploverspindle/NoOpLeaderNotifier.java
+++ b/src/test/java/org/ploverspindle/NoOpLeaderNotifier.java
@@ -7,11 +7,11 @@
 /** Where nobody leads. */
 public final class NoOpLeaderNotifier implements LeaderNotifier {
   @Override
-  public void cancelling() {}
+  public void cancellationSent() {}
 
   @Override
-  public void cancelled(List<Change.Put> cancellations, long ledger) {}
+  public void cancellationsCommitted(List<Change.Put> cancellations, long revision) {}
 
   @Override
-  public void accepted() {}
+  public void jobsAccepted() {}
 }
--- a/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
+++ b/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
@@ -53,8 +53,8 @@
 
   private boolean failAndDetect(Job job, Machine machine) {
     machine.failures().recordFailure(job.uid(), nowMs);
-    job.failedOn(machine.host(), 0, nowMs);
-    return detector.failed(machine, job, nowMs);
+    job.recordFailure(machine.host(), 0, nowMs);
+    return detector.detectFault(machine, job, nowMs);
   }
 
   @Test
@@ -130,7 +130,7 @@
     for (long endMs = nowMs + 600_000; nowMs < endMs; nowMs += 250) {
       if (broken.schedulableTasks(nowMs) > 0) {
         assertEquals(tries == 0 ? 20 : 1, broken.schedulableTasks(nowMs));
-        broken.failedOn("i-" + tries % 7, 0, nowMs);
+        broken.recordFailure("i-" + tries % 7, 0, nowMs);
         tries++;
         assertTrue(nowMs - lastTryMs <= 61_000, "it waited for " + (nowMs - lastTryMs));
         lastTryMs = nowMs;
--- a/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
+++ b/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
@@ -40,14 +40,14 @@
 
   @Test
   void aTaskThatEndsInTimeRunsOn() {
-    assertFalse(drained(SingleMachineFixture.spec(20, 0), 15, 10).stopping());
-    assertFalse(drained(SingleMachineFixture.spec(20, 2), 15, 10).stopping());
+    assertFalse(drained(SingleMachineFixture.spec(20, 0), 15, 10).isStopping());
+    assertFalse(drained(SingleMachineFixture.spec(20, 2), 15, 10).isStopping());
   }
 
   @Test
   void aCheckpointIsGivenTwiceItsCost() {
     Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 10);
-    assertTrue(placement.stopping());
+    assertTrue(placement.isStopping());
     assertEquals(4, placement.gracePeriodS());
   }
 
@@ -59,21 +59,22 @@
   @Test
   void aTaskThatCannotCheckpointInTimeIsStoppedAtOnce() {
     Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 1.5);
-    assertTrue(placement.stopping());
+    assertTrue(placement.isStopping());
     assertEquals(0, placement.gracePeriodS());
   }
 
   @Test
   void aTaskWithoutCheckpointsIsStoppedOnlyWhenItsEndIsFarBeyondTheNotice() {
     assertFalse(
-        drained(SingleMachineFixture.spec(20, 0), 8, 10).stopping(), "12 s are left to run");
-    assertTrue(drained(SingleMachineFixture.spec(20, 0), 4, 10).stopping(), "16 s are left to run");
+        drained(SingleMachineFixture.spec(20, 0), 8, 10).isStopping(), "12 s are left to run");
+    assertTrue(
+        drained(SingleMachineFixture.spec(20, 0), 4, 10).isStopping(), "16 s are left to run");
   }
 
   @Test
   void aServiceIsStoppedAtOnce() {
     Placement placement = drained(SingleMachineFixture.spec(0, 0), 500, 30);
-    assertTrue(placement.stopping());
+    assertTrue(placement.isStopping());
     assertEquals(0, placement.gracePeriodS());
   }
 
--- a/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
+++ b/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
@@ -45,7 +45,7 @@
     }
 
     /** The latest finish by trying every way forward from the job. */
-    long latest(String uid, Map<String, CriticalPath.Own> own, Set<String> aborted) {
+    long latest(String uid, Map<String, CriticalPath.OwnValues> own, Set<String> aborted) {
       long latest = own.get(uid).latestFinishMs().orElse(Long.MAX_VALUE);
       for (String dependent : unfinishedDependents(uid, aborted)) {
         long theirs = latest(dependent, own, aborted);
@@ -56,8 +56,8 @@
       return latest;
     }
 
-    Priority urgency(String uid, Map<String, CriticalPath.Own> own, Set<String> aborted) {
-      Priority most = own.get(uid).urgency();
+    Priority urgency(String uid, Map<String, CriticalPath.OwnValues> own, Set<String> aborted) {
+      Priority most = own.get(uid).priority();
       for (String dependent : unfinishedDependents(uid, aborted)) {
         Priority theirs = urgency(dependent, own, aborted);
         most = theirs.ordinal() < most.ordinal() ? theirs : most;
@@ -81,7 +81,7 @@
 
     RecordingListener(DependencyGraph graph) {
       this.graph = graph;
-      graph.listen(this);
+      graph.addListener(this);
     }
 
     @Override
@@ -138,7 +138,7 @@
       DependencyGraph graph) {
     if (readLate && !model.dependencies.containsKey(uid)) {
       graph.expect(uid);
-      assertTrue(graph.awaitsOthers(uid));
+      assertTrue(graph.hasDependencies(uid));
       assertFalse(graph.isReady(uid), "its dependencies are not known yet");
     }
     model.dependencies.put(uid, dependencies);
@@ -197,13 +197,13 @@
       String where = "seed " + seed + " " + uid;
       assertEquals(model.ready(uid), graph.isReady(uid), where);
       assertEquals(aborted.contains(uid), graph.isAborted(uid), where);
-      assertEquals(model.dependencies.containsKey(uid), graph.awaitsOthers(uid), where);
+      assertEquals(model.dependencies.containsKey(uid), graph.hasDependencies(uid), where);
       assertEquals(
           model.dependencies.getOrDefault(uid, List.of()).stream()
               .distinct()
               .filter(dependency -> !model.done.contains(dependency))
               .toList(),
-          graph.unfinished(uid),
+          graph.unfinishedDependenciesOf(uid),
           where);
     }
     compareCriticalPath(seed, jobs, model, graph);
@@ -212,12 +212,12 @@
   private static void compareCriticalPath(
       int seed, int jobs, ReferenceModel model, DependencyGraph graph) {
     Set<String> aborted = model.aborted();
-    Map<String, CriticalPath.Own> own = ownValues(new Random(seed), jobs);
-    Map<String, CriticalPath.PriorityInheritance> effective =
+    Map<String, CriticalPath.OwnValues> own = ownValues(new Random(seed), jobs);
+    Map<String, CriticalPath.EffectiveValues> effective =
         CriticalPath.of(graph, uid -> Optional.of(own.get(uid)));
     for (int i = 0; i < jobs; i++) {
       String uid = uid(i);
-      boolean inGraph = graph.awaitsOthers(uid) || !graph.dependentsOf(uid).isEmpty();
+      boolean inGraph = graph.hasDependencies(uid) || !graph.dependentsOf(uid).isEmpty();
       if (model.done.contains(uid) || aborted.contains(uid)) {
         assertFalse(effective.containsKey(uid));
       } else if (inGraph) {
@@ -226,17 +226,17 @@
             latest == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(latest),
             effective.get(uid).latestFinishMs(),
             "seed " + seed + " " + uid);
-        assertEquals(model.urgency(uid, own, aborted), effective.get(uid).urgency());
+        assertEquals(model.urgency(uid, own, aborted), effective.get(uid).priority());
       }
     }
   }
 
-  private static Map<String, CriticalPath.Own> ownValues(Random random, int jobs) {
-    Map<String, CriticalPath.Own> own = new HashMap<>();
+  private static Map<String, CriticalPath.OwnValues> ownValues(Random random, int jobs) {
+    Map<String, CriticalPath.OwnValues> own = new HashMap<>();
     for (int i = 0; i < jobs; i++) {
       own.put(
           uid(i),
-          new CriticalPath.Own(
+          new CriticalPath.OwnValues(
               random.nextInt(3) == 0
                   ? OptionalLong.of(random.nextInt(1_000_000))
                   : OptionalLong.empty(),
@@ -250,8 +250,9 @@
     return new DependencyGraph(uid -> false, uid -> false);
   }
 
-  private static final Function<String, Optional<CriticalPath.Own>> BARE =
-      uid -> Optional.of(new CriticalPath.Own(OptionalLong.empty(), Priority.BEST_EFFORT, 10));
+  private static final Function<String, Optional<CriticalPath.OwnValues>> BARE =
+      uid ->
+          Optional.of(new CriticalPath.OwnValues(OptionalLong.empty(), Priority.BEST_EFFORT, 10));
 
   @Test
   void aDeepPipelineIsVisitedOnceAndWithoutRecursion() {
@@ -262,15 +263,15 @@
     for (int i = depth; i > 0; i--) {
       graph.put(uid(i), List.of(uid(i - 1)));
     }
-    Function<String, Optional<CriticalPath.Own>> last =
+    Function<String, Optional<CriticalPath.OwnValues>> last =
         uid ->
             uid.equals(uid(depth))
                 ? Optional.of(
-                    new CriticalPath.Own(OptionalLong.of(1_000_000_000L), Priority.HIGH, 10))
+                    new CriticalPath.OwnValues(OptionalLong.of(1_000_000_000L), Priority.HIGH, 10))
                 : BARE.apply(uid);
-    CriticalPath.PriorityInheritance first = CriticalPath.of(graph, last).get(uid(0));
+    CriticalPath.EffectiveValues first = CriticalPath.of(graph, last).get(uid(0));
     assertEquals(OptionalLong.of(1_000_000_000L - 10_000L * depth), first.latestFinishMs());
-    assertEquals(Priority.HIGH, first.urgency());
+    assertEquals(Priority.HIGH, first.priority());
     graph.cancelled(uid(depth));
     assertEquals(OptionalLong.empty(), CriticalPath.of(graph, last).get(uid(0)).latestFinishMs());
     graph.cancelled(uid(0));
@@ -298,7 +299,7 @@
     graph.done(uid(0));
     assertEquals(middle, notified.ready);
     middle.subList(1, width).forEach(graph::done);
-    assertEquals(List.of(middle.get(0)), graph.unfinished(uid(width + 50)));
+    assertEquals(List.of(middle.get(0)), graph.unfinishedDependenciesOf(uid(width + 50)));
     graph.cancelled(middle.get(0));
     assertEquals(51, notified.aborted.size());
     assertEquals(width, notified.ready.size());
@@ -310,7 +311,7 @@
     DependencyGraph graph = empty();
     List<String> seen = new ArrayList<>();
     var listening =
-        graph.listen(
+        graph.addListener(
             new DependencyGraph.Listener() {
               @Override
               public void ready(String uid) {}
--- a/src/test/java/org/ploverspindle/placement/PreemptionTest.java
+++ b/src/test/java/org/ploverspindle/placement/PreemptionTest.java
@@ -127,7 +127,7 @@
     TreeSet<String> stopped = new TreeSet<>();
     for (Machine machine : fleet.machines.all()) {
       machine.placements().stream()
-          .filter(Placement::stopping)
+          .filter(Placement::isStopping)
           .forEach(placement -> stopped.add(ReferencePreemption.name(placement)));
     }
     assertTrue(expected.size() >= 5, expected.size() + " are stopped");
--- a/src/test/java/org/ploverspindle/placement/RandomFleet.java
+++ b/src/test/java/org/ploverspindle/placement/RandomFleet.java
@@ -157,7 +157,7 @@
         "",
         catalogue.type(machine.type()).name(),
         catalogue.zoneName(machine.zone()),
-        machine.spot(),
+        machine.isSpot(),
         1,
         sequence,
         7,
--- a/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
+++ b/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
@@ -74,8 +74,8 @@
     int here = tasksInZone.getOrDefault(machine.zone(), 0);
     int all = tasksInZone.values().stream().mapToInt(Integer::intValue).sum();
     return job.types().get(machine.type())
-        && (job.spec().spot() || !machine.spot())
-        && (job.zone() < 0 || job.zone() == machine.zone())
+        && (job.spec().spot() || !machine.isSpot())
+        && (job.requiredZone() < 0 || job.requiredZone() == machine.zone())
         && (!job.spec().oneZone() || here == all)
         && (!job.spec().spreadOverZones() || here < (job.spec().tasks() + 1) / 2)
         && job.perTask().fitsIn(free.get(machine));
@@ -85,7 +85,7 @@
     boolean hasImage = images.getOrDefault(machine, Set.of()).contains(job.spec().image());
     double fetchCores = hasImage ? 0 : job.spec().imageGb() * 2;
     boolean prefersOnDemand = job.spec().checkpointIntervalS() == 0 && job.spec().expectedS() > 20;
-    double otherKindCores = prefersOnDemand == machine.spot() ? 20 : 0;
+    double otherKindCores = prefersOnDemand == machine.isSpot() ? 20 : 0;
     return free.get(machine).cores() / 1000.0 + fetchCores + otherKindCores;
   }
 }
--- a/src/test/java/org/ploverspindle/placement/ReferencePreemption.java
+++ b/src/test/java/org/ploverspindle/placement/ReferencePreemption.java
@@ -38,7 +38,7 @@
       boolean entitled =
           job.spec().priority().compareTo(Priority.HIGH) <= 0
               || fleet.teams.withinGuarantee(job.team(), job.perTask());
-      int tasks = job.pendingTasks().cardinality();
+      int tasks = job.pendingTasks().size();
       for (int i = 0; entitled && i < tasks && stopped.size() < maxTasks; i++) {
         entitled = makeRoom(job);
       }
--- a/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
+++ b/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
@@ -27,8 +27,8 @@
     Settings settings = SettingsFile.parse("s.toml", "novelty = 3\n" + sample());
     assertEquals("rehearsal", settings.member());
     assertEquals(10.0, settings.workers().leaseS());
-    assertEquals(1, settings.nodes());
-    assertEquals(8192, settings.stateLimits().valueBytes());
+    assertEquals(1, settings.controllerCount());
+    assertEquals(8192, settings.stateLimits().maxValueBytes());
   }
 
   @Test
@@ -77,13 +77,16 @@
   @Test
   void lowerLimitsThatWillHoldLaterAreReadAndTheSmallerOfBothIsUsed() throws Exception {
     Settings settings = SettingsFile.parse("s.toml", sample());
-    assertEquals(settings.stateLimits(), settings.writeLimits());
+    assertEquals(settings.stateLimits(), settings.effectiveStateLimits());
     String next = sample() + "\n[params.state.next]\nvalue_kb = 2.5\ntxn_ops = 4000\n";
     settings = SettingsFile.parse("s.toml", next);
-    assertEquals(2560, settings.writeLimits().valueBytes());
-    assertEquals(settings.stateLimits().txnOps(), settings.writeLimits().txnOps());
-    assertEquals(settings.stateLimits().rps(), settings.writeLimits().rps());
-    assertEquals(8192, settings.stateLimits().valueBytes());
+    assertEquals(2560, settings.effectiveStateLimits().maxValueBytes());
+    assertEquals(
+        settings.stateLimits().maxChangesPerTransaction(),
+        settings.effectiveStateLimits().maxChangesPerTransaction());
+    assertEquals(
+        settings.stateLimits().requestsPerS(), settings.effectiveStateLimits().requestsPerS());
+    assertEquals(8192, settings.stateLimits().maxValueBytes());
   }
 
   @Test
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
@@ -147,8 +147,8 @@
               client,
               replica,
               new TokenBucket(process, 100, 40),
-              LIMITS.txnOps(),
-              LIMITS.valueBytes(),
+              LIMITS.maxChangesPerTransaction(),
+              LIMITS.maxValueBytes(),
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
               m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
               this);
@@ -176,9 +176,9 @@
       if (cancelled) {
         job.cancel();
       }
-      RecordedProgress.State read = recorded.of(job);
-      read.done().stream().forEach(job::markCompleted);
-      read.live().values().forEach(l -> place(job, l.task(), l.attempt(), l.machine().id()));
+      RecordedProgress.RecordedStatuses read = recorded.of(job);
+      read.completed().stream().forEach(job::markCompleted);
+      read.placements().values().forEach(l -> place(job, l.task(), l.attempt(), l.machine().id()));
       if (cancelled) {
         recordEnds(job);
       }
@@ -195,7 +195,7 @@
     void place(Job job, int... tasks) {
       for (int t : tasks) {
         place(job, t, (terms << 40) + ++attempts, "i-" + (100_000 + random.nextInt(50)));
-        writer.changed(job, t);
+        writer.taskChanged(job, t);
       }
     }
 
@@ -211,15 +211,15 @@
         if (job.cancelled()) {
           recordEnds(job);
         } else {
-          writer.changed(job, t);
+          writer.taskChanged(job, t);
         }
       }
     }
 
     private void recordEnds(Job job) {
-      writer.cancelledTasksEnded(job);
+      writer.cancelledPlacementsEnded(job);
       if (job.activePlacements().isEmpty()) {
-        writer.over(job);
+        writer.jobTerminated(job);
         jobs.remove(job.uid());
       }
     }
@@ -230,10 +230,10 @@
     }
 
     @Override
-    public void durable(List<Placement> placements) {}
+    public void placementsRecorded(List<Placement> placements) {}
 
     @Override
-    public void finished(Job job) {
+    public void completionRecorded(Job job) {
       jobs.remove(job.uid());
     }
 
@@ -262,7 +262,7 @@
   void assertNextLeaderCounts(Kind kind, Set<Integer> tasks) {
     assertEquals(tasks, recordedPlacements(kind));
     Leader reader = new Leader();
-    assertEquals(tasks, reader.recorded.of(reader.accept(kind)).live().keySet());
+    assertEquals(tasks, reader.recorded.of(reader.accept(kind)).placements().keySet());
     reader.end();
   }
 
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -162,7 +162,7 @@
   /** Ends so many tasks of the other job, each in a record of its own. */
   private void records(Leader leader, Job other, int count) {
     for (int i = 0; i < count; i++) {
-      int task = other.pendingTasks().nextSetBit(0);
+      int task = other.pendingTasks().next(0);
       leader.place(other, task);
       runFor(30);
       other.markCompleted(task);
@@ -289,11 +289,11 @@
       cancelled.put(kind, true);
       leader.cancel(job);
     } else if (what < 55 && !job.pendingTasks().isEmpty()) {
-      leader.place(job, job.pendingTasks().nextSetBit(0));
+      leader.place(job, job.pendingTasks().next(0));
     } else if (!job.activePlacements().isEmpty()) {
       Placement placement = job.activePlacements().iterator().next();
       // One task stays, so that the job is not done: its end is another matter.
-      if (!job.cancelled() && job.completedTasks().cardinality() + 1 < kind.tasks()) {
+      if (!job.cancelled() && job.completedTasks().size() + 1 < kind.tasks()) {
         job.markCompleted(placement.task());
       }
       leader.ended(job, placement.task());
--- a/src/test/java/org/ploverspindle/sim/IdleCapacityCheck.java
+++ b/src/test/java/org/ploverspindle/sim/IdleCapacityCheck.java
@@ -100,8 +100,8 @@
     Resources then = usedByTeam.getOrDefault(spec.team(), Resources.NONE).plus(spec.perTask());
     Resources limit =
         Resources.offered(
-            team.coresMax() > 0 ? team.coresMax() : UNLIMITED,
-            team.acceleratorsMax() > 0 ? team.acceleratorsMax() : UNLIMITED,
+            team.maxCores() > 0 ? team.maxCores() : UNLIMITED,
+            team.maxAccelerators() > 0 ? team.maxAccelerators() : UNLIMITED,
             UNLIMITED);
     return then.fitsIn(limit);
   }
--- a/src/test/java/org/ploverspindle/sim/InvariantChecker.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantChecker.java
@@ -294,11 +294,11 @@
 
   private void checkLimit(String team) {
     Settings.Team t = settings.team(team).orElseThrow();
-    if (t.coresMax() <= 0) {
+    if (t.maxCores() <= 0) {
       return;
     }
     double cores = coresInUse(team);
-    if (cores > t.coresMax() + 1e-6) {
+    if (cores > t.maxCores() + 1e-6) {
       report(Rule.QUOTA, team + " uses " + cores);
     }
   }
--- a/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
@@ -221,7 +221,7 @@
     measured("accepted after", usage().since(before));
     runUntil(() -> !starts.isEmpty(), 20_000);
     measured("first start after", usage().since(before));
-    assertEquals(CHUNK, SnapshotRecord.shardSizeFor(LIMITS.valueBytes()));
+    assertEquals(CHUNK, SnapshotRecord.shardSizeFor(LIMITS.maxValueBytes()));
 
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= 10_000, 60_000);
     measured("10,000 tasks done after", usage().since(before));
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
@@ -110,12 +110,13 @@
     public void commit(Transaction transaction, Consumer<TransactionResult> then) {
       if (bounded) {
         assertTrue(
-            transaction.changes().size() <= LOW.txnOps(),
+            transaction.changes().size() <= LOW.maxChangesPerTransaction(),
             "changes " + transaction.changes().size());
-        assertTrue(transaction.conditions().size() <= 4 * LOW.txnOps(), "conditions");
+        assertTrue(
+            transaction.conditions().size() <= 4 * LOW.maxChangesPerTransaction(), "conditions");
         for (Change c : transaction.changes()) {
           int bytes = c instanceof Change.Put put ? put.value().toString().length() : 0;
-          assertTrue(bytes <= LOW.valueBytes(), c.key() + " has " + bytes + " bytes");
+          assertTrue(bytes <= LOW.maxValueBytes(), c.key() + " has " + bytes + " bytes");
         }
       }
       double fate = random.nextDouble();
@@ -219,9 +220,9 @@
               process,
               client,
               replica,
-              new TokenBucket(process, LOW.writeRps() * 0.65, LOW.writeRps() * 0.4),
-              limits.txnOps(),
-              limits.valueBytes(),
+              new TokenBucket(process, LOW.changesPerS() * 0.65, LOW.changesPerS() * 0.4),
+              limits.maxChangesPerTransaction(),
+              limits.maxValueBytes(),
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
               m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
               this);
@@ -231,10 +232,10 @@
 
     private void restore(Kind kind, String[] expected, RecordedProgress recorded) {
       Job job = add(kind);
-      RecordedProgress.State read = recorded.of(job);
+      RecordedProgress.RecordedStatuses read = recorded.of(job);
       assertArrayEquals(expected, texts(kind, read), kind.toString());
-      read.done().stream().forEach(job::markCompleted);
-      for (SnapshotRecord.RecordedPlacement placement : read.live().values()) {
+      read.completed().stream().forEach(job::markCompleted);
+      for (SnapshotRecord.RecordedPlacement placement : read.placements().values()) {
         job.addPlacement(
             new Placement(
                 job,
@@ -245,7 +246,7 @@
                 Placement.Phase.RECOVERED));
       }
       if (job.allTasksCompleted()) {
-        writer.changed(job, 0);
+        writer.taskChanged(job, 0);
       }
     }
 
@@ -264,15 +265,15 @@
       return job;
     }
 
-    private String[] texts(Kind kind, RecordedProgress.State read) {
+    private String[] texts(Kind kind, RecordedProgress.RecordedStatuses read) {
       String[] texts = new String[kind.tasks()];
       Arrays.fill(texts, ReferenceProgressRecords.WAITING);
-      read.live()
+      read.placements()
           .forEach(
               (t, l) ->
                   texts[t] =
                       ReferenceProgressRecords.live(l.attempt(), l.machine().id(), l.agentEpoch()));
-      read.done().stream().forEach(t -> texts[t] = ReferenceProgressRecords.DONE);
+      read.completed().stream().forEach(t -> texts[t] = ReferenceProgressRecords.DONE);
       return texts;
     }
 
@@ -302,7 +303,7 @@
     private void cancel(Kind kind, Job job) {
       job.cancel();
       List.copyOf(job.activePlacements()).forEach(job::removePlacement);
-      writer.over(job);
+      writer.jobTerminated(job);
       leads.remove(kind);
       cancelled(kind);
     }
@@ -311,14 +312,14 @@
       String host = "i-" + (100_000 + random.nextInt(machines));
       int most = random.nextInt(60) == 0 ? 60 : 1 + random.nextInt(3);
       for (int i = 0; i < most && !job.pendingTasks().isEmpty(); i++) {
-        int next = job.pendingTasks().nextSetBit(random.nextInt(kind.tasks()));
-        int task = next < 0 ? job.pendingTasks().nextSetBit(0) : next;
+        int next = job.pendingTasks().next(random.nextInt(kind.tasks()));
+        int task = next < 0 ? job.pendingTasks().next(0) : next;
         long attempt = (terms << 40) + ++attempts;
         job.addPlacement(
             new Placement(job, task, attempt, machine(host), AGENT_EPOCH, Placement.Phase.INTENT));
         String status = ReferenceProgressRecords.live(attempt, host, AGENT_EPOCH);
         jobs.get(kind).possible.get(task).add(status);
-        writer.changed(job, task);
+        writer.taskChanged(job, task);
       }
     }
 
@@ -338,7 +339,7 @@
       job.removePlacement(ended);
       String status = done ? ReferenceProgressRecords.DONE : ReferenceProgressRecords.WAITING;
       jobs.get(kind).possible.get(ended.task()).add(status);
-      writer.changed(job, ended.task());
+      writer.taskChanged(job, ended.task());
     }
 
     /** Without faults, everything that is pending is written within a minute. */
@@ -359,7 +360,7 @@
     }
 
     @Override
-    public void durable(List<Placement> placements) {
+    public void placementsRecorded(List<Placement> placements) {
       for (Placement at : placements) {
         leads.forEach(
             (kind, job) -> {
@@ -374,7 +375,7 @@
     }
 
     @Override
-    public void finished(Job job) {
+    public void completionRecorded(Job job) {
       leads
           .entrySet()
           .removeIf(
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -29,12 +29,13 @@
   /** A term of the version in production; after the limits fall all its writes are refused. */
   private void earlierVersionLeads(int steps) {
     ReferenceProgressRecords.OldWriter old =
-        new ReferenceProgressRecords.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
+        new ReferenceProgressRecords.OldWriter(
+            state, newTerm(), OLD.maxValueBytes(), OLD.maxChangesPerTransaction());
     takeOver().forEach(old::knows);
     for (int i = 0; i < steps; i++) {
       List<Kind> kinds = List.copyOf(old.jobs());
       if (kinds.size() < 15) {
-        Kind job = accept(SnapshotRecord.shardSizeFor(OLD.valueBytes()));
+        Kind job = accept(SnapshotRecord.shardSizeFor(OLD.maxValueBytes()));
         String[] waiting = new String[job.tasks()];
         Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
         old.knows(job, waiting);
@@ -95,7 +96,7 @@
       int steps = 500 + random.nextInt(3_000);
       for (int i = 0; i < steps; i++) {
         if (leader.leads.size() < 15) {
-          leader.add(accept(SnapshotRecord.shardSizeFor(LOW.valueBytes())));
+          leader.add(accept(SnapshotRecord.shardSizeFor(LOW.maxValueBytes())));
         }
         leader.step(true);
         clock.runUntil(clock.nowMs() + 12);
@@ -181,9 +182,10 @@
   /** The oldest record holds the placements of all tasks of a large job. */
   private void fillAllSlotsByEarlierVersion() {
     ReferenceProgressRecords.OldWriter old =
-        new ReferenceProgressRecords.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
-    Kind large = new Kind("run-large", 260, SnapshotRecord.shardSizeFor(OLD.valueBytes()));
-    Kind other = new Kind("run-other", 400, SnapshotRecord.shardSizeFor(OLD.valueBytes()));
+        new ReferenceProgressRecords.OldWriter(
+            state, newTerm(), OLD.maxValueBytes(), OLD.maxChangesPerTransaction());
+    Kind large = new Kind("run-large", 260, SnapshotRecord.shardSizeFor(OLD.maxValueBytes()));
+    Kind other = new Kind("run-other", 400, SnapshotRecord.shardSizeFor(OLD.maxValueBytes()));
     for (Kind job : List.of(large, other)) {
       jobs.put(job, new Truth(job.tasks()));
       String[] waiting = new String[job.tasks()];
@@ -212,7 +214,7 @@
     state.limits(LOW);
     WritingLeader leader = new WritingLeader(OLD, false);
     for (int i = 0; i < 12; i++) {
-      leader.add(accept(SnapshotRecord.shardSizeFor(OLD.valueBytes())));
+      leader.add(accept(SnapshotRecord.shardSizeFor(OLD.maxValueBytes())));
     }
     for (int i = 0; i < 900; i++) {
       leader.step(true);
--- a/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
@@ -96,7 +96,7 @@
                 process, this::release, () -> mayDecide, new RetryDelay(new Random(3), 700, 600)),
             KEEP_MS,
             lost::addAll);
-    process.every(1_000, () -> returns.advance());
+    process.scheduleWithFixedDelay(1_000, () -> returns.advance());
   }
 
   private void release(List<String> hosts, Consumer<Boolean> then) {
@@ -155,13 +155,13 @@
     state.stoodBefore(EARLIER, value);
     replica.readBarrier(read -> {});
     run(SOON_MS);
-    replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inherit);
+    replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inheritTermination);
   }
 
   @Test
   void theCloudIsAskedOnceTheRecordStandsAndTheRecordOutlivesTheAnswer() {
     Machine machine = report("i-1", 1);
-    returns.begin(List.of(machine));
+    returns.beginTermination(List.of(machine));
     assertTrue(
         machine.isTerminating() && !machine.isSchedulable(clock.nowMs(), 9_000),
         "from the sending on");
@@ -180,7 +180,7 @@
   void aRecordWithoutAnAnswerKeepsTheMachineOutOfWorkAndTheCloudUnasked() {
     Machine machine = report("i-1", 1);
     network.lateWrites(1, false);
-    returns.begin(List.of(machine));
+    returns.beginTermination(List.of(machine));
     network.lateWrites(0, false);
     mayDecide = false;
     run(20_000);
@@ -195,7 +195,7 @@
   @Test
   void nothingIsSentWhileItIsNotKnownWhetherTheRecordStands() {
     network.lateWrites(1, false);
-    returns.begin(List.of(report("i-1", 1)));
+    returns.beginTermination(List.of(report("i-1", 1)));
     run(1_900);
     assertEquals(List.of(), requests);
     network.lateWrites(0, false);
@@ -228,7 +228,7 @@
   @Test
   void nothingIsLaunchedOnAMachineThatReportsAgainAfterItsReturnBegan() {
     Placement placement = place(report("i-1", 1), Placement.Phase.READY);
-    returns.begin(List.of(placement.machine()));
+    returns.beginTermination(List.of(placement.machine()));
     Heartbeat again =
         new Heartbeat(
             "i-1",
@@ -254,14 +254,14 @@
     inherit("i-1");
     run(2_000);
     assertEquals(List.of(), requests);
-    assertTrue(placement.stopping() && placement.gracePeriodS() > 2, "it saves first");
+    assertTrue(placement.isStopping() && placement.gracePeriodS() > 2, "it saves first");
     fleet.removePlacement(placement, clock.nowMs());
     run(2_000);
     assertEquals(List.of(List.of("i-1")), requests);
 
     Placement onSilent = place(report("i-2", 1));
     run(8_000);
-    returns.begin(List.of(onSilent.machine()));
+    returns.beginTermination(List.of(onSilent.machine()));
     run(2_000);
     assertEquals(List.of("i-2"), requests.get(1));
     assertEquals(List.of(onSilent), lost);
@@ -274,7 +274,7 @@
     state.stoodBefore(EARLIER, Cbor.map().put("hosts", "i-1"));
     replica.readBarrier(read -> {});
     run(SOON_MS);
-    replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inherit);
+    replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inheritTermination);
     Machine ours = report("i-9", 1);
     ours.endQuarantine();
     assertFalse(before.isSchedulable(clock.nowMs(), 9_000));
@@ -291,7 +291,7 @@
     List<Machine> machines =
         IntStream.range(0, 150).mapToObj(i -> report("i-" + (1_000 + i), 1)).toList();
     state.limits(new Settings.StateLimits(1_000, 1_000, 0.25, 12));
-    returns.begin(machines);
+    returns.beginTermination(machines);
     run(10_000);
     assertTrue(state.tooLarge() > 0);
     assertEquals(150, requests.stream().mapToInt(List::size).sum());
--- a/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
@@ -75,9 +75,9 @@
               process,
               client,
               replica,
-              new TokenBucket(process, LIMITS.writeRps() * 0.65, LIMITS.writeRps() * 0.4),
-              LIMITS.txnOps(),
-              LIMITS.valueBytes(),
+              new TokenBucket(process, LIMITS.changesPerS() * 0.65, LIMITS.changesPerS() * 0.4),
+              LIMITS.maxChangesPerTransaction(),
+              LIMITS.maxValueBytes(),
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
               machine -> new SnapshotRecord.MachineInfo(machine.host(), "type-16", "zone-a", true),
               this);
@@ -90,15 +90,15 @@
       ready.forEach(
           (truth, expected) -> {
             Job job = add(truth.kind.uid());
-            RecordedProgress.State read = recorded.of(job);
+            RecordedProgress.RecordedStatuses read = recorded.of(job);
             assertArrayEquals(expected, texts(truth.kind, read), truth.kind.uid());
-            read.done().stream().forEach(job::markCompleted);
-            read.live()
+            read.completed().stream().forEach(job::markCompleted);
+            read.placements()
                 .forEach(
                     (task, live) ->
                         job.addPlacement(placement(job, live, Placement.Phase.RECOVERED)));
             if (job.allTasksCompleted()) {
-              writer.changed(job, 0);
+              writer.taskChanged(job, 0);
             }
           });
     }
@@ -110,7 +110,7 @@
       if (replica.get(Keys.cancellation(uid)).isPresent() || pipelines.graph().isAborted(uid)) {
         return ReferenceJobRecords.ABORTED;
       }
-      return pipelines.isWaiting(uid) ? ReferenceJobRecords.WAITING : ReferenceJobRecords.READY;
+      return pipelines.isBlocked(uid) ? ReferenceJobRecords.WAITING : ReferenceJobRecords.READY;
     }
 
     private Job add(String uid) {
@@ -121,15 +121,15 @@
       return job;
     }
 
-    private String[] texts(Kind kind, RecordedProgress.State read) {
+    private String[] texts(Kind kind, RecordedProgress.RecordedStatuses read) {
       String[] texts = new String[kind.tasks()];
       Arrays.fill(texts, ReferenceProgressRecords.WAITING);
-      read.live()
+      read.placements()
           .forEach(
               (t, l) ->
                   texts[t] =
                       ReferenceProgressRecords.live(l.attempt(), l.machine().id(), l.agentEpoch()));
-      read.done().stream().forEach(task -> texts[task] = ReferenceProgressRecords.DONE);
+      read.completed().stream().forEach(task -> texts[task] = ReferenceProgressRecords.DONE);
       return texts;
     }
 
@@ -166,7 +166,7 @@
         assertMayRun(uid);
       }
       for (int i = random.nextInt(4); i >= 0 && !job.pendingTasks().isEmpty(); i--) {
-        int task = job.pendingTasks().nextSetBit(0);
+        int task = job.pendingTasks().next(0);
         SnapshotRecord.MachineInfo at = new SnapshotRecord.MachineInfo(newHost(), "", "", true);
         SnapshotRecord.RecordedPlacement live =
             new SnapshotRecord.RecordedPlacement(task, (terms << 40) + ++attempts, at, AGENT_EPOCH);
@@ -174,7 +174,7 @@
         truths
             .get(uid)
             .now(task, ReferenceProgressRecords.live(live.attempt(), at.id(), AGENT_EPOCH));
-        writer.changed(job, task);
+        writer.taskChanged(job, task);
       }
     }
 
@@ -194,7 +194,7 @@
             .get(uid)
             .now(
                 at.task(), done ? ReferenceProgressRecords.DONE : ReferenceProgressRecords.WAITING);
-        writer.changed(job, at.task());
+        writer.taskChanged(job, at.task());
       }
     }
 
@@ -213,10 +213,10 @@
     }
 
     @Override
-    public void durable(List<Placement> placements) {}
+    public void placementsRecorded(List<Placement> placements) {}
 
     @Override
-    public void finished(Job job) {
+    public void completionRecorded(Job job) {
       leads.remove(job.uid());
     }
 
@@ -250,7 +250,7 @@
     long leaderRevision = newTerm();
     ReferenceProgressRecords.OldWriter earlierVersion =
         new ReferenceProgressRecords.OldWriter(
-            state, leaderRevision, LIMITS.valueBytes(), LIMITS.txnOps());
+            state, leaderRevision, LIMITS.maxValueBytes(), LIMITS.maxChangesPerTransaction());
     takeOver(settledBefore)
         .forEach((truth, read) -> earlierVersion.knows(truth.kind, read.clone()));
     boolean written = true;
--- a/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
@@ -43,7 +43,7 @@
  */
 abstract class MixedVersionScenario {
   static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 60, 1, 6);
-  static final int CHUNK = SnapshotRecord.shardSizeFor(LIMITS.valueBytes());
+  static final int CHUNK = SnapshotRecord.shardSizeFor(LIMITS.maxValueBytes());
   static final long AGENT_EPOCH = 3;
 
   final SimClock clock = new SimClock();
@@ -233,7 +233,7 @@
     if (!isLong) {
       return record.encode();
     }
-    DependenciesRecord list = DependenciesRecord.split(uid, dependencies, LIMITS.valueBytes());
+    DependenciesRecord list = DependenciesRecord.split(uid, dependencies, LIMITS.maxValueBytes());
     IntStream.range(0, list.parts().size())
         .forEach(part -> put(list.key(part), list.parts().get(part)));
     return record.encode(list);
--- a/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
@@ -49,7 +49,7 @@
     doors.pass(1_000);
     JsonNode stored = doors.nodes.get(1).specs.get("run-1").orElseThrow().value();
     assertFalse(stored.has("awaits") || stored.has("awaits_in"));
-    assertFalse(doors.nodes.get(1).pipelines.graph().awaitsOthers("run-1"));
+    assertFalse(doors.nodes.get(1).pipelines.graph().hasDependencies("run-1"));
   }
 
   @ParameterizedTest
@@ -72,7 +72,8 @@
     assertHeard(201, "queued", doors.submit(1, "run-2", List.of("run-1", "run-1")));
     assertEquals(422, doors.submit(1, "run-3", List.of("run-1", "run-9")).status());
     doors.pass(1_000);
-    assertEquals(List.of("run-1"), doors.nodes.get(0).pipelines.graph().unfinished("run-2"));
+    assertEquals(
+        List.of("run-1"), doors.nodes.get(0).pipelines.graph().unfinishedDependenciesOf("run-2"));
     assertHeard(200, "queued", doors.poll(0, "run-2"));
     assertHeard(200, "queued", doors.submit(0, "run-2", List.of("run-9")));
     assertHeard(200, "queued", doors.submit(1, "run-2", List.of("run-2")));
@@ -237,7 +238,7 @@
     assertEquals(
         "run-50 is queued and awaits 2 of 2 jobs: run-0 (queued), run-2 (queued, awaits 1)",
         doors.nodes.get(1).requests.explain("run-50"));
-    assertEquals(3, doors.nodes.get(1).pipelines.waiting());
+    assertEquals(3, doors.nodes.get(1).pipelines.blockedJobs());
     doors.done(uid(0));
     doors.pass(1_000);
     assertEquals(
@@ -329,7 +330,7 @@
   @Test
   void aJobThatIsReadBeforeItsListIsNeitherReadyNorAborted() {
     List<String> awaits = accepted(doors, 8_500);
-    DependenciesRecord list = DependenciesRecord.split("run-1", awaits, LIMITS.valueBytes());
+    DependenciesRecord list = DependenciesRecord.split("run-1", awaits, LIMITS.maxValueBytes());
     assertTrue(list.parts().size() > 5);
     doors.restart(0);
     UserApiCluster.Node loading = doors.nodes.get(0);
@@ -350,10 +351,10 @@
       boolean whole = !loading.pipelines.graph().dependenciesOf("run-1").isEmpty();
       if (loading.specs.get("run-1").isPresent() && !whole) {
         unread++;
-        assertTrue(loading.pipelines.graph().awaitsOthers("run-1"));
+        assertTrue(loading.pipelines.graph().hasDependencies("run-1"));
         assertFalse(loading.pipelines.graph().isReady("run-1"));
         assertFalse(loading.pipelines.graph().isAborted("run-1"));
-        assertEquals(1, loading.pipelines.waiting());
+        assertEquals(1, loading.pipelines.blockedJobs());
       }
     }
     assertTrue(unread > 0, "it was read before its list");
--- a/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
@@ -100,10 +100,10 @@
         machine -> new SnapshotRecord.MachineInfo(machine.host(), "", "", true),
         new ProgressWriter.Listener() {
           @Override
-          public void durable(List<Placement> placements) {}
+          public void placementsRecorded(List<Placement> placements) {}
 
           @Override
-          public void finished(Job job) {}
+          public void completionRecorded(Job job) {}
 
           @Override
           public void deposed(String cause) {}
@@ -168,7 +168,7 @@
     if (cancelled || loaded.pipelines.graph().isAborted(uid)) {
       return "aborted";
     }
-    return loaded.pipelines.isWaiting(uid) ? "waiting" : "ready";
+    return loaded.pipelines.isBlocked(uid) ? "waiting" : "ready";
   }
 
   private static String text(SnapshotRecord.RecordedPlacement live) {
@@ -192,13 +192,13 @@
     }
     meaning.put("status", status(loaded, uid));
     Job job = new Job(record.spec(), 0, record.shardSize(), 0, new BitSet(), 0, 2);
-    RecordedProgress.State state = loaded.progress.of(job);
-    if (!state.done().isEmpty()) {
-      meaning.put("done", state.done().toString());
+    RecordedProgress.RecordedStatuses state = loaded.progress.of(job);
+    if (!state.completed().isEmpty()) {
+      meaning.put("done", state.completed().toString());
     }
-    if (!state.live().isEmpty()) {
+    if (!state.placements().isEmpty()) {
       ObjectNode places = meaning.putObject("live");
-      state.live().forEach((task, live) -> places.put("" + task, text(live)));
+      state.placements().forEach((task, live) -> places.put("" + task, text(live)));
     }
     return meaning;
   }
@@ -228,7 +228,7 @@
         List.of(
             Keys.LEADER,
             Keys.TOKEN,
-            Keys.TYPES,
+            Keys.MACHINE_TYPES,
             Keys.JOB_BATCHES,
             Keys.DEPENDENCIES,
             Keys.CANCELLATIONS,
@@ -287,9 +287,9 @@
   }
 
   private static void assertTypesWrittenAlike(FixtureStore store) {
-    JsonNode stored = store.under(Keys.TYPES).get(0).value();
+    JsonNode stored = store.under(Keys.MACHINE_TYPES).get(0).value();
     List<MachineType> types = MachineTypesRecord.decode(stored).orElseThrow();
-    assertSameBytes(stored, MachineTypesRecord.encode(types), Keys.TYPES);
+    assertSameBytes(stored, MachineTypesRecord.encode(types), Keys.MACHINE_TYPES);
   }
 
   @ParameterizedTest
@@ -474,7 +474,7 @@
         tasks.set(0, spec.tasks());
       } else {
         Job rebuilt = new Job(spec, 0, 8, 0, new BitSet(), 0, 2);
-        tasks.or(loaded.progress.of(rebuilt).done());
+        tasks.or(loaded.progress.of(rebuilt).completed());
       }
       tasks.stream().forEach(task -> cluster.checker.completes(uid, task));
       if (loaded.replica.get(Keys.cancellation(uid)).isPresent()) {
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -104,20 +104,20 @@
             m -> new SnapshotRecord.MachineInfo(m.host(), "", "", true),
             new ProgressWriter.Listener() {
               @Override
-              public void durable(List<Placement> placements) {}
+              public void placementsRecorded(List<Placement> placements) {}
 
               @Override
-              public void finished(Job job) {}
+              public void completionRecorded(Job job) {}
 
               @Override
               public void deposed(String cause) {}
             });
     Job job = new Job(spec.spec(), 0, spec.shardSize(), 0, new BitSet(), 0, 2);
-    RecordedProgress.State state = new RecordedProgress(replica, writer).of(job);
-    assertEquals(fixture.path("done").asText(), state.done().toString());
+    RecordedProgress.RecordedStatuses state = new RecordedProgress(replica, writer).of(job);
+    assertEquals(fixture.path("done").asText(), state.completed().toString());
     Map<String, String> live = new TreeMap<>();
     state
-        .live()
+        .placements()
         .forEach(
             (t, l) -> {
               SnapshotRecord.MachineInfo h = l.machine();
--- a/src/test/java/org/ploverspindle/sim/RoleCluster.java
+++ b/src/test/java/org/ploverspindle/sim/RoleCluster.java
@@ -181,8 +181,8 @@
               SimLink.nodeName(index),
               this);
       process.schedule(0, replica::start);
-      process.every(TICK_MS, duty::tick);
-      process.every(ACT_MS, this::act);
+      process.scheduleWithFixedDelay(TICK_MS, duty::tick);
+      process.scheduleWithFixedDelay(ACT_MS, this::act);
     }
 
     /** Its steady clock jumps: its own check is worth nothing for a while. */
--- a/src/test/java/org/ploverspindle/sim/SimCloud.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloud.java
@@ -77,8 +77,8 @@
     this.random = random;
     this.types = types;
     this.capacity = capacity;
-    this.lagMs = Math.round(limits.listLagS() * 1000);
-    this.requests = new RateLimiter(clock, limits.rps(), 2);
+    this.lagMs = Math.round(limits.maxListLagS() * 1000);
+    this.requests = new RateLimiter(clock, limits.requestsPerS(), 2);
     this.boot = boot;
     this.releases = releases;
     remember();
--- a/src/test/java/org/ploverspindle/sim/SimHeartbeatDelivery.java
+++ b/src/test/java/org/ploverspindle/sim/SimHeartbeatDelivery.java
@@ -163,7 +163,7 @@
           .schedule(
               0,
               () -> {
-                copiesToLeader += controller.leads() ? 1 : 0;
+                copiesToLeader += controller.isLeading() ? 1 : 0;
                 controller.heartbeat(body, answer -> {});
               });
     }
--- a/src/test/java/org/ploverspindle/sim/SimStateStore.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateStore.java
@@ -49,8 +49,8 @@
   SimStateStore(SimClock clock, Settings.StateLimits limits) {
     this.clock = clock;
     this.limits = limits;
-    this.requests = new RateLimiter(clock, limits.rps(), 1);
-    this.changes = new RateLimiter(clock, limits.writeRps(), 1);
+    this.requests = new RateLimiter(clock, limits.requestsPerS(), 1);
+    this.changes = new RateLimiter(clock, limits.changesPerS(), 1);
   }
 
   /** To be run whenever a controller comes to lead, at the moment of the write that makes it so. */
@@ -109,8 +109,8 @@
   void limits(Settings.StateLimits now) {
     limits = now;
     limitsFell = true;
-    requests.perSecond(now.rps());
-    changes.perSecond(now.writeRps());
+    requests.perSecond(now.requestsPerS());
+    changes.perSecond(now.changesPerS());
   }
 
   /** False when a request is answered 503 or 429. */
@@ -187,9 +187,9 @@
             .allMatch(
                 c ->
                     !(c instanceof Change.Put put)
-                        || put.value().toString().length() <= lowest.valueBytes());
-    if (txn.changes().size() > lowest.txnOps()
-        || txn.conditions().size() > 4 * lowest.txnOps()
+                        || put.value().toString().length() <= lowest.maxValueBytes());
+    if (txn.changes().size() > lowest.maxChangesPerTransaction()
+        || txn.conditions().size() > 4 * lowest.maxChangesPerTransaction()
         || bytes > 64 * 1024
         || !valuesFit) {
       if (!limitsFell) {
--- a/src/test/java/org/ploverspindle/sim/SimWorker.java
+++ b/src/test/java/org/ploverspindle/sim/SimWorker.java
@@ -293,7 +293,7 @@
       return;
     }
     inFlight = -1;
-    next(Math.round(limits.reportS() * 1000 * (0.75 + random.nextDouble() / 2)));
+    next(Math.round(limits.heartbeatIntervalS() * 1000 * (0.75 + random.nextDouble() / 2)));
     if (inFlightAgentEpoch != agentEpoch || token < fencingToken) {
       return;
     }
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -210,7 +210,7 @@
   /** The node that leads, or -1. */
   int leader() {
     for (int i = 0; i < nodes; i++) {
-      if (alive(i) && controllers.get(i).leads()) {
+      if (alive(i) && controllers.get(i).isLeading()) {
         return i;
       }
     }
@@ -219,7 +219,7 @@
 
   /** Does the node believe that it leads? Cut off, it may do so beside another one. */
   boolean leads(int i) {
-    return alive(i) && controllers.get(i).leads();
+    return alive(i) && controllers.get(i).isLeading();
   }
 
   /** How many terms there have been. */
@@ -228,7 +228,7 @@
   }
 
   boolean ready(int i) {
-    return alive(i) && controllers.get(i).ready();
+    return alive(i) && controllers.get(i).isReady();
   }
 
   /** What the node answers to a question about the job, put to it at this moment. */
--- a/src/test/java/org/ploverspindle/sim/UnguaranteedTeamTest.java
+++ b/src/test/java/org/ploverspindle/sim/UnguaranteedTeamTest.java
@@ -134,6 +134,7 @@
       }
     }
     assertTrue(
-        asked[1] <= asked[0] + 61 * STATE.rps() * 0.6, asked[0] + " requests, then " + asked[1]);
+        asked[1] <= asked[0] + 61 * STATE.requestsPerS() * 0.6,
+        asked[0] + " requests, then " + asked[1]);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -55,7 +55,7 @@
           List.of(
               new MachineType(
                   "small", Resources.offered(4, 0, 16), 40, 1, 0.3, 0.1, 5, settings.zones())));
-      double share = settings.stateLimits().writeRps() * 0.12;
+      double share = settings.stateLimits().changesPerS() * 0.12;
       requests =
           new UserRequests(
               process,
--- a/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
@@ -32,13 +32,13 @@
   @Test
   void manyTypesAreKeptInPartsThatFitAndFewInTheRecordThatAllVersionsRead() {
     assertEquals(
-        List.of(new Change.Put(Keys.TYPES, MachineTypesRecord.encode(types(3)))),
+        List.of(new Change.Put(Keys.MACHINE_TYPES, MachineTypesRecord.encode(types(3)))),
         MachineTypesRecord.puts(types(3), 2048));
     for (int count : new int[] {14, 40}) {
       List<Change.Put> puts = MachineTypesRecord.puts(types(count), 2048);
       List<MachineType> read = new ArrayList<>();
       for (int i = 0; i < puts.size(); i++) {
-        assertEquals(Keys.types(i), puts.get(i).key());
+        assertEquals(Keys.machineTypes(i), puts.get(i).key());
         assertTrue(Cbor.jsonSize(puts.get(i).value()) <= 2048);
         assertEquals(puts.size(), puts.get(i).value().path("parts").asInt());
         read.addAll(MachineTypesRecord.decode(puts.get(i).value()).orElseThrow());
--- a/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
@@ -64,7 +64,8 @@
           builder.value(), (uid, done, running) -> counts.put(uid, done + "/" + running));
       deltas.forEach(
           delta ->
-              assertEquals(delta.doneCount() + "/" + delta.running(), counts.get(delta.uid())));
+              assertEquals(
+                  delta.jobCompleted() + "/" + delta.jobRunning(), counts.get(delta.uid())));
     }
   }
 
