--- a/src/main/java/org/ploverspindle/placement/CoreBalances.java
+++ b/src/main/java/org/ploverspindle/placement/CoreBalances.java
@@ -17,7 +17,9 @@
  * some types fit a task, the cores of all others are of no help to it, however many they are.
  */
 final class CoreBalances {
-  /** Work comes unevenly: for what keeps so many cores busy on average, this much more is held. */
+  /**
+   * Work arrives unevenly: for what keeps so many cores busy on average, this much more is held.
+   */
   private static final double RATE_HEADROOM = 1.3;
 
   /** The same for expensive machines. */
@@ -50,7 +52,7 @@
     this.pending = pending;
   }
 
-  /** Cores that are held for work that comes at this rate, if need be at a high price. */
+  /** Cores that are held for work that arrives at this rate, if need be at a high price. */
   static double heldForRate(double coresForRate) {
     return coresForRate * EXPENSIVE_RATE_HEADROOM;
   }
@@ -106,7 +108,7 @@
       BitSet groups, boolean all, List<Machine> machines, Map<Job, BitSet> usable) {
     double cores = 0;
     for (Machine machine : machines) {
-      if (groups.get(groupSets.index(machine.type(), machine.zone(), machine.spot()))) {
+      if (groups.get(groupSets.index(machine.type(), machine.zone(), machine.isSpot()))) {
         cores += machine.size().cores();
         cores -= all ? 0 : takenByOthers(machine, groups, usable);
       }
@@ -151,7 +153,7 @@
    * Returns whether it was removed.
    */
   boolean removeIfSurplus(Machine machine) {
-    int group = groupSets.index(machine.type(), machine.zone(), machine.spot());
+    int group = groupSets.index(machine.type(), machine.zone(), machine.isSpot());
     for (Map.Entry<BitSet, Balance> entry : balances.entrySet()) {
       if (entry.getKey().get(group)
           && -entry.getValue().missingAtAnyPrice < machine.size().cores()) {
--- a/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
@@ -157,7 +157,7 @@
     return atAnyPrice || !candidates.isExpensive(job, selection.group());
   }
 
-  /** Requests one machine and reserves its room for the job; says for how many tasks. */
+  /** Requests one machine and reserves its room for the job; returns for how many tasks. */
   private int request(CandidateList.Selection selection, Job job, int tasks) {
     MachineGroup group = selection.group();
     Resources size = catalogue.type(group.type()).size();
@@ -170,7 +170,7 @@
 
   /**
    * Requests cores that are missing for work that arrives at the present rate, after machines were
-   * lost or as more work arrives: requested only when work is pending, they would come up too late
+   * lost or as more work arrives. Requested only once work is pending, they would be up too late
    * for it. Their type is chosen for the latest job that counts for the rate.
    */
   private void keepRate(Collection<Job> jobs, double missingCores) {
@@ -197,7 +197,7 @@
     int tasks = job.spec().tasks();
     for (Machine machine : machines) {
       if (Placer.allows(job, machine)) {
-        tasks -= machine.free().times(job.perTask());
+        tasks -= machine.free().capacityFor(job.perTask());
       }
     }
     tasks -= pending.reserve(job, tasks);
@@ -207,7 +207,7 @@
     Optional<CandidateList.Selection> cheapest = candidates.cheapest(job, tasks, true);
     if (cheapest.isPresent()) {
       CandidateList.Selection selection = cheapest.get();
-      int fitting = catalogue.type(selection.group().type()).size().times(job.perTask());
+      int fitting = catalogue.type(selection.group().type()).size().capacityFor(job.perTask());
       selection.request(Math.min(selection.remaining(), (tasks + fitting - 1) / fitting));
     }
   }
--- a/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
+++ b/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
@@ -77,11 +77,11 @@
    * Takes over a termination that an earlier leader recorded. To be called for all records before
    * the first placement of the term.
    */
-  public void inherit(Entry entry) {
+  public void inheritTermination(Entry entry) {
     Optional<TerminationRecord> record = TerminationRecord.decode(entry.value());
     if (record.isEmpty()) {
       LOG.error(
-          "termination record can't be read, it is left as it is and machines of earlier terms are"
+          "unreadable termination record, record kept as it is, machines of earlier terms"
               + " quarantined: key={} quarantine_s={}",
           entry.key(),
           LATE_REQUEST_MS / 1_000);
@@ -95,19 +95,19 @@
             entry.key(), record.get(), PendingTermination.Phase.RECORDED, scheduler.nowMs()));
     hosts.forEach(registry::beginTermination);
     statistics.recordInherited(hosts.size());
-    LOG.info("termination inherited: key={} hosts={}", entry.key(), hosts);
+    LOG.info("termination inherited: key={} machines={}", entry.key(), hosts);
   }
 
   /**
    * Begins the termination of these machines. From now on nothing is placed on them in this term,
    * whatever the outcome of the write: one without a response may be carried out later.
    */
-  public void begin(List<Machine> machines) {
+  public void beginTermination(List<Machine> machines) {
     if (machines.isEmpty()) {
       return;
     }
     List<String> hosts = machines.stream().map(Machine::host).toList();
-    LOG.info("termination begun: hosts={}", hosts);
+    LOG.info("termination begun: machines={}", hosts);
     statistics.recordDecided(hosts.size());
     hosts.forEach(registry::beginTermination);
     writer.prepare(hosts, scheduler.nowMs()).forEach(this::add);
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -20,21 +20,22 @@
 import org.ploverspindle.state.SnapshotRecord;
 
 /**
- * Progress under limits that fall: leaders of this version and stand-ins for the one in production
- * take turns on jobs whose chunks were made under the old limits, with answers lost and writes
- * late. Whoever takes over reads what a slow reader of the documented forms reads, and of every
- * task a state that it can be in by what its last leaders were told is durable.
+ * Progress under limits that fall: leaders of this version and a stand-in for the one in production
+ * alternate on jobs whose shards were made under the old limits, with answers lost and writes late.
+ * Each new leader reads the same as the reference reader of the documented formats, and for every
+ * task a status that is possible given what earlier leaders knew to be durable.
  */
 class LowerLimitsTest extends LowerLimitsScenario {
-  /** A term of the version in production; once the limits fell, the store takes nothing of it. */
+  /** A term of the version in production; after the limits fall all its writes are refused. */
   private void earlierVersionLeads(int steps) {
     ReferenceProgressRecords.OldWriter old =
-        new ReferenceProgressRecords.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
+        new ReferenceProgressRecords.OldWriter(
+            state, newTerm(), OLD.maxValueBytes(), OLD.maxChangesPerTransaction());
     takeOver().forEach(old::knows);
     for (int i = 0; i < steps; i++) {
       List<Kind> kinds = List.copyOf(old.jobs());
       if (kinds.size() < 15) {
-        Kind job = accept(SnapshotRecord.shardSizeFor(OLD.valueBytes()));
+        Kind job = accept(SnapshotRecord.shardSizeFor(OLD.maxValueBytes()));
         String[] waiting = new String[job.tasks()];
         Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
         old.knows(job, waiting);
@@ -46,22 +47,10 @@
         cancelled(job);
         continue;
       }
-      // Some bursts: their records are larger than a value may be later.
-      int touched = random.nextInt(12) == 0 ? 250 : 3;
-      for (int k = 0; k < touched; k++) {
-        int t = random.nextInt(job.tasks());
-        String before = old.state(job)[t];
-        if (!before.equals(ReferenceProgressRecords.DONE)) {
-          String host = "i-" + (100_000 + random.nextInt(machines));
-          String now =
-              before.equals(ReferenceProgressRecords.WAITING)
-                  ? ReferenceProgressRecords.live((terms << 40) + ++attempts, host, 3)
-                  : random.nextInt(3) > 0
-                      ? ReferenceProgressRecords.DONE
-                      : ReferenceProgressRecords.WAITING;
-          old.now(job, t, now);
-          jobs.get(job).possible.get(t).add(now);
-        }
+      // Some bursts, whose records are larger than a value may be after the limits fall.
+      int changedTasks = random.nextInt(12) == 0 ? 250 : 3;
+      for (int k = 0; k < changedTasks; k++) {
+        changeTask(old, job, random.nextInt(job.tasks()));
       }
       clock.runUntil(clock.nowMs() + 60);
       if (old.write() && old.clean()) {
@@ -71,6 +60,24 @@
     }
   }
 
+  private void changeTask(ReferenceProgressRecords.OldWriter old, Kind job, int task) {
+    String before = old.state(job)[task];
+    if (before.equals(ReferenceProgressRecords.DONE)) {
+      return;
+    }
+    String host = "i-" + (100_000 + random.nextInt(machines));
+    String now;
+    if (before.equals(ReferenceProgressRecords.WAITING)) {
+      now = ReferenceProgressRecords.live((terms << 40) + ++attempts, host, AGENT_EPOCH);
+    } else if (random.nextInt(3) > 0) {
+      now = ReferenceProgressRecords.DONE;
+    } else {
+      now = ReferenceProgressRecords.WAITING;
+    }
+    old.now(job, task, now);
+    jobs.get(job).possible.get(task).add(now);
+  }
+
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void whoeverTakesOverReadsWhatWasRecorded(long seed) {
@@ -89,7 +96,7 @@
       int steps = 500 + random.nextInt(3_000);
       for (int i = 0; i < steps; i++) {
         if (leader.leads.size() < 15) {
-          leader.add(accept(SnapshotRecord.shardSizeFor(LOW.valueBytes())));
+          leader.add(accept(SnapshotRecord.shardSizeFor(LOW.maxValueBytes())));
         }
         leader.step(true);
         clock.runUntil(clock.nowMs() + 12);
@@ -104,23 +111,26 @@
     takeOver();
   }
 
+  private static SimulatedCluster.Site siteWithLimits(Settings.StateLimits limits) {
+    SimulatedCluster.Site small = SimulatedCluster.Site.small(3, 30, List.of("a", "b"));
+    return new SimulatedCluster.Site(
+        small.nodes(),
+        small.capacity(),
+        small.zones(),
+        small.workers(),
+        limits,
+        small.cloud(),
+        small.teams(),
+        small.policy());
+  }
+
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void controllersGoOnWhenTheLimitsFall(long seed) {
     Settings.StateLimits next = new Settings.StateLimits(80, 20, 2, 4);
-    SimulatedCluster.Site small = SimulatedCluster.Site.small(3, 30, List.of("a", "b"));
     SimulatedCluster cluster =
         new SimulatedCluster(
-            seed,
-            new SimulatedCluster.Site(
-                small.nodes(),
-                small.capacity(),
-                small.zones(),
-                small.workers(),
-                new Settings.StateLimits(200, 60, 8, 12, Optional.of(next)),
-                small.cloud(),
-                small.teams(),
-                small.policy()));
+            seed, siteWithLimits(new Settings.StateLimits(200, 60, 8, 12, Optional.of(next))));
     List<String> unknown = new ArrayList<>(List.of("large"));
     for (int i = 0; i < 200; i++) {
       unknown.add("type-that-the-cloud-does-not-name-" + i);
@@ -148,14 +158,34 @@
     assertEquals(0, cluster.state.tooLarge(), "refused for their size");
   }
 
-  /** Production's last records stand in every slot, and its oldest is more than one now holds. */
+  /** All slots hold records of the version in production, the oldest larger than a value may be. */
   @Test
   void aRecordTooLargeToBeReplacedIsPassedOverUntilItHasMovedOn() {
     random = new Random(9);
+    fillAllSlotsByEarlierVersion();
+    state.limits(LOW);
+    for (int term = 0; term < 16; term++) {
+      WritingLeader leader = new WritingLeader(LOW, true);
+      // The first ones end before they have written all that it takes.
+      for (int i = 0; i < (term < 12 ? 1 : 100); i++) {
+        leader.step(true);
+        clock.runUntil(clock.nowMs() + (term < 12 ? 10 + 2 * term : 100));
+      }
+      assertEquals(0, leader.client.refused);
+      leader.end();
+    }
+    takeOver();
+    long sequence = all(state).get(Keys.progressLog(1)).value().path("n").asLong();
+    assertTrue(sequence > 257, "the slot of the large record holds " + sequence);
+  }
+
+  /** The oldest record holds the placements of all tasks of a large job. */
+  private void fillAllSlotsByEarlierVersion() {
     ReferenceProgressRecords.OldWriter old =
-        new ReferenceProgressRecords.OldWriter(state, newTerm(), OLD.valueBytes(), OLD.txnOps());
-    Kind large = new Kind("run-large", 260, SnapshotRecord.shardSizeFor(OLD.valueBytes()));
-    Kind other = new Kind("run-other", 400, SnapshotRecord.shardSizeFor(OLD.valueBytes()));
+        new ReferenceProgressRecords.OldWriter(
+            state, newTerm(), OLD.maxValueBytes(), OLD.maxChangesPerTransaction());
+    Kind large = new Kind("run-large", 260, SnapshotRecord.shardSizeFor(OLD.maxValueBytes()));
+    Kind other = new Kind("run-other", 400, SnapshotRecord.shardSizeFor(OLD.maxValueBytes()));
     for (Kind job : List.of(large, other)) {
       jobs.put(job, new Truth(job.tasks()));
       String[] waiting = new String[job.tasks()];
@@ -177,20 +207,6 @@
       jobs.get(job).setRecorded(old.state(job));
     }
     jobs.get(other).possible.get(255).set(0, ReferenceProgressRecords.WAITING);
-    state.limits(LOW);
-    for (int term = 0; term < 16; term++) {
-      WritingLeader leader = new WritingLeader(LOW, true);
-      // The first ones end between two of the writes that it takes.
-      for (int i = 0; i < (term < 12 ? 1 : 100); i++) {
-        leader.step(true);
-        clock.runUntil(clock.nowMs() + (term < 12 ? 10 + 2 * term : 100));
-      }
-      assertEquals(0, leader.client.refused);
-      leader.end();
-    }
-    takeOver();
-    long sequence = all(state).get(Keys.progressLog(1)).value().path("n").asLong();
-    assertTrue(sequence > 257, "the slot of the large record holds " + sequence);
   }
 
   @Test
@@ -198,7 +214,7 @@
     state.limits(LOW);
     WritingLeader leader = new WritingLeader(OLD, false);
     for (int i = 0; i < 12; i++) {
-      leader.add(accept(SnapshotRecord.shardSizeFor(OLD.valueBytes())));
+      leader.add(accept(SnapshotRecord.shardSizeFor(OLD.maxValueBytes())));
     }
     for (int i = 0; i < 900; i++) {
       leader.step(true);
