--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -48,11 +48,15 @@
     controller =
         new Controller(
             loop,
-            new HttpStateStore(httpClient(buffers, settings.state().toString(), sockets.state())),
-            new HttpCloudClient(httpClient(buffers, settings.cloud().toString(), sockets.cloud())),
-            new HttpWorkerClient(
-                address -> UndertowHttpClient.once(loop, worker.getIoThread(), buffers, address)),
-            peers,
+            new Controller.Services(
+                new HttpStateStore(
+                    httpClient(buffers, settings.state().toString(), sockets.state())),
+                new HttpCloudClient(
+                    httpClient(buffers, settings.cloud().toString(), sockets.cloud())),
+                new HttpWorkerClient(
+                    address ->
+                        UndertowHttpClient.once(loop, worker.getIoThread(), buffers, address)),
+                peers),
             settings,
             policy,
             random);
--- a/src/main/java/org/ploverspindle/controller/Controller.java
+++ b/src/main/java/org/ploverspindle/controller/Controller.java
@@ -61,20 +61,21 @@
   private final CancellableGroup periodicTasks = new CancellableGroup();
   private Optional<Leader> leader = Optional.empty();
 
+  /** What the controller reaches over the network. */
+  public record Services(StateStore store, CloudClient cloud, WorkerClient workers, Peers peers) {}
+
   /** A controller that does nothing before it is started. */
   public Controller(
       Scheduler scheduler,
-      StateStore store,
-      CloudClient cloud,
-      WorkerClient workers,
-      Peers peers,
+      Services services,
       Settings settings,
       Policy policy,
       RandomGenerator random) {
+    StateStore store = services.store();
     this.scheduler = scheduler;
     this.settings = settings;
     this.member = settings.member();
-    this.peers = peers;
+    this.peers = services.peers();
     this.rates = new RequestRates(settings);
     this.replica = new Replica(scheduler, store, Keys.PREFIX, REPLICA_IDLE_READ_MS);
     StateReachability stateReachability =
@@ -92,13 +93,13 @@
             scheduler,
             random,
             newStateAccess(new FencedStore(store, Keys.LEADER, rejections)),
-            new LeaderContext.ExternalServices(cloud, workers),
+            new LeaderContext.ExternalServices(services.cloud(), services.workers()),
             new LeaderContext.Configuration(settings, policy, timing, catalogue),
             rejections);
     this.heartbeats =
         new HeartbeatAdmission(scheduler, timing, election, peers, member, () -> leader);
     this.peerMessages = new PeerMessageHandler(replica, election, stateReachability, () -> leader);
-    this.machineTypes = new MachineTypeLoader(scheduler, cloud, replica, catalogue);
+    this.machineTypes = new MachineTypeLoader(scheduler, services.cloud(), replica, catalogue);
     this.readiness = newReadiness(stateReachability);
     this.statusPage = new StatusPage(member, election, pipelines, rejections);
   }
--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -76,9 +76,7 @@
             store,
             replica,
             random,
-            leaseTiming,
-            new LeaderRecords(),
-            member,
+            new RoleLease.Candidacy(member, new LeaderRecords(), leaseTiming),
             new LeaseEvents());
   }
 
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -1,6 +1,7 @@
 package org.ploverspindle.leadership;
 
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.function.Consumer;
 import org.ploverspindle.cluster.Heartbeat;
 import org.ploverspindle.cluster.HeartbeatHandler;
@@ -143,10 +144,10 @@
 
   /** Has none of this leader's writes been carried out for several seconds, though it has tried? */
   public boolean isFailingToWrite() {
-    long failingSinceMs = components.writer.failingSinceMs();
+    OptionalLong failingSinceMs = components.writer.failingSinceMs();
     return authority.getAsBoolean()
-        && failingSinceMs >= 0
-        && scheduler.nowMs() - failingSinceMs > FAILED_WRITES_BEFORE_RESIGNING_MS;
+        && failingSinceMs.isPresent()
+        && scheduler.nowMs() - failingSinceMs.getAsLong() > FAILED_WRITES_BEFORE_RESIGNING_MS;
   }
 
   /** Counts of jobs, machines and placements, and the state of scale-in, for the status page. */
--- a/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
@@ -137,11 +137,12 @@
   private ProgressWriter newProgressWriter() {
     return new ProgressWriter(
         scheduler,
-        context.state().store(),
-        context.state().replica(),
-        context.state().writeBudget(),
-        settings.effectiveStateLimits().maxChangesPerTransaction(),
-        settings.effectiveStateLimits().maxValueBytes(),
+        new ProgressWriter.StateAccess(
+            context.state().store(),
+            context.state().replica(),
+            context.state().writeBudget(),
+            settings.effectiveStateLimits().maxChangesPerTransaction(),
+            settings.effectiveStateLimits().maxValueBytes()),
         term,
         this::machineInfo,
         new WriterEvents());
--- a/src/main/java/org/ploverspindle/leases/RoleLease.java
+++ b/src/main/java/org/ploverspindle/leases/RoleLease.java
@@ -43,6 +43,13 @@
     boolean mayAcquire();
   }
 
+  /**
+   * Who tries to acquire which role, and for how long its lease lives.
+   *
+   * @param member the name of this controller
+   */
+  public record Candidacy(String member, RoleRecords records, LeaseTiming timing) {}
+
   private final Scheduler scheduler;
   private final StateStore store;
   private final Replica replica;
@@ -59,27 +66,21 @@
   private boolean acquiring;
   private long nextAttemptMs;
 
-  /**
-   * A role that no attempt is made for before the first {@link #tick}.
-   *
-   * @param member the name of this controller
-   */
+  /** A role that no attempt is made for before the first {@link #tick}. */
   public RoleLease(
       Scheduler scheduler,
       StateStore store,
       Replica replica,
       RandomGenerator random,
-      LeaseTiming timing,
-      RoleRecords records,
-      String member,
+      Candidacy candidacy,
       Listener listener) {
     this.scheduler = scheduler;
     this.store = store;
     this.replica = replica;
     this.random = random;
-    this.lease = new StateLease(scheduler, store, timing);
-    this.records = records;
-    this.member = member;
+    this.lease = new StateLease(scheduler, store, candidacy.timing());
+    this.records = candidacy.records();
+    this.member = candidacy.member();
     this.nonce = Long.toString(random.nextLong() >>> 1, Character.MAX_RADIX);
     this.listener = listener;
     replica.addListener(this::holderRecordChanged);
--- a/src/main/java/org/ploverspindle/progress/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressWriter.java
@@ -1,6 +1,7 @@
 package org.ploverspindle.progress;
 
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.function.Function;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.Machine;
@@ -34,9 +35,6 @@
  * until no record older than its latest statuses is left.
  */
 public final class ProgressWriter {
-  /** Returned by {@link #failingSinceMs()} when writes don't fail. */
-  private static final long NOT_FAILING = -1;
-
   /** Snapshots of terminal jobs are removed with other changes, or after this time. */
   private static final long REMOVAL_WAIT_MS = 1_000;
 
@@ -52,6 +50,16 @@
     void deposed(String cause);
   }
 
+  /**
+   * The leader's access to the state service.
+   *
+   * @param writes the budget of changes
+   * @param maxChanges the most changes that a transaction may hold
+   * @param maxValueBytes the largest value that the state service accepts
+   */
+  public record StateAccess(
+      StateStore store, Replica replica, TokenBucket writes, int maxChanges, int maxValueBytes) {}
+
   private final Listener listener;
   private final ProgressState state = new ProgressState();
   private final FlushTimer timer;
@@ -59,18 +67,11 @@
   private final ProgressFlusher flusher;
 
   /**
-   * @param writes the budget of changes
-   * @param txnOps the most changes that a transaction may hold
-   * @param valueBytes the largest value that the state service accepts
    * @param machineInfo what is recorded of a machine beside its placements
    */
   public ProgressWriter(
       Scheduler scheduler,
-      StateStore store,
-      Replica replica,
-      TokenBucket writes,
-      int txnOps,
-      int valueBytes,
+      StateAccess access,
       Term term,
       Function<Machine, SnapshotRecord.MachineInfo> machineInfo,
       Listener listener) {
@@ -79,11 +80,14 @@
     clearing = new PlacementClearing(scheduler, state, timer);
     WriteOutcome outcome =
         new WriteOutcome(scheduler, state, clearing, listener, this::completionRecorded);
-    WriteReadBack readBack = new WriteReadBack(replica, term, state, timer, outcome, listener);
-    WriteLimits limits = new WriteLimits(txnOps, valueBytes);
+    WriteReadBack readBack =
+        new WriteReadBack(access.replica(), term, state, timer, outcome, listener);
+    WriteLimits limits = new WriteLimits(access.maxChanges(), access.maxValueBytes());
     WriteBatchContext context =
         new WriteBatchContext(scheduler, term, limits, new ProgressEncoder(machineInfo), state);
-    flusher = new ProgressFlusher(context, store, writes, timer, clearing, outcome, readBack);
+    flusher =
+        new ProgressFlusher(
+            context, access.store(), access.writes(), timer, clearing, outcome, readBack);
   }
 
   private void flush() {
@@ -168,8 +172,8 @@
   }
 
   /** Since when no write has been committed although some were sent, or -1 if none failed. */
-  public long failingSinceMs() {
-    return flusher.failingSinceMs().orElse(NOT_FAILING);
+  public OptionalLong failingSinceMs() {
+    return flusher.failingSinceMs();
   }
 
   /** How many jobs have progress that is not written yet. */
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
@@ -144,11 +144,12 @@
       writer =
           new ProgressWriter(
               process,
-              client,
-              replica,
-              new TokenBucket(process, 100, 40),
-              LIMITS.maxChangesPerTransaction(),
-              LIMITS.maxValueBytes(),
+              new ProgressWriter.StateAccess(
+                  client,
+                  replica,
+                  new TokenBucket(process, 100, 40),
+                  LIMITS.maxChangesPerTransaction(),
+                  LIMITS.maxValueBytes()),
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
               m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
               this);
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
@@ -218,11 +218,12 @@
       writer =
           new ProgressWriter(
               process,
-              client,
-              replica,
-              new TokenBucket(process, LOW.changesPerS() * 0.65, LOW.changesPerS() * 0.4),
-              limits.maxChangesPerTransaction(),
-              limits.maxValueBytes(),
+              new ProgressWriter.StateAccess(
+                  client,
+                  replica,
+                  new TokenBucket(process, LOW.changesPerS() * 0.65, LOW.changesPerS() * 0.4),
+                  limits.maxChangesPerTransaction(),
+                  limits.maxValueBytes()),
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
               m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
               this);
--- a/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
@@ -73,11 +73,12 @@
       writer =
           new ProgressWriter(
               process,
-              client,
-              replica,
-              new TokenBucket(process, LIMITS.changesPerS() * 0.65, LIMITS.changesPerS() * 0.4),
-              LIMITS.maxChangesPerTransaction(),
-              LIMITS.maxValueBytes(),
+              new ProgressWriter.StateAccess(
+                  client,
+                  replica,
+                  new TokenBucket(process, LIMITS.changesPerS() * 0.65, LIMITS.changesPerS() * 0.4),
+                  LIMITS.maxChangesPerTransaction(),
+                  LIMITS.maxValueBytes()),
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
               machine -> new SnapshotRecord.MachineInfo(machine.host(), "type-16", "zone-a", true),
               this);
--- a/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
@@ -91,11 +91,8 @@
       SimClock.Process process, FixtureStore store, Replica replica) {
     return new ProgressWriter(
         process,
-        store,
-        replica,
-        new TokenBucket(process, 1, 1),
-        4,
-        VALUE_BYTES,
+        new ProgressWriter.StateAccess(
+            store, replica, new TokenBucket(process, 1, 1), 4, VALUE_BYTES),
         new Term(1, 7, 0),
         machine -> new SnapshotRecord.MachineInfo(machine.host(), "", "", true),
         new ProgressWriter.Listener() {
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -95,11 +95,7 @@
     ProgressWriter writer =
         new ProgressWriter(
             p,
-            store,
-            replica,
-            new TokenBucket(p, 1, 1),
-            4,
-            2048,
+            new ProgressWriter.StateAccess(store, replica, new TokenBucket(p, 1, 1), 4, 2048),
             new Term(1, 7, 0),
             m -> new SnapshotRecord.MachineInfo(m.host(), "", "", true),
             new ProgressWriter.Listener() {
--- a/src/test/java/org/ploverspindle/sim/RoleCluster.java
+++ b/src/test/java/org/ploverspindle/sim/RoleCluster.java
@@ -176,9 +176,7 @@
               store,
               replica,
               new SplittableRandom(random.nextLong()),
-              TIMING,
-              new Records(),
-              SimLink.nodeName(index),
+              new RoleLease.Candidacy(SimLink.nodeName(index), new Records(), TIMING),
               this);
       process.schedule(0, replica::start);
       process.scheduleWithFixedDelay(TICK_MS, duty::tick);
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -182,10 +182,11 @@
     Controller controller =
         new Controller(
             process,
-            stateAccess.client(i, link),
-            new SimCloudClient(cloud, link),
-            directCommands.client(link),
-            new SimPeers(network, i, nodes, this::hint),
+            new Controller.Services(
+                stateAccess.client(i, link),
+                new SimCloudClient(cloud, link),
+                directCommands.client(link),
+                new SimPeers(network, i, nodes, this::hint)),
             settings(SimLink.nodeName(i), site),
             site.policy(),
             new SplittableRandom(random.nextLong()));
