--- a/src/main/java/org/ploverspindle/progress/DurableTasks.java
+++ b/src/main/java/org/ploverspindle/progress/DurableTasks.java
@@ -6,11 +6,16 @@
 import java.util.Optional;
 import org.ploverspindle.cluster.Job;
 
-/** Which tasks are recorded as completed, and which may be recorded as placed on a machine. */
+/**
+ * Tracks which tasks are recorded as completed, and which may be recorded as placed on a machine.
+ */
 final class DurableTasks {
   private final Map<Job, BitSet> completed = new HashMap<>();
 
-  /** Tasks that the latest record, including unanswered writes, may place on a machine. */
+  /**
+   * Tasks that their latest record places on a machine, or that a write without an answer may have
+   * placed there.
+   */
   private final Map<Job, BitSet> placed = new HashMap<>();
 
   void loadCompleted(Job job, BitSet tasks) {
@@ -26,7 +31,10 @@
     return tasks != null && tasks.get(task);
   }
 
-  /** The statuses are being sent: from now on they may be stored, answered or not. */
+  /**
+   * Called before the statuses are sent. From then on they may be stored, whether or not the write
+   * is answered.
+   */
   void sending(TaskStatuses statuses) {
     if (!statuses.placements().isEmpty()) {
       BitSet tasks = placed.computeIfAbsent(statuses.job(), j -> new BitSet());
@@ -34,7 +42,7 @@
     }
   }
 
-  /** The statuses are stored, and are the latest of their tasks. */
+  /** Called when the statuses are stored and are the latest ones of their tasks. */
   void committed(TaskStatuses statuses) {
     if (!statuses.job().isTerminal()) {
       completed.computeIfAbsent(statuses.job(), j -> new BitSet()).or(statuses.completed());
@@ -49,7 +57,10 @@
     }
   }
 
-  /** Tasks that a record may place on a machine although they are on none. */
+  /**
+   * Returns the tasks that a record may place on a machine although the job has no active placement
+   * of them.
+   */
   BitSet placedInRecordsOnly(Job job) {
     BitSet tasks = (BitSet) placed.getOrDefault(job, new BitSet()).clone();
     job.activePlacements().forEach(p -> tasks.clear(p.task()));
@@ -64,7 +75,7 @@
     placed.remove(job);
   }
 
-  /** A job with tasks that may be recorded as placed. */
+  /** Finds a job that has tasks which may be recorded as placed. */
   Optional<Job> findJob(String uid) {
     return placed.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
   }
--- a/src/main/java/org/ploverspindle/progress/FlushTimer.java
+++ b/src/main/java/org/ploverspindle/progress/FlushTimer.java
@@ -5,8 +5,8 @@
 import org.ploverspindle.eventloop.Scheduler;
 
 /**
- * Schedules the next flush of pending progress. At most one flush is scheduled, and none runs while
- * a write is in flight or after the writer was closed.
+ * Schedules the next flush of pending progress. At most one flush is scheduled at a time, and none
+ * runs while a write is in flight or after {@link #close}.
  */
 final class FlushTimer {
   private final Scheduler scheduler;
@@ -21,7 +21,10 @@
     this.flush = flush;
   }
 
-  /** The next flush runs after this delay, or earlier if it is scheduled so already. */
+  /**
+   * Schedules the next flush after this delay, unless one is already scheduled for an earlier time.
+   * Has no effect while a write is in flight or after {@link #close}.
+   */
   void flushWithin(long delayMs) {
     long dueMs = scheduler.nowMs() + delayMs;
     if (writeInFlight || closed || scheduled.isPresent() && scheduledForMs <= dueMs) {
@@ -39,7 +42,10 @@
     }
   }
 
-  /** A write, or its read-back, is in flight: flushes wait for {@link #writeEnded}. */
+  /**
+   * Called when a write, or the read-back after it, starts. No flush is scheduled or run until
+   * {@link #writeEnded}.
+   */
   void writeStarted() {
     writeInFlight = true;
   }
@@ -48,7 +54,7 @@
     writeInFlight = false;
   }
 
-  /** No flush runs any more. */
+  /** Prevents all further flushes. */
   void close() {
     closed = true;
   }
--- a/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
+++ b/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
@@ -10,7 +10,7 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.state.ProgressLogRecord;
 
-/** Builds one record of the progress log; it has no effect until it is added to its batch. */
+/** Builds one record of the progress log. It has no effect until it is added to its batch. */
 final class LogRecordBuilder {
   private static final BitSet NO_TASKS = new BitSet();
 
@@ -40,7 +40,7 @@
     return builder.bytes();
   }
 
-  /** The tasks whose status is in the record, by shard. */
+  /** Returns the tasks whose status is in the record, by shard. */
   Map<TaskShard, BitSet> includedTasks() {
     return Collections.unmodifiableMap(includedTasks);
   }
@@ -50,9 +50,13 @@
   }
 
   /**
-   * Appends all statuses whose latest record is the one that this record overwrites.
+   * Appends the current status of each task whose latest status is in the record that this one
+   * overwrites, unless the batch includes the task already. Fully stopped jobs are skipped, except
+   * where an older status of them would take effect.
    *
-   * @return false if that is not possible, so that the slot can't be reused yet
+   * @param overwrittenSequence the sequence number of the record in the slot; 0 if there is none
+   * @return false if not all of these statuses can be appended, so that the slot can't be reused
+   *     yet
    */
   boolean carryOver(long overwrittenSequence) {
     Map<TaskShard, BitSet> overwritten = context.slots().latestStatusIn(overwrittenSequence);
@@ -70,7 +74,11 @@
     return true;
   }
 
-  /** Whether something older has a status of the shard's tasks, which would count without it. */
+  /**
+   * Whether a snapshot of the shard exists, or a record before the overwritten one has statuses of
+   * the job. Readers would use these older statuses if the overwritten record were gone. Always
+   * false for a quarantined job.
+   */
   private boolean isNeeded(TaskShard shard, long overwrittenSequence) {
     return !shard.job().quarantined()
         && (context.snapshots().exists(shard)
@@ -84,10 +92,10 @@
   }
 
   /**
-   * Appends, as far as they fit, the statuses whose latest record is at most this one and whose
-   * shard is too large for a snapshot.
+   * Appends the current status of as many tasks as fit of those whose shard is too large for a
+   * snapshot and whose latest status is in a record up to this one.
    *
-   * @return false if there are none
+   * @return false if there are no such tasks that the batch does not include yet
    */
   boolean appendOversized(long lastSequence) {
     boolean any = false;
@@ -108,9 +116,9 @@
   }
 
   /**
-   * Appends the present status of as many of these tasks as fit.
+   * Appends the current status of as many of these tasks as fit.
    *
-   * @return false if there are none
+   * @return false if there are no tasks that this record does not include yet
    */
   boolean append(Map<Job, BitSet> tasksByJob) {
     boolean any = false;
@@ -129,10 +137,10 @@
   }
 
   /**
-   * Appends the present status of as many of the tasks as fit, and removes these tasks from the
-   * set.
+   * Appends the current status of as many of the tasks as fit, and removes the appended ones from
+   * the set.
    *
-   * @return whether all did fit
+   * @return whether all of them fit
    */
   private boolean appendTasks(Job job, BitSet missing) {
     int count = context.limits().tasksInRecord();
--- a/src/main/java/org/ploverspindle/progress/PendingProgress.java
+++ b/src/main/java/org/ploverspindle/progress/PendingProgress.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 import org.ploverspindle.cluster.Job;
 
-/** Progress that is not written yet, in the order in which it arose. */
+/** Progress that is not written yet. Each kind is kept in the order in which it was added. */
 final class PendingProgress {
   private final LinkedHashMap<Job, BitSet> changedTasks = new LinkedHashMap<>();
 
-  /** Ended tasks of cancelled jobs that a record may still place on a machine. */
+  /** Tasks of cancelled jobs that have ended and that a record may still place on a machine. */
   private final LinkedHashMap<Job, BitSet> clearings = new LinkedHashMap<>();
 
-  /** Jobs of which all tasks have completed, by uid. */
+  /** Jobs whose tasks have all completed and whose completion is not recorded yet, by uid. */
   private final LinkedHashMap<String, Job> completions = new LinkedHashMap<>();
 
   /** Shards whose snapshot is no longer needed. */
@@ -54,7 +54,7 @@
     clearings.remove(job);
   }
 
-  /** A log record with the status of these tasks is about to be sent. */
+  /** Removes tasks whose current status is in a log record that is about to be sent. */
   void included(Job job, BitSet tasks) {
     remove(changedTasks, job, tasks);
     remove(clearings, job, tasks);
@@ -70,7 +70,10 @@
     }
   }
 
-  /** Tasks that changed; drops those of jobs whose progress is not written any more. */
+  /**
+   * Returns the changed tasks by job. Drops those of quarantined and finished jobs, whose progress
+   * is no longer written.
+   */
   Map<Job, BitSet> changes() {
     changedTasks
         .entrySet()
@@ -78,22 +81,28 @@
     return Collections.unmodifiableMap(changedTasks);
   }
 
-  /** Tasks whose recorded placement is to be cleared. */
+  /** Returns the tasks whose recorded placement is to be cleared, by job. */
   Map<Job, BitSet> clearings() {
     return Collections.unmodifiableMap(clearings);
   }
 
-  /** Jobs whose completion is to be recorded; whoever takes one removes it. */
+  /**
+   * Iterates over the jobs whose completion is to be recorded. The caller removes each job that it
+   * takes.
+   */
   Iterator<Job> completions() {
     return completions.values().iterator();
   }
 
-  /** Shards whose snapshot is to be removed; whoever takes one removes it. */
+  /**
+   * Iterates over the shards whose snapshot is to be removed. The caller removes each shard that it
+   * takes.
+   */
   Iterator<TaskShard> snapshotRemovals() {
     return snapshotRemovals.iterator();
   }
 
-  /** Drops the removals of snapshots that don't exist. */
+  /** Drops the pending removals of snapshots that don't exist. */
   void retainExisting(ShardSnapshots snapshots) {
     snapshotRemovals.removeIf(shard -> !snapshots.exists(shard));
   }
@@ -118,7 +127,7 @@
     return clearings.containsKey(job);
   }
 
-  /** A job with changed tasks. */
+  /** Finds a job that has changed tasks. */
   Optional<Job> findJob(String uid) {
     return changedTasks.keySet().stream().filter(job -> job.uid().equals(uid)).findFirst();
   }
@@ -127,7 +136,10 @@
     return changedTasks.size();
   }
 
-  /** The number of jobs with changes, completions and clearings, added up. */
+  /**
+   * The sum of three counts: jobs with changed tasks, jobs whose completion is to be recorded, and
+   * jobs with placements to clear.
+   */
   int size() {
     return changedTasks.size() + completions.size() + clearings.size();
   }
--- a/src/main/java/org/ploverspindle/progress/PlacementClearing.java
+++ b/src/main/java/org/ploverspindle/progress/PlacementClearing.java
@@ -6,21 +6,22 @@
 import org.ploverspindle.eventloop.Scheduler;
 
 /**
- * Finds the recorded placements of cancelled jobs that have ended, and when a record has to go out
- * to clear them. Without it a new leader would count these placements until it had proven them gone
- * once more.
+ * Finds placements of cancelled jobs that have ended but are still recorded, and decides when a log
+ * record is written to clear them. If they were not cleared, a new leader would count them until it
+ * had proven again that they are gone.
  */
 final class PlacementClearing {
-  /** How long clearings wait for a log record that goes out for other reasons. */
+  /** How long clearings wait for a log record that is written for other reasons. */
   static final long MAX_WAIT_MS = 5_000;
 
   private final Scheduler scheduler;
   private final ProgressState state;
   private final FlushTimer timer;
 
-  /** Cancelled jobs of which placements may have ended since the last flush. */
+  /** Cancelled jobs whose placements may have ended since they were last examined. */
   private final LinkedHashSet<Job> toExamine = new LinkedHashSet<>();
 
+  /** When a record may be written for clearings alone. Only meaningful while some are pending. */
   private long dueMs;
 
   PlacementClearing(Scheduler scheduler, ProgressState state, FlushTimer timer) {
@@ -29,10 +30,11 @@
     this.timer = timer;
   }
 
-  /** Placements of a cancelled job may have ended. */
+  /** Called when placements of a cancelled job may have ended. */
   void placementsEnded(Job job) {
     if (job.quarantined()) {
-      // Its unreadable records may place any of its tasks: none of its records may be overwritten.
+      // The job's unreadable records may place any of its tasks on a machine, so none of its
+      // records may be overwritten.
       return;
     }
     if (!isPending()) {
@@ -42,7 +44,10 @@
     scheduleFlush();
   }
 
-  /** Schedules a flush for the time at which a record has to go out for clearings alone. */
+  /**
+   * Schedules a flush for the time at which a record may be written for clearings alone. Does
+   * nothing if no clearings are pending.
+   */
   void scheduleFlush() {
     if (isPending()) {
       timer.flushWithin(Math.max(0, dueMs - scheduler.nowMs()));
@@ -53,14 +58,14 @@
     return state.pending().hasClearings() || !toExamine.isEmpty();
   }
 
-  /** Whether a record may go out for clearings alone. */
+  /** Whether a record may be written for clearings alone. */
   boolean isDue() {
     return scheduler.nowMs() >= dueMs;
   }
 
   /**
-   * Adds what has to be cleared to the pending progress. Runs once per flush, since the placements
-   * of a large job end one by one.
+   * Adds the tasks whose recorded placement has ended to the pending progress. This is done once
+   * per flush and not for each ended placement, since the placements of a large job end one by one.
    */
   void examine() {
     for (Job job : toExamine) {
@@ -75,7 +80,10 @@
     toExamine.clear();
   }
 
-  /** A snapshot hides older log records, which would count again once it is removed. */
+  /**
+   * Returns the tasks that must be cleared before the job's snapshots are removed. A snapshot hides
+   * older log records of its shard; readers would use these again once the snapshot is removed.
+   */
   private BitSet uncoveredBySnapshotRemoval(Job job) {
     BitSet tasks = new BitSet();
     if (state.slots().isMentioned(job.uid())) {
@@ -89,7 +97,7 @@
     return tasks;
   }
 
-  /** Nothing of the job needs clearing any more. */
+  /** Called when no recorded placement of the job needs to be cleared any more. */
   void forget(Job job) {
     toExamine.remove(job);
     state.pending().forgetClearing(job);
--- a/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
@@ -10,7 +10,7 @@
 import org.ploverspindle.state.ProgressLogRecord;
 import org.ploverspindle.state.SnapshotRecord;
 
-/** Converts statuses of tasks to the forms that are stored. */
+/** Converts statuses of tasks to their stored forms. */
 final class ProgressEncoder {
   private final Function<Machine, SnapshotRecord.MachineInfo> machineInfo;
 
@@ -18,7 +18,10 @@
     this.machineInfo = machineInfo;
   }
 
-  /** For a log record: tasks that are neither completed nor on a machine are cleared. */
+  /**
+   * Encodes statuses for a log record. Tasks that are neither completed nor on a machine are
+   * encoded as cleared.
+   */
   ProgressLogRecord.Delta delta(TaskStatuses statuses) {
     BitSet cleared = (BitSet) statuses.tasks().clone();
     cleared.andNot(statuses.completed());
@@ -34,9 +37,9 @@
   }
 
   /**
-   * For a snapshot of a shard.
+   * Encodes the statuses of a whole shard as a snapshot.
    *
-   * @param coveredUpTo the last log record that the snapshot covers
+   * @param coveredUpTo the sequence number of the last log record that the snapshot covers
    */
   JsonNode snapshot(TaskStatuses statuses, long coveredUpTo) {
     List<SnapshotRecord.RecordedPlacement> placements = recorded(statuses.placements());
--- a/src/main/java/org/ploverspindle/progress/ProgressFlusher.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressFlusher.java
@@ -12,16 +12,20 @@
 final class ProgressFlusher {
   private static final Logger LOG = LoggerFactory.getLogger(ProgressFlusher.class);
 
-  /** Changes of this time go into one transaction. */
+  /** How long changes are collected before they are sent in one transaction. */
   static final long GATHER_MS = 8;
 
+  /** Delay before the next try when the budget of changes is used up. */
   private static final long NO_BUDGET_MS = 40;
+
+  /** Delay before the next try when nothing that is pending could be added to a transaction. */
   private static final long NO_ROOM_MS = 100;
+
   private static final long MIN_BACKOFF_MS = 60;
   private static final long MAX_BACKOFF_MS = 1_000;
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
-  /** Status of a transaction that is malformed or beyond the limits. */
+  /** Status with which the state service refuses a transaction that is malformed or too large. */
   private static final int BEYOND_LIMITS = 400;
 
   private static final int TOO_MANY_REQUESTS = 429;
@@ -34,17 +38,20 @@
   private final WriteOutcome outcome;
   private final WriteReadBack readBack;
 
-  /** Makes the ids of log records unique, also of those that were never sent. */
+  /**
+   * The number of log records that were built in this term, including those that were never sent.
+   * It is part of each record's id and makes the ids unique.
+   */
   private long recordsTried;
 
-  /** The last transaction had no room for all completions. */
+  /** Whether the last transaction had no room for some of the pending completions. */
   private boolean completionsLeftOver;
 
   private int consecutiveFailures;
   private OptionalLong failingSinceMs = OptionalLong.empty();
 
   /**
-   * @param writes the budget of changes
+   * @param writes the budget of changes: one token for each change
    */
   ProgressFlusher(
       WriteBatchContext context,
@@ -63,7 +70,11 @@
     this.readBack = readBack;
   }
 
-  /** Since when no transaction has been committed although some were sent; empty: none failed. */
+  /**
+   * Since when transactions have failed: the time of the first failure after the last committed
+   * one, in milliseconds of the scheduler's clock; empty if none has failed since. Conflicts and
+   * refusals for the rate of requests don't count as failures.
+   */
   OptionalLong failingSinceMs() {
     return failingSinceMs;
   }
@@ -98,8 +109,8 @@
   private WriteBatch plan(int budget, boolean clearingIsDue) {
     PendingProgress pending = context.pending();
     WriteBatchPlanner planner = new WriteBatchPlanner(context, budget, this::nextRecordId);
-    // Without a removed snapshot older log records count again. What they say of ended placements
-    // must be cleared in the same transaction at the latest.
+    // Once a snapshot is removed, readers use the older log records that it covered. Placements in
+    // them that have ended must be cleared in the same transaction or before.
     WriteBatch batch =
         planner.plan(completionsLeftOver, clearingIsDue || pending.hasSnapshotRemovals());
     completionsLeftOver = pending.hasCompletions();
@@ -112,7 +123,7 @@
 
   private void send(WriteBatch batch) {
     Scheduler scheduler = context.scheduler();
-    // From now on the records may be stored, whether the transaction is answered or not.
+    // From now on the records may be stored, whether or not the transaction is answered.
     batch
         .records()
         .forEach(
@@ -155,13 +166,17 @@
       return;
     }
     if (result instanceof TransactionResult.Unknown) {
-      // It may yet be stored: later records get higher sequence numbers, so that they count.
+      // The records may still be stored later. Records that are written from now on get higher
+      // sequence numbers, so that readers prefer them.
       batch.records().keySet().forEach(context.slots()::reserve);
     }
     readBack.start(batch, result);
   }
 
-  /** Whether the result is neither a conflict nor a refusal for the rate of requests. */
+  /**
+   * Whether the result counts as a failure of the state service. All results of transactions that
+   * were not committed do, except conflicts and refusals for the rate of requests.
+   */
   private static boolean isServiceFailure(TransactionResult result) {
     boolean rateLimited =
         result instanceof TransactionResult.Refused refused
--- a/src/main/java/org/ploverspindle/progress/ProgressLoader.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressLoader.java
@@ -5,7 +5,7 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.state.StateStore.Entry;
 
-/** Loads records that were found in the state service into the writer's state. */
+/** Loads what was read from the state service into the writer's state. */
 final class ProgressLoader {
   private final ProgressState state;
 
@@ -13,28 +13,28 @@
     this.state = state;
   }
 
-  /** A record of the log was found in its slot. */
+  /** Registers a record of the log that was found in its slot. */
   void loadRecord(Entry entry, long sequence) {
     state.slots().recordStored(sequence, entry.modRevision());
   }
 
-  /** The record under this key of the log is unreadable. */
+  /** Registers that the record under this key of the log is unreadable. */
   void loadUnreadable(String key) {
     state.slots().markUnreadable(key);
   }
 
-  /** A snapshot of the shard with this index was found. */
+  /** Registers a snapshot of the shard with this index. */
   void loadSnapshot(Job job, int index, long modRevision) {
     state.snapshots().stored(new TaskShard(job, index), modRevision);
   }
 
-  /** The log record holds the status of these tasks, and no snapshot covers it. */
+  /** Registers that the log record has statuses of these tasks that no snapshot covers. */
   void loadUncovered(Job job, BitSet tasks, long sequence) {
     TaskShard.of(job, tasks)
         .forEach((shard, some) -> state.slots().statusRecorded(shard, some, sequence));
   }
 
-  /** The log record mentions the job, be the record covered by snapshots or not. */
+  /** Registers that the log record has statuses of the job, whether or not snapshots cover them. */
   void loadMention(Job job, long sequence) {
     state.slots().addMention(job.uid(), sequence);
   }
@@ -43,7 +43,7 @@
     state.durable().loadCompleted(job, tasks);
   }
 
-  /** These tasks are on machines according to the records. */
+  /** Registers the tasks that are on machines according to the records. */
   void loadPlaced(Job job, Set<Integer> tasks) {
     BitSet placed = new BitSet();
     tasks.forEach(placed::set);
--- a/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
@@ -17,26 +17,31 @@
 import org.ploverspindle.state.ProgressLogRecord;
 
 /**
- * The records in the slots of the progress log, and which of them holds the latest status of each
- * task. A slot may be reused only when its record holds no task's latest status.
+ * Tracks the records in the slots of the progress log, and which of them holds the latest status of
+ * each task. A slot may be reused only if no task's latest status is lost with the record in it.
  */
 final class ProgressLogSlots {
-  /** By sequence number: the tasks whose latest status is in that record, by shard. */
+  /** The tasks whose latest status is in a record, by the record's sequence number and by shard. */
   private final TreeMap<Long, Map<TaskShard, BitSet>> latestStatus = new TreeMap<>();
 
-  /** The sequence numbers in {@link #latestStatus} under which the shard is found. */
+  /** The sequence numbers under which {@link #latestStatus} has tasks of a shard, by shard. */
   private final Map<TaskShard, TreeSet<Long>> recordsByShard = new HashMap<>();
 
-  /** By sequence number: the jobs in that record, also if it is not known whether it is stored. */
+  /**
+   * The uids of the jobs that a record has statuses of, by the record's sequence number. Includes
+   * records of which it is not known whether they are stored.
+   */
   private final TreeMap<Long, Set<String>> jobsByRecord = new TreeMap<>();
 
-  /** The mod revision of each slot's key; 0: the slot is empty. */
+  /** The mod revision of the key of each slot; 0 if the slot has no readable record. */
   private final long[] modRevisions = new long[ProgressLogRecord.SLOTS];
 
-  /** The sequence number of the record in each slot; 0: none. */
+  /** The sequence number of the record in each slot; 0 if the slot has no readable record. */
   private final long[] storedSequences = new long[ProgressLogRecord.SLOTS];
 
-  /** Slots with an unreadable record: it is kept, since a later leader must notice it too. */
+  /**
+   * Slots with an unreadable record. Such a record is kept, since later leaders must detect it too.
+   */
   private final BitSet unreadable = new BitSet();
 
   private long nextSequence = 1;
@@ -46,19 +51,22 @@
     return nextSequence;
   }
 
-  /** The sequence number may be in use: records that are written from now on get higher ones. */
+  /**
+   * Called when the sequence number may be in use. Records that are written from now on get higher
+   * ones.
+   */
   void reserve(long sequence) {
     nextSequence = Math.max(nextSequence, sequence + 1);
   }
 
-  /** The record is stored in its slot, whose key has this mod revision. */
+  /** Called when the record is stored in its slot and the slot's key has this mod revision. */
   void recordStored(long sequence, long modRevision) {
     modRevisions[ProgressLogRecord.slot(sequence)] = modRevision;
     storedSequences[ProgressLogRecord.slot(sequence)] = sequence;
     reserve(sequence);
   }
 
-  /** The record under this key of the log is unreadable. */
+  /** Marks the slot with this key as one whose record is unreadable. */
   void markUnreadable(String key) {
     for (int slot = 0; slot < ProgressLogRecord.SLOTS; slot++) {
       if (Keys.progressLog(slot).equals(key)) {
@@ -71,17 +79,20 @@
     return unreadable.get(ProgressLogRecord.slot(sequence));
   }
 
-  /** The mod revision of the key of the record's slot; 0: the slot is empty. */
+  /** The mod revision of the key of this record's slot; 0 if the slot has no readable record. */
   long modRevisionAt(long sequence) {
     return modRevisions[ProgressLogRecord.slot(sequence)];
   }
 
-  /** The sequence number of the record that is stored in this record's slot; 0: none. */
+  /** The sequence number of the record that is now in this record's slot; 0 if none is readable. */
   long storedSequenceAt(long sequence) {
     return storedSequences[ProgressLogRecord.slot(sequence)];
   }
 
-  /** The record, which may or may not be stored, has statuses of the job, covered or not. */
+  /**
+   * Called when the record has statuses of the job. The record may or may not be stored, and
+   * snapshots may cover the statuses.
+   */
   void addMention(String uid, long sequence) {
     jobsByRecord.computeIfAbsent(sequence, x -> new HashSet<>()).add(uid);
   }
@@ -96,17 +107,19 @@
     return jobsByRecord.headMap(sequence).values().stream().anyMatch(m -> m.contains(uid));
   }
 
-  /** The tasks whose latest status is in this record. */
+  /** Returns the tasks whose latest status is in this record, by shard. */
   Map<TaskShard, BitSet> latestStatusIn(long sequence) {
     return Collections.unmodifiableMap(latestStatus.getOrDefault(sequence, Map.of()));
   }
 
-  /** The tasks whose latest status is in a record up to this one, by record. */
+  /**
+   * Returns the tasks whose latest status is in a record up to this one, by record and by shard.
+   */
   SortedMap<Long, Map<TaskShard, BitSet>> latestStatusUpTo(long sequence) {
     return Collections.unmodifiableSortedMap(latestStatus.headMap(sequence, true));
   }
 
-  /** A job with a task whose latest status is in the log. */
+  /** Finds a job that has a task whose latest status is in the log. */
   Optional<Job> findJob(String uid) {
     return recordsByShard.keySet().stream()
         .map(TaskShard::job)
@@ -114,7 +127,10 @@
         .findFirst();
   }
 
-  /** The record has these tasks' latest status, except of tasks that newer records have. */
+  /**
+   * Called when the record has the statuses of these tasks. They become the latest ones, except for
+   * tasks whose status is also in a newer record.
+   */
   void statusRecorded(TaskShard shard, BitSet tasks, long sequence) {
     BitSet newest = (BitSet) tasks.clone();
     for (Long otherSequence : List.copyOf(recordsByShard.getOrDefault(shard, new TreeSet<>()))) {
@@ -137,7 +153,7 @@
     }
   }
 
-  /** No record up to {@code lastSequence} is needed for the shard any more. */
+  /** Called when no record up to {@code lastSequence} is needed for the shard any more. */
   void releaseUpTo(TaskShard shard, long lastSequence) {
     for (Long sequence :
         List.copyOf(
@@ -159,7 +175,11 @@
     }
   }
 
-  /** The record overwrites the one that was in its slot. */
+  /**
+   * Called when the record has overwritten the one that was in its slot. The jobs in earlier
+   * records of the slot are forgotten, and so are the latest statuses in the overwritten record if
+   * their job is fully stopped.
+   */
   void slotOverwritten(long sequence) {
     int slot = ProgressLogRecord.slot(sequence);
     jobsByRecord
--- a/src/main/java/org/ploverspindle/progress/ProgressState.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressState.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.ploverspindle.cluster.Job;
 
-/** What the writer of progress keeps of all jobs during its term. */
+/** The state that the progress writer keeps for all jobs during its term. */
 record ProgressState(
     PendingProgress pending,
     ProgressLogSlots slots,
@@ -14,7 +14,7 @@
     this(new PendingProgress(), new ProgressLogSlots(), new ShardSnapshots(), new DurableTasks());
   }
 
-  /** A job that has pending or recorded progress. */
+  /** Finds a job that has pending or recorded progress. */
   Optional<Job> findJob(String uid) {
     return pending.findJob(uid).or(() -> slots.findJob(uid)).or(() -> durable.findJob(uid));
   }
--- a/src/main/java/org/ploverspindle/progress/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressWriter.java
@@ -14,48 +14,49 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * Makes the leader's progress durable: one transaction at a time, each with all that happened since
- * the last one. Changes are the scarcest resource of the state service, so the statuses of tasks of
- * all jobs go into shared records of a log with a fixed number of slots. A slot is reused only when
- * its record holds no task's latest status: each status has been repeated in a newer record, is
- * covered by a snapshot of its whole shard, or belongs to a terminal job.
+ * Makes the leader's progress durable. It sends one transaction at a time, each with the progress
+ * since the last one. Changes are the scarcest resource of the state service, so the statuses of
+ * tasks of all jobs are written to shared records of a log with a fixed number of slots. A slot is
+ * reused only when its record holds no task's latest status: each status has been repeated in a
+ * newer record, is covered by a snapshot of its whole shard, or belongs to a terminal job.
  *
- * <p>Shards of jobs that were accepted under higher limits may no longer fit into a snapshot. Their
- * statuses in old records are repeated in new ones, as many as fit, before the slots are due for
- * reuse; a slot whose record can't be replaced yet is skipped.
+ * <p>Shards of jobs that were accepted under higher limits may no longer fit into a snapshot.
+ * Before the slots of their records are due for reuse, as many of their statuses as fit are
+ * repeated in new records. A slot whose record can't be replaced yet is skipped.
  *
  * <p>Each transaction is conditional on the mod revision of the leader key, so that writes of a
- * deposed leader fail, and on that of every key it replaces. An unanswered transaction may be
- * executed late: its contents are written again under higher sequence numbers, and readers take the
- * highest.
+ * deposed leader fail, and on the mod revision of every key that it replaces. A transaction that
+ * was not answered may be executed late. Its contents are therefore written again under higher
+ * sequence numbers, and readers use the status with the highest sequence number.
  *
- * <p>Of a cancelled job only the ends of its placements still matter ({@link PlacementClearing}).
- * They are cleared in a record that goes out anyway, or in one of their own after {@link
- * PlacementClearing#MAX_WAIT_MS}, and never ahead of anything else. The job itself is kept here
- * until no record older than its latest statuses is left.
+ * <p>Once a job is cancelled, all that still matters of its progress is which of its placements
+ * have ended ({@link PlacementClearing}). Ended placements are cleared in a record that is written
+ * for other reasons, or in a separate one after {@link PlacementClearing#MAX_WAIT_MS}, and always
+ * after all other progress. The state of a cancelled job is kept until no record older than its
+ * latest statuses is left.
  */
 public final class ProgressWriter {
-  /** Snapshots of terminal jobs are removed with other changes, or after this time. */
+  /** How long the removal of a terminal job's snapshots waits for a flush for other reasons. */
   private static final long REMOVAL_WAIT_MS = 1_000;
 
   /** Receives the outcomes of writes. */
   public interface Listener {
-    /** The placements became durable: their launch commands may be sent. */
+    /** Called when the placements have become durable. Their launch commands may now be sent. */
     void placementsRecorded(List<Placement> placements);
 
-    /** The completion of the job became durable. */
+    /** Called when the completion of the job has become durable. */
     void completionRecorded(Job job);
 
-    /** Another controller leads, or nobody does. */
+    /** Called when this controller no longer leads: another one does, or none. */
     void deposed(String cause);
   }
 
   /**
    * The leader's access to the state service.
    *
-   * @param writes the budget of changes
-   * @param maxChanges the most changes that a transaction may hold
-   * @param maxValueBytes the largest value that the state service accepts
+   * @param writes the budget of changes: one token for each change
+   * @param maxChanges the most changes that a transaction may have
+   * @param maxValueBytes the size of the largest value that the state service accepts
    */
   public record StateAccess(
       StateStore store, Replica replica, TokenBucket writes, int maxChanges, int maxValueBytes) {}
@@ -67,7 +68,7 @@
   private final ProgressFlusher flusher;
 
   /**
-   * @param machineInfo what is recorded of a machine beside its placements
+   * @param machineInfo returns the description of a machine that is recorded with its placements
    */
   public ProgressWriter(
       Scheduler scheduler,
@@ -94,12 +95,12 @@
     flusher.flush();
   }
 
-  /** Nothing is written any more, and answers that are still outstanding are ignored. */
+  /** Stops writing. Answers that are still outstanding are ignored. */
   public void close() {
     timer.close();
   }
 
-  /** For the records of earlier leaders. */
+  /** Returns a loader for the records of earlier leaders. */
   ProgressLoader loader() {
     return new ProgressLoader(state);
   }
@@ -109,11 +110,11 @@
     return job.finished() || state.durable().isCompleted(job, task);
   }
 
-  /** The task's progress changed, or the job may be complete. */
+  /** Called when the progress of the task has changed, or when the job may have become complete. */
   public void taskChanged(Job job, int task) {
-    // A job is not complete before its dependencies are, as it might still be aborted with them.
-    // And as long as an attempt of a completed task may still run, it is recorded, since it takes
-    // resources.
+    // A job is not complete before its dependencies are, since it might still be aborted with them.
+    // As long as an attempt of a completed task may still run, its placement stays recorded, since
+    // it uses resources.
     if (job.allTasksCompleted()
         && job.activePlacements().isEmpty()
         && !job.cancelled()
@@ -126,16 +127,18 @@
   }
 
   /**
-   * Placements of a cancelled job may have ended: those that are recorded are to be cleared. To be
-   * called only once it is proven that they ended.
+   * Called when placements of a cancelled job may have ended. Recorded placements that are no
+   * longer active will be cleared, so a placement may be removed from the job only after it is
+   * proven that it ended.
    */
   public void cancelledPlacementsEnded(Job job) {
     clearing.placementsEnded(job);
   }
 
   /**
-   * The job is terminal and none of its tasks is on a machine. Nobody reads the progress of a
-   * finished job; of a cancelled one only what would otherwise be read is still written.
+   * Called when the job is terminal and none of its tasks is on a machine. The progress of a
+   * finished job is never read again. For a cancelled job, only the clearing of placements that
+   * would otherwise still be read is written.
    */
   public void jobTerminated(Job job) {
     state.pending().forgetChanges(job);
@@ -171,12 +174,19 @@
     listener.completionRecorded(job);
   }
 
-  /** Since when no write has been committed although some were sent, or -1 if none failed. */
+  /**
+   * Since when transactions have failed: the time of the first failure after the last committed
+   * one, in milliseconds of the scheduler's clock; empty if none has failed since. Conflicts and
+   * refusals for the rate of requests don't count as failures.
+   */
   public OptionalLong failingSinceMs() {
     return flusher.failingSinceMs();
   }
 
-  /** How many jobs have progress that is not written yet. */
+  /**
+   * The number of jobs with progress that is not written yet. A job with several kinds of progress
+   * counts once for each kind.
+   */
   public int backlog() {
     return state.pending().size();
   }
--- a/src/main/java/org/ploverspindle/progress/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/progress/RecordedProgress.java
@@ -19,8 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The progress that earlier leaders recorded, put together for a new one: each job's snapshots, and
- * over them the log records that no snapshot covers. Fills the writer's view of the records too.
+ * Reads the progress that earlier leaders recorded and merges it for a new leader: the snapshots of
+ * each job, and on top of them the log records that no snapshot covers. Also loads the writer's
+ * view of the records.
  */
 public final class RecordedProgress {
   private static final Logger LOG = LoggerFactory.getLogger(RecordedProgress.class);
@@ -30,7 +31,12 @@
   private final Map<String, List<ProgressLogRecord>> logByJob = new HashMap<>();
   private boolean logDamaged;
 
-  /** The latest recorded statuses of a job's tasks: those done, and the placements by task. */
+  /**
+   * The latest recorded statuses of a job's tasks.
+   *
+   * @param completed the tasks that have completed
+   * @param placements the recorded placements, by task
+   */
   public record RecordedStatuses(
       BitSet completed, Map<Integer, SnapshotRecord.RecordedPlacement> placements) {}
 
@@ -67,7 +73,10 @@
     return records;
   }
 
-  /** Whether a record of the log is unreadable: tasks may run that no readable record places. */
+  /**
+   * Whether a record of the log is unreadable. Tasks may then be running whose placement is in no
+   * readable record.
+   */
   public boolean logDamaged() {
     return logDamaged;
   }
@@ -77,7 +86,7 @@
     return logByJob.containsKey(uid) || !replica.withPrefix(Keys.snapshotsOf(uid)).isEmpty();
   }
 
-  /** The job's progress. Quarantines the job if a snapshot of it is unreadable. */
+  /** Returns the job's progress. Quarantines the job if one of its snapshots is unreadable. */
   public RecordedStatuses of(Job job) {
     RecordedStatuses state = new RecordedStatuses(new BitSet(), new TreeMap<>());
     long[] coveredUpTo = readSnapshots(job, state);
@@ -96,7 +105,12 @@
     return state;
   }
 
-  /** Adds what the job's snapshots hold; returns the last log record that each shard's covers. */
+  /**
+   * Adds the contents of the job's snapshots.
+   *
+   * @return for each shard the sequence number of the last log record that its snapshot covers; 0
+   *     if it covers none
+   */
   private long[] readSnapshots(Job job, RecordedStatuses state) {
     long[] coveredUpTo = new long[job.shardCount()];
     for (Entry entry : replica.withPrefix(Keys.snapshotsOf(job.uid())).values()) {
@@ -155,7 +169,7 @@
     return task < job.spec().tasks() && sequence > coveredUpTo[job.shardOf(task)];
   }
 
-  /** The index of the shard that the key of a snapshot names; empty if the job has no such one. */
+  /** Returns the shard's index in the key of a snapshot; empty if the job has no such shard. */
   private static OptionalInt shardIndex(String key, Job job) {
     try {
       int index = Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
--- a/src/main/java/org/ploverspindle/progress/ShardSnapshots.java
+++ b/src/main/java/org/ploverspindle/progress/ShardSnapshots.java
@@ -3,18 +3,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Which snapshots are stored, and which would be too large to be written. */
+/** Tracks which snapshots are stored, and which would be too large to be written. */
 final class ShardSnapshots {
-  /** The least that a placement takes in a snapshot. */
+  /** Lower bound for the size of a placement in a snapshot. */
   private static final int MIN_PLACEMENT_BYTES = 16;
 
-  /** A shard whose snapshot did not fit is not tried again within this time. */
+  /** How long no snapshot of a shard is tried after one did not fit. */
   private static final long RETRY_AFTER_MS = 1_000;
 
   private final Map<TaskShard, Long> modRevisions = new HashMap<>();
   private final Map<TaskShard, Long> tooLargeUntilMs = new HashMap<>();
 
-  /** The shard's snapshot is stored with this mod revision; 0: there is none. */
+  /** Sets the mod revision of the shard's snapshot; 0 if there is none. */
   void stored(TaskShard shard, long modRevision) {
     modRevisions.put(shard, modRevision);
   }
@@ -23,7 +23,7 @@
     modRevisions.remove(shard);
   }
 
-  /** The mod revision of the shard's snapshot; 0: there is none. */
+  /** The mod revision of the shard's snapshot; 0 if there is none. */
   long modRevision(TaskShard shard) {
     return modRevisions.getOrDefault(shard, 0L);
   }
@@ -32,12 +32,14 @@
     return modRevision(shard) != 0;
   }
 
-  /** The shard's snapshot did not fit into a value. */
+  /** Called when a snapshot of the shard did not fit into a value. */
   void markTooLarge(TaskShard shard, long nowMs) {
     tooLargeUntilMs.put(shard, nowMs + RETRY_AFTER_MS);
   }
 
-  /** No snapshot of the shard will be written any more. */
+  /**
+   * Called when the shard's job is terminal, so that no snapshot of it will be written any more.
+   */
   void jobTerminated(TaskShard shard) {
     tooLargeUntilMs.remove(shard);
   }
--- a/src/main/java/org/ploverspindle/progress/TaskShard.java
+++ b/src/main/java/org/ploverspindle/progress/TaskShard.java
@@ -6,9 +6,9 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.state.Keys;
 
-/** Consecutive tasks of a job whose statuses are kept in one snapshot. */
+/** A run of consecutive tasks of a job whose statuses are stored in one snapshot. */
 record TaskShard(Job job, int index) {
-  /** The key of its snapshot. */
+  /** The key of the shard's snapshot in the state service. */
   String key() {
     return Keys.snapshot(job.uid(), index);
   }
@@ -17,12 +17,12 @@
     return index * job.shardSize();
   }
 
-  /** The task after its last one. */
+  /** The index after that of the shard's last task. */
   int endTask() {
     return Math.min(job.spec().tasks(), firstTask() + job.shardSize());
   }
 
-  /** The shards that these tasks of the job are in, each with those of the tasks in it. */
+  /** Splits the tasks of a job by the shards that they belong to. */
   static Map<TaskShard, BitSet> of(Job job, BitSet tasks) {
     Map<TaskShard, BitSet> shards = new LinkedHashMap<>();
     for (int task = tasks.nextSetBit(0); task >= 0; task = tasks.nextSetBit(task + 1)) {
--- a/src/main/java/org/ploverspindle/progress/TaskStatuses.java
+++ b/src/main/java/org/ploverspindle/progress/TaskStatuses.java
@@ -7,13 +7,14 @@
 import org.ploverspindle.cluster.Placement;
 
 /**
- * The statuses of some tasks of a job, as a transaction writes them.
+ * The statuses of some tasks of a job, as written by a transaction.
  *
- * @param completed those of the tasks that have completed
- * @param placements the placements of those of the tasks that are on machines
+ * @param tasks the tasks whose statuses these are
+ * @param completed the tasks among them that have completed
+ * @param placements the active placements of the tasks among them that are on machines
  */
 record TaskStatuses(Job job, BitSet tasks, BitSet completed, List<Placement> placements) {
-  /** The present statuses of these tasks. */
+  /** Returns the current statuses of these tasks. */
   static TaskStatuses of(Job job, BitSet tasks) {
     BitSet completed = job.completedTasks().toBitSet();
     completed.and(tasks);
--- a/src/main/java/org/ploverspindle/progress/TransactionBuilder.java
+++ b/src/main/java/org/ploverspindle/progress/TransactionBuilder.java
@@ -10,9 +10,9 @@
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 
-/** The conditions and changes of a transaction, with an estimate of its size. */
+/** Collects the conditions and changes of a transaction and estimates its size. */
 final class TransactionBuilder {
-  // What the parts of a transaction take beside their values, in bytes, by estimate.
+  // Estimated sizes in bytes of the parts of a transaction, without the values.
   private static final int FIXED_BYTES = 300;
   private static final int COMPLETION_BYTES = 250;
   private static final int CHANGE_BYTES = 150;
@@ -24,26 +24,37 @@
   private int largestValueBytes;
 
   /**
-   * @param leaderRevision the mod revision of the leader key that the transaction is bound to
+   * @param leaderRevision the mod revision that the leader key must have
    */
   TransactionBuilder(WriteLimits limits, long leaderRevision) {
     this.limits = limits;
     conditions.add(new Condition(Keys.LEADER, leaderRevision));
   }
 
-  /** Whether a change with a value of any size fits, within this number of changes. */
+  /**
+   * Whether a change with a value of any permitted size fits.
+   *
+   * @param maxChanges the most changes that the transaction may have
+   */
   boolean hasRoom(int maxChanges) {
     return hasRoomForRemoval(maxChanges) && (changes.isEmpty() || limits.roomForValue(bytes));
   }
 
-  /** Whether a change without a value fits, within this number of changes. */
+  /**
+   * Whether a change without a value fits.
+   *
+   * @param maxChanges the most changes that the transaction may have
+   */
   boolean hasRoomForRemoval(int maxChanges) {
     return changes.size() < maxChanges && limits.roomForConditions(conditions.size());
   }
 
-  /** Writes that the job is complete, unless it was cancelled or completed before. */
+  /**
+   * Records that the job is complete, on condition that neither its cancellation nor its completion
+   * is recorded yet.
+   */
   void putCompletion(Job job) {
-    // Cancelled and completed exclude each other: each is written only if the other is absent.
+    // A job can't be both cancelled and complete: each is recorded only if the other is absent.
     conditions.add(new Condition(Keys.cancellation(job.uid()), 0));
     conditions.add(new Condition(Keys.completion(job.uid()), 0));
     changes.add(
@@ -52,9 +63,9 @@
   }
 
   /**
-   * Writes a value.
+   * Writes a value to a key.
    *
-   * @param modRevision the expected mod revision of the key; 0: it does not exist
+   * @param modRevision the mod revision that the key must have; 0 if it must not exist
    * @param size the size of the value in bytes
    */
   void put(String key, long modRevision, JsonNode value, int size) {
@@ -64,7 +75,7 @@
     largestValueBytes = Math.max(largestValueBytes, size);
   }
 
-  /** Removes a key that has this mod revision. */
+  /** Removes a key, provided that it has this mod revision. */
   void remove(String key, long modRevision) {
     conditions.add(new Condition(key, modRevision));
     changes.add(new Change.Remove(key));
--- a/src/main/java/org/ploverspindle/progress/WriteBatch.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatch.java
@@ -11,7 +11,7 @@
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.StateStore;
 
-/** One transaction with the progress that it makes durable, kept until its outcome is known. */
+/** A transaction with the progress that it makes durable. Kept until its outcome is known. */
 final class WriteBatch {
   private static final BitSet NO_TASKS = new BitSet();
 
@@ -24,7 +24,7 @@
   private final Map<Long, Map<TaskShard, BitSet>> records = new LinkedHashMap<>();
 
   /**
-   * @param coveredUpTo the last log record before the batch's own
+   * @param coveredUpTo the sequence number of the last log record before those of the batch
    */
   WriteBatch(TransactionBuilder transaction, long coveredUpTo) {
     this.transaction = transaction;
@@ -39,7 +39,7 @@
   /**
    * Adds a log record.
    *
-   * @param modRevision of the key of its slot; 0: the slot is empty
+   * @param modRevision the mod revision of the key of the record's slot; 0 if the slot is empty
    */
   void addRecord(LogRecordBuilder record, long modRevision) {
     String key = Keys.progressLog(record.sequence());
@@ -51,7 +51,8 @@
   /**
    * Adds a snapshot of a shard.
    *
-   * @param modRevision of the shard's earlier snapshot; 0: there is none
+   * @param modRevision the mod revision of the snapshot that is replaced; 0 if there is none
+   * @param size the size of the value in bytes
    */
   void addSnapshot(
       TaskShard shard, TaskStatuses shardStatuses, long modRevision, JsonNode value, int size) {
@@ -65,7 +66,7 @@
     removedSnapshots.add(shard);
   }
 
-  /** Those of the shard's tasks whose status this batch does not hold yet. */
+  /** Returns those of the shard's tasks whose status this batch does not include yet. */
   BitSet notYetIncluded(TaskShard shard, BitSet tasks) {
     BitSet missing = (BitSet) tasks.clone();
     if (snapshots.contains(shard)) {
@@ -87,12 +88,12 @@
     return transaction.changes() == 0;
   }
 
-  /** The number of changes. */
+  /** The number of changes in the transaction. */
   int changes() {
     return transaction.changes();
   }
 
-  /** The estimated size of the transaction. */
+  /** The estimated size of the transaction in bytes. */
   int bytes() {
     return transaction.bytes();
   }
@@ -101,37 +102,40 @@
     return transaction.largestValueBytes();
   }
 
-  /** The last log record before the batch's own: its snapshots cover the log up to there. */
+  /**
+   * The sequence number of the last log record before those of the batch. The batch's snapshots
+   * cover the log up to that record.
+   */
   long coveredUpTo() {
     return coveredUpTo;
   }
 
-  /** The statuses in its log records and snapshots. */
+  /** The statuses in the batch's log records and snapshots. */
   List<TaskStatuses> statuses() {
     return Collections.unmodifiableList(statuses);
   }
 
-  /** Jobs whose completion it records. */
+  /** The jobs whose completion the batch records. */
   List<Job> completedJobs() {
     return Collections.unmodifiableList(completedJobs);
   }
 
-  /** Shards of which it holds a snapshot. */
+  /** The shards of which the batch writes a snapshot. */
   List<TaskShard> snapshots() {
     return Collections.unmodifiableList(snapshots);
   }
 
-  /** Shards whose snapshot it removes. */
+  /** The shards whose snapshot the batch removes. */
   List<TaskShard> removedSnapshots() {
     return Collections.unmodifiableList(removedSnapshots);
   }
 
-  /** The tasks in each of its log records, by sequence number and shard. */
+  /** The tasks in the batch's log records, by the record's sequence number and by shard. */
   Map<Long, Map<TaskShard, BitSet>> records() {
     return Collections.unmodifiableMap(records);
   }
 
-  /** For logs. */
+  /** The counts of the batch, as shown in log lines. */
   @Override
   public String toString() {
     return "changes="
--- a/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
@@ -3,7 +3,7 @@
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.model.Term;
 
-/** What a transaction is planned from. */
+/** The inputs from which a transaction is planned. */
 record WriteBatchContext(
     Scheduler scheduler,
     Term term,
--- a/src/main/java/org/ploverspindle/progress/WriteBatchPlanner.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatchPlanner.java
@@ -9,17 +9,21 @@
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.ProgressLogRecord;
 
-/** Plans one transaction; what goes into it is no longer pending. */
+/** Plans one transaction. Progress that is added to the transaction is no longer pending. */
 final class WriteBatchPlanner {
   /**
-   * Statuses that no snapshot covers are written again when their record's slot is due for reuse
+   * A status that no snapshot covers is written again when the slot of its record is due for reuse
    * within this many records.
    */
   private static final int REWRITE_AHEAD_RECORDS = ProgressLogRecord.SLOTS / 4;
 
+  /** The most log records that one call of {@link #addLogRecords} adds. */
   private static final int MAX_RECORDS = REWRITE_AHEAD_RECORDS / 2;
 
-  /** How many snapshots that are not urgent yet go along with the other changes. */
+  /**
+   * The most snapshots that are added to a transaction although the slots that they make reusable
+   * are not due for reuse yet.
+   */
   private static final int MAX_EARLY_SNAPSHOTS = 2;
 
   private final WriteBatchContext context;
@@ -31,8 +35,8 @@
   private long nextSequence;
 
   /**
-   * @param budget how many changes the transaction may hold
-   * @param recordIds makes the id of each log record that is tried
+   * @param budget the most changes that the transaction may have
+   * @param recordIds supplies a new id for each log record that is built
    */
   WriteBatchPlanner(WriteBatchContext context, int budget, Supplier<String> recordIds) {
     this.context = context;
@@ -45,13 +49,16 @@
   }
 
   /**
-   * Adds what is pending, the most important first.
+   * Adds pending progress, the most important first, and returns the transaction.
    *
    * @param completionsLeftOver whether the last transaction had no room for all completions
    * @param clearingIsDue whether a log record may be written for clearings alone
    */
   WriteBatch plan(boolean completionsLeftOver, boolean clearingIsDue) {
-    // Launches wait for the record of their placement; users may learn of a completion later.
+    // A launch waits until its placement is recorded, whereas a user may learn of a completion
+    // later. With a budget of one change, placements therefore come first, unless completions were
+    // left over from the last transaction. With a larger budget, completions come first and leave
+    // one change for the placements.
     boolean completionsFirst = !context.pending().hasChanges() || completionsLeftOver || budget > 1;
     if (completionsFirst) {
       addCompletions(Math.max(1, budget - 1));
@@ -82,8 +89,8 @@
   }
 
   /**
-   * Adds record after record while there is something to write. A slot that can't be reused yet is
-   * skipped.
+   * Adds log records while there is progress to write and room for it. A slot that can't be reused
+   * yet is skipped.
    *
    * @param forClearing whether a record may be written for clearings alone
    */
@@ -109,13 +116,18 @@
     }
   }
 
-  /** Appends what is pending; false if nothing is. */
+  /**
+   * Appends pending progress to the record, as far as it fits.
+   *
+   * @param forClearing whether the record may be written for clearings alone
+   * @return false if nothing is pending
+   */
   private boolean appendPending(LogRecordBuilder record, boolean forClearing) {
     boolean any =
         record.appendOversized(firstSequence - ProgressLogRecord.SLOTS + REWRITE_AHEAD_RECORDS);
     any |= record.append(context.pending().changes());
     if (any || forClearing) {
-      // Last, so that clearings take no room from launches that wait for their record.
+      // Clearings come last, so that they take no room from placements whose launches wait.
       any |= record.append(context.pending().clearings());
     }
     return any;
@@ -129,7 +141,13 @@
     nextSequence = record.sequence() + 1;
   }
 
-  /** Adds snapshots of the shards whose latest statuses are in log records up to this one. */
+  /**
+   * Adds snapshots of shards that have a task whose latest status is in a log record up to this
+   * one.
+   *
+   * @param lastSequence the sequence number of that record
+   * @param maxChanges the most changes that the transaction may then have
+   */
   private void addSnapshots(long lastSequence, int maxChanges) {
     for (Map<TaskShard, BitSet> shards : context.slots().latestStatusUpTo(lastSequence).values()) {
       for (TaskShard shard : shards.keySet()) {
@@ -151,7 +169,8 @@
     BitSet tasks = new BitSet();
     tasks.set(shard.firstTask(), shard.endTask());
     TaskStatuses statuses = TaskStatuses.of(shard.job(), tasks);
-    // It covers the log before this batch; the batch's own log records repeat the same statuses.
+    // The snapshot covers the log before this batch. Log records of the batch that have statuses of
+    // the same tasks repeat those in the snapshot.
     JsonNode value = context.encoder().snapshot(statuses, batch.coveredUpTo());
     int size = Cbor.jsonSize(value);
     if (size > context.limits().valueBytes()) {
@@ -166,7 +185,8 @@
     while (shards.hasNext() && transaction.hasRoomForRemoval(budget)) {
       TaskShard shard = shards.next();
       if (context.pending().isToBeCleared(shard.job())) {
-        // Without the snapshot older log records would place tasks that are proven gone.
+        // Once the snapshot is removed, readers use older log records, which may place tasks that
+        // are proven gone. The removal therefore waits until these placements are cleared.
         continue;
       }
       shards.remove();
--- a/src/main/java/org/ploverspindle/progress/WriteLimits.java
+++ b/src/main/java/org/ploverspindle/progress/WriteLimits.java
@@ -2,25 +2,32 @@
 
 import org.ploverspindle.state.ProgressLogRecord;
 
-/** How much may go into one transaction. The limits are lowered when a transaction is refused. */
+/** Limits on the size of a transaction. They are lowered when a transaction is refused. */
 final class WriteLimits {
   private static final int MAX_TXN_BYTES = 56 * 1024;
 
-  /** Also where the state service allows more: several records should fit into a transaction. */
+  /**
+   * The largest value that is written even if the state service accepts larger ones, so that
+   * several records fit into a transaction.
+   */
   private static final int MAX_VALUE_BYTES = 16 * 1024;
 
-  /** Lowest limit on values: a record of a single task still fits. */
+  /** The lowest limit on the size of a value. A log record with a single task still fits. */
   private static final int MIN_VALUE_BYTES = 512;
 
   /** How much larger a log record's value may be than the size that its builder counts. */
   private static final int RECORD_MARGIN_BYTES = 100;
 
-  /** Typical size of a task in a record; a record that gets too large holds fewer tasks. */
+  /** Typical size of a task in a log record. A record that gets too large holds fewer tasks. */
   private static final int TYPICAL_TASK_BYTES = 16;
 
-  /** The state service allows so many conditions for each change that it allows. */
+  /**
+   * The state service limits the conditions of a transaction to this multiple of the changes that
+   * it allows.
+   */
   private static final int CONDITIONS_PER_CHANGE = 4;
 
+  /** The most conditions that {@link TransactionBuilder} adds for one change. */
   private static final int MAX_CONDITIONS_OF_A_CHANGE = 2;
 
   private int changes;
@@ -44,25 +51,25 @@
     return valueBytes - RECORD_MARGIN_BYTES;
   }
 
-  /** How many tasks of a job are tried first to fit into a record. */
+  /** The number of tasks of a job that are first tried to be put into a log record. */
   int tasksInRecord() {
     return Math.max(
         ProgressLogRecord.Builder.tasksThatFit(valueBytes), valueBytes / TYPICAL_TASK_BYTES);
   }
 
-  /** Whether the conditions that a change may need fit beside this number of conditions. */
+  /** Whether a transaction with this many conditions has room for those of one more change. */
   boolean roomForConditions(int conditions) {
     return conditions + MAX_CONDITIONS_OF_A_CHANGE <= changes * CONDITIONS_PER_CHANGE;
   }
 
-  /** Whether a value of any size fits into a transaction that has this many bytes. */
+  /** Whether a transaction of this size has room for a value of any permitted size. */
   boolean roomForValue(int bytes) {
     return bytes < txnBytes - valueBytes;
   }
 
   /**
-   * A transaction of this size was refused. The limits are lowered below it and stay so for the
-   * term, since the state service does not announce when it accepts more again.
+   * Lowers the limits below a transaction of this size that was refused. They are not raised again
+   * during the term, since the state service does not announce when it accepts more.
    */
   void refused(int refusedChanges, int refusedBytes, int largestValueBytes) {
     changes = Math.max(1, Math.min(changes, refusedChanges) / 2);
--- a/src/main/java/org/ploverspindle/progress/WriteOutcome.java
+++ b/src/main/java/org/ploverspindle/progress/WriteOutcome.java
@@ -18,7 +18,7 @@
   private final Consumer<Job> completionRecorded;
 
   /**
-   * @param completionRecorded called with each job whose completion is durable for the first time
+   * @param completionRecorded called once for each job, when its completion is known to be durable
    */
   WriteOutcome(
       Scheduler scheduler,
@@ -33,7 +33,7 @@
     this.completionRecorded = completionRecorded;
   }
 
-  /** The transaction was committed at this revision of the store. */
+  /** Called when the transaction was committed at this revision of the state service. */
   void committed(WriteBatch batch, long revision) {
     for (TaskShard shard : batch.snapshots()) {
       state.snapshots().stored(shard, revision);
@@ -62,7 +62,7 @@
     state.slots().recordStored(sequence, revision);
   }
 
-  /** The completion of the job is durable. */
+  /** Called when the completion of the job is durable. */
   void completed(Job job) {
     state.pending().completionRecorded(job);
     if (!job.finished()) {
@@ -70,7 +70,7 @@
     }
   }
 
-  /** The transaction may not have been committed: its contents are pending again. */
+  /** Makes the contents of a transaction that may not have been committed pending again. */
   void requeue(WriteBatch batch) {
     for (TaskStatuses statuses : batch.statuses()) {
       Job job = statuses.job();
--- a/src/main/java/org/ploverspindle/progress/WriteReadBack.java
+++ b/src/main/java/org/ploverspindle/progress/WriteReadBack.java
@@ -13,8 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads back what is stored after a transaction that was not answered, or that conflicted. The next
- * transaction then has the right conditions; whatever this one wrote is pending again in any case.
+ * Reads back what is stored after a transaction that was not answered or that conflicted, so that
+ * the next transaction has the right conditions. The contents of the transaction are pending again
+ * in any case.
  */
 final class WriteReadBack {
   private static final Logger LOG = LoggerFactory.getLogger(WriteReadBack.class);
@@ -46,7 +47,7 @@
     this.listener = listener;
   }
 
-  /** Reads back, and then schedules the next flush; no flush runs before. */
+  /** Reads back what is stored, and then schedules the next flush. No flush runs before that. */
   void start(WriteBatch batch, TransactionResult result) {
     timer.writeStarted();
     replica.readBarrier(
@@ -76,8 +77,8 @@
         outcome.completed(job);
       }
     }
-    // A record of this or an earlier unanswered transaction may have been stored late. The statuses
-    // in it are pending again anyway; what has to be known is that its slot is taken.
+    // A record of this or of an earlier unanswered transaction may have been stored late. Its
+    // statuses are pending again in any case, but the writer must know that its slot is taken.
     replica.withPrefix(Keys.PROGRESS_LOG).values().forEach(this::readRecord);
   }
 
@@ -93,7 +94,7 @@
     state.snapshots().stored(shard, modRevision);
   }
 
-  /** Takes over a log record that is not known to be stored yet. */
+  /** Registers a log record of which it was not known that it is stored. */
   private void readRecord(Entry entry) {
     Optional<ProgressLogRecord> record = ProgressLogRecord.decode(entry.value());
     if (record.isEmpty()) {
--- a/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
+++ b/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
@@ -15,7 +15,11 @@
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressLogRecord;
 
-/** Which record holds the latest status of each task, and which records the slots hold. */
+/**
+ * Guards against the loss of a task's latest status. A slot of the progress log may be reused only
+ * if no latest status is lost with its record, so the writer must know which record holds the
+ * latest status of each task, also when a record is stored late.
+ */
 class ProgressLogSlotsTest {
   private final ProgressLogSlots slots = new ProgressLogSlots();
   private final Job job =
@@ -47,7 +51,9 @@
     assertEquals(Set.of(9L), slots.latestStatusUpTo(100).keySet());
   }
 
-  /** An unanswered write is found late: the statuses in newer records remain the latest. */
+  /**
+   * A write that was not answered can be found after newer ones, whose statuses stay the latest.
+   */
   @Test
   void anOlderRecordThatIsFoundLateHoldsOnlyWhatNoNewerOneHas() {
     slots.statusRecorded(shard, tasks(1, 2), 9);
@@ -67,7 +73,9 @@
     assertEquals(Optional.empty(), slots.findJob("run-1"));
   }
 
-  /** No status that is still needed may be lost with the record that was in the slot. */
+  /**
+   * Guards against the loss of a status that is still needed with the record that was overwritten.
+   */
   @Test
   void anOverwrittenRecordReleasesOnlyJobsThatAreFullyStopped() {
     long later = 5 + ProgressLogRecord.SLOTS;
