--- a/src/main/java/org/ploverspindle/progress/DurableTasks.java
+++ b/src/main/java/org/ploverspindle/progress/DurableTasks.java
@@ -16,14 +16,14 @@
    * Tasks that their latest record places on a machine, or that a write without an answer may have
    * placed there.
    */
-  private final Map<Job, BitSet> placed = new HashMap<>();
+  private final Map<Job, BitSet> possiblyPlaced = new HashMap<>();
 
   void loadCompleted(Job job, BitSet tasks) {
     completed.put(job, (BitSet) tasks.clone());
   }
 
   void loadPlaced(Job job, BitSet tasks) {
-    placed.put(job, tasks);
+    possiblyPlaced.put(job, tasks);
   }
 
   boolean isCompleted(Job job, int task) {
@@ -35,24 +35,24 @@
    * Called before the statuses are sent. From then on they may be stored, whether or not the write
    * is answered.
    */
-  void sending(TaskStatuses statuses) {
+  void markPossiblyStored(TaskStatuses statuses) {
     if (!statuses.placements().isEmpty()) {
-      BitSet tasks = placed.computeIfAbsent(statuses.job(), j -> new BitSet());
+      BitSet tasks = possiblyPlaced.computeIfAbsent(statuses.job(), j -> new BitSet());
       statuses.placements().forEach(p -> tasks.set(p.task()));
     }
   }
 
   /** Called when the statuses are stored and are the latest ones of their tasks. */
-  void committed(TaskStatuses statuses) {
+  void markCommitted(TaskStatuses statuses) {
     if (!statuses.job().isTerminal()) {
       completed.computeIfAbsent(statuses.job(), j -> new BitSet()).or(statuses.completed());
     }
-    BitSet tasks = placed.get(statuses.job());
+    BitSet tasks = possiblyPlaced.get(statuses.job());
     if (tasks != null) {
       tasks.andNot(statuses.tasks());
       statuses.placements().forEach(p -> tasks.set(p.task()));
       if (tasks.isEmpty()) {
-        placed.remove(statuses.job());
+        possiblyPlaced.remove(statuses.job());
       }
     }
   }
@@ -61,22 +61,22 @@
    * Returns the tasks that a record may place on a machine although the job has no active placement
    * of them.
    */
-  BitSet placedInRecordsOnly(Job job) {
-    BitSet tasks = (BitSet) placed.getOrDefault(job, new BitSet()).clone();
+  BitSet tasksWithStalePlacement(Job job) {
+    BitSet tasks = (BitSet) possiblyPlaced.getOrDefault(job, new BitSet()).clone();
     job.activePlacements().forEach(p -> tasks.clear(p.task()));
     return tasks;
   }
 
-  void forgetCompleted(Job job) {
+  void removeCompleted(Job job) {
     completed.remove(job);
   }
 
-  void forgetPlaced(Job job) {
-    placed.remove(job);
+  void removePlaced(Job job) {
+    possiblyPlaced.remove(job);
   }
 
   /** Finds a job that has tasks which may be recorded as placed. */
   Optional<Job> findJob(String uid) {
-    return placed.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
+    return possiblyPlaced.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
   }
 }
--- a/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
+++ b/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
@@ -25,7 +25,7 @@
     this.sequence = sequence;
     this.batch = batch;
     this.context = context;
-    this.builder = new ProgressLogRecord.Builder(sequence, id, context.limits().recordBytes());
+    this.builder = new ProgressLogRecord.Builder(sequence, id, context.limits().maxRecordBytes());
   }
 
   long sequence() {
@@ -63,7 +63,7 @@
     for (Map.Entry<TaskShard, BitSet> entry : overwritten.entrySet()) {
       TaskShard shard = entry.getKey();
       Job job = shard.job();
-      if (job.isFullyStopped() && !isNeeded(shard, overwrittenSequence)) {
+      if (job.isFullyStopped() && !hidesOlderStatuses(shard, overwrittenSequence)) {
         continue;
       }
       BitSet missing = notYetIncluded(shard, entry.getValue());
@@ -79,7 +79,7 @@
    * the job. Readers would use these older statuses if the overwritten record were gone. Always
    * false for a quarantined job.
    */
-  private boolean isNeeded(TaskShard shard, long overwrittenSequence) {
+  private boolean hidesOlderStatuses(TaskShard shard, long overwrittenSequence) {
     return !shard.job().quarantined()
         && (context.snapshots().exists(shard)
             || context.slots().isMentionedBefore(shard.job().uid(), overwrittenSequence));
@@ -97,22 +97,22 @@
    *
    * @return false if there are no such tasks that the batch does not include yet
    */
-  boolean appendOversized(long lastSequence) {
-    boolean any = false;
+  boolean appendOversizedShards(long lastSequence) {
+    boolean foundMissing = false;
     for (Map<TaskShard, BitSet> shards : context.slots().latestStatusUpTo(lastSequence).values()) {
       for (Map.Entry<TaskShard, BitSet> entry : shards.entrySet()) {
         TaskShard shard = entry.getKey();
         Job job = shard.job();
         if (!job.quarantined() && !job.isFullyStopped() && context.isTooLarge(shard)) {
           BitSet missing = notYetIncluded(shard, entry.getValue());
-          any |= !missing.isEmpty();
+          foundMissing |= !missing.isEmpty();
           if (!appendTasks(job, missing)) {
             return true;
           }
         }
       }
     }
-    return any;
+    return foundMissing;
   }
 
   /**
@@ -120,20 +120,20 @@
    *
    * @return false if there are no tasks that this record does not include yet
    */
-  boolean append(Map<Job, BitSet> tasksByJob) {
-    boolean any = false;
+  boolean appendStatuses(Map<Job, BitSet> tasksByJob) {
+    boolean foundMissing = false;
     for (Map.Entry<Job, BitSet> entry : tasksByJob.entrySet()) {
       Job job = entry.getKey();
       BitSet missing = (BitSet) entry.getValue().clone();
-      for (TaskShard shard : TaskShard.of(job, missing).keySet()) {
+      for (TaskShard shard : TaskShard.splitByShard(job, missing).keySet()) {
         missing.andNot(includedTasks.getOrDefault(shard, NO_TASKS));
       }
-      any |= !missing.isEmpty();
+      foundMissing |= !missing.isEmpty();
       if (!appendTasks(job, missing)) {
         return true;
       }
     }
-    return any;
+    return foundMissing;
   }
 
   /**
@@ -143,17 +143,17 @@
    * @return whether all of them fit
    */
   private boolean appendTasks(Job job, BitSet missing) {
-    int count = context.limits().tasksInRecord();
+    int maxTasks = context.limits().initialTasksPerRecord();
     while (!missing.isEmpty()) {
-      BitSet tasks = firstOf(missing, count);
+      BitSet tasks = firstTasks(missing, maxTasks);
       TaskStatuses taskStatuses = TaskStatuses.of(job, tasks);
-      if (builder.add(context.encoder().delta(taskStatuses))) {
+      if (builder.add(context.encoder().encodeDelta(taskStatuses))) {
         missing.andNot(tasks);
         include(taskStatuses);
-      } else if (count == 1) {
+      } else if (maxTasks == 1) {
         return false;
       } else {
-        count = Math.max(1, Math.min(count, tasks.cardinality()) / 2);
+        maxTasks = Math.max(1, Math.min(maxTasks, tasks.cardinality()) / 2);
       }
     }
     return true;
@@ -161,11 +161,13 @@
 
   private void include(TaskStatuses taskStatuses) {
     statuses.add(taskStatuses);
-    TaskShard.of(taskStatuses.job(), taskStatuses.tasks())
-        .forEach((shard, some) -> includedTasks.computeIfAbsent(shard, s -> new BitSet()).or(some));
+    TaskShard.splitByShard(taskStatuses.job(), taskStatuses.tasks())
+        .forEach(
+            (shard, shardTasks) ->
+                includedTasks.computeIfAbsent(shard, s -> new BitSet()).or(shardTasks));
   }
 
-  private static BitSet firstOf(BitSet tasks, int maxCount) {
+  private static BitSet firstTasks(BitSet tasks, int maxCount) {
     BitSet first = new BitSet();
     int count = 0;
     for (int task = tasks.nextSetBit(0);
--- a/src/main/java/org/ploverspindle/progress/PendingProgress.java
+++ b/src/main/java/org/ploverspindle/progress/PendingProgress.java
@@ -14,7 +14,7 @@
   private final LinkedHashMap<Job, BitSet> changedTasks = new LinkedHashMap<>();
 
   /** Tasks of cancelled jobs that have ended and that a record may still place on a machine. */
-  private final LinkedHashMap<Job, BitSet> clearings = new LinkedHashMap<>();
+  private final LinkedHashMap<Job, BitSet> placementsToClear = new LinkedHashMap<>();
 
   /** Jobs whose tasks have all completed and whose completion is not recorded yet, by uid. */
   private final LinkedHashMap<String, Job> completions = new LinkedHashMap<>();
@@ -30,34 +30,34 @@
     changedTasks.computeIfAbsent(job, j -> new BitSet()).or(tasks);
   }
 
-  void markForClearing(Job job, BitSet tasks) {
-    clearings.computeIfAbsent(job, j -> new BitSet()).or(tasks);
+  void markPlacementsToClear(Job job, BitSet tasks) {
+    placementsToClear.computeIfAbsent(job, j -> new BitSet()).or(tasks);
   }
 
   void markCompleted(Job job) {
     completions.putIfAbsent(job.uid(), job);
   }
 
-  void completionRecorded(Job job) {
+  void removeCompletion(Job job) {
     completions.remove(job.uid());
   }
 
-  void markRemovable(TaskShard shard) {
+  void markSnapshotRemovable(TaskShard shard) {
     snapshotRemovals.add(shard);
   }
 
-  void forgetChanges(Job job) {
+  void removeChangedTasks(Job job) {
     changedTasks.remove(job);
   }
 
-  void forgetClearing(Job job) {
-    clearings.remove(job);
+  void removePlacementsToClear(Job job) {
+    placementsToClear.remove(job);
   }
 
   /** Removes tasks whose current status is in a log record that is about to be sent. */
-  void included(Job job, BitSet tasks) {
+  void removeIncluded(Job job, BitSet tasks) {
     remove(changedTasks, job, tasks);
-    remove(clearings, job, tasks);
+    remove(placementsToClear, job, tasks);
   }
 
   private static void remove(Map<Job, BitSet> tasksByJob, Job job, BitSet tasks) {
@@ -74,7 +74,7 @@
    * Returns the changed tasks by job. Drops those of quarantined and finished jobs, whose progress
    * is no longer written.
    */
-  Map<Job, BitSet> changes() {
+  Map<Job, BitSet> changedTasks() {
     changedTasks
         .entrySet()
         .removeIf(e -> e.getKey().quarantined() || e.getKey().finished() || e.getValue().isEmpty());
@@ -82,8 +82,8 @@
   }
 
   /** Returns the tasks whose recorded placement is to be cleared, by job. */
-  Map<Job, BitSet> clearings() {
-    return Collections.unmodifiableMap(clearings);
+  Map<Job, BitSet> placementsToClear() {
+    return Collections.unmodifiableMap(placementsToClear);
   }
 
   /**
@@ -103,11 +103,11 @@
   }
 
   /** Drops the pending removals of snapshots that don't exist. */
-  void retainExisting(ShardSnapshots snapshots) {
+  void dropRemovalsOfMissingSnapshots(ShardSnapshots snapshots) {
     snapshotRemovals.removeIf(shard -> !snapshots.exists(shard));
   }
 
-  boolean hasChanges() {
+  boolean hasChangedTasks() {
     return !changedTasks.isEmpty();
   }
 
@@ -119,12 +119,12 @@
     return !snapshotRemovals.isEmpty();
   }
 
-  boolean hasClearings() {
-    return !clearings.isEmpty();
+  boolean hasPlacementsToClear() {
+    return !placementsToClear.isEmpty();
   }
 
-  boolean isToBeCleared(Job job) {
-    return clearings.containsKey(job);
+  boolean hasPlacementsToClear(Job job) {
+    return placementsToClear.containsKey(job);
   }
 
   /** Finds a job that has changed tasks. */
@@ -132,7 +132,7 @@
     return changedTasks.keySet().stream().filter(job -> job.uid().equals(uid)).findFirst();
   }
 
-  int jobsWithChanges() {
+  int jobsWithChangedTasks() {
     return changedTasks.size();
   }
 
@@ -141,6 +141,6 @@
    * jobs with placements to clear.
    */
   int size() {
-    return changedTasks.size() + completions.size() + clearings.size();
+    return changedTasks.size() + completions.size() + placementsToClear.size();
   }
 }
--- a/src/main/java/org/ploverspindle/progress/PlacementClearing.java
+++ b/src/main/java/org/ploverspindle/progress/PlacementClearing.java
@@ -19,7 +19,7 @@
   private final FlushTimer timer;
 
   /** Cancelled jobs whose placements may have ended since they were last examined. */
-  private final LinkedHashSet<Job> toExamine = new LinkedHashSet<>();
+  private final LinkedHashSet<Job> jobsToExamine = new LinkedHashSet<>();
 
   /** When a record may be written for clearings alone. Only meaningful while some are pending. */
   private long dueMs;
@@ -40,7 +40,7 @@
     if (!isPending()) {
       dueMs = scheduler.nowMs() + MAX_WAIT_MS;
     }
-    toExamine.add(job);
+    jobsToExamine.add(job);
     scheduleFlush();
   }
 
@@ -55,7 +55,7 @@
   }
 
   private boolean isPending() {
-    return state.pending().hasClearings() || !toExamine.isEmpty();
+    return state.pending().hasPlacementsToClear() || !jobsToExamine.isEmpty();
   }
 
   /** Whether a record may be written for clearings alone. */
@@ -67,24 +67,24 @@
    * Adds the tasks whose recorded placement has ended to the pending progress. This is done once
    * per flush and not for each ended placement, since the placements of a large job end one by one.
    */
-  void examine() {
-    for (Job job : toExamine) {
-      BitSet ended = state.durable().placedInRecordsOnly(job);
+  void collectEndedPlacements() {
+    for (Job job : jobsToExamine) {
+      BitSet ended = state.durableTasks().tasksWithStalePlacement(job);
       if (job.isFullyStopped()) {
-        ended.or(uncoveredBySnapshotRemoval(job));
+        ended.or(tasksExposedBySnapshotRemoval(job));
       }
       if (!ended.isEmpty()) {
-        state.pending().markForClearing(job, ended);
+        state.pending().markPlacementsToClear(job, ended);
       }
     }
-    toExamine.clear();
+    jobsToExamine.clear();
   }
 
   /**
    * Returns the tasks that must be cleared before the job's snapshots are removed. A snapshot hides
    * older log records of its shard; readers would use these again once the snapshot is removed.
    */
-  private BitSet uncoveredBySnapshotRemoval(Job job) {
+  private BitSet tasksExposedBySnapshotRemoval(Job job) {
     BitSet tasks = new BitSet();
     if (state.slots().isMentioned(job.uid())) {
       for (int index = 0; index < job.shardCount(); index++) {
@@ -98,8 +98,8 @@
   }
 
   /** Called when no recorded placement of the job needs to be cleared any more. */
-  void forget(Job job) {
-    toExamine.remove(job);
-    state.pending().forgetClearing(job);
+  void removeJob(Job job) {
+    jobsToExamine.remove(job);
+    state.pending().removePlacementsToClear(job);
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
@@ -22,7 +22,7 @@
    * Encodes statuses for a log record. Tasks that are neither completed nor on a machine are
    * encoded as cleared.
    */
-  ProgressLogRecord.Delta delta(TaskStatuses statuses) {
+  ProgressLogRecord.Delta encodeDelta(TaskStatuses statuses) {
     BitSet cleared = (BitSet) statuses.tasks().clone();
     cleared.andNot(statuses.completed());
     statuses.placements().forEach(placement -> cleared.clear(placement.task()));
@@ -33,7 +33,7 @@
         job.activePlacements().size(),
         statuses.completed(),
         cleared,
-        recorded(statuses.placements()));
+        toRecorded(statuses.placements()));
   }
 
   /**
@@ -41,18 +41,18 @@
    *
    * @param coveredUpTo the sequence number of the last log record that the snapshot covers
    */
-  JsonNode snapshot(TaskStatuses statuses, long coveredUpTo) {
-    List<SnapshotRecord.RecordedPlacement> placements = recorded(statuses.placements());
+  JsonNode encodeSnapshot(TaskStatuses statuses, long coveredUpTo) {
+    List<SnapshotRecord.RecordedPlacement> placements = toRecorded(statuses.placements());
     Job job = statuses.job();
     return new SnapshotRecord(statuses.completed(), placements, placements.size(), coveredUpTo)
         .encode(job.completedTasks().size(), job.activePlacements().size());
   }
 
-  private List<SnapshotRecord.RecordedPlacement> recorded(List<Placement> placements) {
-    return placements.stream().map(this::recorded).toList();
+  private List<SnapshotRecord.RecordedPlacement> toRecorded(List<Placement> placements) {
+    return placements.stream().map(this::toRecorded).toList();
   }
 
-  private SnapshotRecord.RecordedPlacement recorded(Placement placement) {
+  private SnapshotRecord.RecordedPlacement toRecorded(Placement placement) {
     return new SnapshotRecord.RecordedPlacement(
         placement.task(),
         placement.attempt(),
--- a/src/main/java/org/ploverspindle/progress/ProgressFlusher.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressFlusher.java
@@ -13,26 +13,26 @@
   private static final Logger LOG = LoggerFactory.getLogger(ProgressFlusher.class);
 
   /** How long changes are collected before they are sent in one transaction. */
-  static final long GATHER_MS = 8;
+  static final long BATCHING_DELAY_MS = 8;
 
   /** Delay before the next try when the budget of changes is used up. */
-  private static final long NO_BUDGET_MS = 40;
+  private static final long NO_BUDGET_RETRY_MS = 40;
 
   /** Delay before the next try when nothing that is pending could be added to a transaction. */
-  private static final long NO_ROOM_MS = 100;
+  private static final long EMPTY_BATCH_RETRY_MS = 100;
 
   private static final long MIN_BACKOFF_MS = 60;
   private static final long MAX_BACKOFF_MS = 1_000;
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
   /** Status with which the state service refuses a transaction that is malformed or too large. */
-  private static final int BEYOND_LIMITS = 400;
+  private static final int BAD_REQUEST = 400;
 
   private static final int TOO_MANY_REQUESTS = 429;
 
   private final WriteBatchContext context;
   private final StateStore store;
-  private final TokenBucket writes;
+  private final TokenBucket changeBudget;
   private final FlushTimer timer;
   private final PlacementClearing clearing;
   private final WriteOutcome outcome;
@@ -42,7 +42,7 @@
    * The number of log records that were built in this term, including those that were never sent.
    * It is part of each record's id and makes the ids unique.
    */
-  private long recordsTried;
+  private long builtRecords;
 
   /** Whether the last transaction had no room for some of the pending completions. */
   private boolean completionsLeftOver;
@@ -51,19 +51,19 @@
   private OptionalLong failingSinceMs = OptionalLong.empty();
 
   /**
-   * @param writes the budget of changes: one token for each change
+   * @param changeBudget the budget of changes: one token for each change
    */
   ProgressFlusher(
       WriteBatchContext context,
       StateStore store,
-      TokenBucket writes,
+      TokenBucket changeBudget,
       FlushTimer timer,
       PlacementClearing clearing,
       WriteOutcome outcome,
       WriteReadBack readBack) {
     this.context = context;
     this.store = store;
-    this.writes = writes;
+    this.changeBudget = changeBudget;
     this.timer = timer;
     this.clearing = clearing;
     this.outcome = outcome;
@@ -82,25 +82,26 @@
   /** Sends one transaction with as much of the pending progress as the limits allow. */
   void flush() {
     PendingProgress pending = context.pending();
-    boolean othersWait =
-        pending.hasChanges() || pending.hasCompletions() || pending.hasSnapshotRemovals();
-    if (!othersWait && !clearing.isDue()) {
+    boolean hasOtherProgress =
+        pending.hasChangedTasks() || pending.hasCompletions() || pending.hasSnapshotRemovals();
+    if (!hasOtherProgress && !clearing.isDue()) {
       clearing.scheduleFlush();
       return;
     }
-    clearing.examine();
-    boolean clearingIsDue = pending.hasClearings() && clearing.isDue();
-    if (!othersWait && !clearingIsDue) {
+    clearing.collectEndedPlacements();
+    boolean clearingIsDue = pending.hasPlacementsToClear() && clearing.isDue();
+    if (!hasOtherProgress && !clearingIsDue) {
       return;
     }
-    int budget = (int) Math.min(context.limits().changes(), Math.floor(writes.available()));
+    int budget =
+        (int) Math.min(context.limits().maxChanges(), Math.floor(changeBudget.available()));
     if (budget < 1) {
-      timer.flushWithin(NO_BUDGET_MS);
+      timer.flushWithin(NO_BUDGET_RETRY_MS);
       return;
     }
     WriteBatch batch = plan(budget, clearingIsDue);
     if (batch.isEmpty()) {
-      timer.flushWithin(NO_ROOM_MS);
+      timer.flushWithin(EMPTY_BATCH_RETRY_MS);
       return;
     }
     send(batch);
@@ -118,7 +119,7 @@
   }
 
   private String nextRecordId() {
-    return context.term().fencingToken() + "." + ++recordsTried;
+    return context.term().fencingToken() + "." + ++builtRecords;
   }
 
   private void send(WriteBatch batch) {
@@ -131,20 +132,21 @@
                 shards
                     .keySet()
                     .forEach(shard -> context.slots().addMention(shard.job().uid(), sequence)));
-    batch.statuses().forEach(context.state().durable()::sending);
+    batch.statuses().forEach(context.state().durableTasks()::markPossiblyStored);
     timer.writeStarted();
-    writes.take(batch.changes());
+    changeBudget.take(batch.changeCount());
     long sentMs = scheduler.nowMs();
-    LOG.debug("progress write sent: {} jobs_left={}", batch, context.pending().jobsWithChanges());
+    LOG.debug(
+        "progress write sent: {} jobs_left={}", batch, context.pending().jobsWithChangedTasks());
     store.commit(
         batch.transaction(),
         result -> {
           LOG.debug("progress write answered: duration_ms={}", scheduler.nowMs() - sentMs);
-          answered(batch, result);
+          handleResult(batch, result);
         });
   }
 
-  private void answered(WriteBatch batch, TransactionResult result) {
+  private void handleResult(WriteBatch batch, TransactionResult result) {
     timer.writeEnded();
     if (timer.isClosed()) {
       return;
@@ -153,7 +155,7 @@
       consecutiveFailures = 0;
       failingSinceMs = OptionalLong.empty();
       outcome.committed(batch, committed.revision());
-      timer.flushWithin(GATHER_MS);
+      timer.flushWithin(BATCHING_DELAY_MS);
       return;
     }
     consecutiveFailures++;
@@ -162,7 +164,7 @@
       failingSinceMs = OptionalLong.of(context.scheduler().nowMs());
     }
     if (result instanceof TransactionResult.Refused refused) {
-      refused(batch, refused.status());
+      handleRefusal(batch, refused.status());
       return;
     }
     if (result instanceof TransactionResult.Unknown) {
@@ -184,14 +186,14 @@
     return !rateLimited && !(result instanceof TransactionResult.Conflict);
   }
 
-  private void refused(WriteBatch batch, int status) {
-    if (status == BEYOND_LIMITS) {
+  private void handleRefusal(WriteBatch batch, int status) {
+    if (status == BAD_REQUEST) {
       LOG.error(
           "progress write refused as too large, the next ones are smaller: {}"
               + " largest_value_bytes={}",
           batch,
           batch.largestValueBytes());
-      context.limits().refused(batch.changes(), batch.bytes(), batch.largestValueBytes());
+      context.limits().lowerBelow(batch.changeCount(), batch.bytes(), batch.largestValueBytes());
     }
     int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures);
     timer.flushWithin(Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << doublings));
--- a/src/main/java/org/ploverspindle/progress/ProgressLoader.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressLoader.java
@@ -15,23 +15,23 @@
 
   /** Registers a record of the log that was found in its slot. */
   void loadRecord(Entry entry, long sequence) {
-    state.slots().recordStored(sequence, entry.modRevision());
+    state.slots().markStored(sequence, entry.modRevision());
   }
 
   /** Registers that the record under this key of the log is unreadable. */
-  void loadUnreadable(String key) {
+  void loadUnreadableRecord(String key) {
     state.slots().markUnreadable(key);
   }
 
   /** Registers a snapshot of the shard with this index. */
   void loadSnapshot(Job job, int index, long modRevision) {
-    state.snapshots().stored(new TaskShard(job, index), modRevision);
+    state.snapshots().setModRevision(new TaskShard(job, index), modRevision);
   }
 
   /** Registers that the log record has statuses of these tasks that no snapshot covers. */
-  void loadUncovered(Job job, BitSet tasks, long sequence) {
-    TaskShard.of(job, tasks)
-        .forEach((shard, some) -> state.slots().statusRecorded(shard, some, sequence));
+  void loadUncoveredStatuses(Job job, BitSet tasks, long sequence) {
+    TaskShard.splitByShard(job, tasks)
+        .forEach((shard, shardTasks) -> state.slots().statusRecorded(shard, shardTasks, sequence));
   }
 
   /** Registers that the log record has statuses of the job, whether or not snapshots cover them. */
@@ -40,13 +40,13 @@
   }
 
   void loadCompleted(Job job, BitSet tasks) {
-    state.durable().loadCompleted(job, tasks);
+    state.durableTasks().loadCompleted(job, tasks);
   }
 
   /** Registers the tasks that are on machines according to the records. */
   void loadPlaced(Job job, Set<Integer> tasks) {
     BitSet placed = new BitSet();
     tasks.forEach(placed::set);
-    state.durable().loadPlaced(job, placed);
+    state.durableTasks().loadPlaced(job, placed);
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
@@ -22,10 +22,12 @@
  */
 final class ProgressLogSlots {
   /** The tasks whose latest status is in a record, by the record's sequence number and by shard. */
-  private final TreeMap<Long, Map<TaskShard, BitSet>> latestStatus = new TreeMap<>();
+  private final TreeMap<Long, Map<TaskShard, BitSet>> latestStatusByRecord = new TreeMap<>();
 
-  /** The sequence numbers under which {@link #latestStatus} has tasks of a shard, by shard. */
-  private final Map<TaskShard, TreeSet<Long>> recordsByShard = new HashMap<>();
+  /**
+   * The sequence numbers under which {@link #latestStatusByRecord} has tasks of a shard, by shard.
+   */
+  private final Map<TaskShard, TreeSet<Long>> sequencesByShard = new HashMap<>();
 
   /**
    * The uids of the jobs that a record has statuses of, by the record's sequence number. Includes
@@ -60,7 +62,7 @@
   }
 
   /** Called when the record is stored in its slot and the slot's key has this mod revision. */
-  void recordStored(long sequence, long modRevision) {
+  void markStored(long sequence, long modRevision) {
     modRevisions[ProgressLogRecord.slot(sequence)] = modRevision;
     storedSequences[ProgressLogRecord.slot(sequence)] = sequence;
     reserve(sequence);
@@ -80,12 +82,12 @@
   }
 
   /** The mod revision of the key of this record's slot; 0 if the slot has no readable record. */
-  long modRevisionAt(long sequence) {
+  long slotModRevision(long sequence) {
     return modRevisions[ProgressLogRecord.slot(sequence)];
   }
 
   /** The sequence number of the record that is now in this record's slot; 0 if none is readable. */
-  long storedSequenceAt(long sequence) {
+  long slotSequence(long sequence) {
     return storedSequences[ProgressLogRecord.slot(sequence)];
   }
 
@@ -94,34 +96,34 @@
    * snapshots may cover the statuses.
    */
   void addMention(String uid, long sequence) {
-    jobsByRecord.computeIfAbsent(sequence, x -> new HashSet<>()).add(uid);
+    jobsByRecord.computeIfAbsent(sequence, key -> new HashSet<>()).add(uid);
   }
 
   /** Whether any record has statuses of the job. */
   boolean isMentioned(String uid) {
-    return jobsByRecord.values().stream().anyMatch(m -> m.contains(uid));
+    return jobsByRecord.values().stream().anyMatch(uids -> uids.contains(uid));
   }
 
   /** Whether a record older than this one has statuses of the job. */
   boolean isMentionedBefore(String uid, long sequence) {
-    return jobsByRecord.headMap(sequence).values().stream().anyMatch(m -> m.contains(uid));
+    return jobsByRecord.headMap(sequence).values().stream().anyMatch(uids -> uids.contains(uid));
   }
 
   /** Returns the tasks whose latest status is in this record, by shard. */
   Map<TaskShard, BitSet> latestStatusIn(long sequence) {
-    return Collections.unmodifiableMap(latestStatus.getOrDefault(sequence, Map.of()));
+    return Collections.unmodifiableMap(latestStatusByRecord.getOrDefault(sequence, Map.of()));
   }
 
   /**
    * Returns the tasks whose latest status is in a record up to this one, by record and by shard.
    */
   SortedMap<Long, Map<TaskShard, BitSet>> latestStatusUpTo(long sequence) {
-    return Collections.unmodifiableSortedMap(latestStatus.headMap(sequence, true));
+    return Collections.unmodifiableSortedMap(latestStatusByRecord.headMap(sequence, true));
   }
 
   /** Finds a job that has a task whose latest status is in the log. */
   Optional<Job> findJob(String uid) {
-    return recordsByShard.keySet().stream()
+    return sequencesByShard.keySet().stream()
         .map(TaskShard::job)
         .filter(j -> j.uid().equals(uid))
         .findFirst();
@@ -133,8 +135,8 @@
    */
   void statusRecorded(TaskShard shard, BitSet tasks, long sequence) {
     BitSet newest = (BitSet) tasks.clone();
-    for (Long otherSequence : List.copyOf(recordsByShard.getOrDefault(shard, new TreeSet<>()))) {
-      BitSet otherTasks = latestStatus.get(otherSequence).get(shard);
+    for (Long otherSequence : List.copyOf(sequencesByShard.getOrDefault(shard, new TreeSet<>()))) {
+      BitSet otherTasks = latestStatusByRecord.get(otherSequence).get(shard);
       if (otherSequence > sequence) {
         newest.andNot(otherTasks);
       } else if (otherSequence < sequence) {
@@ -145,11 +147,11 @@
       }
     }
     if (!newest.isEmpty()) {
-      latestStatus
-          .computeIfAbsent(sequence, x -> new LinkedHashMap<>())
-          .computeIfAbsent(shard, x -> new BitSet())
+      latestStatusByRecord
+          .computeIfAbsent(sequence, key -> new LinkedHashMap<>())
+          .computeIfAbsent(shard, key -> new BitSet())
           .or(newest);
-      recordsByShard.computeIfAbsent(shard, x -> new TreeSet<>()).add(sequence);
+      sequencesByShard.computeIfAbsent(shard, key -> new TreeSet<>()).add(sequence);
     }
   }
 
@@ -157,21 +159,21 @@
   void releaseUpTo(TaskShard shard, long lastSequence) {
     for (Long sequence :
         List.copyOf(
-            recordsByShard.getOrDefault(shard, new TreeSet<>()).headSet(lastSequence, true))) {
+            sequencesByShard.getOrDefault(shard, new TreeSet<>()).headSet(lastSequence, true))) {
       release(shard, sequence);
     }
   }
 
   private void release(TaskShard shard, long sequence) {
-    Map<TaskShard, BitSet> shards = latestStatus.get(sequence);
+    Map<TaskShard, BitSet> shards = latestStatusByRecord.get(sequence);
     shards.remove(shard);
     if (shards.isEmpty()) {
-      latestStatus.remove(sequence);
+      latestStatusByRecord.remove(sequence);
     }
-    TreeSet<Long> records = recordsByShard.get(shard);
-    records.remove(sequence);
-    if (records.isEmpty()) {
-      recordsByShard.remove(shard);
+    TreeSet<Long> sequences = sequencesByShard.get(shard);
+    sequences.remove(sequence);
+    if (sequences.isEmpty()) {
+      sequencesByShard.remove(shard);
     }
   }
 
@@ -189,8 +191,8 @@
     long overwritten = storedSequences[slot];
     if (overwritten < sequence) {
       List.copyOf(latestStatusIn(overwritten).keySet()).stream()
-          .filter(c -> c.job().isFullyStopped())
-          .forEach(c -> release(c, overwritten));
+          .filter(shard -> shard.job().isFullyStopped())
+          .forEach(shard -> release(shard, overwritten));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressState.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressState.java
@@ -8,7 +8,7 @@
     PendingProgress pending,
     ProgressLogSlots slots,
     ShardSnapshots snapshots,
-    DurableTasks durable) {
+    DurableTasks durableTasks) {
 
   ProgressState() {
     this(new PendingProgress(), new ProgressLogSlots(), new ShardSnapshots(), new DurableTasks());
@@ -16,6 +16,6 @@
 
   /** Finds a job that has pending or recorded progress. */
   Optional<Job> findJob(String uid) {
-    return pending.findJob(uid).or(() -> slots.findJob(uid)).or(() -> durable.findJob(uid));
+    return pending.findJob(uid).or(() -> slots.findJob(uid)).or(() -> durableTasks.findJob(uid));
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressWriter.java
@@ -37,7 +37,7 @@
  */
 public final class ProgressWriter {
   /** How long the removal of a terminal job's snapshots waits for a flush for other reasons. */
-  private static final long REMOVAL_WAIT_MS = 1_000;
+  private static final long MAX_SNAPSHOT_REMOVAL_WAIT_MS = 1_000;
 
   /** Receives the outcomes of writes. */
   public interface Listener {
@@ -59,7 +59,11 @@
    * @param maxValueBytes the size of the largest value that the state service accepts
    */
   public record StateAccess(
-      StateStore store, Replica replica, TokenBucket writes, int maxChanges, int maxValueBytes) {}
+      StateStore store,
+      Replica replica,
+      TokenBucket changeBudget,
+      int maxChanges,
+      int maxValueBytes) {}
 
   private final Listener listener;
   private final ProgressState state = new ProgressState();
@@ -88,7 +92,7 @@
         new WriteBatchContext(scheduler, term, limits, new ProgressEncoder(machineInfo), state);
     flusher =
         new ProgressFlusher(
-            context, access.store(), access.writes(), timer, clearing, outcome, readBack);
+            context, access.store(), access.changeBudget(), timer, clearing, outcome, readBack);
   }
 
   private void flush() {
@@ -107,7 +111,7 @@
 
   /** Whether the completion of the task is known to be durable. */
   public boolean isDurablyCompleted(Job job, int task) {
-    return job.finished() || state.durable().isCompleted(job, task);
+    return job.finished() || state.durableTasks().isCompleted(job, task);
   }
 
   /** Called when the progress of the task has changed, or when the job may have become complete. */
@@ -123,7 +127,7 @@
     } else {
       state.pending().markChanged(job, task);
     }
-    timer.flushWithin(ProgressFlusher.GATHER_MS);
+    timer.flushWithin(ProgressFlusher.BATCHING_DELAY_MS);
   }
 
   /**
@@ -141,20 +145,20 @@
    * would otherwise still be read is written.
    */
   public void jobTerminated(Job job) {
-    state.pending().forgetChanges(job);
-    state.durable().forgetCompleted(job);
+    state.pending().removeChangedTasks(job);
+    state.durableTasks().removeCompleted(job);
     boolean recordsStillRead = job.isFullyStopped() && !job.quarantined();
     if (recordsStillRead) {
       clearing.placementsEnded(job);
     } else {
-      clearing.forget(job);
-      state.durable().forgetPlaced(job);
+      clearing.removeJob(job);
+      state.durableTasks().removePlaced(job);
     }
     for (int index = 0; index < job.shardCount(); index++) {
       releaseShard(new TaskShard(job, index), recordsStillRead);
     }
     if (state.pending().hasSnapshotRemovals()) {
-      timer.flushWithin(REMOVAL_WAIT_MS);
+      timer.flushWithin(MAX_SNAPSHOT_REMOVAL_WAIT_MS);
     }
   }
 
@@ -164,7 +168,7 @@
     }
     state.snapshots().jobTerminated(shard);
     if (state.snapshots().exists(shard)) {
-      state.pending().markRemovable(shard);
+      state.pending().markSnapshotRemovable(shard);
     }
   }
 
--- a/src/main/java/org/ploverspindle/progress/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/progress/RecordedProgress.java
@@ -28,7 +28,7 @@
 
   private final Replica replica;
   private final ProgressLoader loader;
-  private final Map<String, List<ProgressLogRecord>> logByJob = new HashMap<>();
+  private final Map<String, List<ProgressLogRecord>> recordsByJob = new HashMap<>();
   private boolean logDamaged;
 
   /**
@@ -50,7 +50,7 @@
       record.deltas().stream()
           .map(ProgressLogRecord.Delta::uid)
           .distinct()
-          .forEach(uid -> logByJob.computeIfAbsent(uid, u -> new ArrayList<>()).add(record));
+          .forEach(uid -> recordsByJob.computeIfAbsent(uid, u -> new ArrayList<>()).add(record));
     }
   }
 
@@ -66,7 +66,7 @@
             "progress log record unreadable, no task starts until all agent leases have expired:"
                 + " key={}",
             entry.key());
-        loader.loadUnreadable(entry.key());
+        loader.loadUnreadableRecord(entry.key());
         logDamaged = true;
       }
     }
@@ -83,26 +83,26 @@
 
   /** Whether any record has statuses of the job's tasks. */
   public boolean hasRecords(String uid) {
-    return logByJob.containsKey(uid) || !replica.withPrefix(Keys.snapshotsOf(uid)).isEmpty();
+    return recordsByJob.containsKey(uid) || !replica.withPrefix(Keys.snapshotsOf(uid)).isEmpty();
   }
 
   /** Returns the job's progress. Quarantines the job if one of its snapshots is unreadable. */
   public RecordedStatuses of(Job job) {
-    RecordedStatuses state = new RecordedStatuses(new BitSet(), new TreeMap<>());
-    long[] coveredUpTo = readSnapshots(job, state);
-    for (ProgressLogRecord record : logByJob.getOrDefault(job.uid(), List.of())) {
+    RecordedStatuses statuses = new RecordedStatuses(new BitSet(), new TreeMap<>());
+    long[] coveredUpTo = readSnapshots(job, statuses);
+    for (ProgressLogRecord record : recordsByJob.getOrDefault(job.uid(), List.of())) {
       for (ProgressLogRecord.Delta delta : record.deltas()) {
         if (delta.uid().equals(job.uid())) {
           loader.loadMention(job, record.sequence());
-          apply(job, record.sequence(), delta, coveredUpTo, state);
+          applyDelta(job, record.sequence(), delta, coveredUpTo, statuses);
         }
       }
     }
-    state.completed.clear(
-        job.spec().tasks(), Math.max(job.spec().tasks(), state.completed.length()));
-    loader.loadCompleted(job, state.completed);
-    loader.loadPlaced(job, state.placements.keySet());
-    return state;
+    statuses.completed.clear(
+        job.spec().tasks(), Math.max(job.spec().tasks(), statuses.completed.length()));
+    loader.loadCompleted(job, statuses.completed);
+    loader.loadPlaced(job, statuses.placements.keySet());
+    return statuses;
   }
 
   /**
@@ -111,7 +111,7 @@
    * @return for each shard the sequence number of the last log record that its snapshot covers; 0
    *     if it covers none
    */
-  private long[] readSnapshots(Job job, RecordedStatuses state) {
+  private long[] readSnapshots(Job job, RecordedStatuses statuses) {
     long[] coveredUpTo = new long[job.shardCount()];
     for (Entry entry : replica.withPrefix(Keys.snapshotsOf(job.uid())).values()) {
       Optional<SnapshotRecord> snapshot = SnapshotRecord.decode(entry.value());
@@ -126,42 +126,42 @@
       }
       loader.loadSnapshot(job, shard.getAsInt(), entry.modRevision());
       coveredUpTo[shard.getAsInt()] = snapshot.get().coveredUpTo();
-      state.completed.or(snapshot.get().completed());
-      snapshot.get().placements().forEach(p -> state.placements.put(p.task(), p));
+      statuses.completed.or(snapshot.get().completed());
+      snapshot.get().placements().forEach(p -> statuses.placements.put(p.task(), p));
     }
     return coveredUpTo;
   }
 
-  private void apply(
+  private void applyDelta(
       Job job,
       long sequence,
       ProgressLogRecord.Delta delta,
       long[] coveredUpTo,
-      RecordedStatuses state) {
+      RecordedStatuses statuses) {
     BitSet uncovered = new BitSet();
     delta.completed().stream()
         .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
         .forEach(
             task -> {
               uncovered.set(task);
-              state.completed.set(task);
-              state.placements.remove(task);
+              statuses.completed.set(task);
+              statuses.placements.remove(task);
             });
     delta.cleared().stream()
         .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
         .forEach(
             task -> {
               uncovered.set(task);
-              state.placements.remove(task);
+              statuses.placements.remove(task);
             });
     for (SnapshotRecord.RecordedPlacement placement : delta.placements()) {
       if (isUncovered(job, placement.task(), sequence, coveredUpTo)) {
         uncovered.set(placement.task());
-        state.placements.put(placement.task(), placement);
+        statuses.placements.put(placement.task(), placement);
       }
     }
     if (!job.quarantined()) {
-      loader.loadUncovered(job, uncovered, sequence);
+      loader.loadUncoveredStatuses(job, uncovered, sequence);
     }
   }
 
--- a/src/main/java/org/ploverspindle/progress/ShardSnapshots.java
+++ b/src/main/java/org/ploverspindle/progress/ShardSnapshots.java
@@ -9,17 +9,17 @@
   private static final int MIN_PLACEMENT_BYTES = 16;
 
   /** How long no snapshot of a shard is tried after one did not fit. */
-  private static final long RETRY_AFTER_MS = 1_000;
+  private static final long TOO_LARGE_RETRY_MS = 1_000;
 
   private final Map<TaskShard, Long> modRevisions = new HashMap<>();
   private final Map<TaskShard, Long> tooLargeUntilMs = new HashMap<>();
 
   /** Sets the mod revision of the shard's snapshot; 0 if there is none. */
-  void stored(TaskShard shard, long modRevision) {
+  void setModRevision(TaskShard shard, long modRevision) {
     modRevisions.put(shard, modRevision);
   }
 
-  void removed(TaskShard shard) {
+  void markRemoved(TaskShard shard) {
     modRevisions.remove(shard);
   }
 
@@ -34,7 +34,7 @@
 
   /** Called when a snapshot of the shard did not fit into a value. */
   void markTooLarge(TaskShard shard, long nowMs) {
-    tooLargeUntilMs.put(shard, nowMs + RETRY_AFTER_MS);
+    tooLargeUntilMs.put(shard, nowMs + TOO_LARGE_RETRY_MS);
   }
 
   /**
--- a/src/main/java/org/ploverspindle/progress/TaskShard.java
+++ b/src/main/java/org/ploverspindle/progress/TaskShard.java
@@ -9,7 +9,7 @@
 /** A run of consecutive tasks of a job whose statuses are stored in one snapshot. */
 record TaskShard(Job job, int index) {
   /** The key of the shard's snapshot in the state service. */
-  String key() {
+  String snapshotKey() {
     return Keys.snapshot(job.uid(), index);
   }
 
@@ -23,10 +23,12 @@
   }
 
   /** Splits the tasks of a job by the shards that they belong to. */
-  static Map<TaskShard, BitSet> of(Job job, BitSet tasks) {
+  static Map<TaskShard, BitSet> splitByShard(Job job, BitSet tasks) {
     Map<TaskShard, BitSet> shards = new LinkedHashMap<>();
     for (int task = tasks.nextSetBit(0); task >= 0; task = tasks.nextSetBit(task + 1)) {
-      shards.computeIfAbsent(new TaskShard(job, job.shardOf(task)), c -> new BitSet()).set(task);
+      shards
+          .computeIfAbsent(new TaskShard(job, job.shardOf(task)), shard -> new BitSet())
+          .set(task);
     }
     return shards;
   }
--- a/src/main/java/org/ploverspindle/progress/TransactionBuilder.java
+++ b/src/main/java/org/ploverspindle/progress/TransactionBuilder.java
@@ -36,8 +36,8 @@
    *
    * @param maxChanges the most changes that the transaction may have
    */
-  boolean hasRoom(int maxChanges) {
-    return hasRoomForRemoval(maxChanges) && (changes.isEmpty() || limits.roomForValue(bytes));
+  boolean hasRoomForPut(int maxChanges) {
+    return hasRoomForRemoval(maxChanges) && (changes.isEmpty() || limits.hasRoomForValue(bytes));
   }
 
   /**
@@ -46,7 +46,7 @@
    * @param maxChanges the most changes that the transaction may have
    */
   boolean hasRoomForRemoval(int maxChanges) {
-    return changes.size() < maxChanges && limits.roomForConditions(conditions.size());
+    return changes.size() < maxChanges && limits.hasRoomForConditions(conditions.size());
   }
 
   /**
@@ -86,7 +86,7 @@
     return new StateStore.Transaction(conditions, changes);
   }
 
-  int changes() {
+  int changeCount() {
     return changes.size();
   }
 
--- a/src/main/java/org/ploverspindle/progress/WriteBatch.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatch.java
@@ -56,13 +56,13 @@
    */
   void addSnapshot(
       TaskShard shard, TaskStatuses shardStatuses, long modRevision, JsonNode value, int size) {
-    transaction.put(shard.key(), modRevision, value, size);
+    transaction.put(shard.snapshotKey(), modRevision, value, size);
     statuses.add(shardStatuses);
     snapshots.add(shard);
   }
 
   void addSnapshotRemoval(TaskShard shard, long modRevision) {
-    transaction.remove(shard.key(), modRevision);
+    transaction.remove(shard.snapshotKey(), modRevision);
     removedSnapshots.add(shard);
   }
 
@@ -85,12 +85,12 @@
   }
 
   boolean isEmpty() {
-    return transaction.changes() == 0;
+    return transaction.changeCount() == 0;
   }
 
   /** The number of changes in the transaction. */
-  int changes() {
-    return transaction.changes();
+  int changeCount() {
+    return transaction.changeCount();
   }
 
   /** The estimated size of the transaction in bytes. */
@@ -139,7 +139,7 @@
   @Override
   public String toString() {
     return "changes="
-        + changes()
+        + changeCount()
         + " bytes="
         + bytes()
         + " log_records="
--- a/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
@@ -25,6 +25,6 @@
 
   /** Whether the shard's snapshot is known not to fit into a value. */
   boolean isTooLarge(TaskShard shard) {
-    return snapshots().isTooLarge(shard, limits.valueBytes(), scheduler.nowMs());
+    return snapshots().isTooLarge(shard, limits.maxValueBytes(), scheduler.nowMs());
   }
 }
--- a/src/main/java/org/ploverspindle/progress/WriteBatchPlanner.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatchPlanner.java
@@ -18,7 +18,7 @@
   private static final int REWRITE_AHEAD_RECORDS = ProgressLogRecord.SLOTS / 4;
 
   /** The most log records that one call of {@link #addLogRecords} adds. */
-  private static final int MAX_RECORDS = REWRITE_AHEAD_RECORDS / 2;
+  private static final int MAX_RECORDS_PER_PASS = REWRITE_AHEAD_RECORDS / 2;
 
   /**
    * The most snapshots that are added to a transaction although the slots that they make reusable
@@ -59,27 +59,28 @@
     // later. With a budget of one change, placements therefore come first, unless completions were
     // left over from the last transaction. With a larger budget, completions come first and leave
     // one change for the placements.
-    boolean completionsFirst = !context.pending().hasChanges() || completionsLeftOver || budget > 1;
+    boolean completionsFirst =
+        !context.pending().hasChangedTasks() || completionsLeftOver || budget > 1;
     if (completionsFirst) {
       addCompletions(Math.max(1, budget - 1));
     }
-    long reusedNow = firstSequence - ProgressLogRecord.SLOTS;
-    addSnapshots(reusedNow, budget);
+    long firstReplacedSequence = firstSequence - ProgressLogRecord.SLOTS;
+    addSnapshots(firstReplacedSequence, budget);
     addLogRecords(false);
     addCompletions(budget);
     if (clearingIsDue) {
       addLogRecords(true);
     }
     addSnapshots(
-        reusedNow + REWRITE_AHEAD_RECORDS,
-        Math.min(budget, transaction.changes() + MAX_EARLY_SNAPSHOTS));
+        firstReplacedSequence + REWRITE_AHEAD_RECORDS,
+        Math.min(budget, transaction.changeCount() + MAX_EARLY_SNAPSHOTS));
     addSnapshotRemovals();
     return batch;
   }
 
   private void addCompletions(int maxChanges) {
     Iterator<Job> jobs = context.pending().completions();
-    while (jobs.hasNext() && transaction.hasRoom(maxChanges)) {
+    while (jobs.hasNext() && transaction.hasRoomForPut(maxChanges)) {
       Job job = jobs.next();
       jobs.remove();
       if (!job.cancelled() && !job.finished()) {
@@ -96,23 +97,25 @@
    */
   private void addLogRecords(boolean forClearing) {
     ProgressLogSlots slots = context.slots();
-    long end = firstSequence + ProgressLogRecord.SLOTS;
-    int count = 0;
+    long endSequence = firstSequence + ProgressLogRecord.SLOTS;
+    int recordCount = 0;
     for (long sequence = nextSequence;
-        sequence < end && count < MAX_RECORDS && transaction.hasRoom(budget);
+        sequence < endSequence
+            && recordCount < MAX_RECORDS_PER_PASS
+            && transaction.hasRoomForPut(budget);
         sequence++) {
       if (slots.isUnreadable(sequence)) {
         continue;
       }
       LogRecordBuilder record = new LogRecordBuilder(sequence, recordIds.get(), batch, context);
-      if (!record.carryOver(slots.storedSequenceAt(sequence))) {
+      if (!record.carryOver(slots.slotSequence(sequence))) {
         continue;
       }
       if (!appendPending(record, forClearing) || record.includedTasks().isEmpty()) {
         return;
       }
       addLogRecord(record);
-      count++;
+      recordCount++;
     }
   }
 
@@ -123,20 +126,21 @@
    * @return false if nothing is pending
    */
   private boolean appendPending(LogRecordBuilder record, boolean forClearing) {
-    boolean any =
-        record.appendOversized(firstSequence - ProgressLogRecord.SLOTS + REWRITE_AHEAD_RECORDS);
-    any |= record.append(context.pending().changes());
-    if (any || forClearing) {
+    boolean foundPending =
+        record.appendOversizedShards(
+            firstSequence - ProgressLogRecord.SLOTS + REWRITE_AHEAD_RECORDS);
+    foundPending |= record.appendStatuses(context.pending().changedTasks());
+    if (foundPending || forClearing) {
       // Clearings come last, so that they take no room from placements whose launches wait.
-      any |= record.append(context.pending().clearings());
+      foundPending |= record.appendStatuses(context.pending().placementsToClear());
     }
-    return any;
+    return foundPending;
   }
 
   private void addLogRecord(LogRecordBuilder record) {
-    batch.addRecord(record, context.slots().modRevisionAt(record.sequence()));
+    batch.addRecord(record, context.slots().slotModRevision(record.sequence()));
     for (TaskStatuses statuses : record.statuses()) {
-      context.pending().included(statuses.job(), statuses.tasks());
+      context.pending().removeIncluded(statuses.job(), statuses.tasks());
     }
     nextSequence = record.sequence() + 1;
   }
@@ -151,7 +155,7 @@
   private void addSnapshots(long lastSequence, int maxChanges) {
     for (Map<TaskShard, BitSet> shards : context.slots().latestStatusUpTo(lastSequence).values()) {
       for (TaskShard shard : shards.keySet()) {
-        if (!transaction.hasRoom(maxChanges)) {
+        if (!transaction.hasRoomForPut(maxChanges)) {
           return;
         }
         if (needsSnapshot(shard) && !context.isTooLarge(shard)) {
@@ -171,9 +175,9 @@
     TaskStatuses statuses = TaskStatuses.of(shard.job(), tasks);
     // The snapshot covers the log before this batch. Log records of the batch that have statuses of
     // the same tasks repeat those in the snapshot.
-    JsonNode value = context.encoder().snapshot(statuses, batch.coveredUpTo());
+    JsonNode value = context.encoder().encodeSnapshot(statuses, batch.coveredUpTo());
     int size = Cbor.jsonSize(value);
-    if (size > context.limits().valueBytes()) {
+    if (size > context.limits().maxValueBytes()) {
       context.snapshots().markTooLarge(shard, context.scheduler().nowMs());
       return;
     }
@@ -184,7 +188,7 @@
     Iterator<TaskShard> shards = context.pending().snapshotRemovals();
     while (shards.hasNext() && transaction.hasRoomForRemoval(budget)) {
       TaskShard shard = shards.next();
-      if (context.pending().isToBeCleared(shard.job())) {
+      if (context.pending().hasPlacementsToClear(shard.job())) {
         // Once the snapshot is removed, readers use older log records, which may place tasks that
         // are proven gone. The removal therefore waits until these placements are cleared.
         continue;
--- a/src/main/java/org/ploverspindle/progress/WriteLimits.java
+++ b/src/main/java/org/ploverspindle/progress/WriteLimits.java
@@ -4,16 +4,16 @@
 
 /** Limits on the size of a transaction. They are lowered when a transaction is refused. */
 final class WriteLimits {
-  private static final int MAX_TXN_BYTES = 56 * 1024;
+  private static final int INITIAL_TRANSACTION_LIMIT_BYTES = 56 * 1024;
 
   /**
    * The largest value that is written even if the state service accepts larger ones, so that
    * several records fit into a transaction.
    */
-  private static final int MAX_VALUE_BYTES = 16 * 1024;
+  private static final int VALUE_LIMIT_CEILING_BYTES = 16 * 1024;
 
   /** The lowest limit on the size of a value. A log record with a single task still fits. */
-  private static final int MIN_VALUE_BYTES = 512;
+  private static final int VALUE_LIMIT_FLOOR_BYTES = 512;
 
   /** How much larger a log record's value may be than the size that its builder counts. */
   private static final int RECORD_MARGIN_BYTES = 100;
@@ -25,57 +25,60 @@
    * The state service limits the conditions of a transaction to this multiple of the changes that
    * it allows.
    */
-  private static final int CONDITIONS_PER_CHANGE = 4;
+  private static final int ALLOWED_CONDITIONS_PER_CHANGE = 4;
 
   /** The most conditions that {@link TransactionBuilder} adds for one change. */
-  private static final int MAX_CONDITIONS_OF_A_CHANGE = 2;
+  private static final int MAX_CONDITIONS_ADDED_PER_CHANGE = 2;
 
-  private int changes;
-  private int valueBytes;
-  private int txnBytes = MAX_TXN_BYTES;
+  private int maxChanges;
+  private int maxValueBytes;
+  private int maxTransactionBytes = INITIAL_TRANSACTION_LIMIT_BYTES;
 
-  WriteLimits(int changes, int valueBytes) {
-    this.changes = changes;
-    this.valueBytes = Math.min(valueBytes, MAX_VALUE_BYTES);
+  WriteLimits(int maxChanges, int maxValueBytes) {
+    this.maxChanges = maxChanges;
+    this.maxValueBytes = Math.min(maxValueBytes, VALUE_LIMIT_CEILING_BYTES);
   }
 
-  int changes() {
-    return changes;
+  int maxChanges() {
+    return maxChanges;
   }
 
-  int valueBytes() {
-    return valueBytes;
+  int maxValueBytes() {
+    return maxValueBytes;
   }
 
-  int recordBytes() {
-    return valueBytes - RECORD_MARGIN_BYTES;
+  int maxRecordBytes() {
+    return maxValueBytes - RECORD_MARGIN_BYTES;
   }
 
   /** The number of tasks of a job that are first tried to be put into a log record. */
-  int tasksInRecord() {
+  int initialTasksPerRecord() {
     return Math.max(
-        ProgressLogRecord.Builder.tasksThatFit(valueBytes), valueBytes / TYPICAL_TASK_BYTES);
+        ProgressLogRecord.Builder.tasksThatFit(maxValueBytes), maxValueBytes / TYPICAL_TASK_BYTES);
   }
 
   /** Whether a transaction with this many conditions has room for those of one more change. */
-  boolean roomForConditions(int conditions) {
-    return conditions + MAX_CONDITIONS_OF_A_CHANGE <= changes * CONDITIONS_PER_CHANGE;
+  boolean hasRoomForConditions(int conditions) {
+    return conditions + MAX_CONDITIONS_ADDED_PER_CHANGE
+        <= maxChanges * ALLOWED_CONDITIONS_PER_CHANGE;
   }
 
   /** Whether a transaction of this size has room for a value of any permitted size. */
-  boolean roomForValue(int bytes) {
-    return bytes < txnBytes - valueBytes;
+  boolean hasRoomForValue(int bytes) {
+    return bytes < maxTransactionBytes - maxValueBytes;
   }
 
   /**
    * Lowers the limits below a transaction of this size that was refused. They are not raised again
    * during the term, since the state service does not announce when it accepts more.
    */
-  void refused(int refusedChanges, int refusedBytes, int largestValueBytes) {
-    changes = Math.max(1, Math.min(changes, refusedChanges) / 2);
-    if (largestValueBytes > MIN_VALUE_BYTES) {
-      valueBytes = Math.max(MIN_VALUE_BYTES, Math.min(valueBytes, largestValueBytes) / 2);
+  void lowerBelow(int refusedChanges, int refusedBytes, int largestValueBytes) {
+    maxChanges = Math.max(1, Math.min(maxChanges, refusedChanges) / 2);
+    if (largestValueBytes > VALUE_LIMIT_FLOOR_BYTES) {
+      maxValueBytes =
+          Math.max(VALUE_LIMIT_FLOOR_BYTES, Math.min(maxValueBytes, largestValueBytes) / 2);
     }
-    txnBytes = Math.max(2 * MIN_VALUE_BYTES, Math.min(txnBytes, refusedBytes) / 2);
+    maxTransactionBytes =
+        Math.max(2 * VALUE_LIMIT_FLOOR_BYTES, Math.min(maxTransactionBytes, refusedBytes) / 2);
   }
 }
--- a/src/main/java/org/ploverspindle/progress/WriteOutcome.java
+++ b/src/main/java/org/ploverspindle/progress/WriteOutcome.java
@@ -36,18 +36,18 @@
   /** Called when the transaction was committed at this revision of the state service. */
   void committed(WriteBatch batch, long revision) {
     for (TaskShard shard : batch.snapshots()) {
-      state.snapshots().stored(shard, revision);
+      state.snapshots().setModRevision(shard, revision);
       state.slots().releaseUpTo(shard, batch.coveredUpTo());
     }
     batch.records().forEach((sequence, shards) -> recordCommitted(sequence, shards, revision));
     List<Placement> placements = new ArrayList<>();
     for (TaskStatuses statuses : batch.statuses()) {
-      state.durable().committed(statuses);
+      state.durableTasks().markCommitted(statuses);
       statuses.placements().forEach(p -> p.markRecorded(scheduler.nowMs()));
       placements.addAll(statuses.placements());
     }
-    batch.removedSnapshots().forEach(state.snapshots()::removed);
-    batch.completedJobs().forEach(this::completed);
+    batch.removedSnapshots().forEach(state.snapshots()::markRemoved);
+    batch.completedJobs().forEach(this::completionDurable);
     listener.placementsRecorded(placements);
   }
 
@@ -59,12 +59,12 @@
           }
         });
     state.slots().slotOverwritten(sequence);
-    state.slots().recordStored(sequence, revision);
+    state.slots().markStored(sequence, revision);
   }
 
   /** Called when the completion of the job is durable. */
-  void completed(Job job) {
-    state.pending().completionRecorded(job);
+  void completionDurable(Job job) {
+    state.pending().removeCompletion(job);
     if (!job.finished()) {
       completionRecorded.accept(job);
     }
@@ -81,6 +81,6 @@
       }
     }
     batch.completedJobs().forEach(state.pending()::markCompleted);
-    batch.removedSnapshots().forEach(state.pending()::markRemovable);
+    batch.removedSnapshots().forEach(state.pending()::markSnapshotRemovable);
   }
 }
--- a/src/main/java/org/ploverspindle/progress/WriteReadBack.java
+++ b/src/main/java/org/ploverspindle/progress/WriteReadBack.java
@@ -20,8 +20,8 @@
 final class WriteReadBack {
   private static final Logger LOG = LoggerFactory.getLogger(WriteReadBack.class);
 
-  private static final long FLUSH_AFTER_SUCCESS_MS = 10;
-  private static final long FLUSH_AFTER_FAILURE_MS = 300;
+  private static final long FLUSH_DELAY_AFTER_SUCCESS_MS = 10;
+  private static final long FLUSH_DELAY_AFTER_FAILURE_MS = 300;
 
   private final Replica replica;
   private final Term term;
@@ -59,7 +59,7 @@
           if (success) {
             apply(batch, result);
           }
-          timer.flushWithin(success ? FLUSH_AFTER_SUCCESS_MS : FLUSH_AFTER_FAILURE_MS);
+          timer.flushWithin(success ? FLUSH_DELAY_AFTER_SUCCESS_MS : FLUSH_DELAY_AFTER_FAILURE_MS);
         });
   }
 
@@ -71,10 +71,10 @@
     LOG.debug("progress write read back: result={}", result);
     batch.snapshots().forEach(this::readSnapshot);
     batch.removedSnapshots().forEach(this::readSnapshot);
-    state.pending().retainExisting(state.snapshots());
+    state.pending().dropRemovalsOfMissingSnapshots(state.snapshots());
     for (Job job : batch.completedJobs()) {
       if (replica.get(Keys.completion(job.uid())).isPresent()) {
-        outcome.completed(job);
+        outcome.completionDurable(job);
       }
     }
     // A record of this or of an earlier unanswered transaction may have been stored late. Its
@@ -90,8 +90,8 @@
   }
 
   private void readSnapshot(TaskShard shard) {
-    long modRevision = replica.get(shard.key()).map(Entry::modRevision).orElse(0L);
-    state.snapshots().stored(shard, modRevision);
+    long modRevision = replica.get(shard.snapshotKey()).map(Entry::modRevision).orElse(0L);
+    state.snapshots().setModRevision(shard, modRevision);
   }
 
   /** Registers a log record of which it was not known that it is stored. */
@@ -103,14 +103,14 @@
     long sequence = record.get().sequence();
     if (sequence < 0
         || !Keys.progressLog(sequence).equals(entry.key())
-        || state.slots().modRevisionAt(sequence) == entry.modRevision()) {
+        || state.slots().slotModRevision(sequence) == entry.modRevision()) {
       return;
     }
     for (ProgressLogRecord.Delta delta : record.get().deltas()) {
       state.slots().addMention(delta.uid(), sequence);
       state
           .findJob(delta.uid())
-          .ifPresent(job -> loader.loadUncovered(job, tasksOf(delta), sequence));
+          .ifPresent(job -> loader.loadUncoveredStatuses(job, tasksOf(delta), sequence));
     }
     state.slots().slotOverwritten(sequence);
     loader.loadRecord(entry, sequence);
--- a/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
+++ b/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aNewerRecordTakesOverTheLatestStatus() {
+  void newerRecordTakesOverLatestStatus() {
     slots.statusRecorded(shard, tasks(1, 2, 3), 5);
     slots.statusRecorded(shard, tasks(2), 9);
     assertEquals(Map.of(shard, tasks(1, 3)), slots.latestStatusIn(5));
@@ -55,7 +55,7 @@
    * A write that was not answered can be found after newer ones, whose statuses stay the latest.
    */
   @Test
-  void anOlderRecordThatIsFoundLateHoldsOnlyWhatNoNewerOneHas() {
+  void lateOlderRecordKeepsOnlyStatusesMissingFromNewerRecords() {
     slots.statusRecorded(shard, tasks(1, 2), 9);
     slots.statusRecorded(shard, tasks(2, 3), 7);
     assertEquals(Map.of(shard, tasks(3)), slots.latestStatusIn(7));
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void aSnapshotCoversRecordsUpToItsOwn() {
+  void releaseUpToASequenceKeepsLaterRecords() {
     slots.statusRecorded(shard, tasks(1), 5);
     slots.statusRecorded(shard, tasks(2), 6);
     slots.releaseUpTo(shard, 5);
@@ -77,9 +77,9 @@
    * Guards against the loss of a status that is still needed with the record that was overwritten.
    */
   @Test
-  void anOverwrittenRecordReleasesOnlyJobsThatAreFullyStopped() {
+  void overwrittenRecordReleasesOnlyFullyStoppedJobs() {
     long later = 5 + ProgressLogRecord.SLOTS;
-    slots.recordStored(5, 70);
+    slots.markStored(5, 70);
     slots.addMention("run-1", 5);
     slots.statusRecorded(shard, tasks(1), 5);
     slots.slotOverwritten(later);
@@ -91,19 +91,19 @@
   }
 
   @Test
-  void onlyOlderRecordsCountAsMentionedBefore() {
+  void jobIsMentionedBeforeOnlyByOlderRecords() {
     slots.addMention("run-1", 5);
     assertFalse(slots.isMentionedBefore("run-1", 5));
     assertTrue(slots.isMentionedBefore("run-1", 6));
   }
 
   @Test
-  void slotsKeepTheirModRevisionAndWhetherTheyAreReadable() {
-    slots.recordStored(3, 41);
+  void sequenceNumbersOfTheSameSlotShareItsState() {
+    slots.markStored(3, 41);
     slots.markUnreadable(Keys.progressLog(4));
     long later = 3 + ProgressLogRecord.SLOTS;
-    assertEquals(41, slots.modRevisionAt(later));
-    assertEquals(3, slots.storedSequenceAt(later));
+    assertEquals(41, slots.slotModRevision(later));
+    assertEquals(3, slots.slotSequence(later));
     assertTrue(slots.isUnreadable(4 + ProgressLogRecord.SLOTS));
     assertFalse(slots.isUnreadable(3));
   }
