--- a/src/main/java/org/ploverspindle/progress/DurableTasks.java
+++ b/src/main/java/org/ploverspindle/progress/DurableTasks.java
@@ -75,7 +75,7 @@
     possiblyPlaced.remove(job);
   }
 
-  /** Finds a job that has tasks which may be recorded as placed. */
+  /** Finds the job with this uid if it has tasks that may be recorded as placed. */
   Optional<Job> findJob(String uid) {
     return possiblyPlaced.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
   }
--- a/src/main/java/org/ploverspindle/progress/FlushTimer.java
+++ b/src/main/java/org/ploverspindle/progress/FlushTimer.java
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Schedules the next flush after this delay, unless one is already scheduled for an earlier time.
-   * Has no effect while a write is in flight or after {@link #close}.
+   * Schedules the next flush after this delay, unless one is already scheduled for that time or an
+   * earlier one. Has no effect while a write is in flight or after {@link #close}.
    */
   void flushWithin(long delayMs) {
     long dueMs = scheduler.nowMs() + delayMs;
--- a/src/main/java/org/ploverspindle/progress/PendingProgress.java
+++ b/src/main/java/org/ploverspindle/progress/PendingProgress.java
@@ -127,7 +127,7 @@
     return placementsToClear.containsKey(job);
   }
 
-  /** Finds a job that has changed tasks. */
+  /** Finds the job with this uid if it has changed tasks. */
   Optional<Job> findJob(String uid) {
     return changedTasks.keySet().stream().filter(job -> job.uid().equals(uid)).findFirst();
   }
--- a/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressLogSlots.java
@@ -121,7 +121,7 @@
     return Collections.unmodifiableSortedMap(latestStatusByRecord.headMap(sequence, true));
   }
 
-  /** Finds a job that has a task whose latest status is in the log. */
+  /** Finds the job with this uid if the latest status of one of its tasks is in the log. */
   Optional<Job> findJob(String uid) {
     return sequencesByShard.keySet().stream()
         .map(TaskShard::job)
--- a/src/main/java/org/ploverspindle/progress/ProgressState.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressState.java
@@ -14,7 +14,7 @@
     this(new PendingProgress(), new ProgressLogSlots(), new ShardSnapshots(), new DurableTasks());
   }
 
-  /** Finds a job that has pending or recorded progress. */
+  /** Finds the job with this uid if it has pending or recorded progress. */
   Optional<Job> findJob(String uid) {
     return pending.findJob(uid).or(() -> slots.findJob(uid)).or(() -> durableTasks.findJob(uid));
   }
--- a/src/main/java/org/ploverspindle/progress/WriteLimits.java
+++ b/src/main/java/org/ploverspindle/progress/WriteLimits.java
@@ -4,6 +4,7 @@
 
 /** Limits on the size of a transaction. They are lowered when a transaction is refused. */
 final class WriteLimits {
+  /** Limit on the estimated size of a transaction until a transaction is refused. */
   private static final int INITIAL_TRANSACTION_LIMIT_BYTES = 56 * 1024;
 
   /**
@@ -18,7 +19,7 @@
   /** How much larger a log record's value may be than the size that its builder counts. */
   private static final int RECORD_MARGIN_BYTES = 100;
 
-  /** Typical size of a task in a log record. A record that gets too large holds fewer tasks. */
+  /** Typical size of a task in a log record. If tasks take more, a record holds fewer of them. */
   private static final int TYPICAL_TASK_BYTES = 16;
 
   /**
@@ -51,7 +52,7 @@
     return maxValueBytes - RECORD_MARGIN_BYTES;
   }
 
-  /** The number of tasks of a job that are first tried to be put into a log record. */
+  /** The number of a job's tasks that is tried first when a log record is filled. */
   int initialTasksPerRecord() {
     return Math.max(
         ProgressLogRecord.Builder.tasksThatFit(maxValueBytes), maxValueBytes / TYPICAL_TASK_BYTES);
--- a/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
+++ b/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
@@ -73,9 +73,7 @@
     assertEquals(Optional.empty(), slots.findJob("run-1"));
   }
 
-  /**
-   * Guards against the loss of a status that is still needed with the record that was overwritten.
-   */
+  /** A status that is still needed must not be lost with the record that is overwritten. */
   @Test
   void overwrittenRecordReleasesOnlyFullyStoppedJobs() {
     long later = 5 + ProgressLogRecord.SLOTS;
