--- a/src/main/java/org/ploverspindle/progress/DurableTasks.java
+++ b/src/main/java/org/ploverspindle/progress/DurableTasks.java
@@ -6,19 +6,24 @@
 import java.util.Optional;
 import org.ploverspindle.cluster.Job;
 
-/** Which tasks are recorded as completed, and which may be recorded as placed on a machine. */
+/**
+ * Tracks which tasks are recorded as completed, and which may be recorded as placed on a machine.
+ */
 final class DurableTasks {
   private final Map<Job, BitSet> completed = new HashMap<>();
 
-  /** Tasks that the latest record, including unanswered writes, may place on a machine. */
-  private final Map<Job, BitSet> placed = new HashMap<>();
+  /**
+   * Tasks that their latest record places on a machine, or that a write without an answer may have
+   * placed there.
+   */
+  private final Map<Job, BitSet> possiblyPlaced = new HashMap<>();
 
   void loadCompleted(Job job, BitSet tasks) {
     completed.put(job, (BitSet) tasks.clone());
   }
 
   void loadPlaced(Job job, BitSet tasks) {
-    placed.put(job, tasks);
+    possiblyPlaced.put(job, tasks);
   }
 
   boolean isCompleted(Job job, int task) {
@@ -26,46 +31,52 @@
     return tasks != null && tasks.get(task);
   }
 
-  /** The statuses are being sent: from now on they may be stored, answered or not. */
-  void sending(TaskStatuses statuses) {
+  /**
+   * Called before the statuses are sent. From then on they may be stored, whether or not the write
+   * is answered.
+   */
+  void markPossiblyStored(TaskStatuses statuses) {
     if (!statuses.placements().isEmpty()) {
-      BitSet tasks = placed.computeIfAbsent(statuses.job(), j -> new BitSet());
+      BitSet tasks = possiblyPlaced.computeIfAbsent(statuses.job(), j -> new BitSet());
       statuses.placements().forEach(p -> tasks.set(p.task()));
     }
   }
 
-  /** The statuses are stored, and are the latest of their tasks. */
-  void committed(TaskStatuses statuses) {
+  /** Called when the statuses are stored and are the latest ones of their tasks. */
+  void markCommitted(TaskStatuses statuses) {
     if (!statuses.job().isTerminal()) {
       completed.computeIfAbsent(statuses.job(), j -> new BitSet()).or(statuses.completed());
     }
-    BitSet tasks = placed.get(statuses.job());
+    BitSet tasks = possiblyPlaced.get(statuses.job());
     if (tasks != null) {
       tasks.andNot(statuses.tasks());
       statuses.placements().forEach(p -> tasks.set(p.task()));
       if (tasks.isEmpty()) {
-        placed.remove(statuses.job());
+        possiblyPlaced.remove(statuses.job());
       }
     }
   }
 
-  /** Tasks that a record may place on a machine although they are on none. */
-  BitSet placedInRecordsOnly(Job job) {
-    BitSet tasks = (BitSet) placed.getOrDefault(job, new BitSet()).clone();
+  /**
+   * Returns the tasks that a record may place on a machine although the job has no active placement
+   * of them.
+   */
+  BitSet tasksWithStalePlacement(Job job) {
+    BitSet tasks = (BitSet) possiblyPlaced.getOrDefault(job, new BitSet()).clone();
     job.activePlacements().forEach(p -> tasks.clear(p.task()));
     return tasks;
   }
 
-  void forgetCompleted(Job job) {
+  void removeCompleted(Job job) {
     completed.remove(job);
   }
 
-  void forgetPlaced(Job job) {
-    placed.remove(job);
+  void removePlaced(Job job) {
+    possiblyPlaced.remove(job);
   }
 
-  /** A job with tasks that may be recorded as placed. */
+  /** Finds the job with this uid if it has tasks that may be recorded as placed. */
   Optional<Job> findJob(String uid) {
-    return placed.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
+    return possiblyPlaced.keySet().stream().filter(j -> j.uid().equals(uid)).findFirst();
   }
 }
--- a/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
+++ b/src/main/java/org/ploverspindle/progress/LogRecordBuilder.java
@@ -10,7 +10,7 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.state.ProgressLogRecord;
 
-/** Builds one record of the progress log; it has no effect until it is added to its batch. */
+/** Builds one record of the progress log. It has no effect until it is added to its batch. */
 final class LogRecordBuilder {
   private static final BitSet NO_TASKS = new BitSet();
 
@@ -25,7 +25,7 @@
     this.sequence = sequence;
     this.batch = batch;
     this.context = context;
-    this.builder = new ProgressLogRecord.Builder(sequence, id, context.limits().recordBytes());
+    this.builder = new ProgressLogRecord.Builder(sequence, id, context.limits().maxRecordBytes());
   }
 
   long sequence() {
@@ -40,7 +40,7 @@
     return builder.bytes();
   }
 
-  /** The tasks whose status is in the record, by shard. */
+  /** Returns the tasks whose status is in the record, by shard. */
   Map<TaskShard, BitSet> includedTasks() {
     return Collections.unmodifiableMap(includedTasks);
   }
@@ -50,16 +50,20 @@
   }
 
   /**
-   * Appends all statuses whose latest record is the one that this record overwrites.
+   * Appends the current status of each task whose latest status is in the record that this one
+   * overwrites, unless the batch includes the task already. Fully stopped jobs are skipped, except
+   * where an older status of them would take effect.
    *
-   * @return false if that is not possible, so that the slot can't be reused yet
+   * @param overwrittenSequence the sequence number of the record in the slot; 0 if there is none
+   * @return false if not all of these statuses can be appended, so that the slot can't be reused
+   *     yet
    */
   boolean carryOver(long overwrittenSequence) {
     Map<TaskShard, BitSet> overwritten = context.slots().latestStatusIn(overwrittenSequence);
     for (Map.Entry<TaskShard, BitSet> entry : overwritten.entrySet()) {
       TaskShard shard = entry.getKey();
       Job job = shard.job();
-      if (job.isFullyStopped() && !isNeeded(shard, overwrittenSequence)) {
+      if (job.isFullyStopped() && !hidesOlderStatuses(shard, overwrittenSequence)) {
         continue;
       }
       BitSet missing = notYetIncluded(shard, entry.getValue());
@@ -70,8 +74,12 @@
     return true;
   }
 
-  /** Whether something older has a status of the shard's tasks, which would count without it. */
-  private boolean isNeeded(TaskShard shard, long overwrittenSequence) {
+  /**
+   * Whether a snapshot of the shard exists, or a record before the overwritten one has statuses of
+   * the job. Readers would use these older statuses if the overwritten record were gone. Always
+   * false for a quarantined job.
+   */
+  private boolean hidesOlderStatuses(TaskShard shard, long overwrittenSequence) {
     return !shard.job().quarantined()
         && (context.snapshots().exists(shard)
             || context.slots().isMentionedBefore(shard.job().uid(), overwrittenSequence));
@@ -84,68 +92,68 @@
   }
 
   /**
-   * Appends, as far as they fit, the statuses whose latest record is at most this one and whose
-   * shard is too large for a snapshot.
+   * Appends the current status of as many tasks as fit of those whose shard is too large for a
+   * snapshot and whose latest status is in a record up to this one.
    *
-   * @return false if there are none
+   * @return false if there are no such tasks that the batch does not include yet
    */
-  boolean appendOversized(long lastSequence) {
-    boolean any = false;
+  boolean appendOversizedShards(long lastSequence) {
+    boolean foundMissing = false;
     for (Map<TaskShard, BitSet> shards : context.slots().latestStatusUpTo(lastSequence).values()) {
       for (Map.Entry<TaskShard, BitSet> entry : shards.entrySet()) {
         TaskShard shard = entry.getKey();
         Job job = shard.job();
         if (!job.quarantined() && !job.isFullyStopped() && context.isTooLarge(shard)) {
           BitSet missing = notYetIncluded(shard, entry.getValue());
-          any |= !missing.isEmpty();
+          foundMissing |= !missing.isEmpty();
           if (!appendTasks(job, missing)) {
             return true;
           }
         }
       }
     }
-    return any;
+    return foundMissing;
   }
 
   /**
-   * Appends the present status of as many of these tasks as fit.
+   * Appends the current status of as many of these tasks as fit.
    *
-   * @return false if there are none
+   * @return false if there are no tasks that this record does not include yet
    */
-  boolean append(Map<Job, BitSet> tasksByJob) {
-    boolean any = false;
+  boolean appendStatuses(Map<Job, BitSet> tasksByJob) {
+    boolean foundMissing = false;
     for (Map.Entry<Job, BitSet> entry : tasksByJob.entrySet()) {
       Job job = entry.getKey();
       BitSet missing = (BitSet) entry.getValue().clone();
-      for (TaskShard shard : TaskShard.of(job, missing).keySet()) {
+      for (TaskShard shard : TaskShard.splitByShard(job, missing).keySet()) {
         missing.andNot(includedTasks.getOrDefault(shard, NO_TASKS));
       }
-      any |= !missing.isEmpty();
+      foundMissing |= !missing.isEmpty();
       if (!appendTasks(job, missing)) {
         return true;
       }
     }
-    return any;
+    return foundMissing;
   }
 
   /**
-   * Appends the present status of as many of the tasks as fit, and removes these tasks from the
-   * set.
+   * Appends the current status of as many of the tasks as fit, and removes the appended ones from
+   * the set.
    *
-   * @return whether all did fit
+   * @return whether all of them fit
    */
   private boolean appendTasks(Job job, BitSet missing) {
-    int count = context.limits().tasksInRecord();
+    int maxTasks = context.limits().initialTasksPerRecord();
     while (!missing.isEmpty()) {
-      BitSet tasks = firstOf(missing, count);
+      BitSet tasks = firstTasks(missing, maxTasks);
       TaskStatuses taskStatuses = TaskStatuses.of(job, tasks);
-      if (builder.add(context.encoder().delta(taskStatuses))) {
+      if (builder.add(context.encoder().encodeDelta(taskStatuses))) {
         missing.andNot(tasks);
         include(taskStatuses);
-      } else if (count == 1) {
+      } else if (maxTasks == 1) {
         return false;
       } else {
-        count = Math.max(1, Math.min(count, tasks.cardinality()) / 2);
+        maxTasks = Math.max(1, Math.min(maxTasks, tasks.cardinality()) / 2);
       }
     }
     return true;
@@ -153,11 +161,13 @@
 
   private void include(TaskStatuses taskStatuses) {
     statuses.add(taskStatuses);
-    TaskShard.of(taskStatuses.job(), taskStatuses.tasks())
-        .forEach((shard, some) -> includedTasks.computeIfAbsent(shard, s -> new BitSet()).or(some));
+    TaskShard.splitByShard(taskStatuses.job(), taskStatuses.tasks())
+        .forEach(
+            (shard, shardTasks) ->
+                includedTasks.computeIfAbsent(shard, s -> new BitSet()).or(shardTasks));
   }
 
-  private static BitSet firstOf(BitSet tasks, int maxCount) {
+  private static BitSet firstTasks(BitSet tasks, int maxCount) {
     BitSet first = new BitSet();
     int count = 0;
     for (int task = tasks.nextSetBit(0);
--- a/src/main/java/org/ploverspindle/progress/PendingProgress.java
+++ b/src/main/java/org/ploverspindle/progress/PendingProgress.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 import org.ploverspindle.cluster.Job;
 
-/** Progress that is not written yet, in the order in which it arose. */
+/** Progress that is not written yet. Each kind is kept in the order in which it was added. */
 final class PendingProgress {
   private final LinkedHashMap<Job, BitSet> changedTasks = new LinkedHashMap<>();
 
-  /** Ended tasks of cancelled jobs that a record may still place on a machine. */
-  private final LinkedHashMap<Job, BitSet> clearings = new LinkedHashMap<>();
+  /** Tasks of cancelled jobs that have ended and that a record may still place on a machine. */
+  private final LinkedHashMap<Job, BitSet> placementsToClear = new LinkedHashMap<>();
 
-  /** Jobs of which all tasks have completed, by uid. */
+  /** Jobs whose tasks have all completed and whose completion is not recorded yet, by uid. */
   private final LinkedHashMap<String, Job> completions = new LinkedHashMap<>();
 
   /** Shards whose snapshot is no longer needed. */
@@ -30,34 +30,34 @@
     changedTasks.computeIfAbsent(job, j -> new BitSet()).or(tasks);
   }
 
-  void markForClearing(Job job, BitSet tasks) {
-    clearings.computeIfAbsent(job, j -> new BitSet()).or(tasks);
+  void markPlacementsToClear(Job job, BitSet tasks) {
+    placementsToClear.computeIfAbsent(job, j -> new BitSet()).or(tasks);
   }
 
   void markCompleted(Job job) {
     completions.putIfAbsent(job.uid(), job);
   }
 
-  void completionRecorded(Job job) {
+  void removeCompletion(Job job) {
     completions.remove(job.uid());
   }
 
-  void markRemovable(TaskShard shard) {
+  void markSnapshotRemovable(TaskShard shard) {
     snapshotRemovals.add(shard);
   }
 
-  void forgetChanges(Job job) {
+  void removeChangedTasks(Job job) {
     changedTasks.remove(job);
   }
 
-  void forgetClearing(Job job) {
-    clearings.remove(job);
+  void removePlacementsToClear(Job job) {
+    placementsToClear.remove(job);
   }
 
-  /** A log record with the status of these tasks is about to be sent. */
-  void included(Job job, BitSet tasks) {
+  /** Removes tasks whose current status is in a log record that is about to be sent. */
+  void removeIncluded(Job job, BitSet tasks) {
     remove(changedTasks, job, tasks);
-    remove(clearings, job, tasks);
+    remove(placementsToClear, job, tasks);
   }
 
   private static void remove(Map<Job, BitSet> tasksByJob, Job job, BitSet tasks) {
@@ -70,35 +70,44 @@
     }
   }
 
-  /** Tasks that changed; drops those of jobs whose progress is not written any more. */
-  Map<Job, BitSet> changes() {
+  /**
+   * Returns the changed tasks by job. Drops those of quarantined and finished jobs, whose progress
+   * is no longer written.
+   */
+  Map<Job, BitSet> changedTasks() {
     changedTasks
         .entrySet()
         .removeIf(e -> e.getKey().quarantined() || e.getKey().finished() || e.getValue().isEmpty());
     return Collections.unmodifiableMap(changedTasks);
   }
 
-  /** Tasks whose recorded placement is to be cleared. */
-  Map<Job, BitSet> clearings() {
-    return Collections.unmodifiableMap(clearings);
+  /** Returns the tasks whose recorded placement is to be cleared, by job. */
+  Map<Job, BitSet> placementsToClear() {
+    return Collections.unmodifiableMap(placementsToClear);
   }
 
-  /** Jobs whose completion is to be recorded; whoever takes one removes it. */
+  /**
+   * Iterates over the jobs whose completion is to be recorded. The caller removes each job that it
+   * takes.
+   */
   Iterator<Job> completions() {
     return completions.values().iterator();
   }
 
-  /** Shards whose snapshot is to be removed; whoever takes one removes it. */
+  /**
+   * Iterates over the shards whose snapshot is to be removed. The caller removes each shard that it
+   * takes.
+   */
   Iterator<TaskShard> snapshotRemovals() {
     return snapshotRemovals.iterator();
   }
 
-  /** Drops the removals of snapshots that don't exist. */
-  void retainExisting(ShardSnapshots snapshots) {
+  /** Drops the pending removals of snapshots that don't exist. */
+  void dropRemovalsOfMissingSnapshots(ShardSnapshots snapshots) {
     snapshotRemovals.removeIf(shard -> !snapshots.exists(shard));
   }
 
-  boolean hasChanges() {
+  boolean hasChangedTasks() {
     return !changedTasks.isEmpty();
   }
 
@@ -110,25 +119,28 @@
     return !snapshotRemovals.isEmpty();
   }
 
-  boolean hasClearings() {
-    return !clearings.isEmpty();
+  boolean hasPlacementsToClear() {
+    return !placementsToClear.isEmpty();
   }
 
-  boolean isToBeCleared(Job job) {
-    return clearings.containsKey(job);
+  boolean hasPlacementsToClear(Job job) {
+    return placementsToClear.containsKey(job);
   }
 
-  /** A job with changed tasks. */
+  /** Finds the job with this uid if it has changed tasks. */
   Optional<Job> findJob(String uid) {
     return changedTasks.keySet().stream().filter(job -> job.uid().equals(uid)).findFirst();
   }
 
-  int jobsWithChanges() {
+  int jobsWithChangedTasks() {
     return changedTasks.size();
   }
 
-  /** The number of jobs with changes, completions and clearings, added up. */
+  /**
+   * The sum of three counts: jobs with changed tasks, jobs whose completion is to be recorded, and
+   * jobs with placements to clear.
+   */
   int size() {
-    return changedTasks.size() + completions.size() + clearings.size();
+    return changedTasks.size() + completions.size() + placementsToClear.size();
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
@@ -10,7 +10,7 @@
 import org.ploverspindle.state.ProgressLogRecord;
 import org.ploverspindle.state.SnapshotRecord;
 
-/** Converts statuses of tasks to the forms that are stored. */
+/** Converts statuses of tasks to their stored forms. */
 final class ProgressEncoder {
   private final Function<Machine, SnapshotRecord.MachineInfo> machineInfo;
 
@@ -18,8 +18,11 @@
     this.machineInfo = machineInfo;
   }
 
-  /** For a log record: tasks that are neither completed nor on a machine are cleared. */
-  ProgressLogRecord.Delta delta(TaskStatuses statuses) {
+  /**
+   * Encodes statuses for a log record. Tasks that are neither completed nor on a machine are
+   * encoded as cleared.
+   */
+  ProgressLogRecord.Delta encodeDelta(TaskStatuses statuses) {
     BitSet cleared = (BitSet) statuses.tasks().clone();
     cleared.andNot(statuses.completed());
     statuses.placements().forEach(placement -> cleared.clear(placement.task()));
@@ -30,26 +33,26 @@
         job.activePlacements().size(),
         statuses.completed(),
         cleared,
-        recorded(statuses.placements()));
+        toRecorded(statuses.placements()));
   }
 
   /**
-   * For a snapshot of a shard.
+   * Encodes the statuses of a whole shard as a snapshot.
    *
-   * @param coveredUpTo the last log record that the snapshot covers
+   * @param coveredUpTo the sequence number of the last log record that the snapshot covers
    */
-  JsonNode snapshot(TaskStatuses statuses, long coveredUpTo) {
-    List<SnapshotRecord.RecordedPlacement> placements = recorded(statuses.placements());
+  JsonNode encodeSnapshot(TaskStatuses statuses, long coveredUpTo) {
+    List<SnapshotRecord.RecordedPlacement> placements = toRecorded(statuses.placements());
     Job job = statuses.job();
     return new SnapshotRecord(statuses.completed(), placements, placements.size(), coveredUpTo)
         .encode(job.completedTasks().size(), job.activePlacements().size());
   }
 
-  private List<SnapshotRecord.RecordedPlacement> recorded(List<Placement> placements) {
-    return placements.stream().map(this::recorded).toList();
+  private List<SnapshotRecord.RecordedPlacement> toRecorded(List<Placement> placements) {
+    return placements.stream().map(this::toRecorded).toList();
   }
 
-  private SnapshotRecord.RecordedPlacement recorded(Placement placement) {
+  private SnapshotRecord.RecordedPlacement toRecorded(Placement placement) {
     return new SnapshotRecord.RecordedPlacement(
         placement.task(),
         placement.attempt(),
--- a/src/main/java/org/ploverspindle/progress/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/progress/RecordedProgress.java
@@ -19,18 +19,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The progress that earlier leaders recorded, put together for a new one: each job's snapshots, and
- * over them the log records that no snapshot covers. Fills the writer's view of the records too.
+ * Reads the progress that earlier leaders recorded and merges it for a new leader: the snapshots of
+ * each job, and on top of them the log records that no snapshot covers. Also loads the writer's
+ * view of the records.
  */
 public final class RecordedProgress {
   private static final Logger LOG = LoggerFactory.getLogger(RecordedProgress.class);
 
   private final Replica replica;
   private final ProgressLoader loader;
-  private final Map<String, List<ProgressLogRecord>> logByJob = new HashMap<>();
+  private final Map<String, List<ProgressLogRecord>> recordsByJob = new HashMap<>();
   private boolean logDamaged;
 
-  /** The latest recorded statuses of a job's tasks: those done, and the placements by task. */
+  /**
+   * The latest recorded statuses of a job's tasks.
+   *
+   * @param completed the tasks that have completed
+   * @param placements the recorded placements, by task
+   */
   public record RecordedStatuses(
       BitSet completed, Map<Integer, SnapshotRecord.RecordedPlacement> placements) {}
 
@@ -44,7 +50,7 @@
       record.deltas().stream()
           .map(ProgressLogRecord.Delta::uid)
           .distinct()
-          .forEach(uid -> logByJob.computeIfAbsent(uid, u -> new ArrayList<>()).add(record));
+          .forEach(uid -> recordsByJob.computeIfAbsent(uid, u -> new ArrayList<>()).add(record));
     }
   }
 
@@ -60,44 +66,52 @@
             "progress log record unreadable, no task starts until all agent leases have expired:"
                 + " key={}",
             entry.key());
-        loader.loadUnreadable(entry.key());
+        loader.loadUnreadableRecord(entry.key());
         logDamaged = true;
       }
     }
     return records;
   }
 
-  /** Whether a record of the log is unreadable: tasks may run that no readable record places. */
+  /**
+   * Whether a record of the log is unreadable. Tasks may then be running whose placement is in no
+   * readable record.
+   */
   public boolean logDamaged() {
     return logDamaged;
   }
 
   /** Whether any record has statuses of the job's tasks. */
   public boolean hasRecords(String uid) {
-    return logByJob.containsKey(uid) || !replica.withPrefix(Keys.snapshotsOf(uid)).isEmpty();
+    return recordsByJob.containsKey(uid) || !replica.withPrefix(Keys.snapshotsOf(uid)).isEmpty();
   }
 
-  /** The job's progress. Quarantines the job if a snapshot of it is unreadable. */
+  /** Returns the job's progress. Quarantines the job if one of its snapshots is unreadable. */
   public RecordedStatuses of(Job job) {
-    RecordedStatuses state = new RecordedStatuses(new BitSet(), new TreeMap<>());
-    long[] coveredUpTo = readSnapshots(job, state);
-    for (ProgressLogRecord record : logByJob.getOrDefault(job.uid(), List.of())) {
+    RecordedStatuses statuses = new RecordedStatuses(new BitSet(), new TreeMap<>());
+    long[] coveredUpTo = readSnapshots(job, statuses);
+    for (ProgressLogRecord record : recordsByJob.getOrDefault(job.uid(), List.of())) {
       for (ProgressLogRecord.Delta delta : record.deltas()) {
         if (delta.uid().equals(job.uid())) {
           loader.loadMention(job, record.sequence());
-          apply(job, record.sequence(), delta, coveredUpTo, state);
+          applyDelta(job, record.sequence(), delta, coveredUpTo, statuses);
         }
       }
     }
-    state.completed.clear(
-        job.spec().tasks(), Math.max(job.spec().tasks(), state.completed.length()));
-    loader.loadCompleted(job, state.completed);
-    loader.loadPlaced(job, state.placements.keySet());
-    return state;
+    statuses.completed.clear(
+        job.spec().tasks(), Math.max(job.spec().tasks(), statuses.completed.length()));
+    loader.loadCompleted(job, statuses.completed);
+    loader.loadPlaced(job, statuses.placements.keySet());
+    return statuses;
   }
 
-  /** Adds what the job's snapshots hold; returns the last log record that each shard's covers. */
-  private long[] readSnapshots(Job job, RecordedStatuses state) {
+  /**
+   * Adds the contents of the job's snapshots.
+   *
+   * @return for each shard the sequence number of the last log record that its snapshot covers; 0
+   *     if it covers none
+   */
+  private long[] readSnapshots(Job job, RecordedStatuses statuses) {
     long[] coveredUpTo = new long[job.shardCount()];
     for (Entry entry : replica.withPrefix(Keys.snapshotsOf(job.uid())).values()) {
       Optional<SnapshotRecord> snapshot = SnapshotRecord.decode(entry.value());
@@ -112,42 +126,42 @@
       }
       loader.loadSnapshot(job, shard.getAsInt(), entry.modRevision());
       coveredUpTo[shard.getAsInt()] = snapshot.get().coveredUpTo();
-      state.completed.or(snapshot.get().completed());
-      snapshot.get().placements().forEach(p -> state.placements.put(p.task(), p));
+      statuses.completed.or(snapshot.get().completed());
+      snapshot.get().placements().forEach(p -> statuses.placements.put(p.task(), p));
     }
     return coveredUpTo;
   }
 
-  private void apply(
+  private void applyDelta(
       Job job,
       long sequence,
       ProgressLogRecord.Delta delta,
       long[] coveredUpTo,
-      RecordedStatuses state) {
+      RecordedStatuses statuses) {
     BitSet uncovered = new BitSet();
     delta.completed().stream()
         .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
         .forEach(
             task -> {
               uncovered.set(task);
-              state.completed.set(task);
-              state.placements.remove(task);
+              statuses.completed.set(task);
+              statuses.placements.remove(task);
             });
     delta.cleared().stream()
         .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
         .forEach(
             task -> {
               uncovered.set(task);
-              state.placements.remove(task);
+              statuses.placements.remove(task);
             });
     for (SnapshotRecord.RecordedPlacement placement : delta.placements()) {
       if (isUncovered(job, placement.task(), sequence, coveredUpTo)) {
         uncovered.set(placement.task());
-        state.placements.put(placement.task(), placement);
+        statuses.placements.put(placement.task(), placement);
       }
     }
     if (!job.quarantined()) {
-      loader.loadUncovered(job, uncovered, sequence);
+      loader.loadUncoveredStatuses(job, uncovered, sequence);
     }
   }
 
@@ -155,7 +169,7 @@
     return task < job.spec().tasks() && sequence > coveredUpTo[job.shardOf(task)];
   }
 
-  /** The index of the shard that the key of a snapshot names; empty if the job has no such one. */
+  /** Returns the shard's index in the key of a snapshot; empty if the job has no such shard. */
   private static OptionalInt shardIndex(String key, Job job) {
     try {
       int index = Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
--- a/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatchContext.java
@@ -3,7 +3,7 @@
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.model.Term;
 
-/** What a transaction is planned from. */
+/** The inputs from which a transaction is planned. */
 record WriteBatchContext(
     Scheduler scheduler,
     Term term,
@@ -25,6 +25,6 @@
 
   /** Whether the shard's snapshot is known not to fit into a value. */
   boolean isTooLarge(TaskShard shard) {
-    return snapshots().isTooLarge(shard, limits.valueBytes(), scheduler.nowMs());
+    return snapshots().isTooLarge(shard, limits.maxValueBytes(), scheduler.nowMs());
   }
 }
--- a/src/main/java/org/ploverspindle/progress/WriteOutcome.java
+++ b/src/main/java/org/ploverspindle/progress/WriteOutcome.java
@@ -18,7 +18,7 @@
   private final Consumer<Job> completionRecorded;
 
   /**
-   * @param completionRecorded called with each job whose completion is durable for the first time
+   * @param completionRecorded called once for each job, when its completion is known to be durable
    */
   WriteOutcome(
       Scheduler scheduler,
@@ -33,21 +33,21 @@
     this.completionRecorded = completionRecorded;
   }
 
-  /** The transaction was committed at this revision of the store. */
+  /** Called when the transaction was committed at this revision of the state service. */
   void committed(WriteBatch batch, long revision) {
     for (TaskShard shard : batch.snapshots()) {
-      state.snapshots().stored(shard, revision);
+      state.snapshots().setModRevision(shard, revision);
       state.slots().releaseUpTo(shard, batch.coveredUpTo());
     }
     batch.records().forEach((sequence, shards) -> recordCommitted(sequence, shards, revision));
     List<Placement> placements = new ArrayList<>();
     for (TaskStatuses statuses : batch.statuses()) {
-      state.durable().committed(statuses);
+      state.durableTasks().markCommitted(statuses);
       statuses.placements().forEach(p -> p.markRecorded(scheduler.nowMs()));
       placements.addAll(statuses.placements());
     }
-    batch.removedSnapshots().forEach(state.snapshots()::removed);
-    batch.completedJobs().forEach(this::completed);
+    batch.removedSnapshots().forEach(state.snapshots()::markRemoved);
+    batch.completedJobs().forEach(this::completionDurable);
     listener.placementsRecorded(placements);
   }
 
@@ -59,18 +59,18 @@
           }
         });
     state.slots().slotOverwritten(sequence);
-    state.slots().recordStored(sequence, revision);
+    state.slots().markStored(sequence, revision);
   }
 
-  /** The completion of the job is durable. */
-  void completed(Job job) {
-    state.pending().completionRecorded(job);
+  /** Called when the completion of the job is durable. */
+  void completionDurable(Job job) {
+    state.pending().removeCompletion(job);
     if (!job.finished()) {
       completionRecorded.accept(job);
     }
   }
 
-  /** The transaction may not have been committed: its contents are pending again. */
+  /** Makes the contents of a transaction that may not have been committed pending again. */
   void requeue(WriteBatch batch) {
     for (TaskStatuses statuses : batch.statuses()) {
       Job job = statuses.job();
@@ -81,6 +81,6 @@
       }
     }
     batch.completedJobs().forEach(state.pending()::markCompleted);
-    batch.removedSnapshots().forEach(state.pending()::markRemovable);
+    batch.removedSnapshots().forEach(state.pending()::markSnapshotRemovable);
   }
 }
--- a/src/main/java/org/ploverspindle/progress/WriteReadBack.java
+++ b/src/main/java/org/ploverspindle/progress/WriteReadBack.java
@@ -13,14 +13,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads back what is stored after a transaction that was not answered, or that conflicted. The next
- * transaction then has the right conditions; whatever this one wrote is pending again in any case.
+ * Reads back what is stored after a transaction that was not answered or that conflicted, so that
+ * the next transaction has the right conditions. The contents of the transaction are pending again
+ * in any case.
  */
 final class WriteReadBack {
   private static final Logger LOG = LoggerFactory.getLogger(WriteReadBack.class);
 
-  private static final long FLUSH_AFTER_SUCCESS_MS = 10;
-  private static final long FLUSH_AFTER_FAILURE_MS = 300;
+  private static final long FLUSH_DELAY_AFTER_SUCCESS_MS = 10;
+  private static final long FLUSH_DELAY_AFTER_FAILURE_MS = 300;
 
   private final Replica replica;
   private final Term term;
@@ -46,7 +47,7 @@
     this.listener = listener;
   }
 
-  /** Reads back, and then schedules the next flush; no flush runs before. */
+  /** Reads back what is stored, and then schedules the next flush. No flush runs before that. */
   void start(WriteBatch batch, TransactionResult result) {
     timer.writeStarted();
     replica.readBarrier(
@@ -58,7 +59,7 @@
           if (success) {
             apply(batch, result);
           }
-          timer.flushWithin(success ? FLUSH_AFTER_SUCCESS_MS : FLUSH_AFTER_FAILURE_MS);
+          timer.flushWithin(success ? FLUSH_DELAY_AFTER_SUCCESS_MS : FLUSH_DELAY_AFTER_FAILURE_MS);
         });
   }
 
@@ -70,14 +71,14 @@
     LOG.debug("progress write read back: result={}", result);
     batch.snapshots().forEach(this::readSnapshot);
     batch.removedSnapshots().forEach(this::readSnapshot);
-    state.pending().retainExisting(state.snapshots());
+    state.pending().dropRemovalsOfMissingSnapshots(state.snapshots());
     for (Job job : batch.completedJobs()) {
       if (replica.get(Keys.completion(job.uid())).isPresent()) {
-        outcome.completed(job);
+        outcome.completionDurable(job);
       }
     }
-    // A record of this or an earlier unanswered transaction may have been stored late. The statuses
-    // in it are pending again anyway; what has to be known is that its slot is taken.
+    // A record of this or of an earlier unanswered transaction may have been stored late. Its
+    // statuses are pending again in any case, but the writer must know that its slot is taken.
     replica.withPrefix(Keys.PROGRESS_LOG).values().forEach(this::readRecord);
   }
 
@@ -89,11 +90,11 @@
   }
 
   private void readSnapshot(TaskShard shard) {
-    long modRevision = replica.get(shard.key()).map(Entry::modRevision).orElse(0L);
-    state.snapshots().stored(shard, modRevision);
+    long modRevision = replica.get(shard.snapshotKey()).map(Entry::modRevision).orElse(0L);
+    state.snapshots().setModRevision(shard, modRevision);
   }
 
-  /** Takes over a log record that is not known to be stored yet. */
+  /** Registers a log record of which it was not known that it is stored. */
   private void readRecord(Entry entry) {
     Optional<ProgressLogRecord> record = ProgressLogRecord.decode(entry.value());
     if (record.isEmpty()) {
@@ -102,14 +103,14 @@
     long sequence = record.get().sequence();
     if (sequence < 0
         || !Keys.progressLog(sequence).equals(entry.key())
-        || state.slots().modRevisionAt(sequence) == entry.modRevision()) {
+        || state.slots().slotModRevision(sequence) == entry.modRevision()) {
       return;
     }
     for (ProgressLogRecord.Delta delta : record.get().deltas()) {
       state.slots().addMention(delta.uid(), sequence);
       state
           .findJob(delta.uid())
-          .ifPresent(job -> loader.loadUncovered(job, tasksOf(delta), sequence));
+          .ifPresent(job -> loader.loadUncoveredStatuses(job, tasksOf(delta), sequence));
     }
     state.slots().slotOverwritten(sequence);
     loader.loadRecord(entry, sequence);
--- a/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
+++ b/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
@@ -15,7 +15,11 @@
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.ProgressLogRecord;
 
-/** Which record holds the latest status of each task, and which records the slots hold. */
+/**
+ * Guards against the loss of a task's latest status. A slot of the progress log may be reused only
+ * if no latest status is lost with its record, so the writer must know which record holds the
+ * latest status of each task, also when a record is stored late.
+ */
 class ProgressLogSlotsTest {
   private final ProgressLogSlots slots = new ProgressLogSlots();
   private final Job job =
@@ -38,7 +42,7 @@
   }
 
   @Test
-  void aNewerRecordTakesOverTheLatestStatus() {
+  void newerRecordTakesOverLatestStatus() {
     slots.statusRecorded(shard, tasks(1, 2, 3), 5);
     slots.statusRecorded(shard, tasks(2), 9);
     assertEquals(Map.of(shard, tasks(1, 3)), slots.latestStatusIn(5));
@@ -47,9 +51,11 @@
     assertEquals(Set.of(9L), slots.latestStatusUpTo(100).keySet());
   }
 
-  /** An unanswered write is found late: the statuses in newer records remain the latest. */
+  /**
+   * A write that was not answered can be found after newer ones, whose statuses stay the latest.
+   */
   @Test
-  void anOlderRecordThatIsFoundLateHoldsOnlyWhatNoNewerOneHas() {
+  void lateOlderRecordKeepsOnlyStatusesMissingFromNewerRecords() {
     slots.statusRecorded(shard, tasks(1, 2), 9);
     slots.statusRecorded(shard, tasks(2, 3), 7);
     assertEquals(Map.of(shard, tasks(3)), slots.latestStatusIn(7));
@@ -57,7 +63,7 @@
   }
 
   @Test
-  void aSnapshotCoversRecordsUpToItsOwn() {
+  void releaseUpToASequenceKeepsLaterRecords() {
     slots.statusRecorded(shard, tasks(1), 5);
     slots.statusRecorded(shard, tasks(2), 6);
     slots.releaseUpTo(shard, 5);
@@ -67,11 +73,11 @@
     assertEquals(Optional.empty(), slots.findJob("run-1"));
   }
 
-  /** No status that is still needed may be lost with the record that was in the slot. */
+  /** A status that is still needed must not be lost with the record that is overwritten. */
   @Test
-  void anOverwrittenRecordReleasesOnlyJobsThatAreFullyStopped() {
+  void overwrittenRecordReleasesOnlyFullyStoppedJobs() {
     long later = 5 + ProgressLogRecord.SLOTS;
-    slots.recordStored(5, 70);
+    slots.markStored(5, 70);
     slots.addMention("run-1", 5);
     slots.statusRecorded(shard, tasks(1), 5);
     slots.slotOverwritten(later);
@@ -83,19 +89,19 @@
   }
 
   @Test
-  void onlyOlderRecordsCountAsMentionedBefore() {
+  void jobIsMentionedBeforeOnlyByOlderRecords() {
     slots.addMention("run-1", 5);
     assertFalse(slots.isMentionedBefore("run-1", 5));
     assertTrue(slots.isMentionedBefore("run-1", 6));
   }
 
   @Test
-  void slotsKeepTheirModRevisionAndWhetherTheyAreReadable() {
-    slots.recordStored(3, 41);
+  void sequenceNumbersOfTheSameSlotShareItsState() {
+    slots.markStored(3, 41);
     slots.markUnreadable(Keys.progressLog(4));
     long later = 3 + ProgressLogRecord.SLOTS;
-    assertEquals(41, slots.modRevisionAt(later));
-    assertEquals(3, slots.storedSequenceAt(later));
+    assertEquals(41, slots.slotModRevision(later));
+    assertEquals(3, slots.slotSequence(later));
     assertTrue(slots.isUnreadable(4 + ProgressLogRecord.SLOTS));
     assertFalse(slots.isUnreadable(3));
   }
