--- a/src/main/java/org/ploverspindle/leadership/AuthorityFilter.java
+++ b/src/main/java/org/ploverspindle/leadership/AuthorityFilter.java
@@ -7,8 +7,8 @@
 import org.ploverspindle.state.Replica;
 
 /**
- * Removes from a heartbeat response the commands that a leader without certain authority must not
- * send.
+ * Removes commands from heartbeat responses while this leader's lease in the state service is not
+ * certainly valid, as another controller may have been elected by then.
  */
 final class AuthorityFilter {
   private final Replica replica;
@@ -19,16 +19,16 @@
     this.isAuthoritative = isAuthoritative;
   }
 
-  /** May this leader send any command now? */
+  /** Whether this leader's lease is certainly valid, so that it may send any command now. */
   boolean isAuthoritative() {
     return isAuthoritative.getAsBoolean();
   }
 
   /**
-   * The response with nothing but stops of cancelled jobs: a recorded cancellation is final,
-   * whoever leads. Without them, a leader that lost the state service before it had stopped a
-   * cancelled job's tasks would keep their worker leases alive beyond the time promised for a
-   * cancellation.
+   * Returns the response without any commands but the stops of cancelled jobs. These are correct
+   * whichever controller leads, as a recorded cancellation is final. Each response renews a worker
+   * lease: without the stops, a leader that lost the state service before it stopped the tasks of a
+   * cancelled job would let them run beyond the time limit for cancellations.
    */
   HeartbeatHandler.Response finalStopsOnly(HeartbeatHandler.Response response) {
     return new HeartbeatHandler.Response(
--- a/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
+++ b/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
@@ -13,12 +13,15 @@
 import org.ploverspindle.eventloop.Scheduler;
 
 /**
- * Delays responses to heartbeats of machines with free resources: what is placed there meanwhile
- * goes out in them, where it would otherwise wait for the next heartbeat. At most one response is
- * delayed for each machine.
+ * Delays responses to heartbeats of machines with free resources. Tasks that are placed on such a
+ * machine during the delay are launched by the delayed response; otherwise their launch would wait
+ * for the machine's next heartbeat. At most one response is delayed for each machine.
  */
 final class DelayedResponses {
-  /** A heartbeat whose response waits for placements to become durable. */
+  /**
+   * A heartbeat whose response is sent once a command for the machine may be sent, or at {@code
+   * releaseAtMs} on the steady clock.
+   */
   private record DelayedResponse(
       Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder, long releaseAtMs) {}
 
@@ -30,8 +33,9 @@
   private final Map<String, DelayedResponse> delayed = new LinkedHashMap<>();
 
   /**
-   * @param isAuthoritative whether this leader may decide now: otherwise nothing is launched
-   * @param maxDelayMs how long a response waits at most
+   * @param isAuthoritative whether this leader's lease is certainly valid; while it is not, delayed
+   *     responses are sent without commands
+   * @param maxDelayMs the longest delay of a response, in milliseconds
    */
   DelayedResponses(
       Scheduler scheduler,
@@ -46,7 +50,10 @@
     this.maxDelayMs = maxDelayMs;
   }
 
-  /** Is this the machine's newest heartbeat, and could a task be placed there meanwhile? */
+  /**
+   * Whether the response is to be delayed: the heartbeat is the latest one of the machine, and a
+   * task could be placed on the machine during the delay.
+   */
   boolean isWorthDelaying(Machine machine, Heartbeat heartbeat, long nowMs) {
     return machine.lastSequence() == heartbeat.sequence()
         && machine.agentEpoch() == heartbeat.agentEpoch()
@@ -54,12 +61,12 @@
         && machine.free().cores() > 0;
   }
 
-  /** Delays the response until commands for the machine are durable, or the delay is over. */
+  /** Delays the response until a command for the machine may be sent or the longest delay ends. */
   void delay(Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder, long nowMs) {
     delayed.put(heartbeat.host(), new DelayedResponse(heartbeat, responder, nowMs + maxDelayMs));
   }
 
-  /** Sends the machine's delayed response, if there is one, with the commands that can go now. */
+  /** Sends the machine's delayed response, if there is one, with the commands that may be sent. */
   void release(String host) {
     DelayedResponse response = delayed.remove(host);
     if (response != null) {
@@ -72,7 +79,10 @@
     }
   }
 
-  /** Sends the responses whose delay is over, or whose commands have become durable. */
+  /**
+   * Sends each delayed response for which a command may be sent, whose delay has ended, or whose
+   * machine is no longer registered; and all of them while this leader is not authoritative.
+   */
   void releaseDue() {
     long nowMs = scheduler.nowMs();
     for (DelayedResponse response : List.copyOf(delayed.values())) {
@@ -83,7 +93,7 @@
     }
   }
 
-  /** Sends all delayed responses. */
+  /** Sends all delayed responses, before their delays end. */
   void releaseAll() {
     List.copyOf(delayed.keySet()).forEach(this::release);
   }
--- a/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
+++ b/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
@@ -15,7 +15,7 @@
 /**
  * Sends commands directly to workers where waiting for their next heartbeat would take too long,
  * and passes the heartbeat in each worker's reply to the heartbeat handler. A command that exceeds
- * the limit on requests in flight goes out in the response to the machine's next heartbeat instead.
+ * the limit on requests in flight is sent in the response to the machine's next heartbeat instead.
  */
 final class DirectCommandSender {
   private final Scheduler scheduler;
@@ -27,8 +27,8 @@
   private boolean closed;
 
   /**
-   * @param maxInFlight limit on requests in flight: each needs a connection of its own, and the
-   *     process has a limit on open sockets
+   * @param maxInFlight limit on requests in flight: each request needs its own connection, and the
+   *     number of open sockets of the process is limited
    */
   DirectCommandSender(
       int maxInFlight,
@@ -43,21 +43,21 @@
     this.heartbeatHandler = heartbeatHandler;
   }
 
-  /** From now on replies are ignored: they belong to a term that is over. */
+  /** Ignores all replies from now on, as the term has ended. */
   void close() {
     closed = true;
   }
 
-  /** May another launch or token be sent now? */
+  /** Whether the limit on requests in flight allows another launch or token to be sent now. */
   boolean hasCapacity() {
     return inFlight < maxInFlight;
   }
 
   /**
-   * Launches the high-priority tasks that were not sent in a heartbeat response: the next heartbeat
-   * of their machine may be seconds away.
+   * Sends direct launches for high-priority tasks whose launch was not sent in a heartbeat
+   * response, as the next heartbeat of their machine may be seconds away.
    *
-   * @param durable placements whose intent has just become durable
+   * @param durable placements whose record has just become durable
    */
   void launchHighPriority(List<Placement> durable) {
     Set<Machine> machines = new LinkedHashSet<>();
@@ -76,14 +76,15 @@
   }
 
   /**
-   * Stops the tasks of a cancelled job at once, as far as connections allow; all other machines get
-   * the command in their next heartbeat response.
+   * Sends direct stops to the machines of a cancelled job while less than half of the allowed
+   * requests are in flight. The remaining machines get the stops in the response to their next
+   * heartbeat.
    */
   void stopCancelled(Job cancelled) {
     Set<Machine> machines = new LinkedHashSet<>();
     cancelled.activePlacements().forEach(placement -> machines.add(placement.machine()));
     for (Machine machine : machines) {
-      // The other half is reserved for launches of high-priority jobs.
+      // The other half of the allowed requests is reserved for launches of high-priority jobs.
       if (inFlight >= maxInFlight / 2) {
         return;
       }
@@ -91,7 +92,7 @@
     }
   }
 
-  /** Sends the machine its fencing token in this term, without any command. */
+  /** Sends the machine its fencing token of this term, in a request without commands. */
   void sendFencingToken(Machine machine, long agentEpoch) {
     send(
         new DirectCommands.Request(
--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -20,25 +20,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Elects the leader: the controller whose record is under the leader key, attached to a lease of
- * the state service. The transaction that writes the record also raises the fencing token, so
- * tokens grow from leader to leader and none is used twice.
+ * Takes part in the election of the leader: the controller whose record is stored under the leader
+ * key, attached to a lease of the state service. The transaction that writes the record also raises
+ * the fencing token, so the tokens of each leader are higher than those of all earlier leaders.
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-  /** So many terms within the window: whatever ends them, another change of leader won't help. */
+  /**
+   * Leadership is unstable if this many terms began within the window: whatever ends the terms,
+   * another change of leader would not help.
+   */
   private static final int UNSTABLE_TERMS = 3;
 
   private static final long UNSTABLE_WINDOW_MS = 60_000;
   private static final int TICKS_PER_LEASE = 20;
 
-  /** Is called on the event loop. */
+  /** Receives the beginning and the end of this controller's terms, on the event loop. */
   public interface Listener {
-    /** A term of this controller began; the replica holds all that earlier leaders wrote. */
+    /** A term of this controller began. The replica has everything that earlier leaders wrote. */
     void elected(Term term);
 
-    /** The term is over: nothing may be decided under it any more. */
+    /** The term ended: no decision may be made and no command sent under it any more. */
     void ended(Term term, String cause);
   }
 
@@ -52,7 +55,7 @@
   private Optional<Term> term = Optional.empty();
 
   /**
-   * An election that this controller takes part in once it is started.
+   * Creates an election in which this controller takes part after {@link #start}.
    *
    * @param member the name of this controller
    */
@@ -80,38 +83,41 @@
             new LeaseEvents());
   }
 
-  /** Takes part from now on, until cancelled. */
+  /** Takes part in the election until the result is cancelled. */
   public Cancellable start() {
     return scheduler.scheduleWithFixedDelay(
         timing.stateLeaseMs() / TICKS_PER_LEASE, leaderLease::tick);
   }
 
-  /** The term in which this controller leads, as far as it knows. */
+  /** The term in which this controller leads as far as it knows; empty while it does not lead. */
   public Optional<Term> term() {
     return term;
   }
 
-  /** The name of the leader by the replica, whichever controller it is. */
+  /** The name of the leader, this or another controller, according to the replica. */
   public Optional<String> leaderName() {
     return leaderLease.holder().map(RoleHolder::member);
   }
 
-  /** The first token of the leader's term by the replica, whichever controller it is. */
+  /** The first fencing token of the term of the leader that the replica shows. */
   public Optional<Long> leaderToken() {
     return leaderLease.holder().map(RoleHolder::epoch);
   }
 
-  /** May this controller decide as the leader now? Only while its lease is certainly valid. */
+  /** Whether this controller may act as the leader now: only while its lease is certainly valid. */
   public boolean isAuthoritative() {
     return leaderLease.isCertainlyHeld();
   }
 
-  /** When the leader key was last known to be this controller's, on the steady clock. */
+  /**
+   * The latest time on the steady clock as of which this controller had renewed its lease and the
+   * replica was up to date.
+   */
   public long lastConfirmedMs() {
     return Math.min(leaderLease.lastRenewalMs(), replica.freshAsOfMs());
   }
 
-  /** Has leadership changed several times lately, as far as this controller saw? */
+  /** Whether this controller observed so many new terms lately that leadership is unstable. */
   boolean isUnstable() {
     long nowMs = scheduler.nowMs();
     recentTermStartsMs.removeIf(startMs -> nowMs - startMs > UNSTABLE_WINDOW_MS);
@@ -129,14 +135,15 @@
     }
   }
 
-  /** One line for the status page: the leader, renewal times, and how long nobody led. */
+  /** One line for the status page: the leader, lease renewal times, and times without a leader. */
   public String summary() {
     return new LeadershipStatus(scheduler.nowMs(), leaderLease).toString();
   }
 
   /**
-   * Another controller announced that it leads under this token. Ends an older term of this
-   * controller, or reads the state service to learn of the change.
+   * Handles the announcement of another controller that it leads under this token. Ends this
+   * controller's term if that is an earlier one; otherwise reads the state service, so that the
+   * replica shows the new leader.
    */
   public void observeToken(long token) {
     if (term.isPresent() && term.get().isBefore(token)) {
@@ -146,14 +153,17 @@
     }
   }
 
-  /** Ends this controller's term on any sign that a newer leader exists. */
+  /**
+   * Ends this controller's term on a sign that a newer leader exists, and reads the state service.
+   */
   public void deposed(String cause) {
     leaderLease.end(cause);
     replica.readBarrier(isRead -> {});
   }
 
   /**
-   * Resigns in favour of a controller that can do more, and is not a candidate again for a while.
+   * Resigns so that a controller with better connections can lead. This controller is not a
+   * candidate again until the backoff ends; see {@link ResignationBackoff}.
    */
   public void resignWithBackoff(String cause) {
     backoff.resigned(scheduler.nowMs());
@@ -161,12 +171,12 @@
     resign();
   }
 
-  /** Resigns at once, so that others need not wait for the lease to expire. */
+  /** Resigns and closes the lease, so that other controllers need not wait for it to expire. */
   public void resign() {
     leaderLease.release("resigned");
   }
 
-  /** A term begins and ends with the lease on the leader key. */
+  /** Begins a term when the leader role is acquired, and ends it when the role is lost. */
   private final class LeaseEvents implements RoleLease.Listener {
     @Override
     public void acquired(HeldRole role) {
--- a/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
+++ b/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
@@ -9,7 +9,10 @@
 import org.ploverspindle.leases.FencingRejections;
 import org.ploverspindle.model.Term;
 
-/** Sends the direct commands of one term, and counts those refused for a later term's token. */
+/**
+ * Sends the direct commands of one term, and counts those that a worker refused because it had
+ * received a fencing token of a later term.
+ */
 final class FencedWorkerClient implements WorkerClient {
   private final WorkerClient workers;
   private final Term term;
--- a/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
+++ b/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
@@ -11,21 +11,24 @@
 import org.ploverspindle.model.Term;
 
 /**
- * Sends the new fencing token to machines that have sent no heartbeat to this leader, a few at a
- * time.
+ * Sends the fencing token of this term to machines that have sent no heartbeat to this leader, a
+ * few machines at a time.
  *
- * <p>Prevents this failure: an earlier leader that has lost the state service and this leader, but
- * not its workers, goes on responding to their heartbeats, and would keep the machines for as long
- * as it may respond without a fresh replica. The first heartbeat with the higher token ends its
- * term.
+ * <p>This prevents the following failure. An earlier leader that reaches its workers but neither
+ * the state service nor this leader goes on responding to their heartbeats. It would keep the
+ * machines from this leader for as long as it may respond without a fresh replica. The first
+ * heartbeat that shows the higher token ends its term.
  */
 final class FencingTokenBroadcast {
   private static final long PERIOD_MS = 600;
 
-  /** By then most machines have found the new leader by themselves. */
+  /**
+   * The broadcast begins this long after the term did. By then most machines have sent a heartbeat
+   * to the new leader without being contacted.
+   */
   private static final long START_AFTER_MS = 2_400;
 
-  /** A machine that has still sent no heartbeat is sent the token again after this. */
+  /** After this time the token is sent again to a machine that has still sent no heartbeat. */
   private static final long RESEND_MS = 6_000;
 
   private static final int MAX_PER_PERIOD = 8;
@@ -53,7 +56,7 @@
     this.isAuthoritative = isAuthoritative;
   }
 
-  /** Broadcasts periodically until cancelled. */
+  /** Sends tokens periodically until the result is cancelled. */
   Cancellable start() {
     return scheduler.scheduleWithFixedDelay(PERIOD_MS, this::broadcast);
   }
@@ -61,7 +64,7 @@
   private void broadcast() {
     long nowMs = scheduler.nowMs();
     long termAgeMs = nowMs - term.startMs();
-    // An earlier leader whose replica is older than that responds to no heartbeat any more.
+    // An earlier leader whose replica is older than the grace period responds to no heartbeats.
     if (!isAuthoritative.getAsBoolean()
         || termAgeMs < START_AFTER_MS
         || termAgeMs > timing.heartbeatGraceMs()) {
--- a/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
@@ -8,7 +8,7 @@
 import org.ploverspindle.cluster.MachineRegistry;
 import org.ploverspindle.eventloop.TaskTimings;
 
-/** Processes heartbeats and sees that each one is answered, at once or after a short delay. */
+/** Processes heartbeats and responds to each of them, at once or after a short delay. */
 final class HeartbeatIntake {
   private final MachineRegistry machines;
   private final HeartbeatHandler heartbeatHandler;
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Processes a heartbeat and responds with commands, at the latest when the delay of a delayed
-   * response is over. A delayed response to an earlier heartbeat of the machine goes out first.
+   * Processes a heartbeat and responds with commands, at once or after a delay. If the response to
+   * an earlier heartbeat of the machine is still delayed, that response is sent first.
    */
   void accept(Heartbeat heartbeat, long nowMs, Consumer<HeartbeatHandler.Response> responder) {
     delayedResponses.release(heartbeat.host());
--- a/src/main/java/org/ploverspindle/leadership/HighPriorityHeadroom.java
+++ b/src/main/java/org/ploverspindle/leadership/HighPriorityHeadroom.java
@@ -9,11 +9,11 @@
 import org.ploverspindle.placement.Placer;
 
 /**
- * Keeps enough machines for the next high-priority job: without that capacity it would wait for a
- * machine to boot.
+ * Keeps enough free capacity for the next high-priority job, which would otherwise have to wait for
+ * a machine to boot.
  */
 final class HighPriorityHeadroom {
-  /** A machine whose last heartbeat is older does not count as capacity. */
+  /** A machine whose last heartbeat is older than this does not count as capacity. */
   static final long MAX_HEARTBEAT_AGE_MS = 60_000;
 
   private final Scheduler scheduler;
@@ -27,8 +27,9 @@
   }
 
   /**
-   * For one idle machine after the other: can it go and leave capacity for the next high-priority
-   * job, given those that were found surplus before it?
+   * Returns a predicate to be tested on idle machines, one after the other. It accepts a machine if
+   * the capacity for the next high-priority job remains without this machine and without those that
+   * it accepted before.
    */
   Predicate<Machine> surplus() {
     Optional<Job> expected = arrivals.expectedHighPriorityJob();
@@ -45,7 +46,10 @@
   private final class SurplusBeyond implements Predicate<Machine> {
     private final Job expected;
 
-    /** Tasks of the expected job that fit, beyond all of its own, on the machines that stay. */
+    /**
+     * How many tasks of the expected job's size would fit on the machines that are not accepted as
+     * surplus, beyond the number of tasks that the job has; negative if the capacity is too small.
+     */
     private long surplusTasks;
 
     SurplusBeyond(Job expected) {
--- a/src/main/java/org/ploverspindle/leadership/JobArrivals.java
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -16,11 +16,14 @@
 import org.ploverspindle.state.JobRecord;
 
 /**
- * Records jobs in the arrival forecast as they become eligible for placement, says what the
- * forecast expects, and keeps priority inheritance up to date for what is decided by it.
+ * Records jobs in the arrival forecast when they become eligible for placement, and provides what
+ * the forecast expects. Updates inherited priorities and deadlines before decisions that use them.
  */
 final class JobArrivals {
-  /** Earlier arrivals, under earlier leaders, say nothing about the rate of work now. */
+  /**
+   * Work that was accepted longer than this before the term began says nothing about the current
+   * rate of arriving work.
+   */
   private static final long FORECAST_WINDOW_MS = 120_000;
 
   private final Scheduler scheduler;
@@ -46,7 +49,7 @@
     this.teams = teams;
   }
 
-  /** Feeds the forecast with the arrivals under earlier leaders. */
+  /** Records in the forecast the jobs that were accepted before this term. */
   void loadRecentArrivals(AcceptedJobIndex acceptedJobs) {
     acceptedJobs.uids().stream()
         .flatMap(uid -> acceptedJobs.get(uid).stream())
@@ -56,7 +59,7 @@
 
   private void recordEarlierArrival(AcceptedJobIndex.AcceptedJob accepted) {
     if (pipelines.graph().hasDependencies(accepted.uid())) {
-      // It arrived when its dependencies were done, and that time is not recorded.
+      // The job arrived when its dependencies were done, and that time is not recorded.
       return;
     }
     long wallMs = JobRecord.acceptedWallMs(accepted.value());
@@ -70,14 +73,17 @@
     forecast.recordWork(record.spec(), record.spec().deadlineS(), record.acceptedWallMs());
   }
 
-  /** The job is eligible for placement from the time at which its dependencies were done. */
+  /**
+   * Makes the job eligible for placement, counted from the time at which its dependencies were
+   * done, or from its acceptance if that time is not known.
+   */
   void markReady(Job job) {
     job.markReady(pipelines.readyWallMs(job.uid()).orElse(job.acceptedWallMs()));
   }
 
   /**
-   * The job's dependencies have just been done. It enters the forecast with the next {@link
-   * #update}: many jobs may become ready at once, and each of them changes what others inherit.
+   * Handles a job whose dependencies have just been done. The next {@link #update} records it in
+   * the forecast: many jobs may become ready at once, and each of them changes what others inherit.
    */
   void becameReady(Job job) {
     markReady(job);
@@ -85,19 +91,22 @@
     inheritance.changed();
   }
 
-  /** A job with dependencies was accepted, or will never run. */
+  /** Handles the acceptance or abortion of a job with dependencies. */
   void dependenciesChanged() {
     inheritance.changed();
   }
 
-  /** Brings priority inheritance up to date, and records all jobs that became ready since. */
+  /**
+   * Updates inherited priorities and deadlines, then records in the forecast the jobs that became
+   * ready since the last call.
+   */
   void update() {
     inheritance.update(scheduler.nowMs());
     newlyReady.forEach(this::recordArrival);
     newlyReady.clear();
   }
 
-  /** Records a job that has just become eligible for placement. */
+  /** Records in the forecast a job that has just become eligible for placement. */
   void recordArrival(Job job) {
     if (pipelines.graph().hasDependencies(job.uid())) {
       forecast.recordReady(job.eligibleSinceWallMs());
@@ -110,7 +119,10 @@
     }
   }
 
-  /** High priority, or covered by its team's guarantee without a deadline that gives it time. */
+  /**
+   * Whether the job needs capacity without delay: it has high priority, or it is covered by its
+   * team's guarantee and has no deadline that would leave time to provide the capacity.
+   */
   private boolean needsCapacityAtOnce(Job job) {
     if (job.priority().compareTo(Priority.HIGH) <= 0) {
       return true;
@@ -121,19 +133,22 @@
     return teams.guarantees(job.team(), whole) && job.deadlineS().isEmpty();
   }
 
-  /** The high-priority job for which capacity is kept free; empty once jobs no longer arrive. */
+  /**
+   * A typical recent high-priority job, for which capacity is kept free. Empty if jobs no longer
+   * arrive or too few high-priority jobs have arrived.
+   */
   Optional<Job> expectedHighPriorityJob() {
     return forecast.arrivalsStopped(scheduler.wallMs())
         ? Optional.empty()
         : forecast.typicalHighPriorityJob();
   }
 
-  /** Thousandths of cores that the recent rate of arrivals keeps busy. */
+  /** How many cores, in thousandths, are kept busy by work that arrives at the recent rate. */
   double coresForRate(long wallMs) {
     return forecast.coresForRate(estimates, wallMs);
   }
 
-  /** Have users stopped submitting jobs? */
+  /** Whether users have stopped submitting jobs. */
   boolean submissionsStopped() {
     return forecast.submissionsStopped(scheduler.wallMs());
   }
--- a/src/main/java/org/ploverspindle/leadership/JobCancellation.java
+++ b/src/main/java/org/ploverspindle/leadership/JobCancellation.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Ends a job whose cancellation is recorded, or whose dependencies can never be done. */
+/** Ends jobs whose cancellation is recorded, and jobs with an aborted dependency. */
 final class JobCancellation {
   private static final Logger LOG = LoggerFactory.getLogger(JobCancellation.class);
 
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Removes the job's placements that no worker has been sent, and has the others stopped. Does
-   * nothing for a job that is cancelled already.
+   * Removes the placements of the job whose launch has been sent to no worker, and stops the tasks
+   * of the others. Has no effect on a job that is cancelled already.
    */
   void cancel(Job job) {
     if (job.cancelled()) {
--- a/src/main/java/org/ploverspindle/leadership/JobIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/JobIntake.java
@@ -16,8 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Adds jobs to the leader's job table and cancels them, as any controller records their acceptance
- * or cancellation, and as their dependencies are done or can never be.
+ * Adds jobs to the leader's job table and cancels jobs in it. A job is added when its acceptance is
+ * recorded by any controller and all its dependencies are done. It is cancelled when its
+ * cancellation is recorded by any controller or one of its dependencies is aborted.
  */
 final class JobIntake {
   private static final Logger LOG = LoggerFactory.getLogger(JobIntake.class);
@@ -32,7 +33,7 @@
   private boolean closed;
 
   /**
-   * @param onPendingTasks has pending tasks placed, and machines for them added, soon
+   * @param onPendingTasks schedules the placement of pending tasks, and scale-out for them
    */
   JobIntake(
       Pipelines pipelines,
@@ -51,7 +52,7 @@
     this.onPendingTasks = onPendingTasks;
   }
 
-  /** Listens to the records from now on, until cancelled. */
+  /** Listens to changes of the records until the result is cancelled. */
   Cancellable start(Replica replica) {
     CancellableGroup listeners = new CancellableGroup();
     listeners.add(replica.addListener(this::recordChanged));
@@ -61,8 +62,8 @@
   }
 
   /**
-   * From now on changes are ignored. Cancelling the listeners is not enough: the replica may be
-   * notifying them of a change just now.
+   * Ignores all changes from now on. Cancelling the listeners is not enough, as the replica may be
+   * notifying them of a change when this is called.
    */
   void close() {
     closed = true;
@@ -90,7 +91,10 @@
     onPendingTasks.run();
   }
 
-  /** All dependencies of the job are done: it enters the job table as a new job does. */
+  /**
+   * Adds a job whose dependencies are all done to the job table, or unblocks it if it is already in
+   * the table.
+   */
   private void dependenciesDone(AcceptedJobIndex.AcceptedJob accepted) {
     Optional<Job> known = jobs.get(accepted.uid());
     if (known.isPresent()) {
@@ -106,7 +110,10 @@
     arrivals.becameReady(job);
   }
 
-  /** A job whose tasks were recorded before its dependencies were done: it may run on now. */
+  /**
+   * Unblocks a job that could not start tasks because some had been recorded before its
+   * dependencies were done.
+   */
   private void unblock(Job job) {
     if (!job.blockedOnDependencies()) {
       return;
@@ -125,7 +132,11 @@
       }
     }
 
-    /** The job is in the table only if its records are damaged: none of its tasks may start. */
+    /**
+     * Cancels the job if it is in the table: either it was itself cancelled, or its records are
+     * damaged, as a job with unfinished dependencies is not added otherwise. None of its tasks may
+     * start.
+     */
     @Override
     public void aborted(String uid) {
       if (!closed) {
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -15,14 +15,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term's leader: starts and closes the parts that do its work, and resigns where another
- * controller would lead better. It is discarded with its term, so that nothing that was known in
- * one term is relied on in another.
+ * The leader during one term. Starts and closes the components that do its work, and resigns when
+ * another controller may have better connections. It is discarded when its term ends, so that no
+ * knowledge of one term is used in another.
  */
 public final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
-  /** Hints of new jobs may be lost: a leader reads the state service by itself as well. */
+  /**
+   * The interval at which the leader reads the state service by itself, as the messages by which
+   * other controllers notify it of new jobs may be lost.
+   */
   private static final long READ_INTERVAL_MS = 200;
 
   private static final long TICK_INTERVAL_MS = 400;
@@ -30,7 +33,7 @@
   private static final long PREEMPTION_INTERVAL_MS = 1_000;
   private static final long TIMINGS_LOG_INTERVAL_MS = 10_000;
 
-  /** A leader none of whose writes was carried out for so long is of no use. */
+  /** A leader none of whose writes has been committed for this long can't do its work. */
   private static final long FAILED_WRITES_BEFORE_RESIGNING_MS = 5_000;
 
   private final Scheduler scheduler;
@@ -43,7 +46,7 @@
   private final LeaderComponents components;
   private final CancellableGroup periodicTasks = new CancellableGroup();
 
-  /** A leader for a term that has begun; it does nothing before it is started. */
+  /** Creates the leader of a term that has begun. It does nothing before {@link #start}. */
   public Leader(LeaderContext context, Term term, Election election) {
     this.scheduler = context.scheduler();
     this.replica = context.state().replica();
@@ -55,14 +58,14 @@
     this.components = new LeaderComponents(context, term, election, authority);
   }
 
-  /** Rebuilds what earlier leaders recorded, and begins to lead. */
+  /** Restores the state that earlier leaders recorded, and begins to lead. */
   public void start() {
     long nowMs = scheduler.nowMs();
     components.arrivals.loadRecentArrivals(acceptedJobs);
     boolean logDamaged = components.recovery.restore(nowMs);
     components.arrivals.update();
     if (logDamaged) {
-      // Tasks may run that no record mentions, until every worker lease of earlier terms is over.
+      // Tasks that no record mentions may run until all worker leases of earlier terms expire.
       components.rounds.notBefore(nowMs + timing.takeoverSilenceMs());
     }
     LOG.info(
@@ -91,7 +94,7 @@
     periodicTasks.add(scheduler.scheduleWithFixedDelay(TIMINGS_LOG_INTERVAL_MS, this::logTimings));
   }
 
-  /** Ends all work of the term; delayed responses go out without commands that need authority. */
+  /** Ends all work of the term, and sends all delayed responses, without commands. */
   public void close() {
     authority.close();
     components.intake.close();
@@ -105,7 +108,8 @@
   private void tick() {
     long nowMs = scheduler.nowMs();
     if (!components.machines.hasFencingTokensLeft()) {
-      // A new term has new tokens; nothing else changes, as a leader takes over from itself.
+      // A new term has new tokens. There is no backoff: if this controller is elected again, it
+      // takes over from itself and nothing else changes.
       election.resign();
       return;
     }
@@ -120,29 +124,35 @@
     LOG.debug("event loop time: {}", components.timings.drainSummary());
   }
 
-  /** The term that this leader leads in. */
+  /** The term during which this leader leads. */
   public Term term() {
     return term;
   }
 
   /**
-   * Processes a heartbeat and responds with commands. The response waits a little while the machine
-   * has free resources: what is placed there meanwhile goes out at once instead of waiting for the
-   * next heartbeat. Without certain authority nothing but final stops is sent.
+   * Processes a heartbeat and responds with commands. If the machine has free resources, the
+   * response may be delayed for a short time: tasks that are placed there during the delay are
+   * launched without waiting for the next heartbeat. While this leader's lease is not certainly
+   * valid, the only commands that are sent are stops of cancelled jobs.
    */
   public void handleHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder) {
     components.heartbeats.accept(heartbeat, scheduler.nowMs(), responder);
   }
 
   /**
-   * So many heartbeats of this leader's machines reached another controller in the last second,
-   * which redirects the machines to this one.
+   * Records how many heartbeats of this leader's machines reached another controller, which
+   * redirected the machines to this one.
+   *
+   * @param count the heartbeats within about one second
    */
   public void misdirectedHeartbeats(int count) {
     components.connectivity.misdirectedHeartbeats(scheduler.nowMs(), count);
   }
 
-  /** Has none of this leader's writes been carried out for several seconds, though it has tried? */
+  /**
+   * Whether writes of this leader have failed, and none has been committed since, for several
+   * seconds.
+   */
   public boolean isFailingToWrite() {
     OptionalLong failingSinceMs = components.writer.failingSinceMs();
     return authority.getAsBoolean()
@@ -150,7 +160,7 @@
         && scheduler.nowMs() - failingSinceMs.getAsLong() > FAILED_WRITES_BEFORE_RESIGNING_MS;
   }
 
-  /** Counts of jobs, machines and placements, and the state of scale-in, for the status page. */
+  /** Counts of jobs, machines, placements and terminations, for the status page. */
   public String summary() {
     return components.status();
   }
--- a/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
@@ -33,27 +33,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The parts of one term's leader, wired to each other. Each part has one job and is given only what
- * it uses; {@link Leader} starts and closes them.
+ * Creates the components of one term's leader and connects them. Each component has a single
+ * responsibility and receives only what it uses. {@link Leader} starts and closes them.
  */
 final class LeaderComponents {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderComponents.class);
 
-  /** Beyond the silence that proves tasks gone, so that the proof is used before a resignation. */
+  /**
+   * Added to the time without heartbeats after which tasks of earlier terms are proven gone, so
+   * that the leader acts on this proof before it resigns.
+   */
   private static final long SILENCE_PROOF_MARGIN_MS = 4_000;
 
-  /** A response waits no longer than this, nor than this part of the heartbeat interval. */
+  /** The longest delay of a response in seconds. The shorter of this and the next limit applies. */
   private static final double MAX_RESPONSE_DELAY_S = 2;
 
+  /** The longest delay of a response as a part of the heartbeat interval. */
   private static final double RESPONSE_DELAY_PER_HEARTBEAT_INTERVAL = 0.6;
 
-  /** A machine that missed two heartbeats, with a margin, is given no new tasks. */
+  /**
+   * A machine gets no new tasks if its last heartbeat is older than this many heartbeat intervals
+   * and the margin below, that is, if two heartbeats are missing.
+   */
   private static final double UNSCHEDULABLE_AFTER_INTERVALS = 2.2;
 
   private static final double UNSCHEDULABLE_MARGIN_S = 1.5;
   private static final double MS_PER_S = 1_000;
 
-  /** The attempts of a term are numbered in this many bits, below those of its token. */
+  /**
+   * The number of low bits of an attempt number that count the attempts of a term. The bits above
+   * them are the fencing token of the term.
+   */
   private static final int ATTEMPT_BITS = 24;
 
   private final LeaderContext context;
@@ -91,8 +101,9 @@
   private long lastAttempt;
 
   /**
-   * Creates the parts in the order of their dependencies. Calls back to a later part, as from the
-   * progress writer to the command sender, happen only once the leader is started.
+   * Creates the components in the order of their dependencies. Some components call others that are
+   * created after them, as the progress writer calls the command sender. This happens only after
+   * the leader is started.
    */
   LeaderComponents(LeaderContext context, Term term, Election election, TermAuthority authority) {
     this.context = context;
@@ -127,12 +138,12 @@
         new FencingTokenBroadcast(scheduler, term, timing, machines, commands, authority);
   }
 
-  /** Counts for the status page. */
+  /** Counts of jobs, machines, placements and terminations, for the status page. */
   String status() {
     return new LeaderStatus(jobs, machines, writer, autoscaler).toString();
   }
 
-  // ---- recording what becomes of tasks
+  // ---- recording the progress of tasks
 
   private ProgressWriter newProgressWriter() {
     return new ProgressWriter(
@@ -196,12 +207,12 @@
         progress::placed);
   }
 
-  /** Unique over all leaders: the term's token is part of it. */
+  /** Returns an attempt number that no leader has used, as the term's token is part of it. */
   private long nextAttempt() {
     return term.fencingToken() << ATTEMPT_BITS | ++lastAttempt;
   }
 
-  // ---- machines
+  // ---- scaling, and connectivity to machines
 
   private Autoscaler newAutoscaler() {
     LeaderContext.StateAccess state = context.state();
@@ -301,7 +312,10 @@
     rounds.schedule();
   }
 
-  /** Passes on what has become durable to the parts that waited for it. */
+  /**
+   * Notifies the components that wait for records to become durable, and ends the term when a write
+   * shows that there is a newer leader.
+   */
   private final class WriterEvents implements ProgressWriter.Listener {
     @Override
     public void placementsRecorded(List<Placement> placements) {
@@ -313,7 +327,7 @@
     public void completionRecorded(Job job) {
       LOG.info("job done: job={}", job.uid());
       progress.cleanUp(job);
-      // The record is written: dependent jobs need not wait until it is read back.
+      // The completion is durable, so dependents need not wait until the replica has it.
       graph.done(job.uid());
     }
 
--- a/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
@@ -8,37 +8,60 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * Whether the machines' heartbeats reach this leader, and its responses reach them. A leader that
- * is cut off from its workers but not from the state service would keep its key while every worker
- * lease expires. Nothing is concluded here about any one machine.
+ * Detects that heartbeats of most machines do not reach this leader, or that its responses do not
+ * reach them. A leader that reaches the state service but not its workers would otherwise stay the
+ * leader while all worker leases expire. Nothing is concluded here about any single machine.
  */
 final class LeaderConnectivity {
-  /** So many machines do not all fall silent at once by chance; fewer are given more time. */
+  /**
+   * With at least this many machines, heartbeats of nearly all of them do not stop at the same time
+   * by chance. With fewer machines the leader waits longer for heartbeats before it resigns, and
+   * does not conclude that responses are lost.
+   */
   private static final int MANY_MACHINES = 20;
 
+  /** With fewer machines than this, missing heartbeats are no reason to resign. */
   private static final int SOME_MACHINES = 4;
 
-  /** The heartbeat window: this much per second of the heartbeat interval, and a margin. */
+  /**
+   * Length of the heartbeat window, in milliseconds for each second of the heartbeat interval. The
+   * margin is added. A machine whose heartbeats arrive sends at least one within the window.
+   */
   private static final int WINDOW_MS_PER_INTERVAL_S = 1_250;
 
   private static final long WINDOW_MARGIN_MS = 2_000;
 
-  /** The short silence: this much per second of the heartbeat interval. */
+  /**
+   * Length of the short silence, in milliseconds for each second of the heartbeat interval: a time
+   * without any heartbeat that is a reason to resign if many machines turn to other controllers.
+   */
   private static final int SHORT_SILENCE_MS_PER_INTERVAL_S = 650;
 
-  /** A check that comes so late after the one before: this process was paused meanwhile. */
+  /** A longer time than this between two checks shows that this process was paused. */
   private static final long PROCESS_PAUSE_MS = 1_200;
 
-  /** Of the machines that are up, so many percent may look for another leader. */
+  /**
+   * Responses count as lost if there are more misdirected heartbeats than this percentage of the
+   * machines that are up.
+   */
   private static final int MAX_MISDIRECTED_PERCENT = 60;
 
-  /** Of the machines that are up for a while, so many percent must show that they get commands. */
+  /**
+   * Responses count as lost if less than this percentage of the machines that have been up for two
+   * heartbeat windows have shown that they receive commands.
+   */
   private static final int MIN_RECEIVING_PERCENT = 20;
 
-  /** Of the machines that are expected, so many percent must send heartbeats. */
+  /**
+   * Heartbeats count as lost if less than this percentage of the expected machines sent one within
+   * the heartbeat window.
+   */
   private static final int MIN_HEARD_PERCENT = 20;
 
-  /** A short silence is enough where one machine of so many, or more, looks for another leader. */
+  /**
+   * The short silence is a reason to resign if there are more misdirected heartbeats than the
+   * number of expected machines divided by this.
+   */
   private static final int SHORT_SILENCE_MISDIRECTED_PART = 3;
 
   private static final int PERCENT = 100;
@@ -56,11 +79,12 @@
   private int mostHeard;
 
   /**
-   * @param isMachineListRead whether the cloud's list of machines was read in this term
-   * @param minUnheardMs how long a leader that never heard most of its machines waits at least
-   *     before it resigns. Where several leaders before it found the same, it must be long enough
-   *     to prove by silence that the machines are gone: otherwise leadership would go round without
-   *     end, none staying for that long. 0 where leadership is stable.
+   * @param isMachineListRead whether the cloud's list of machines has been read in this term
+   * @param minUnheardMs the shortest time without any heartbeat, in milliseconds, after which a
+   *     leader resigns that has never received heartbeats of most of its machines. If leadership is
+   *     unstable, it must be long enough to prove that the tasks of these machines are gone.
+   *     Otherwise leaders would replace each other without end, as none of them would stay long
+   *     enough for that proof. 0 if leadership is stable.
    */
   LeaderConnectivity(
       MachineRegistry machines,
@@ -81,28 +105,31 @@
     this.listeningSinceMs = term.startMs();
   }
 
-  /** A heartbeat of any machine arrived here. */
+  /** Records the arrival of a heartbeat, of whatever machine. */
   void recordHeartbeat(long nowMs) {
     lastHeartbeatMs = nowMs;
   }
 
-  /** So many heartbeats of machines that had this leader's responses reached another controller. */
+  /**
+   * Records how many heartbeats reached another controller although their machines had received
+   * responses of this leader.
+   */
   void misdirectedHeartbeats(long nowMs, int heartbeats) {
     misdirected.record(nowMs, heartbeats);
   }
 
-  /** Since when this leader has listened without a pause of its process. */
+  /** Since when this process has received heartbeats without a pause, on the steady clock. */
   long listeningSinceMs() {
     return listeningSinceMs;
   }
 
   /**
-   * Why another controller would lead better, if so. To be called regularly, several times within a
-   * second.
+   * Why this leader should resign because another controller may have better connections; empty if
+   * there is no such reason. To be called periodically, several times per second.
    *
-   * <p>A process that was paused finds heartbeats that it has not read yet, and machines that
-   * turned to other controllers meanwhile. That says nothing about its connections now, so it first
-   * listens for a whole window again.
+   * <p>After a pause of this process, heartbeats that arrived during the pause have not been read,
+   * and machines have turned to other controllers. This says nothing about the present connections.
+   * So no reason is returned until a whole heartbeat window has passed without a pause.
    */
   Optional<String> reasonToStepDown(long nowMs) {
     if (nowMs - lastCheckMs > PROCESS_PAUSE_MS) {
@@ -124,8 +151,9 @@
   }
 
   /**
-   * Heartbeats arrive, and their senders try other controllers as well although they had responses
-   * of this leader; or hardly any of them has ever shown this leader's token.
+   * Whether heartbeats arrive but responses are lost: many machines turn to other controllers
+   * although they had received responses of this leader, or few machines have shown their current
+   * fencing token.
    */
   private boolean areResponsesLost(long nowMs) {
     if (nowMs - listeningSinceMs < 2 * windowMs) {
@@ -138,7 +166,7 @@
     for (Machine machine : machines.all()) {
       if (machine.isUp() && nowMs - machine.lastHeartbeatMs() < 2 * windowMs) {
         up++;
-        // A machine that has just come up has not had the time to show what it received.
+        // A machine with a recent first heartbeat may not have had time to show its token.
         boolean isSettled = nowMs - machine.firstHeartbeatMs() >= 2 * windowMs;
         settled += isSettled ? 1 : 0;
         receiving += isSettled && machine.receivesCommands() ? 1 : 0;
@@ -149,11 +177,13 @@
   }
 
   /**
-   * Nearly all machines are silent at once: the fault is in this controller's connections, and
-   * another controller may be reached. Where most machines were silent from the start, another
-   * leader would hear no more of them, so there is more time. Where many of them try other
-   * controllers meanwhile, a short silence is enough: each redirect back here costs them seconds of
-   * their worker lease.
+   * Whether heartbeats of nearly all machines are missing at the same time. Then the fault is in
+   * this controller's connections, and the machines may reach another controller.
+   *
+   * <p>If heartbeats of most machines never arrived in this term, another leader would probably
+   * receive no more of them, so this leader waits longer. If many machines turn to other
+   * controllers meanwhile, the short silence is enough, as each redirect back to this leader costs
+   * them seconds of their worker lease.
    */
   private boolean areHeartbeatsLost(long nowMs) {
     int expected = 0;
@@ -175,16 +205,17 @@
       return true;
     }
     if (mostNeverHeard) {
-      // An earlier leader that is cut off from the state service may still have the machines.
+      // An earlier leader that can't reach the state service may still respond to the machines.
       return silenceMs >= unheardMs;
     }
     return heard * PERCENT < expected * MIN_HEARD_PERCENT;
   }
 
   /**
-   * A machine that only records of earlier leaders mention, and that the cloud's list does not
-   * show, is most likely gone: no other leader would hear it. If it were expected, each leader in
-   * turn would resign before it had listened for long enough to prove its tasks gone.
+   * Whether a machine that has sent no heartbeat in this term is expected to send any. If it is
+   * known only from records of earlier leaders and missing from the cloud's list, it is most likely
+   * gone, and no other leader would receive heartbeats of it. If it were expected, each leader in
+   * turn would resign before it had waited long enough to prove the machine's tasks gone.
    */
   private boolean mayExist(Machine machine) {
     return machine.isListed() || !isMachineListRead.getAsBoolean();
--- a/src/main/java/org/ploverspindle/leadership/LeaderContext.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderContext.java
@@ -16,10 +16,11 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * What a leader is built from, the same in all terms of a controller. Only {@link LeaderComponents}
- * takes it apart: each part of a leader is given just what it uses.
+ * What a leader is created from; the same in all terms of a controller. Only {@link Leader} and
+ * {@link LeaderComponents} receive it as a whole: all other components receive just what they use.
  *
- * @param rejections counts what was refused of this controller's terms after they had ended
+ * @param rejections counts the requests of this controller that were refused because a newer leader
+ *     had replaced it
  */
 public record LeaderContext(
     Scheduler scheduler,
@@ -32,7 +33,7 @@
   /**
    * The state service and this controller's view of it.
    *
-   * @param store for the leader's writes, which are conditional on the leader key
+   * @param store executes the leader's writes, which are conditional on the leader key
    * @param writeBudget limits the rate of the leader's writes
    */
   public record StateAccess(
@@ -42,10 +43,10 @@
       Pipelines pipelines,
       TokenBucket writeBudget) {}
 
-  /** The services that a leader sends requests to, besides the state service. */
+  /** The services to which a leader sends requests, other than the state service. */
   public record ExternalServices(CloudClient cloud, WorkerClient workers) {}
 
-  /** What the operators have set, and what is derived from it. */
+  /** The operators' settings and policy, the times derived from them, and the machine types. */
   public record Configuration(
       Settings settings, Policy policy, SafetyTiming timing, Catalogue catalogue) {}
 }
--- a/src/main/java/org/ploverspindle/leadership/LeaderRecords.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderRecords.java
@@ -9,8 +9,8 @@
 import org.ploverspindle.state.Keys;
 
 /**
- * The stored records of leadership, in the form that all versions read. The epoch is the first
- * fencing token of the term.
+ * Encodes and decodes the stored records of leadership, in the form that all versions read. The
+ * epoch of the role is the first fencing token of the term.
  */
 final class LeaderRecords implements RoleRecords {
   @Override
@@ -53,7 +53,7 @@
             record.path("hold").asLong()));
   }
 
-  /** Stores the last token of the term: the next term begins above it. */
+  /** Encodes the last token of the term that takes this epoch; the next term begins above it. */
   @Override
   public JsonNode encodeEpochs(long taken) {
     return Cbor.map().put("n", taken + Term.TOKENS_PER_TERM - 1);
--- a/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
@@ -7,7 +7,7 @@
 import org.ploverspindle.cluster.MachineRegistry;
 import org.ploverspindle.progress.ProgressWriter;
 
-/** A leader's counts of jobs, machines and placements, as the status page shows them. */
+/** A leader's counts of jobs, machines, placements and terminations, for the status page. */
 record LeaderStatus(
     JobTable jobs, MachineRegistry machines, ProgressWriter writer, Autoscaler autoscaler) {
   @Override
--- a/src/main/java/org/ploverspindle/leadership/LeadershipStatus.java
+++ b/src/main/java/org/ploverspindle/leadership/LeadershipStatus.java
@@ -7,7 +7,10 @@
 import org.ploverspindle.leases.RoleHolder;
 import org.ploverspindle.leases.RoleLease;
 
-/** The line on leadership in the status page. Its keys are an interface: monitoring reads them. */
+/**
+ * The line about leadership in the status page. Its keys are an external interface, as monitoring
+ * reads them.
+ */
 record LeadershipStatus(long nowMs, RoleLease lease) {
   private static final double MEDIAN = 50;
   private static final double P99 = 99;
--- a/src/main/java/org/ploverspindle/leadership/MisdirectedHeartbeats.java
+++ b/src/main/java/org/ploverspindle/leadership/MisdirectedHeartbeats.java
@@ -5,20 +5,23 @@
 import org.ploverspindle.cluster.MachineRegistry;
 
 /**
- * Counts the heartbeats of this leader's machines that lately reached other controllers: a machine
- * that gets no responses from its leader tries the others.
+ * Counts the recent heartbeats of this leader's machines that reached other controllers. A machine
+ * that receives no responses from its leader sends its heartbeats to other controllers.
  */
 final class MisdirectedHeartbeats {
-  /** Heartbeats that were delayed on the way arrive within this time. */
+  /** Heartbeats that are delayed in the network are assumed to arrive within this time. */
   private static final long MAX_HEARTBEAT_DELAY_MS = 60_000;
 
-  /** Delayed heartbeats to be expected for each machine that was removed within that time. */
+  /**
+   * The number of delayed heartbeats that are expected for each machine that was removed within
+   * {@link #MAX_HEARTBEAT_DELAY_MS}.
+   */
   private static final double DELAYED_PER_REMOVED_MACHINE = 0.25;
 
-  /** What another controller counted in one second. */
+  /** The number of heartbeats that another controller counted within about one second. */
   private record Count(long atMs, int heartbeats) {}
 
-  /** How many machines had been removed in the term by then. */
+  /** The number of machines that had been removed in the term at {@code atMs}. */
   private record RemovedTotal(long atMs, long machines) {}
 
   private final MachineRegistry machines;
@@ -27,7 +30,7 @@
   private final Deque<RemovedTotal> removedTotals = new ArrayDeque<>();
 
   /**
-   * @param windowMs for how long a count is kept
+   * @param windowMs how long a count is kept, in milliseconds
    */
   MisdirectedHeartbeats(MachineRegistry machines, long windowMs) {
     this.machines = machines;
@@ -38,12 +41,15 @@
     counts.addLast(new Count(nowMs, heartbeats));
   }
 
-  /** Forgets all counts: what came while this process was paused says nothing about it. */
+  /**
+   * Discards all counts. To be called after a pause of this process: machines turned to other
+   * controllers because of the pause, which says nothing about the present connections.
+   */
   void clear() {
     counts.clear();
   }
 
-  /** Drops what is outdated, and notes how many machines have been removed by now. */
+  /** Discards outdated counts, and records how many machines have been removed by now. */
   void update(long nowMs) {
     counts.removeIf(count -> nowMs - count.atMs() > windowMs);
     removedTotals.addLast(new RemovedTotal(nowMs, machines.removedCount()));
@@ -53,11 +59,12 @@
   }
 
   /**
-   * Heartbeats within the window that show a machine looking for another leader.
+   * The number of heartbeats within the window whose machines are looking for another leader.
    *
-   * <p>Other controllers can't tell these from heartbeats that were delayed on the way, also those
-   * of machines that have been removed since. Without the allowance for them a leader would resign
-   * when a whole zone of machines, cut off and then terminated, leaves many late heartbeats behind.
+   * <p>Other controllers can't distinguish these from heartbeats that were delayed in the network,
+   * among them heartbeats of machines that have been removed since. The expected number of the
+   * latter is subtracted. Otherwise a leader would resign when a whole zone is lost by a network
+   * partition and its machines are terminated, as many of their heartbeats arrive late.
    */
   int count() {
     int heartbeats = 0;
--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -15,12 +15,16 @@
 import org.ploverspindle.state.JobRecord;
 
 /**
- * Lets jobs inherit the deadline and the priority of the jobs that depend on them, along the
- * critical path. Computed for all unfinished pipelines at once, when one of them has changed, and
- * periodically as the runtime estimates move; it costs nothing where there are no pipelines.
+ * Computes the deadline and the priority that jobs inherit from their dependents along the critical
+ * path. The values of all unfinished pipelines are computed together: when one of the pipelines has
+ * changed, and periodically, as runtime estimates change. Without pipelines nothing is computed
+ * periodically.
  */
 final class PriorityInheritance {
-  /** Estimates move slowly: each finished task moves that of its class by less than a tenth. */
+  /**
+   * Inherited values older than this are computed again. Estimates change slowly: a finished task
+   * has a weight of less than a tenth in the estimate of its job class.
+   */
   private static final long MAX_AGE_MS = 5_000;
 
   private static final double MS_PER_S = 1_000;
@@ -36,7 +40,8 @@
   private OptionalLong computedMs = OptionalLong.empty();
 
   /**
-   * @param records the accepted job with a uid; read once for each unfinished job
+   * @param records returns the record of the job with a uid; each unfinished job's record is read
+   *     once
    */
   PriorityInheritance(
       DependencyGraph graph,
@@ -51,12 +56,15 @@
     this.objectives = objectives;
   }
 
-  /** A job with dependencies was accepted or became ready, or will never run. */
+  /**
+   * Has the next update compute the inherited values again, as a job with dependencies was
+   * accepted, became ready or was aborted.
+   */
   void changed() {
     changed = true;
   }
 
-  /** Brings the inherited values of all jobs up to date, if they are outdated. */
+  /** Computes the inherited values of all jobs again if they are outdated. */
   void update(long nowMs) {
     if (changed || hasPipelines && isOutdated(nowMs)) {
       changed = false;
@@ -92,7 +100,7 @@
   }
 
   /**
-   * @param multiple of a job's deadline by which it is to be done
+   * @param multiple the factor by which the deadline of each job is multiplied
    */
   private Map<String, CriticalPath.EffectiveValues> inheritedWith(
       ToDoubleFunction<JobSpec> multiple) {
--- a/src/main/java/org/ploverspindle/leadership/Recovery.java
+++ b/src/main/java/org/ploverspindle/leadership/Recovery.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rebuilds jobs and placements from what earlier leaders recorded. A task that is recorded on a
- * machine is presumed to run there until a heartbeat, or the expiry of the worker's lease, shows
- * otherwise.
+ * Restores jobs and placements from the records of earlier leaders. A task that is recorded on a
+ * machine is assumed to run there until a heartbeat or the expiry of the worker lease proves that
+ * it does not.
  */
 final class Recovery {
   private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
@@ -47,7 +47,8 @@
   /**
    * Fills the job table, the registry of machines, and the writer's view of the records.
    *
-   * @return whether a record of the progress log is missing: tasks may run that no record mentions
+   * @return whether a record of the progress log is unreadable, so that tasks may run that no
+   *     readable record mentions
    */
   boolean restore(long nowMs) {
     RecordedProgress recorded = new RecordedProgress(replica, writer);
@@ -81,7 +82,7 @@
         machines.adopt(
             machineInfo.id(), machineInfo.type(), machineInfo.zone(), machineInfo.spot(), nowMs);
     if (machine.isEmpty() || recorded.task() >= job.spec().tasks()) {
-      // The placement can't be tracked: if the job went on, the task could run on two machines.
+      // The placement can't be tracked. If the job went on, the task could run on two machines.
       LOG.error(
           "job quarantined, its recorded placement is invalid: job={} task={}",
           job.uid(),
@@ -97,7 +98,7 @@
             machine.get(),
             recorded.agentEpoch(),
             Placement.Phase.RECOVERED));
-    // Another attempt of the task may have completed, as a late heartbeat showed.
+    // A late heartbeat may have shown that another attempt of the task completed.
     TaskProgress.stopIfDone(job, recorded.task());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/ResignationBackoff.java
+++ b/src/main/java/org/ploverspindle/leadership/ResignationBackoff.java
@@ -3,18 +3,22 @@
 import java.util.OptionalLong;
 
 /**
- * Lets other controllers go first after a resignation, longer after each one. A leader that no
- * machine reaches renews its key as well as any other: if it were elected again at once, every
- * worker lease would expire meanwhile.
+ * Keeps this controller from being a candidate for some time after it resigned, so that another one
+ * is elected. The time grows with repeated resignations. A leader that no machine reaches can still
+ * renew its lease in the state service: if it were elected again at once, all worker leases would
+ * expire.
  */
 final class ResignationBackoff {
   private static final long FIRST_BACKOFF_MS = 12_000;
   private static final int MAX_DOUBLINGS = 2;
 
-  /** After so long without a resignation the backoff starts from its first length again. */
+  /** After this time without a resignation the next backoff has the first length again. */
   private static final long RESET_AFTER_MS = 120_000;
 
-  /** Where nobody leads for so long, a leader that is hard to reach is better than none. */
+  /**
+   * The backoff is ignored when there has been no leader for this long: a leader that few machines
+   * reach is better than none.
+   */
   private static final long MAX_VACANCY_MS = 2_500;
 
   private OptionalLong lastResignationMs = OptionalLong.empty();
@@ -22,12 +26,12 @@
   private int repeats;
   private long vacantSinceMs;
 
-  /** The leader key was removed. */
+  /** Records that the leader key was removed, so that there is no leader. */
   void leadershipVacant(long nowMs) {
     vacantSinceMs = nowMs;
   }
 
-  /** This controller resigns now. */
+  /** Begins the backoff of this controller, which resigns now. */
   void resigned(long nowMs) {
     boolean isRepeated =
         lastResignationMs.isPresent() && nowMs - lastResignationMs.getAsLong() <= RESET_AFTER_MS;
@@ -37,7 +41,7 @@
     untilMs = OptionalLong.of(nowMs + (FIRST_BACKOFF_MS << Math.min(MAX_DOUBLINGS, repeats)));
   }
 
-  /** Must this controller leave leadership to others for now? */
+  /** Whether this controller must not become a candidate now. */
   boolean isActive(long nowMs) {
     return untilMs.isPresent()
         && nowMs < untilMs.getAsLong()
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -9,7 +9,7 @@
 import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.placement.ScaleOutPlanner;
 
-/** Answers the autoscaler's questions about the leader's work from the parts that know. */
+/** Provides the autoscaler with the leader's demand for machines, and handles lost placements. */
 final class ScaleOutDemand implements Autoscaler.Workload {
   private final ScaleOutRequests requests;
   private final HighPriorityHeadroom headroom;
@@ -19,7 +19,7 @@
   private final BooleanSupplier isAuthoritative;
 
   /**
-   * @param isAuthoritative whether this leader may decide now
+   * @param isAuthoritative whether this leader's lease is certainly valid
    */
   ScaleOutDemand(
       ScaleOutRequests requests,
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutRequests.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutRequests.java
@@ -16,8 +16,8 @@
 import org.ploverspindle.placement.ScaleOutPlanner;
 
 /**
- * Works out which machines the leader's jobs need: what is to be added, and which of the machines
- * that are there still have a use.
+ * Determines which machines the leader's jobs need: which machines are to be requested, and which
+ * of the existing ones are still of use.
  */
 final class ScaleOutRequests {
   private final Scheduler scheduler;
@@ -29,7 +29,7 @@
   private final Placer placer;
 
   /**
-   * @param planners a new planner for each scan
+   * @param planners creates the planner of each scan, as a planner makes only one plan
    */
   ScaleOutRequests(
       Scheduler scheduler,
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Plans what to add, and marks the expensive machines that the plan has no use for.
+   * Plans which machines to request, and marks expensive machines that the jobs no longer need.
    *
    * @param pending machines that are requested or booting
    */
@@ -79,8 +79,9 @@
   }
 
   /**
-   * Expensive machines that nothing needs any more take no new work that could wait, so that they
-   * become idle and are terminated: otherwise they would stay as long as any task is pending.
+   * Marks the expensive machines that no job needs any more. They get no tasks that can wait, so
+   * that they become idle and are terminated. Otherwise they would be kept as long as any task is
+   * pending.
    */
   private void markScaleInCandidates(List<Machine> usable, ScaleOutPlanner planner) {
     List<Machine> expensive = new ArrayList<>();
@@ -102,7 +103,7 @@
         && type.price(false) > type.price(true) * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO;
   }
 
-  /** For one machine after the other: could a pending task be placed on it? */
+  /** Returns a predicate that accepts machines on which a pending task could be placed. */
   Predicate<Machine> needed() {
     return placer.usefulMachines(scheduler.nowMs());
   }
--- a/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
+++ b/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
@@ -8,16 +8,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides when pending tasks are placed, and when running ones are preempted. */
+/** Runs the rounds that place pending tasks, and the preemption of running tasks. */
 final class SchedulingRounds {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingRounds.class);
 
-  /** Changes within this time are served by one round. */
+  /** The shortest pause before a round. All changes within the pause are handled by that round. */
   private static final long MIN_PAUSE_MS = 40;
 
   /**
-   * The pause before a round is so many times as long as the last round took. Without it, placing a
-   * large backlog would leave no processor time for the heartbeats that work it off.
+   * The pause before a round is this many times the duration of the last round. Without it, placing
+   * a large backlog would leave no processor time to handle the heartbeats by which placed tasks
+   * are launched.
    */
   private static final int PAUSE_PER_ROUND = 3;
 
@@ -32,7 +33,7 @@
   private boolean closed;
 
   /**
-   * @param isAuthoritative whether this leader may decide now
+   * @param isAuthoritative whether this leader's lease is certainly valid
    */
   SchedulingRounds(
       Scheduler scheduler,
@@ -47,17 +48,17 @@
     this.isAuthoritative = isAuthoritative;
   }
 
-  /** From now on no round is scheduled. */
+  /** Schedules no round from now on. */
   void close() {
     closed = true;
   }
 
-  /** Places nothing before that time: until then tasks may run that no record mentions. */
+  /** Places nothing before this time, as tasks that no record mentions may run until then. */
   void notBefore(long atMs) {
     notBeforeMs = OptionalLong.of(atMs);
   }
 
-  /** Schedules a round; calls before it begins are served by the same one. */
+  /** Schedules a round. Further calls before the round begins have no effect. */
   void schedule() {
     if (scheduled || closed) {
       return;
@@ -82,7 +83,7 @@
     return notBeforeMs.isPresent() && nowMs < notBeforeMs.getAsLong();
   }
 
-  /** Preempts running tasks where high-priority jobs find no free resources. */
+  /** Preempts running tasks to free resources for high-priority jobs that found none. */
   void preempt() {
     timings.run("preemption", this::preemptIfAuthoritative);
   }
--- a/src/main/java/org/ploverspindle/leadership/SpotDrain.java
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -7,21 +7,30 @@
 import org.ploverspindle.placement.RuntimeEstimates;
 
 /**
- * Decides what happens to the tasks of a spot machine that the cloud reclaims: a task that can't
- * end in time is stopped, so that it writes a checkpoint, or at least starts again elsewhere
- * without waiting for the worker's lease to expire.
+ * Decides which tasks are stopped on a spot machine that the cloud reclaims. A task that is not
+ * expected to end in time is stopped, so that it writes a checkpoint, or at least starts again on
+ * another machine without waiting for the worker lease to expire.
  */
 final class SpotDrain {
-  /** A task that is left to end by itself must do so this long before the machine is reclaimed. */
+  /**
+   * A task is not stopped if it is expected to end more than this many seconds before the machine
+   * is reclaimed.
+   */
   private static final double END_MARGIN_S = 1;
 
-  /** Beyond the cost of a checkpoint, for the command to arrive and the result to be stored. */
+  /**
+   * Seconds that are added to the cost of a checkpoint, for the command to arrive and the result to
+   * be stored.
+   */
   private static final double CHECKPOINT_MARGIN_S = 0.5;
 
-  /** A checkpoint may take so many times its expected cost, if the notice is long enough. */
+  /** A checkpoint may take this many times its expected cost, if the spot notice allows it. */
   private static final double CHECKPOINT_GRACE_FACTOR = 2;
 
-  /** Estimates err: a task without checkpoints is stopped only this far from its expected end. */
+  /**
+   * A task that can't write a checkpoint in time is stopped only if its expected remaining time is
+   * more than this many times the time until the machine is reclaimed, as estimates are inexact.
+   */
   private static final double GIVE_UP_RATIO = 1.5;
 
   private static final double MS_PER_S = 1_000;
@@ -33,7 +42,8 @@
   }
 
   /**
-   * Called with each heartbeat that has the notice; tasks that are stopping already are skipped.
+   * Stops the tasks of the machine that will not end in time. Called for each heartbeat with the
+   * spot notice; tasks that are already stopping are skipped.
    */
   void drain(Machine machine, long nowMs) {
     double noticeS = machine.spotNoticeS();
@@ -61,7 +71,10 @@
     }
   }
 
-  /** How long the task is expected to run on; without end for a service. */
+  /**
+   * The expected remaining time of the task in seconds; {@link Double#MAX_VALUE} for a service,
+   * which runs until it is cancelled.
+   */
   private double remainingS(Placement placement, long nowMs) {
     if (placement.job().spec().expectedS() <= 0) {
       return Double.MAX_VALUE;
--- a/src/main/java/org/ploverspindle/leadership/TaskFailures.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskFailures.java
@@ -12,13 +12,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles failures of tasks: when a task may be retried, whether its job is considered broken, and
- * whether its machine is drained.
+ * Handles failures of tasks. Decides when a failed task may be retried and whether its machine is
+ * drained, and reports jobs that fail on several machines.
  */
 final class TaskFailures {
   private static final Logger LOG = LoggerFactory.getLogger(TaskFailures.class);
 
-  /** The delay before a retry grows by this with each failure of the job. */
+  /** The delay before a retry grows by this time with each failure of the job. */
   private static final long RETRY_STEP_MS = 1_000;
 
   private static final long MAX_RETRY_DELAY_MS = 20_000;
@@ -35,7 +35,7 @@
     this.detector = new FailureDetector(this::isKnownToRun);
   }
 
-  /** A task ended with an error on its machine. */
+  /** Handles a task that ended with an error on its machine. */
   void handleFailure(Placement placement, long nowMs) {
     Job job = placement.job();
     Machine machine = placement.machine();
@@ -58,7 +58,10 @@
     }
   }
 
-  /** A job that is no longer in the table is known to run if it was done. */
+  /**
+   * Whether the job has shown that it can run. A job that is no longer in the table has shown it if
+   * its completion is recorded.
+   */
   private boolean isKnownToRun(String uid) {
     return jobs.get(uid)
         .map(job -> job.isKnownToRun(scheduler.nowMs()))
--- a/src/main/java/org/ploverspindle/leadership/TaskOwners.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskOwners.java
@@ -6,7 +6,10 @@
 import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.JobRecord;
 
-/** Finds the owner of a task that runs unrecorded: it counts against its team while it may run. */
+/**
+ * Finds the team and the resources of a task that runs without a placement, so that the task counts
+ * for its team's limit while it may run.
+ */
 final class TaskOwners {
   private final AcceptedJobIndex acceptedJobs;
   private final TeamUsage teams;
@@ -16,7 +19,9 @@
     this.teams = teams;
   }
 
-  /** The owner of the job's tasks; empty if the job or its team is unknown. */
+  /**
+   * The owner of the job's tasks; empty if the job is unknown or unreadable, or its team unknown.
+   */
   Optional<HeartbeatHandler.TaskOwner> of(String uid) {
     return acceptedJobs
         .get(uid)
--- a/src/main/java/org/ploverspindle/leadership/TaskProgress.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -14,16 +14,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows tasks from their placement to their end: has each change recorded, has freed resources
- * filled again, and removes terminal jobs.
+ * Tracks tasks from their placement to their end. Has each change recorded, schedules a round when
+ * resources become free, and removes terminal jobs.
  */
 final class TaskProgress implements HeartbeatHandler.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(TaskProgress.class);
 
-  /** Before a task that its machine had no resources for, or was too busy for, is placed again. */
+  /**
+   * Delay before a task is placed again that did not start, because its machine lacked the
+   * resources or had another attempt of the task.
+   */
   private static final long REJECTED_RETRY_DELAY_MS = 1_000;
 
-  /** The same for a task that its machine does not know. */
+  /** Delay before a task is placed again that did not start, because its worker lacked the job. */
   private static final long UNKNOWN_TASK_RETRY_DELAY_MS = 4_000;
 
   private static final double MS_PER_S = 1_000;
@@ -36,7 +39,7 @@
   private final Runnable scheduleRound;
 
   /**
-   * @param scheduleRound has pending tasks placed soon, as there may be free resources now
+   * @param scheduleRound schedules a round that places pending tasks, as resources may be free now
    */
   TaskProgress(
       Scheduler scheduler,
@@ -53,7 +56,7 @@
     this.scheduleRound = scheduleRound;
   }
 
-  /** A task has been placed: its launch goes out once the placement is recorded. */
+  /** Has a new placement recorded. Its launch is sent once the record is durable. */
   void placed(Placement placement) {
     LOG.debug(
         "task placed: job={} task={} machine={}",
@@ -63,12 +66,15 @@
     writer.taskChanged(placement.job(), placement.task());
   }
 
-  /** These tasks are proven gone with their machines. */
+  /**
+   * Handles placements that were removed because their machine was terminated or its worker lease
+   * expired, which proves that the tasks are gone.
+   */
   void lost(List<Placement> placements) {
     placements.forEach(this::ended);
   }
 
-  /** Removes a terminal job as soon as none of its tasks can be on any machine. */
+  /** Removes the job if it is terminal and none of its tasks can be on any machine. */
   void cleanUp(Job job) {
     if (job.cancelled()) {
       writer.cancelledPlacementsEnded(job);
@@ -79,7 +85,7 @@
     }
   }
 
-  /** Stops an attempt that goes on although another attempt of its task has completed. */
+  /** Stops the active attempt of the task, if any, when another attempt of it has completed. */
   static void stopIfDone(Job job, int task) {
     Placement placement = job.activePlacement(task);
     if (placement != null && job.completedTasks().contains(task)) {
@@ -139,7 +145,10 @@
     scheduleRound.run();
   }
 
-  /** Logs how long a high-priority task waited, and for what. */
+  /**
+   * Logs when a high-priority task begins to run: the time since the job was eligible, since the
+   * placement was recorded, and since the launch was sent.
+   */
   @Override
   public void phaseChanged(Placement placement) {
     if (!LOG.isDebugEnabled()
--- a/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
+++ b/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
@@ -13,7 +13,11 @@
 import org.ploverspindle.cluster.Placement;
 import org.ploverspindle.cluster.WorkerCommand;
 
-/** When a delayed response is sent, and with which commands. */
+/**
+ * Checks when a delayed response is sent and which commands it has. Guards against tasks that wait
+ * for the next heartbeat although a delayed response could launch them, against launches before the
+ * placement is durable, and against heartbeats without a response.
+ */
 class DelayedResponsesTest {
   private static final long MAX_DELAY_MS = 1_800;
 
@@ -59,7 +63,7 @@
     for (int i = 0; i < 4; i++) {
       fixture.place();
     }
-    assertFalse(isWorthDelaying(heartbeat), "all four cores are taken");
+    assertFalse(isWorthDelaying(heartbeat), "all four cores are in use");
     SingleMachineFixture reclaimed = new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
     Heartbeat notice = reclaimed.heartbeat(OptionalDouble.of(20));
     assertFalse(delayed.isWorthDelaying(reclaimed.machine(), notice, reclaimed.nowMs));
@@ -90,7 +94,10 @@
     assertEquals(List.of(), responses.get(0).commands());
   }
 
-  /** Without authority, a leader could launch what another leader has placed elsewhere. */
+  /**
+   * Guards against a launch by a leader whose lease may have expired: another leader may have
+   * placed the task on another machine.
+   */
   @Test
   void withoutAuthorityTheResponseIsSentAtOnceAndLaunchesNothing() {
     delayOne();
--- a/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
+++ b/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
@@ -12,7 +12,10 @@
 import org.ploverspindle.leases.FencingRejections;
 import org.ploverspindle.model.Term;
 
-/** A token raised for one machine is of the same term; only one of a later term is a rejection. */
+/**
+ * Checks that only a fencing token of a later term counts as a rejection. Guards against counting
+ * tokens that this term raised for a single machine.
+ */
 class FencedWorkerClientTest {
   private static final Term TERM = new Term(Term.TOKENS_PER_TERM, 7, 0);
 
--- a/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
+++ b/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
@@ -26,7 +26,11 @@
 import org.ploverspindle.settings.Address;
 import org.ploverspindle.settings.Settings;
 
-/** A leader of 100 machines with heartbeats every three seconds: when it steps down. */
+/**
+ * Checks when a leader of 100 machines, each of which sends a heartbeat every three seconds, has a
+ * reason to resign. Guards against a leader that stays while all worker leases expire, as
+ * heartbeats or responses are lost, and against a leader that resigns although it is reached.
+ */
 class LeaderConnectivityTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final int MACHINES = 100;
@@ -73,7 +77,7 @@
         new Settings.Quota(1, 200, 500));
   }
 
-  /** The heartbeat of one machine. */
+  /** Handles a heartbeat of the machine that shows this fencing token. */
   private void heartbeat(int machine, long fencingToken, long nowMs) {
     connectivity.recordHeartbeat(nowMs);
     heartbeatHandler.handle(
@@ -91,7 +95,7 @@
         nowMs);
   }
 
-  /** Checks every 390 ms; true if there was any reason to step down in that time. */
+  /** Checks every 390 ms; returns whether any check in that time gave a reason to resign. */
   private boolean stepsDown(long fromMs, long toMs, boolean reporting, long fencingToken) {
     boolean steppedDown = false;
     for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
@@ -131,19 +135,23 @@
     assertFalse(stepsDown(30_000, 36_000, true, 7));
     connectivity.misdirectedHeartbeats(36_000, 70);
     assertTrue(
-        stepsDown(36_000, 37_000, true, 7), "most of them had responses and try other controllers");
+        stepsDown(36_000, 37_000, true, 7),
+        "70 misdirected heartbeats, more than 60 % of 100 machines");
   }
 
   @Test
   void listensAgainAfterAPauseBeforeItCallsMachinesSilent() {
     stepsDown(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(33_000, 300);
-    // The process was paused, and has not read yet what arrived meanwhile.
+    // The process was paused after 30 s, and has not read yet what arrived during the pause.
     assertFalse(stepsDown(35_100, 38_000, false, 7));
     assertFalse(stepsDown(38_010, 60_000, true, 7));
   }
 
-  /** Leaders that replace each other too soon would never prove machines gone that are gone. */
+  /**
+   * Guards against leaders that replace each other so soon that none of them waits long enough to
+   * prove that the tasks of lost machines are gone.
+   */
   @Test
   void waitsForTheProofOfSilenceWhereLeadershipIsUnstable() {
     for (int machine = 0; machine < MACHINES; machine++) {
@@ -157,7 +165,9 @@
       machines.addPlacement(
           new Placement(job, task, task + 1, machine, 1, Placement.Phase.RECOVERED));
     }
-    assertTrue(stepsDown(0, 20_000, false, 7), "the first leaders step down soon");
+    assertTrue(
+        stepsDown(0, 20_000, false, 7),
+        "without a longer minimum time, leaders resign within 20 s");
     connectivity = new LeaderConnectivity(machines, TERM, settings, () -> listRead, 40_000);
     assertFalse(stepsDown(0, 39_000, false, 7));
     assertTrue(stepsDown(39_000, 42_000, false, 7));
@@ -165,10 +175,13 @@
 
   @Test
   void stepsDownWhenNoMachineShowsItsToken() {
-    assertTrue(stepsDown(0, 30_000, true, 3), "all heartbeats have an older token");
+    assertTrue(stepsDown(0, 30_000, true, 3), "all heartbeats show a token of an earlier term");
   }
 
-  /** Six machines on which earlier leaders recorded tasks; none of them sends a heartbeat. */
+  /**
+   * Adds six machines that are known only because earlier leaders recorded tasks on them; none of
+   * them sends a heartbeat.
+   */
   private void addMachinesKnownFromRecordsOnly() {
     JobSpec spec = JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 6, 4, 1, 20, 0);
     Job job = new Job(spec, 0, 80, 0, new BitSet(), -1, 1);
@@ -183,13 +196,13 @@
   void doesNotWaitForMachinesThatOnlyRecordsMention() {
     addMachinesKnownFromRecordsOnly();
     listRead = true;
-    assertFalse(stepsDown(0, 40_000, false, 7), "no other leader would hear them");
+    assertFalse(stepsDown(0, 40_000, false, 7), "no other leader would receive heartbeats of them");
   }
 
   @Test
   void stepsDownForSilentMachinesThatAreListedOrMayBe() {
     addMachinesKnownFromRecordsOnly();
-    assertTrue(stepsDown(0, 39_000, false, 7), "no list was read");
+    assertTrue(stepsDown(0, 39_000, false, 7), "the cloud's list was not read");
     listRead = true;
     machines.all().forEach(machine -> machine.listedAt(0));
     assertTrue(stepsDown(39_000, 78_000, false, 7));
@@ -202,8 +215,11 @@
       Machine terminated = machines.adopt("gone-" + index, "t", "a", true, 30_000).orElseThrow();
       machines.confirmTermination(terminated.host(), 30_000);
     }
-    assertFalse(stepsDownWhileMisdirected(30_000, 60_000), "they are of terminated machines");
-    assertTrue(stepsDownWhileMisdirected(120_000, 150_000), "no late heartbeats arrive any more");
+    assertFalse(
+        stepsDownWhileMisdirected(30_000, 60_000),
+        "the misdirected heartbeats are expected after the terminations");
+    assertTrue(
+        stepsDownWhileMisdirected(120_000, 150_000), "late heartbeats are no longer expected");
   }
 
   private boolean stepsDownWhileMisdirected(long fromMs, long toMs) {
--- a/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
+++ b/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
@@ -25,7 +25,11 @@
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
 
-/** A job inherits from the jobs that depend on it, from their acceptance until they are over. */
+/**
+ * Checks that a job inherits the deadline and the priority of its dependents, from their acceptance
+ * until they are cancelled. Guards against a pipeline whose first job is placed too late for the
+ * deadline of the last one.
+ */
 class PriorityInheritanceTest {
   private static final long ACCEPTED = 5_000_000;
   private static final ServiceLevelObjectives OBJECTIVES =
@@ -119,7 +123,9 @@
     assertEquals(Priority.HIGH, index.priority());
     assertEquals(OptionalDouble.of(120 - 8 - 50), index.deadlineS());
     assertEquals(
-        OptionalDouble.of(95), index.latestDeadlineS(), "no multiple counts for the right");
+        OptionalDouble.of(95),
+        index.latestDeadlineS(),
+        "the class of the right job has no deadline multiple");
   }
 
   @Test
@@ -132,10 +138,11 @@
     assertEquals(OptionalDouble.of(72), index.deadlineS());
     estimates.observed(addToTable("compare"), 30);
     update();
-    assertEquals(OptionalDouble.of(72), index.deadlineS(), "not computed with each update");
+    assertEquals(
+        OptionalDouble.of(72), index.deadlineS(), "values are not computed again with each update");
     nowMs += 5_000;
     update();
     assertEquals(OptionalDouble.of(62), index.deadlineS());
-    assertEquals(3, read.size(), "each record once");
+    assertEquals(3, read.size(), "each record is read once");
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/ResignationBackoffTest.java
+++ b/src/test/java/org/ploverspindle/leadership/ResignationBackoffTest.java
@@ -6,11 +6,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** For how long a controller that has resigned leaves leadership to others. */
+/**
+ * Checks for how long a controller is no candidate after it resigned. Guards against the immediate
+ * re-election of a leader that no machine reaches, and against a cluster without a leader.
+ */
 class ResignationBackoffTest {
   private final ResignationBackoff backoff = new ResignationBackoff();
 
-  /** The length of the backoff after a resignation, where another controller leads meanwhile. */
+  /** The length of the backoff after a resignation in ms, while another controller leads. */
   private long backoffMs(long resignedMs) {
     backoff.resigned(resignedMs);
     long nowMs = resignedMs;
--- a/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
+++ b/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
@@ -25,12 +25,12 @@
 import org.ploverspindle.model.Term;
 import org.ploverspindle.settings.Settings;
 
-/** A leader's view of one spot machine with four cores, and of a job of one-core tasks. */
+/** A leader's view of one spot machine with four cores, and of a job with eight one-core tasks. */
 final class SingleMachineFixture {
   static final String HOST = "i-1";
   private static final Term TERM = new Term(7, 1, 0);
 
-  /** Its time is set by the test; nothing is ever run. */
+  /** A scheduler whose time is set by the test and that runs no work. */
   private final class StillScheduler implements Scheduler {
     @Override
     public long nowMs() {
@@ -84,8 +84,8 @@
   }
 
   /**
-   * @param expectedS 0 for a service
-   * @param saveCostS 0 for a job without checkpoints
+   * @param expectedS expected run time of a task in seconds; 0 for a service
+   * @param checkpointCostS time to write a checkpoint in seconds; 0 for a job without checkpoints
    */
   static JobSpec spec(double expectedS, double checkpointCostS) {
     return new JobSpec(
@@ -116,7 +116,7 @@
     return machines.get(HOST).orElseThrow();
   }
 
-  /** The machine's next heartbeat, already processed by the handler. */
+  /** Has the handler process the machine's next heartbeat, and returns the heartbeat. */
   Heartbeat heartbeat(OptionalDouble spotNoticeS, Heartbeat.TaskStatus... tasks) {
     Heartbeat heartbeat =
         new Heartbeat(
@@ -143,7 +143,7 @@
     return placement;
   }
 
-  /** Places the next task, and has a heartbeat show it running from now on. */
+  /** Places the next task, and processes a heartbeat that shows it running from now on. */
   Placement run() {
     Placement placement = place();
     heartbeat(
--- a/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
+++ b/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
@@ -11,11 +11,17 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.placement.RuntimeEstimates;
 
-/** What happens to a running task when its spot machine is reclaimed after a notice. */
+/**
+ * Checks whether, and with what grace period, a running task is stopped when its spot machine is
+ * reclaimed. Guards against work that is lost because no checkpoint was written in time, and
+ * against stops of tasks that would have completed.
+ */
 class SpotDrainTest {
   private final SpotDrain drain = new SpotDrain(new RuntimeEstimates());
 
-  /** A task that has run for so long, on a machine with a notice of so long. */
+  /**
+   * The placement of a task that ran for {@code ranS} seconds before a notice of {@code noticeS}.
+   */
   private Placement drained(JobSpec spec, double ranS, double noticeS) {
     SingleMachineFixture fixture = new SingleMachineFixture(spec);
     fixture.heartbeat(OptionalDouble.empty());
@@ -66,9 +72,11 @@
   @Test
   void aTaskWithoutCheckpointsIsStoppedOnlyWhenItsEndIsFarBeyondTheNotice() {
     assertFalse(
-        drained(SingleMachineFixture.spec(20, 0), 8, 10).isStopping(), "12 s are left to run");
+        drained(SingleMachineFixture.spec(20, 0), 8, 10).isStopping(),
+        "12 s left to run, less than 1.5 times the notice of 10 s");
     assertTrue(
-        drained(SingleMachineFixture.spec(20, 0), 4, 10).isStopping(), "16 s are left to run");
+        drained(SingleMachineFixture.spec(20, 0), 4, 10).isStopping(),
+        "16 s left to run, more than 1.5 times the notice of 10 s");
   }
 
   @Test
