--- a/src/main/java/org/ploverspindle/leadership/AuthorityFilter.java
+++ b/src/main/java/org/ploverspindle/leadership/AuthorityFilter.java
@@ -30,12 +30,13 @@
    * lease: without the stops, a leader that lost the state service before it stopped the tasks of a
    * cancelled job would let them run beyond the time limit for cancellations.
    */
-  HeartbeatHandler.Response finalStopsOnly(HeartbeatHandler.Response response) {
+  HeartbeatHandler.Response cancellationStopsOnly(HeartbeatHandler.Response response) {
     return new HeartbeatHandler.Response(
-        response.fencingToken(), response.commands().stream().filter(this::isFinalStop).toList());
+        response.fencingToken(),
+        response.commands().stream().filter(this::isCancellationStop).toList());
   }
 
-  private boolean isFinalStop(WorkerCommand command) {
+  private boolean isCancellationStop(WorkerCommand command) {
     return command instanceof WorkerCommand.Stop
         && replica.get(Keys.cancellation(command.uid())).isPresent();
   }
--- a/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
+++ b/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
@@ -30,7 +30,7 @@
   private final HeartbeatHandler heartbeatHandler;
   private final BooleanSupplier isAuthoritative;
   private final long maxDelayMs;
-  private final Map<String, DelayedResponse> delayed = new LinkedHashMap<>();
+  private final Map<String, DelayedResponse> delayedByHost = new LinkedHashMap<>();
 
   /**
    * @param isAuthoritative whether this leader's lease is certainly valid; while it is not, delayed
@@ -54,7 +54,7 @@
    * Whether the response is to be delayed: the heartbeat is the latest one of the machine, and a
    * task could be placed on the machine during the delay.
    */
-  boolean isWorthDelaying(Machine machine, Heartbeat heartbeat, long nowMs) {
+  boolean shouldDelay(Machine machine, Heartbeat heartbeat, long nowMs) {
     return machine.lastSequence() == heartbeat.sequence()
         && machine.agentEpoch() == heartbeat.agentEpoch()
         && machine.isSchedulable(nowMs, maxDelayMs)
@@ -63,12 +63,13 @@
 
   /** Delays the response until a command for the machine may be sent or the longest delay ends. */
   void delay(Heartbeat heartbeat, Consumer<HeartbeatHandler.Response> responder, long nowMs) {
-    delayed.put(heartbeat.host(), new DelayedResponse(heartbeat, responder, nowMs + maxDelayMs));
+    delayedByHost.put(
+        heartbeat.host(), new DelayedResponse(heartbeat, responder, nowMs + maxDelayMs));
   }
 
   /** Sends the machine's delayed response, if there is one, with the commands that may be sent. */
   void release(String host) {
-    DelayedResponse response = delayed.remove(host);
+    DelayedResponse response = delayedByHost.remove(host);
     if (response != null) {
       response
           .responder()
@@ -85,7 +86,7 @@
    */
   void releaseDue() {
     long nowMs = scheduler.nowMs();
-    for (DelayedResponse response : List.copyOf(delayed.values())) {
+    for (DelayedResponse response : List.copyOf(delayedByHost.values())) {
       String host = response.heartbeat().host();
       if (hasCommands(host) || nowMs >= response.releaseAtMs() || !isAuthoritative.getAsBoolean()) {
         release(host);
@@ -95,7 +96,7 @@
 
   /** Sends all delayed responses, before their delays end. */
   void releaseAll() {
-    List.copyOf(delayed.keySet()).forEach(this::release);
+    List.copyOf(delayedByHost.keySet()).forEach(this::release);
   }
 
   private boolean hasCommands(String host) {
--- a/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
@@ -49,10 +49,10 @@
       machine.ifPresent(reclaimed -> spotDrain.drain(reclaimed, nowMs));
     }
     if (!authority.isAuthoritative()) {
-      responder.accept(authority.finalStopsOnly(response));
+      responder.accept(authority.cancellationStopsOnly(response));
     } else if (response.commands().isEmpty()
         && machine.isPresent()
-        && delayedResponses.isWorthDelaying(machine.get(), heartbeat, nowMs)) {
+        && delayedResponses.shouldDelay(machine.get(), heartbeat, nowMs)) {
       delayedResponses.delay(heartbeat, responder, nowMs);
     } else {
       responder.accept(response);
--- a/src/main/java/org/ploverspindle/leadership/HighPriorityHeadroom.java
+++ b/src/main/java/org/ploverspindle/leadership/HighPriorityHeadroom.java
@@ -31,9 +31,9 @@
    * the capacity for the next high-priority job remains without this machine and without those that
    * it accepted before.
    */
-  Predicate<Machine> surplus() {
+  Predicate<Machine> surplusMachines() {
     Optional<Job> expected = arrivals.expectedHighPriorityJob();
-    return expected.isPresent() ? new SurplusBeyond(expected.get()) : machine -> true;
+    return expected.isPresent() ? new SurplusPredicate(expected.get()) : machine -> true;
   }
 
   private int capacityFor(Job job, Machine machine) {
@@ -43,7 +43,7 @@
         : 0;
   }
 
-  private final class SurplusBeyond implements Predicate<Machine> {
+  private final class SurplusPredicate implements Predicate<Machine> {
     private final Job expected;
 
     /**
@@ -52,7 +52,7 @@
      */
     private long surplusTasks;
 
-    SurplusBeyond(Job expected) {
+    SurplusPredicate(Job expected) {
       this.expected = expected;
       long capacity = 0;
       for (Machine machine : machines.all()) {
--- a/src/main/java/org/ploverspindle/leadership/JobArrivals.java
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -54,10 +54,10 @@
     acceptedJobs.uids().stream()
         .flatMap(uid -> acceptedJobs.get(uid).stream())
         .sorted(Comparator.comparingLong(accepted -> JobRecord.acceptedWallMs(accepted.value())))
-        .forEach(this::recordEarlierArrival);
+        .forEach(this::recordArrivalBeforeTerm);
   }
 
-  private void recordEarlierArrival(AcceptedJobIndex.AcceptedJob accepted) {
+  private void recordArrivalBeforeTerm(AcceptedJobIndex.AcceptedJob accepted) {
     if (pipelines.graph().hasDependencies(accepted.uid())) {
       // The job arrived when its dependencies were done, and that time is not recorded.
       return;
@@ -65,11 +65,11 @@
     long wallMs = JobRecord.acceptedWallMs(accepted.value());
     forecast.recordSubmission(wallMs);
     if (scheduler.wallMs() - wallMs < FORECAST_WINDOW_MS) {
-      JobRecord.decode(accepted.uid(), accepted.value()).ifPresent(this::recordEarlierWork);
+      JobRecord.decode(accepted.uid(), accepted.value()).ifPresent(this::recordWorkBeforeTerm);
     }
   }
 
-  private void recordEarlierWork(JobRecord record) {
+  private void recordWorkBeforeTerm(JobRecord record) {
     forecast.recordWork(record.spec(), record.spec().deadlineS(), record.acceptedWallMs());
   }
 
@@ -129,8 +129,8 @@
     }
     int tasks = job.spec().tasks();
     Resources perTask = job.perTask();
-    Resources whole = new Resources(perTask.cores() * tasks, perTask.accelerators() * tasks, 0);
-    return teams.guarantees(job.team(), whole) && job.deadlineS().isEmpty();
+    Resources allTasks = new Resources(perTask.cores() * tasks, perTask.accelerators() * tasks, 0);
+    return teams.guarantees(job.team(), allTasks) && job.deadlineS().isEmpty();
   }
 
   /**
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -114,9 +114,9 @@
       return;
     }
     if (authority.getAsBoolean()) {
-      components.progress.lost(components.machines.expireLeases(nowMs));
+      components.progress.placementsLost(components.machines.expireLeases(nowMs));
       components.rounds.schedule();
-      components.connectivity.reasonToStepDown(nowMs).ifPresent(election::resignWithBackoff);
+      components.connectivity.resignationCause(nowMs).ifPresent(election::resignWithBackoff);
     }
   }
 
--- a/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
@@ -43,13 +43,13 @@
    * Added to the time without heartbeats after which tasks of earlier terms are proven gone, so
    * that the leader acts on this proof before it resigns.
    */
-  private static final long SILENCE_PROOF_MARGIN_MS = 4_000;
+  private static final long TAKEOVER_SILENCE_MARGIN_MS = 4_000;
 
   /** The longest delay of a response in seconds. The shorter of this and the next limit applies. */
   private static final double MAX_RESPONSE_DELAY_S = 2;
 
   /** The longest delay of a response as a part of the heartbeat interval. */
-  private static final double RESPONSE_DELAY_PER_HEARTBEAT_INTERVAL = 0.6;
+  private static final double MAX_RESPONSE_DELAY_INTERVALS = 0.6;
 
   /**
    * A machine gets no new tasks if its last heartbeat is older than this many heartbeat intervals
@@ -246,10 +246,10 @@
   }
 
   private LeaderConnectivity newConnectivity() {
-    long minUnheardMs =
-        election.isUnstable() ? timing.takeoverSilenceMs() + SILENCE_PROOF_MARGIN_MS : 0;
+    long minNoContactTimeoutMs =
+        election.isUnstable() ? timing.takeoverSilenceMs() + TAKEOVER_SILENCE_MARGIN_MS : 0;
     return new LeaderConnectivity(
-        machines, term, settings, () -> autoscaler.isMachineListRead(), minUnheardMs);
+        machines, term, settings, () -> autoscaler.isMachineListRead(), minNoContactTimeoutMs);
   }
 
   // ---- heartbeats and commands
@@ -278,7 +278,7 @@
     double maxDelayS =
         Math.min(
             MAX_RESPONSE_DELAY_S,
-            RESPONSE_DELAY_PER_HEARTBEAT_INTERVAL * settings.workers().heartbeatIntervalS());
+            MAX_RESPONSE_DELAY_INTERVALS * settings.workers().heartbeatIntervalS());
     return new DelayedResponses(
         scheduler, machines, heartbeatHandler, authority, Math.round(maxDelayS * MS_PER_S));
   }
--- a/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
@@ -18,10 +18,10 @@
    * by chance. With fewer machines the leader waits longer for heartbeats before it resigns, and
    * does not conclude that responses are lost.
    */
-  private static final int MANY_MACHINES = 20;
+  private static final int LARGE_CLUSTER_MACHINES = 20;
 
   /** With fewer machines than this, missing heartbeats are no reason to resign. */
-  private static final int SOME_MACHINES = 4;
+  private static final int MIN_MACHINES = 4;
 
   /**
    * Length of the heartbeat window, in milliseconds for each second of the heartbeat interval. The
@@ -62,7 +62,7 @@
    * The short silence is a reason to resign if there are more misdirected heartbeats than the
    * number of expected machines divided by this.
    */
-  private static final int SHORT_SILENCE_MISDIRECTED_PART = 3;
+  private static final int SHORT_SILENCE_MISDIRECTED_DIVISOR = 3;
 
   private static final int PERCENT = 100;
 
@@ -71,34 +71,34 @@
   private final boolean isOnlyController;
   private final long windowMs;
   private final long shortSilenceMs;
-  private final long unheardMs;
+  private final long noContactTimeoutMs;
   private final MisdirectedHeartbeats misdirected;
   private long lastHeartbeatMs;
   private long lastCheckMs;
   private long listeningSinceMs;
-  private int mostHeard;
+  private int maxHeard;
 
   /**
    * @param isMachineListRead whether the cloud's list of machines has been read in this term
-   * @param minUnheardMs the shortest time without any heartbeat, in milliseconds, after which a
-   *     leader resigns that has never received heartbeats of most of its machines. If leadership is
-   *     unstable, it must be long enough to prove that the tasks of these machines are gone.
-   *     Otherwise leaders would replace each other without end, as none of them would stay long
-   *     enough for that proof. 0 if leadership is stable.
+   * @param minNoContactTimeoutMs the shortest time without any heartbeat, in milliseconds, after
+   *     which a leader resigns that has never received heartbeats of most of its machines. If
+   *     leadership is unstable, it must be long enough to prove that the tasks of these machines
+   *     are gone. Otherwise leaders would replace each other without end, as none of them would
+   *     stay long enough for that proof. 0 if leadership is stable.
    */
   LeaderConnectivity(
       MachineRegistry machines,
       Term term,
       Settings settings,
       BooleanSupplier isMachineListRead,
-      long minUnheardMs) {
+      long minNoContactTimeoutMs) {
     double intervalS = settings.workers().heartbeatIntervalS();
     this.machines = machines;
     this.isMachineListRead = isMachineListRead;
     this.isOnlyController = settings.controllerCount() < 2;
     this.windowMs = Math.round(intervalS * WINDOW_MS_PER_INTERVAL_S) + WINDOW_MARGIN_MS;
     this.shortSilenceMs = Math.round(intervalS * SHORT_SILENCE_MS_PER_INTERVAL_S);
-    this.unheardMs = Math.max(2 * windowMs, minUnheardMs);
+    this.noContactTimeoutMs = Math.max(2 * windowMs, minNoContactTimeoutMs);
     this.misdirected = new MisdirectedHeartbeats(machines, windowMs);
     this.lastHeartbeatMs = term.startMs();
     this.lastCheckMs = term.startMs();
@@ -131,7 +131,7 @@
    * and machines have turned to other controllers. This says nothing about the present connections.
    * So no reason is returned until a whole heartbeat window has passed without a pause.
    */
-  Optional<String> reasonToStepDown(long nowMs) {
+  Optional<String> resignationCause(long nowMs) {
     if (nowMs - lastCheckMs > PROCESS_PAUSE_MS) {
       listeningSinceMs = nowMs;
       misdirected.clear();
@@ -159,21 +159,22 @@
     if (nowMs - listeningSinceMs < 2 * windowMs) {
       return false;
     }
-    int lookingElsewhere = misdirected.count();
+    int misdirectedCount = misdirected.count();
     int up = 0;
-    int settled = 0;
+    int established = 0;
     int receiving = 0;
     for (Machine machine : machines.all()) {
       if (machine.isUp() && nowMs - machine.lastHeartbeatMs() < 2 * windowMs) {
         up++;
         // A machine with a recent first heartbeat may not have had time to show its token.
-        boolean isSettled = nowMs - machine.firstHeartbeatMs() >= 2 * windowMs;
-        settled += isSettled ? 1 : 0;
-        receiving += isSettled && machine.receivesCommands() ? 1 : 0;
+        boolean isEstablished = nowMs - machine.firstHeartbeatMs() >= 2 * windowMs;
+        established += isEstablished ? 1 : 0;
+        receiving += isEstablished && machine.receivesCommands() ? 1 : 0;
       }
     }
-    return up >= MANY_MACHINES && lookingElsewhere * PERCENT > up * MAX_MISDIRECTED_PERCENT
-        || settled >= MANY_MACHINES && receiving * PERCENT < settled * MIN_RECEIVING_PERCENT;
+    return up >= LARGE_CLUSTER_MACHINES && misdirectedCount * PERCENT > up * MAX_MISDIRECTED_PERCENT
+        || established >= LARGE_CLUSTER_MACHINES
+            && receiving * PERCENT < established * MIN_RECEIVING_PERCENT;
   }
 
   /**
@@ -191,22 +192,22 @@
     for (Machine machine : machines.all()) {
       boolean isUp = machine.isUp();
       heard += isUp && nowMs - machine.lastHeartbeatMs() < windowMs ? 1 : 0;
-      expected += isUp || !machine.placements().isEmpty() && mayExist(machine) ? 1 : 0;
+      expected += isUp || !machine.placements().isEmpty() && isHeartbeatExpected(machine) ? 1 : 0;
     }
-    mostHeard = Math.max(mostHeard, heard);
-    boolean mostNeverHeard = mostHeard * 2 <= expected;
+    maxHeard = Math.max(maxHeard, heard);
+    boolean mostNeverHeard = maxHeard * 2 <= expected;
     long silenceMs = nowMs - lastHeartbeatMs;
-    if (expected < MANY_MACHINES) {
-      long enoughMs = mostNeverHeard ? unheardMs : 2 * windowMs;
-      return expected >= SOME_MACHINES && silenceMs >= enoughMs;
+    if (expected < LARGE_CLUSTER_MACHINES) {
+      long timeoutMs = mostNeverHeard ? noContactTimeoutMs : 2 * windowMs;
+      return expected >= MIN_MACHINES && silenceMs >= timeoutMs;
     }
     if (silenceMs >= shortSilenceMs
-        && misdirected.count() * SHORT_SILENCE_MISDIRECTED_PART > expected) {
+        && misdirected.count() * SHORT_SILENCE_MISDIRECTED_DIVISOR > expected) {
       return true;
     }
     if (mostNeverHeard) {
       // An earlier leader that can't reach the state service may still respond to the machines.
-      return silenceMs >= unheardMs;
+      return silenceMs >= noContactTimeoutMs;
     }
     return heard * PERCENT < expected * MIN_HEARD_PERCENT;
   }
@@ -217,7 +218,7 @@
    * gone, and no other leader would receive heartbeats of it. If it were expected, each leader in
    * turn would resign before it had waited long enough to prove the machine's tasks gone.
    */
-  private boolean mayExist(Machine machine) {
+  private boolean isHeartbeatExpected(Machine machine) {
     return machine.isListed() || !isMachineListRead.getAsBoolean();
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -30,27 +30,27 @@
   private static final double MS_PER_S = 1_000;
 
   private final DependencyGraph graph;
-  private final Function<String, Optional<JobRecord>> records;
+  private final Function<String, Optional<JobRecord>> recordReader;
   private final JobTable jobs;
   private final RuntimeEstimates estimates;
   private final ServiceLevelObjectives objectives;
   private final Map<String, JobRecord> recordsByUid = new HashMap<>();
   private boolean changed = true;
   private boolean hasPipelines;
-  private OptionalLong computedMs = OptionalLong.empty();
+  private OptionalLong lastComputedMs = OptionalLong.empty();
 
   /**
-   * @param records returns the record of the job with a uid; each unfinished job's record is read
-   *     once
+   * @param recordReader returns the record of the job with a uid; each unfinished job's record is
+   *     read once
    */
   PriorityInheritance(
       DependencyGraph graph,
-      Function<String, Optional<JobRecord>> records,
+      Function<String, Optional<JobRecord>> recordReader,
       JobTable jobs,
       RuntimeEstimates estimates,
       ServiceLevelObjectives objectives) {
     this.graph = graph;
-    this.records = records;
+    this.recordReader = recordReader;
     this.jobs = jobs;
     this.estimates = estimates;
     this.objectives = objectives;
@@ -68,19 +68,19 @@
   void update(long nowMs) {
     if (changed || hasPipelines && isOutdated(nowMs)) {
       changed = false;
-      computedMs = OptionalLong.of(nowMs);
+      lastComputedMs = OptionalLong.of(nowMs);
       compute();
     }
   }
 
   private boolean isOutdated(long nowMs) {
-    return computedMs.isEmpty() || nowMs - computedMs.getAsLong() > MAX_AGE_MS;
+    return lastComputedMs.isEmpty() || nowMs - lastComputedMs.getAsLong() > MAX_AGE_MS;
   }
 
   private void compute() {
-    Map<String, CriticalPath.EffectiveValues> byDeadline = inheritedWith(spec -> 1);
+    Map<String, CriticalPath.EffectiveValues> byDeadline = computeInherited(spec -> 1);
     Map<String, CriticalPath.EffectiveValues> byLatestDeadline =
-        inheritedWith(spec -> objectives.lastMultiple(spec.jobClass()));
+        computeInherited(spec -> objectives.lastMultiple(spec.jobClass()));
     hasPipelines = !byDeadline.isEmpty();
     recordsByUid.keySet().retainAll(byDeadline.keySet());
     byDeadline.forEach((uid, inherited) -> inherit(uid, inherited, byLatestDeadline.get(uid)));
@@ -100,24 +100,27 @@
   }
 
   /**
-   * @param multiple the factor by which the deadline of each job is multiplied
+   * @param deadlineMultiple the factor by which the deadline of each job is multiplied
    */
-  private Map<String, CriticalPath.EffectiveValues> inheritedWith(
-      ToDoubleFunction<JobSpec> multiple) {
-    return CriticalPath.of(graph, uid -> record(uid).map(record -> ownValues(record, multiple)));
+  private Map<String, CriticalPath.EffectiveValues> computeInherited(
+      ToDoubleFunction<JobSpec> deadlineMultiple) {
+    return CriticalPath.of(
+        graph, uid -> record(uid).map(record -> ownValues(record, deadlineMultiple)));
   }
 
-  private CriticalPath.OwnValues ownValues(JobRecord record, ToDoubleFunction<JobSpec> multiple) {
+  private CriticalPath.OwnValues ownValues(
+      JobRecord record, ToDoubleFunction<JobSpec> deadlineMultiple) {
     JobSpec spec = record.spec();
     OptionalLong latestFinishMs =
         spec.deadlineS().isPresent()
-            ? OptionalLong.of(record.acceptedWallMs() + scaledDeadlineMs(spec, multiple))
+            ? OptionalLong.of(record.acceptedWallMs() + scaledDeadlineMs(spec, deadlineMultiple))
             : OptionalLong.empty();
     return new CriticalPath.OwnValues(latestFinishMs, spec.priority(), estimates.runS(spec));
   }
 
-  private static long scaledDeadlineMs(JobSpec spec, ToDoubleFunction<JobSpec> multiple) {
-    return Math.round(spec.deadlineS().getAsDouble() * multiple.applyAsDouble(spec) * MS_PER_S);
+  private static long scaledDeadlineMs(JobSpec spec, ToDoubleFunction<JobSpec> deadlineMultiple) {
+    return Math.round(
+        spec.deadlineS().getAsDouble() * deadlineMultiple.applyAsDouble(spec) * MS_PER_S);
   }
 
   private Optional<JobRecord> record(String uid) {
@@ -125,7 +128,7 @@
     if (known != null) {
       return Optional.of(known);
     }
-    Optional<JobRecord> read = records.apply(uid);
+    Optional<JobRecord> read = recordReader.apply(uid);
     read.ifPresent(record -> recordsByUid.put(uid, record));
     return read;
   }
--- a/src/main/java/org/ploverspindle/leadership/ResignationBackoff.java
+++ b/src/main/java/org/ploverspindle/leadership/ResignationBackoff.java
@@ -23,7 +23,7 @@
 
   private OptionalLong lastResignationMs = OptionalLong.empty();
   private OptionalLong untilMs = OptionalLong.empty();
-  private int repeats;
+  private int repeatedResignations;
   private long vacantSinceMs;
 
   /** Records that the leader key was removed, so that there is no leader. */
@@ -35,10 +35,12 @@
   void resigned(long nowMs) {
     boolean isRepeated =
         lastResignationMs.isPresent() && nowMs - lastResignationMs.getAsLong() <= RESET_AFTER_MS;
-    repeats = isRepeated ? repeats + 1 : 0;
+    repeatedResignations = isRepeated ? repeatedResignations + 1 : 0;
     lastResignationMs = OptionalLong.of(nowMs);
     vacantSinceMs = nowMs;
-    untilMs = OptionalLong.of(nowMs + (FIRST_BACKOFF_MS << Math.min(MAX_DOUBLINGS, repeats)));
+    untilMs =
+        OptionalLong.of(
+            nowMs + (FIRST_BACKOFF_MS << Math.min(MAX_DOUBLINGS, repeatedResignations)));
   }
 
   /** Whether this controller must not become a candidate now. */
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -44,7 +44,7 @@
 
   @Override
   public Predicate<Machine> usefulMachines() {
-    return requests.needed();
+    return requests.usefulMachines();
   }
 
   @Override
@@ -54,12 +54,12 @@
 
   @Override
   public Predicate<Machine> surplusMachines() {
-    return headroom.surplus();
+    return headroom.surplusMachines();
   }
 
   @Override
   public void placementsLost(List<Placement> placements) {
-    progress.lost(placements);
+    progress.placementsLost(placements);
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutRequests.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutRequests.java
@@ -25,11 +25,11 @@
   private final MachineRegistry machines;
   private final JobTable jobs;
   private final JobArrivals arrivals;
-  private final Supplier<ScaleOutPlanner> planners;
+  private final Supplier<ScaleOutPlanner> plannerFactory;
   private final Placer placer;
 
   /**
-   * @param planners creates the planner of each scan, as a planner makes only one plan
+   * @param plannerFactory creates the planner of each scan, as a planner makes only one plan
    */
   ScaleOutRequests(
       Scheduler scheduler,
@@ -37,14 +37,14 @@
       MachineRegistry machines,
       JobTable jobs,
       JobArrivals arrivals,
-      Supplier<ScaleOutPlanner> planners,
+      Supplier<ScaleOutPlanner> plannerFactory,
       Placer placer) {
     this.scheduler = scheduler;
     this.catalogue = catalogue;
     this.machines = machines;
     this.jobs = jobs;
     this.arrivals = arrivals;
-    this.planners = planners;
+    this.plannerFactory = plannerFactory;
     this.placer = placer;
   }
 
@@ -63,7 +63,7 @@
             .filter(
                 machine -> machine.isSchedulable(nowMs, HighPriorityHeadroom.MAX_HEARTBEAT_AGE_MS))
             .toList();
-    ScaleOutPlanner planner = planners.get();
+    ScaleOutPlanner planner = plannerFactory.get();
     List<ScaleOutPlanner.Request> requests =
         planner.plan(
             new ScaleOutPlanner.Work(
@@ -104,7 +104,7 @@
   }
 
   /** Returns a predicate that accepts machines on which a pending task could be placed. */
-  Predicate<Machine> needed() {
+  Predicate<Machine> usefulMachines() {
     return placer.usefulMachines(scheduler.nowMs());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
+++ b/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
@@ -20,7 +20,7 @@
    * a large backlog would leave no processor time to handle the heartbeats by which placed tasks
    * are launched.
    */
-  private static final int PAUSE_PER_ROUND = 3;
+  private static final int PAUSE_TO_ROUND_RATIO = 3;
 
   private final Scheduler scheduler;
   private final Placer placer;
@@ -65,7 +65,7 @@
     }
     scheduled = true;
     scheduler.schedule(
-        Math.max(MIN_PAUSE_MS, PAUSE_PER_ROUND * lastRoundDurationMs), this::runRound);
+        Math.max(MIN_PAUSE_MS, PAUSE_TO_ROUND_RATIO * lastRoundDurationMs), this::runRound);
   }
 
   private void runRound() {
--- a/src/main/java/org/ploverspindle/leadership/SpotDrain.java
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -16,7 +16,7 @@
    * A task is not stopped if it is expected to end more than this many seconds before the machine
    * is reclaimed.
    */
-  private static final double END_MARGIN_S = 1;
+  private static final double COMPLETION_MARGIN_S = 1;
 
   /**
    * Seconds that are added to the cost of a checkpoint, for the command to arrive and the result to
@@ -31,7 +31,7 @@
    * A task that can't write a checkpoint in time is stopped only if its expected remaining time is
    * more than this many times the time until the machine is reclaimed, as estimates are inexact.
    */
-  private static final double GIVE_UP_RATIO = 1.5;
+  private static final double STOP_WITHOUT_CHECKPOINT_RATIO = 1.5;
 
   private static final double MS_PER_S = 1_000;
 
@@ -49,14 +49,14 @@
     double noticeS = machine.spotNoticeS();
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!placement.isStopping()) {
-        stopIfLate(placement, noticeS, nowMs);
+        stopUnlessEndingInTime(placement, noticeS, nowMs);
       }
     }
   }
 
-  private void stopIfLate(Placement placement, double noticeS, long nowMs) {
+  private void stopUnlessEndingInTime(Placement placement, double noticeS, long nowMs) {
     double remainingS = remainingS(placement, nowMs);
-    if (remainingS < noticeS - END_MARGIN_S) {
+    if (remainingS < noticeS - COMPLETION_MARGIN_S) {
       return;
     }
     JobSpec spec = placement.job().spec();
@@ -66,7 +66,7 @@
           Math.max(
               checkpointS + CHECKPOINT_MARGIN_S,
               Math.min(noticeS, checkpointS * CHECKPOINT_GRACE_FACTOR)));
-    } else if (remainingS > noticeS * GIVE_UP_RATIO) {
+    } else if (remainingS > noticeS * STOP_WITHOUT_CHECKPOINT_RATIO) {
       placement.stop(0);
     }
   }
@@ -79,8 +79,8 @@
     if (placement.job().spec().expectedS() <= 0) {
       return Double.MAX_VALUE;
     }
-    long sinceMs = placement.runningSinceMs();
-    double ranS = sinceMs < 0 ? 0 : (nowMs - sinceMs) / MS_PER_S;
-    return estimates.runS(placement.job()) - ranS;
+    long runningSinceMs = placement.runningSinceMs();
+    double elapsedS = runningSinceMs < 0 ? 0 : (nowMs - runningSinceMs) / MS_PER_S;
+    return estimates.runS(placement.job()) - elapsedS;
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/TaskProgress.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -70,7 +70,7 @@
    * Handles placements that were removed because their machine was terminated or its worker lease
    * expired, which proves that the tasks are gone.
    */
-  void lost(List<Placement> placements) {
+  void placementsLost(List<Placement> placements) {
     placements.forEach(this::ended);
   }
 
--- a/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
+++ b/src/test/java/org/ploverspindle/leadership/DelayedResponsesTest.java
@@ -23,18 +23,18 @@
 
   private final SingleMachineFixture fixture =
       new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
-  private final DelayedResponses delayed =
+  private final DelayedResponses delayedResponses =
       new DelayedResponses(
           fixture.scheduler,
           fixture.machines,
-          fixture.handler,
+          fixture.heartbeatHandler,
           () -> fixture.authoritative,
           MAX_DELAY_MS);
   private final List<HeartbeatHandler.Response> responses = new ArrayList<>();
 
-  private Heartbeat delayOne() {
+  private Heartbeat delayResponse() {
     Heartbeat heartbeat = fixture.heartbeat(OptionalDouble.empty());
-    delayed.delay(heartbeat, responses::add, fixture.nowMs);
+    delayedResponses.delay(heartbeat, responses::add, fixture.nowMs);
     return heartbeat;
   }
 
@@ -44,39 +44,39 @@
     return placement;
   }
 
-  private boolean isWorthDelaying(Heartbeat heartbeat) {
-    return delayed.isWorthDelaying(fixture.machine(), heartbeat, fixture.nowMs);
+  private boolean shouldDelay(Heartbeat heartbeat) {
+    return delayedResponses.shouldDelay(fixture.machine(), heartbeat, fixture.nowMs);
   }
 
   @Test
-  void theNewestHeartbeatOfAMachineWithFreeCoresIsWorthDelaying() {
+  void onlyTheNewestHeartbeatOfAMachineWithFreeCoresIsDelayed() {
     Heartbeat older = fixture.heartbeat(OptionalDouble.empty());
-    assertTrue(isWorthDelaying(older));
+    assertTrue(shouldDelay(older));
     Heartbeat newer = fixture.heartbeat(OptionalDouble.empty());
-    assertFalse(isWorthDelaying(older));
-    assertTrue(isWorthDelaying(newer));
+    assertFalse(shouldDelay(older));
+    assertTrue(shouldDelay(newer));
   }
 
   @Test
-  void aFullOrReclaimedMachineIsAnsweredAtOnce() {
+  void fullOrReclaimedMachineGetsItsResponseAtOnce() {
     Heartbeat heartbeat = fixture.heartbeat(OptionalDouble.empty());
     for (int i = 0; i < 4; i++) {
       fixture.place();
     }
-    assertFalse(isWorthDelaying(heartbeat), "all four cores are in use");
+    assertFalse(shouldDelay(heartbeat), "all four cores are in use");
     SingleMachineFixture reclaimed = new SingleMachineFixture(SingleMachineFixture.spec(60, 0));
     Heartbeat notice = reclaimed.heartbeat(OptionalDouble.of(20));
-    assertFalse(delayed.isWorthDelaying(reclaimed.machine(), notice, reclaimed.nowMs));
+    assertFalse(delayedResponses.shouldDelay(reclaimed.machine(), notice, reclaimed.nowMs));
   }
 
   @Test
-  void aLaunchIsSentAsSoonAsItsPlacementIsDurableAndNotBefore() {
-    delayOne();
+  void launchIsSentAsSoonAsItsPlacementIsDurableAndNotBefore() {
+    delayResponse();
     Placement placement = fixture.place();
-    delayed.releaseDue();
+    delayedResponses.releaseDue();
     assertEquals(List.of(), responses);
     placement.markRecorded(fixture.nowMs);
-    delayed.releaseDue();
+    delayedResponses.releaseDue();
     assertEquals(
         List.of(new WorkerCommand.Launch("job", placement.task(), placement.attempt())),
         responses.get(0).commands());
@@ -84,13 +84,13 @@
   }
 
   @Test
-  void withoutCommandsTheResponseIsSentWhenItsDelayIsOver() {
-    delayOne();
+  void responseWithoutCommandsIsSentWhenItsDelayEnds() {
+    delayResponse();
     fixture.nowMs += MAX_DELAY_MS - 1;
-    delayed.releaseDue();
+    delayedResponses.releaseDue();
     assertEquals(0, responses.size());
     fixture.nowMs += 1;
-    delayed.releaseDue();
+    delayedResponses.releaseDue();
     assertEquals(List.of(), responses.get(0).commands());
   }
 
@@ -99,40 +99,40 @@
    * placed the task on another machine.
    */
   @Test
-  void withoutAuthorityTheResponseIsSentAtOnceAndLaunchesNothing() {
-    delayOne();
+  void responseWithoutAuthorityIsSentAtOnceAndLaunchesNothing() {
+    delayResponse();
     Placement placement = placeDurably();
     fixture.authoritative = false;
-    delayed.releaseDue();
+    delayedResponses.releaseDue();
     assertEquals(List.of(), responses.get(0).commands());
     assertEquals(Placement.Phase.READY, placement.phase());
   }
 
   @Test
-  void aResponseToAnOutdatedHeartbeatLaunchesNothing() {
-    delayOne();
+  void responseToAnOutdatedHeartbeatLaunchesNothing() {
+    delayResponse();
     fixture.authoritative = false;
     fixture.heartbeat(OptionalDouble.empty());
     fixture.authoritative = true;
     Placement placement = placeDurably();
-    delayed.release(SingleMachineFixture.HOST);
+    delayedResponses.release(SingleMachineFixture.HOST);
     assertEquals(List.of(), responses.get(0).commands());
     assertEquals(Placement.Phase.READY, placement.phase());
   }
 
   @Test
-  void eachHeartbeatIsAnsweredOnce() {
-    delayOne();
-    delayed.release(SingleMachineFixture.HOST);
-    delayed.release(SingleMachineFixture.HOST);
-    delayed.releaseAll();
+  void repeatedReleaseSendsOneResponse() {
+    delayResponse();
+    delayedResponses.release(SingleMachineFixture.HOST);
+    delayedResponses.release(SingleMachineFixture.HOST);
+    delayedResponses.releaseAll();
     assertEquals(1, responses.size());
   }
 
   @Test
-  void allHeartbeatsAreAnsweredWhenTheTermEnds() {
-    delayOne();
-    delayed.releaseAll();
+  void releaseAllSendsDelayedResponses() {
+    delayResponse();
+    delayedResponses.releaseAll();
     assertEquals(1, responses.size());
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
+++ b/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
@@ -21,15 +21,15 @@
 
   @ParameterizedTest
   @CsvSource({"1048576, 0", "1048600, 0", "2097151, 0", "2097152, 1"})
-  void countsCommandsThatALaterTermsTokenRefused(long fencingToken, long expected) {
+  void onlyTokensOfLaterTermsCountAsRejections(long fencingToken, long expected) {
     FencingRejections rejections = new FencingRejections();
     Heartbeat heartbeat =
         new Heartbeat(
             "i-1", "", "t", "a", true, 1, 1, fencingToken, OptionalDouble.empty(), List.of());
     WorkerClient workers =
-        (address, token, agentEpoch, commands, then) -> then.accept(Optional.of(heartbeat));
+        (address, token, agentEpoch, commands, callback) -> callback.accept(Optional.of(heartbeat));
     new FencedWorkerClient(workers, TERM, rejections)
-        .send("", TERM.fencingToken(), 1, List.of(), r -> {});
+        .send("", TERM.fencingToken(), 1, List.of(), result -> {});
     assertEquals(expected, rejections.count(FencingRejections.Kind.WORKER_COMMAND));
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
+++ b/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
@@ -58,15 +58,17 @@
   }
 
   private static Settings settings() {
-    Address nowhere = new Address("127.0.0.1", 1);
+    Address unusedAddress = new Address("127.0.0.1", 1);
     return new Settings(
         "n0",
         "a",
-        nowhere,
-        nowhere,
-        List.of(new Settings.Member("n1", "a", nowhere), new Settings.Member("n2", "a", nowhere)),
-        nowhere,
-        nowhere,
+        unusedAddress,
+        unusedAddress,
+        List.of(
+            new Settings.Member("n1", "a", unusedAddress),
+            new Settings.Member("n2", "a", unusedAddress)),
+        unusedAddress,
+        unusedAddress,
         List.of("a"),
         500,
         List.of(new Settings.Team("red", 0, 0, 0, 0)),
@@ -96,56 +98,56 @@
   }
 
   /** Checks every 390 ms; returns whether any check in that time gave a reason to resign. */
-  private boolean stepsDown(long fromMs, long toMs, boolean reporting, long fencingToken) {
-    boolean steppedDown = false;
+  private boolean resigns(long fromMs, long toMs, boolean sendsHeartbeats, long fencingToken) {
+    boolean resigned = false;
     for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
-      if (reporting) {
+      if (sendsHeartbeats) {
         heartbeat((int) (nowMs / 30 % MACHINES), fencingToken, nowMs);
       }
       if (nowMs % 390 == 0) {
-        steppedDown |= connectivity.reasonToStepDown(nowMs).isPresent();
+        resigned |= connectivity.resignationCause(nowMs).isPresent();
       }
     }
-    return steppedDown;
+    return resigned;
   }
 
   @Test
   void keepsLeadingWhileHeartbeatsArriveAndResponsesAreReceived() {
-    assertFalse(stepsDown(0, 60_000, true, 7));
+    assertFalse(resigns(0, 60_000, true, 7));
   }
 
   @Test
-  void stepsDownBeforeAnyWorkerLeaseExpiresWhenAllMachinesFallSilent() {
-    stepsDown(0, 30_000, true, 7);
-    assertFalse(stepsDown(30_000, 33_000, false, 7));
-    assertTrue(stepsDown(33_000, 36_000, false, 7));
+  void resignsBeforeAnyWorkerLeaseExpiresWhenAllHeartbeatsStop() {
+    resigns(0, 30_000, true, 7);
+    assertFalse(resigns(30_000, 33_000, false, 7));
+    assertTrue(resigns(33_000, 36_000, false, 7));
   }
 
   @Test
-  void stepsDownSoonerWhenSilentMachinesTryOtherControllers() {
-    stepsDown(0, 30_000, true, 7);
+  void resignsSoonerWhenMachinesTryOtherControllers() {
+    resigns(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(31_500, 40);
-    assertTrue(stepsDown(30_000, 32_500, false, 7));
+    assertTrue(resigns(30_000, 32_500, false, 7));
   }
 
   @Test
-  void fewMisdirectedHeartbeatsAloneAreNoReasonToStepDown() {
-    stepsDown(0, 30_000, true, 7);
+  void fewMisdirectedHeartbeatsAloneAreNoReasonToResign() {
+    resigns(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(30_000, 40);
-    assertFalse(stepsDown(30_000, 36_000, true, 7));
+    assertFalse(resigns(30_000, 36_000, true, 7));
     connectivity.misdirectedHeartbeats(36_000, 70);
     assertTrue(
-        stepsDown(36_000, 37_000, true, 7),
+        resigns(36_000, 37_000, true, 7),
         "70 misdirected heartbeats, more than 60 % of 100 machines");
   }
 
   @Test
-  void listensAgainAfterAPauseBeforeItCallsMachinesSilent() {
-    stepsDown(0, 30_000, true, 7);
+  void waitsAWholeHeartbeatWindowAfterAProcessPause() {
+    resigns(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(33_000, 300);
     // The process was paused after 30 s, and has not read yet what arrived during the pause.
-    assertFalse(stepsDown(35_100, 38_000, false, 7));
-    assertFalse(stepsDown(38_010, 60_000, true, 7));
+    assertFalse(resigns(35_100, 38_000, false, 7));
+    assertFalse(resigns(38_010, 60_000, true, 7));
   }
 
   /**
@@ -153,7 +155,7 @@
    * prove that the tasks of lost machines are gone.
    */
   @Test
-  void waitsForTheProofOfSilenceWhereLeadershipIsUnstable() {
+  void waitsUntilTasksAreProvenGoneIfLeadershipIsUnstable() {
     for (int machine = 0; machine < MACHINES; machine++) {
       machines.adopt("i-" + machine, "t", "a", true, 0);
     }
@@ -166,16 +168,15 @@
           new Placement(job, task, task + 1, machine, 1, Placement.Phase.RECOVERED));
     }
     assertTrue(
-        stepsDown(0, 20_000, false, 7),
-        "without a longer minimum time, leaders resign within 20 s");
+        resigns(0, 20_000, false, 7), "without a longer minimum time, leaders resign within 20 s");
     connectivity = new LeaderConnectivity(machines, TERM, settings, () -> listRead, 40_000);
-    assertFalse(stepsDown(0, 39_000, false, 7));
-    assertTrue(stepsDown(39_000, 42_000, false, 7));
+    assertFalse(resigns(0, 39_000, false, 7));
+    assertTrue(resigns(39_000, 42_000, false, 7));
   }
 
   @Test
-  void stepsDownWhenNoMachineShowsItsToken() {
-    assertTrue(stepsDown(0, 30_000, true, 3), "all heartbeats show a token of an earlier term");
+  void resignsWhenNoMachineShowsItsToken() {
+    assertTrue(resigns(0, 30_000, true, 3), "all heartbeats show a token of an earlier term");
   }
 
   /**
@@ -193,46 +194,47 @@
   }
 
   @Test
-  void doesNotWaitForMachinesThatOnlyRecordsMention() {
+  void staysLeaderWithoutHeartbeatsOfUnlistedMachines() {
     addMachinesKnownFromRecordsOnly();
     listRead = true;
-    assertFalse(stepsDown(0, 40_000, false, 7), "no other leader would receive heartbeats of them");
+    assertFalse(resigns(0, 40_000, false, 7), "no other leader would receive heartbeats of them");
   }
 
   @Test
-  void stepsDownForSilentMachinesThatAreListedOrMayBe() {
+  void resignsWithoutHeartbeatsOfMachinesThatAreOrMayBeListed() {
     addMachinesKnownFromRecordsOnly();
-    assertTrue(stepsDown(0, 39_000, false, 7), "the cloud's list was not read");
+    assertTrue(resigns(0, 39_000, false, 7), "the cloud's list was not read");
     listRead = true;
     machines.all().forEach(machine -> machine.listedAt(0));
-    assertTrue(stepsDown(39_000, 78_000, false, 7));
+    assertTrue(resigns(39_000, 78_000, false, 7));
   }
 
   @Test
   void lateHeartbeatsOfTerminatedMachinesAreNoSignOfLostResponses() {
-    stepsDown(0, 30_000, true, 7);
+    resigns(0, 30_000, true, 7);
     for (int index = 0; index < 10 * MACHINES; index++) {
       Machine terminated = machines.adopt("gone-" + index, "t", "a", true, 30_000).orElseThrow();
       machines.confirmTermination(terminated.host(), 30_000);
     }
     assertFalse(
-        stepsDownWhileMisdirected(30_000, 60_000),
+        resignsWithMisdirectedHeartbeats(30_000, 60_000),
         "the misdirected heartbeats are expected after the terminations");
     assertTrue(
-        stepsDownWhileMisdirected(120_000, 150_000), "late heartbeats are no longer expected");
+        resignsWithMisdirectedHeartbeats(120_000, 150_000),
+        "late heartbeats are no longer expected");
   }
 
-  private boolean stepsDownWhileMisdirected(long fromMs, long toMs) {
-    boolean steppedDown = false;
+  private boolean resignsWithMisdirectedHeartbeats(long fromMs, long toMs) {
+    boolean resigned = false;
     for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
       heartbeat((int) (nowMs / 30 % MACHINES), 7, nowMs);
       if (nowMs % 120 == 0) {
         connectivity.misdirectedHeartbeats(nowMs, 2);
       }
       if (nowMs % 390 == 0) {
-        steppedDown |= connectivity.reasonToStepDown(nowMs).isPresent();
+        resigned |= connectivity.resignationCause(nowMs).isPresent();
       }
     }
-    return steppedDown;
+    return resigned;
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
+++ b/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void theFirstJobInheritsTheLastOnesDeadlineAndPriorityUntilThatIsCancelled() {
+  void firstJobInheritsDeadlineAndPriorityOfTheLastUntilThatIsCancelled() {
     accept("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = addToTable("index");
     update();
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void theHighestPriorityAndTheEarliestDeadlineCountWhereBranchesMeet() {
+  void jobWithSeveralDependentsInheritsHighestPriorityAndEarliestDeadline() {
     accept("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = addToTable("index");
     accept("left", "left", Priority.HIGH, 50, 0, "index");
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void newEstimatesMoveDeadlinesPeriodicallyAndNoRecordIsReadTwice() {
+  void newEstimatesChangeDeadlinesPeriodicallyAndNoRecordIsReadTwice() {
     accept("index", "index", Priority.BEST_EFFORT, 10, 0);
     Job index = addToTable("index");
     accept("compare", "compare", Priority.BEST_EFFORT, 20, 0, "index");
--- a/src/test/java/org/ploverspindle/leadership/ResignationBackoffTest.java
+++ b/src/test/java/org/ploverspindle/leadership/ResignationBackoffTest.java
@@ -29,12 +29,12 @@
   }
 
   @Test
-  void aControllerThatNeverResignedIsACandidateAtOnce() {
+  void controllerThatNeverResignedHasNoBackoff() {
     assertFalse(backoff.isActive(0));
   }
 
   @Test
-  void repeatedResignationsDoubleTheBackoffTwiceAndAQuietTimeResetsIt() {
+  void repeatedResignationsDoubleTheBackoffTwiceAndTimeWithoutAnyResetsIt() {
     assertEquals(12_000, backoffMs(1_000));
     assertEquals(24_000, backoffMs(61_000));
     assertEquals(48_000, backoffMs(121_000));
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aVacancyOfTwoAndAHalfSecondsEndsIt() {
+  void vacancyOfTwoAndAHalfSecondsEndsTheBackoff() {
     backoff.resigned(1_000);
     assertTrue(backoff.isActive(3_499));
     assertFalse(backoff.isActive(3_500));
--- a/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
+++ b/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
@@ -31,7 +31,7 @@
   private static final Term TERM = new Term(7, 1, 0);
 
   /** A scheduler whose time is set by the test and that runs no work. */
-  private final class StillScheduler implements Scheduler {
+  private final class ManualScheduler implements Scheduler {
     @Override
     public long nowMs() {
       return nowMs;
@@ -51,13 +51,13 @@
     }
   }
 
-  final Scheduler scheduler = new StillScheduler();
+  final Scheduler scheduler = new ManualScheduler();
   final MachineRegistry machines;
-  final HeartbeatHandler handler;
+  final HeartbeatHandler heartbeatHandler;
   final Job job;
   long nowMs = 1_000;
   boolean authoritative = true;
-  private long attempts;
+  private long lastAttempt;
   private long sequence;
 
   SingleMachineFixture(JobSpec spec) {
@@ -72,14 +72,14 @@
     BitSet types = new BitSet();
     types.set(0);
     job = new Job(spec, 0, 8, 0, types, -1, 1);
-    handler =
+    heartbeatHandler =
         new HeartbeatHandler(
             machines,
             TERM,
             () -> authoritative,
             uid -> Optional.of(job),
             uid -> Optional.empty(),
-            (j, task) -> false,
+            (unusedJob, task) -> false,
             new NoOpHeartbeatListener());
   }
 
@@ -130,21 +130,21 @@
             TERM.fencingToken(),
             spotNoticeS,
             List.of(tasks));
-    handler.handle(heartbeat, nowMs);
+    heartbeatHandler.handle(heartbeat, nowMs);
     return heartbeat;
   }
 
   /** Places the next task; the placement is not durable yet. */
   Placement place() {
-    int task = (int) attempts;
+    int task = (int) lastAttempt;
     Placement placement =
-        new Placement(job, task, ++attempts, machine(), 1, Placement.Phase.INTENT);
+        new Placement(job, task, ++lastAttempt, machine(), 1, Placement.Phase.INTENT);
     machines.addPlacement(placement);
     return placement;
   }
 
   /** Places the next task, and processes a heartbeat that shows it running from now on. */
-  Placement run() {
+  Placement placeRunning() {
     Placement placement = place();
     heartbeat(
         OptionalDouble.empty(),
--- a/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
+++ b/src/test/java/org/ploverspindle/leadership/SpotDrainTest.java
@@ -22,10 +22,10 @@
   /**
    * The placement of a task that ran for {@code ranS} seconds before a notice of {@code noticeS}.
    */
-  private Placement drained(JobSpec spec, double ranS, double noticeS) {
+  private Placement placementAfterNotice(JobSpec spec, double ranS, double noticeS) {
     SingleMachineFixture fixture = new SingleMachineFixture(spec);
     fixture.heartbeat(OptionalDouble.empty());
-    Placement placement = fixture.run();
+    Placement placement = fixture.placeRunning();
     fixture.nowMs += Math.round(ranS * 1_000);
     sendNotice(fixture, placement, noticeS);
     return placement;
@@ -45,52 +45,52 @@
   }
 
   @Test
-  void aTaskThatEndsInTimeRunsOn() {
-    assertFalse(drained(SingleMachineFixture.spec(20, 0), 15, 10).isStopping());
-    assertFalse(drained(SingleMachineFixture.spec(20, 2), 15, 10).isStopping());
+  void taskThatEndsInTimeIsNotStopped() {
+    assertFalse(placementAfterNotice(SingleMachineFixture.spec(20, 0), 15, 10).isStopping());
+    assertFalse(placementAfterNotice(SingleMachineFixture.spec(20, 2), 15, 10).isStopping());
   }
 
   @Test
-  void aCheckpointIsGivenTwiceItsCost() {
-    Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 10);
+  void checkpointGetsTwiceItsCost() {
+    Placement placement = placementAfterNotice(SingleMachineFixture.spec(60, 2), 5, 10);
     assertTrue(placement.isStopping());
     assertEquals(4, placement.gracePeriodS());
   }
 
   @Test
-  void aCheckpointIsGivenNoMoreThanTheNotice() {
-    assertEquals(3, drained(SingleMachineFixture.spec(60, 2), 5, 3).gracePeriodS());
+  void checkpointGetsNoMoreThanTheNotice() {
+    assertEquals(3, placementAfterNotice(SingleMachineFixture.spec(60, 2), 5, 3).gracePeriodS());
   }
 
   @Test
-  void aTaskThatCannotCheckpointInTimeIsStoppedAtOnce() {
-    Placement placement = drained(SingleMachineFixture.spec(60, 2), 5, 1.5);
+  void taskThatCannotCheckpointInTimeIsStoppedAtOnce() {
+    Placement placement = placementAfterNotice(SingleMachineFixture.spec(60, 2), 5, 1.5);
     assertTrue(placement.isStopping());
     assertEquals(0, placement.gracePeriodS());
   }
 
   @Test
-  void aTaskWithoutCheckpointsIsStoppedOnlyWhenItsEndIsFarBeyondTheNotice() {
+  void taskWithoutCheckpointsIsStoppedOnlyIfItsEndIsFarBeyondTheNotice() {
     assertFalse(
-        drained(SingleMachineFixture.spec(20, 0), 8, 10).isStopping(),
+        placementAfterNotice(SingleMachineFixture.spec(20, 0), 8, 10).isStopping(),
         "12 s left to run, less than 1.5 times the notice of 10 s");
     assertTrue(
-        drained(SingleMachineFixture.spec(20, 0), 4, 10).isStopping(),
+        placementAfterNotice(SingleMachineFixture.spec(20, 0), 4, 10).isStopping(),
         "16 s left to run, more than 1.5 times the notice of 10 s");
   }
 
   @Test
-  void aServiceIsStoppedAtOnce() {
-    Placement placement = drained(SingleMachineFixture.spec(0, 0), 500, 30);
+  void serviceIsStoppedAtOnce() {
+    Placement placement = placementAfterNotice(SingleMachineFixture.spec(0, 0), 500, 30);
     assertTrue(placement.isStopping());
     assertEquals(0, placement.gracePeriodS());
   }
 
   @Test
-  void laterHeartbeatsWithTheNoticeDoNotShortenACheckpoint() {
+  void repeatedNoticeDoesNotShortenACheckpoint() {
     SingleMachineFixture fixture = new SingleMachineFixture(SingleMachineFixture.spec(60, 2));
     fixture.heartbeat(OptionalDouble.empty());
-    Placement placement = fixture.run();
+    Placement placement = fixture.placeRunning();
     sendNotice(fixture, placement, 10);
     fixture.nowMs += 8_500;
     sendNotice(fixture, placement, 1.5);
