--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -40,8 +40,8 @@
   private OptionalLong lastComputedMs = OptionalLong.empty();
 
   /**
-   * @param recordReader returns the record of the job with a uid; each unfinished job's record is
-   *     read once
+   * @param recordReader returns the record of the job with a uid; the record of each unfinished job
+   *     is read once, and again only if it could not be read
    */
   PriorityInheritance(
       DependencyGraph graph,
