--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -15,64 +15,72 @@
 import org.ploverspindle.state.JobRecord;
 
 /**
- * Lets jobs inherit the deadline and the priority of the jobs that depend on them, along the
- * critical path. Computed for all unfinished pipelines at once, when one of them has changed, and
- * periodically as the runtime estimates move; it costs nothing where there are no pipelines.
+ * Computes the deadline and the priority that jobs inherit from their dependents along the critical
+ * path. The values of all unfinished pipelines are computed together: when one of the pipelines has
+ * changed, and periodically, as runtime estimates change. Without pipelines nothing is computed
+ * periodically.
  */
 final class PriorityInheritance {
-  /** Estimates move slowly: each finished task moves that of its class by less than a tenth. */
+  /**
+   * Inherited values older than this are computed again. Estimates change slowly: a finished task
+   * has a weight of less than a tenth in the estimate of its job class.
+   */
   private static final long MAX_AGE_MS = 5_000;
 
   private static final double MS_PER_S = 1_000;
 
   private final DependencyGraph graph;
-  private final Function<String, Optional<JobRecord>> records;
+  private final Function<String, Optional<JobRecord>> recordReader;
   private final JobTable jobs;
   private final RuntimeEstimates estimates;
   private final ServiceLevelObjectives objectives;
   private final Map<String, JobRecord> recordsByUid = new HashMap<>();
   private boolean changed = true;
   private boolean hasPipelines;
-  private OptionalLong computedMs = OptionalLong.empty();
+  private OptionalLong lastComputedMs = OptionalLong.empty();
 
   /**
-   * @param records the accepted job with a uid; read once for each unfinished job
+   * @param recordReader returns the record of the job with a uid; the record of each unfinished job
+   *     is read once, and again only if it could not be read
    */
   PriorityInheritance(
       DependencyGraph graph,
-      Function<String, Optional<JobRecord>> records,
+      Function<String, Optional<JobRecord>> recordReader,
       JobTable jobs,
       RuntimeEstimates estimates,
       ServiceLevelObjectives objectives) {
     this.graph = graph;
-    this.records = records;
+    this.recordReader = recordReader;
     this.jobs = jobs;
     this.estimates = estimates;
     this.objectives = objectives;
   }
 
-  /** A job with dependencies was accepted or became ready, or will never run. */
+  /**
+   * Has the next update compute the inherited values again, as a job with dependencies was
+   * accepted, became ready or was aborted.
+   */
   void changed() {
     changed = true;
   }
 
-  /** Brings the inherited values of all jobs up to date, if they are outdated. */
+  /** Computes the inherited values of all jobs again if they are outdated. */
   void update(long nowMs) {
     if (changed || hasPipelines && isOutdated(nowMs)) {
       changed = false;
-      computedMs = OptionalLong.of(nowMs);
+      lastComputedMs = OptionalLong.of(nowMs);
       compute();
     }
   }
 
   private boolean isOutdated(long nowMs) {
-    return computedMs.isEmpty() || nowMs - computedMs.getAsLong() > MAX_AGE_MS;
+    return lastComputedMs.isEmpty() || nowMs - lastComputedMs.getAsLong() > MAX_AGE_MS;
   }
 
   private void compute() {
-    Map<String, CriticalPath.EffectiveValues> byDeadline = inheritedWith(spec -> 1);
+    Map<String, CriticalPath.EffectiveValues> byDeadline = computeInherited(spec -> 1);
     Map<String, CriticalPath.EffectiveValues> byLatestDeadline =
-        inheritedWith(spec -> objectives.lastMultiple(spec.jobClass()));
+        computeInherited(spec -> objectives.lastMultiple(spec.jobClass()));
     hasPipelines = !byDeadline.isEmpty();
     recordsByUid.keySet().retainAll(byDeadline.keySet());
     byDeadline.forEach((uid, inherited) -> inherit(uid, inherited, byLatestDeadline.get(uid)));
@@ -92,24 +100,27 @@
   }
 
   /**
-   * @param multiple of a job's deadline by which it is to be done
+   * @param deadlineMultiple the factor by which the deadline of each job is multiplied
    */
-  private Map<String, CriticalPath.EffectiveValues> inheritedWith(
-      ToDoubleFunction<JobSpec> multiple) {
-    return CriticalPath.of(graph, uid -> record(uid).map(record -> ownValues(record, multiple)));
+  private Map<String, CriticalPath.EffectiveValues> computeInherited(
+      ToDoubleFunction<JobSpec> deadlineMultiple) {
+    return CriticalPath.of(
+        graph, uid -> record(uid).map(record -> ownValues(record, deadlineMultiple)));
   }
 
-  private CriticalPath.OwnValues ownValues(JobRecord record, ToDoubleFunction<JobSpec> multiple) {
+  private CriticalPath.OwnValues ownValues(
+      JobRecord record, ToDoubleFunction<JobSpec> deadlineMultiple) {
     JobSpec spec = record.spec();
     OptionalLong latestFinishMs =
         spec.deadlineS().isPresent()
-            ? OptionalLong.of(record.acceptedWallMs() + scaledDeadlineMs(spec, multiple))
+            ? OptionalLong.of(record.acceptedWallMs() + scaledDeadlineMs(spec, deadlineMultiple))
             : OptionalLong.empty();
     return new CriticalPath.OwnValues(latestFinishMs, spec.priority(), estimates.runS(spec));
   }
 
-  private static long scaledDeadlineMs(JobSpec spec, ToDoubleFunction<JobSpec> multiple) {
-    return Math.round(spec.deadlineS().getAsDouble() * multiple.applyAsDouble(spec) * MS_PER_S);
+  private static long scaledDeadlineMs(JobSpec spec, ToDoubleFunction<JobSpec> deadlineMultiple) {
+    return Math.round(
+        spec.deadlineS().getAsDouble() * deadlineMultiple.applyAsDouble(spec) * MS_PER_S);
   }
 
   private Optional<JobRecord> record(String uid) {
@@ -117,7 +128,7 @@
     if (known != null) {
       return Optional.of(known);
     }
-    Optional<JobRecord> read = records.apply(uid);
+    Optional<JobRecord> read = recordReader.apply(uid);
     read.ifPresent(record -> recordsByUid.put(uid, record));
     return read;
   }
--- a/src/main/java/org/ploverspindle/leadership/SpotDrain.java
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -7,22 +7,31 @@
 import org.ploverspindle.placement.RuntimeEstimates;
 
 /**
- * Decides what happens to the tasks of a spot machine that the cloud reclaims: a task that can't
- * end in time is stopped, so that it writes a checkpoint, or at least starts again elsewhere
- * without waiting for the worker's lease to expire.
+ * Decides which tasks are stopped on a spot machine that the cloud reclaims. A task that is not
+ * expected to end in time is stopped, so that it writes a checkpoint, or at least starts again on
+ * another machine without waiting for the worker lease to expire.
  */
 final class SpotDrain {
-  /** A task that is left to end by itself must do so this long before the machine is reclaimed. */
-  private static final double END_MARGIN_S = 1;
+  /**
+   * A task is not stopped if it is expected to end more than this many seconds before the machine
+   * is reclaimed.
+   */
+  private static final double COMPLETION_MARGIN_S = 1;
 
-  /** Beyond the cost of a checkpoint, for the command to arrive and the result to be stored. */
+  /**
+   * Seconds that are added to the cost of a checkpoint, for the command to arrive and the result to
+   * be stored.
+   */
   private static final double CHECKPOINT_MARGIN_S = 0.5;
 
-  /** A checkpoint may take so many times its expected cost, if the notice is long enough. */
+  /** A checkpoint may take this many times its expected cost, if the spot notice allows it. */
   private static final double CHECKPOINT_GRACE_FACTOR = 2;
 
-  /** Estimates err: a task without checkpoints is stopped only this far from its expected end. */
-  private static final double GIVE_UP_RATIO = 1.5;
+  /**
+   * A task that can't write a checkpoint in time is stopped only if its expected remaining time is
+   * more than this many times the time until the machine is reclaimed, as estimates are inexact.
+   */
+  private static final double STOP_WITHOUT_CHECKPOINT_RATIO = 1.5;
 
   private static final double MS_PER_S = 1_000;
 
@@ -33,20 +42,21 @@
   }
 
   /**
-   * Called with each heartbeat that has the notice; tasks that are stopping already are skipped.
+   * Stops the tasks of the machine that will not end in time. Called for each heartbeat with the
+   * spot notice; tasks that are already stopping are skipped.
    */
   void drain(Machine machine, long nowMs) {
     double noticeS = machine.spotNoticeS();
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!placement.isStopping()) {
-        stopIfLate(placement, noticeS, nowMs);
+        stopUnlessEndingInTime(placement, noticeS, nowMs);
       }
     }
   }
 
-  private void stopIfLate(Placement placement, double noticeS, long nowMs) {
+  private void stopUnlessEndingInTime(Placement placement, double noticeS, long nowMs) {
     double remainingS = remainingS(placement, nowMs);
-    if (remainingS < noticeS - END_MARGIN_S) {
+    if (remainingS < noticeS - COMPLETION_MARGIN_S) {
       return;
     }
     JobSpec spec = placement.job().spec();
@@ -56,18 +66,21 @@
           Math.max(
               checkpointS + CHECKPOINT_MARGIN_S,
               Math.min(noticeS, checkpointS * CHECKPOINT_GRACE_FACTOR)));
-    } else if (remainingS > noticeS * GIVE_UP_RATIO) {
+    } else if (remainingS > noticeS * STOP_WITHOUT_CHECKPOINT_RATIO) {
       placement.stop(0);
     }
   }
 
-  /** How long the task is expected to run on; without end for a service. */
+  /**
+   * The expected remaining time of the task in seconds; {@link Double#MAX_VALUE} for a service,
+   * which runs until it is cancelled.
+   */
   private double remainingS(Placement placement, long nowMs) {
     if (placement.job().spec().expectedS() <= 0) {
       return Double.MAX_VALUE;
     }
-    long sinceMs = placement.runningSinceMs();
-    double ranS = sinceMs < 0 ? 0 : (nowMs - sinceMs) / MS_PER_S;
-    return estimates.runS(placement.job()) - ranS;
+    long runningSinceMs = placement.runningSinceMs();
+    double elapsedS = runningSinceMs < 0 ? 0 : (nowMs - runningSinceMs) / MS_PER_S;
+    return estimates.runS(placement.job()) - elapsedS;
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
+++ b/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
@@ -26,7 +26,11 @@
 import org.ploverspindle.settings.Address;
 import org.ploverspindle.settings.Settings;
 
-/** A leader of 100 machines with heartbeats every three seconds: when it steps down. */
+/**
+ * Checks when a leader of 100 machines, each of which sends a heartbeat every three seconds, has a
+ * reason to resign. Guards against a leader that stays while all worker leases expire, as
+ * heartbeats or responses are lost, and against a leader that resigns although it is reached.
+ */
 class LeaderConnectivityTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final int MACHINES = 100;
@@ -54,15 +58,17 @@
   }
 
   private static Settings settings() {
-    Address nowhere = new Address("127.0.0.1", 1);
+    Address unusedAddress = new Address("127.0.0.1", 1);
     return new Settings(
         "n0",
         "a",
-        nowhere,
-        nowhere,
-        List.of(new Settings.Member("n1", "a", nowhere), new Settings.Member("n2", "a", nowhere)),
-        nowhere,
-        nowhere,
+        unusedAddress,
+        unusedAddress,
+        List.of(
+            new Settings.Member("n1", "a", unusedAddress),
+            new Settings.Member("n2", "a", unusedAddress)),
+        unusedAddress,
+        unusedAddress,
         List.of("a"),
         500,
         List.of(new Settings.Team("red", 0, 0, 0, 0)),
@@ -73,7 +79,7 @@
         new Settings.Quota(1, 200, 500));
   }
 
-  /** The heartbeat of one machine. */
+  /** Handles a heartbeat of the machine that shows this fencing token. */
   private void heartbeat(int machine, long fencingToken, long nowMs) {
     connectivity.recordHeartbeat(nowMs);
     heartbeatHandler.handle(
@@ -91,61 +97,65 @@
         nowMs);
   }
 
-  /** Checks every 390 ms; true if there was any reason to step down in that time. */
-  private boolean stepsDown(long fromMs, long toMs, boolean reporting, long fencingToken) {
-    boolean steppedDown = false;
+  /** Checks every 390 ms; returns whether any check in that time gave a reason to resign. */
+  private boolean resigns(long fromMs, long toMs, boolean sendsHeartbeats, long fencingToken) {
+    boolean resigned = false;
     for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
-      if (reporting) {
+      if (sendsHeartbeats) {
         heartbeat((int) (nowMs / 30 % MACHINES), fencingToken, nowMs);
       }
       if (nowMs % 390 == 0) {
-        steppedDown |= connectivity.reasonToStepDown(nowMs).isPresent();
+        resigned |= connectivity.resignationCause(nowMs).isPresent();
       }
     }
-    return steppedDown;
+    return resigned;
   }
 
   @Test
   void keepsLeadingWhileHeartbeatsArriveAndResponsesAreReceived() {
-    assertFalse(stepsDown(0, 60_000, true, 7));
+    assertFalse(resigns(0, 60_000, true, 7));
   }
 
   @Test
-  void stepsDownBeforeAnyWorkerLeaseExpiresWhenAllMachinesFallSilent() {
-    stepsDown(0, 30_000, true, 7);
-    assertFalse(stepsDown(30_000, 33_000, false, 7));
-    assertTrue(stepsDown(33_000, 36_000, false, 7));
+  void resignsBeforeAnyWorkerLeaseExpiresWhenAllHeartbeatsStop() {
+    resigns(0, 30_000, true, 7);
+    assertFalse(resigns(30_000, 33_000, false, 7));
+    assertTrue(resigns(33_000, 36_000, false, 7));
   }
 
   @Test
-  void stepsDownSoonerWhenSilentMachinesTryOtherControllers() {
-    stepsDown(0, 30_000, true, 7);
+  void resignsSoonerWhenMachinesTryOtherControllers() {
+    resigns(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(31_500, 40);
-    assertTrue(stepsDown(30_000, 32_500, false, 7));
+    assertTrue(resigns(30_000, 32_500, false, 7));
   }
 
   @Test
-  void fewMisdirectedHeartbeatsAloneAreNoReasonToStepDown() {
-    stepsDown(0, 30_000, true, 7);
+  void fewMisdirectedHeartbeatsAloneAreNoReasonToResign() {
+    resigns(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(30_000, 40);
-    assertFalse(stepsDown(30_000, 36_000, true, 7));
+    assertFalse(resigns(30_000, 36_000, true, 7));
     connectivity.misdirectedHeartbeats(36_000, 70);
     assertTrue(
-        stepsDown(36_000, 37_000, true, 7), "most of them had responses and try other controllers");
+        resigns(36_000, 37_000, true, 7),
+        "70 misdirected heartbeats, more than 60 % of 100 machines");
   }
 
   @Test
-  void listensAgainAfterAPauseBeforeItCallsMachinesSilent() {
-    stepsDown(0, 30_000, true, 7);
+  void waitsAWholeHeartbeatWindowAfterAProcessPause() {
+    resigns(0, 30_000, true, 7);
     connectivity.misdirectedHeartbeats(33_000, 300);
-    // The process was paused, and has not read yet what arrived meanwhile.
-    assertFalse(stepsDown(35_100, 38_000, false, 7));
-    assertFalse(stepsDown(38_010, 60_000, true, 7));
+    // The process was paused after 30 s, and has not read yet what arrived during the pause.
+    assertFalse(resigns(35_100, 38_000, false, 7));
+    assertFalse(resigns(38_010, 60_000, true, 7));
   }
 
-  /** Leaders that replace each other too soon would never prove machines gone that are gone. */
+  /**
+   * Guards against leaders that replace each other so soon that none of them waits long enough to
+   * prove that the tasks of lost machines are gone.
+   */
   @Test
-  void waitsForTheProofOfSilenceWhereLeadershipIsUnstable() {
+  void waitsUntilTasksAreProvenGoneIfLeadershipIsUnstable() {
     for (int machine = 0; machine < MACHINES; machine++) {
       machines.adopt("i-" + machine, "t", "a", true, 0);
     }
@@ -157,18 +167,22 @@
       machines.addPlacement(
           new Placement(job, task, task + 1, machine, 1, Placement.Phase.RECOVERED));
     }
-    assertTrue(stepsDown(0, 20_000, false, 7), "the first leaders step down soon");
+    assertTrue(
+        resigns(0, 20_000, false, 7), "without a longer minimum time, leaders resign within 20 s");
     connectivity = new LeaderConnectivity(machines, TERM, settings, () -> listRead, 40_000);
-    assertFalse(stepsDown(0, 39_000, false, 7));
-    assertTrue(stepsDown(39_000, 42_000, false, 7));
+    assertFalse(resigns(0, 39_000, false, 7));
+    assertTrue(resigns(39_000, 42_000, false, 7));
   }
 
   @Test
-  void stepsDownWhenNoMachineShowsItsToken() {
-    assertTrue(stepsDown(0, 30_000, true, 3), "all heartbeats have an older token");
+  void resignsWhenNoMachineShowsItsToken() {
+    assertTrue(resigns(0, 30_000, true, 3), "all heartbeats show a token of an earlier term");
   }
 
-  /** Six machines on which earlier leaders recorded tasks; none of them sends a heartbeat. */
+  /**
+   * Adds six machines that are known only because earlier leaders recorded tasks on them; none of
+   * them sends a heartbeat.
+   */
   private void addMachinesKnownFromRecordsOnly() {
     JobSpec spec = JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 6, 4, 1, 20, 0);
     Job job = new Job(spec, 0, 80, 0, new BitSet(), -1, 1);
@@ -180,43 +194,47 @@
   }
 
   @Test
-  void doesNotWaitForMachinesThatOnlyRecordsMention() {
+  void staysLeaderWithoutHeartbeatsOfUnlistedMachines() {
     addMachinesKnownFromRecordsOnly();
     listRead = true;
-    assertFalse(stepsDown(0, 40_000, false, 7), "no other leader would hear them");
+    assertFalse(resigns(0, 40_000, false, 7), "no other leader would receive heartbeats of them");
   }
 
   @Test
-  void stepsDownForSilentMachinesThatAreListedOrMayBe() {
+  void resignsWithoutHeartbeatsOfMachinesThatAreOrMayBeListed() {
     addMachinesKnownFromRecordsOnly();
-    assertTrue(stepsDown(0, 39_000, false, 7), "no list was read");
+    assertTrue(resigns(0, 39_000, false, 7), "the cloud's list was not read");
     listRead = true;
     machines.all().forEach(machine -> machine.listedAt(0));
-    assertTrue(stepsDown(39_000, 78_000, false, 7));
+    assertTrue(resigns(39_000, 78_000, false, 7));
   }
 
   @Test
   void lateHeartbeatsOfTerminatedMachinesAreNoSignOfLostResponses() {
-    stepsDown(0, 30_000, true, 7);
+    resigns(0, 30_000, true, 7);
     for (int index = 0; index < 10 * MACHINES; index++) {
       Machine terminated = machines.adopt("gone-" + index, "t", "a", true, 30_000).orElseThrow();
       machines.confirmTermination(terminated.host(), 30_000);
     }
-    assertFalse(stepsDownWhileMisdirected(30_000, 60_000), "they are of terminated machines");
-    assertTrue(stepsDownWhileMisdirected(120_000, 150_000), "no late heartbeats arrive any more");
+    assertFalse(
+        resignsWithMisdirectedHeartbeats(30_000, 60_000),
+        "the misdirected heartbeats are expected after the terminations");
+    assertTrue(
+        resignsWithMisdirectedHeartbeats(120_000, 150_000),
+        "late heartbeats are no longer expected");
   }
 
-  private boolean stepsDownWhileMisdirected(long fromMs, long toMs) {
-    boolean steppedDown = false;
+  private boolean resignsWithMisdirectedHeartbeats(long fromMs, long toMs) {
+    boolean resigned = false;
     for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
       heartbeat((int) (nowMs / 30 % MACHINES), 7, nowMs);
       if (nowMs % 120 == 0) {
         connectivity.misdirectedHeartbeats(nowMs, 2);
       }
       if (nowMs % 390 == 0) {
-        steppedDown |= connectivity.reasonToStepDown(nowMs).isPresent();
+        resigned |= connectivity.resignationCause(nowMs).isPresent();
       }
     }
-    return steppedDown;
+    return resigned;
   }
 }
--- a/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
+++ b/src/test/java/org/ploverspindle/leadership/SingleMachineFixture.java
@@ -25,13 +25,13 @@
 import org.ploverspindle.model.Term;
 import org.ploverspindle.settings.Settings;
 
-/** A leader's view of one spot machine with four cores, and of a job of one-core tasks. */
+/** A leader's view of one spot machine with four cores, and of a job with eight one-core tasks. */
 final class SingleMachineFixture {
   static final String HOST = "i-1";
   private static final Term TERM = new Term(7, 1, 0);
 
-  /** Its time is set by the test; nothing is ever run. */
-  private final class StillScheduler implements Scheduler {
+  /** A scheduler whose time is set by the test and that runs no work. */
+  private final class ManualScheduler implements Scheduler {
     @Override
     public long nowMs() {
       return nowMs;
@@ -51,13 +51,13 @@
     }
   }
 
-  final Scheduler scheduler = new StillScheduler();
+  final Scheduler scheduler = new ManualScheduler();
   final MachineRegistry machines;
-  final HeartbeatHandler handler;
+  final HeartbeatHandler heartbeatHandler;
   final Job job;
   long nowMs = 1_000;
   boolean authoritative = true;
-  private long attempts;
+  private long lastAttempt;
   private long sequence;
 
   SingleMachineFixture(JobSpec spec) {
@@ -72,20 +72,20 @@
     BitSet types = new BitSet();
     types.set(0);
     job = new Job(spec, 0, 8, 0, types, -1, 1);
-    handler =
+    heartbeatHandler =
         new HeartbeatHandler(
             machines,
             TERM,
             () -> authoritative,
             uid -> Optional.of(job),
             uid -> Optional.empty(),
-            (j, task) -> false,
+            (unusedJob, task) -> false,
             new NoOpHeartbeatListener());
   }
 
   /**
-   * @param expectedS 0 for a service
-   * @param saveCostS 0 for a job without checkpoints
+   * @param expectedS expected run time of a task in seconds; 0 for a service
+   * @param checkpointCostS time to write a checkpoint in seconds; 0 for a job without checkpoints
    */
   static JobSpec spec(double expectedS, double checkpointCostS) {
     return new JobSpec(
@@ -116,7 +116,7 @@
     return machines.get(HOST).orElseThrow();
   }
 
-  /** The machine's next heartbeat, already processed by the handler. */
+  /** Has the handler process the machine's next heartbeat, and returns the heartbeat. */
   Heartbeat heartbeat(OptionalDouble spotNoticeS, Heartbeat.TaskStatus... tasks) {
     Heartbeat heartbeat =
         new Heartbeat(
@@ -130,21 +130,21 @@
             TERM.fencingToken(),
             spotNoticeS,
             List.of(tasks));
-    handler.handle(heartbeat, nowMs);
+    heartbeatHandler.handle(heartbeat, nowMs);
     return heartbeat;
   }
 
   /** Places the next task; the placement is not durable yet. */
   Placement place() {
-    int task = (int) attempts;
+    int task = (int) lastAttempt;
     Placement placement =
-        new Placement(job, task, ++attempts, machine(), 1, Placement.Phase.INTENT);
+        new Placement(job, task, ++lastAttempt, machine(), 1, Placement.Phase.INTENT);
     machines.addPlacement(placement);
     return placement;
   }
 
-  /** Places the next task, and has a heartbeat show it running from now on. */
-  Placement run() {
+  /** Places the next task, and processes a heartbeat that shows it running from now on. */
+  Placement placeRunning() {
     Placement placement = place();
     heartbeat(
         OptionalDouble.empty(),
