--- a/src/main/java/org/ploverspindle/cluster/CommandBatch.java
+++ b/src/main/java/org/ploverspindle/cluster/CommandBatch.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /**
- * Commands that are sent together, no more than an agent accepts in one message. What does not fit
- * goes with a later response.
+ * Commands that are sent to a worker in one message. Their size stays within {@link
+ * HeartbeatCodec#MAX_COMMAND_BYTES}; commands that do not fit are left for a later message.
  */
 final class CommandBatch {
-  /** The fencing token, and the frame around the list of commands. */
+  /** Estimated bytes, in JSON form, of the fencing token and the frame of the command list. */
   private static final int ENVELOPE_BYTES = 40;
 
   private final List<WorkerCommand> commands = new ArrayList<>();
   private int batchBytes = ENVELOPE_BYTES;
 
-  /** Adds the command; false if it does not fit. */
+  /** Adds the command and returns true, or returns false if the message would get too large. */
   boolean add(WorkerCommand command) {
     int commandBytes = HeartbeatCodec.size(command);
     if (batchBytes + commandBytes > HeartbeatCodec.MAX_COMMAND_BYTES) {
@@ -26,7 +26,7 @@
     return true;
   }
 
-  /** A live, unmodifiable view. */
+  /** The commands added so far: a live, unmodifiable view. */
   List<WorkerCommand> commands() {
     return Collections.unmodifiableList(commands);
   }
--- a/src/main/java/org/ploverspindle/cluster/CommandFencing.java
+++ b/src/main/java/org/ploverspindle/cluster/CommandFencing.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * The fencing token of one machine, and whether commands are known to reach the machine.
+ * The fencing token of one machine, and whether commands are known to reach its worker.
  *
- * <p>An agent refuses commands whose token is lower than the highest one that it has received. So
- * raising the token of one machine makes all commands void that were sent to it earlier and have
- * not been executed, as soon as a heartbeat shows the raised token.
+ * <p>A worker rejects commands whose fencing token is lower than the highest one that it has
+ * received. Once a heartbeat shows a raised token, the worker therefore executes no command any
+ * more that was sent to it earlier under a lower token.
  */
 final class CommandFencing {
-  /** By attempt, the token under which its launch was sent directly. */
+  /** For each attempt whose launch was sent directly, the fencing token of that launch. */
   private final Map<Long, Long> directLaunchTokens = new HashMap<>();
 
   private long fencingToken;
@@ -26,7 +26,7 @@
     return fencingToken;
   }
 
-  /** Sets the token that all further responses and commands to the machine carry. */
+  /** Sets the fencing token that all further responses and commands to the machine carry. */
   void raiseToken(long token) {
     fencingToken = token;
   }
@@ -40,8 +40,9 @@
   }
 
   /**
-   * Commands do not seem to reach the machine. Its token is raised once for this: a heartbeat that
-   * shows the raised token proves that responses arrive again.
+   * Records that commands do not seem to reach the machine. Its fencing token is raised only once
+   * while it stays unreachable: a heartbeat that shows the raised token proves that responses
+   * arrive again.
    */
   void markUnreachable(long token, long nowMs) {
     boolean isAlreadyUnreachable = unreachableSinceMs >= 0;
@@ -54,7 +55,7 @@
     }
   }
 
-  /** A heartbeat showed this token, which is one of this term. */
+  /** Records the fencing token that a heartbeat showed, which must be a token of this term. */
   void recordReportedToken(long reportedToken) {
     if (reportedToken >= fencingToken) {
       receivesCommands = true;
@@ -69,7 +70,10 @@
     directLaunchTokens.put(attempt, fencingToken);
   }
 
-  /** Whether a launch of the attempt that was sent directly could still be executed. */
+  /**
+   * Whether a launch of the attempt was sent directly under the current fencing token, so that the
+   * worker may still execute it.
+   */
   boolean isDirectLaunchPending(long attempt) {
     Long token = directLaunchTokens.get(attempt);
     return token != null && token >= fencingToken;
--- a/src/main/java/org/ploverspindle/cluster/DirectCommands.java
+++ b/src/main/java/org/ploverspindle/cluster/DirectCommands.java
@@ -5,11 +5,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Decides which commands may be sent directly to a machine, before its next heartbeat. Beside
- * {@link HeartbeatHandler} it is the only class that lets a launch out.
+ * Decides which commands may be sent directly to a worker, without waiting for its next heartbeat.
+ * Only this class and {@link HeartbeatHandler} send launches.
  */
 public final class DirectCommands {
-  /** Commands for one machine, with the token and agent epoch that they are bound to. */
+  /** Commands for one machine, valid only under the fencing token and in the worker epoch given. */
   public record Request(
       String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
     private static Optional<Request> of(Machine machine, CommandBatch batch) {
@@ -26,8 +26,8 @@
   private final BooleanSupplier isAuthoritative;
 
   /**
-   * @param isAuthoritative whether this leader's lease is certainly valid; while it is not, nothing
-   *     is sent
+   * @param isAuthoritative whether this leader's lease is certainly valid; no direct command is
+   *     sent while it is not
    */
   public DirectCommands(MachineRegistry registry, BooleanSupplier isAuthoritative) {
     this.registry = registry;
@@ -35,13 +35,14 @@
   }
 
   /**
-   * The launches on the machine whose intent is recorded and that were in no response yet, to be
-   * sent at once. A direct launch may be executed late or twice: from here on the attempt counts as
-   * possibly on the machine, until a heartbeat under a higher token does not show it or the agent
-   * epoch ends.
+   * Returns the launches to send directly to the machine: those whose placement is recorded and
+   * that no response in flight carries. A direct launch may be executed late or twice. From this
+   * call on, the attempt therefore counts as possibly on the machine, until a heartbeat under a
+   * higher fencing token does not list it or the worker epoch ends.
    */
   public Optional<Request> launches(Machine machine, long nowMs) {
-    // Without a higher token left, a late copy of the launch could not be made void.
+    // Only a higher fencing token can invalidate a late copy of a direct launch, so no launch is
+    // sent directly once the tokens of the term are nearly used up.
     if (!canReceive(machine) || !registry.hasFencingTokensLeft()) {
       return Optional.empty();
     }
@@ -63,10 +64,10 @@
   }
 
   /**
-   * Stops for the tasks of cancelled jobs on the machine, to be sent at once: until the next
-   * heartbeat they would run on, or even start, for nothing. Executed late or twice they do no
-   * harm, whoever leads by then, as a cancellation is final. If a launch in flight arrives after
-   * its stop, the next heartbeat shows it.
+   * Returns the stops to send directly to the machine for the tasks of cancelled jobs. Without them
+   * these tasks would run on, or even start, until the next heartbeat. A stop that is executed late
+   * or twice does no harm, even if another controller leads by then, because a cancellation is
+   * final. If a launch in flight arrives after the stop, the next heartbeat lists the attempt.
    */
   public Optional<Request> cancelledStops(Machine machine) {
     if (!canReceive(machine)) {
--- a/src/main/java/org/ploverspindle/cluster/Heartbeat.java
+++ b/src/main/java/org/ploverspindle/cluster/Heartbeat.java
@@ -4,14 +4,14 @@
 import java.util.OptionalDouble;
 
 /**
- * A heartbeat of a machine's agent: all attempts on the machine at one moment.
+ * A heartbeat of the worker on a machine. It lists all attempts on the machine at one moment.
  *
- * @param address where the agent receives direct commands; may be empty
- * @param agentEpoch starts at 1 and grows each time the agent's lease expires, when all tasks on
- *     the machine end
- * @param sequence grows with each heartbeat and with each response to direct commands
- * @param fencingToken the highest token that the agent has received
- * @param spotNoticeS seconds until the cloud takes the machine back, if it has announced that
+ * @param address where the worker receives direct commands; may be empty
+ * @param agentEpoch the worker epoch: it starts at 1 and grows each time the worker lease expires,
+ *     which ends all tasks on the machine
+ * @param sequence a number that grows with each heartbeat and each response to direct commands
+ * @param fencingToken the highest fencing token that the worker has received
+ * @param spotNoticeS seconds until the cloud reclaims the machine; empty without a spot notice
  */
 public record Heartbeat(
     String host,
@@ -27,32 +27,32 @@
 
   /** The state of an attempt on its machine. */
   public enum Phase {
-    /** Its image is being fetched, or it is in a state that this version does not know. */
+    /** The image is being fetched, or the phase is one that this version does not know. */
     FETCHING,
     RUNNING,
     CHECKPOINTING,
     EXITED
   }
 
-  /** Why an attempt ended, or why it was not started. */
+  /** Why an attempt ended or was not started. */
   public enum ExitReason {
-    /** It has not ended, or for a reason that this version does not know. */
+    /** The attempt has not ended, or ended for a reason that this version does not know. */
     NONE,
     DONE,
     STOPPED,
     ERROR,
-    /** Not started: the machine's free resources did not suffice. */
+    /** The attempt was not started because the machine had too few free resources. */
     NO_ROOM,
-    /** Not started: another attempt of the task was on the machine. */
+    /** The attempt was not started because another attempt of the task was on the machine. */
     BUSY,
-    /** Not started: the agent did not know the job. */
+    /** The attempt was not started because the worker did not know the job. */
     NO_SUCH
   }
 
   /**
-   * An attempt of a task on the machine.
+   * The state of one attempt on the machine.
    *
-   * @param checkpointed whether its progress was stored when it was stopped
+   * @param checkpointed whether the attempt stored a checkpoint when it was stopped
    */
   public record TaskStatus(
       String uid,
@@ -62,7 +62,7 @@
       ExitReason exitReason,
       boolean checkpointed) {}
 
-  /** Whether it was sent after the heartbeat with this agent epoch and sequence number. */
+  /** Whether this heartbeat was sent after the one with the given epoch and sequence number. */
   public boolean isNewerThan(long otherAgentEpoch, long otherSequence) {
     return agentEpoch != otherAgentEpoch ? agentEpoch > otherAgentEpoch : sequence > otherSequence;
   }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
@@ -11,21 +11,26 @@
 import org.ploverspindle.net.Cbor;
 
 /**
- * The wire form of heartbeats and commands. Only here are the protocol's names mapped to the terms
- * of the program: {@code tenure} is the agent epoch, {@code tally} the sequence number, {@code
- * warrant} the fencing token, {@code recall_s} the spot notice, {@code piece} a task, {@code try}
- * an attempt.
+ * Encodes and decodes heartbeats and commands. No other class maps the protocol's names to the
+ * terms of the program: {@code host} is the machine, {@code flavour} its machine type, {@code site}
+ * its zone, {@code loaners} whether it is a spot machine, {@code recall_s} its spot notice, {@code
+ * tenure} the worker epoch, {@code tally} the sequence number, {@code warrant} the fencing token,
+ * {@code piece} a task, {@code try} an attempt, {@code orders} the commands, and {@code
+ * wind_down_s} the grace period of a stop.
  */
 public final class HeartbeatCodec {
-  /** About what a command takes in JSON form besides the job's uid. */
+  /** Estimated bytes of a command in JSON form, without the job's UID. */
   private static final int COMMAND_BYTES = 90;
 
-  /** The commands of one message, in JSON form: well within the protocol's limit of 64 KiB. */
+  /**
+   * The largest total size of the commands in one message, in bytes of their JSON form. It leaves a
+   * wide margin to the protocol's limit of 64 KiB.
+   */
   public static final int MAX_COMMAND_BYTES = 48 * 1024;
 
   private HeartbeatCodec() {}
 
-  /** The heartbeat in a message's body; empty when it is malformed. */
+  /** Decodes a heartbeat from the body of a message; empty if the body is malformed. */
   public static Optional<Heartbeat> decode(byte[] body) {
     return Cbor.readMap(body).flatMap(HeartbeatCodec::decode);
   }
@@ -113,8 +118,10 @@
   }
 
   /**
-   * An unknown state is one that a newer agent has: the task is on the machine and not known to
-   * run. To refuse the whole heartbeat for it would cost the lease of every task on the machine.
+   * Decodes the phase of a task; empty if it is missing, which makes the heartbeat malformed. An
+   * unknown phase comes from a newer version of the worker: the task is then on the machine but not
+   * known to run. Rejecting the whole heartbeat for it would let the worker lease expire, which
+   * ends every task on the machine.
    */
   private static Optional<Heartbeat.Phase> decodePhase(String status) {
     return switch (status) {
@@ -138,12 +145,12 @@
     };
   }
 
-  /** The body of the response to a heartbeat, with the commands in this order. */
+  /** Encodes the body of the response to a heartbeat; the commands keep their order. */
   public static byte[] encodeResponse(long fencingToken, List<WorkerCommand> commands) {
     return Cbor.write(encode(Cbor.map().put("warrant", fencingToken), commands));
   }
 
-  /** The body of a message with direct commands, which are bound to the agent epoch. */
+  /** Encodes the body of a message with direct commands, valid only in the given worker epoch. */
   public static byte[] encodeDirectCommand(
       long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
     return Cbor.write(
@@ -171,7 +178,7 @@
     return command instanceof WorkerCommand.Stop ? "stop" : "forget";
   }
 
-  /** About how many bytes a command takes in JSON form. */
+  /** The estimated size of a command in JSON form, in bytes. */
   public static int size(WorkerCommand command) {
     return command.uid().length() + COMMAND_BYTES;
   }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A heartbeat that is being handled, and the commands that are collected for its response. */
+/** A heartbeat that is being handled, and the commands collected so far for its response. */
 final class HeartbeatContext {
   private final MachineRegistry registry;
   private final Machine machine;
@@ -13,10 +13,10 @@
   private final CommandBatch batch = new CommandBatch();
 
   /**
-   * @param underOwnToken whether the agent had accepted a token of this term when it wrote the
-   *     heartbeat
-   * @param direct whether the heartbeat is the response to a direct command, so that no commands
-   *     can be sent in response to it
+   * @param underOwnToken whether the worker had accepted a fencing token of this term when it wrote
+   *     the heartbeat
+   * @param direct whether the heartbeat is the response to a direct command, in which case no
+   *     commands can be sent in reply
    */
   HeartbeatContext(
       MachineRegistry registry,
@@ -53,20 +53,24 @@
     return nowMs;
   }
 
-  /** The commands of the response so far. */
+  /** The commands collected so far: a live, unmodifiable view. */
   List<WorkerCommand> commands() {
     return batch.commands();
   }
 
-  /** Adds a command; false if it does not fit and has to go with a later response. */
+  /**
+   * Adds a command and returns true, or returns false if the command does not fit and has to be
+   * sent in a later response.
+   */
   boolean addCommand(WorkerCommand command) {
     if (!batch.add(command)) {
       return false;
     }
     if (command instanceof WorkerCommand.Forget
         && machine.isDirectLaunchPending(command.attempt())) {
-      // Once the agent has forgotten the attempt, a late copy of its direct launch would start it
-      // again. The same response raises the token, under which the agent refuses that copy.
+      // Once the worker has forgotten the attempt, a late copy of its direct launch would start the
+      // attempt again. The response with the forget command also carries a raised fencing token,
+      // under which the worker rejects that copy.
       machine.raiseFencingToken(registry.nextFencingToken());
     }
     return true;
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
@@ -13,28 +13,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles heartbeats and decides which commands are sent in response. Beside {@link DirectCommands}
- * it is the only class that lets a launch out, and it does so only while the leader is
- * authoritative and the agent has accepted a token of this term.
+ * Handles heartbeats and decides which commands the responses carry. Only this class and {@link
+ * DirectCommands} send launches. This class sends a launch only while the leader's lease is
+ * certainly valid, and only to a worker that has accepted a fencing token of this term.
  */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  /** Receives what heartbeats show about tasks. */
+  /** Is notified of the changes of tasks that heartbeats show. */
   public interface Listener {
-    /** The task of the placement completed; the placement is removed. */
+    /** The task of the placement has completed, and the placement has been removed. */
     void completed(Placement placement, long nowMs);
 
     /**
-     * The task ended without completing, or never started; the placement is removed.
+     * The task of the placement has ended without completing, or was never started, and the
+     * placement has been removed.
      *
-     * @param exitReason as the agent gave it; {@code NONE} if no heartbeat showed an exit
-     * @param checkpointed whether the task wrote a checkpoint when it was stopped
+     * @param exitReason the reason that the worker gave; {@code NONE} if no heartbeat showed an
+     *     exit
+     * @param checkpointed whether the task stored a checkpoint when it was stopped
      */
     void ended(
         Placement placement, Heartbeat.ExitReason exitReason, boolean checkpointed, long nowMs);
 
-    /** A task without a placement has completed there; its result counts all the same. */
+    /**
+     * A task has completed on a machine on which this leader has no placement of it. The completion
+     * counts like any other.
+     */
     void completedUnrecorded(Job job, int task);
 
     /** The phase of the placement has changed. */
@@ -42,10 +47,10 @@
   }
 
   /**
-   * What is known of a job that is not in the table.
+   * The team and the resources of the tasks of a job that is not in the job table.
    *
-   * @param team index of its team in the settings
-   * @param resources what one of its tasks takes
+   * @param team index of the job's team in the settings
+   * @param resources the resources that one task of the job uses
    */
   public record TaskOwner(int team, Resources resources) {}
 
@@ -59,10 +64,11 @@
   private final MissingTasks missingTasks;
 
   /**
-   * @param isAuthoritative whether this leader's lease is certainly valid
-   * @param jobs the jobs in the table, by uid
-   * @param owners what is known of any other job, by uid
-   * @param durablyCompleted whether the completion of a job's task is recorded
+   * @param isAuthoritative whether this leader's lease is certainly valid; no launch is sent while
+   *     it is not
+   * @param jobs finds a job of the job table by its UID
+   * @param owners finds the team and resources of any other known job by its UID
+   * @param durablyCompleted whether the completion of the job's task is durably recorded
    */
   public HeartbeatHandler(
       MachineRegistry registry,
@@ -79,12 +85,15 @@
     this.missingTasks = new MissingTasks(registry, listener);
   }
 
-  /** A response without commands, which renews the agent's lease. */
+  /** Returns a response without commands; like every response it renews the worker lease. */
   public Response emptyResponse(String host) {
     return new Response(fencingTokenFor(host), List.of());
   }
 
-  /** The token is read last, as a command may have raised it. */
+  /**
+   * Returns the response with these commands and the machine's fencing token. The token is read
+   * after the commands were collected, because a command may have raised it.
+   */
   private Response response(Heartbeat heartbeat, List<WorkerCommand> commands) {
     return new Response(fencingTokenFor(heartbeat.host()), commands);
   }
@@ -93,14 +102,17 @@
     return registry.get(host).map(Machine::fencingToken).orElse(term.fencingToken());
   }
 
-  /** Handles a heartbeat; its response has no commands if the heartbeat is not to be relied on. */
+  /**
+   * Handles a heartbeat and returns the response. The response has no commands if the heartbeat is
+   * outdated or its machine has been terminated or is not valid.
+   */
   public Response handle(Heartbeat heartbeat, long nowMs) {
     return response(heartbeat, process(heartbeat, nowMs, false));
   }
 
   /**
-   * Handles the heartbeat with which an agent responds to direct commands. No commands can be sent
-   * in response to it: those that it calls for go with the response to the next heartbeat.
+   * Handles the heartbeat with which a worker responds to direct commands. No commands can be sent
+   * in reply; those that this heartbeat makes necessary are sent in the response to the next one.
    */
   public void handleDirectResponse(Heartbeat heartbeat, long nowMs) {
     process(heartbeat, nowMs, true);
@@ -122,8 +134,9 @@
       return List.of();
     }
     Machine machine = found.get();
-    // A delayed heartbeat is older than what is known: its list of tasks would prove running tasks
-    // gone. It gets a response, as the agent's lease could expire without, but is not evaluated.
+    // A delayed heartbeat is older than the state that is already known. It is not evaluated,
+    // because tasks that started after it was written would seem to be gone. It is answered,
+    // because the worker lease could expire without a response.
     if (machine.isUp() && !heartbeat.isNewerThan(machine.agentEpoch(), machine.lastSequence())) {
       return List.of();
     }
@@ -134,7 +147,7 @@
   private void recordHeartbeat(Machine machine, Heartbeat heartbeat, long nowMs) {
     boolean isNewEpoch = heartbeat.agentEpoch() > machine.agentEpoch();
     if (isNewEpoch && machine.isUp()) {
-      // The agent's lease expired although its heartbeats arrive: responses may not reach it.
+      // The worker lease expired although heartbeats arrive, so responses may not reach the worker.
       machine.markUnreachable(registry.nextFencingToken(), nowMs);
     }
     machine.recordHeartbeat(heartbeat, nowMs, term.owns(heartbeat.fencingToken()));
@@ -143,7 +156,10 @@
     }
   }
 
-  /** An agent epoch begins without tasks: all placements of older epochs are proven gone. */
+  /**
+   * Removes the placements of older worker epochs. A worker epoch begins without tasks, so their
+   * tasks are proven gone.
+   */
   private void endOlderEpochs(Machine machine, long nowMs) {
     for (Placement placement : List.copyOf(machine.placements())) {
       if (placement.agentEpoch() < machine.agentEpoch()) {
@@ -174,7 +190,7 @@
     return context.commands();
   }
 
-  /** Handles all attempts that the heartbeat shows; returns those that have a placement. */
+  /** Handles all attempts that the heartbeat lists and returns those that have a placement. */
   private Set<Long> handleReported(HeartbeatContext context) {
     Set<Long> placedAttempts = new HashSet<>();
     for (Heartbeat.TaskStatus status : context.heartbeat().tasks()) {
@@ -190,9 +206,9 @@
   }
 
   /**
-   * The response to a heartbeat that was handled before and whose response was delayed: the
-   * commands that have become possible since, as records became durable. It has none if a newer
-   * heartbeat arrived, as then the response to that one counts.
+   * Returns the response to a heartbeat that was handled before and whose response was delayed. It
+   * carries the commands that have become possible since then because records became durable. It
+   * has no commands if a newer heartbeat has arrived, as they go with the response to that one.
    */
   public Response handleDelayed(Heartbeat heartbeat, long nowMs) {
     Optional<Machine> machine =
@@ -225,7 +241,10 @@
     return context.commands();
   }
 
-  /** The stop was decided after the heartbeat was handled. */
+  /**
+   * Adds the stop of a placement whose stop was decided after the heartbeat was handled, if the
+   * heartbeat lists the attempt as not exited and no checkpoint is being written.
+   */
   private static void stopIfReported(HeartbeatContext context, Placement placement) {
     boolean isReported =
         context.heartbeat().tasks().stream()
@@ -239,8 +258,10 @@
   }
 
   /**
-   * Launches what is recorded, is in no response yet, and is still wanted in this agent epoch. What
-   * is not wanted ends here, unless a direct launch of it may still be executed.
+   * Adds the launch of each recorded placement that no response in flight carries, that is still to
+   * run, and that belongs to the heartbeat's worker epoch. A placement that is no longer to run is
+   * removed instead, unless a direct launch of it may still be executed; so is a placement of
+   * another worker epoch.
    */
   private void launch(HeartbeatContext context) {
     if (!context.underOwnToken() || !isAuthoritative.getAsBoolean()) {
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatState.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatState.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.cluster;
 
-/** Which heartbeats of one machine arrived in this term, and when. */
+/** The first and the last heartbeat of one machine that arrived in this term. */
 final class HeartbeatState {
   private long agentEpoch;
   private long lastSequence;
@@ -44,7 +44,7 @@
     return hasAcceptedToken;
   }
 
-  /** True for the first call after the first heartbeat, false for every other call. */
+  /** Returns true at the first call after the first heartbeat and false at every other call. */
   boolean observeFirst() {
     boolean observed = isFirstUnobserved;
     isFirstUnobserved = false;
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatTimeout.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatTimeout.java
@@ -3,12 +3,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether a machine's heartbeats have stopped. A leader whose process was paused has missed them
- * itself, so the time counts from the end of its last pause. A timeout is a reason to place nothing
- * on the machine; it proves nothing about the tasks there, unlike the expiry of its lease.
+ * Decides whether a machine's heartbeats have stopped. A leader whose process was paused missed
+ * heartbeats itself, so the time counts from the end of its last pause at the earliest. After a
+ * timeout no tasks are placed on the machine. Unlike the expiry of the worker lease, a timeout
+ * proves nothing about the tasks that are on the machine.
  */
 public final class HeartbeatTimeout {
-  /** A quarter more than the period, for a heartbeat that is under way. */
+  /**
+   * Milliseconds of timeout for each second of the heartbeat interval: the interval and a quarter
+   * of it, for a heartbeat in transit.
+   */
   private static final double TIMEOUT_MS_PER_PERIOD_S = 1_250;
 
   private static final long MARGIN_MS = 1_500;
@@ -18,10 +22,10 @@
   private final LongSupplier receivingSinceMs;
 
   /**
-   * @param heartbeatPeriodS seconds between two heartbeats of a machine
+   * @param heartbeatPeriodS the heartbeat interval of a worker, in seconds
    * @param termStartMs when the leader's term began, on the steady clock
    * @param receivingSinceMs since when the leader has received heartbeats without a pause of its
-   *     own, on the steady clock
+   *     process, on the steady clock
    */
   public HeartbeatTimeout(
       double heartbeatPeriodS, long termStartMs, LongSupplier receivingSinceMs) {
@@ -30,7 +34,11 @@
     this.receivingSinceMs = receivingSinceMs;
   }
 
-  /** Whether no heartbeat arrived for longer than the period and its margin. */
+  /**
+   * Whether no heartbeat of the machine has arrived for longer than the timeout. Without any
+   * heartbeat in this term, the time counts from when the machine became known or the term began,
+   * whichever is later.
+   */
   public boolean isExpired(Machine machine, long nowMs) {
     long lastSignMs =
         machine.isUp() ? machine.lastHeartbeatMs() : Math.max(machine.knownSinceMs(), termStartMs);
--- a/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
@@ -8,8 +8,8 @@
 import org.ploverspindle.net.HttpResult;
 
 /**
- * Sends commands to agents over HTTP. Each request has a connection of its own: requests are rare,
- * and hundreds of kept connections would use up the sockets that heartbeats and users need.
+ * Sends direct commands to workers over HTTP. Each request uses its own connection: requests are
+ * rare, and hundreds of idle connections would use up the sockets that heartbeats and users need.
  */
 public final class HttpWorkerClient implements WorkerClient {
   private static final int HTTP_OK = 200;
@@ -19,7 +19,7 @@
   private final Function<String, HttpClient> clients;
 
   /**
-   * @param clients the client for an agent's address
+   * @param clients returns the HTTP client for a worker's address
    */
   public HttpWorkerClient(Function<String, HttpClient> clients) {
     this.clients = clients;
@@ -43,8 +43,8 @@
   }
 
   /**
-   * The heartbeat in the response. A refusal has one as well: the agent is in a later epoch, or has
-   * received a higher token.
+   * Decodes the heartbeat in the response. A response that rejects the commands contains one as
+   * well: the worker is in a later epoch or has received a higher fencing token.
    */
   private static Optional<Heartbeat> heartbeat(HttpResult result) {
     return result instanceof HttpResult.Response response
--- a/src/main/java/org/ploverspindle/cluster/Job.java
+++ b/src/main/java/org/ploverspindle/cluster/Job.java
@@ -12,12 +12,12 @@
 /**
  * A job as the leader sees it during its term.
  *
- * <p>Its parts: {@link JobTasks}, {@link JobDeadline}, {@link ZoneConstraints} and {@link
- * JobFailures}. Times named {@code wallMs} are times of day in milliseconds, all others are
- * milliseconds of the leader's steady clock.
+ * <p>The state of a job is divided among {@link JobTasks}, {@link JobDeadline}, {@link
+ * ZoneConstraints} and {@link JobFailures}. Times whose name ends in {@code wallMs} are wall-clock
+ * times in milliseconds; all other times are in milliseconds of the leader's steady clock.
  */
 public final class Job {
-  /** In place of a zone's index: the job may run in any zone. */
+  /** Used instead of the index of a required zone when the job may run in any zone. */
   static final int ANY_ZONE = -1;
 
   private final JobSpec spec;
@@ -35,10 +35,10 @@
   private boolean blockedOnDependencies;
 
   /**
-   * @param shardSize tasks in each shard of the job's progress records
+   * @param shardSize number of tasks in each shard of the job's progress records
    * @param team index of the team in the settings
    * @param types indexes of the machine types that the job allows and that a task fits on
-   * @param requiredZone index of the only allowed zone, or -1
+   * @param zone index of the only allowed zone, or {@link #ANY_ZONE} (-1)
    */
   public Job(
       JobSpec spec,
@@ -101,23 +101,28 @@
   }
 
   /**
-   * When it could first run: its acceptance, or the completion of its last dependency. Waiting
-   * times, starvation protection and its turn under a guarantee count from here; its own deadline
-   * counts from the acceptance.
+   * When the job could first run: at its acceptance or, if it has dependencies, at the completion
+   * of the last one. Waiting times, starvation protection and the job's place in the order within a
+   * guarantee count from here. The job's own deadline counts from the acceptance.
    */
   public long eligibleSinceWallMs() {
     return deadline.eligibleSinceWallMs();
   }
 
-  /** All dependencies are durably completed. */
+  /**
+   * Records that all dependencies are durably completed.
+   *
+   * @param wallMs when the job became eligible to run
+   */
   public void markReady(long wallMs) {
     blockedOnDependencies = false;
     deadline.setEligibleSince(wallMs);
   }
 
   /**
-   * Keeps the job from starting tasks, for one whose dependencies are not completed though records
-   * show placements of it. These count until they are proven gone.
+   * Prevents the job from starting tasks. This is for a job whose dependencies are not completed
+   * although records show placements of its tasks. These placements count until they are proven
+   * gone.
    */
   public void blockOnDependencies() {
     blockedOnDependencies = true;
@@ -127,42 +132,45 @@
     return blockedOnDependencies;
   }
 
-  /** The higher of its own priority and the highest that it inherits from its dependents. */
+  /** The higher of the job's own priority and the one that it inherits from its dependents. */
   public Priority priority() {
     return deadline.priority();
   }
 
   /**
-   * The earlier of its own deadline and the one that it inherits from its dependents, in seconds
-   * from {@link #eligibleSinceWallMs}. Negative if it had passed before the job could run.
+   * The earlier of the job's own deadline and the one that it inherits from its dependents, in
+   * seconds from {@link #eligibleSinceWallMs}. Negative if the deadline had passed before the job
+   * became eligible; empty if there is no deadline.
    */
   public OptionalDouble deadlineS() {
     return deadline.deadlineS();
   }
 
   /**
-   * As {@link #deadlineS}, for the last multiples of the dependents' deadlines that still count;
-   * empty if it inherits no deadline.
+   * The deadline that the job inherits if each dependent has to finish only by the largest multiple
+   * of its deadline that an objective names, in seconds from {@link #eligibleSinceWallMs}. Empty if
+   * the job inherits no deadline.
    */
   public OptionalDouble latestDeadlineS() {
     return deadline.latestDeadlineS();
   }
 
   /**
-   * A multiple of its own deadline, which counts from the acceptance, in seconds from {@link
-   * #eligibleSinceWallMs}.
+   * The given multiple of the job's own deadline, in seconds from {@link #eligibleSinceWallMs}. The
+   * deadline itself counts from the acceptance. Empty if the job has no deadline of its own.
    */
   public OptionalDouble ownDeadlineS(double times) {
     return deadline.ownDeadlineS(times);
   }
 
   /**
-   * Sets what it inherits from the jobs that depend on it. Its own values stay where they are
-   * tighter.
+   * Sets the priority and the deadline that the job inherits from its dependents. The job's own
+   * priority stays in force if it is higher, and its own deadline if it is earlier.
    *
-   * @param highest the highest priority of them
-   * @param finishByWallMs by when it must finish, so that all of them can meet their deadlines
-   * @param latestFinishByWallMs the same for the last multiples of their deadlines that count
+   * @param highest the highest priority among the dependents
+   * @param finishByWallMs when the job must finish so that all dependents can meet their deadlines
+   * @param latestFinishByWallMs when the job must finish so that all dependents can finish by the
+   *     largest multiples of their deadlines that an objective names
    */
   public void inherit(
       Priority highest, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
@@ -171,12 +179,12 @@
 
   // Zones.
 
-  /** The index of the only allowed zone; negative if all are allowed. */
+  /** The index of the only allowed zone; negative if every zone is allowed. */
   public int requiredZone() {
     return zones.requiredZone();
   }
 
-  /** Whether one more task may be placed in the zone, given where the others are. */
+  /** Whether one more task may be placed in the zone, given the zones of the other placements. */
   public boolean allowsZone(int zoneIndex) {
     return zones.allows(zoneIndex);
   }
@@ -188,7 +196,7 @@
     return tasks.completed();
   }
 
-  /** The tasks that are to be placed: a live view. */
+  /** The tasks that have to be placed: a live view. */
   public TaskSet pendingTasks() {
     return tasks.pending();
   }
@@ -203,15 +211,18 @@
     return tasks.activePlacement(task);
   }
 
-  /** Counts the placement. The leader's own go through {@link MachineRegistry#addPlacement}. */
+  /**
+   * Adds a placement, which makes its task no longer pending. The leader adds its placements by
+   * {@link MachineRegistry#addPlacement}, which calls this method.
+   */
   public void addPlacement(Placement placement) {
     tasks.addPlacement(placement);
     zones.add(placement);
   }
 
   /**
-   * The placement is proven gone, which {@link MachineRegistry#removePlacement} alone concludes.
-   * The task is pending again unless it is completed or the job is cancelled.
+   * Removes a placement that is proven gone. Only {@link MachineRegistry#removePlacement} may call
+   * this method. The task is pending again unless it is completed or the job is cancelled.
    */
   public void removePlacement(Placement placement) {
     if (!tasks.removePlacement(placement)) {
@@ -223,7 +234,7 @@
     }
   }
 
-  /** The task has completed; this can be reported more than once. */
+  /** Records that the task has completed. Has no effect if that is recorded already. */
   public void markCompleted(int task) {
     tasks.markCompleted(task);
   }
@@ -237,12 +248,14 @@
     tasks.backOff(task, untilMs);
   }
 
-  /** Whether the task is put off beyond now. */
+  /** Whether the task's backoff has not ended yet. */
   public boolean isBackedOff(int task, long nowMs) {
     return tasks.isBackedOff(task, nowMs);
   }
 
-  /** How many of the pending tasks may be placed now. */
+  /**
+   * How many of the pending tasks may be placed now. Backoffs of single tasks are not considered.
+   */
   public int schedulableTasks(long nowMs) {
     if (tasks.pending().isEmpty() || blockedOnDependencies) {
       return 0;
@@ -258,11 +271,11 @@
   // Failures.
 
   /**
-   * A task failed on the machine. A job that was submitted with a mistake fails everywhere until
-   * its user cancels it: as long as nothing has shown that it can run, it is retried after longer
-   * and longer delays, and with one task at a time.
+   * Records that a task of the job failed on the machine. A faulty job fails everywhere until its
+   * user cancels it. As long as nothing has shown that the job can run, it is therefore retried
+   * after growing delays and with one task at a time.
    *
-   * @param ranForMs for how long the task had run
+   * @param ranForMs how long the task had run
    */
   public void recordFailure(String host, long ranForMs, long nowMs) {
     failures.record(host, ranForMs, tasks, nowMs);
@@ -272,27 +285,30 @@
     return failures.hasFailedOn(host);
   }
 
-  /** How many of its tasks have failed in this term. */
+  /** How many failures of the job's tasks were recorded in this term. */
   public int failures() {
     return failures.count();
   }
 
   /**
-   * Whether it has never failed or has shown that it can run: by a completed task, or by one that
-   * has run for well longer than those that failed.
+   * Whether the job has never failed in this term, or has shown that it can run: by a completed
+   * task, or by a task that has run for much longer than the failed ones did and is on a machine on
+   * which the job has not failed.
    */
   public boolean isKnownToRun(long nowMs) {
     return failures.isKnownToRun(tasks, nowMs);
   }
 
-  /** Whether it failed on several machines and is not known to run: the job itself is at fault. */
+  /**
+   * Whether the job has failed on several machines and is not known to run, so is itself faulty.
+   */
   public boolean isFailingEverywhere(long nowMs) {
     return failures.isFailingEverywhere(tasks, nowMs);
   }
 
-  // Its end.
+  // Cancellation, completion and quarantine.
 
-  /** The cancellation is durable: no task is started any more. */
+  /** Records that the job's cancellation is durable. No task is started any more. */
   public void cancel() {
     cancelled = true;
     tasks.clearPending();
@@ -302,7 +318,7 @@
     return cancelled;
   }
 
-  /** The record of the job's completion is durable. */
+  /** Records that the job's completion is durable. */
   public void markFinished() {
     finished = true;
     tasks.clearPending();
@@ -312,7 +328,10 @@
     return finished;
   }
 
-  /** Part of its progress records can't be read: to start any task could run it twice. */
+  /**
+   * Records that part of the job's progress records can't be read. No task is started any more,
+   * because a task that an unreadable record covers could then run twice.
+   */
   public void quarantine() {
     quarantined = true;
     tasks.clearPending();
@@ -322,12 +341,12 @@
     return quarantined;
   }
 
-  /** Whether it is cancelled or finished. */
+  /** Whether the job is cancelled or finished. */
   public boolean isTerminal() {
     return cancelled || finished;
   }
 
-  /** Whether it is cancelled and all its placements are proven gone. */
+  /** Whether the job is cancelled, is not finished, and all its placements are proven gone. */
   public boolean isFullyStopped() {
     return cancelled && !finished && tasks.activePlacements().isEmpty();
   }
--- a/src/main/java/org/ploverspindle/cluster/JobDeadline.java
+++ b/src/main/java/org/ploverspindle/cluster/JobDeadline.java
@@ -6,8 +6,8 @@
 import org.ploverspindle.model.Priority;
 
 /**
- * When a job became eligible to run, and its priority and deadline: its own or, where those are
- * tighter, the ones that it inherits from the jobs that depend on it.
+ * When a job became eligible to run, and its effective priority and deadline. The priority is the
+ * higher, and the deadline the earlier, of the job's own and the one inherited from its dependents.
  */
 final class JobDeadline {
   private static final double MS_PER_S = 1000.0;
--- a/src/main/java/org/ploverspindle/cluster/JobFailures.java
+++ b/src/main/java/org/ploverspindle/cluster/JobFailures.java
@@ -4,19 +4,23 @@
 import java.util.Set;
 
 /**
- * The failures of a job's tasks, and what follows from them: whether the job is known to run, and
- * until when a job that is not has to wait before its next try.
+ * Counts the failures of a job's tasks in this term. Decides by them whether the job is known to
+ * run and, if it is not, when its next retry may start.
  */
 final class JobFailures {
   private static final long FIRST_RETRY_DELAY_MS = 1_000;
   private static final long LONGEST_RETRY_DELAY_MS = 60_000;
 
   /**
-   * Keeps the doubling of the retry delay from overflowing; the longest delay is reached before.
+   * Limits the doublings of the retry delay, so that it does not overflow. {@link
+   * #LONGEST_RETRY_DELAY_MS} is reached with fewer doublings.
    */
   private static final int MAX_DELAY_DOUBLINGS = 10;
 
-  /** A task that has run for half as long again as failed ones, and this much longer, runs. */
+  /**
+   * A job is known to run when one of its tasks has run for one and a half times as long as the
+   * longest failed run plus this margin.
+   */
   private static final long PROVEN_RUN_MARGIN_MS = 2_000;
 
   private final Set<String> failedHosts = new HashSet<>();
@@ -34,7 +38,7 @@
     count++;
     failedHosts.add(host);
     longestFailedRunMs = Math.max(longestFailedRunMs, ranForMs);
-    // Tasks that were started together and fail together count as one try.
+    // Tasks that were started together and fail together count as one retry.
     if (!isKnownToRun(tasks, nowMs) && !isRetryDelayed(nowMs)) {
       retryNotBeforeMs = nowMs + nextRetryDelayMs();
       retries++;
--- a/src/main/java/org/ploverspindle/cluster/JobTable.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTable.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The jobs of a term that may run and are not terminal, and cancelled ones until their tasks are
- * proven gone.
+ * The jobs of a term that may run and are not terminal, and the cancelled jobs whose tasks are not
+ * all proven gone yet.
  */
 public final class JobTable {
   private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
@@ -42,11 +42,11 @@
   }
 
   /**
-   * Adds all accepted jobs that are not completed and that may run, cancelled ones among them, as
-   * their tasks may still be on machines.
+   * Adds all accepted jobs that are not completed and that may run. Cancelled jobs are included,
+   * because their tasks may still be on machines.
    *
-   * @param mayRun by uid; false for jobs that are blocked on dependencies, which take part in no
-   *     limit, guarantee or placement
+   * @param mayRun whether the job with the given UID may run; false for a job that is blocked on
+   *     dependencies, which counts in no limit or guarantee and is not placed
    * @return the added jobs
    */
   public List<Job> loadAll(Predicate<String> mayRun) {
@@ -62,7 +62,8 @@
   /**
    * Adds an accepted job.
    *
-   * @return empty if it is in the table, completed, unreadable, or of a team that is not known
+   * @return the added job; empty if the job is in the table already or is completed, if its record
+   *     is unreadable, or if the settings don't name its team
    */
   public Optional<Job> add(AcceptedJobIndex.AcceptedJob accepted) {
     String uid = accepted.uid();
--- a/src/main/java/org/ploverspindle/cluster/JobTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTasks.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * The states of a job's tasks: pending, actively placed, or completed; and those that are put off
- * after they ended without completing. A task may be completed and still have an active placement,
- * until its machine is known to have forgotten it.
+ * The states of a job's tasks: pending, actively placed, or completed. Tasks that ended without
+ * completing may also be in backoff. A completed task may still have an active placement, until
+ * that placement is proven gone.
  */
 final class JobTasks {
   private final BitSet completed = new BitSet();
@@ -20,7 +20,7 @@
   private final Collection<Placement> activePlacementsView =
       Collections.unmodifiableCollection(activePlacements.values());
 
-  /** By task, before which time it may not be placed again. */
+  /** For each task in backoff, the time before which it may not be placed again. */
   private final Map<Integer, Long> notBeforeMs = new HashMap<>();
 
   private int completedCount;
@@ -41,12 +41,15 @@
     return pendingView;
   }
 
-  /** No task is to be placed any more, until one that is placed now loses its placement. */
+  /**
+   * Leaves no task pending. A task that has an active placement now can become pending again when
+   * that placement is removed.
+   */
   void clearPending() {
     pending.clear();
   }
 
-  /** A live, unmodifiable view. */
+  /** The placements that are not proven gone: a live, unmodifiable view. */
   Collection<Placement> activePlacements() {
     return activePlacementsView;
   }
@@ -61,7 +64,7 @@
     activePlacements.put(placement.task(), placement);
   }
 
-  /** Whether it was the active placement of its task. */
+  /** Removes the placement; returns false if it was not the active placement of its task. */
   boolean removePlacement(Placement placement) {
     return activePlacements.remove(placement.task(), placement);
   }
--- a/src/main/java/org/ploverspindle/cluster/Machine.java
+++ b/src/main/java/org/ploverspindle/cluster/Machine.java
@@ -7,12 +7,13 @@
 /**
  * A machine as the leader sees it during its term.
  *
- * <p>Its parts: {@link HeartbeatState}, {@link CommandFencing}, {@link MachineLifecycle}, {@link
- * MachineTasks} and {@link MachineFailureHistory}. All times are in milliseconds of the leader's
- * steady clock. Placements are added and removed by {@link MachineRegistry} alone.
+ * <p>The state of a machine is divided among {@link HeartbeatState}, {@link CommandFencing}, {@link
+ * MachineLifecycle}, {@link MachineTasks} and {@link MachineFailureHistory}. All times are in
+ * milliseconds of the leader's steady clock. Only {@link MachineRegistry} adds and removes
+ * placements.
  */
 public final class Machine {
-  /** In place of a time: it has not happened, or is not known. */
+  /** Used instead of a time when the event has not happened or its time is not known. */
   static final long NEVER_MS = -1;
 
   private final String host;
@@ -72,17 +73,17 @@
     return size;
   }
 
-  /** What neither placements nor orphaned tasks take. */
+  /** The resources that neither placements nor orphaned tasks use. */
   public Resources free() {
     return size.minus(tasks.used());
   }
 
-  /** Where the agent receives direct commands; empty if that is not known. */
+  /** The address at which the worker receives direct commands; empty if it is not known. */
   public String address() {
     return address;
   }
 
-  /** Takes the address from the cloud's list, unless a heartbeat has given one. */
+  /** Sets the address that the cloud's list shows, unless an address is known already. */
   public void setAddressFromList(String listedAddress) {
     if (address.isEmpty()) {
       address = listedAddress;
@@ -93,7 +94,7 @@
 
   void recordHeartbeat(Heartbeat heartbeat, long nowMs, boolean underOwnToken) {
     if (!isUp()) {
-      // Until now it was booting, not idle.
+      // The machine was booting until now and does not count as idle for that time.
       tasks.restartEmptyPeriod(nowMs);
     }
     heartbeats.record(heartbeat, nowMs, underOwnToken);
@@ -121,17 +122,20 @@
     return heartbeats.lastHeartbeatMs();
   }
 
-  /** True for the first call after the first heartbeat of this term, false for every other call. */
+  /**
+   * Returns true at the first call after the first heartbeat of this term and false at every other
+   * call.
+   */
   public boolean observeFirstHeartbeat() {
     return heartbeats.observeFirst();
   }
 
-  /** The agent epoch of the last heartbeat; 0 if none has arrived in this term. */
+  /** The worker epoch of the last heartbeat; 0 if none has arrived in this term. */
   public long agentEpoch() {
     return heartbeats.agentEpoch();
   }
 
-  /** The latest agent epoch that is known from a heartbeat or from recovered placements. */
+  /** The latest worker epoch that is known from a heartbeat or from the machine's placements. */
   public long lastKnownAgentEpoch() {
     long known = agentEpoch();
     for (Placement placement : tasks.placements()) {
@@ -140,14 +144,14 @@
     return known;
   }
 
-  /** The sequence number of the last heartbeat within its agent epoch. */
+  /** The sequence number of the last heartbeat within its worker epoch. */
   public long lastSequence() {
     return heartbeats.lastSequence();
   }
 
   /**
-   * Whether the agent has accepted a token of this term: from then on it refuses responses and
-   * commands of earlier leaders.
+   * Whether the worker has accepted a fencing token of this term. From then on it rejects responses
+   * and commands of earlier leaders.
    */
   public boolean hasAcceptedToken() {
     return heartbeats.hasAcceptedToken();
@@ -164,17 +168,22 @@
     fencing.raiseToken(token);
   }
 
-  /** Whether a heartbeat has shown the machine's current token, so that commands reach it. */
+  /**
+   * Whether a heartbeat has shown the current fencing token, so that commands reach the machine.
+   */
   public boolean receivesCommands() {
     return fencing.receivesCommands();
   }
 
-  /** Commands do not reach the machine: it gets no new tasks until it shows the raised token. */
+  /**
+   * Records that commands do not reach the machine. It gets no new tasks until a heartbeat shows
+   * the raised fencing token.
+   */
   void markUnreachable(long token, long nowMs) {
     fencing.markUnreachable(token, nowMs);
   }
 
-  /** Since when heartbeats arrive but commands do not; negative if commands do. */
+  /** Since when commands have not reached the machine; negative if they are not known to fail. */
   public long unreachableSinceMs() {
     return fencing.unreachableSinceMs();
   }
@@ -194,17 +203,17 @@
     return lifecycle.knownSinceMs();
   }
 
-  /** The machine was provisioned at this time or earlier; the earliest known time counts. */
+  /** Records that the machine was provisioned by this time. The earliest recorded time counts. */
   public void provisionedAt(long atMs) {
     lifecycle.provisionedAt(atMs);
   }
 
-  /** When it was provisioned, at the latest; negative if that is not known. */
+  /** The latest time at which the machine can have been provisioned; negative if not known. */
   public long provisionedSinceMs() {
     return lifecycle.provisionedSinceMs();
   }
 
-  /** When it began to boot, at the latest. */
+  /** The latest time at which the machine can have begun to boot. */
   public long bootingSinceMs() {
     return provisionedSinceMs() < 0 ? knownSinceMs() : provisionedSinceMs();
   }
@@ -213,25 +222,28 @@
     return lifecycle.isListed();
   }
 
-  /** The cloud's list names the machine. */
+  /** Records that the cloud's list names the machine. */
   public void listedAt(long nowMs) {
     lifecycle.listedAt(nowMs);
   }
 
-  /** When a list named it first in this term; meaningful only if {@link #isListed}. */
+  /** When a list first named the machine in this term; valid only if {@link #isListed}. */
   public long listedSinceMs() {
     return lifecycle.listedSinceMs();
   }
 
   /**
-   * No new tasks until this time: a termination record that can't be read may name the machine, and
-   * a request that rests on it may still end the machine.
+   * Keeps new tasks off the machine until this time. A termination record that can't be read may
+   * name the machine, and a termination request that was based on the record may still take effect.
    */
   void quarantine(long untilMs) {
     lifecycle.quarantine(untilMs);
   }
 
-  /** The machine was provisioned in this term, so that no earlier record can name it. */
+  /**
+   * Ends the quarantine of a machine that was provisioned in this term, which no termination record
+   * of an earlier term can name.
+   */
   public void endQuarantine() {
     lifecycle.quarantine(MachineLifecycle.NOT_QUARANTINED_MS);
   }
@@ -240,7 +252,7 @@
     return lifecycle.spotNoticeS().isPresent();
   }
 
-  /** Seconds that the last spot notice leaves; 0 if there was none. */
+  /** Seconds until reclamation according to the last spot notice; 0 if there was none. */
   public double spotNoticeS() {
     return lifecycle.spotNoticeS().orElse(0);
   }
@@ -249,12 +261,12 @@
     return lifecycle.isDraining();
   }
 
-  /** No new tasks for the rest of the term; those that run may complete. */
+  /** Keeps new tasks off the machine for the rest of the term. Running tasks may complete. */
   public void drain() {
     lifecycle.drain();
   }
 
-  /** Whether the machine is expensive and not needed: it takes only tasks that are urgent. */
+  /** Whether the machine is expensive and not needed, so that it gets only urgent tasks. */
   public boolean isScaleInCandidate() {
     return lifecycle.isScaleInCandidate();
   }
@@ -263,12 +275,14 @@
     lifecycle.setScaleInCandidate(candidate);
   }
 
-  /** The machine is of no further use, as the cloud's list shows: it is to be terminated. */
+  /**
+   * Records that the machine is unusable according to the cloud's list and has to be terminated.
+   */
   public void markUnusable() {
     lifecycle.markUnusable();
   }
 
-  /** Whether its termination has begun, which is never taken back. */
+  /** Whether the machine's termination has begun. A termination is never revoked. */
   public boolean isTerminating() {
     return lifecycle.isTerminating();
   }
@@ -277,7 +291,7 @@
     lifecycle.beginTermination();
   }
 
-  /** Whether it takes no new tasks any more and will be terminated. */
+  /** Whether the machine gets no new tasks any more and is to be terminated. */
   public boolean isDecommissioning() {
     return lifecycle.isDecommissioning();
   }
@@ -314,7 +328,7 @@
     tasks.clearOrphans();
   }
 
-  /** Whether the image was fetched by a task that was placed here since the agent epoch began. */
+  /** Whether a task with this image has been placed on the machine in this worker epoch. */
   public boolean hasImage(String image) {
     return tasks.hasImage(image);
   }
@@ -323,12 +337,15 @@
     tasks.clearImages();
   }
 
-  /** Whether there is neither a placement nor an orphaned task. */
+  /** Whether the machine has neither a placement nor an orphaned task. */
   public boolean isEmpty() {
     return tasks.isEmpty();
   }
 
-  /** Since when there has been no placement; counted from the first heartbeat at the earliest. */
+  /**
+   * Since when the machine has had no placement, but not earlier than its first heartbeat; valid
+   * only while there is no placement.
+   */
   public long emptySinceMs() {
     return tasks.emptySinceMs();
   }
@@ -337,21 +354,22 @@
     return failures;
   }
 
-  /** Whether jobs that run elsewhere have failed here. */
+  /** Whether jobs that are known to run elsewhere have failed on the machine. */
   public boolean isSuspect() {
     return failures.isSuspect();
   }
 
   /**
-   * Whether new tasks may be placed here.
+   * Whether new tasks may be placed on the machine.
    *
-   * @param heartbeatTimeoutMs the longest time since the last heartbeat that is let through
+   * @param heartbeatTimeoutMs the longest time since the last heartbeat with which the machine is
+   *     schedulable
    */
   public boolean isSchedulable(long nowMs, long heartbeatTimeoutMs) {
     return receivesCommands()
         && lifecycle.allowsNewTasks(nowMs)
         && !failures.isCordoned(nowMs)
-        // A suspect machine is tried with one task at a time: a whole job there would fail whole.
+        // A suspect machine gets one task at a time, because all tasks of a job would fail there.
         && (!failures.isSuspect() || tasks.placements().isEmpty())
         && nowMs - lastHeartbeatMs() <= heartbeatTimeoutMs;
   }
--- a/src/main/java/org/ploverspindle/cluster/MachineFailureHistory.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineFailureHistory.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * The task failures on one machine since the last completion there, and what follows from them: the
- * machine is cordoned for a time, or suspect.
+ * The task failures on one machine since the last completion that cleared it, and whether the
+ * machine is cordoned or suspect because of them.
  */
 final class MachineFailureHistory {
-  /** Cordoned until a time that is always past. */
+  /** Value of {@code cordonedUntilMs} for a machine that is not cordoned: it is always past. */
   private static final long NOT_CORDONED_MS = Long.MIN_VALUE;
 
   private final Map<String, Integer> failuresByJob = new HashMap<>();
@@ -23,7 +23,10 @@
     lastFailureMs = nowMs;
   }
 
-  /** A completion clears the machine only if the task began to run after the last failure. */
+  /**
+   * Records the completion of a task. It clears the history only if the task began to run after the
+   * last failure.
+   */
   void recordCompletion(long runningSinceMs) {
     if (!failuresByJob.isEmpty() && runningSinceMs <= lastFailureMs) {
       return;
@@ -33,12 +36,15 @@
     cordonedUntilMs = NOT_CORDONED_MS;
   }
 
-  /** By job uid, the failed tasks since the last completion: a live, unmodifiable view. */
+  /**
+   * The number of failures since the last completion that cleared the history, by job UID: a live,
+   * unmodifiable view.
+   */
   Map<String, Integer> byJob() {
     return failuresByJobView;
   }
 
-  /** No new tasks until this time, or a later one that was given before. */
+  /** Keeps new tasks off the machine until this time, or until a later time that was set before. */
   void cordon(long untilMs) {
     cordonedUntilMs = Math.max(cordonedUntilMs, untilMs);
   }
@@ -47,7 +53,10 @@
     return nowMs < cordonedUntilMs;
   }
 
-  /** Jobs that are known to run fail here: from now on the machine is tried with single tasks. */
+  /**
+   * Records that jobs that are known to run have failed on the machine. From now on it gets one
+   * task at a time.
+   */
   void markSuspect() {
     suspect = true;
   }
--- a/src/main/java/org/ploverspindle/cluster/MachineLifecycle.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineLifecycle.java
@@ -3,11 +3,11 @@
 import java.util.OptionalDouble;
 
 /**
- * Where a machine is between provisioning and termination: known to the cloud, usable for new work,
- * or on its way out.
+ * The state of a machine between provisioning and termination: whether the cloud lists it, whether
+ * it may get new tasks, and whether it is to be terminated.
  */
 final class MachineLifecycle {
-  /** Quarantined until a time that is always past. */
+  /** Value of {@code quarantinedUntilMs} for a machine without quarantine: it is always past. */
   static final long NOT_QUARANTINED_MS = Long.MIN_VALUE;
 
   private final long knownSinceMs;
@@ -33,7 +33,7 @@
     return provisionedSinceMs;
   }
 
-  /** The machine was provisioned at this time or earlier; the earliest known time counts. */
+  /** Records that the machine was provisioned by this time. The earliest recorded time counts. */
   void provisionedAt(long atMs) {
     provisionedSinceMs = provisionedSinceMs < 0 ? atMs : Math.min(provisionedSinceMs, atMs);
   }
@@ -97,7 +97,10 @@
     return isUnusable || isTerminating;
   }
 
-  /** Whether nothing in the machine's life cycle forbids to place new tasks on it. */
+  /**
+   * Whether the machine's lifecycle permits new tasks. Draining, decommissioning, a spot notice and
+   * a quarantine each exclude them.
+   */
   boolean allowsNewTasks(long nowMs) {
     return !isDraining
         && !isDecommissioning()
--- a/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
@@ -17,13 +17,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of a term and the tasks that are placed on them. The only class that removes a
- * placement, and only when the task is proven gone (docs/safety.md lists the proofs).
+ * The machines of a term and the tasks that are placed on them. Only this class removes a
+ * placement, and only when the task is proven gone: it is not on the machine and can't start there
+ * any more. docs/safety.md lists the proofs.
  */
 public final class MachineRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
-  /** Of a term's tokens, those that may be used before direct launches are no longer sent. */
+  /** Number of raised fencing tokens in a term after which no more direct launches are sent. */
   private static final long USABLE_RAISED_TOKENS = Term.TOKENS_PER_TERM * 3 / 4;
 
   private final Catalogue catalogue;
@@ -65,18 +66,18 @@
   }
 
   /**
-   * Whether the cloud confirmed the machine's termination: a heartbeat or list that names it is
-   * outdated.
+   * Whether the cloud has confirmed the machine's termination. A heartbeat or list that names the
+   * machine is then outdated.
    */
   public boolean wasTerminated(String host) {
     return terminated.contains(host);
   }
 
   /**
-   * The machine of this name; it is added if it is not known, as a response of the cloud, a list or
-   * a heartbeat names it.
+   * Returns the machine of this name and adds it first if it is not known yet. A machine becomes
+   * known when a response or a list of the cloud, a heartbeat or a record names it.
    *
-   * @return empty if the machine was terminated, or its name, type or zone is not valid
+   * @return the machine; empty if it was terminated or if its name, type or zone is not valid
    */
   public Optional<Machine> adopt(String host, String type, String zone, boolean spot, long nowMs) {
     Machine known = machines.get(host);
@@ -105,27 +106,27 @@
     return Optional.of(machine);
   }
 
-  /** Progress records separate their fields by these characters. */
+  /** Whether the name has none of the characters that separate fields in progress records. */
   private static boolean isValidName(String host) {
     return host.indexOf(':') < 0 && host.indexOf(',') < 0;
   }
 
   /**
-   * The termination of a machine begins, whether it is known yet or not: from now on nothing is
-   * placed on it in this term.
+   * Records that the termination of a machine has begun, even if the machine is not known yet. From
+   * now on no task is placed on it in this term.
    */
   public void beginTermination(String host) {
     terminating.add(host);
     get(host).ifPresent(Machine::beginTermination);
   }
 
-  /** No new tasks until this time on machines that were not provisioned in this term. */
+  /** Keeps new tasks until this time off machines that were not provisioned in this term. */
   public void quarantineEarlierMachines(long untilMs) {
     quarantinedUntilMs = untilMs;
     machines.values().forEach(machine -> machine.quarantine(untilMs));
   }
 
-  /** Adds a placement, which counts for its machine, job and team from now on. */
+  /** Adds a placement, which counts for its machine, its job and its team from now on. */
   public void addPlacement(Placement placement) {
     placement.machine().add(placement);
     placement.job().addPlacement(placement);
@@ -133,9 +134,9 @@
   }
 
   /**
-   * Removes a placement, after which its task may start elsewhere. This is the only way for a
-   * placement to end: the caller must have proof that the task is not on the machine and can't
-   * start there any more.
+   * Removes a placement, after which its task may start elsewhere. Placements are removed in no
+   * other way. The caller must have proof that the task is not on the machine and can't start there
+   * any more.
    */
   public void removePlacement(Placement placement, long nowMs) {
     placement.machine().remove(placement, nowMs);
@@ -159,7 +160,7 @@
     machine.clearOrphans();
   }
 
-  /** All tasks on the machine are proven gone. */
+  /** Removes all placements and orphaned tasks of a machine on which all tasks are proven gone. */
   private List<Placement> removeAllPlacements(Machine machine, long nowMs) {
     List<Placement> lost = List.copyOf(machine.placements());
     lost.forEach(placement -> removePlacement(placement, nowMs));
@@ -169,7 +170,8 @@
   }
 
   /**
-   * The cloud confirmed the termination, which proves the machine and all tasks on it gone.
+   * Removes the machine and its placements after the cloud has confirmed the termination, which
+   * proves that all tasks on the machine are gone.
    *
    * @return the placements that were removed
    */
@@ -185,7 +187,7 @@
     return lost;
   }
 
-  /** Removes a machine that the cloud does not list any more and whose lease has expired. */
+  /** Removes a machine that the cloud no longer lists and whose worker lease has expired. */
   public void forget(Machine machine) {
     remove(machine);
     forgotten.put(machine.host(), new LastHeartbeat(machine.agentEpoch(), machine.lastSequence()));
@@ -198,31 +200,37 @@
   }
 
   /**
-   * Whether it is a delayed heartbeat from before its machine was forgotten: it must not make the
-   * machine usable again.
+   * Whether the heartbeat is not newer than the last one that arrived before its machine was
+   * forgotten. Such a delayed heartbeat must not make the machine usable again.
    */
   boolean isStale(Heartbeat heartbeat) {
     LastHeartbeat last = forgotten.get(heartbeat.host());
     return last != null && !heartbeat.isNewerThan(last.agentEpoch(), last.sequence());
   }
 
-  /** A token for one machine, higher than all that were given out in this term. */
+  /**
+   * Returns a fencing token for one machine that is higher than all tokens issued before in this
+   * term. The last token of the term is returned repeatedly once all are issued.
+   */
   long nextFencingToken() {
     raisedTokens++;
     return term.fencingToken() + Math.min(Term.TOKENS_PER_TERM - 1, raisedTokens);
   }
 
-  /** False when the term's tokens are nearly used up: the term is to be given up then. */
+  /**
+   * Whether the term has enough fencing tokens left. While it has not, no direct launches are sent
+   * and the leader has to give up its leadership.
+   */
   public boolean hasFencingTokensLeft() {
     return raisedTokens < USABLE_RAISED_TOKENS;
   }
 
   /**
-   * When the machine's lease has certainly expired, if no further heartbeat arrives.
+   * The time at which the worker lease has certainly expired if no further heartbeat arrives.
    *
-   * <p>Until the agent has accepted a token of this term, an earlier leader that can't reach the
-   * state service may still be answering its heartbeats. Then the lease counts from the last moment
-   * at which that can happen.
+   * <p>Until the worker has accepted a fencing token of this term, an earlier leader that can't
+   * reach the state service may still be responding to its heartbeats. The lease is then assumed to
+   * last at least as long as such a response can keep it valid.
    */
   public long leaseExpiryMs(Machine machine) {
     long lastSignMs = machine.isUp() ? machine.lastHeartbeatMs() : machine.knownSinceMs();
@@ -233,7 +241,7 @@
   }
 
   /**
-   * Removes all placements on machines whose lease has expired.
+   * Removes all placements on machines whose worker lease has expired.
    *
    * @return the placements that were removed
    */
--- a/src/main/java/org/ploverspindle/cluster/MachineTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineTasks.java
@@ -10,7 +10,10 @@
 import java.util.Set;
 import org.ploverspindle.model.Resources;
 
-/** The tasks on one machine, placed or orphaned, with the resources and images that they take. */
+/**
+ * The placements and orphaned tasks on one machine, the resources that they use, and the images of
+ * the tasks that were placed there.
+ */
 final class MachineTasks {
   private final Map<Long, Placement> placements = new HashMap<>();
   private final Collection<Placement> placementsView =
@@ -29,7 +32,7 @@
     return used;
   }
 
-  /** A live, unmodifiable view. */
+  /** The placements on the machine: a live, unmodifiable view. */
   Collection<Placement> placements() {
     return placementsView;
   }
@@ -58,7 +61,7 @@
     }
   }
 
-  /** A live, unmodifiable view. */
+  /** The orphaned tasks on the machine: a live, unmodifiable view. */
   List<OrphanedTask> orphans() {
     return orphansView;
   }
@@ -91,7 +94,7 @@
     return emptySinceMs;
   }
 
-  /** Counts the time without tasks from now on. */
+  /** Restarts the time without placements from now. */
   void restartEmptyPeriod(long nowMs) {
     emptySinceMs = nowMs;
   }
--- a/src/main/java/org/ploverspindle/cluster/MissingTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/MissingTasks.java
@@ -1,11 +1,11 @@
 package org.ploverspindle.cluster;
 
 /**
- * Decides what follows from placements that a heartbeat does not show on their machine: whether
- * that proves them gone, and whether the launch is to be sent again.
+ * Handles the placements that a heartbeat does not list. Decides whether this proves that the task
+ * is gone, and whether the launch has to be sent again.
  */
 final class MissingTasks {
-  /** A machine that lost so many responses with one launch does not receive responses. */
+  /** A machine is unreachable once this many responses with the same launch were lost. */
   private static final int LOST_RESPONSES_UNTIL_UNREACHABLE = 2;
 
   private final MachineRegistry registry;
@@ -16,16 +16,20 @@
     this.listener = listener;
   }
 
-  /** Removes a placement that is proven gone though no heartbeat showed its exit. */
+  /** Removes a placement that is proven gone although no heartbeat showed its exit. */
   void endWithoutExit(Placement placement, long nowMs) {
     registry.removePlacement(placement, nowMs);
     listener.ended(placement, Heartbeat.ExitReason.NONE, false, nowMs);
   }
 
   /**
-   * Handles a placement that the heartbeat does not show. This proves it gone only if the heartbeat
-   * was written after the agent accepted our token, as an earlier leader's response may have
-   * arrived after an older one, and, for a launch of ours, after the response that held it.
+   * Handles a placement that the heartbeat does not list. If its launch was never sent, it is
+   * removed only when its job is terminal.
+   *
+   * <p>If its launch was sent, this proves that the task is gone only if the worker wrote the
+   * heartbeat after it had accepted a fencing token of this term, because before that a response of
+   * an earlier leader could still start the task. If this leader sent the launch, the response with
+   * the launch must also have been received or lost before the heartbeat was written.
    */
   void handle(HeartbeatContext context, Placement placement) {
     if (placement.neverSent()) {
@@ -46,7 +50,10 @@
     handleWithoutDirectLaunch(context, placement);
   }
 
-  /** No direct launch can be executed any more, but a response in flight may hold a launch. */
+  /**
+   * Handles a placement of which no direct launch can be executed any more. A response in flight
+   * may still carry its launch.
+   */
   private void handleWithoutDirectLaunch(HeartbeatContext context, Placement placement) {
     if (placement.neverSent()) {
       if (!placement.isWanted()) {
@@ -55,8 +62,8 @@
     } else if (placement.phase() != Placement.Phase.SENT) {
       endWithoutExit(placement, context.nowMs());
     } else if (!context.direct() && isResponseSettled(context, placement)) {
-      // The response to a direct command proves nothing about the response to the last heartbeat:
-      // it may have been written before that arrived.
+      // A response to direct commands proves nothing about our response to the last heartbeat: the
+      // worker may have written it before our response arrived.
       handleLostResponse(context, placement);
     }
   }
@@ -65,26 +72,28 @@
     return placement.isResponseSettled(context.heartbeat().sequence());
   }
 
-  /** The launch was sent directly, is not shown, and may still be executed. */
+  /** Handles a placement whose launch was sent directly and may still be executed. */
   private void handlePendingDirectLaunch(HeartbeatContext context, Placement placement) {
     if (context.direct()) {
       return;
     }
     Machine machine = context.machine();
     if (!placement.isWanted()) {
-      // Under a higher token the launch is void, and a later heartbeat can prove the task gone.
+      // Under a higher fencing token the worker rejects the launch, so that a later heartbeat can
+      // prove that the task is gone.
       if (machine.fencingToken() <= placement.directToken()) {
         machine.raiseFencingToken(registry.nextFencingToken());
       }
     } else if (placement.phase() == Placement.Phase.SENT && isResponseSettled(context, placement)) {
-      // The same launch in a response has no effect if the direct one arrives as well.
+      // The launch is sent again in a response, which has no effect if the direct one arrives too.
       placement.markResponseLost();
     }
   }
 
   /**
-   * The response with the launch was lost, and responses are never executed late: the launch can be
-   * sent again. A machine that loses several gets no new tasks, and this one goes elsewhere.
+   * Handles a placement whose launch was lost with its response. Responses are never executed late,
+   * so the launch can be sent again. After several losses the machine counts as unreachable and
+   * gets no new tasks, and the placement is removed so that the task can be placed elsewhere.
    */
   private void handleLostResponse(HeartbeatContext context, Placement placement) {
     if (!placement.isWanted()) {
--- a/src/main/java/org/ploverspindle/cluster/Placement.java
+++ b/src/main/java/org/ploverspindle/cluster/Placement.java
@@ -1,30 +1,33 @@
 package org.ploverspindle.cluster;
 
 /**
- * A task's place on a machine, from the recorded intent until the task is proven gone. While it
- * exists the task may start nowhere else, and it counts for its team's limit, the machine's
- * resources and the job's zones.
+ * The assignment of one attempt of a task to a machine. It exists from the decision to place the
+ * task until the task is proven gone. While it exists, the task may not start on another machine,
+ * and the placement counts for the team's limit, the machine's resources and the job's zones.
  */
 public final class Placement {
-  /** How far the attempt has got, as far as the leader knows. */
+  /** The progress of the attempt as far as the leader knows it. */
   public enum Phase {
-    /** The intent is being recorded; no launch may be sent yet. */
+    /** The placement is not durably recorded yet, and no launch may be sent. */
     INTENT,
-    /** Recorded; no launch that is still valid was sent, so a launch may be sent. */
+    /** The placement is recorded, no response in flight carries its launch, and one may be sent. */
     READY,
     /** A launch was sent and may have arrived. */
     SENT,
-    /** Found in an earlier leader's records: presumed on the machine until a heartbeat shows. */
+    /**
+     * The placement was found in the records of an earlier leader. The task is presumed to be on
+     * the machine until a heartbeat shows whether it is.
+     */
     RECOVERED,
     FETCHING,
     RUNNING,
     CHECKPOINTING
   }
 
-  /** In place of a fencing token: no launch that was sent directly can still be executed. */
+  /** Used instead of a fencing token when no direct launch can still be executed. */
   private static final long NO_TOKEN = -1;
 
-  /** In place of a sequence number: the launch was sent directly and is in no response. */
+  /** Used instead of a sequence number when the launch was sent directly and not in a response. */
   private static final long NO_RESPONSE = Long.MAX_VALUE;
 
   private final Job job;
@@ -43,7 +46,8 @@
   private long runningSinceMs = Machine.NEVER_MS;
 
   /**
-   * @param agentEpoch the agent epoch in which the task is to run; it is gone in any later one
+   * @param agentEpoch the worker epoch in which the task is to run; the task is gone in any later
+   *     epoch
    */
   public Placement(Job job, int task, long attempt, Machine machine, long agentEpoch, Phase phase) {
     this.job = job;
@@ -74,7 +78,10 @@
     return agentEpoch;
   }
 
-  /** Whether it is the placement of that task; a reported attempt number alone is not trusted. */
+  /**
+   * Whether this is a placement of the given task. The attempt number in a heartbeat does not prove
+   * that by itself.
+   */
   boolean isOf(String uid, int otherTask) {
     return job.uid().equals(uid) && task == otherTask;
   }
@@ -83,7 +90,7 @@
     return phase;
   }
 
-  /** Sets the phase that a heartbeat shows. */
+  /** Sets the phase that a heartbeat shows, and when the task was first seen running. */
   void phase(Phase reported, long nowMs) {
     if (reported == Phase.RUNNING && runningSinceMs < 0) {
       runningSinceMs = nowMs;
@@ -91,7 +98,7 @@
     phase = reported;
   }
 
-  /** The record of the intent is durable. */
+  /** Records that the placement is durably recorded. */
   public void markRecorded(long nowMs) {
     if (phase == Phase.INTENT) {
       phase = Phase.READY;
@@ -99,17 +106,17 @@
     }
   }
 
-  /** When the intent became durable in this term; negative if it did not. */
+  /** When the placement was durably recorded in this term; negative if it was not. */
   public long recordedMs() {
     return recordedMs;
   }
 
-  /** When its launch was first sent in this term; negative if it was not. */
+  /** When the launch was first sent in this term; negative if it was not. */
   public long sentMs() {
     return sentMs;
   }
 
-  /** When it was first seen running in this term; negative if it was not. */
+  /** When a heartbeat first showed the task running in this term; negative if none did. */
   public long runningSinceMs() {
     return runningSinceMs;
   }
@@ -119,13 +126,13 @@
     return (phase == Phase.INTENT || phase == Phase.READY) && !hasDirectLaunch();
   }
 
-  // Launches. Only HeartbeatHandler and DirectCommands send them, and mark them here.
+  // Launches. Only HeartbeatHandler and DirectCommands send launches; both record each one here.
 
   WorkerCommand.Launch launchCommand() {
     return new WorkerCommand.Launch(job.uid(), task, attempt);
   }
 
-  /** The launch is in the response to the heartbeat with this sequence number. */
+  /** Records that the response to the heartbeat with this sequence number carries the launch. */
   void markSent(long sequence, long nowMs) {
     markFirstSent(nowMs);
     phase = Phase.SENT;
@@ -133,8 +140,8 @@
   }
 
   /**
-   * The launch is sent directly under this token. It may be executed at any time until the machine
-   * has received a higher token or begins a new agent epoch.
+   * Records that the launch is sent directly under this fencing token. It may be executed at any
+   * time until the worker has received a higher token or begins a new epoch.
    */
   void markSentDirectly(long fencingToken, long nowMs) {
     markFirstSent(nowMs);
@@ -147,44 +154,52 @@
     sentMs = sentMs < 0 ? nowMs : sentMs;
   }
 
-  /** Whether a launch was sent directly that may still be executed. */
+  /** Whether a launch that was sent directly may still be executed. */
   boolean hasDirectLaunch() {
     return directToken != NO_TOKEN;
   }
 
-  /** The token of the direct launch; only if {@link #hasDirectLaunch}. */
+  /** The fencing token of the direct launch; valid only if {@link #hasDirectLaunch}. */
   long directToken() {
     return directToken;
   }
 
-  /** The machine has received a higher token: the direct launch will not be executed any more. */
+  /**
+   * Records that the direct launch will not be executed any more, because the worker has received a
+   * higher fencing token.
+   */
   void voidDirectLaunch() {
     directToken = NO_TOKEN;
   }
 
   /**
-   * Whether no response with the launch can still be executed when a heartbeat with this sequence
-   * number has arrived. An agent has one heartbeat in flight: by the next one it has executed or
-   * dropped the response to the last one.
+   * Whether no response with the launch can still be executed, given that a heartbeat with this
+   * sequence number has arrived. A worker has only one heartbeat in flight: when it writes the next
+   * one, it has executed or dropped the response to the last one.
    */
   boolean isResponseSettled(long heartbeatSequence) {
     return heartbeatSequence > sentSequence || sentSequence == NO_RESPONSE;
   }
 
-  /** The response with the launch was lost: the launch is to be sent again. */
+  /** Records that a sent launch was lost or is not shown, so that it is to be sent again. */
   void markResponseLost() {
     phase = Phase.READY;
     lostResponses++;
   }
 
-  /** How often a response with the launch was lost. */
+  /** How often the launch was recorded as lost. */
   int lostResponses() {
     return lostResponses;
   }
 
   // Stops.
 
-  /** Asks for a stop; a repeat can only shorten the time that the task has for a checkpoint. */
+  /**
+   * Requests a stop of the task. A repeated request can only shorten the grace period, which is the
+   * time that the task has for a checkpoint.
+   *
+   * @param newGracePeriodS the grace period in seconds
+   */
   public void stop(double newGracePeriodS) {
     gracePeriodS = isStopping ? Math.min(gracePeriodS, newGracePeriodS) : newGracePeriodS;
     isStopping = true;
@@ -194,17 +209,17 @@
     return isStopping;
   }
 
-  /** Seconds that a stopping task has for a checkpoint. */
+  /** The seconds that the task has for a checkpoint when it is stopped. */
   public double gracePeriodS() {
     return gracePeriodS;
   }
 
-  /** Whether the task is to run on: neither it nor its job is to end. */
+  /** Whether the task is to run: neither its stop is requested nor is its job terminal. */
   boolean isWanted() {
     return !job.isTerminal() && !isStopping;
   }
 
-  /** The stop that ends the task: at once if its job is terminal, else after the grace period. */
+  /** The command that stops the task: without grace period if its job is terminal. */
   WorkerCommand.Stop stopCommand() {
     return new WorkerCommand.Stop(job.uid(), task, attempt, job.isTerminal() ? 0 : gracePeriodS);
   }
--- a/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 import org.ploverspindle.model.Resources;
 
-/** Decides what follows from the attempts that a heartbeat shows on its machine. */
+/** Handles the attempts that a heartbeat lists. */
 final class ReportedTasks {
   private final MachineRegistry registry;
   private final Function<String, Optional<Job>> jobs;
@@ -26,7 +26,7 @@
     this.listener = listener;
   }
 
-  /** Handles an attempt for which there is a placement on the machine. */
+  /** Handles an attempt for which the machine has a placement. */
   void handlePlaced(HeartbeatContext context, Placement placement, Heartbeat.TaskStatus status) {
     switch (status.phase()) {
       case EXITED -> handleExited(context, placement, status);
@@ -47,7 +47,10 @@
     }
   }
 
-  /** A task that writes its checkpoint needs no repeated stop, unless it is to end at once. */
+  /**
+   * Whether the stop has to be sent. A task that is writing its checkpoint got it before and needs
+   * it again only if it has to end at once.
+   */
   private static boolean needsStop(Placement placement, Placement.Phase phase) {
     if (placement.job().isTerminal()) {
       return true;
@@ -62,8 +65,8 @@
     MachineFailureHistory failures = context.machine().failures();
     if (status.exitReason() == Heartbeat.ExitReason.DONE) {
       failures.recordCompletion(placement.runningSinceMs());
-      // The agent forgets it only once the completion is durable: until then the agent holds the
-      // only record.
+      // No forget command is sent yet. Until the completion is durable, the worker holds the only
+      // record of it.
       listener.completed(placement, context.nowMs());
       return;
     }
@@ -74,7 +77,10 @@
     listener.ended(placement, status.exitReason(), status.checkpointed(), context.nowMs());
   }
 
-  /** Handles an attempt without a placement: it is stopped, or forgotten once that is safe. */
+  /**
+   * Handles an attempt for which the machine has no placement. A running attempt is stopped; an
+   * exited one is forgotten by the worker once that is safe.
+   */
   void handleUnplaced(HeartbeatContext context, Heartbeat.TaskStatus status) {
     Optional<Job> job = jobs.apply(status.uid());
     if (status.phase() != Heartbeat.Phase.EXITED) {
@@ -89,8 +95,8 @@
   }
 
   /**
-   * A completion counts whoever placed the task, and until it is durable the agent holds the only
-   * record of it.
+   * Whether the worker may forget the exited attempt. A completion counts no matter which leader
+   * placed the task, and until it is durable the worker holds the only record of it.
    */
   private boolean mayBeForgotten(Heartbeat.TaskStatus status, Optional<Job> known) {
     if (known.isEmpty()
@@ -108,7 +114,10 @@
     return durablyCompleted.test(job, status.task());
   }
 
-  /** Until a heartbeat shows it no more, an orphaned task counts for its machine and its team. */
+  /**
+   * Stops an attempt without a placement. It counts for its machine and its team as an orphaned
+   * task until a heartbeat no longer lists it.
+   */
   private void stopOrphan(
       HeartbeatContext context, Heartbeat.TaskStatus status, Optional<Job> job) {
     HeartbeatHandler.TaskOwner owner =
--- a/src/main/java/org/ploverspindle/cluster/TaskSet.java
+++ b/src/main/java/org/ploverspindle/cluster/TaskSet.java
@@ -15,7 +15,7 @@
     return tasks.get(task);
   }
 
-  /** The first task of the set that is not below {@code from}, or -1. */
+  /** The lowest task index of the set that is at least {@code from}, or -1 if there is none. */
   public int next(int from) {
     return tasks.nextSetBit(from);
   }
--- a/src/main/java/org/ploverspindle/cluster/TeamUsage.java
+++ b/src/main/java/org/ploverspindle/cluster/TeamUsage.java
@@ -7,17 +7,21 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * What each team's tasks take, from the recorded intent until they are proven gone, compared with
- * its guarantee and limit. Teams are named by their index in the settings; amounts are in
- * thousandths, as in {@link Resources}.
+ * The resources that the tasks of each team use, compared with the team's guarantee and limit. A
+ * task counts from the decision to place it until it is proven gone. Teams are identified by their
+ * index in the settings. Amounts are in thousandths of a core or accelerator, as in {@link
+ * Resources}.
  */
 public final class TeamUsage {
   private static final double THOUSANDTHS = 1000;
 
-  /** Added before rounding down, so that a limit such as 0.3 is not taken for 299 thousandths. */
+  /** Added before rounding down, so that a limit such as 0.3 does not become 299 thousandths. */
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
-  /** A guarantee covers what exceeds it by less than the smallest amount, through rounding. */
+  /**
+   * A guarantee covers amounts that exceed it by at most half of the smallest unit, because amounts
+   * are rounded to thousandths.
+   */
   private static final double HALF_THOUSANDTH = 0.5;
 
   private final List<Settings.Team> teams;
@@ -50,7 +54,10 @@
     usedAccelerators[team] -= resources.accelerators();
   }
 
-  /** How many more such tasks the team's limit allows; the largest integer if it has none. */
+  /**
+   * How many more tasks of this size the team's limit allows; {@link Integer#MAX_VALUE} if no limit
+   * applies to them.
+   */
   public int tasksWithinLimit(int team, Resources perTask) {
     Settings.Team settings = teams.get(team);
     return Math.min(
@@ -70,7 +77,7 @@
     return (long) Math.floor(limit * THOUSANDTHS + ROUNDING_TOLERANCE);
   }
 
-  /** Whether the team would stay within its guarantee if it used this much more. */
+  /** Whether the team would stay within its guarantee if it used these resources in addition. */
   public boolean withinGuarantee(int team, Resources more) {
     return guarantees(
         team,
@@ -78,7 +85,7 @@
             usedCores[team] + more.cores(), usedAccelerators[team] + more.accelerators(), 0));
   }
 
-  /** Whether the team's guarantee covers this much in all. */
+  /** Whether the team's guarantee covers these resources in total. */
   public boolean guarantees(int team, Resources all) {
     Settings.Team settings = teams.get(team);
     return isCovered(all.cores(), settings.guaranteedCores())
@@ -89,7 +96,7 @@
     return amount <= guarantee * THOUSANDTHS + HALF_THOUSANDTH;
   }
 
-  /** Thousandths of cores that the team's limit leaves; empty if it has no limit. */
+  /** Thousandths of a core that the team may still use within its limit; empty without a limit. */
   public OptionalLong coresWithinLimit(int team) {
     double limit = teams.get(team).maxCores();
     return limit <= 0
--- a/src/main/java/org/ploverspindle/cluster/WorkerCommand.java
+++ b/src/main/java/org/ploverspindle/cluster/WorkerCommand.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.cluster;
 
-/** A command to a machine's agent, about one attempt of a task. */
+/** A command to a worker about one attempt of a task. */
 public sealed interface WorkerCommand {
   String uid();
 
@@ -8,12 +8,12 @@
 
   long attempt();
 
-  /** Start the attempt. It has no effect if the attempt is on the machine already. */
+  /** Starts the attempt. Has no effect if the attempt is on the machine already. */
   record Launch(String uid, int task, long attempt) implements WorkerCommand {}
 
-  /** Stop the attempt; it has {@code gracePeriodS} seconds to write a checkpoint. */
+  /** Stops the attempt, which has {@code gracePeriodS} seconds to write a checkpoint. */
   record Stop(String uid, int task, long attempt, double gracePeriodS) implements WorkerCommand {}
 
-  /** Leave the exited attempt out of further heartbeats. */
+  /** Tells the worker to leave the exited attempt out of further heartbeats. */
   record Forget(String uid, int task, long attempt) implements WorkerCommand {}
 }
--- a/src/main/java/org/ploverspindle/cluster/ZoneConstraints.java
+++ b/src/main/java/org/ploverspindle/cluster/ZoneConstraints.java
@@ -2,7 +2,7 @@
 
 import org.ploverspindle.model.JobSpec;
 
-/** In which zones a job's tasks may be, given the zones in which its other tasks are placed. */
+/** Decides in which zones a job's tasks may be placed, given the zones of its placements. */
 final class ZoneConstraints {
   private final JobSpec spec;
   private final int requiredZone;
@@ -49,7 +49,10 @@
     return false;
   }
 
-  /** A job that is spread over zones has at most half of its tasks, rounded up, in one zone. */
+  /**
+   * The largest number of placements in one zone for a job that is spread over zones: half of its
+   * tasks, rounded up.
+   */
   private int largestShareOfOneZone() {
     return (spec.tasks() + 1) / 2;
   }
--- a/src/test/java/org/ploverspindle/cluster/CommandFencingTest.java
+++ b/src/test/java/org/ploverspindle/cluster/CommandFencingTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A machine counts as reached only by its current token, and a raised token voids older launches.
+ * Guards against placing tasks on a machine that receives no commands, which would happen if a
+ * heartbeat with an outdated fencing token were enough for the machine to count as reachable. Also
+ * guards against overlooking a direct launch that the worker may still execute.
  */
 class CommandFencingTest {
   private static final long FIRST_TOKEN = 100;
--- a/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
+++ b/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
@@ -15,7 +15,9 @@
 import org.ploverspindle.model.Resources;
 
 /**
- * A machine is at fault when jobs that are known to run fail there; a job, when it runs nowhere.
+ * Guards against blaming the wrong side for a failed task. Faulty jobs fail on every machine and
+ * would take healthy machines out of use; a faulty machine fails tasks quickly, has free resources
+ * again, and would attract and fail the tasks of healthy jobs.
  */
 class FailureDetectorTest {
   private final Map<String, Job> jobs = new HashMap<>();
--- a/src/test/java/org/ploverspindle/cluster/ZoneConstraintsTest.java
+++ b/src/test/java/org/ploverspindle/cluster/ZoneConstraintsTest.java
@@ -13,7 +13,11 @@
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.model.Resources;
 
-/** Where a job's next task may be placed, given its zone constraint and its placements. */
+/**
+ * Guards against placing a task in a zone that its job does not allow: outside the required zone,
+ * in a second zone for a job that must stay in one, or too many tasks in one zone for a job that is
+ * spread over zones.
+ */
 class ZoneConstraintsTest {
   private static final int ZONES = 3;
 
