--- a/src/main/java/org/ploverspindle/cluster/CommandBatch.java
+++ b/src/main/java/org/ploverspindle/cluster/CommandBatch.java
@@ -17,7 +17,7 @@
 
   /** Adds the command and returns true, or returns false if the message would get too large. */
   boolean add(WorkerCommand command) {
-    int commandBytes = HeartbeatCodec.size(command);
+    int commandBytes = HeartbeatCodec.estimatedSizeBytes(command);
     if (batchBytes + commandBytes > HeartbeatCodec.MAX_COMMAND_BYTES) {
       return false;
     }
--- a/src/main/java/org/ploverspindle/cluster/CommandFencing.java
+++ b/src/main/java/org/ploverspindle/cluster/CommandFencing.java
@@ -27,7 +27,7 @@
   }
 
   /** Sets the fencing token that all further responses and commands to the machine carry. */
-  void raiseToken(long token) {
+  void raiseFencingToken(long token) {
     fencingToken = token;
   }
 
@@ -47,7 +47,7 @@
   void markUnreachable(long token, long nowMs) {
     boolean isAlreadyUnreachable = unreachableSinceMs >= 0;
     if (receivesCommands || !isAlreadyUnreachable) {
-      raiseToken(token);
+      raiseFencingToken(token);
     }
     receivesCommands = false;
     if (!isAlreadyUnreachable) {
--- a/src/main/java/org/ploverspindle/cluster/DirectCommands.java
+++ b/src/main/java/org/ploverspindle/cluster/DirectCommands.java
@@ -59,7 +59,7 @@
   private static boolean isLaunchable(Machine machine, Placement placement) {
     return placement.phase() == Placement.Phase.READY
         && placement.agentEpoch() == machine.agentEpoch()
-        && placement.isWanted()
+        && placement.shouldRun()
         && !machine.isTerminating();
   }
 
--- a/src/main/java/org/ploverspindle/cluster/FailureDetector.java
+++ b/src/main/java/org/ploverspindle/cluster/FailureDetector.java
@@ -47,16 +47,16 @@
    */
   public boolean detectFault(Machine machine, Job job, long nowMs) {
     int jobsKnownToRun = 0;
-    int failuresOfThem = 0;
+    int failuresOfJobsKnownToRun = 0;
     MachineFailureHistory history = machine.failures();
     for (Map.Entry<String, Integer> entry : history.byJob().entrySet()) {
       if (isKnownToRun.test(entry.getKey())) {
         jobsKnownToRun++;
-        failuresOfThem += entry.getValue();
+        failuresOfJobsKnownToRun += entry.getValue();
       }
     }
     if (jobsKnownToRun > 0) {
-      int counted = Math.min(MAX_COUNTED_FAILURES, failuresOfThem);
+      int counted = Math.min(MAX_COUNTED_FAILURES, failuresOfJobsKnownToRun);
       history.markSuspect();
       history.cordon(nowMs + CORDON_MS_PER_FAILURE * counted);
     } else if (!job.isFailingEverywhere(nowMs)) {
@@ -67,6 +67,6 @@
       history.cordon(nowMs + CORDON_MS_PER_UNPROVEN_JOB * counted);
     }
     return jobsKnownToRun >= FAULTY_MACHINE_JOBS
-        || jobsKnownToRun > 0 && failuresOfThem >= FAULTY_MACHINE_FAILURES;
+        || jobsKnownToRun > 0 && failuresOfJobsKnownToRun >= FAULTY_MACHINE_FAILURES;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
@@ -20,7 +20,7 @@
  */
 public final class HeartbeatCodec {
   /** Estimated bytes of a command in JSON form, without the job's UID. */
-  private static final int COMMAND_BYTES = 90;
+  private static final int COMMAND_OVERHEAD_BYTES = 90;
 
   /**
    * The largest total size of the commands in one message, in bytes of their JSON form. It leaves a
@@ -65,12 +65,12 @@
   }
 
   private static boolean isWellFormed(ObjectNode map) {
-    return hasText(map, "host")
-        && hasText(map, "flavour")
-        && hasText(map, "site")
-        && hasCount(map, "tenure")
-        && hasCount(map, "tally")
-        && hasCount(map, "warrant")
+    return hasNonEmptyText(map, "host")
+        && hasNonEmptyText(map, "flavour")
+        && hasNonEmptyText(map, "site")
+        && hasNonNegativeLong(map, "tenure")
+        && hasNonNegativeLong(map, "tally")
+        && hasNonNegativeLong(map, "warrant")
         && hasTaskList(map);
   }
 
@@ -79,11 +79,11 @@
     return pieces.isArray() || pieces.isNull() || pieces.isMissingNode();
   }
 
-  private static boolean hasText(JsonNode map, String field) {
+  private static boolean hasNonEmptyText(JsonNode map, String field) {
     return map.path(field).isTextual() && !map.path(field).asText().isEmpty();
   }
 
-  private static boolean hasCount(JsonNode map, String field) {
+  private static boolean hasNonNegativeLong(JsonNode map, String field) {
     JsonNode value = map.path(field);
     return value.isIntegralNumber() && value.canConvertToLong() && value.asLong() >= 0;
   }
@@ -91,7 +91,7 @@
   private static Optional<Heartbeat.TaskStatus> decodeTask(JsonNode piece) {
     String name = piece.path("piece").asText("");
     int slash = name.lastIndexOf('/');
-    if (slash <= 0 || !hasCount(piece, "try")) {
+    if (slash <= 0 || !hasNonNegativeLong(piece, "try")) {
       return Optional.empty();
     }
     OptionalInt task = decodeTaskIndex(name.substring(slash + 1));
@@ -179,7 +179,7 @@
   }
 
   /** The estimated size of a command in JSON form, in bytes. */
-  public static int size(WorkerCommand command) {
-    return command.uid().length() + COMMAND_BYTES;
+  public static int estimatedSizeBytes(WorkerCommand command) {
+    return command.uid().length() + COMMAND_OVERHEAD_BYTES;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatContext.java
@@ -7,29 +7,29 @@
   private final MachineRegistry registry;
   private final Machine machine;
   private final Heartbeat heartbeat;
-  private final boolean underOwnToken;
-  private final boolean direct;
+  private final boolean hasTokenOfTerm;
+  private final boolean isDirectResponse;
   private final long nowMs;
   private final CommandBatch batch = new CommandBatch();
 
   /**
-   * @param underOwnToken whether the worker had accepted a fencing token of this term when it wrote
-   *     the heartbeat
-   * @param direct whether the heartbeat is the response to a direct command, in which case no
-   *     commands can be sent in reply
+   * @param hasTokenOfTerm whether the worker had accepted a fencing token of this term when it
+   *     wrote the heartbeat
+   * @param isDirectResponse whether the heartbeat is the response to a direct command, in which
+   *     case no commands can be sent in reply
    */
   HeartbeatContext(
       MachineRegistry registry,
       Machine machine,
       Heartbeat heartbeat,
-      boolean underOwnToken,
-      boolean direct,
+      boolean hasTokenOfTerm,
+      boolean isDirectResponse,
       long nowMs) {
     this.registry = registry;
     this.machine = machine;
     this.heartbeat = heartbeat;
-    this.underOwnToken = underOwnToken;
-    this.direct = direct;
+    this.hasTokenOfTerm = hasTokenOfTerm;
+    this.isDirectResponse = isDirectResponse;
     this.nowMs = nowMs;
   }
 
@@ -41,12 +41,12 @@
     return heartbeat;
   }
 
-  boolean underOwnToken() {
-    return underOwnToken;
+  boolean hasTokenOfTerm() {
+    return hasTokenOfTerm;
   }
 
-  boolean direct() {
-    return direct;
+  boolean isDirectResponse() {
+    return isDirectResponse;
   }
 
   long nowMs() {
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
@@ -60,15 +60,15 @@
   private final MachineRegistry registry;
   private final Term term;
   private final BooleanSupplier isAuthoritative;
-  private final ReportedTasks reportedTasks;
-  private final MissingTasks missingTasks;
+  private final ReportedTaskHandler reportedTaskHandler;
+  private final MissingTaskHandler missingTaskHandler;
 
   /**
    * @param isAuthoritative whether this leader's lease is certainly valid; no launch is sent while
    *     it is not
    * @param jobs finds a job of the job table by its UID
    * @param owners finds the team and resources of any other known job by its UID
-   * @param durablyCompleted whether the completion of the job's task is durably recorded
+   * @param isDurablyCompleted whether the completion of the job's task is durably recorded
    */
   public HeartbeatHandler(
       MachineRegistry registry,
@@ -76,13 +76,14 @@
       BooleanSupplier isAuthoritative,
       Function<String, Optional<Job>> jobs,
       Function<String, Optional<TaskOwner>> owners,
-      BiPredicate<Job, Integer> durablyCompleted,
+      BiPredicate<Job, Integer> isDurablyCompleted,
       Listener listener) {
     this.registry = registry;
     this.term = term;
     this.isAuthoritative = isAuthoritative;
-    this.reportedTasks = new ReportedTasks(registry, jobs, owners, durablyCompleted, listener);
-    this.missingTasks = new MissingTasks(registry, listener);
+    this.reportedTaskHandler =
+        new ReportedTaskHandler(registry, jobs, owners, isDurablyCompleted, listener);
+    this.missingTaskHandler = new MissingTaskHandler(registry, listener);
   }
 
   /** Returns a response without commands; like every response it renews the worker lease. */
@@ -118,14 +119,14 @@
     process(heartbeat, nowMs, true);
   }
 
-  private List<WorkerCommand> process(Heartbeat heartbeat, long nowMs, boolean direct) {
+  private List<WorkerCommand> process(Heartbeat heartbeat, long nowMs, boolean isDirectResponse) {
     if (registry.wasTerminated(heartbeat.host()) || registry.isStale(heartbeat)) {
       return List.of();
     }
-    Optional<Machine> found =
+    Optional<Machine> adopted =
         registry.adopt(
             heartbeat.host(), heartbeat.type(), heartbeat.zone(), heartbeat.spot(), nowMs);
-    if (found.isEmpty()) {
+    if (adopted.isEmpty()) {
       LOG.warn(
           "heartbeat ignored, not a machine of a known type and zone: machine={} type={} zone={}",
           heartbeat.host(),
@@ -133,7 +134,7 @@
           heartbeat.zone());
       return List.of();
     }
-    Machine machine = found.get();
+    Machine machine = adopted.get();
     // A delayed heartbeat is older than the state that is already known. It is not evaluated,
     // because tasks that started after it was written would seem to be gone. It is answered,
     // because the worker lease could expire without a response.
@@ -141,7 +142,7 @@
       return List.of();
     }
     recordHeartbeat(machine, heartbeat, nowMs);
-    return evaluate(newContext(machine, heartbeat, direct, nowMs));
+    return evaluate(newContext(machine, heartbeat, isDirectResponse, nowMs));
   }
 
   private void recordHeartbeat(Machine machine, Heartbeat heartbeat, long nowMs) {
@@ -163,43 +164,43 @@
   private void endOlderEpochs(Machine machine, long nowMs) {
     for (Placement placement : List.copyOf(machine.placements())) {
       if (placement.agentEpoch() < machine.agentEpoch()) {
-        missingTasks.endWithoutExit(placement, nowMs);
+        missingTaskHandler.endWithoutExit(placement, nowMs);
       }
     }
     machine.clearImages();
   }
 
   private HeartbeatContext newContext(
-      Machine machine, Heartbeat heartbeat, boolean direct, long nowMs) {
+      Machine machine, Heartbeat heartbeat, boolean isDirectResponse, long nowMs) {
     return new HeartbeatContext(
-        registry, machine, heartbeat, term.owns(heartbeat.fencingToken()), direct, nowMs);
+        registry, machine, heartbeat, term.owns(heartbeat.fencingToken()), isDirectResponse, nowMs);
   }
 
   private List<WorkerCommand> evaluate(HeartbeatContext context) {
     Machine machine = context.machine();
     registry.clearOrphans(machine);
-    Set<Long> reportedAttempts = handleReported(context);
+    Set<Long> reportedAttempts = handleReportedTasks(context);
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!reportedAttempts.contains(placement.attempt())) {
-        missingTasks.handle(context, placement);
+        missingTaskHandler.handle(context, placement);
       }
     }
-    if (!context.direct()) {
-      launch(context);
+    if (!context.isDirectResponse()) {
+      addLaunches(context);
     }
     return context.commands();
   }
 
   /** Handles all attempts that the heartbeat lists and returns those that have a placement. */
-  private Set<Long> handleReported(HeartbeatContext context) {
+  private Set<Long> handleReportedTasks(HeartbeatContext context) {
     Set<Long> placedAttempts = new HashSet<>();
     for (Heartbeat.TaskStatus status : context.heartbeat().tasks()) {
       Placement placement = context.machine().placement(status.attempt());
       if (placement != null && placement.isOf(status.uid(), status.task())) {
         placedAttempts.add(status.attempt());
-        reportedTasks.handlePlaced(context, placement, status);
+        reportedTaskHandler.handlePlaced(context, placement, status);
       } else {
-        reportedTasks.handleUnplaced(context, status);
+        reportedTaskHandler.handleUnplaced(context, status);
       }
     }
     return placedAttempts;
@@ -229,15 +230,15 @@
     Machine machine = context.machine();
     for (Heartbeat.TaskStatus status : context.heartbeat().tasks()) {
       if (status.phase() == Heartbeat.Phase.EXITED && machine.placement(status.attempt()) == null) {
-        reportedTasks.handleUnplaced(context, status);
+        reportedTaskHandler.handleUnplaced(context, status);
       }
     }
     for (Placement placement : List.copyOf(machine.placements())) {
-      if (!placement.isWanted()) {
-        stopIfReported(context, placement);
+      if (!placement.shouldRun()) {
+        addStopIfReported(context, placement);
       }
     }
-    launch(context);
+    addLaunches(context);
     return context.commands();
   }
 
@@ -245,7 +246,7 @@
    * Adds the stop of a placement whose stop was decided after the heartbeat was handled, if the
    * heartbeat lists the attempt as not exited and no checkpoint is being written.
    */
-  private static void stopIfReported(HeartbeatContext context, Placement placement) {
+  private static void addStopIfReported(HeartbeatContext context, Placement placement) {
     boolean isReported =
         context.heartbeat().tasks().stream()
             .anyMatch(
@@ -263,19 +264,20 @@
    * removed instead, unless a direct launch of it may still be executed; so is a placement of
    * another worker epoch.
    */
-  private void launch(HeartbeatContext context) {
-    if (!context.underOwnToken() || !isAuthoritative.getAsBoolean()) {
+  private void addLaunches(HeartbeatContext context) {
+    if (!context.hasTokenOfTerm() || !isAuthoritative.getAsBoolean()) {
       return;
     }
     Heartbeat heartbeat = context.heartbeat();
     Machine machine = context.machine();
     for (Placement placement : List.copyOf(machine.placements())) {
-      boolean isWanted = placement.isWanted() && !machine.isTerminating();
-      if (placement.phase() != Placement.Phase.READY || !isWanted && placement.hasDirectLaunch()) {
+      boolean shouldRun = placement.shouldRun() && !machine.isTerminating();
+      if (placement.phase() != Placement.Phase.READY
+          || !shouldRun && placement.hasPendingDirectLaunch()) {
         continue;
       }
-      if (!isWanted || placement.agentEpoch() != heartbeat.agentEpoch()) {
-        missingTasks.endWithoutExit(placement, context.nowMs());
+      if (!shouldRun || placement.agentEpoch() != heartbeat.agentEpoch()) {
+        missingTaskHandler.endWithoutExit(placement, context.nowMs());
         continue;
       }
       if (!context.addCommand(placement.launchCommand())) {
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatState.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatState.java
@@ -9,7 +9,7 @@
   private boolean isFirstUnobserved;
   private boolean hasAcceptedToken;
 
-  void record(Heartbeat heartbeat, long nowMs, boolean underOwnToken) {
+  void record(Heartbeat heartbeat, long nowMs, boolean hasTokenOfTerm) {
     if (!hasHeartbeat()) {
       firstHeartbeatMs = nowMs;
       isFirstUnobserved = true;
@@ -17,7 +17,7 @@
     agentEpoch = heartbeat.agentEpoch();
     lastSequence = heartbeat.sequence();
     lastHeartbeatMs = nowMs;
-    hasAcceptedToken |= underOwnToken;
+    hasAcceptedToken |= hasTokenOfTerm;
   }
 
   boolean hasHeartbeat() {
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatTimeout.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatTimeout.java
@@ -13,7 +13,7 @@
    * Milliseconds of timeout for each second of the heartbeat interval: the interval and a quarter
    * of it, for a heartbeat in transit.
    */
-  private static final double TIMEOUT_MS_PER_PERIOD_S = 1_250;
+  private static final double TIMEOUT_MS_PER_INTERVAL_S = 1_250;
 
   private static final long MARGIN_MS = 1_500;
 
@@ -22,14 +22,14 @@
   private final LongSupplier receivingSinceMs;
 
   /**
-   * @param heartbeatPeriodS the heartbeat interval of a worker, in seconds
+   * @param heartbeatIntervalS the heartbeat interval of a worker, in seconds
    * @param termStartMs when the leader's term began, on the steady clock
    * @param receivingSinceMs since when the leader has received heartbeats without a pause of its
    *     process, on the steady clock
    */
   public HeartbeatTimeout(
-      double heartbeatPeriodS, long termStartMs, LongSupplier receivingSinceMs) {
-    this.timeoutMs = Math.round(heartbeatPeriodS * TIMEOUT_MS_PER_PERIOD_S) + MARGIN_MS;
+      double heartbeatIntervalS, long termStartMs, LongSupplier receivingSinceMs) {
+    this.timeoutMs = Math.round(heartbeatIntervalS * TIMEOUT_MS_PER_INTERVAL_S) + MARGIN_MS;
     this.termStartMs = termStartMs;
     this.receivingSinceMs = receivingSinceMs;
   }
@@ -40,8 +40,8 @@
    * whichever is later.
    */
   public boolean isExpired(Machine machine, long nowMs) {
-    long lastSignMs =
+    long lastContactMs =
         machine.isUp() ? machine.lastHeartbeatMs() : Math.max(machine.knownSinceMs(), termStartMs);
-    return nowMs - Math.max(lastSignMs, receivingSinceMs.getAsLong()) > timeoutMs;
+    return nowMs - Math.max(lastContactMs, receivingSinceMs.getAsLong()) > timeoutMs;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
@@ -31,7 +31,7 @@
       long fencingToken,
       long agentEpoch,
       List<WorkerCommand> commands,
-      Consumer<Optional<Heartbeat>> then) {
+      Consumer<Optional<Heartbeat>> callback) {
     clients
         .apply(address)
         .send(
@@ -39,7 +39,7 @@
             "/do",
             HeartbeatCodec.encodeDirectCommand(fencingToken, agentEpoch, commands),
             TIMEOUT_MS,
-            result -> then.accept(heartbeat(result)));
+            result -> callback.accept(heartbeat(result)));
   }
 
   /**
--- a/src/main/java/org/ploverspindle/cluster/Job.java
+++ b/src/main/java/org/ploverspindle/cluster/Job.java
@@ -38,7 +38,7 @@
    * @param shardSize number of tasks in each shard of the job's progress records
    * @param team index of the team in the settings
    * @param types indexes of the machine types that the job allows and that a task fits on
-   * @param zone index of the only allowed zone, or {@link #ANY_ZONE} (-1)
+   * @param requiredZone index of the only allowed zone, or {@link #ANY_ZONE} (-1)
    */
   public Job(
       JobSpec spec,
@@ -46,7 +46,7 @@
       int shardSize,
       int team,
       BitSet types,
-      int zone,
+      int requiredZone,
       int zoneCount) {
     this.spec = spec;
     this.perTask = spec.perTask();
@@ -55,7 +55,7 @@
     this.types = types;
     this.tasks = new JobTasks(spec.tasks());
     this.deadline = new JobDeadline(spec, acceptedWallMs);
-    this.zones = new ZoneConstraints(spec, zone, zoneCount);
+    this.zones = new ZoneConstraints(spec, requiredZone, zoneCount);
   }
 
   public JobSpec spec() {
@@ -159,22 +159,22 @@
    * The given multiple of the job's own deadline, in seconds from {@link #eligibleSinceWallMs}. The
    * deadline itself counts from the acceptance. Empty if the job has no deadline of its own.
    */
-  public OptionalDouble ownDeadlineS(double times) {
-    return deadline.ownDeadlineS(times);
+  public OptionalDouble ownDeadlineS(double multiple) {
+    return deadline.ownDeadlineS(multiple);
   }
 
   /**
    * Sets the priority and the deadline that the job inherits from its dependents. The job's own
    * priority stays in force if it is higher, and its own deadline if it is earlier.
    *
-   * @param highest the highest priority among the dependents
+   * @param highestPriority the highest priority among the dependents
    * @param finishByWallMs when the job must finish so that all dependents can meet their deadlines
    * @param latestFinishByWallMs when the job must finish so that all dependents can finish by the
    *     largest multiples of their deadlines that an objective names
    */
   public void inherit(
-      Priority highest, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
-    deadline.inherit(highest, finishByWallMs, latestFinishByWallMs);
+      Priority highestPriority, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
+    deadline.inherit(highestPriority, finishByWallMs, latestFinishByWallMs);
   }
 
   // Zones.
--- a/src/main/java/org/ploverspindle/cluster/JobDeadline.java
+++ b/src/main/java/org/ploverspindle/cluster/JobDeadline.java
@@ -16,8 +16,8 @@
   private final long acceptedWallMs;
   private long eligibleSinceWallMs;
   private Priority priority;
-  private OptionalLong inheritedWallMs = OptionalLong.empty();
-  private OptionalLong latestInheritedWallMs = OptionalLong.empty();
+  private OptionalLong inheritedDeadlineWallMs = OptionalLong.empty();
+  private OptionalLong latestInheritedDeadlineWallMs = OptionalLong.empty();
 
   JobDeadline(JobSpec spec, long acceptedWallMs) {
     this.spec = spec;
@@ -43,14 +43,16 @@
   }
 
   /** See {@link Job#inherit}. */
-  void inherit(Priority highest, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
-    priority = highest.compareTo(spec.priority()) < 0 ? highest : spec.priority();
-    inheritedWallMs = isBeforeOwn(finishByWallMs) ? finishByWallMs : OptionalLong.empty();
-    latestInheritedWallMs =
-        inheritedWallMs.isPresent() ? latestFinishByWallMs : OptionalLong.empty();
+  void inherit(
+      Priority highestPriority, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
+    priority = highestPriority.compareTo(spec.priority()) < 0 ? highestPriority : spec.priority();
+    inheritedDeadlineWallMs =
+        isBeforeOwnDeadline(finishByWallMs) ? finishByWallMs : OptionalLong.empty();
+    latestInheritedDeadlineWallMs =
+        inheritedDeadlineWallMs.isPresent() ? latestFinishByWallMs : OptionalLong.empty();
   }
 
-  private boolean isBeforeOwn(OptionalLong wallMs) {
+  private boolean isBeforeOwnDeadline(OptionalLong wallMs) {
     return wallMs.isPresent()
         && (spec.deadlineS().isEmpty() || wallMs.getAsLong() < ownDeadlineWallMs());
   }
@@ -61,12 +63,14 @@
 
   /** See {@link Job#deadlineS}. */
   OptionalDouble deadlineS() {
-    return inheritedWallMs.isPresent() ? sinceEligibleS(inheritedWallMs) : ownDeadlineS(1);
+    return inheritedDeadlineWallMs.isPresent()
+        ? sinceEligibleS(inheritedDeadlineWallMs)
+        : ownDeadlineS(1);
   }
 
   /** See {@link Job#latestDeadlineS}. */
   OptionalDouble latestDeadlineS() {
-    return sinceEligibleS(latestInheritedWallMs);
+    return sinceEligibleS(latestInheritedDeadlineWallMs);
   }
 
   private OptionalDouble sinceEligibleS(OptionalLong wallMs) {
@@ -76,11 +80,11 @@
   }
 
   /** See {@link Job#ownDeadlineS}. */
-  OptionalDouble ownDeadlineS(double times) {
+  OptionalDouble ownDeadlineS(double multiple) {
     if (spec.deadlineS().isEmpty()) {
       return OptionalDouble.empty();
     }
     double blockedS = (eligibleSinceWallMs - acceptedWallMs) / MS_PER_S;
-    return OptionalDouble.of(spec.deadlineS().getAsDouble() * times - blockedS);
+    return OptionalDouble.of(spec.deadlineS().getAsDouble() * multiple - blockedS);
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/JobTable.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTable.java
@@ -98,22 +98,22 @@
             record.acceptedWallMs(),
             record.shardSize(),
             team.get(),
-            typesThatFit(spec),
+            compatibleTypes(spec),
             spec.zone().map(catalogue::zone).orElse(Job.ANY_ZONE),
             catalogue.zoneCount()));
   }
 
   /** The indexes of the machine types that the job allows and that one of its tasks fits on. */
-  private BitSet typesThatFit(JobSpec spec) {
-    BitSet fitting = new BitSet();
+  private BitSet compatibleTypes(JobSpec spec) {
+    BitSet compatible = new BitSet();
     for (int index = 0; index < catalogue.types().size(); index++) {
       MachineType type = catalogue.type(index);
       boolean isAllowed = spec.types().map(names -> names.contains(type.name())).orElse(true);
       if (isAllowed && spec.perTask().fitsIn(type.size())) {
-        fitting.set(index);
+        compatible.set(index);
       }
     }
-    return fitting;
+    return compatible;
   }
 
   public Optional<Job> get(String uid) {
--- a/src/main/java/org/ploverspindle/cluster/Machine.java
+++ b/src/main/java/org/ploverspindle/cluster/Machine.java
@@ -92,13 +92,13 @@
 
   // Heartbeats.
 
-  void recordHeartbeat(Heartbeat heartbeat, long nowMs, boolean underOwnToken) {
+  void recordHeartbeat(Heartbeat heartbeat, long nowMs, boolean hasTokenOfTerm) {
     if (!isUp()) {
       // The machine was booting until now and does not count as idle for that time.
       tasks.restartEmptyPeriod(nowMs);
     }
-    heartbeats.record(heartbeat, nowMs, underOwnToken);
-    if (underOwnToken) {
+    heartbeats.record(heartbeat, nowMs, hasTokenOfTerm);
+    if (hasTokenOfTerm) {
       fencing.recordReportedToken(heartbeat.fencingToken());
     }
     if (!heartbeat.address().isEmpty()) {
@@ -165,7 +165,7 @@
   }
 
   void raiseFencingToken(long token) {
-    fencing.raiseToken(token);
+    fencing.raiseFencingToken(token);
   }
 
   /**
--- a/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
@@ -34,9 +34,9 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Collection<Machine> machinesView =
       Collections.unmodifiableCollection(machines.values());
-  private final Set<String> terminating = new HashSet<>();
-  private final Set<String> terminated = new HashSet<>();
-  private final Map<String, LastHeartbeat> forgotten = new HashMap<>();
+  private final Set<String> terminatingHosts = new HashSet<>();
+  private final Set<String> terminatedHosts = new HashSet<>();
+  private final Map<String, LastHeartbeat> lastHeartbeatsOfForgotten = new HashMap<>();
   private long raisedTokens;
   private long removedCount;
   private long quarantinedUntilMs = MachineLifecycle.NOT_QUARANTINED_MS;
@@ -70,7 +70,7 @@
    * machine is then outdated.
    */
   public boolean wasTerminated(String host) {
-    return terminated.contains(host);
+    return terminatedHosts.contains(host);
   }
 
   /**
@@ -98,7 +98,7 @@
             catalogue.type(typeIndex.get()).size(),
             nowMs,
             term.fencingToken());
-    if (terminating.contains(host)) {
+    if (terminatingHosts.contains(host)) {
       machine.beginTermination();
     }
     machine.quarantine(quarantinedUntilMs);
@@ -116,7 +116,7 @@
    * now on no task is placed on it in this term.
    */
   public void beginTermination(String host) {
-    terminating.add(host);
+    terminatingHosts.add(host);
     get(host).ifPresent(Machine::beginTermination);
   }
 
@@ -176,8 +176,8 @@
    * @return the placements that were removed
    */
   public List<Placement> confirmTermination(String host, long nowMs) {
-    terminated.add(host);
-    terminating.remove(host);
+    terminatedHosts.add(host);
+    terminatingHosts.remove(host);
     Optional<Machine> machine = get(host);
     if (machine.isEmpty()) {
       return List.of();
@@ -190,7 +190,8 @@
   /** Removes a machine that the cloud no longer lists and whose worker lease has expired. */
   public void forget(Machine machine) {
     remove(machine);
-    forgotten.put(machine.host(), new LastHeartbeat(machine.agentEpoch(), machine.lastSequence()));
+    lastHeartbeatsOfForgotten.put(
+        machine.host(), new LastHeartbeat(machine.agentEpoch(), machine.lastSequence()));
   }
 
   private void remove(Machine machine) {
@@ -204,7 +205,7 @@
    * forgotten. Such a delayed heartbeat must not make the machine usable again.
    */
   boolean isStale(Heartbeat heartbeat) {
-    LastHeartbeat last = forgotten.get(heartbeat.host());
+    LastHeartbeat last = lastHeartbeatsOfForgotten.get(heartbeat.host());
     return last != null && !heartbeat.isNewerThan(last.agentEpoch(), last.sequence());
   }
 
@@ -233,8 +234,8 @@
    * last at least as long as such a response can keep it valid.
    */
   public long leaseExpiryMs(Machine machine) {
-    long lastSignMs = machine.isUp() ? machine.lastHeartbeatMs() : machine.knownSinceMs();
-    long expiryMs = lastSignMs + timing.agentLeaseMs();
+    long lastContactMs = machine.isUp() ? machine.lastHeartbeatMs() : machine.knownSinceMs();
+    long expiryMs = lastContactMs + timing.agentLeaseMs();
     return machine.hasAcceptedToken()
         ? expiryMs
         : Math.max(expiryMs, term.startMs() + timing.takeoverSilenceMs());
--- a/src/main/java/org/ploverspindle/cluster/MissingTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/MissingTaskHandler.java
@@ -4,14 +4,14 @@
  * Handles the placements that a heartbeat does not list. Decides whether this proves that the task
  * is gone, and whether the launch has to be sent again.
  */
-final class MissingTasks {
-  /** A machine is unreachable once this many responses with the same launch were lost. */
-  private static final int LOST_RESPONSES_UNTIL_UNREACHABLE = 2;
+final class MissingTaskHandler {
+  /** A machine is unreachable once the launch of one attempt has been lost this many times. */
+  private static final int LOST_LAUNCHES_UNTIL_UNREACHABLE = 2;
 
   private final MachineRegistry registry;
   private final HeartbeatHandler.Listener listener;
 
-  MissingTasks(MachineRegistry registry, HeartbeatHandler.Listener listener) {
+  MissingTaskHandler(MachineRegistry registry, HeartbeatHandler.Listener listener) {
     this.registry = registry;
     this.listener = listener;
   }
@@ -38,15 +38,15 @@
       }
       return;
     }
-    if (!context.underOwnToken()) {
+    if (!context.hasTokenOfTerm()) {
       return;
     }
-    if (placement.hasDirectLaunch()
-        && context.heartbeat().fencingToken() <= placement.directToken()) {
+    if (placement.hasPendingDirectLaunch()
+        && context.heartbeat().fencingToken() <= placement.directLaunchToken()) {
       handlePendingDirectLaunch(context, placement);
       return;
     }
-    placement.voidDirectLaunch();
+    placement.clearDirectLaunch();
     handleWithoutDirectLaunch(context, placement);
   }
 
@@ -56,15 +56,15 @@
    */
   private void handleWithoutDirectLaunch(HeartbeatContext context, Placement placement) {
     if (placement.neverSent()) {
-      if (!placement.isWanted()) {
+      if (!placement.shouldRun()) {
         endWithoutExit(placement, context.nowMs());
       }
     } else if (placement.phase() != Placement.Phase.SENT) {
       endWithoutExit(placement, context.nowMs());
-    } else if (!context.direct() && isResponseSettled(context, placement)) {
+    } else if (!context.isDirectResponse() && isResponseSettled(context, placement)) {
       // A response to direct commands proves nothing about our response to the last heartbeat: the
       // worker may have written it before our response arrived.
-      handleLostResponse(context, placement);
+      handleLostLaunch(context, placement);
     }
   }
 
@@ -74,19 +74,19 @@
 
   /** Handles a placement whose launch was sent directly and may still be executed. */
   private void handlePendingDirectLaunch(HeartbeatContext context, Placement placement) {
-    if (context.direct()) {
+    if (context.isDirectResponse()) {
       return;
     }
     Machine machine = context.machine();
-    if (!placement.isWanted()) {
+    if (!placement.shouldRun()) {
       // Under a higher fencing token the worker rejects the launch, so that a later heartbeat can
       // prove that the task is gone.
-      if (machine.fencingToken() <= placement.directToken()) {
+      if (machine.fencingToken() <= placement.directLaunchToken()) {
         machine.raiseFencingToken(registry.nextFencingToken());
       }
     } else if (placement.phase() == Placement.Phase.SENT && isResponseSettled(context, placement)) {
       // The launch is sent again in a response, which has no effect if the direct one arrives too.
-      placement.markResponseLost();
+      placement.markLaunchLost();
     }
   }
 
@@ -95,13 +95,13 @@
    * so the launch can be sent again. After several losses the machine counts as unreachable and
    * gets no new tasks, and the placement is removed so that the task can be placed elsewhere.
    */
-  private void handleLostResponse(HeartbeatContext context, Placement placement) {
-    if (!placement.isWanted()) {
+  private void handleLostLaunch(HeartbeatContext context, Placement placement) {
+    if (!placement.shouldRun()) {
       endWithoutExit(placement, context.nowMs());
       return;
     }
-    placement.markResponseLost();
-    if (placement.lostResponses() >= LOST_RESPONSES_UNTIL_UNREACHABLE) {
+    placement.markLaunchLost();
+    if (placement.lostLaunches() >= LOST_LAUNCHES_UNTIL_UNREACHABLE) {
       context.machine().markUnreachable(registry.nextFencingToken(), context.nowMs());
       endWithoutExit(placement, context.nowMs());
     }
--- a/src/main/java/org/ploverspindle/cluster/Placement.java
+++ b/src/main/java/org/ploverspindle/cluster/Placement.java
@@ -37,8 +37,8 @@
   private final long agentEpoch;
   private Phase phase;
   private long sentSequence;
-  private long directToken = NO_TOKEN;
-  private int lostResponses;
+  private long directLaunchToken = NO_TOKEN;
+  private int lostLaunches;
   private boolean isStopping;
   private double gracePeriodS;
   private long recordedMs = Machine.NEVER_MS;
@@ -91,7 +91,7 @@
   }
 
   /** Sets the phase that a heartbeat shows, and when the task was first seen running. */
-  void phase(Phase reported, long nowMs) {
+  void updatePhase(Phase reported, long nowMs) {
     if (reported == Phase.RUNNING && runningSinceMs < 0) {
       runningSinceMs = nowMs;
     }
@@ -123,7 +123,7 @@
 
   /** Whether no launch can have reached the machine, and none can still reach it. */
   public boolean neverSent() {
-    return (phase == Phase.INTENT || phase == Phase.READY) && !hasDirectLaunch();
+    return (phase == Phase.INTENT || phase == Phase.READY) && !hasPendingDirectLaunch();
   }
 
   // Launches. Only HeartbeatHandler and DirectCommands send launches; both record each one here.
@@ -147,7 +147,7 @@
     markFirstSent(nowMs);
     phase = Phase.SENT;
     sentSequence = NO_RESPONSE;
-    directToken = fencingToken;
+    directLaunchToken = fencingToken;
   }
 
   private void markFirstSent(long nowMs) {
@@ -155,21 +155,21 @@
   }
 
   /** Whether a launch that was sent directly may still be executed. */
-  boolean hasDirectLaunch() {
-    return directToken != NO_TOKEN;
+  boolean hasPendingDirectLaunch() {
+    return directLaunchToken != NO_TOKEN;
   }
 
-  /** The fencing token of the direct launch; valid only if {@link #hasDirectLaunch}. */
-  long directToken() {
-    return directToken;
+  /** The fencing token of the direct launch; valid only if {@link #hasPendingDirectLaunch}. */
+  long directLaunchToken() {
+    return directLaunchToken;
   }
 
   /**
    * Records that the direct launch will not be executed any more, because the worker has received a
    * higher fencing token.
    */
-  void voidDirectLaunch() {
-    directToken = NO_TOKEN;
+  void clearDirectLaunch() {
+    directLaunchToken = NO_TOKEN;
   }
 
   /**
@@ -182,14 +182,14 @@
   }
 
   /** Records that a sent launch was lost or is not shown, so that it is to be sent again. */
-  void markResponseLost() {
+  void markLaunchLost() {
     phase = Phase.READY;
-    lostResponses++;
+    lostLaunches++;
   }
 
   /** How often the launch was recorded as lost. */
-  int lostResponses() {
-    return lostResponses;
+  int lostLaunches() {
+    return lostLaunches;
   }
 
   // Stops.
@@ -215,7 +215,7 @@
   }
 
   /** Whether the task is to run: neither its stop is requested nor is its job terminal. */
-  boolean isWanted() {
+  boolean shouldRun() {
     return !job.isTerminal() && !isStopping;
   }
 
--- a/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTaskHandler.java
@@ -6,23 +6,23 @@
 import org.ploverspindle.model.Resources;
 
 /** Handles the attempts that a heartbeat lists. */
-final class ReportedTasks {
+final class ReportedTaskHandler {
   private final MachineRegistry registry;
   private final Function<String, Optional<Job>> jobs;
   private final Function<String, Optional<HeartbeatHandler.TaskOwner>> owners;
-  private final BiPredicate<Job, Integer> durablyCompleted;
+  private final BiPredicate<Job, Integer> isDurablyCompleted;
   private final HeartbeatHandler.Listener listener;
 
-  ReportedTasks(
+  ReportedTaskHandler(
       MachineRegistry registry,
       Function<String, Optional<Job>> jobs,
       Function<String, Optional<HeartbeatHandler.TaskOwner>> owners,
-      BiPredicate<Job, Integer> durablyCompleted,
+      BiPredicate<Job, Integer> isDurablyCompleted,
       HeartbeatHandler.Listener listener) {
     this.registry = registry;
     this.jobs = jobs;
     this.owners = owners;
-    this.durablyCompleted = durablyCompleted;
+    this.isDurablyCompleted = isDurablyCompleted;
     this.listener = listener;
   }
 
@@ -39,7 +39,7 @@
 
   private void handlePresent(HeartbeatContext context, Placement placement, Placement.Phase phase) {
     if (placement.phase() != phase) {
-      placement.phase(phase, context.nowMs());
+      placement.updatePhase(phase, context.nowMs());
       listener.phaseChanged(placement);
     }
     if (needsStop(placement, phase)) {
@@ -111,7 +111,7 @@
     if (!job.completedTasks().contains(status.task())) {
       listener.completedUnrecorded(job, status.task());
     }
-    return durablyCompleted.test(job, status.task());
+    return isDurablyCompleted.test(job, status.task());
   }
 
   /**
--- a/src/main/java/org/ploverspindle/cluster/TeamUsage.java
+++ b/src/main/java/org/ploverspindle/cluster/TeamUsage.java
@@ -78,18 +78,20 @@
   }
 
   /** Whether the team would stay within its guarantee if it used these resources in addition. */
-  public boolean withinGuarantee(int team, Resources more) {
+  public boolean withinGuarantee(int team, Resources additional) {
     return guarantees(
         team,
         new Resources(
-            usedCores[team] + more.cores(), usedAccelerators[team] + more.accelerators(), 0));
+            usedCores[team] + additional.cores(),
+            usedAccelerators[team] + additional.accelerators(),
+            0));
   }
 
   /** Whether the team's guarantee covers these resources in total. */
-  public boolean guarantees(int team, Resources all) {
+  public boolean guarantees(int team, Resources total) {
     Settings.Team settings = teams.get(team);
-    return isCovered(all.cores(), settings.guaranteedCores())
-        && isCovered(all.accelerators(), settings.guaranteedAccelerators());
+    return isCovered(total.cores(), settings.guaranteedCores())
+        && isCovered(total.accelerators(), settings.guaranteedAccelerators());
   }
 
   private static boolean isCovered(long amount, double guarantee) {
--- a/src/main/java/org/ploverspindle/cluster/ZoneConstraints.java
+++ b/src/main/java/org/ploverspindle/cluster/ZoneConstraints.java
@@ -37,7 +37,7 @@
     if (spec.oneZone() && hasPlacementOutside(zone)) {
       return false;
     }
-    return !spec.spreadOverZones() || placementsInZone[zone] < largestShareOfOneZone();
+    return !spec.spreadOverZones() || placementsInZone[zone] < maxPlacementsPerZone();
   }
 
   private boolean hasPlacementOutside(int zone) {
@@ -53,7 +53,7 @@
    * The largest number of placements in one zone for a job that is spread over zones: half of its
    * tasks, rounded up.
    */
-  private int largestShareOfOneZone() {
+  private int maxPlacementsPerZone() {
     return (spec.tasks() + 1) / 2;
   }
 }
--- a/src/test/java/org/ploverspindle/cluster/CommandFencingTest.java
+++ b/src/test/java/org/ploverspindle/cluster/CommandFencingTest.java
@@ -50,7 +50,7 @@
     fencing.recordDirectLaunch(7);
     assertTrue(fencing.isDirectLaunchPending(7));
     assertFalse(fencing.isDirectLaunchPending(8), "another attempt was not launched directly");
-    fencing.raiseToken(FIRST_TOKEN + 1);
+    fencing.raiseFencingToken(FIRST_TOKEN + 1);
     assertFalse(fencing.isDirectLaunchPending(7));
   }
 }
