--- a/src/main/java/org/ploverspindle/cluster/ReportedTaskHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTaskHandler.java
@@ -33,7 +33,9 @@
       case FETCHING -> handlePresent(context, placement, Placement.Phase.FETCHING);
       case RUNNING -> handlePresent(context, placement, Placement.Phase.RUNNING);
       case CHECKPOINTING -> handlePresent(context, placement, Placement.Phase.CHECKPOINTING);
-      default -> throw new IllegalStateException("unknown phase " + status.phase());
+      default ->
+          throw new IllegalStateException(
+              "unhandled phase of an attempt in a heartbeat: " + status.phase());
     }
   }
 
--- a/src/test/java/org/ploverspindle/cluster/CommandFencingTest.java
+++ b/src/test/java/org/ploverspindle/cluster/CommandFencingTest.java
@@ -17,7 +17,7 @@
   private final CommandFencing fencing = new CommandFencing(FIRST_TOKEN);
 
   @Test
-  void commandsArriveOnceAHeartbeatShowsTheCurrentToken() {
+  void machineReceivesCommandsOnlyAfterAHeartbeatShowsTheCurrentToken() {
     assertFalse(fencing.receivesCommands());
     fencing.recordReportedToken(FIRST_TOKEN - 1);
     assertFalse(fencing.receivesCommands());
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void anUnreachableMachineHasToShowTheTokenThatWasRaisedForIt() {
+  void unreachableMachineReceivesCommandsOnlyAfterShowingTheRaisedToken() {
     fencing.recordReportedToken(FIRST_TOKEN);
     fencing.markUnreachable(FIRST_TOKEN + 1, 5_000);
     fencing.recordReportedToken(FIRST_TOKEN);
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void theTokenIsRaisedOnceForOneTimeOfUnreachability() {
+  void repeatedMarkingAsUnreachableRaisesTheTokenOnlyOnce() {
     fencing.markUnreachable(FIRST_TOKEN + 1, 5_000);
     fencing.markUnreachable(FIRST_TOKEN + 2, 6_000);
     assertEquals(FIRST_TOKEN + 1, fencing.fencingToken());
@@ -46,10 +46,10 @@
   }
 
   @Test
-  void aDirectLaunchIsPendingUntilTheTokenIsRaised() {
+  void directLaunchIsPendingUntilTheTokenIsRaised() {
     fencing.recordDirectLaunch(7);
     assertTrue(fencing.isDirectLaunchPending(7));
-    assertFalse(fencing.isDirectLaunchPending(8), "another attempt was not launched directly");
+    assertFalse(fencing.isDirectLaunchPending(8), "attempt 8 was never launched directly");
     fencing.raiseFencingToken(FIRST_TOKEN + 1);
     assertFalse(fencing.isDirectLaunchPending(7));
   }
--- a/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
+++ b/src/test/java/org/ploverspindle/cluster/FailureDetectorTest.java
@@ -60,61 +60,62 @@
   }
 
   @Test
-  void aJobThatFailsEverywhereCostsNoMachineAndCordonsAtMostOne() {
-    Job broken = job("run-1");
+  void jobFailingEverywhereMakesNoMachineFaultyAndCordonsAtMostOne() {
+    Job faultyJob = job("run-1");
     int cordoned = 0;
     for (int i = 0; i < 40; i++) {
       Machine machine = machine("i-" + i);
       for (int failure = 0; failure < 5; failure++) {
-        assertFalse(failAndDetect(broken, machine));
+        assertFalse(failAndDetect(faultyJob, machine));
       }
       cordoned += machine.isSchedulable(nowMs, 5_000) ? 0 : 1;
     }
-    assertTrue(cordoned <= 1, cordoned + " machines are cordoned for one job's mistake");
-    assertTrue(broken.isFailingEverywhere(nowMs));
+    assertTrue(cordoned <= 1, cordoned + " machines are cordoned because of one faulty job");
+    assertTrue(faultyJob.isFailingEverywhere(nowMs));
   }
 
   @Test
-  void aMachineIsAtFaultWhenSeveralJobsThatRunElsewhereFailThere() {
-    Machine faulty = machine("i-1");
+  void machineIsFaultyWhenTwoJobsThatRunElsewhereFailThere() {
+    Machine faultyMachine = machine("i-1");
     Job first = job("run-1");
     Job second = job("run-2");
     first.markCompleted(0);
-    assertFalse(failAndDetect(first, faulty));
-    assertFalse(faulty.isSchedulable(nowMs + 9_000, 20_000));
-    assertFalse(failAndDetect(second, faulty), "the second job may be the one at fault");
+    assertFalse(failAndDetect(first, faultyMachine));
+    assertFalse(faultyMachine.isSchedulable(nowMs + 9_000, 20_000));
+    assertFalse(failAndDetect(second, faultyMachine), "the second job may be faulty itself");
     second.markCompleted(0);
-    assertTrue(failAndDetect(second, faulty));
+    assertTrue(failAndDetect(second, faultyMachine));
   }
 
   @Test
-  void aMachineIsAtFaultAfterManyFailuresOfOneJobThatRunsElsewhere() {
-    Machine faulty = machine("i-1");
+  void machineIsFaultyAfterThreeFailuresOfOneJobThatRunsElsewhere() {
+    Machine faultyMachine = machine("i-1");
     Job job = job("run-1");
     job.markCompleted(3);
-    assertFalse(failAndDetect(job, faulty));
-    assertFalse(failAndDetect(job, faulty));
-    assertTrue(failAndDetect(job, faulty));
+    assertFalse(failAndDetect(job, faultyMachine));
+    assertFalse(failAndDetect(job, faultyMachine));
+    assertTrue(failAndDetect(job, faultyMachine));
   }
 
   @Test
-  void aFaultyMachineIsFoundAmongJobsWithMistakes() {
-    Machine faulty = machine("i-1");
-    Job broken = job("run-1");
-    failAndDetect(broken, machine("i-2"));
-    failAndDetect(broken, machine("i-3"));
-    assertFalse(failAndDetect(broken, faulty));
-    Job good = job("run-2");
-    assertFalse(failAndDetect(good, faulty));
+  void faultyMachineIsDetectedEvenIfAFaultyJobFailsThereToo() {
+    Machine faultyMachine = machine("i-1");
+    Job faultyJob = job("run-1");
+    failAndDetect(faultyJob, machine("i-2"));
+    failAndDetect(faultyJob, machine("i-3"));
+    assertFalse(failAndDetect(faultyJob, faultyMachine));
+    Job healthyJob = job("run-2");
+    assertFalse(failAndDetect(healthyJob, faultyMachine));
     assertFalse(
-        faulty.isSchedulable(nowMs, 5_000), "it is cordoned while it is unknown what is at fault");
-    good.markCompleted(1);
-    failAndDetect(good, faulty);
-    assertTrue(failAndDetect(good, faulty));
+        faultyMachine.isSchedulable(nowMs, 5_000),
+        "the machine is cordoned while the job or the machine may be faulty");
+    healthyJob.markCompleted(1);
+    failAndDetect(healthyJob, faultyMachine);
+    assertTrue(failAndDetect(healthyJob, faultyMachine));
   }
 
   @Test
-  void completionsOfTasksStartedBeforeTheFailureDoNotClearAMachine() {
+  void onlyACompletionOfATaskStartedAfterTheLastFailureClearsTheHistory() {
     Machine machine = machine("i-1");
     machine.failures().recordFailure("run-1", 1_000);
     machine.failures().recordCompletion(500);
@@ -125,21 +126,23 @@
   }
 
   @Test
-  void aFailingJobIsRetriedAfterGrowingDelaysWithOneTask() {
-    Job broken = job("run-1");
-    int tries = 0;
-    long lastTryMs = nowMs;
+  void jobNotKnownToRunIsRetriedAfterGrowingDelaysWithOneTask() {
+    Job faultyJob = job("run-1");
+    int starts = 0;
+    long lastStartMs = nowMs;
     for (long endMs = nowMs + 600_000; nowMs < endMs; nowMs += 250) {
-      if (broken.schedulableTasks(nowMs) > 0) {
-        assertEquals(tries == 0 ? 20 : 1, broken.schedulableTasks(nowMs));
-        broken.recordFailure("i-" + tries % 7, 0, nowMs);
-        tries++;
-        assertTrue(nowMs - lastTryMs <= 61_000, "it waited for " + (nowMs - lastTryMs));
-        lastTryMs = nowMs;
+      if (faultyJob.schedulableTasks(nowMs) > 0) {
+        assertEquals(starts == 0 ? 20 : 1, faultyJob.schedulableTasks(nowMs));
+        faultyJob.recordFailure("i-" + starts % 7, 0, nowMs);
+        starts++;
+        assertTrue(
+            nowMs - lastStartMs <= 61_000, "ms since the last start: " + (nowMs - lastStartMs));
+        lastStartMs = nowMs;
       }
     }
-    assertTrue(tries >= 12 && tries <= 17, tries + " tries in ten minutes");
-    broken.markCompleted(0);
-    assertEquals(19, broken.schedulableTasks(nowMs), "a job that is known to run is not delayed");
+    assertTrue(starts >= 12 && starts <= 17, starts + " starts in ten minutes");
+    faultyJob.markCompleted(0);
+    assertEquals(
+        19, faultyJob.schedulableTasks(nowMs), "a job that is known to run is not delayed");
   }
 }
--- a/src/test/java/org/ploverspindle/cluster/ZoneConstraintsTest.java
+++ b/src/test/java/org/ploverspindle/cluster/ZoneConstraintsTest.java
@@ -62,14 +62,14 @@
   }
 
   @Test
-  void aRequiredZoneExcludesTheOthers() {
+  void requiredZoneExcludesAllOtherZones() {
     ZoneConstraints zones = new ZoneConstraints(spec(4, false, false), 1, ZONES);
     assertFalse(zones.allows(0));
     assertTrue(zones.allows(1));
   }
 
   @Test
-  void aJobOfOneZoneStaysWhereItsFirstTaskIsUntilThatIsGone() {
+  void oneZoneJobIsLimitedToTheZoneOfItsPlacementUntilThatIsRemoved() {
     JobSpec spec = spec(4, true, false);
     ZoneConstraints zones = new ZoneConstraints(spec, Job.ANY_ZONE, ZONES);
     Placement first = placementIn(2, spec);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void aSpreadJobHasAtMostHalfOfItsTasksRoundedUpInAZone() {
+  void spreadJobIsLimitedToHalfOfItsTasksRoundedUpPerZone() {
     JobSpec spec = spec(3, false, true);
     ZoneConstraints zones = new ZoneConstraints(spec, Job.ANY_ZONE, ZONES);
     zones.add(placementIn(0, spec));
