--- a/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
@@ -40,8 +40,8 @@
       return Optional.empty();
     }
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>(map.path("pieces").size());
-    for (JsonNode piece : map.path("pieces")) {
-      Optional<Heartbeat.TaskStatus> task = decodeTask(piece);
+    for (JsonNode taskNode : map.path("pieces")) {
+      Optional<Heartbeat.TaskStatus> task = decodeTask(taskNode);
       if (task.isEmpty()) {
         return Optional.empty();
       }
@@ -75,8 +75,8 @@
   }
 
   private static boolean hasTaskList(ObjectNode map) {
-    JsonNode pieces = map.path("pieces");
-    return pieces.isArray() || pieces.isNull() || pieces.isMissingNode();
+    JsonNode taskNodes = map.path("pieces");
+    return taskNodes.isArray() || taskNodes.isNull() || taskNodes.isMissingNode();
   }
 
   private static boolean hasNonEmptyText(JsonNode map, String field) {
@@ -88,14 +88,14 @@
     return value.isIntegralNumber() && value.canConvertToLong() && value.asLong() >= 0;
   }
 
-  private static Optional<Heartbeat.TaskStatus> decodeTask(JsonNode piece) {
-    String name = piece.path("piece").asText("");
+  private static Optional<Heartbeat.TaskStatus> decodeTask(JsonNode taskNode) {
+    String name = taskNode.path("piece").asText("");
     int slash = name.lastIndexOf('/');
-    if (slash <= 0 || !hasNonNegativeLong(piece, "try")) {
+    if (slash <= 0 || !hasNonNegativeLong(taskNode, "try")) {
       return Optional.empty();
     }
     OptionalInt task = decodeTaskIndex(name.substring(slash + 1));
-    Optional<Heartbeat.Phase> phase = decodePhase(piece.path("status").asText(""));
+    Optional<Heartbeat.Phase> phase = decodePhase(taskNode.path("status").asText(""));
     if (task.isEmpty() || phase.isEmpty()) {
       return Optional.empty();
     }
@@ -103,10 +103,10 @@
         new Heartbeat.TaskStatus(
             name.substring(0, slash),
             task.getAsInt(),
-            piece.path("try").asLong(),
+            taskNode.path("try").asLong(),
             phase.get(),
-            decodeExitReason(piece.path("cause").asText("")),
-            piece.path("stored").asBoolean(false)));
+            decodeExitReason(taskNode.path("cause").asText("")),
+            taskNode.path("stored").asBoolean(false)));
   }
 
   private static OptionalInt decodeTaskIndex(String text) {
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
@@ -20,7 +20,7 @@
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  /** Is notified of the changes of tasks that heartbeats show. */
+  /** Receives the changes of tasks that heartbeats show. */
   public interface Listener {
     /** The task of the placement has completed, and the placement has been removed. */
     void completed(Placement placement, long nowMs);
--- a/src/main/java/org/ploverspindle/cluster/Job.java
+++ b/src/main/java/org/ploverspindle/cluster/Job.java
@@ -221,8 +221,9 @@
   }
 
   /**
-   * Removes a placement that is proven gone. Only {@link MachineRegistry#removePlacement} may call
-   * this method. The task is pending again unless it is completed or the job is cancelled.
+   * Removes a placement that is proven gone. The leader removes its placements only by {@link
+   * MachineRegistry#removePlacement}, which calls this method. The task is pending again unless it
+   * is completed or the job is cancelled.
    */
   public void removePlacement(Placement placement) {
     if (!tasks.removePlacement(placement)) {
@@ -243,7 +244,7 @@
     return tasks.completedCount() == spec.tasks();
   }
 
-  /** Puts the task off after it ended without completing. */
+  /** Keeps the task from being placed before this time, after it ended without completing. */
   public void backOff(int task, long untilMs) {
     tasks.backOff(task, untilMs);
   }
--- a/src/main/java/org/ploverspindle/cluster/JobDeadline.java
+++ b/src/main/java/org/ploverspindle/cluster/JobDeadline.java
@@ -42,7 +42,7 @@
     return priority;
   }
 
-  /** See {@link Job#inherit}. */
+  /** Implements {@link Job#inherit}. */
   void inherit(
       Priority highestPriority, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
     priority = highestPriority.compareTo(spec.priority()) < 0 ? highestPriority : spec.priority();
@@ -61,14 +61,14 @@
     return acceptedWallMs + Math.round(spec.deadlineS().getAsDouble() * MS_PER_S);
   }
 
-  /** See {@link Job#deadlineS}. */
+  /** Implements {@link Job#deadlineS}. */
   OptionalDouble deadlineS() {
     return inheritedDeadlineWallMs.isPresent()
         ? sinceEligibleS(inheritedDeadlineWallMs)
         : ownDeadlineS(1);
   }
 
-  /** See {@link Job#latestDeadlineS}. */
+  /** Implements {@link Job#latestDeadlineS}. */
   OptionalDouble latestDeadlineS() {
     return sinceEligibleS(latestInheritedDeadlineWallMs);
   }
@@ -79,7 +79,7 @@
         : OptionalDouble.empty();
   }
 
-  /** See {@link Job#ownDeadlineS}. */
+  /** Implements {@link Job#ownDeadlineS}. */
   OptionalDouble ownDeadlineS(double multiple) {
     if (spec.deadlineS().isEmpty()) {
       return OptionalDouble.empty();
--- a/src/main/java/org/ploverspindle/cluster/JobFailures.java
+++ b/src/main/java/org/ploverspindle/cluster/JobFailures.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * Counts the failures of a job's tasks in this term. Decides by them whether the job is known to
- * run and, if it is not, when its next retry may start.
+ * Counts the failures of a job's tasks in this term. Uses them to decide whether the job is known
+ * to run and, if it is not, when its next retry may start.
  */
 final class JobFailures {
   private static final long FIRST_RETRY_DELAY_MS = 1_000;
@@ -33,7 +33,7 @@
     return count;
   }
 
-  /** See {@link Job#recordFailure}. */
+  /** Implements {@link Job#recordFailure}. */
   void record(String host, long ranForMs, JobTasks tasks, long nowMs) {
     count++;
     failedHosts.add(host);
@@ -58,7 +58,7 @@
     return retryNotBeforeMs > nowMs;
   }
 
-  /** See {@link Job#isKnownToRun}. */
+  /** Implements {@link Job#isKnownToRun}. */
   boolean isKnownToRun(JobTasks tasks, long nowMs) {
     if (count == 0 || tasks.completedCount() > 0) {
       return true;
@@ -74,7 +74,7 @@
     return false;
   }
 
-  /** See {@link Job#isFailingEverywhere}. */
+  /** Implements {@link Job#isFailingEverywhere}. */
   boolean isFailingEverywhere(JobTasks tasks, long nowMs) {
     return failedHosts.size() >= 2 && !isKnownToRun(tasks, nowMs);
   }
--- a/src/main/java/org/ploverspindle/cluster/Machine.java
+++ b/src/main/java/org/ploverspindle/cluster/Machine.java
@@ -196,7 +196,7 @@
     return fencing.isDirectLaunchPending(attempt);
   }
 
-  // Life cycle.
+  // Lifecycle.
 
   /** When the machine became known to this leader. */
   public long knownSinceMs() {
--- a/src/main/java/org/ploverspindle/cluster/OrphanedTask.java
+++ b/src/main/java/org/ploverspindle/cluster/OrphanedTask.java
@@ -4,7 +4,7 @@
 
 /**
  * An attempt that a heartbeat listed on a machine where this leader has no placement for it. The
- * worker is told to stop it. It uses resources until a heartbeat no longer lists it.
+ * worker gets a command to stop it. It uses resources until a heartbeat no longer lists it.
  *
  * @param team index of the team that the resources count for, or {@link #UNKNOWN_TEAM}
  */
