--- a/src/main/java/org/ploverspindle/cluster/JobDeadline.java
+++ b/src/main/java/org/ploverspindle/cluster/JobDeadline.java
@@ -6,8 +6,8 @@
 import org.ploverspindle.model.Priority;
 
 /**
- * When a job became eligible to run, and its priority and deadline: its own or, where those are
- * tighter, the ones that it inherits from the jobs that depend on it.
+ * When a job became eligible to run, and its effective priority and deadline. The priority is the
+ * higher, and the deadline the earlier, of the job's own and the one inherited from its dependents.
  */
 final class JobDeadline {
   private static final double MS_PER_S = 1000.0;
@@ -16,8 +16,8 @@
   private final long acceptedWallMs;
   private long eligibleSinceWallMs;
   private Priority priority;
-  private OptionalLong inheritedWallMs = OptionalLong.empty();
-  private OptionalLong latestInheritedWallMs = OptionalLong.empty();
+  private OptionalLong inheritedDeadlineWallMs = OptionalLong.empty();
+  private OptionalLong latestInheritedDeadlineWallMs = OptionalLong.empty();
 
   JobDeadline(JobSpec spec, long acceptedWallMs) {
     this.spec = spec;
@@ -42,15 +42,17 @@
     return priority;
   }
 
-  /** See {@link Job#inherit}. */
-  void inherit(Priority highest, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
-    priority = highest.compareTo(spec.priority()) < 0 ? highest : spec.priority();
-    inheritedWallMs = isBeforeOwn(finishByWallMs) ? finishByWallMs : OptionalLong.empty();
-    latestInheritedWallMs =
-        inheritedWallMs.isPresent() ? latestFinishByWallMs : OptionalLong.empty();
+  /** Implements {@link Job#inherit}. */
+  void inherit(
+      Priority highestPriority, OptionalLong finishByWallMs, OptionalLong latestFinishByWallMs) {
+    priority = highestPriority.compareTo(spec.priority()) < 0 ? highestPriority : spec.priority();
+    inheritedDeadlineWallMs =
+        isBeforeOwnDeadline(finishByWallMs) ? finishByWallMs : OptionalLong.empty();
+    latestInheritedDeadlineWallMs =
+        inheritedDeadlineWallMs.isPresent() ? latestFinishByWallMs : OptionalLong.empty();
   }
 
-  private boolean isBeforeOwn(OptionalLong wallMs) {
+  private boolean isBeforeOwnDeadline(OptionalLong wallMs) {
     return wallMs.isPresent()
         && (spec.deadlineS().isEmpty() || wallMs.getAsLong() < ownDeadlineWallMs());
   }
@@ -59,14 +61,16 @@
     return acceptedWallMs + Math.round(spec.deadlineS().getAsDouble() * MS_PER_S);
   }
 
-  /** See {@link Job#deadlineS}. */
+  /** Implements {@link Job#deadlineS}. */
   OptionalDouble deadlineS() {
-    return inheritedWallMs.isPresent() ? sinceEligibleS(inheritedWallMs) : ownDeadlineS(1);
+    return inheritedDeadlineWallMs.isPresent()
+        ? sinceEligibleS(inheritedDeadlineWallMs)
+        : ownDeadlineS(1);
   }
 
-  /** See {@link Job#latestDeadlineS}. */
+  /** Implements {@link Job#latestDeadlineS}. */
   OptionalDouble latestDeadlineS() {
-    return sinceEligibleS(latestInheritedWallMs);
+    return sinceEligibleS(latestInheritedDeadlineWallMs);
   }
 
   private OptionalDouble sinceEligibleS(OptionalLong wallMs) {
@@ -75,12 +79,12 @@
         : OptionalDouble.empty();
   }
 
-  /** See {@link Job#ownDeadlineS}. */
-  OptionalDouble ownDeadlineS(double times) {
+  /** Implements {@link Job#ownDeadlineS}. */
+  OptionalDouble ownDeadlineS(double multiple) {
     if (spec.deadlineS().isEmpty()) {
       return OptionalDouble.empty();
     }
     double blockedS = (eligibleSinceWallMs - acceptedWallMs) / MS_PER_S;
-    return OptionalDouble.of(spec.deadlineS().getAsDouble() * times - blockedS);
+    return OptionalDouble.of(spec.deadlineS().getAsDouble() * multiple - blockedS);
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/ReportedTasks.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTaskHandler.java
@@ -5,41 +5,43 @@
 import java.util.function.Function;
 import org.ploverspindle.model.Resources;
 
-/** Decides what follows from the attempts that a heartbeat shows on its machine. */
-final class ReportedTasks {
+/** Handles the attempts that a heartbeat lists. */
+final class ReportedTaskHandler {
   private final MachineRegistry registry;
   private final Function<String, Optional<Job>> jobs;
   private final Function<String, Optional<HeartbeatHandler.TaskOwner>> owners;
-  private final BiPredicate<Job, Integer> durablyCompleted;
+  private final BiPredicate<Job, Integer> isDurablyCompleted;
   private final HeartbeatHandler.Listener listener;
 
-  ReportedTasks(
+  ReportedTaskHandler(
       MachineRegistry registry,
       Function<String, Optional<Job>> jobs,
       Function<String, Optional<HeartbeatHandler.TaskOwner>> owners,
-      BiPredicate<Job, Integer> durablyCompleted,
+      BiPredicate<Job, Integer> isDurablyCompleted,
       HeartbeatHandler.Listener listener) {
     this.registry = registry;
     this.jobs = jobs;
     this.owners = owners;
-    this.durablyCompleted = durablyCompleted;
+    this.isDurablyCompleted = isDurablyCompleted;
     this.listener = listener;
   }
 
-  /** Handles an attempt for which there is a placement on the machine. */
+  /** Handles an attempt for which the machine has a placement. */
   void handlePlaced(HeartbeatContext context, Placement placement, Heartbeat.TaskStatus status) {
     switch (status.phase()) {
       case EXITED -> handleExited(context, placement, status);
       case FETCHING -> handlePresent(context, placement, Placement.Phase.FETCHING);
       case RUNNING -> handlePresent(context, placement, Placement.Phase.RUNNING);
       case CHECKPOINTING -> handlePresent(context, placement, Placement.Phase.CHECKPOINTING);
-      default -> throw new IllegalStateException("unknown phase " + status.phase());
+      default ->
+          throw new IllegalStateException(
+              "unhandled phase of an attempt in a heartbeat: " + status.phase());
     }
   }
 
   private void handlePresent(HeartbeatContext context, Placement placement, Placement.Phase phase) {
     if (placement.phase() != phase) {
-      placement.phase(phase, context.nowMs());
+      placement.updatePhase(phase, context.nowMs());
       listener.phaseChanged(placement);
     }
     if (needsStop(placement, phase)) {
@@ -47,7 +49,10 @@
     }
   }
 
-  /** A task that writes its checkpoint needs no repeated stop, unless it is to end at once. */
+  /**
+   * Whether the stop has to be sent. A task that is writing its checkpoint got it before and needs
+   * it again only if it has to end at once.
+   */
   private static boolean needsStop(Placement placement, Placement.Phase phase) {
     if (placement.job().isTerminal()) {
       return true;
@@ -62,8 +67,8 @@
     MachineFailureHistory failures = context.machine().failures();
     if (status.exitReason() == Heartbeat.ExitReason.DONE) {
       failures.recordCompletion(placement.runningSinceMs());
-      // The agent forgets it only once the completion is durable: until then the agent holds the
-      // only record.
+      // No forget command is sent yet. Until the completion is durable, the worker holds the only
+      // record of it.
       listener.completed(placement, context.nowMs());
       return;
     }
@@ -74,7 +79,10 @@
     listener.ended(placement, status.exitReason(), status.checkpointed(), context.nowMs());
   }
 
-  /** Handles an attempt without a placement: it is stopped, or forgotten once that is safe. */
+  /**
+   * Handles an attempt for which the machine has no placement. A running attempt is stopped; an
+   * exited one is forgotten by the worker once that is safe.
+   */
   void handleUnplaced(HeartbeatContext context, Heartbeat.TaskStatus status) {
     Optional<Job> job = jobs.apply(status.uid());
     if (status.phase() != Heartbeat.Phase.EXITED) {
@@ -89,8 +97,8 @@
   }
 
   /**
-   * A completion counts whoever placed the task, and until it is durable the agent holds the only
-   * record of it.
+   * Whether the worker may forget the exited attempt. A completion counts no matter which leader
+   * placed the task, and until it is durable the worker holds the only record of it.
    */
   private boolean mayBeForgotten(Heartbeat.TaskStatus status, Optional<Job> known) {
     if (known.isEmpty()
@@ -105,10 +113,13 @@
     if (!job.completedTasks().contains(status.task())) {
       listener.completedUnrecorded(job, status.task());
     }
-    return durablyCompleted.test(job, status.task());
+    return isDurablyCompleted.test(job, status.task());
   }
 
-  /** Until a heartbeat shows it no more, an orphaned task counts for its machine and its team. */
+  /**
+   * Stops an attempt without a placement. It counts for its machine and its team as an orphaned
+   * task until a heartbeat no longer lists it.
+   */
   private void stopOrphan(
       HeartbeatContext context, Heartbeat.TaskStatus status, Optional<Job> job) {
     HeartbeatHandler.TaskOwner owner =
--- a/src/test/java/org/ploverspindle/cluster/CommandFencingTest.java
+++ b/src/test/java/org/ploverspindle/cluster/CommandFencingTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A machine counts as reached only by its current token, and a raised token voids older launches.
+ * Guards against placing tasks on a machine that receives no commands, which would happen if a
+ * heartbeat with an outdated fencing token were enough for the machine to count as reachable. Also
+ * guards against overlooking a direct launch that the worker may still execute.
  */
 class CommandFencingTest {
   private static final long FIRST_TOKEN = 100;
@@ -15,7 +17,7 @@
   private final CommandFencing fencing = new CommandFencing(FIRST_TOKEN);
 
   @Test
-  void commandsArriveOnceAHeartbeatShowsTheCurrentToken() {
+  void machineReceivesCommandsOnlyAfterAHeartbeatShowsTheCurrentToken() {
     assertFalse(fencing.receivesCommands());
     fencing.recordReportedToken(FIRST_TOKEN - 1);
     assertFalse(fencing.receivesCommands());
@@ -24,7 +26,7 @@
   }
 
   @Test
-  void anUnreachableMachineHasToShowTheTokenThatWasRaisedForIt() {
+  void unreachableMachineReceivesCommandsOnlyAfterShowingTheRaisedToken() {
     fencing.recordReportedToken(FIRST_TOKEN);
     fencing.markUnreachable(FIRST_TOKEN + 1, 5_000);
     fencing.recordReportedToken(FIRST_TOKEN);
@@ -36,7 +38,7 @@
   }
 
   @Test
-  void theTokenIsRaisedOnceForOneTimeOfUnreachability() {
+  void repeatedMarkingAsUnreachableRaisesTheTokenOnlyOnce() {
     fencing.markUnreachable(FIRST_TOKEN + 1, 5_000);
     fencing.markUnreachable(FIRST_TOKEN + 2, 6_000);
     assertEquals(FIRST_TOKEN + 1, fencing.fencingToken());
@@ -44,11 +46,11 @@
   }
 
   @Test
-  void aDirectLaunchIsPendingUntilTheTokenIsRaised() {
+  void directLaunchIsPendingUntilTheTokenIsRaised() {
     fencing.recordDirectLaunch(7);
     assertTrue(fencing.isDirectLaunchPending(7));
-    assertFalse(fencing.isDirectLaunchPending(8), "another attempt was not launched directly");
-    fencing.raiseToken(FIRST_TOKEN + 1);
+    assertFalse(fencing.isDirectLaunchPending(8), "attempt 8 was never launched directly");
+    fencing.raiseFencingToken(FIRST_TOKEN + 1);
     assertFalse(fencing.isDirectLaunchPending(7));
   }
 }
--- a/src/test/java/org/ploverspindle/cluster/ZoneConstraintsTest.java
+++ b/src/test/java/org/ploverspindle/cluster/ZoneConstraintsTest.java
@@ -13,7 +13,11 @@
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.model.Resources;
 
-/** Where a job's next task may be placed, given its zone constraint and its placements. */
+/**
+ * Guards against placing a task in a zone that its job does not allow: outside the required zone,
+ * in a second zone for a job that must stay in one, or too many tasks in one zone for a job that is
+ * spread over zones.
+ */
 class ZoneConstraintsTest {
   private static final int ZONES = 3;
 
@@ -58,14 +62,14 @@
   }
 
   @Test
-  void aRequiredZoneExcludesTheOthers() {
+  void requiredZoneExcludesAllOtherZones() {
     ZoneConstraints zones = new ZoneConstraints(spec(4, false, false), 1, ZONES);
     assertFalse(zones.allows(0));
     assertTrue(zones.allows(1));
   }
 
   @Test
-  void aJobOfOneZoneStaysWhereItsFirstTaskIsUntilThatIsGone() {
+  void oneZoneJobIsLimitedToTheZoneOfItsPlacementUntilThatIsRemoved() {
     JobSpec spec = spec(4, true, false);
     ZoneConstraints zones = new ZoneConstraints(spec, Job.ANY_ZONE, ZONES);
     Placement first = placementIn(2, spec);
@@ -77,7 +81,7 @@
   }
 
   @Test
-  void aSpreadJobHasAtMostHalfOfItsTasksRoundedUpInAZone() {
+  void spreadJobIsLimitedToHalfOfItsTasksRoundedUpPerZone() {
     JobSpec spec = spec(3, false, true);
     ZoneConstraints zones = new ZoneConstraints(spec, Job.ANY_ZONE, ZONES);
     zones.add(placementIn(0, spec));
