--- a/src/main/java/org/ploverspindle/cloud/Autoscaler.java
+++ b/src/main/java/org/ploverspindle/cloud/Autoscaler.java
@@ -25,13 +25,17 @@
 import org.ploverspindle.state.Replica;
 
 /**
- * Scales the fleet for one term of a leader. It connects the scale-out rounds, the provisioning
- * intents, the scale-in rounds and the reader of the cloud's list, and runs each at its period.
+ * Scales the fleet for one term of a leader: creates the components for scale-out, provisioning,
+ * scale-in and the reading of the cloud's list of machines, and runs each of them periodically.
  */
 public final class Autoscaler {
   private static final double MS_PER_S = 1_000;
 
-  /** A list may be twice as old as its usual lag; a termination record outlives that. */
+  /**
+   * Age of the oldest list of machines that the cloud may return, in milliseconds per second of the
+   * configured list lag: a list may be twice as old as that lag. A termination record is kept for
+   * this time and {@link #OLDEST_LIST_MARGIN_MS}, so that no later list can show its machines.
+   */
   private static final double OLDEST_LIST_MS_PER_LAG_S = 2_000;
 
   private static final long OLDEST_LIST_MARGIN_MS = 1_000;
@@ -40,54 +44,60 @@
   private static final long MACHINE_TYPES_PERIOD_MS = 60_000;
   private static final long UNANSWERED_INTENTS_PERIOD_MS = 500;
 
-  /** A request without a response is sent again after at least this time. */
+  /** Shortest delay before a request to the cloud that got no response is sent again. */
   private static final int RETRY_MS = 700;
 
-  /** Random addition to the time above. */
+  /** Exclusive upper bound of the random time that is added to {@link #RETRY_MS}. */
   private static final int RETRY_JITTER_MS = 600;
 
-  /** A heartbeat period and a quarter, by which a machine that is up has sent a heartbeat. */
+  /**
+   * Time in milliseconds per second of the heartbeat interval, that is, 1.25 intervals. After this
+   * time and {@link #FIRST_HEARTBEAT_MARGIN_MS}, every machine that is up has sent a heartbeat to a
+   * new leader.
+   */
   private static final double FIRST_HEARTBEAT_MS_PER_PERIOD_S = 1_250;
 
   private static final long FIRST_HEARTBEAT_MARGIN_MS = 1_500;
 
-  /** What the leader's work asks of the fleet, and what the autoscaler reports back to it. */
+  /** The demand of the leader's jobs for machines, and the autoscaler's callbacks to the leader. */
   public interface Workload {
     /**
-     * The machines to request.
+     * Plans the machines to request for pending work.
      *
-     * @param candidates the groups that may grow now
-     * @param pending machines that boot or are requested, each by its group
+     * @param candidates groups in which machines may be requested now
+     * @param pending the groups of the machines that are booting or requested, one element for each
+     *     machine
      */
     List<ScaleOutPlanner.Request> scaleOutRequests(
         List<ScaleOutPlanner.Candidate> candidates, List<MachineGroup> pending);
 
-    /** True when users have stopped submitting jobs, so that idle machines go back sooner. */
+    /** Whether users have stopped submitting jobs. Idle machines are terminated sooner then. */
     boolean isQuiet();
 
     /**
-     * A predicate for idle machines, tested one after the other: true when the machine is not
-     * needed as spare room for the next high-priority job, given those found surplus before.
+     * Returns a stateful predicate that is tested on one idle machine after another. It is true if
+     * the next high-priority job that is expected can do without the machine and without all
+     * machines for which the predicate was true before.
      */
     Predicate<Machine> surplusMachines();
 
-    /** A predicate for any number of machines: true when a pending task could run there. */
+    /** Returns a predicate that is true for each machine on which a pending task could run. */
     Predicate<Machine> usefulMachines();
 
     /**
-     * Since when this leader has received heartbeats without a pause of its own, in milliseconds on
-     * the steady clock.
+     * The time since which this leader has received heartbeats without a pause of its own process,
+     * in milliseconds on the steady clock.
      */
     long listeningSinceMs();
 
-    /** Called with the placements that ended with a terminated machine. */
+    /** Called with the placements that were removed when a machine's termination was confirmed. */
     void placementsLost(List<Placement> placements);
 
-    /** True while this leader's lease is certainly valid. */
+    /** Whether this leader's lease is certainly valid now. */
     boolean isAuthoritative();
   }
 
-  /** What a controller keeps over all its terms. */
+  /** The objects that a controller keeps for all its terms. */
   public record Environment(
       Scheduler scheduler,
       RandomGenerator random,
@@ -96,7 +106,7 @@
       Policy policy,
       Settings settings) {}
 
-  /** What belongs to one term of the leader. */
+  /** The objects that live for one term of the leader. */
   public record LeaderState(
       Term term, MachineRegistry fleet, Replica replica, LeaderWriter writer) {}
 
@@ -123,7 +133,7 @@
   private final MachineListReader listReader;
   private final CancellableGroup tasks = new CancellableGroup();
 
-  /** True when an earlier leader left intents or machines. */
+  /** Whether an earlier leader left provisioning intents or machines. */
   private boolean inheritedFleet;
 
   public Autoscaler(Environment environment, LeaderState leader, Workload workload) {
@@ -216,8 +226,10 @@
   }
 
   /**
-   * Takes over the intents, terminations and backoffs of earlier leaders, and begins. To be called
-   * before the first placement of the term.
+   * Inherits the terminations, provisioning intents and group backoffs that earlier leaders
+   * recorded, and starts the periodic work. Must be called before the first placement of the term.
+   *
+   * @return cancels all periodic work of the autoscaler
    */
   public Cancellable start() {
     replica.withPrefix(Keys.TERMINATIONS).values().forEach(terminations::inheritTermination);
@@ -235,19 +247,22 @@
     return tasks;
   }
 
-  /** True once the whole list of machines was read in this term. */
+  /** Whether a complete list of machines has been read in this term. */
   public boolean isMachineListRead() {
     return listReader.wasRead();
   }
 
-  /** Scales out now, without waiting for the next round, if no machine exists or is requested. */
+  /**
+   * Runs a scale-out round now instead of at its next period, if the list of machines has been read
+   * and no machine exists or is requested.
+   */
   public void scaleOutSoon() {
     if (listReader.wasRead() && intents.isEmpty() && fleet.all().isEmpty()) {
       scaleOut();
     }
   }
 
-  /** Counts of terminations in this term, as text for the status. */
+  /** Counts and latencies of this term's terminations, as text for the status. */
   public String scaleInStatus() {
     return terminations.summary();
   }
@@ -259,9 +274,10 @@
   }
 
   /**
-   * True when scale-out can rely on the registry. Before most machines of an earlier leader have
-   * sent a heartbeat, capacity that exists would be requested again; where no earlier leader left
-   * any, there is nothing to wait for.
+   * Whether scale-out can rely on the registry: the list of machines has been read, no provisioning
+   * intent waits for the cloud's answer, and machines of an earlier leader have had the time to
+   * send a heartbeat. Before that, capacity that exists already would be requested again. Without
+   * intents or machines of an earlier leader, no heartbeats have to be waited for.
    */
   private boolean isFleetKnown() {
     if (!listReader.wasRead() || intents.haveUnanswered()) {
--- a/src/main/java/org/ploverspindle/cloud/BootTracker.java
+++ b/src/main/java/org/ploverspindle/cloud/BootTracker.java
@@ -10,29 +10,47 @@
 import org.ploverspindle.placement.MachineGroup;
 
 /**
- * Measures how long machines of each group take to boot at present, from the machines provisioned
- * in this term: the time since the request, relative to the boot time that the cloud gives for the
- * type. At times machines boot several times slower than that, or never.
+ * Measures how long the machines of each group currently take to boot: the time from provisioning
+ * to the first heartbeat, as a ratio to the boot time that the cloud states for the machine type.
+ * Only machines whose time of provisioning is known are measured. Machines sometimes take several
+ * times as long as stated, or never come up.
  */
 final class BootTracker {
-  /** Nearly all machines are up within this multiple of their type's boot time, and the margin. */
+  /**
+   * A machine is overdue after this multiple of its type's boot time plus {@link
+   * #OVERDUE_MARGIN_S}. Nearly all machines are up within that time.
+   */
   private static final double OVERDUE_RATIO = 1.7;
 
   private static final double OVERDUE_MARGIN_S = 5;
 
-  /** In a group that boots slowly, a machine is overdue at this multiple of the slowest boot. */
+  /**
+   * Where the slowest recent boot of a group took longer than {@link #OVERDUE_RATIO}, this multiple
+   * of its ratio is used instead to tell whether a machine is overdue.
+   */
   private static final double BEYOND_SLOWEST = 1.3;
 
-  /** No machine is waited for longer than this multiple, however slowly others booted. */
+  /**
+   * Largest ratio after which a machine counts as overdue or stuck, however slowly other machines
+   * of its group booted.
+   */
   private static final double MAX_RATIO = 6;
 
+  /**
+   * Smallest ratio after which, with {@link #STUCK_MARGIN_S} added, a machine counts as stuck. The
+   * ratio is larger in a group that boots slowly.
+   */
   private static final double STUCK_RATIO = 3;
+
   private static final double STUCK_MARGIN_S = 15;
 
-  /** Older boots say nothing about the present. */
+  /**
+   * Boots that were observed longer ago than this are discarded, since they do not show how the
+   * group boots now.
+   */
   private static final long BOOT_KEPT_MS = 120_000;
 
-  /** Fewer overdue machines may be single failures. */
+  /** Fewer overdue machines in a group may be independent failures of single machines. */
   private static final int MIN_OVERDUE = 3;
 
   private static final double MS_PER_S = 1_000;
@@ -40,15 +58,18 @@
   /**
    * A completed boot.
    *
-   * @param atMs when it was observed, on the steady clock
-   * @param ratio its duration relative to the type's boot time
+   * @param atMs when it was observed, in milliseconds on the steady clock
+   * @param ratio its duration as a multiple of the type's boot time
    */
   private record Boot(long atMs, double ratio) {}
 
   private static final class GroupBoots {
     private final Deque<Boot> recent = new ArrayDeque<>();
 
-    /** The largest ratio among them; kept, as each booting machine is compared with it. */
+    /**
+     * The largest ratio among the recent boots, 0 without any. It is cached because every booting
+     * machine is compared with it.
+     */
     private double slowestRatio;
 
     private int overdue;
@@ -73,7 +94,10 @@
     this.catalogue = catalogue;
   }
 
-  /** Records the boots completed since the last call, and counts the machines overdue now. */
+  /**
+   * Records the boots that were completed since the last call, and counts the machines of each
+   * group that are overdue now.
+   */
   void observe(Collection<Machine> machines, long nowMs) {
     for (GroupBoots boots : bootsByGroup.values()) {
       boots.overdue = 0;
@@ -103,13 +127,16 @@
     return (nowMs - machine.bootingSinceMs()) / MS_PER_S;
   }
 
-  /** The slowest recent boot of the machine's group, as a ratio; 0 when there is none. */
+  /** The largest ratio of the recent boots of the machine's group; 0 if there are none. */
   private double slowestRatio(Machine machine) {
     GroupBoots boots = bootsByGroup.get(MachineGroup.of(machine));
     return boots == null ? 0 : boots.slowestRatio;
   }
 
-  /** True when the machine takes longer than nearly all do, and than its group lately did. */
+  /**
+   * Whether the machine has been booting for longer than nearly all machines take, and for longer
+   * than the slowest recent boot of its group.
+   */
   boolean isOverdue(Machine machine, long nowMs) {
     double slowest = slowestRatio(machine);
     double ratio =
@@ -117,7 +144,7 @@
     return bootingForS(machine, nowMs) >= expectedBootS(machine) * ratio + OVERDUE_MARGIN_S;
   }
 
-  /** True when the machine is not expected to come up any more. */
+  /** Whether the machine has been booting for so long that it is not expected to come up. */
   boolean isStuck(Machine machine, long nowMs) {
     double ratio = Math.min(MAX_RATIO, slowestRatio(machine) * BEYOND_SLOWEST);
     return bootingForS(machine, nowMs)
@@ -125,8 +152,8 @@
   }
 
   /**
-   * True when several machines of the group are overdue, and more than came up lately: work that
-   * cannot wait should get a machine of another group.
+   * Whether several machines of the group are overdue, and more than have recently come up. Work
+   * that cannot wait should then get machines of another group.
    */
   boolean isBootingBadly(MachineGroup group) {
     GroupBoots boots = bootsByGroup.get(group);
--- a/src/main/java/org/ploverspindle/cloud/CandidateGroups.java
+++ b/src/main/java/org/ploverspindle/cloud/CandidateGroups.java
@@ -10,15 +10,16 @@
 import org.ploverspindle.sizing.AdaptiveSizing;
 
 /**
- * Evaluates GEP-24's bounds for every pool: in which groups machines may be requested now, and
- * which groups hold fewer than their minimum.
+ * Evaluates the bounds of every pool by GEP-24: finds the groups in which machines may be requested
+ * now, and those that hold fewer machines than their minimum.
  */
 final class CandidateGroups {
   /**
    * The outcome of one evaluation.
    *
-   * @param candidates groups that may grow, in the order of types and zones, spot first
-   * @param missing machines that are missing to a group's minimum
+   * @param candidates groups that may grow, in the order of machine types and then of zones, for
+   *     each zone spot before on-demand
+   * @param missing how many machines to request, by group, so that each zone reaches its minimum
    */
   record Evaluation(
       List<ScaleOutPlanner.Candidate> candidates, Map<MachineGroup, Integer> missing) {}
@@ -42,7 +43,7 @@
     this.boots = boots;
   }
 
-  /** Evaluates and records the bounds of all pools. */
+  /** Evaluates the bounds of all pools and records them in the state service. */
   Evaluation evaluate() {
     Evaluation evaluation = new Evaluation(new ArrayList<>(), new LinkedHashMap<>());
     for (int type = 0; type < catalogue.types().size(); type++) {
@@ -67,8 +68,9 @@
     addCandidate(onDemand, mayGrow, held, evaluation);
     int missing = Math.min(mayGrow, bounds.min() - held);
     if (missing > 0) {
-      // A pool must always have its minimum: on-demand machines, which the cloud does not take
-      // back, where they can be had.
+      // A pool must always have its minimum. Therefore on-demand machines, which the cloud does
+      // not reclaim, are requested for it, and spot machines only if the on-demand group is backed
+      // off.
       evaluation.missing().put(limits.isBackedOff(onDemand) ? spot : onDemand, missing);
     }
   }
--- a/src/main/java/org/ploverspindle/cloud/CloudCallBudget.java
+++ b/src/main/java/org/ploverspindle/cloud/CloudCallBudget.java
@@ -4,14 +4,21 @@
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.state.TokenBucket;
 
-/** One leader's rate limit for calls to the cloud, shared by listing, scale-out and scale-in. */
+/**
+ * The rate limit of one leader's calls to the cloud. The listing of machines and machine types,
+ * scale-out and scale-in share it.
+ */
 final class CloudCallBudget {
-  /** Part of the cloud's rate limit that is used, as the cloud measures a second differently. */
+  /**
+   * Share of the cloud's rate limit that is used. The rest is a margin, because the cloud may
+   * measure a second differently from this process.
+   */
   private static final double RATE_SHARE = 0.75;
 
   /**
-   * Listing leaves one call for provisioning. With a burst of one call provisioning would never
-   * begin, as nothing is requested before the first list is read.
+   * Smallest burst of the budget, in calls. A reading of the machine list begins only when one more
+   * call is left for provisioning. With a burst of one call it would never begin, and neither would
+   * provisioning, since nothing is requested before the first list has been read.
    */
   private static final double MIN_BURST = 2;
 
@@ -21,7 +28,7 @@
 
   /**
    * @param cloudRps the cloud's rate limit, in requests per second
-   * @param isAuthoritative whether this leader's lease is certainly valid
+   * @param isAuthoritative whether this leader's lease is certainly valid now
    */
   CloudCallBudget(Scheduler scheduler, double cloudRps, BooleanSupplier isAuthoritative) {
     this.callsPerS = cloudRps * RATE_SHARE;
@@ -29,26 +36,30 @@
     this.isAuthoritative = isAuthoritative;
   }
 
-  /** The rate at which the budget grows. */
+  /** The rate at which the budget is refilled, in calls per second. */
   double callsPerS() {
     return callsPerS;
   }
 
+  /** Whether this leader's lease is certainly valid now. */
   boolean isAuthoritative() {
     return isAuthoritative.getAsBoolean();
   }
 
-  /** True when at least so many calls can be taken now. */
+  /** Whether at least this number of calls can be taken now. */
   boolean isAvailable(int count) {
     return calls.available() >= count;
   }
 
-  /** Takes one call; for calls that change nothing. */
+  /** Takes one call, if the budget allows it. Used for calls that only read. */
   boolean tryTake() {
     return calls.tryTake(1);
   }
 
-  /** Takes one call if this leader's lease is certainly valid; for calls that change the fleet. */
+  /**
+   * Takes one call, if this leader's lease is certainly valid and the budget allows it. Used for
+   * calls that provision or terminate machines.
+   */
   boolean tryTakeAsLeader() {
     return isAuthoritative() && tryTake();
   }
--- a/src/main/java/org/ploverspindle/cloud/CloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/CloudClient.java
@@ -7,8 +7,8 @@
 import org.ploverspindle.scalein.TerminationClient;
 
 /**
- * The cloud's operations. Outcomes are delivered on the event loop; an empty one means that there
- * was no usable response.
+ * The operations of the cloud that provisions machines. Outcomes are delivered on the event loop.
+ * An empty outcome means that no usable response was received.
  */
 public interface CloudClient extends TerminationClient {
 
@@ -22,8 +22,10 @@
   /**
    * A machine in the cloud's list.
    *
-   * @param address where its worker takes commands; empty when it is not known yet
-   * @param ageS seconds since it was provisioned
+   * @param id the machine's name, unique over all machines
+   * @param address the address at which its worker receives direct commands; empty if it is not
+   *     known yet
+   * @param ageS seconds from its provisioning until the list was made
    */
   record Host(
       String id,
@@ -34,33 +36,44 @@
       HostStatus status,
       double ageS) {}
 
-  /** A page of the list of machines. */
+  /**
+   * A page of the list of machines.
+   *
+   * @param hasNext whether another page follows
+   */
   record HostPage(List<Host> hosts, boolean hasNext) {}
 
   /** The outcome of a provisioning request. */
   sealed interface ProvisionResult {
-    /** These machines are provisioned: as many as were requested, or fewer. */
+    /**
+     * The request was executed.
+     *
+     * @param hosts the names of the provisioned machines: as many as were requested, or fewer
+     */
     record Provisioned(List<String> hosts) implements ProvisionResult {}
 
-    /** The cloud has no machine of the type and kind left in the zone at present. */
+    /**
+     * The cloud currently has no machine of the type left in the zone, spot or on-demand as
+     * requested.
+     */
     record NoCapacity() implements ProvisionResult {}
 
-    /** The cloud rejects the request, and would reject it again. */
+    /** The cloud rejected the request as malformed, and would reject a repeated one as well. */
     record Malformed() implements ProvisionResult {}
 
-    /** Certainly not executed, for a reason other than capacity. */
+    /** The request was certainly not executed, for a reason other than a lack of capacity. */
     record Refused() implements ProvisionResult {}
 
-    /** May have been executed: it must be repeated under the same name. */
+    /** The request may have been executed. It must be repeated under the same intent name. */
     record Unknown() implements ProvisionResult {}
   }
 
-  /** Requests the machine types that the cloud offers. */
+  /** Lists the machine types that the cloud offers. */
   void listMachineTypes(Consumer<Optional<List<MachineType>>> then);
 
   /**
-   * Provisions up to {@code count} machines. Idempotent by {@code intentName}: a repeat provisions
-   * nothing more and returns the same machines.
+   * Provisions up to {@code count} machines. The operation is idempotent by {@code intentName}: a
+   * repeated request provisions nothing more and returns the same machines.
    */
   void provision(
       String intentName,
@@ -70,6 +83,10 @@
       int count,
       Consumer<ProvisionResult> then);
 
-  /** Requests the page of the list that follows the host {@code after}; empty for the first. */
+  /**
+   * Lists a page of the machines.
+   *
+   * @param after the last machine of the page before; empty for the first page
+   */
   void listMachines(String after, Consumer<Optional<HostPage>> then);
 }
--- a/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
+++ b/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
@@ -4,8 +4,9 @@
 import org.ploverspindle.cluster.MachineRegistry;
 
 /**
- * How many machines of the fleet can be reached and send heartbeats, counted at most once in a
- * scale-in round: when a zone is cut off, thousands of machines ask in the same round.
+ * Whether commands reach most machines of the fleet and most machines send heartbeats. One object
+ * serves one scale-in round and counts the machines at most once: during a network partition of a
+ * zone, the answer is needed for thousands of machines in the same round.
  */
 final class FleetConnectivity {
   private final MachineRegistry fleet;
@@ -22,14 +23,19 @@
     this.nowMs = nowMs;
   }
 
-  /** False when so many machines are unreachable that the fault must be on the leader's side. */
+  /**
+   * Whether commands fail to reach at most half of the machines. If they fail to reach more, the
+   * fault must be on the leader's side.
+   */
   boolean fewAreUnreachable() {
     count();
     return unreachable * 2 <= fleet.all().size();
   }
 
   /**
-   * False when most machines are silent: then the leader is cut off, the machines have not died.
+   * Whether at least half of the machines that are up have sent a heartbeat within the last worker
+   * lease. If fewer have, the leader is partitioned from the machines, and their silence does not
+   * show that they have failed.
    */
   boolean mostSendHeartbeats() {
     count();
--- a/src/main/java/org/ploverspindle/cloud/GroupBackoffs.java
+++ b/src/main/java/org/ploverspindle/cloud/GroupBackoffs.java
@@ -14,17 +14,26 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** GEP-24's backoff: which groups get no request after a failed one, and until when. */
+/**
+ * The backoffs of GEP-24: after a failed provisioning request, a group gets no further request
+ * until its backoff ends.
+ */
 final class GroupBackoffs {
   private static final Logger LOG = LoggerFactory.getLogger(GroupBackoffs.class);
 
-  /** A backoff lasts at least this part of the policy's time. */
+  /** Shortest duration of a backoff, as a multiple of the policy's backoff time. */
   private static final double MIN_PART = 0.85;
 
-  /** A backoff lasts longer by a random part of the policy's time, of up to this. */
+  /**
+   * Exclusive upper bound of the random time that is added to the shortest duration, as a multiple
+   * of the policy's backoff time.
+   */
   private static final double RANDOM_PART = 0.3;
 
-  /** Fields of a recorded backoff: zone, spot, milliseconds left. */
+  /**
+   * Number of the comma-separated fields of a recorded backoff: the zone's name, whether the group
+   * is spot, and the milliseconds until the backoff ends.
+   */
   private static final int RECORDED_FIELDS = 3;
 
   private static final double MS_PER_S = 1_000;
@@ -34,7 +43,7 @@
   private final Policy policy;
   private final RandomGenerator random;
 
-  /** When the backoff of each group ends, on the steady clock. */
+  /** When the backoff of each group ends, in milliseconds on the steady clock. */
   private final Map<MachineGroup, Long> untilMs = new HashMap<>();
 
   GroupBackoffs(Scheduler scheduler, Catalogue catalogue, Policy policy, RandomGenerator random) {
@@ -44,18 +53,23 @@
     this.random = random;
   }
 
-  /** The group gets no request for the policy's time, somewhat varied at random. */
+  /** Backs the group off for the policy's backoff time, varied at random. */
   void backOff(MachineGroup group) {
-    // Backoffs that began together would otherwise end together, and all groups be tried at once.
+    // Without the variation, backoffs that begin together would end together, and requests for all
+    // these groups would be sent at once.
     double part = MIN_PART + RANDOM_PART * random.nextDouble();
     untilMs.put(group, scheduler.nowMs() + Math.round(policy.backoffS() * MS_PER_S * part));
   }
 
+  /** Whether the group gets no request now. */
   boolean isBackedOff(MachineGroup group) {
     return untilMs.getOrDefault(group, Long.MIN_VALUE) > scheduler.nowMs();
   }
 
-  /** Adds the backoffs of a type that have not ended to its record, for the next leader. */
+  /**
+   * Adds the backoffs of a machine type's groups that have not ended to the type's record, for the
+   * next leader.
+   */
   void encode(int type, ArrayNode recorded) {
     untilMs.forEach(
         (group, endMs) -> {
@@ -67,9 +81,11 @@
   }
 
   /**
-   * Takes over an earlier leader's backoffs, for the time that was left when they were recorded.
+   * Inherits an earlier leader's backoffs. Each lasts for the time that was left when it was
+   * recorded, but no longer than the policy's backoff time. Unreadable backoffs are ignored.
    *
-   * @param type empty when the record's type is unknown
+   * @param type index of the record's machine type in the catalogue; empty if the catalogue does
+   *     not contain it
    */
   void inherit(Entry entry, Optional<Integer> type) {
     for (JsonNode recorded : entry.value().path("backoff")) {
--- a/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
@@ -18,7 +18,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud over HTTP. A response that is malformed or has an unexpected status counts as none. */
+/**
+ * The client of the cloud's HTTP interface. A response that is malformed or has an unexpected
+ * status is handled like a missing response.
+ */
 public final class HttpCloudClient implements CloudClient {
   private static final byte[] EMPTY = {};
   private static final int HTTP_OK = 200;
@@ -32,7 +35,7 @@
 
   private final HttpClient client;
 
-  /** Unexpected statuses that were logged, once each. */
+  /** Unexpected statuses that have been logged; each is logged only once. */
   private final Set<Integer> loggedStatuses = new HashSet<>();
 
   public HttpCloudClient(HttpClient client) {
@@ -43,7 +46,7 @@
     return result instanceof HttpResult.Response response && response.status() == HTTP_OK;
   }
 
-  /** The body of a successful response; empty when there is none that can be read. */
+  /** The body of a response of status 200; empty without such a response or a readable body. */
   private static Optional<ObjectNode> okBody(HttpResult result) {
     return result instanceof HttpResult.Response response && response.status() == HTTP_OK
         ? Cbor.readMap(response.body())
@@ -60,7 +63,11 @@
         result -> then.accept(okBody(result).flatMap(HttpCloudClient::readTypes)));
   }
 
-  /** Empty when any type lacks what placing needs: half a catalogue would refuse good jobs. */
+  /**
+   * Decodes the machine types. The result is empty if there are none, or if any of them lacks its
+   * name, its number of cores or its zones: with an incomplete catalogue, valid jobs would be
+   * rejected.
+   */
   static Optional<List<MachineType>> readTypes(ObjectNode body) {
     if (!body.path("flavours").isArray() || body.path("flavours").isEmpty()) {
       return Optional.empty();
--- a/src/main/java/org/ploverspindle/cloud/IdleMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/IdleMachines.java
@@ -9,14 +9,20 @@
 import org.ploverspindle.sizing.AdaptiveSizing;
 
 /**
- * Finds the idle machines that may be terminated: those that no work needs, above their zone's
- * minimum.
+ * Selects the idle machines that may be terminated: machines that no work needs, as long as their
+ * zone keeps its minimum of machines of their type.
  */
 final class IdleMachines {
-  /** How long a machine is idle before it goes, when users have stopped submitting jobs. */
+  /**
+   * Idle time in seconds after which a machine may be terminated once users have stopped submitting
+   * jobs. The policy's idle time applies if that is shorter.
+   */
   private static final double QUIET_IDLE_S = 8;
 
-  /** The same for a machine that was chosen for scale-in while it still ran tasks. */
+  /**
+   * Idle time after which a scale-in candidate may be terminated. Scale-out planning has already
+   * found that it is expensive and not needed.
+   */
   private static final long SCALE_IN_CANDIDATE_IDLE_MS = 2_000;
 
   private static final double MS_PER_S = 1_000;
@@ -32,8 +38,8 @@
   }
 
   /**
-   * A predicate for one scale-in round, tested on one machine after the other; those found before
-   * count as gone.
+   * Returns a stateful predicate for one scale-in round, tested on one machine after another. The
+   * machines for which it was true count as terminated in later tests.
    */
   Predicate<Machine> newRound(long nowMs) {
     return new Round(nowMs);
@@ -42,13 +48,14 @@
   private final class Round implements Predicate<Machine> {
     private final long nowMs;
 
-    // Made once for all machines: each goes through all jobs or all machines.
+    // These predicates are created once for each round, because creating them iterates over all
+    // jobs or over all machines.
     private final Predicate<Machine> needed = workload.usefulMachines();
     private final Predicate<Machine> surplus = workload.surplusMachines();
 
     private final Map<Integer, List<AdaptiveSizing.Group>> groupsByType = new HashMap<>();
 
-    /** Machines found in this round. */
+    /** How many machines were selected in this round, by machine type and zone. */
     private final Map<TypeInZone, Integer> found = new HashMap<>();
 
     Round(long nowMs) {
@@ -81,11 +88,14 @@
       }
       double maxIdleS =
           workload.isQuiet() ? Math.min(policy.idleS(), QUIET_IDLE_S) : policy.idleS();
-      // Work may be pending for a machine that has only just come up, or whose jobs are delayed.
+      // Although the machine is idle, pending tasks may need it: it may have come up only just now,
+      // or their jobs may be delayed.
       return idleMs >= maxIdleS * MS_PER_S && !needed.test(machine) && surplus.test(machine);
     }
   }
 
-  /** Spot and on-demand machines of a type in a zone count for one minimum. */
+  /**
+   * A machine type in a zone. Its spot and on-demand machines count together towards one minimum.
+   */
   private record TypeInZone(int type, int zone) {}
 }
--- a/src/main/java/org/ploverspindle/cloud/ListedMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/ListedMachines.java
@@ -12,23 +12,36 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Applies the cloud's list of machines to the registry. */
+/** Applies the contents of the cloud's list of machines to the machine registry. */
 final class ListedMachines {
   private static final Logger LOG = LoggerFactory.getLogger(ListedMachines.class);
 
-  /** A machine that is missing from so many complete lists in a row may be forgotten. */
+  /** A machine may be forgotten once it is missing from this many complete lists in a row. */
   private static final int MISSED_LISTS = 3;
 
-  /** A list may be twice as old as its usual lag; the rest is margin. */
+  /**
+   * Milliseconds per second of the configured list lag. A machine may be forgotten once it has been
+   * known for longer than this and {@link #FORGET_MARGIN_MS}. A list may be twice as old as the
+   * lag; the rest is margin.
+   */
   private static final double FORGET_MS_PER_LAG_S = 2_500;
 
   private static final long FORGET_MARGIN_MS = 5_000;
+
+  /**
+   * Age of the oldest list that the cloud may return, in milliseconds per second of the configured
+   * list lag: a list may be twice as old as that lag. {@link #OLDEST_LIST_MARGIN_MS} is added.
+   */
   private static final double OLDEST_LIST_MS_PER_LAG_S = 2_000;
+
   private static final long OLDEST_LIST_MARGIN_MS = 1_000;
 
   private static final double MS_PER_S = 1_000;
 
-  /** The hosts of one reading of the list, from when its first page was requested. */
+  /**
+   * The machines that one reading of the list has found so far, and the time at which its first
+   * page was requested.
+   */
   static final class Snapshot {
     private final long requestedMs;
     private final Set<String> hosts = new HashSet<>();
@@ -48,12 +61,12 @@
   private final double lagS;
   private final long termStartMs;
 
-  /** How many lists in a row each host was missing from. */
+  /** How many complete lists in a row each machine was missing from, by the machine's name. */
   private final Map<String, Integer> missedLists = new HashMap<>();
 
   /**
-   * @param lagS by how long the cloud's list may lag behind, in seconds
-   * @param termStartMs when the leader's term began, on the steady clock
+   * @param lagS the configured list lag, in seconds
+   * @param termStartMs when the leader's term began, in milliseconds on the steady clock
    */
   ListedMachines(
       Scheduler scheduler,
@@ -68,7 +81,7 @@
     this.termStartMs = termStartMs;
   }
 
-  /** Adds a listed host to the snapshot and to the registry. */
+  /** Adds a listed machine to the reading, and adds it to the registry or updates it there. */
   void add(Snapshot snapshot, CloudClient.Host host) {
     snapshot.hosts.add(host.id());
     long nowMs = scheduler.nowMs();
@@ -80,20 +93,22 @@
   private static void update(Machine machine, CloudClient.Host host, long nowMs) {
     machine.listedAt(nowMs);
     if (host.status() == CloudClient.HostStatus.BOOTING && !machine.isUp()) {
-      // The list is older than now by its lag, so this is not before the machine was provisioned.
+      // The age refers to the time when the list was made, which has passed. Therefore the
+      // resulting time is not earlier than the machine's provisioning.
       machine.provisionedAt(nowMs - Math.round(host.ageS() * MS_PER_S));
     }
     machine.setAddressFromList(host.address());
     if (host.status() == CloudClient.HostStatus.FAILED && !machine.isDecommissioning()) {
-      // It has stopped by itself; the response to its termination proves that all its tasks ended.
+      // The machine has failed by itself. It is terminated nevertheless, because the cloud's
+      // confirmation proves that all tasks on it have ended.
       machine.markUnusable();
     }
   }
 
   /**
-   * Handles the machines that a complete list lacks. The list lags and can go back in time, so such
-   * a machine is forgotten only when its lease has expired as well, and only after several lists in
-   * a row.
+   * Handles the machines of the registry that are missing from a complete list. The list lags, and
+   * a later reading may return an older list. Therefore a machine is forgotten only after it was
+   * missing from several lists in a row, and only when its worker lease has expired as well.
    */
   void complete(Snapshot snapshot) {
     long nowMs = scheduler.nowMs();
@@ -126,15 +141,17 @@
   }
 
   /**
-   * The machine's heartbeats have timed out, and it is missing from a list that cannot date from
-   * before it was listed: "once listed, a machine stays listed until it is gone". The list alone
-   * proves nothing here either. But terminating such a machine costs nothing, and the response to
-   * that is the proof, many seconds before its lease expires: for a wave of spot machines that are
-   * reclaimed without notice.
+   * Whether the machine is most likely gone: its heartbeats have timed out, and it is missing from
+   * a list that was made after the machine was first listed. The cloud guarantees that "once
+   * listed, a machine stays listed until it is gone", but its absence from the list is not taken as
+   * a proof. Terminating such a machine costs nothing, and the cloud's confirmation is the proof,
+   * many seconds before the worker lease expires. This shortens the loss when many spot machines
+   * are reclaimed at once without notice.
    */
   private boolean isGone(Machine machine, long nowMs, long requestedMs) {
     long oldestListMs = Math.round(lagS * OLDEST_LIST_MS_PER_LAG_S) + OLDEST_LIST_MARGIN_MS;
-    // A machine on which an earlier leader placed tasks existed before this term.
+    // A machine on which an earlier leader placed tasks existed before this term. It counts as
+    // listed from the time when the cloud can no longer return a list from before the term.
     long listedMs = machine.isListed() ? machine.listedSinceMs() : termStartMs + oldestListMs;
     boolean knownBefore =
         machine.isListed()
--- a/src/main/java/org/ploverspindle/cloud/MachineListReader.java
+++ b/src/main/java/org/ploverspindle/cloud/MachineListReader.java
@@ -4,33 +4,46 @@
 import org.ploverspindle.eventloop.Scheduler;
 
 /**
- * Reads the cloud's list of machines periodically, page by page. Scale-out and scale-in come first:
- * the larger the fleet, the longer the period, so that pages take a fixed share of the calls to the
- * cloud.
+ * Reads the cloud's list of machines periodically, page by page. Scale-out and scale-in have
+ * precedence: the more pages the list has, the longer is the period, so that reading them takes at
+ * most a fixed share of the calls to the cloud.
  */
 final class MachineListReader {
   private static final long MIN_PERIOD_MS = 2_500;
 
-  /** The list is read about twice within its lag. */
+  /**
+   * The period of the readings, in milliseconds per second of the configured list lag: the list is
+   * read about twice within that lag.
+   */
   private static final double PERIOD_MS_PER_LAG_S = 500;
 
-  /** Part of the calls to the cloud that pages may take on average. */
+  /** Share of the budget of calls to the cloud that pages may take on average. */
   private static final double CALL_SHARE = 0.4;
 
-  /** Calls that are left for scale-out and scale-in when a reading begins. */
+  /** Number of calls that must be left for scale-out and scale-in when a reading begins. */
   private static final int RESERVED_CALLS = 1;
 
+  /** Delay before a page is tried again after the call budget was used up. */
   private static final long BUDGET_PAUSE_MS = 100;
+
+  /** Delay before a page is requested again that got no usable response. */
   private static final long RETRY_MS = 600;
 
-  /** A page that failed more often in a row ends the reading; the next period begins a new one. */
+  /**
+   * How often one page is requested again. If it still fails, the reading ends, and a later period
+   * begins a new one.
+   */
   private static final int MAX_RETRIES = 4;
 
   private static final double MS_PER_S = 1_000;
 
-  /** Called at the end of each complete reading. */
+  /** Receives the end of each complete reading. */
   interface Listener {
-    /** The registry reflects a complete list. */
+    /**
+     * A complete list has been applied to the registry.
+     *
+     * @param firstOfTerm whether it is the first one in this term
+     */
     void complete(boolean firstOfTerm);
   }
 
@@ -56,12 +69,15 @@
   private boolean reading;
   private boolean readOnce;
 
-  /** The earliest time of the next reading; the first may begin at once. */
+  /**
+   * When the next reading may begin at the earliest, in milliseconds on the steady clock. The first
+   * one may begin immediately.
+   */
   private long notBeforeMs = Long.MIN_VALUE;
 
   /**
-   * @param calls shared with scale-out and scale-in
-   * @param lagS by how long the cloud's list may lag behind, in seconds
+   * @param calls the budget of calls to the cloud, shared with scale-out and scale-in
+   * @param lagS the configured list lag, in seconds
    */
   MachineListReader(
       Scheduler scheduler,
@@ -79,14 +95,14 @@
     this.pagesPerS = calls.callsPerS() * CALL_SHARE;
   }
 
-  /** Reads the list now and then periodically until cancelled. */
+  /** Begins a reading immediately and then periodically, until the result is cancelled. */
   Cancellable start() {
     Cancellable periodic = scheduler.scheduleWithFixedDelay(periodMs, this::begin);
     begin();
     return periodic;
   }
 
-  /** True once the whole list was read in this term. */
+  /** Whether a complete list has been read in this term. */
   boolean wasRead() {
     return readOnce;
   }
@@ -123,7 +139,11 @@
     }
   }
 
-  /** Pages wait for the budget: a list of many would otherwise use up the cloud's rate limit. */
+  /**
+   * Requests the next page as soon as the budget allows it. Without the wait, a list of many pages
+   * would use up the cloud's rate limit. The reading ends when this leader's lease is not certainly
+   * valid.
+   */
   private void requestNext(Reading current) {
     if (!calls.isAuthoritative()) {
       reading = false;
@@ -135,8 +155,9 @@
   }
 
   /**
-   * A page after the first is requested again. A reading of many pages that began anew with each
-   * lost response might never complete, and nothing is provisioned before the first one has.
+   * Handles a page without a usable response. Pages after the first one are requested again: if the
+   * reading of a long list started over after each lost response, it might never complete, and
+   * nothing is provisioned before the first reading of a term is complete.
    */
   private void failed(Reading current) {
     if (current.pages == 0 || ++current.retries > MAX_RETRIES) {
--- a/src/main/java/org/ploverspindle/cloud/MachineTypesRefresh.java
+++ b/src/main/java/org/ploverspindle/cloud/MachineTypesRefresh.java
@@ -8,8 +8,8 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /**
- * Keeps the catalogue of machine types up to date, and records it once in a term, so that other
- * controllers can validate jobs while the cloud cannot be reached.
+ * Keeps the catalogue of machine types up to date. Records it in the state service once in a term,
+ * so that other controllers can validate jobs while the cloud cannot be reached.
  */
 final class MachineTypesRefresh {
   private final CloudClient cloud;
@@ -21,7 +21,7 @@
   private boolean recorded;
 
   /**
-   * @param maxValueBytes the state service's limit for one value
+   * @param maxValueBytes the state service's limit for the size of one value
    */
   MachineTypesRefresh(
       CloudClient cloud,
@@ -36,7 +36,7 @@
     this.maxValueBytes = maxValueBytes;
   }
 
-  /** Requests the machine types, unless a request is in flight or the budget is used up. */
+  /** Requests the machine types, unless a request is in flight or the call budget is used up. */
   void run() {
     if (requested || !calls.tryTake()) {
       return;
@@ -57,7 +57,10 @@
     }
   }
 
-  /** Writes one after the other; a write that fails leaves the rest to the next refresh. */
+  /**
+   * Sends the writes one after another. After a failed write, the rest is not sent, and the next
+   * refresh records all machine types again.
+   */
   private void record(List<Change.Put> writes) {
     if (!writes.isEmpty()) {
       writer.writeBestEffort(
--- a/src/main/java/org/ploverspindle/cloud/PoolBoundsRecords.java
+++ b/src/main/java/org/ploverspindle/cloud/PoolBoundsRecords.java
@@ -15,8 +15,9 @@
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
- * The stored bounds and group backoffs of each machine type's pool, one record a type. A loss costs
- * only time: the next leader computes the bounds anew and tries groups that were backed off.
+ * Stores the bounds and the group backoffs of each pool, in one record for each machine type. The
+ * loss of a record only costs time: the next leader computes the bounds again, and sends requests
+ * for groups that were backed off.
  */
 final class PoolBoundsRecords {
   private final Catalogue catalogue;
@@ -24,11 +25,14 @@
   private final LeaderWriter writer;
   private final int maxValueBytes;
 
-  /** The values last written or read, by key: an unchanged record is not written again. */
+  /**
+   * The value last written or read of each record, by key. A record whose value is unchanged is not
+   * written again.
+   */
   private final Map<String, JsonNode> written = new HashMap<>();
 
   /**
-   * @param maxValueBytes the state service's limit for one value
+   * @param maxValueBytes the state service's limit for the size of one value
    */
   PoolBoundsRecords(
       Catalogue catalogue, GroupBackoffs backoffs, LeaderWriter writer, int maxValueBytes) {
@@ -38,19 +42,23 @@
     this.maxValueBytes = maxValueBytes;
   }
 
-  /** Takes over the backoffs that an earlier leader recorded. */
+  /** Inherits the group backoffs of a record that an earlier leader wrote. */
   void inherit(Entry entry) {
     written.put(entry.key(), entry.value());
     backoffs.inherit(entry, catalogue.typeIndex(entry.key().substring(Keys.BOUNDS.length())));
   }
 
   /**
-   * Records a type's bounds, in the order of the zones, with its groups' backoffs, if they changed.
+   * Writes a machine type's record, unless its value is unchanged or the state service has no spare
+   * write budget.
+   *
+   * @param bounds the bounds of the type's groups, in the order of the zones
    */
   void record(int type, List<AdaptiveSizing.Bounds> bounds) {
     ObjectNode value = encode(type, bounds);
     if (Cbor.jsonSize(value) > maxValueBytes) {
-      // Known to this leader alone: the next one begins without, as after a long outage.
+      // Even without the backoffs the record is too large to be written. The next leader begins
+      // without it, as after a long outage.
       return;
     }
     String key = Keys.bounds(catalogue.type(type).name());
@@ -67,7 +75,7 @@
         });
   }
 
-  /** The record's value; without the backoffs where it would be too large with them. */
+  /** Encodes a record's value. The backoffs are left out if the value would be too large. */
   private ObjectNode encode(int type, List<AdaptiveSizing.Bounds> bounds) {
     ObjectNode value = Cbor.map();
     ArrayNode byZone = value.putArray("bounds");
--- a/src/main/java/org/ploverspindle/cloud/Pools.java
+++ b/src/main/java/org/ploverspindle/cloud/Pools.java
@@ -10,8 +10,8 @@
 import org.ploverspindle.sizing.AdaptiveSizing;
 
 /**
- * GEP-24's pools, one for each machine type: how many machines each zone holds, requested ones
- * included, and the bounds of each zone.
+ * The pools of GEP-24, one for each machine type: how many machines each zone has, including those
+ * that are requested, and the bounds of each zone.
  */
 final class Pools {
   private final Catalogue catalogue;
@@ -33,13 +33,16 @@
     this.policy = policy;
   }
 
-  /** The bounds of a type's groups, one for each zone. */
+  /** The bounds of a machine type's groups, one for each zone, in the order of the zones. */
   List<AdaptiveSizing.Bounds> bounds(int type, List<AdaptiveSizing.Group> groups) {
     Policy.PoolBounds pool = policy.pool(catalogue.type(type).name());
     return AdaptiveSizing.bounds(pool.min(), pool.max(), groups);
   }
 
-  /** A type's groups in the order of the zones; each counts both kinds, spot and on-demand. */
+  /**
+   * A machine type's groups, one for each zone, in the order of the zones. Spot and on-demand
+   * machines of a zone count together, and the zone is backed off only if both of them are.
+   */
   List<AdaptiveSizing.Group> groups(int type) {
     int[] held = new int[catalogue.zoneCount()];
     for (Machine machine : fleet.all()) {
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntent.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntent.java
@@ -4,7 +4,10 @@
 import java.util.Optional;
 import org.ploverspindle.placement.MachineGroup;
 
-/** A provisioning intent and how far it has come: recorded, requested, answered, being removed. */
+/**
+ * A provisioning intent and its progress: whether it is recorded, requested from the cloud,
+ * answered by it, and being removed.
+ */
 final class ProvisioningIntent {
   private final String name;
   private final ProvisioningIntentRecords.Requested requested;
@@ -25,13 +28,13 @@
     this.sinceMs = sinceMs;
   }
 
-  /** A new intent of this term, which is not recorded yet. */
+  /** Creates an intent of this term, which is not recorded yet. */
   static ProvisioningIntent create(
       String name, ProvisioningIntentRecords.Requested requested, long nowMs) {
     return new ProvisioningIntent(name, requested, false, nowMs);
   }
 
-  /** An intent that an earlier leader recorded. */
+  /** Creates the object for an intent that an earlier leader recorded. */
   static ProvisioningIntent inherit(
       String name, ProvisioningIntentRecords.Requested requested, long nowMs) {
     return new ProvisioningIntent(name, requested, true, nowMs);
@@ -53,7 +56,7 @@
     return inherited;
   }
 
-  /** Since when this leader knows of the intent, on the steady clock. */
+  /** Since when this leader knows of the intent, in milliseconds on the steady clock. */
   long sinceMs() {
     return sinceMs;
   }
@@ -66,7 +69,7 @@
     recorded = true;
   }
 
-  /** True from a request until its response, or until it may be sent again. */
+  /** Whether a request has been sent and may not be sent again yet. */
   boolean isRequestInFlight() {
     return requestInFlight;
   }
@@ -80,17 +83,20 @@
     requestInFlight = false;
   }
 
-  /** When the request was last sent, on the steady clock. */
+  /** When the request was last sent, in milliseconds on the steady clock. */
   long requestedMs() {
     return requestedMs;
   }
 
-  /** True once the cloud has answered, or the intent was given up. */
+  /**
+   * Whether it is known which machines were provisioned: the cloud has provisioned them, or it has
+   * rejected the request and an attempt to remove the intent's record has failed.
+   */
   boolean isAnswered() {
     return hosts.isPresent();
   }
 
-  /** The provisioned hosts; empty until the intent is answered. */
+  /** The names of the provisioned machines; empty until the intent is answered. */
   Optional<List<String>> hosts() {
     return hosts;
   }
@@ -99,7 +105,7 @@
     hosts = Optional.of(provisioned);
   }
 
-  /** True while the removal of the record is in flight or waits to be repeated. */
+  /** Whether the removal of the record is in flight or waits for its next attempt. */
   boolean isRemoving() {
     return removing;
   }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
@@ -13,9 +13,9 @@
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Entry;
 
-/** The durable records of provisioning intents: their names, stored form and writes. */
+/** The durable records of provisioning intents: names them, decodes, writes and removes them. */
 final class ProvisioningIntentRecords {
-  /** What an intent asks the cloud for. */
+  /** The machines that an intent requests from the cloud. */
   record Requested(MachineGroup group, int count) {}
 
   private final Catalogue catalogue;
@@ -24,7 +24,8 @@
   private long counter;
 
   /**
-   * @param token the term's first fencing token, which makes names unique over all terms
+   * @param token the first fencing token of the term, which makes intent names unique over all
+   *     terms
    */
   ProvisioningIntentRecords(Catalogue catalogue, LeaderWriter writer, long token) {
     this.catalogue = catalogue;
@@ -32,17 +33,23 @@
     this.token = token;
   }
 
-  /** A name of fencing token and counter, which no other intent of any leader has. */
+  /**
+   * Returns a name for a new intent. It consists of the term's fencing token and a counter, so that
+   * no other intent of any leader has the same name.
+   */
   String newName() {
     return "r-" + token + "-" + ++counter;
   }
 
-  /** The name of the intent that is stored in the entry. */
+  /** The name of the intent whose record the entry is. */
   static String name(Entry entry) {
     return entry.key().substring(Keys.PROVISIONING_INTENTS.length());
   }
 
-  /** Empty when the value can't be read, or its type or zone is unknown. */
+  /**
+   * Decodes a record's value. The result is empty if the value cannot be read, its machine type or
+   * zone is unknown, or its count is below 1.
+   */
   Optional<Requested> decode(JsonNode value) {
     Optional<Integer> type = catalogue.typeIndex(value.path("type").asText());
     Optional<Integer> zone = catalogue.zoneIndex(value.path("zone").asText());
@@ -54,7 +61,7 @@
     return Optional.of(new Requested(group, count));
   }
 
-  /** Creates the intent's record; the outcome is delivered once it is known or given up. */
+  /** Creates the intent's record, and delivers what is known of the outcome. */
   void create(String name, Requested requested, Consumer<CreateOutcome> then) {
     MachineGroup group = requested.group();
     ObjectNode value = Cbor.map();
@@ -65,7 +72,12 @@
     writer.create(new Change.Put(Keys.provisioningIntent(name), value), then);
   }
 
-  /** Removes the intent's record; true is delivered once it is certainly removed. */
+  /**
+   * Removes the intent's record.
+   *
+   * @param then called with true if the record is certainly removed, with false if it may still
+   *     exist
+   */
   void remove(String name, Consumer<Boolean> then) {
     writer.writeBestEffort(new Change.Remove(Keys.provisioningIntent(name)), then);
   }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
@@ -17,18 +17,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Provisions machines by write-ahead intents. An intent is recorded durably before the cloud is
- * asked, and the cloud is asked under the intent's name until its outcome is known, if need be by
- * the next leader. Requests are idempotent by that name, so nothing is provisioned twice and no
- * provisioned machine is lost.
+ * Provisions machines by write-ahead intents. An intent is recorded durably before its machines are
+ * requested from the cloud. The request is repeated under the intent's name until its outcome is
+ * known, if necessary by the next leader. Requests are idempotent by that name, so that no machine
+ * is provisioned twice and no provisioned machine is lost.
  */
 final class ProvisioningIntents {
   private static final Logger LOG = LoggerFactory.getLogger(ProvisioningIntents.class);
 
-  /** The cloud's limit for one request. */
+  /** The largest number of machines that the cloud provisions by one request. */
   static final int MAX_MACHINES_PER_REQUEST = 50;
 
-  /** For so long scale-out waits for the answer to a recorded intent. */
+  /** For how long scale-out waits for the cloud's answer to a recorded intent. */
   private static final long MAX_UNANSWERED_MS = 30_000;
 
   private static final long REMOVE_RETRY_MS = 2_000;
@@ -43,9 +43,10 @@
   private final Map<String, ProvisioningIntent> intents = new LinkedHashMap<>();
 
   /**
-   * @param tryTakeCall takes a call to the cloud from its budget, if this leader's lease is
-   *     certainly valid; asked last before each send
-   * @param retryDelay before an intent without an answer is requested again
+   * @param tryTakeCall takes a call to the cloud from the budget and returns true; returns false if
+   *     the budget is used up or this leader's lease is not certainly valid. It is the last check
+   *     before each request
+   * @param retryDelay the delay before the request of an intent without an answer is repeated
    */
   ProvisioningIntents(
       Scheduler scheduler,
@@ -69,9 +70,9 @@
   }
 
   /**
-   * True while a recorded intent has no answer, so that machines may exist that this leader does
-   * not know. An intent that is unanswered for long counts as pending machines, and scale-out goes
-   * on beside it.
+   * Whether scale-out must wait for an answer of the cloud: a recorded intent has no answer yet, so
+   * that machines may exist which this leader does not know. An intent without an answer for longer
+   * than {@link #MAX_UNANSWERED_MS} does not delay scale-out; its machines count as pending.
    */
   boolean haveUnanswered() {
     long nowMs = scheduler.nowMs();
@@ -83,7 +84,10 @@
                     && nowMs - intent.sinceMs() < MAX_UNANSWERED_MS);
   }
 
-  /** The machines of unanswered intents, each by its group; the caller may add to the list. */
+  /**
+   * The groups of the machines that unanswered intents request, one element for each machine. The
+   * caller may add to the list.
+   */
   List<MachineGroup> pendingMachines() {
     List<MachineGroup> pending = new ArrayList<>();
     for (ProvisioningIntent intent : intents.values()) {
@@ -94,7 +98,10 @@
     return pending;
   }
 
-  /** How many machines of the type in the zone, of both kinds, unanswered intents ask for. */
+  /**
+   * How many machines of the type unanswered intents request in the zone, spot and on-demand
+   * together.
+   */
   int unansweredMachines(int type, int zone) {
     int count = 0;
     for (ProvisioningIntent intent : intents.values()) {
@@ -106,7 +113,10 @@
     return count;
   }
 
-  /** Takes over an earlier leader's intent; a repeated request returns what it provisioned. */
+  /**
+   * Inherits an intent that an earlier leader recorded. Its request is repeated; if the cloud has
+   * executed it before, it returns the same machines.
+   */
   void inherit(Entry entry) {
     Optional<ProvisioningIntentRecords.Requested> requested = records.decode(entry.value());
     if (requested.isEmpty()) {
@@ -117,7 +127,7 @@
     intents.put(name, ProvisioningIntent.inherit(name, requested.get(), scheduler.nowMs()));
   }
 
-  /** Records an intent, and requests its machines once the record is durable. */
+  /** Records an intent, and requests its machines as soon as the record is durable. */
   void provision(MachineGroup group, int count) {
     String name = records.newName();
     ProvisioningIntentRecords.Requested requested =
@@ -131,7 +141,8 @@
         records.typeName(group),
         records.zoneName(group),
         group.spot());
-    // Durable first: a leader that takes over in between learns what may have been provisioned.
+    // The record must be durable before the request is sent: a leader that takes over in between
+    // learns from it which machines may have been provisioned.
     records.create(name, requested, outcome -> recorded(intent, outcome));
   }
 
@@ -163,7 +174,8 @@
     if (result instanceof CloudClient.ProvisionResult.Provisioned provisioned) {
       provisioned(intent, provisioned.hosts());
     } else if (result instanceof CloudClient.ProvisionResult.Malformed) {
-      // Repeated, it would stay unanswered and hold up all scale-out.
+      // A malformed request is not repeated: its intent would stay unanswered and delay all
+      // scale-out.
       LOG.error(
           "provisioning request rejected as malformed, group backs off: intent={} type={} zone={}"
               + " spot={}",
@@ -176,7 +188,8 @@
       LOG.info("no capacity, group backs off: intent={}", intent.name());
       giveUp(intent);
     } else {
-      // No answer, or refused for now: repeated by name, it provisions once at most.
+      // No answer, or refused temporarily. The request is repeated under the same name, so that its
+      // machines are provisioned at most once.
       scheduler.schedule(retryDelay.nextMs(), intent::allowRetry);
     }
   }
@@ -214,7 +227,7 @@
     machine.endQuarantine();
   }
 
-  /** Repeats requests without an answer, and removes intents all of whose machines are known. */
+  /** Repeats requests without an answer, and removes the intents whose machines are all known. */
   void retryUnanswered() {
     for (ProvisioningIntent intent : List.copyOf(intents.values())) {
       if (intent.isRecorded() && !intent.isAnswered()) {
@@ -226,7 +239,10 @@
     }
   }
 
-  /** True when the machine was seen in the list or by a heartbeat, or is gone again. */
+  /**
+   * Whether the machine has sent a heartbeat or has been listed, or is not in the registry any
+   * more.
+   */
   private boolean isKnown(String host) {
     return fleet.get(host).map(machine -> machine.isUp() || machine.isListed()).orElse(true);
   }
--- a/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
@@ -10,12 +10,18 @@
 import org.ploverspindle.scalein.MachineTerminations;
 import org.ploverspindle.scalein.TerminationClient;
 
-/** Selects the machines to terminate, round by round, and has their terminations carried out. */
+/** Selects the machines to terminate in each scale-in round, and begins their terminations. */
 final class ScaleInPlanner {
-  /** In a large fleet, one of so many machines may go in one round, by several requests. */
+  /**
+   * In a large fleet, one of this number of machines may be selected in one round. Several requests
+   * to the cloud then terminate them.
+   */
   private static final int MACHINES_PER_TERMINATION = 20;
 
-  /** Idle machines wait no longer than this for spare writes to the state service. */
+  /**
+   * Longest time for which idle machines wait for spare write budget of the state service, counted
+   * from the last round that selected an idle machine.
+   */
   private static final long MAX_WAIT_FOR_WRITES_MS = 3_000;
 
   private final Scheduler scheduler;
@@ -27,7 +33,7 @@
   private long lastIdleTerminationMs;
 
   /**
-   * @param isAuthoritative whether this leader's lease is certainly valid
+   * @param isAuthoritative whether this leader's lease is certainly valid now
    */
   ScaleInPlanner(
       Scheduler scheduler,
@@ -45,7 +51,10 @@
     this.lastIdleTerminationMs = scheduler.nowMs();
   }
 
-  /** Begins the terminations that are due, and advances those that were begun. */
+  /**
+   * Runs one scale-in round: begins the terminations of the selected machines, and advances all
+   * terminations that have begun. Does nothing while this leader's lease is not certainly valid.
+   */
   void run() {
     if (!isAuthoritative.getAsBoolean()) {
       return;
@@ -80,8 +89,9 @@
   }
 
   /**
-   * An idle machine may still get work, but not once its termination has begun, which is never
-   * revoked. So idle machines wait behind the writes of that work, and while terminations stall.
+   * Whether idle machines may be selected now. An idle machine can still get tasks, but not after
+   * its termination has begun, since that is never revoked. Therefore the writes that record tasks
+   * have precedence over idle machines, and no idle machine is selected while terminations stall.
    */
   private boolean mayTerminateIdle(long nowMs) {
     return !terminations.isStalled()
--- a/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
@@ -7,42 +7,52 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * Limits what one scale-out round may request of a group, by the rate limits and by how the cloud
- * answered the group's last request.
+ * Limits how many machines one scale-out round may request in a group. The limit depends on the
+ * rate limits of the cloud and the state service, and on the cloud's answer to the group's last
+ * request.
  */
 final class ScaleOutLimits {
-  /** Part of the calls between two rounds that one group's requests may take. */
+  /** Share of the calls to the cloud between two rounds that one group's requests may take. */
   private static final double CALL_SHARE = 0.4;
 
-  /** Part of the state service's writes that the records of one group's intents may take. */
+  /**
+   * Share of the writes to the state service between two rounds that the records of one group's
+   * intents may take.
+   */
   private static final double WRITE_SHARE = 0.15;
 
   private final GroupBackoffs backoffs;
 
   /**
-   * GEP-24 sends one request a round. A fleet of hundreds would then take minutes to come up, as
-   * the cloud limits the machines of one request.
+   * How many machines one round may request in a group whose last request was filled. GEP-24 sends
+   * only one request in a round. With that, a fleet of hundreds of machines would take minutes to
+   * come up, because the cloud limits the number of machines in one request.
    */
   private final int maxPerRound;
 
-  /** Groups whose last request was refused or partly filled: the next one only tries. */
+  /**
+   * Groups whose last request was refused or filled only in part. Their next round sends a single
+   * request, to find out whether the cloud has capacity again.
+   */
   private final Set<MachineGroup> limitedGroups = new HashSet<>();
 
   /**
-   * @param callsPerS the rate of the budget of calls to the cloud
+   * @param callsPerS the rate of the budget of calls to the cloud, in calls per second
    */
   ScaleOutLimits(GroupBackoffs backoffs, Policy policy, Settings settings, double callsPerS) {
     this.backoffs = backoffs;
     double calls = callsPerS * policy.scanS() * CALL_SHARE;
-    // Each intent is recorded first, and the leader's other writes must not wait for the records.
+    // Each request needs an intent that is recorded before, and the leader's other writes must not
+    // wait for these records.
     double writes = settings.effectiveStateLimits().changesPerS() * policy.scanS() * WRITE_SHARE;
     int maxRequests = Math.max(1, (int) Math.min(calls, writes));
     this.maxPerRound = ProvisioningIntents.MAX_MACHINES_PER_REQUEST * maxRequests;
   }
 
   /**
-   * How many machines of the group one round may request. After a refusal it is one request:
-   * several at once would be refused together, and their records would hold up placements.
+   * How many machines one round may request in the group. If its last request was not filled, this
+   * is the size of one request: several requests at once would be refused together, and writing
+   * their intents would delay the writes of placements.
    */
   int maxPerRound(MachineGroup group) {
     return limitedGroups.contains(group)
@@ -50,18 +60,18 @@
         : maxPerRound;
   }
 
-  /** True when the group gets no request at present. */
+  /** Whether the group gets no request now. */
   boolean isBackedOff(MachineGroup group) {
     return backoffs.isBackedOff(group);
   }
 
-  /** A request was refused or filled in part: the group backs off. */
+  /** Records that a request was refused or filled only in part, and backs the group off. */
   void notFilled(MachineGroup group) {
     limitedGroups.add(group);
     backoffs.backOff(group);
   }
 
-  /** A request was filled. */
+  /** Records that a request was filled. */
   void filled(MachineGroup group) {
     limitedGroups.remove(group);
   }
--- a/src/main/java/org/ploverspindle/cloud/ScaleOutRound.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleOutRound.java
@@ -10,8 +10,8 @@
 import org.ploverspindle.placement.ScaleOutPlanner;
 
 /**
- * One scale-out round, GEP-24's scan: evaluates the pools' bounds, plans what pending work needs,
- * and requests the machines.
+ * Runs scale-out rounds, the scans of GEP-24. A round evaluates the pools' bounds, plans which
+ * machines pending work needs, and requests the machines.
  */
 final class ScaleOutRound {
   private final Scheduler scheduler;
@@ -39,7 +39,10 @@
     this.workload = workload;
   }
 
-  /** Plans and requests. To be called only when the fleet and the open intents are known. */
+  /**
+   * Runs one round. Must be called only when the registry shows the machines that exist, and the
+   * outcome of earlier provisioning requests is known.
+   */
   void run() {
     boots.observe(fleet.all(), scheduler.nowMs());
     CandidateGroups.Evaluation evaluation = candidateGroups.evaluate();
@@ -60,7 +63,10 @@
     requested.forEach(this::provision);
   }
 
-  /** Machines that boot in time and machines that are requested, each by its group. */
+  /**
+   * The groups of the machines that are requested, or that are booting and not overdue, one element
+   * for each machine.
+   */
   private List<MachineGroup> pendingMachines() {
     List<MachineGroup> pending = intents.pendingMachines();
     long nowMs = scheduler.nowMs();
--- a/src/main/java/org/ploverspindle/cloud/UnusableMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/UnusableMachines.java
@@ -7,18 +7,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds the machines that are terminated whatever their pool's minimum: those that never came up,
- * are lost, draining or beyond reach.
+ * Selects the machines that are terminated regardless of their pool's minimum: machines that are
+ * marked as unusable, did not come up, have sent no heartbeat since their lease expired, are not
+ * reached by commands, are draining, or have a spot notice.
  */
 final class UnusableMachines {
   private static final Logger LOG = LoggerFactory.getLogger(UnusableMachines.class);
 
   private static final double MS_PER_S = 1_000;
 
-  /** For how many leases a machine may send heartbeats while commands don't reach it. */
+  /**
+   * For how long a machine may send heartbeats while commands do not reach it, as a multiple of the
+   * worker lease.
+   */
   private static final double MAX_UNREACHABLE_LEASES = 3;
 
-  /** A machine may be silent for so long beyond its lease: its next agent epoch may begin late. */
+  /**
+   * For how long after the expiry of its worker lease a machine may send no heartbeat. The next
+   * worker epoch of the machine may begin late.
+   */
   private static final long MAX_SILENCE_BEYOND_LEASE_MS = 15_000;
 
   private final MachineRegistry fleet;
@@ -28,8 +35,8 @@
   private final double leaseMs;
 
   /**
-   * @param termStartMs when the leader's term began, on the steady clock
-   * @param leaseS a worker's lease
+   * @param termStartMs when the leader's term began, in milliseconds on the steady clock
+   * @param leaseS the duration of a worker lease, in seconds
    */
   UnusableMachines(
       MachineRegistry fleet,
@@ -44,12 +51,15 @@
     this.leaseMs = leaseS * MS_PER_S;
   }
 
-  /** The fleet's connectivity, to be passed to all tests of one round. */
+  /** Returns the fleet's connectivity, to be passed to all calls of {@link #test} in one round. */
   FleetConnectivity connectivity(long nowMs) {
     return new FleetConnectivity(fleet, leaseMs, nowMs);
   }
 
-  /** True when the machine is to be terminated; one whose boot is stuck backs its group off. */
+  /**
+   * Whether the machine must be terminated. If that is because its boot is stuck, its group is
+   * backed off.
+   */
   boolean test(Machine machine, long nowMs, FleetConnectivity connectivity) {
     if (machine.isDecommissioning()) {
       return true;
@@ -64,7 +74,10 @@
             || isLost(machine, nowMs, connectivity));
   }
 
-  /** It never came up; then its group backs off. */
+  /**
+   * Whether a machine that is not up must be terminated. If its boot is stuck, its group is backed
+   * off.
+   */
   private boolean isStuck(Machine machine, long nowMs) {
     if (!machine.placements().isEmpty()) {
       return false;
@@ -72,8 +85,8 @@
     if (machine.isDraining() || machine.hasSpotNotice()) {
       return true;
     }
-    // A machine that an earlier leader knew may be up and cut off, with tasks: its lease must have
-    // expired as well.
+    // A machine that an earlier leader knew may be up and run tasks behind a network partition.
+    // Therefore its worker lease must have expired as well.
     boolean leaseExpired =
         nowMs - termStartMs > fleet.leaseExpiryMs(machine) - machine.knownSinceMs();
     if (!leaseExpired || !boots.isStuck(machine, nowMs)) {
@@ -87,14 +100,20 @@
     return true;
   }
 
-  /** It sends heartbeats, and commands don't reach it: paid for and of no use. */
+  /**
+   * Whether the machine has sent heartbeats for a long time while commands did not reach it,
+   * although they reach at least half of the fleet. Such a machine is paid for and cannot be used.
+   */
   private boolean isUnreachable(Machine machine, long nowMs, FleetConnectivity connectivity) {
     return machine.unreachableSinceMs() >= 0
         && nowMs - machine.unreachableSinceMs() >= leaseMs * MAX_UNREACHABLE_LEASES
         && connectivity.fewAreUnreachable();
   }
 
-  /** Its lease expired a while ago, and it has sent no heartbeat since. */
+  /**
+   * Whether the machine's worker lease expired some time ago and it has sent no heartbeat since,
+   * although at least half of the machines that are up send heartbeats.
+   */
   private boolean isLost(Machine machine, long nowMs, FleetConnectivity connectivity) {
     return nowMs > fleet.leaseExpiryMs(machine) + MAX_SILENCE_BEYOND_LEASE_MS
         && connectivity.mostSendHeartbeats();
--- a/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
+++ b/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
@@ -17,11 +17,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out the terminations of machines: records each durably, asks the cloud until it confirms,
- * and removes the record once no list can show the machines any more.
+ * Carries out the terminations of machines: records each termination durably, repeats the request
+ * to the cloud until the cloud confirms it, and removes the record once no list of machines can
+ * show the machines any more.
  *
- * <p>Guarantees: the cloud is asked only after the record is known to be durable; a termination
- * that has begun is not taken back in its term, and one that is recorded is not taken back in any.
+ * <p>Guarantees: a termination is requested from the cloud only after its record is known to be
+ * durable. A termination that has begun is not revoked in its term, and a recorded one is not
+ * revoked in any term.
  */
 public final class MachineTerminations {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTerminations.class);
@@ -29,12 +31,15 @@
   private static final long WRITE_RETRY_MS = 500;
   private static final long REMOVE_RETRY_MS = 2_000;
 
-  /** A termination that takes longer shows that the state service or the cloud is failing. */
+  /**
+   * A termination that is not confirmed after this time counts as stalled: the state service or the
+   * cloud is probably failing.
+   */
   private static final long STALLED_MS = 3_000;
 
   /**
-   * A delayed request to the cloud is executed within this time. For so long after a record was
-   * found unreadable, a request of an earlier leader may still terminate the machines that the
+   * Longest delay after which the cloud still executes a request. For this long after an unreadable
+   * record is found, a request of an earlier leader may still terminate the machines that the
    * record names.
    */
   private static final long LATE_REQUEST_MS = 300_000;
@@ -48,13 +53,14 @@
   private final Consumer<List<Placement>> onLost;
   private final TerminationStatistics statistics = new TerminationStatistics();
 
-  /** By key of the record. */
+  /** The terminations whose records exist or are being written, by the key of the record. */
   private final Map<String, PendingTermination> terminations = new LinkedHashMap<>();
 
   /**
-   * @param recordRetentionMs for how long a record is kept after the cloud's confirmation: as long
-   *     as a list may still show the machines
-   * @param onLost receives the placements that were on a machine when its end was confirmed
+   * @param recordRetentionMs for how long a record is kept after the cloud's confirmation, since a
+   *     list may still show the machines for this time
+   * @param onLost called for each machine whose termination is confirmed, with the placements that
+   *     were on it
    */
   public MachineTerminations(
       Scheduler scheduler,
@@ -74,8 +80,9 @@
   }
 
   /**
-   * Takes over a termination that an earlier leader recorded. To be called for all records before
-   * the first placement of the term.
+   * Inherits a termination that an earlier leader recorded. Must be called for all records before
+   * the first placement of the term. If the record is unreadable, it is kept, and machines of
+   * earlier terms are quarantined while a request that rests on it may still be executed.
    */
   public void inheritTermination(Entry entry) {
     Optional<TerminationRecord> record = TerminationRecord.decode(entry.value());
@@ -99,8 +106,8 @@
   }
 
   /**
-   * Begins the termination of these machines. From now on nothing is placed on them in this term,
-   * whatever the outcome of the write: one without a response may be carried out later.
+   * Begins the termination of these machines. From now on no task is placed on them in this term,
+   * whatever the outcome of writing the record: a write without a response may be executed later.
    */
   public void beginTermination(List<Machine> machines) {
     if (machines.isEmpty()) {
@@ -118,12 +125,12 @@
     createRecord(pending);
   }
 
-  /** Whether the write budget allows a record now whose machines could also wait. */
+  /** Whether the write budget allows a record now for machines whose termination can also wait. */
   public boolean hasSpareWrites() {
     return writer.hasSpareWrites();
   }
 
-  /** Whether some termination has taken longer than it does while all services work. */
+  /** Whether a termination has not been confirmed within {@link #STALLED_MS} of its beginning. */
   public boolean isStalled() {
     long nowMs = scheduler.nowMs();
     return terminations.values().stream()
@@ -134,8 +141,8 @@
   }
 
   /**
-   * Repeats writes without a response, removes outdated records, and sends the requests that may be
-   * sent by now. To be called each second.
+   * Repeats writes that failed or had no response, removes records that need not be kept any more,
+   * and sends the requests that are due. Must be called every second.
    */
   public void advance() {
     long nowMs = scheduler.nowMs();
@@ -173,7 +180,8 @@
       writer.halve(pending, scheduler.nowMs()).forEach(this::add);
       return;
     }
-    // Under the same key: if an earlier write of it is carried out late, it writes the same value.
+    // The write is repeated under the same key: if the earlier write is executed late, it writes
+    // the same value.
     pending.retryWriteAt(scheduler.nowMs() + WRITE_RETRY_MS);
   }
 
@@ -216,8 +224,9 @@
   }
 
   /**
-   * Whether the machine is empty, or its heartbeats have stopped: then the cloud's confirmation is
-   * the proof that its tasks are gone. A machine that reports tasks is drained first.
+   * Whether the cloud may be asked to terminate the machine now: it is unknown to this leader, has
+   * no tasks, or its heartbeats have timed out, in which case the cloud's confirmation proves that
+   * its tasks are gone. A machine that has tasks and sends heartbeats is drained first.
    */
   private boolean mayTerminate(String host) {
     Optional<Machine> machine = registry.get(host);
@@ -245,7 +254,7 @@
     }
   }
 
-  /** Counts and latencies of this term's terminations, in one line for operators. */
+  /** Counts and latencies of this term's terminations, as one line of the status output. */
   public String summary() {
     return statistics.text(
         count(PendingTermination.Phase.RECORDING),
--- a/src/main/java/org/ploverspindle/scalein/PendingTermination.java
+++ b/src/main/java/org/ploverspindle/scalein/PendingTermination.java
@@ -5,19 +5,22 @@
 import java.util.List;
 import java.util.Set;
 
-/** One termination record, and the progress of its termination in this term. */
+/** A termination record, and the progress that its termination has made in this term. */
 final class PendingTermination {
-  /** Steps of a termination, which never goes back to an earlier one. */
+  /** The phases of a termination. It never returns to an earlier phase. */
   enum Phase {
-    /** The record may or may not be durable: the cloud must not be asked yet. */
+    /** The record may or may not be durable. The cloud must not be asked yet. */
     RECORDING,
-    /** The record is durable: the cloud is asked until it confirms. */
+    /** The record is durable. The request to the cloud is repeated until the cloud confirms it. */
     RECORDED,
-    /** The cloud confirmed; the record is kept until no list can show the machines any more. */
+    /**
+     * The cloud confirmed that all machines of the record are gone. The record is kept until no
+     * list can show them any more.
+     */
     CONFIRMED
   }
 
-  /** A time that is always past. */
+  /** A time that has always passed: the write may be sent immediately. */
   private static final long AT_ONCE_MS = Long.MIN_VALUE;
 
   private final String key;
@@ -31,7 +34,7 @@
   private long confirmedMs;
 
   /**
-   * @param nowMs when the termination began in this term, on the steady clock
+   * @param nowMs when the termination began in this term, in milliseconds on the steady clock
    */
   PendingTermination(String key, TerminationRecord record, Phase phase, long nowMs) {
     this.key = key;
@@ -62,12 +65,12 @@
     return startedMs;
   }
 
-  /** The machines that are not proven gone: a live, unmodifiable view. */
+  /** The names of the machines that are not proven gone, as a live, unmodifiable view. */
   Set<String> unconfirmed() {
     return unconfirmedView;
   }
 
-  /** Whether a write of the record, or its removal, may be sent now. */
+  /** Whether the record's write or removal may be sent now. */
   boolean mayWrite(long nowMs) {
     return !writing && nowMs >= writeNotBeforeMs;
   }
@@ -76,7 +79,11 @@
     writing = true;
   }
 
-  /** The write failed or had no response. */
+  /**
+   * Records that the record's write or removal failed or had no response.
+   *
+   * @param retryAtMs when it may be sent again, in milliseconds on the steady clock
+   */
   void retryWriteAt(long retryAtMs) {
     writing = false;
     writeNotBeforeMs = retryAtMs;
@@ -87,7 +94,7 @@
     phase = Phase.RECORDED;
   }
 
-  /** The cloud confirmed that this machine is gone. */
+  /** Records that the cloud confirmed that this machine is gone. */
   void confirm(String host, long nowMs) {
     unconfirmed.remove(host);
     if (unconfirmed.isEmpty() && phase == Phase.RECORDED) {
@@ -96,7 +103,10 @@
     }
   }
 
-  /** When the last machine was confirmed to be gone; only in {@link Phase#CONFIRMED}. */
+  /**
+   * When the last machine was confirmed to be gone, in milliseconds on the steady clock. Valid only
+   * in {@link Phase#CONFIRMED}.
+   */
   long confirmedMs() {
     return confirmedMs;
   }
--- a/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
@@ -6,17 +6,23 @@
 import org.ploverspindle.model.JobSpec;
 
 /**
- * Drains a machine whose termination is recorded and that has tasks all the same: they were placed
- * by a leader of a version that does not know these records, or the machine's heartbeats stopped
+ * Drains a machine that has tasks although its termination is recorded. This happens if a leader of
+ * a version without termination records placed the tasks, or if the machine's heartbeats stopped
  * and began again.
  */
 final class TerminationDrain {
-  /** Added to what a checkpoint takes, for the stop to arrive and the checkpoint to be stored. */
+  /**
+   * Time in seconds that is added to the duration of a checkpoint, for the stop command to arrive
+   * and for the checkpoint to be stored.
+   */
   private static final double CHECKPOINT_MARGIN_S = 0.5;
 
   private TerminationDrain() {}
 
-  /** Stops all tasks that are not stopping yet, with time for a checkpoint where they write one. */
+  /**
+   * Stops all tasks that are not stopping yet. Tasks that write checkpoints get the time to write
+   * one.
+   */
   static void drain(Machine machine) {
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!placement.isStopping()) {
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecord.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecord.java
@@ -8,7 +8,11 @@
 import java.util.Optional;
 import org.ploverspindle.net.Cbor;
 
-/** The stored form of a termination: the names of the machines that are terminated together. */
+/**
+ * The stored form of a termination.
+ *
+ * @param hosts the names of the machines that are terminated together
+ */
 record TerminationRecord(List<String> hosts) {
   private static final String HOSTS = "hosts";
 
@@ -19,7 +23,10 @@
     return value;
   }
 
-  /** Empty if any part of the value can't be read: to terminate a part would be a guess. */
+  /**
+   * Decodes a record's value. The result is empty if any part of the value cannot be read: it would
+   * be a guess that the readable names alone are to be terminated.
+   */
   static Optional<TerminationRecord> decode(JsonNode value) {
     JsonNode names = value.path(HOSTS);
     if (!names.isArray() || names.isEmpty()) {
@@ -36,10 +43,10 @@
   }
 
   /**
-   * Divides the hosts, in their order, into records of which each fits into a value of the state
+   * Divides the machines, in their order, into records that each fit into one value of the state
    * service and into one request to the cloud.
    *
-   * @param valueBytes the state service's limit for a value in JSON form
+   * @param valueBytes the state service's limit for the size of a value in JSON form
    */
   static List<TerminationRecord> partition(List<String> hosts, int valueBytes) {
     int emptyBytes = Cbor.jsonSize(new TerminationRecord(List.of()).encode());
@@ -47,7 +54,7 @@
     List<String> chunk = new ArrayList<>();
     int bytes = emptyBytes;
     for (String host : hosts) {
-      // The name in quotes, and a comma.
+      // The size of the quoted name, and 1 byte for a comma.
       int hostBytes = Cbor.jsonSize(Cbor.map().textNode(host)) + 1;
       boolean isFull =
           chunk.size() == TerminationClient.MAX_HOSTS_PER_RELEASE || bytes + hostBytes > valueBytes;
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
@@ -8,8 +8,8 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /**
- * Writes and removes termination records. A record is created once, under a key that no other
- * leader and no other termination of this term uses, and is never changed.
+ * Writes and removes termination records. A record is never changed after its creation. No other
+ * leader and no other termination of this term uses its key.
  */
 public final class TerminationRecordWriter {
   private final LeaderWriter leaderWriter;
@@ -18,8 +18,10 @@
   private long recordCount;
 
   /**
-   * @param fencingToken the first token of the term, which makes the keys unique over all terms
-   * @param valueBytes the state service's lowest announced limit for a value in JSON form
+   * @param fencingToken the first fencing token of the term, which makes the keys unique over all
+   *     terms
+   * @param valueBytes the lowest limit that the state service has announced for the size of a value
+   *     in JSON form
    */
   public TerminationRecordWriter(LeaderWriter leaderWriter, long fencingToken, int valueBytes) {
     this.leaderWriter = leaderWriter;
@@ -27,12 +29,15 @@
     this.valueBytes = valueBytes;
   }
 
-  /** Whether the write budget allows a write now that could also wait. */
+  /** Whether the write budget allows a write now that can also wait. */
   boolean hasSpareWrites() {
     return leaderWriter.hasSpareBudget();
   }
 
-  /** Divides the machines into terminations whose records fit into a value; writes nothing. */
+  /**
+   * Divides the machines into terminations whose records each fit into one value. Nothing is
+   * written here.
+   */
   List<PendingTermination> prepare(List<String> hosts, long nowMs) {
     return TerminationRecord.partition(hosts, valueBytes).stream()
         .map(record -> newTermination(record, nowMs))
@@ -40,8 +45,8 @@
   }
 
   /**
-   * Two terminations in place of one whose record was refused for its size, and so was never
-   * written.
+   * Replaces a termination by two of half its size, after its record was refused as too large and
+   * thus was not written.
    */
   List<PendingTermination> halve(PendingTermination refused, long nowMs) {
     List<String> hosts = refused.hosts();
@@ -57,12 +62,19 @@
     return new PendingTermination(key, record, PendingTermination.Phase.RECORDING, nowMs);
   }
 
+  /**
+   * Creates the termination's record.
+   *
+   * @param then called with what is known of the outcome
+   */
   void create(PendingTermination pending, Consumer<CreateOutcome> then) {
     leaderWriter.create(new Change.Put(pending.key(), pending.record().encode()), then);
   }
 
   /**
-   * @param then called with whether the record is known to be removed
+   * Removes the termination's record.
+   *
+   * @param then called with true if the record is known to be removed, otherwise with false
    */
   void remove(PendingTermination pending, Consumer<Boolean> then) {
     leaderWriter.writeBestEffort(new Change.Remove(pending.key()), then);
--- a/src/main/java/org/ploverspindle/scalein/TerminationSender.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationSender.java
@@ -9,10 +9,14 @@
 import org.ploverspindle.eventloop.Scheduler;
 
 /**
- * Sends terminations to the cloud within the call budget, and spaces repeats of unanswered ones.
+ * Sends termination requests to the cloud within the call budget. Requests without a confirmation
+ * may be repeated after a delay.
  */
 public final class TerminationSender {
-  /** In place of the time from which on a request may be repeated: one is in flight. */
+  /**
+   * Stands for the time at which a machine may be named again while a request that names it is in
+   * flight.
+   */
   private static final long IN_FLIGHT_MS = Long.MAX_VALUE;
 
   private final Scheduler scheduler;
@@ -20,14 +24,17 @@
   private final BooleanSupplier takeCallBudget;
   private final RetryDelay retryDelay;
 
-  /** By host that a request named, when it may be named again, on the steady clock. */
+  /**
+   * When a machine that a request has named may be named again, in milliseconds on the steady
+   * clock, by the machine's name. Machines whose termination was confirmed are removed.
+   */
   private final Map<String, Long> notBeforeMs = new HashMap<>();
 
   /**
-   * @param takeCallBudget takes one call from the budget for the cloud and returns true; false if
-   *     the budget is used up or the leader's lease is not certainly valid. Called last before each
-   *     request
-   * @param retryDelay the delay before an unanswered request is repeated
+   * @param takeCallBudget takes a call to the cloud from the budget and returns true; returns false
+   *     if the budget is used up or this leader's lease is not certainly valid. It is the last
+   *     check before each request
+   * @param retryDelay the delay before a request without a confirmation is repeated
    */
   public TerminationSender(
       Scheduler scheduler,
@@ -40,22 +47,22 @@
     this.retryDelay = retryDelay;
   }
 
-  /** Whether no request for the machine is in flight, and its retry delay has passed. */
+  /** Whether no request that names the machine is in flight, and its retry delay has passed. */
   boolean maySend(String host) {
     return scheduler.nowMs() >= notBeforeMs.getOrDefault(host, Long.MIN_VALUE);
   }
 
-  /** Whether a request has named the machine and was not confirmed. */
+  /** Whether a request has named the machine and has not been confirmed. */
   boolean wasSent(String host) {
     return notBeforeMs.containsKey(host);
   }
 
   /**
-   * Sends one request, if the leader is authoritative and the budget allows it.
+   * Sends one request, if this leader's lease is certainly valid and the call budget allows it.
    *
-   * @param hosts at most {@link TerminationClient#MAX_HOSTS_PER_RELEASE}
-   * @param confirmed called with the hosts when the cloud confirmed that they are gone
-   * @return whether it was sent
+   * @param hosts the names of the machines, at most {@link TerminationClient#MAX_HOSTS_PER_RELEASE}
+   * @param confirmed called with the names when the cloud has confirmed that the machines are gone
+   * @return whether the request was sent
    */
   boolean send(List<String> hosts, Consumer<List<String>> confirmed) {
     if (!takeCallBudget.getAsBoolean()) {
--- a/src/main/java/org/ploverspindle/scalein/TerminationStatistics.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationStatistics.java
@@ -5,14 +5,17 @@
 
 /** Counts and latencies of this term's terminations. */
 final class TerminationStatistics {
-  /** Longer latencies are recorded as this one. */
+  /** Upper bound of the recorded latencies. Longer ones are recorded as this value. */
   private static final long MAX_RECORDED_MS = 3_600_000;
 
   private static final int SIGNIFICANT_DIGITS = 2;
   private static final double MEDIAN_PERCENTILE = 50;
   private static final double TAIL_PERCENTILE = 99;
 
-  /** From the decision to terminate a machine to the cloud's confirmation, in milliseconds. */
+  /**
+   * Latencies of the confirmed terminations, in milliseconds, one for each machine: from the
+   * beginning of the termination in this term to the cloud's confirmation.
+   */
   private final Histogram confirmedAfterMs = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
 
   private long decided;
@@ -38,11 +41,11 @@
   }
 
   /**
-   * The line for operators. Its wording is part of the status output and does not change.
+   * Formats the line of the status output. Its wording must not change.
    *
-   * @param recording terminations whose record is not known to be durable
-   * @param recorded terminations that the cloud has not confirmed
-   * @param keptRecords terminations that are confirmed and whose record is kept
+   * @param recording number of terminations whose record is not known to be durable
+   * @param recorded number of terminations that are recorded and not confirmed by the cloud
+   * @param keptRecords number of terminations that are confirmed and whose record is kept
    */
   String text(int recording, int recorded, int keptRecords) {
     return String.format(
--- a/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
+++ b/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
@@ -22,7 +22,11 @@
 import org.ploverspindle.placement.MachineGroup;
 import org.ploverspindle.settings.Settings;
 
-/** Boots of a type for which the cloud gives a boot time of 30 s. */
+/**
+ * Guards against two failures of scale-out: work that cannot wait keeps waiting for machines of a
+ * group that boots very slowly or not at all, or single machines that never come up exclude their
+ * whole group. The machine type has a stated boot time of 30 s.
+ */
 class BootTrackerTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final Settings.WorkerLimits WORKERS = new Settings.WorkerLimits(3, 14, 39);
@@ -65,7 +69,7 @@
     provision(0, 10, 0).forEach(m -> bootsAt(m, 35_000));
     List<Machine> missing = provision(10, 2, 0);
     boots.observe(fleet.all(), 60_000);
-    assertFalse(boots.isBootingBadly(group), "two of twelve are single failures");
+    assertFalse(boots.isBootingBadly(group), "2 overdue of 12 machines are single failures");
     assertTrue(boots.isOverdue(missing.get(0), 60_000));
     assertFalse(boots.isStuck(missing.get(0), 100_000));
     assertTrue(boots.isStuck(missing.get(0), 106_000));
@@ -81,7 +85,8 @@
     assertTrue(booting.stream().allMatch(m -> boots.isOverdue(m, 57_000)));
     provision(10, 12, 60_000).forEach(m -> bootsAt(m, 90_000));
     boots.observe(fleet.all(), 90_000);
-    assertFalse(boots.isBootingBadly(group), "machines boot in time again");
+    assertFalse(
+        boots.isBootingBadly(group), "12 recent boots in time outnumber the 10 overdue machines");
   }
 
   @Test
@@ -91,11 +96,14 @@
     assertTrue(boots.isOverdue(late.get(9), 80_000));
     late.subList(0, 3).forEach(m -> bootsAt(m, 90_000));
     boots.observe(fleet.all(), 90_000);
-    assertFalse(boots.isOverdue(late.get(9), 110_000), "three times as long is usual now");
+    assertFalse(
+        boots.isOverdue(late.get(9), 110_000),
+        "the group's recent boots took three times the stated boot time");
     assertFalse(boots.isStuck(late.get(9), 125_000));
     assertTrue(boots.isStuck(late.get(9), 135_000));
     boots.observe(fleet.all(), 300_000);
-    assertTrue(boots.isOverdue(late.get(9), 300_000), "and is forgotten in time");
+    assertTrue(
+        boots.isOverdue(late.get(9), 300_000), "boots observed over 120 s ago no longer count");
   }
 
   @Test
--- a/src/test/java/org/ploverspindle/cloud/UnusableMachinesTest.java
+++ b/src/test/java/org/ploverspindle/cloud/UnusableMachinesTest.java
@@ -25,7 +25,10 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * Machines whose heartbeats stopped are terminated, unless most have: then the leader is cut off.
+ * Guards against the termination of machines that work. When the heartbeats of most machines stop
+ * at the same time, the leader is partitioned from them, and none of them may be selected for it.
+ * Silent machines are selected only while at least half of the machines that are up send
+ * heartbeats, and only some time after their worker lease has expired.
  */
 class UnusableMachinesTest {
   private static final Term TERM = new Term(7, 1, 0);
@@ -84,7 +87,8 @@
       heartbeat(i, 2, SILENT_MS, TERM.fencingToken());
     }
     assertEquals(expected, unusableCount(SILENT_MS));
-    assertEquals(0, unusableCount(20_000), "their next agent epoch may begin late");
+    assertEquals(
+        0, unusableCount(20_000), "the next worker epoch of a silent machine may begin late");
   }
 
   @Test
