--- a/src/main/java/org/ploverspindle/cloud/Autoscaler.java
+++ b/src/main/java/org/ploverspindle/cloud/Autoscaler.java
@@ -42,12 +42,12 @@
 
   private static final long SCALE_IN_PERIOD_MS = 1_000;
   private static final long MACHINE_TYPES_PERIOD_MS = 60_000;
-  private static final long UNANSWERED_INTENTS_PERIOD_MS = 500;
+  private static final long PROVISIONING_INTENTS_PERIOD_MS = 500;
 
   /** Shortest delay before a request to the cloud that got no response is sent again. */
-  private static final int RETRY_MS = 700;
+  private static final int MIN_RETRY_DELAY_MS = 700;
 
-  /** Exclusive upper bound of the random time that is added to {@link #RETRY_MS}. */
+  /** Exclusive upper bound of the random time that is added to {@link #MIN_RETRY_DELAY_MS}. */
   private static final int RETRY_JITTER_MS = 600;
 
   /**
@@ -55,7 +55,7 @@
    * time and {@link #FIRST_HEARTBEAT_MARGIN_MS}, every machine that is up has sent a heartbeat to a
    * new leader.
    */
-  private static final double FIRST_HEARTBEAT_MS_PER_PERIOD_S = 1_250;
+  private static final double FIRST_HEARTBEAT_MS_PER_INTERVAL_S = 1_250;
 
   private static final long FIRST_HEARTBEAT_MARGIN_MS = 1_500;
 
@@ -120,21 +120,21 @@
   private final LeaderWriter writer;
   private final Workload workload;
 
-  private final CloudCallBudget calls;
-  private final BootTracker boots;
+  private final CloudCallBudget callBudget;
+  private final BootTracker bootTracker;
   private final GroupBackoffs backoffs;
   private final ProvisioningIntents intents;
   private final Pools pools;
   private final PoolBoundsRecords boundsRecords;
-  private final MachineTypesRefresh typesRefresh;
+  private final MachineTypesRefresh machineTypesRefresh;
   private final MachineTerminations terminations;
   private final ScaleInPlanner scaleInPlanner;
   private final ScaleOutRound scaleOutRound;
   private final MachineListReader listReader;
-  private final CancellableGroup tasks = new CancellableGroup();
+  private final CancellableGroup periodicTasks = new CancellableGroup();
 
   /** Whether an earlier leader left provisioning intents or machines. */
-  private boolean inheritedFleet;
+  private boolean hasInheritedFleet;
 
   public Autoscaler(Environment environment, LeaderState leader, Workload workload) {
     this.scheduler = environment.scheduler();
@@ -148,18 +148,19 @@
     this.workload = workload;
     CloudClient cloud = environment.cloud();
     RandomGenerator random = environment.random();
-    RetryDelay retryDelay = new RetryDelay(random, RETRY_MS, RETRY_JITTER_MS);
+    RetryDelay retryDelay = new RetryDelay(random, MIN_RETRY_DELAY_MS, RETRY_JITTER_MS);
     int maxValueBytes = settings.effectiveStateLimits().maxValueBytes();
-    this.calls =
+    this.callBudget =
         new CloudCallBudget(
             scheduler, settings.cloudLimits().requestsPerS(), workload::isAuthoritative);
-    this.boots = new BootTracker(catalogue);
+    this.bootTracker = new BootTracker(catalogue);
     this.backoffs = new GroupBackoffs(scheduler, catalogue, policy, random);
-    ScaleOutLimits limits = new ScaleOutLimits(backoffs, policy, settings, calls.callsPerS());
+    ScaleOutLimits limits = new ScaleOutLimits(backoffs, policy, settings, callBudget.callsPerS());
     this.intents = newIntents(cloud, limits, retryDelay);
     this.pools = new Pools(catalogue, fleet, intents, backoffs, policy);
     this.boundsRecords = new PoolBoundsRecords(catalogue, backoffs, writer, maxValueBytes);
-    this.typesRefresh = new MachineTypesRefresh(cloud, catalogue, calls, writer, maxValueBytes);
+    this.machineTypesRefresh =
+        new MachineTypesRefresh(cloud, catalogue, callBudget, writer, maxValueBytes);
     HeartbeatTimeout heartbeatTimeout =
         new HeartbeatTimeout(
             settings.workers().heartbeatIntervalS(), term.startMs(), workload::listeningSinceMs);
@@ -177,13 +178,13 @@
         fleet,
         new ProvisioningIntentRecords(catalogue, writer, term.fencingToken()),
         limits,
-        calls::tryTakeAsLeader,
+        callBudget::tryTakeAsLeader,
         retryDelay);
   }
 
   private MachineTerminations newTerminations(
       CloudClient cloud, HeartbeatTimeout heartbeatTimeout, RetryDelay retryDelay) {
-    long keepMs =
+    long recordRetentionMs =
         Math.round(settings.cloudLimits().maxListLagS() * OLDEST_LIST_MS_PER_LAG_S)
             + OLDEST_LIST_MARGIN_MS;
     return new MachineTerminations(
@@ -192,8 +193,8 @@
         heartbeatTimeout,
         new TerminationRecordWriter(
             writer, term.fencingToken(), settings.effectiveStateLimits().maxValueBytes()),
-        new TerminationSender(scheduler, cloud, calls::tryTakeAsLeader, retryDelay),
-        keepMs,
+        new TerminationSender(scheduler, cloud, callBudget::tryTakeAsLeader, retryDelay),
+        recordRetentionMs,
         workload::placementsLost);
   }
 
@@ -201,7 +202,8 @@
     return new ScaleInPlanner(
         scheduler,
         fleet,
-        new UnusableMachines(fleet, boots, backoffs, term.startMs(), settings.workers().leaseS()),
+        new UnusableMachines(
+            fleet, bootTracker, backoffs, term.startMs(), settings.workers().leaseS()),
         new IdleMachines(pools, policy, workload),
         terminations,
         workload::isAuthoritative);
@@ -211,8 +213,8 @@
     return new ScaleOutRound(
         scheduler,
         fleet,
-        boots,
-        new CandidateGroups(catalogue, pools, boundsRecords, limits, boots),
+        bootTracker,
+        new CandidateGroups(catalogue, pools, boundsRecords, limits, bootTracker),
         limits,
         intents,
         workload);
@@ -222,7 +224,7 @@
     double lagS = settings.cloudLimits().maxListLagS();
     ListedMachines listed =
         new ListedMachines(scheduler, fleet, heartbeatTimeout, lagS, term.startMs());
-    return new MachineListReader(scheduler, cloud, calls, listed, lagS, this::listRead);
+    return new MachineListReader(scheduler, cloud, callBudget, listed, lagS, this::onListRead);
   }
 
   /**
@@ -234,22 +236,23 @@
   public Cancellable start() {
     replica.withPrefix(Keys.TERMINATIONS).values().forEach(terminations::inheritTermination);
     replica.withPrefix(Keys.PROVISIONING_INTENTS).values().forEach(intents::inherit);
-    inheritedFleet = !intents.isEmpty();
+    hasInheritedFleet = !intents.isEmpty();
     replica.withPrefix(Keys.BOUNDS).values().forEach(boundsRecords::inherit);
-    tasks.add(
+    periodicTasks.add(
         scheduler.scheduleWithFixedDelay(Math.round(policy.scanS() * MS_PER_S), this::scaleOut));
-    tasks.add(scheduler.scheduleWithFixedDelay(SCALE_IN_PERIOD_MS, scaleInPlanner::run));
-    tasks.add(scheduler.scheduleWithFixedDelay(MACHINE_TYPES_PERIOD_MS, typesRefresh::run));
-    tasks.add(
-        scheduler.scheduleWithFixedDelay(UNANSWERED_INTENTS_PERIOD_MS, intents::retryUnanswered));
-    tasks.add(listReader.start());
-    typesRefresh.run();
-    return tasks;
+    periodicTasks.add(scheduler.scheduleWithFixedDelay(SCALE_IN_PERIOD_MS, scaleInPlanner::run));
+    periodicTasks.add(
+        scheduler.scheduleWithFixedDelay(MACHINE_TYPES_PERIOD_MS, machineTypesRefresh::run));
+    periodicTasks.add(
+        scheduler.scheduleWithFixedDelay(PROVISIONING_INTENTS_PERIOD_MS, intents::advance));
+    periodicTasks.add(listReader.start());
+    machineTypesRefresh.run();
+    return periodicTasks;
   }
 
   /** Whether a complete list of machines has been read in this term. */
   public boolean isMachineListRead() {
-    return listReader.wasRead();
+    return listReader.hasReadList();
   }
 
   /**
@@ -257,7 +260,7 @@
    * and no machine exists or is requested.
    */
   public void scaleOutSoon() {
-    if (listReader.wasRead() && intents.isEmpty() && fleet.all().isEmpty()) {
+    if (listReader.hasReadList() && intents.isEmpty() && fleet.all().isEmpty()) {
       scaleOut();
     }
   }
@@ -280,18 +283,19 @@
    * intents or machines of an earlier leader, no heartbeats have to be waited for.
    */
   private boolean isFleetKnown() {
-    if (!listReader.wasRead() || intents.haveUnanswered()) {
+    if (!listReader.hasReadList() || intents.hasUnanswered()) {
       return false;
     }
     long heartbeatsReceivedMs =
         term.startMs()
-            + Math.round(settings.workers().heartbeatIntervalS() * FIRST_HEARTBEAT_MS_PER_PERIOD_S)
+            + Math.round(
+                settings.workers().heartbeatIntervalS() * FIRST_HEARTBEAT_MS_PER_INTERVAL_S)
             + FIRST_HEARTBEAT_MARGIN_MS;
-    return !inheritedFleet || scheduler.nowMs() >= heartbeatsReceivedMs;
+    return !hasInheritedFleet || scheduler.nowMs() >= heartbeatsReceivedMs;
   }
 
-  private void listRead(boolean firstOfTerm) {
-    inheritedFleet |= firstOfTerm && !fleet.all().isEmpty();
+  private void onListRead(boolean firstOfTerm) {
+    hasInheritedFleet |= firstOfTerm && !fleet.all().isEmpty();
     if (firstOfTerm) {
       scaleOut();
     }
--- a/src/main/java/org/ploverspindle/cloud/BootTracker.java
+++ b/src/main/java/org/ploverspindle/cloud/BootTracker.java
@@ -28,13 +28,13 @@
    * Where the slowest recent boot of a group took longer than {@link #OVERDUE_RATIO}, this multiple
    * of its ratio is used instead to tell whether a machine is overdue.
    */
-  private static final double BEYOND_SLOWEST = 1.3;
+  private static final double SLOWEST_BOOT_FACTOR = 1.3;
 
   /**
    * Largest ratio after which a machine counts as overdue or stuck, however slowly other machines
    * of its group booted.
    */
-  private static final double MAX_RATIO = 6;
+  private static final double MAX_BOOT_RATIO = 6;
 
   /**
    * Smallest ratio after which, with {@link #STUCK_MARGIN_S} added, a machine counts as stuck. The
@@ -48,10 +48,10 @@
    * Boots that were observed longer ago than this are discarded, since they do not show how the
    * group boots now.
    */
-  private static final long BOOT_KEPT_MS = 120_000;
+  private static final long BOOT_RETENTION_MS = 120_000;
 
   /** Fewer overdue machines in a group may be independent failures of single machines. */
-  private static final int MIN_OVERDUE = 3;
+  private static final int MIN_OVERDUE_MACHINES = 3;
 
   private static final double MS_PER_S = 1_000;
 
@@ -61,10 +61,10 @@
    * @param atMs when it was observed, in milliseconds on the steady clock
    * @param ratio its duration as a multiple of the type's boot time
    */
-  private record Boot(long atMs, double ratio) {}
+  private record Boot(long observedMs, double ratio) {}
 
   private static final class GroupBoots {
-    private final Deque<Boot> recent = new ArrayDeque<>();
+    private final Deque<Boot> recentBoots = new ArrayDeque<>();
 
     /**
      * The largest ratio among the recent boots, 0 without any. It is cached because every booting
@@ -72,17 +72,17 @@
      */
     private double slowestRatio;
 
-    private int overdue;
+    private int overdueCount;
 
-    void forgetBefore(long oldestMs) {
-      if (recent.removeIf(boot -> boot.atMs() < oldestMs)) {
+    void discardBefore(long oldestMs) {
+      if (recentBoots.removeIf(boot -> boot.observedMs() < oldestMs)) {
         slowestRatio = 0;
-        recent.forEach(boot -> slowestRatio = Math.max(slowestRatio, boot.ratio()));
+        recentBoots.forEach(boot -> slowestRatio = Math.max(slowestRatio, boot.ratio()));
       }
     }
 
     void add(Boot boot) {
-      recent.addLast(boot);
+      recentBoots.addLast(boot);
       slowestRatio = Math.max(slowestRatio, boot.ratio());
     }
   }
@@ -100,22 +100,23 @@
    */
   void observe(Collection<Machine> machines, long nowMs) {
     for (GroupBoots boots : bootsByGroup.values()) {
-      boots.overdue = 0;
-      boots.forgetBefore(nowMs - BOOT_KEPT_MS);
+      boots.overdueCount = 0;
+      boots.discardBefore(nowMs - BOOT_RETENTION_MS);
     }
     for (Machine machine : machines) {
       if (!machine.isUp()) {
         if (!machine.isDecommissioning() && isOverdue(machine, nowMs)) {
-          bootsOf(machine).overdue++;
+          groupBootsOf(machine).overdueCount++;
         }
       } else if (machine.observeFirstHeartbeat() && machine.provisionedSinceMs() >= 0) {
-        double bootedS = (machine.firstHeartbeatMs() - machine.provisionedSinceMs()) / MS_PER_S;
-        bootsOf(machine).add(new Boot(nowMs, bootedS / expectedBootS(machine)));
+        double bootDurationS =
+            (machine.firstHeartbeatMs() - machine.provisionedSinceMs()) / MS_PER_S;
+        groupBootsOf(machine).add(new Boot(nowMs, bootDurationS / expectedBootS(machine)));
       }
     }
   }
 
-  private GroupBoots bootsOf(Machine machine) {
+  private GroupBoots groupBootsOf(Machine machine) {
     return bootsByGroup.computeIfAbsent(MachineGroup.of(machine), group -> new GroupBoots());
   }
 
@@ -140,13 +141,15 @@
   boolean isOverdue(Machine machine, long nowMs) {
     double slowest = slowestRatio(machine);
     double ratio =
-        slowest > OVERDUE_RATIO ? Math.min(MAX_RATIO, slowest * BEYOND_SLOWEST) : OVERDUE_RATIO;
+        slowest > OVERDUE_RATIO
+            ? Math.min(MAX_BOOT_RATIO, slowest * SLOWEST_BOOT_FACTOR)
+            : OVERDUE_RATIO;
     return bootingForS(machine, nowMs) >= expectedBootS(machine) * ratio + OVERDUE_MARGIN_S;
   }
 
   /** Whether the machine has been booting for so long that it is not expected to come up. */
   boolean isStuck(Machine machine, long nowMs) {
-    double ratio = Math.min(MAX_RATIO, slowestRatio(machine) * BEYOND_SLOWEST);
+    double ratio = Math.min(MAX_BOOT_RATIO, slowestRatio(machine) * SLOWEST_BOOT_FACTOR);
     return bootingForS(machine, nowMs)
         > expectedBootS(machine) * Math.max(STUCK_RATIO, ratio) + STUCK_MARGIN_S;
   }
@@ -155,8 +158,10 @@
    * Whether several machines of the group are overdue, and more than have recently come up. Work
    * that cannot wait should then get machines of another group.
    */
-  boolean isBootingBadly(MachineGroup group) {
+  boolean isBootingLate(MachineGroup group) {
     GroupBoots boots = bootsByGroup.get(group);
-    return boots != null && boots.overdue >= MIN_OVERDUE && boots.overdue > boots.recent.size();
+    return boots != null
+        && boots.overdueCount >= MIN_OVERDUE_MACHINES
+        && boots.overdueCount > boots.recentBoots.size();
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/CandidateGroups.java
+++ b/src/main/java/org/ploverspindle/cloud/CandidateGroups.java
@@ -19,28 +19,28 @@
    *
    * @param candidates groups that may grow, in the order of machine types and then of zones, for
    *     each zone spot before on-demand
-   * @param missing how many machines to request, by group, so that each zone reaches its minimum
+   * @param shortfalls how many machines to request, by group, so that each zone reaches its minimum
    */
   record Evaluation(
-      List<ScaleOutPlanner.Candidate> candidates, Map<MachineGroup, Integer> missing) {}
+      List<ScaleOutPlanner.Candidate> candidates, Map<MachineGroup, Integer> shortfalls) {}
 
   private final Catalogue catalogue;
   private final Pools pools;
   private final PoolBoundsRecords boundsRecords;
   private final ScaleOutLimits limits;
-  private final BootTracker boots;
+  private final BootTracker bootTracker;
 
   CandidateGroups(
       Catalogue catalogue,
       Pools pools,
       PoolBoundsRecords boundsRecords,
       ScaleOutLimits limits,
-      BootTracker boots) {
+      BootTracker bootTracker) {
     this.catalogue = catalogue;
     this.pools = pools;
     this.boundsRecords = boundsRecords;
     this.limits = limits;
-    this.boots = boots;
+    this.bootTracker = bootTracker;
   }
 
   /** Evaluates the bounds of all pools and records them in the state service. */
@@ -63,25 +63,26 @@
       int type, int zone, AdaptiveSizing.Bounds bounds, int held, Evaluation evaluation) {
     MachineGroup spot = new MachineGroup(type, zone, true);
     MachineGroup onDemand = new MachineGroup(type, zone, false);
-    int mayGrow = bounds.max() - held;
-    addCandidate(spot, mayGrow, held, evaluation);
-    addCandidate(onDemand, mayGrow, held, evaluation);
-    int missing = Math.min(mayGrow, bounds.min() - held);
-    if (missing > 0) {
+    int maxGrowth = bounds.max() - held;
+    addCandidate(spot, maxGrowth, held, evaluation);
+    addCandidate(onDemand, maxGrowth, held, evaluation);
+    int shortfall = Math.min(maxGrowth, bounds.min() - held);
+    if (shortfall > 0) {
       // A pool must always have its minimum. Therefore on-demand machines, which the cloud does
       // not reclaim, are requested for it, and spot machines only if the on-demand group is backed
       // off.
-      evaluation.missing().put(limits.isBackedOff(onDemand) ? spot : onDemand, missing);
+      evaluation.shortfalls().put(limits.isBackedOff(onDemand) ? spot : onDemand, shortfall);
     }
   }
 
-  private void addCandidate(MachineGroup group, int mayGrow, int held, Evaluation evaluation) {
-    if (mayGrow > 0 && !limits.isBackedOff(group)) {
-      int maxMachines = Math.min(mayGrow, limits.maxPerRound(group));
+  private void addCandidate(MachineGroup group, int maxGrowth, int held, Evaluation evaluation) {
+    if (maxGrowth > 0 && !limits.isBackedOff(group)) {
+      int maxMachines = Math.min(maxGrowth, limits.maxPerRound(group));
       evaluation
           .candidates()
           .add(
-              new ScaleOutPlanner.Candidate(group, maxMachines, held, boots.isBootingBadly(group)));
+              new ScaleOutPlanner.Candidate(
+                  group, maxMachines, held, bootTracker.isBootingLate(group)));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/CloudCallBudget.java
+++ b/src/main/java/org/ploverspindle/cloud/CloudCallBudget.java
@@ -22,7 +22,7 @@
    */
   private static final double MIN_BURST = 2;
 
-  private final TokenBucket calls;
+  private final TokenBucket tokens;
   private final double callsPerS;
   private final BooleanSupplier isAuthoritative;
 
@@ -32,7 +32,7 @@
    */
   CloudCallBudget(Scheduler scheduler, double cloudRps, BooleanSupplier isAuthoritative) {
     this.callsPerS = cloudRps * RATE_SHARE;
-    this.calls = new TokenBucket(scheduler, callsPerS, Math.max(MIN_BURST, cloudRps));
+    this.tokens = new TokenBucket(scheduler, callsPerS, Math.max(MIN_BURST, cloudRps));
     this.isAuthoritative = isAuthoritative;
   }
 
@@ -47,13 +47,13 @@
   }
 
   /** Whether at least this number of calls can be taken now. */
-  boolean isAvailable(int count) {
-    return calls.available() >= count;
+  boolean hasAvailable(int count) {
+    return tokens.available() >= count;
   }
 
   /** Takes one call, if the budget allows it. Used for calls that only read. */
   boolean tryTake() {
-    return calls.tryTake(1);
+    return tokens.tryTake(1);
   }
 
   /**
--- a/src/main/java/org/ploverspindle/cloud/CloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/CloudClient.java
@@ -69,7 +69,7 @@
   }
 
   /** Lists the machine types that the cloud offers. */
-  void listMachineTypes(Consumer<Optional<List<MachineType>>> then);
+  void listMachineTypes(Consumer<Optional<List<MachineType>>> callback);
 
   /**
    * Provisions up to {@code count} machines. The operation is idempotent by {@code intentName}: a
@@ -81,12 +81,12 @@
       String zone,
       boolean spot,
       int count,
-      Consumer<ProvisionResult> then);
+      Consumer<ProvisionResult> callback);
 
   /**
    * Lists a page of the machines.
    *
    * @param after the last machine of the page before; empty for the first page
    */
-  void listMachines(String after, Consumer<Optional<HostPage>> then);
+  void listMachines(String after, Consumer<Optional<HostPage>> callback);
 }
--- a/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
+++ b/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
@@ -10,16 +10,16 @@
  */
 final class FleetConnectivity {
   private final MachineRegistry fleet;
-  private final double leaseMs;
+  private final double workerLeaseMs;
   private final long nowMs;
-  private boolean counted;
-  private int unreachable;
-  private int up;
-  private int sendingHeartbeats;
+  private boolean isCounted;
+  private int unreachableCount;
+  private int upCount;
+  private int sendingHeartbeatsCount;
 
-  FleetConnectivity(MachineRegistry fleet, double leaseMs, long nowMs) {
+  FleetConnectivity(MachineRegistry fleet, double workerLeaseMs, long nowMs) {
     this.fleet = fleet;
-    this.leaseMs = leaseMs;
+    this.workerLeaseMs = workerLeaseMs;
     this.nowMs = nowMs;
   }
 
@@ -27,9 +27,9 @@
    * Whether commands fail to reach at most half of the machines. If they fail to reach more, the
    * fault must be on the leader's side.
    */
-  boolean fewAreUnreachable() {
+  boolean atMostHalfAreUnreachable() {
     count();
-    return unreachable * 2 <= fleet.all().size();
+    return unreachableCount * 2 <= fleet.all().size();
   }
 
   /**
@@ -37,20 +37,21 @@
    * lease. If fewer have, the leader is partitioned from the machines, and their silence does not
    * show that they have failed.
    */
-  boolean mostSendHeartbeats() {
+  boolean atLeastHalfSendHeartbeats() {
     count();
-    return sendingHeartbeats * 2 >= up;
+    return sendingHeartbeatsCount * 2 >= upCount;
   }
 
   private void count() {
-    if (counted) {
+    if (isCounted) {
       return;
     }
-    counted = true;
+    isCounted = true;
     for (Machine machine : fleet.all()) {
-      unreachable += machine.unreachableSinceMs() >= 0 ? 1 : 0;
-      up += machine.isUp() ? 1 : 0;
-      sendingHeartbeats += machine.isUp() && nowMs - machine.lastHeartbeatMs() < leaseMs ? 1 : 0;
+      unreachableCount += machine.unreachableSinceMs() >= 0 ? 1 : 0;
+      upCount += machine.isUp() ? 1 : 0;
+      sendingHeartbeatsCount +=
+          machine.isUp() && nowMs - machine.lastHeartbeatMs() < workerLeaseMs ? 1 : 0;
     }
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/GroupBackoffs.java
+++ b/src/main/java/org/ploverspindle/cloud/GroupBackoffs.java
@@ -22,19 +22,19 @@
   private static final Logger LOG = LoggerFactory.getLogger(GroupBackoffs.class);
 
   /** Shortest duration of a backoff, as a multiple of the policy's backoff time. */
-  private static final double MIN_PART = 0.85;
+  private static final double MIN_DURATION_FACTOR = 0.85;
 
   /**
    * Exclusive upper bound of the random time that is added to the shortest duration, as a multiple
    * of the policy's backoff time.
    */
-  private static final double RANDOM_PART = 0.3;
+  private static final double RANDOM_DURATION_FACTOR = 0.3;
 
   /**
    * Number of the comma-separated fields of a recorded backoff: the zone's name, whether the group
    * is spot, and the milliseconds until the backoff ends.
    */
-  private static final int RECORDED_FIELDS = 3;
+  private static final int RECORDED_FIELD_COUNT = 3;
 
   private static final double MS_PER_S = 1_000;
 
@@ -44,7 +44,7 @@
   private final RandomGenerator random;
 
   /** When the backoff of each group ends, in milliseconds on the steady clock. */
-  private final Map<MachineGroup, Long> untilMs = new HashMap<>();
+  private final Map<MachineGroup, Long> backoffEndMs = new HashMap<>();
 
   GroupBackoffs(Scheduler scheduler, Catalogue catalogue, Policy policy, RandomGenerator random) {
     this.scheduler = scheduler;
@@ -57,13 +57,14 @@
   void backOff(MachineGroup group) {
     // Without the variation, backoffs that begin together would end together, and requests for all
     // these groups would be sent at once.
-    double part = MIN_PART + RANDOM_PART * random.nextDouble();
-    untilMs.put(group, scheduler.nowMs() + Math.round(policy.backoffS() * MS_PER_S * part));
+    double durationFactor = MIN_DURATION_FACTOR + RANDOM_DURATION_FACTOR * random.nextDouble();
+    backoffEndMs.put(
+        group, scheduler.nowMs() + Math.round(policy.backoffS() * MS_PER_S * durationFactor));
   }
 
   /** Whether the group gets no request now. */
   boolean isBackedOff(MachineGroup group) {
-    return untilMs.getOrDefault(group, Long.MIN_VALUE) > scheduler.nowMs();
+    return backoffEndMs.getOrDefault(group, Long.MIN_VALUE) > scheduler.nowMs();
   }
 
   /**
@@ -71,11 +72,11 @@
    * next leader.
    */
   void encode(int type, ArrayNode recorded) {
-    untilMs.forEach(
+    backoffEndMs.forEach(
         (group, endMs) -> {
-          long leftMs = endMs - scheduler.nowMs();
-          if (group.type() == type && leftMs > 0) {
-            recorded.add(catalogue.zoneName(group.zone()) + "," + group.spot() + "," + leftMs);
+          long remainingMs = endMs - scheduler.nowMs();
+          if (group.type() == type && remainingMs > 0) {
+            recorded.add(catalogue.zoneName(group.zone()) + "," + group.spot() + "," + remainingMs);
           }
         });
   }
@@ -98,14 +99,14 @@
   private boolean inherit(int type, String recorded) {
     String[] fields = recorded.split(",", -1);
     Optional<Integer> zone =
-        fields.length == RECORDED_FIELDS ? catalogue.zoneIndex(fields[0]) : Optional.empty();
+        fields.length == RECORDED_FIELD_COUNT ? catalogue.zoneIndex(fields[0]) : Optional.empty();
     if (zone.isEmpty() || !fields[2].matches("\\d{1,9}")) {
       return false;
     }
     long maxMs = Math.round(policy.backoffS() * MS_PER_S);
-    long leftMs = Math.min(Long.parseLong(fields[2]), maxMs);
+    long remainingMs = Math.min(Long.parseLong(fields[2]), maxMs);
     MachineGroup group = new MachineGroup(type, zone.get(), Boolean.parseBoolean(fields[1]));
-    untilMs.put(group, scheduler.nowMs() + leftMs);
+    backoffEndMs.put(group, scheduler.nowMs() + remainingMs);
     return true;
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
@@ -23,13 +23,13 @@
  * status is handled like a missing response.
  */
 public final class HttpCloudClient implements CloudClient {
-  private static final byte[] EMPTY = {};
+  private static final byte[] EMPTY_BODY = {};
   private static final int HTTP_OK = 200;
   private static final int HTTP_BAD_REQUEST = 400;
   private static final int HTTP_TOO_MANY_REQUESTS = 429;
   private static final int HTTP_UNAVAILABLE = 503;
-  private static final long TIMEOUT_MS = 5_000;
-  private static final int HOSTS_PER_PAGE = 500;
+  private static final long REQUEST_TIMEOUT_MS = 5_000;
+  private static final int MACHINES_PER_PAGE = 500;
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpCloudClient.class);
 
@@ -47,20 +47,20 @@
   }
 
   /** The body of a response of status 200; empty without such a response or a readable body. */
-  private static Optional<ObjectNode> okBody(HttpResult result) {
+  private static Optional<ObjectNode> successBody(HttpResult result) {
     return result instanceof HttpResult.Response response && response.status() == HTTP_OK
         ? Cbor.readMap(response.body())
         : Optional.empty();
   }
 
   @Override
-  public void listMachineTypes(Consumer<Optional<List<MachineType>>> then) {
+  public void listMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
     client.send(
         "GET",
         "/flavors",
-        EMPTY,
-        TIMEOUT_MS,
-        result -> then.accept(okBody(result).flatMap(HttpCloudClient::readTypes)));
+        EMPTY_BODY,
+        REQUEST_TIMEOUT_MS,
+        result -> callback.accept(successBody(result).flatMap(HttpCloudClient::readTypes)));
   }
 
   /**
@@ -107,7 +107,7 @@
       String zone,
       boolean spot,
       int count,
-      Consumer<ProvisionResult> then) {
+      Consumer<ProvisionResult> callback) {
     ObjectNode body =
         Cbor.map()
             .put("claim", intentName)
@@ -119,8 +119,8 @@
         "POST",
         "/rentals",
         Cbor.write(body),
-        TIMEOUT_MS,
-        result -> then.accept(provisionResult(result)));
+        REQUEST_TIMEOUT_MS,
+        result -> callback.accept(provisionResult(result)));
   }
 
   private ProvisionResult provisionResult(HttpResult result) {
@@ -140,10 +140,10 @@
         && body.map(map -> map.path("error").asText("")).orElse("").contains("capacity")) {
       return new ProvisionResult.NoCapacity();
     }
-    return failure(response.status());
+    return resultOfFailure(response.status());
   }
 
-  private ProvisionResult failure(int status) {
+  private ProvisionResult resultOfFailure(int status) {
     return switch (status) {
       case HTTP_BAD_REQUEST -> new ProvisionResult.Malformed();
       case HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE -> new ProvisionResult.Refused();
@@ -157,29 +157,29 @@
   }
 
   @Override
-  public void terminate(List<String> hosts, Consumer<Boolean> then) {
+  public void terminate(List<String> hosts, Consumer<Boolean> callback) {
     ObjectNode body = Cbor.map();
     hosts.forEach(body.putArray("hosts")::add);
     client.send(
         "POST",
         "/rentals/release",
         Cbor.write(body),
-        TIMEOUT_MS,
-        result -> then.accept(isOk(result)));
+        REQUEST_TIMEOUT_MS,
+        result -> callback.accept(isOk(result)));
   }
 
   @Override
-  public void listMachines(String after, Consumer<Optional<HostPage>> then) {
+  public void listMachines(String after, Consumer<Optional<HostPage>> callback) {
     String path =
         "/rentals?page="
-            + HOSTS_PER_PAGE
+            + MACHINES_PER_PAGE
             + (after.isEmpty() ? "" : "&after=" + URLEncoder.encode(after, StandardCharsets.UTF_8));
     client.send(
         "GET",
         path,
-        EMPTY,
-        TIMEOUT_MS,
-        result -> then.accept(okBody(result).flatMap(HttpCloudClient::readPage)));
+        EMPTY_BODY,
+        REQUEST_TIMEOUT_MS,
+        result -> callback.accept(successBody(result).flatMap(HttpCloudClient::readPage)));
   }
 
   private static Optional<HostPage> readPage(ObjectNode body) {
--- a/src/main/java/org/ploverspindle/cloud/IdleMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/IdleMachines.java
@@ -17,7 +17,7 @@
    * Idle time in seconds after which a machine may be terminated once users have stopped submitting
    * jobs. The policy's idle time applies if that is shorter.
    */
-  private static final double QUIET_IDLE_S = 8;
+  private static final double NO_SUBMISSIONS_IDLE_S = 8;
 
   /**
    * Idle time after which a scale-in candidate may be terminated. Scale-out planning has already
@@ -41,7 +41,7 @@
    * Returns a stateful predicate for one scale-in round, tested on one machine after another. The
    * machines for which it was true count as terminated in later tests.
    */
-  Predicate<Machine> newRound(long nowMs) {
+  Predicate<Machine> newRoundPredicate(long nowMs) {
     return new Round(nowMs);
   }
 
@@ -50,13 +50,13 @@
 
     // These predicates are created once for each round, because creating them iterates over all
     // jobs or over all machines.
-    private final Predicate<Machine> needed = workload.usefulMachines();
+    private final Predicate<Machine> useful = workload.usefulMachines();
     private final Predicate<Machine> surplus = workload.surplusMachines();
 
     private final Map<Integer, List<AdaptiveSizing.Group>> groupsByType = new HashMap<>();
 
     /** How many machines were selected in this round, by machine type and zone. */
-    private final Map<TypeInZone, Integer> found = new HashMap<>();
+    private final Map<TypeInZone, Integer> selectedCounts = new HashMap<>();
 
     Round(long nowMs) {
       this.nowMs = nowMs;
@@ -70,11 +70,11 @@
       List<AdaptiveSizing.Group> groups =
           groupsByType.computeIfAbsent(machine.type(), pools::groups);
       TypeInZone group = new TypeInZone(machine.type(), machine.zone());
-      int held = groups.get(machine.zone()).held() - found.getOrDefault(group, 0);
+      int held = groups.get(machine.zone()).held() - selectedCounts.getOrDefault(group, 0);
       if (held <= pools.bounds(machine.type(), groups).get(machine.zone()).min()) {
         return false;
       }
-      found.merge(group, 1, Integer::sum);
+      selectedCounts.merge(group, 1, Integer::sum);
       return true;
     }
 
@@ -87,10 +87,10 @@
         return idleMs >= SCALE_IN_CANDIDATE_IDLE_MS;
       }
       double maxIdleS =
-          workload.isQuiet() ? Math.min(policy.idleS(), QUIET_IDLE_S) : policy.idleS();
+          workload.isQuiet() ? Math.min(policy.idleS(), NO_SUBMISSIONS_IDLE_S) : policy.idleS();
       // Although the machine is idle, pending tasks may need it: it may have come up only just now,
       // or their jobs may be delayed.
-      return idleMs >= maxIdleS * MS_PER_S && !needed.test(machine) && surplus.test(machine);
+      return idleMs >= maxIdleS * MS_PER_S && !useful.test(machine) && surplus.test(machine);
     }
   }
 
--- a/src/main/java/org/ploverspindle/cloud/ListedMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/ListedMachines.java
@@ -17,7 +17,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ListedMachines.class);
 
   /** A machine may be forgotten once it is missing from this many complete lists in a row. */
-  private static final int MISSED_LISTS = 3;
+  private static final int MIN_MISSED_LISTS = 3;
 
   /**
    * Milliseconds per second of the configured list lag. A machine may be forgotten once it has been
@@ -42,11 +42,11 @@
    * The machines that one reading of the list has found so far, and the time at which its first
    * page was requested.
    */
-  static final class Snapshot {
+  static final class MachineList {
     private final long requestedMs;
     private final Set<String> hosts = new HashSet<>();
 
-    Snapshot(long requestedMs) {
+    MachineList(long requestedMs) {
       this.requestedMs = requestedMs;
     }
 
@@ -58,32 +58,32 @@
   private final Scheduler scheduler;
   private final MachineRegistry fleet;
   private final HeartbeatTimeout heartbeatTimeout;
-  private final double lagS;
+  private final double listLagS;
   private final long termStartMs;
 
   /** How many complete lists in a row each machine was missing from, by the machine's name. */
   private final Map<String, Integer> missedLists = new HashMap<>();
 
   /**
-   * @param lagS the configured list lag, in seconds
+   * @param listLagS the configured list lag, in seconds
    * @param termStartMs when the leader's term began, in milliseconds on the steady clock
    */
   ListedMachines(
       Scheduler scheduler,
       MachineRegistry fleet,
       HeartbeatTimeout heartbeatTimeout,
-      double lagS,
+      double listLagS,
       long termStartMs) {
     this.scheduler = scheduler;
     this.fleet = fleet;
     this.heartbeatTimeout = heartbeatTimeout;
-    this.lagS = lagS;
+    this.listLagS = listLagS;
     this.termStartMs = termStartMs;
   }
 
   /** Adds a listed machine to the reading, and adds it to the registry or updates it there. */
-  void add(Snapshot snapshot, CloudClient.Host host) {
-    snapshot.hosts.add(host.id());
+  void apply(MachineList list, CloudClient.Host host) {
+    list.hosts.add(host.id());
     long nowMs = scheduler.nowMs();
     fleet
         .adopt(host.id(), host.type(), host.zone(), host.spot(), nowMs)
@@ -110,27 +110,27 @@
    * a later reading may return an older list. Therefore a machine is forgotten only after it was
    * missing from several lists in a row, and only when its worker lease has expired as well.
    */
-  void complete(Snapshot snapshot) {
+  void handleCompleteList(MachineList list) {
     long nowMs = scheduler.nowMs();
     for (Machine machine : List.copyOf(fleet.all())) {
-      if (snapshot.hosts.contains(machine.host())) {
+      if (list.hosts.contains(machine.host())) {
         missedLists.remove(machine.host());
       } else {
-        missing(machine, snapshot, nowMs);
+        handleMissing(machine, list, nowMs);
       }
     }
   }
 
-  private void missing(Machine machine, Snapshot snapshot, long nowMs) {
-    int missed = missedLists.merge(machine.host(), 1, Integer::sum);
-    if (!machine.isDecommissioning() && isGone(machine, nowMs, snapshot.requestedMs)) {
+  private void handleMissing(Machine machine, MachineList list, long nowMs) {
+    int missedCount = missedLists.merge(machine.host(), 1, Integer::sum);
+    if (!machine.isDecommissioning() && isLikelyGone(machine, nowMs, list.requestedMs)) {
       LOG.info(
           "machine unusable, heartbeat timeout and no longer listed: machine={}", machine.host());
       machine.markUnusable();
     }
     boolean knownLongEnough =
-        nowMs - machine.knownSinceMs() > lagS * FORGET_MS_PER_LAG_S + FORGET_MARGIN_MS;
-    if (missed >= MISSED_LISTS
+        nowMs - machine.knownSinceMs() > listLagS * FORGET_MS_PER_LAG_S + FORGET_MARGIN_MS;
+    if (missedCount >= MIN_MISSED_LISTS
         && knownLongEnough
         && machine.isEmpty()
         && nowMs > fleet.leaseExpiryMs(machine)) {
@@ -148,8 +148,8 @@
    * many seconds before the worker lease expires. This shortens the loss when many spot machines
    * are reclaimed at once without notice.
    */
-  private boolean isGone(Machine machine, long nowMs, long requestedMs) {
-    long oldestListMs = Math.round(lagS * OLDEST_LIST_MS_PER_LAG_S) + OLDEST_LIST_MARGIN_MS;
+  private boolean isLikelyGone(Machine machine, long nowMs, long requestedMs) {
+    long oldestListMs = Math.round(listLagS * OLDEST_LIST_MS_PER_LAG_S) + OLDEST_LIST_MARGIN_MS;
     // A machine on which an earlier leader placed tasks existed before this term. It counts as
     // listed from the time when the cloud can no longer return a list from before the term.
     long listedMs = machine.isListed() ? machine.listedSinceMs() : termStartMs + oldestListMs;
--- a/src/main/java/org/ploverspindle/cloud/MachineListReader.java
+++ b/src/main/java/org/ploverspindle/cloud/MachineListReader.java
@@ -24,16 +24,16 @@
   private static final int RESERVED_CALLS = 1;
 
   /** Delay before a page is tried again after the call budget was used up. */
-  private static final long BUDGET_PAUSE_MS = 100;
+  private static final long BUDGET_RETRY_MS = 100;
 
   /** Delay before a page is requested again that got no usable response. */
-  private static final long RETRY_MS = 600;
+  private static final long PAGE_RETRY_MS = 600;
 
   /**
    * How often one page is requested again. If it still fails, the reading ends, and a later period
    * begins a new one.
    */
-  private static final int MAX_RETRIES = 4;
+  private static final int MAX_PAGE_RETRIES = 4;
 
   private static final double MS_PER_S = 1_000;
 
@@ -44,98 +44,98 @@
      *
      * @param firstOfTerm whether it is the first one in this term
      */
-    void complete(boolean firstOfTerm);
+    void onListRead(boolean firstOfTerm);
   }
 
   /** One reading of the whole list. */
   private static final class Reading {
-    private final ListedMachines.Snapshot snapshot;
+    private final ListedMachines.MachineList list;
     private String lastHost = "";
     private int pages;
     private int retries;
 
-    Reading(ListedMachines.Snapshot snapshot) {
-      this.snapshot = snapshot;
+    Reading(ListedMachines.MachineList list) {
+      this.list = list;
     }
   }
 
   private final Scheduler scheduler;
   private final CloudClient cloud;
-  private final CloudCallBudget calls;
+  private final CloudCallBudget callBudget;
   private final ListedMachines listed;
   private final Listener listener;
   private final long periodMs;
   private final double pagesPerS;
-  private boolean reading;
-  private boolean readOnce;
+  private boolean isReading;
+  private boolean isListRead;
 
   /**
    * When the next reading may begin at the earliest, in milliseconds on the steady clock. The first
    * one may begin immediately.
    */
-  private long notBeforeMs = Long.MIN_VALUE;
+  private long nextReadingNotBeforeMs = Long.MIN_VALUE;
 
   /**
-   * @param calls the budget of calls to the cloud, shared with scale-out and scale-in
-   * @param lagS the configured list lag, in seconds
+   * @param callBudget the budget of calls to the cloud, shared with scale-out and scale-in
+   * @param listLagS the configured list lag, in seconds
    */
   MachineListReader(
       Scheduler scheduler,
       CloudClient cloud,
-      CloudCallBudget calls,
+      CloudCallBudget callBudget,
       ListedMachines listed,
-      double lagS,
+      double listLagS,
       Listener listener) {
     this.scheduler = scheduler;
     this.cloud = cloud;
-    this.calls = calls;
+    this.callBudget = callBudget;
     this.listed = listed;
     this.listener = listener;
-    this.periodMs = Math.max(MIN_PERIOD_MS, Math.round(lagS * PERIOD_MS_PER_LAG_S));
-    this.pagesPerS = calls.callsPerS() * CALL_SHARE;
+    this.periodMs = Math.max(MIN_PERIOD_MS, Math.round(listLagS * PERIOD_MS_PER_LAG_S));
+    this.pagesPerS = callBudget.callsPerS() * CALL_SHARE;
   }
 
   /** Begins a reading immediately and then periodically, until the result is cancelled. */
   Cancellable start() {
-    Cancellable periodic = scheduler.scheduleWithFixedDelay(periodMs, this::begin);
-    begin();
+    Cancellable periodic = scheduler.scheduleWithFixedDelay(periodMs, this::beginReading);
+    beginReading();
     return periodic;
   }
 
   /** Whether a complete list has been read in this term. */
-  boolean wasRead() {
-    return readOnce;
+  boolean hasReadList() {
+    return isListRead;
   }
 
-  private void begin() {
-    if (!reading
-        && calls.isAuthoritative()
-        && scheduler.nowMs() >= notBeforeMs
-        && calls.isAvailable(1 + RESERVED_CALLS)
-        && calls.tryTake()) {
-      reading = true;
-      request(new Reading(new ListedMachines.Snapshot(scheduler.nowMs())));
+  private void beginReading() {
+    if (!isReading
+        && callBudget.isAuthoritative()
+        && scheduler.nowMs() >= nextReadingNotBeforeMs
+        && callBudget.hasAvailable(1 + RESERVED_CALLS)
+        && callBudget.tryTake()) {
+      isReading = true;
+      requestPage(new Reading(new ListedMachines.MachineList(scheduler.nowMs())));
     }
   }
 
-  private void request(Reading current) {
+  private void requestPage(Reading reading) {
     cloud.listMachines(
-        current.lastHost,
+        reading.lastHost,
         response ->
-            response.ifPresentOrElse(page -> received(current, page), () -> failed(current)));
+            response.ifPresentOrElse(page -> onPage(reading, page), () -> onPageFailed(reading)));
   }
 
-  private void received(Reading current, CloudClient.HostPage page) {
-    current.pages++;
-    current.retries = 0;
+  private void onPage(Reading reading, CloudClient.HostPage page) {
+    reading.pages++;
+    reading.retries = 0;
     for (CloudClient.Host host : page.hosts()) {
-      current.lastHost = host.id();
-      listed.add(current.snapshot, host);
+      reading.lastHost = host.id();
+      listed.apply(reading.list, host);
     }
     if (page.hasNext() && !page.hosts().isEmpty()) {
-      requestNext(current);
+      requestNextPage(reading);
     } else {
-      complete(current);
+      completeReading(reading);
     }
   }
 
@@ -144,13 +144,13 @@
    * would use up the cloud's rate limit. The reading ends when this leader's lease is not certainly
    * valid.
    */
-  private void requestNext(Reading current) {
-    if (!calls.isAuthoritative()) {
-      reading = false;
-    } else if (calls.tryTake()) {
-      request(current);
+  private void requestNextPage(Reading reading) {
+    if (!callBudget.isAuthoritative()) {
+      isReading = false;
+    } else if (callBudget.tryTake()) {
+      requestPage(reading);
     } else {
-      scheduler.schedule(BUDGET_PAUSE_MS, () -> requestNext(current));
+      scheduler.schedule(BUDGET_RETRY_MS, () -> requestNextPage(reading));
     }
   }
 
@@ -159,20 +159,21 @@
    * reading of a long list started over after each lost response, it might never complete, and
    * nothing is provisioned before the first reading of a term is complete.
    */
-  private void failed(Reading current) {
-    if (current.pages == 0 || ++current.retries > MAX_RETRIES) {
-      reading = false;
+  private void onPageFailed(Reading reading) {
+    if (reading.pages == 0 || ++reading.retries > MAX_PAGE_RETRIES) {
+      isReading = false;
     } else {
-      scheduler.schedule(RETRY_MS, () -> requestNext(current));
+      scheduler.schedule(PAGE_RETRY_MS, () -> requestNextPage(reading));
     }
   }
 
-  private void complete(Reading current) {
-    reading = false;
-    notBeforeMs = current.snapshot.requestedMs() + Math.round(current.pages / pagesPerS * MS_PER_S);
-    listed.complete(current.snapshot);
-    boolean firstOfTerm = !readOnce;
-    readOnce = true;
-    listener.complete(firstOfTerm);
+  private void completeReading(Reading reading) {
+    isReading = false;
+    nextReadingNotBeforeMs =
+        reading.list.requestedMs() + Math.round(reading.pages / pagesPerS * MS_PER_S);
+    listed.handleCompleteList(reading.list);
+    boolean firstOfTerm = !isListRead;
+    isListRead = true;
+    listener.onListRead(firstOfTerm);
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/MachineTypesRefresh.java
+++ b/src/main/java/org/ploverspindle/cloud/MachineTypesRefresh.java
@@ -14,11 +14,11 @@
 final class MachineTypesRefresh {
   private final CloudClient cloud;
   private final Catalogue catalogue;
-  private final CloudCallBudget calls;
+  private final CloudCallBudget callBudget;
   private final LeaderWriter writer;
   private final int maxValueBytes;
-  private boolean requested;
-  private boolean recorded;
+  private boolean isRequestInFlight;
+  private boolean isRecorded;
 
   /**
    * @param maxValueBytes the state service's limit for the size of one value
@@ -26,34 +26,34 @@
   MachineTypesRefresh(
       CloudClient cloud,
       Catalogue catalogue,
-      CloudCallBudget calls,
+      CloudCallBudget callBudget,
       LeaderWriter writer,
       int maxValueBytes) {
     this.cloud = cloud;
     this.catalogue = catalogue;
-    this.calls = calls;
+    this.callBudget = callBudget;
     this.writer = writer;
     this.maxValueBytes = maxValueBytes;
   }
 
   /** Requests the machine types, unless a request is in flight or the call budget is used up. */
   void run() {
-    if (requested || !calls.tryTake()) {
+    if (isRequestInFlight || !callBudget.tryTake()) {
       return;
     }
-    requested = true;
+    isRequestInFlight = true;
     cloud.listMachineTypes(
         response -> {
-          requested = false;
+          isRequestInFlight = false;
           response.ifPresent(this::update);
         });
   }
 
   private void update(List<MachineType> types) {
     catalogue.update(types);
-    if (!recorded && writer.hasSpareBudget() && calls.isAuthoritative()) {
-      recorded = true;
-      record(MachineTypesRecord.puts(catalogue.types(), maxValueBytes));
+    if (!isRecorded && writer.hasSpareBudget() && callBudget.isAuthoritative()) {
+      isRecorded = true;
+      writeInOrder(MachineTypesRecord.puts(catalogue.types(), maxValueBytes));
     }
   }
 
@@ -61,14 +61,14 @@
    * Sends the writes one after another. After a failed write, the rest is not sent, and the next
    * refresh records all machine types again.
    */
-  private void record(List<Change.Put> writes) {
+  private void writeInOrder(List<Change.Put> writes) {
     if (!writes.isEmpty()) {
       writer.writeBestEffort(
           writes.get(0),
           written -> {
-            recorded = written;
+            isRecorded = written;
             if (written) {
-              record(writes.subList(1, writes.size()));
+              writeInOrder(writes.subList(1, writes.size()));
             }
           });
     }
--- a/src/main/java/org/ploverspindle/cloud/PoolBoundsRecords.java
+++ b/src/main/java/org/ploverspindle/cloud/PoolBoundsRecords.java
@@ -29,7 +29,7 @@
    * The value last written or read of each record, by key. A record whose value is unchanged is not
    * written again.
    */
-  private final Map<String, JsonNode> written = new HashMap<>();
+  private final Map<String, JsonNode> lastValues = new HashMap<>();
 
   /**
    * @param maxValueBytes the state service's limit for the size of one value
@@ -44,7 +44,7 @@
 
   /** Inherits the group backoffs of a record that an earlier leader wrote. */
   void inherit(Entry entry) {
-    written.put(entry.key(), entry.value());
+    lastValues.put(entry.key(), entry.value());
     backoffs.inherit(entry, catalogue.typeIndex(entry.key().substring(Keys.BOUNDS.length())));
   }
 
@@ -62,15 +62,15 @@
       return;
     }
     String key = Keys.bounds(catalogue.type(type).name());
-    if (value.equals(written.get(key)) || !writer.hasSpareBudget()) {
+    if (value.equals(lastValues.get(key)) || !writer.hasSpareBudget()) {
       return;
     }
-    written.put(key, value);
+    lastValues.put(key, value);
     writer.writeBestEffort(
         new Change.Put(key, value),
         succeeded -> {
           if (!succeeded) {
-            written.remove(key);
+            lastValues.remove(key);
           }
         });
   }
@@ -80,8 +80,8 @@
     ObjectNode value = Cbor.map();
     ArrayNode byZone = value.putArray("bounds");
     for (int zone = 0; zone < bounds.size(); zone++) {
-      AdaptiveSizing.Bounds ofZone = bounds.get(zone);
-      byZone.add(catalogue.zoneName(zone) + "," + ofZone.min() + "," + ofZone.max());
+      AdaptiveSizing.Bounds zoneBounds = bounds.get(zone);
+      byZone.add(catalogue.zoneName(zone) + "," + zoneBounds.min() + "," + zoneBounds.max());
     }
     backoffs.encode(type, value.putArray("backoff"));
     if (Cbor.jsonSize(value) > maxValueBytes) {
--- a/src/main/java/org/ploverspindle/cloud/Pools.java
+++ b/src/main/java/org/ploverspindle/cloud/Pools.java
@@ -56,7 +56,8 @@
           backoffs.isBackedOff(new MachineGroup(type, zone, true))
               && backoffs.isBackedOff(new MachineGroup(type, zone, false));
       groups.add(
-          new AdaptiveSizing.Group(held[zone] + intents.unansweredMachines(type, zone), backedOff));
+          new AdaptiveSizing.Group(
+              held[zone] + intents.unansweredMachineCount(type, zone), backedOff));
     }
     return groups;
   }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntent.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntent.java
@@ -10,9 +10,9 @@
  */
 final class ProvisioningIntent {
   private final String name;
-  private final ProvisioningIntentRecords.Requested requested;
+  private final ProvisioningIntentRecords.MachineRequest request;
   private final boolean inherited;
-  private final long sinceMs;
+  private final long knownSinceMs;
   private boolean recorded;
   private boolean requestInFlight;
   private long requestedMs;
@@ -20,24 +20,27 @@
   private boolean removing;
 
   private ProvisioningIntent(
-      String name, ProvisioningIntentRecords.Requested requested, boolean inherited, long sinceMs) {
+      String name,
+      ProvisioningIntentRecords.MachineRequest request,
+      boolean inherited,
+      long knownSinceMs) {
     this.name = name;
-    this.requested = requested;
+    this.request = request;
     this.inherited = inherited;
     this.recorded = inherited;
-    this.sinceMs = sinceMs;
+    this.knownSinceMs = knownSinceMs;
   }
 
   /** Creates an intent of this term, which is not recorded yet. */
   static ProvisioningIntent create(
-      String name, ProvisioningIntentRecords.Requested requested, long nowMs) {
-    return new ProvisioningIntent(name, requested, false, nowMs);
+      String name, ProvisioningIntentRecords.MachineRequest request, long nowMs) {
+    return new ProvisioningIntent(name, request, false, nowMs);
   }
 
   /** Creates the object for an intent that an earlier leader recorded. */
   static ProvisioningIntent inherit(
-      String name, ProvisioningIntentRecords.Requested requested, long nowMs) {
-    return new ProvisioningIntent(name, requested, true, nowMs);
+      String name, ProvisioningIntentRecords.MachineRequest request, long nowMs) {
+    return new ProvisioningIntent(name, request, true, nowMs);
   }
 
   String name() {
@@ -45,11 +48,11 @@
   }
 
   MachineGroup group() {
-    return requested.group();
+    return request.group();
   }
 
   int count() {
-    return requested.count();
+    return request.count();
   }
 
   boolean isInherited() {
@@ -57,8 +60,8 @@
   }
 
   /** Since when this leader knows of the intent, in milliseconds on the steady clock. */
-  long sinceMs() {
-    return sinceMs;
+  long knownSinceMs() {
+    return knownSinceMs;
   }
 
   boolean isRecorded() {
@@ -74,7 +77,7 @@
     return requestInFlight;
   }
 
-  void requestSent(long nowMs) {
+  void markRequestSent(long nowMs) {
     requestInFlight = true;
     requestedMs = nowMs;
   }
@@ -101,7 +104,7 @@
     return hosts;
   }
 
-  void answered(List<String> provisioned) {
+  void markAnswered(List<String> provisioned) {
     hosts = Optional.of(provisioned);
   }
 
@@ -110,7 +113,7 @@
     return removing;
   }
 
-  void removing(boolean now) {
+  void setRemoving(boolean now) {
     removing = now;
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
@@ -16,21 +16,21 @@
 /** The durable records of provisioning intents: names them, decodes, writes and removes them. */
 final class ProvisioningIntentRecords {
   /** The machines that an intent requests from the cloud. */
-  record Requested(MachineGroup group, int count) {}
+  record MachineRequest(MachineGroup group, int count) {}
 
   private final Catalogue catalogue;
   private final LeaderWriter writer;
-  private final long token;
-  private long counter;
+  private final long fencingToken;
+  private long intentCount;
 
   /**
-   * @param token the first fencing token of the term, which makes intent names unique over all
-   *     terms
+   * @param fencingToken the first fencing token of the term, which makes intent names unique over
+   *     all terms
    */
-  ProvisioningIntentRecords(Catalogue catalogue, LeaderWriter writer, long token) {
+  ProvisioningIntentRecords(Catalogue catalogue, LeaderWriter writer, long fencingToken) {
     this.catalogue = catalogue;
     this.writer = writer;
-    this.token = token;
+    this.fencingToken = fencingToken;
   }
 
   /**
@@ -38,7 +38,7 @@
    * no other intent of any leader has the same name.
    */
   String newName() {
-    return "r-" + token + "-" + ++counter;
+    return "r-" + fencingToken + "-" + ++intentCount;
   }
 
   /** The name of the intent whose record the entry is. */
@@ -50,7 +50,7 @@
    * Decodes a record's value. The result is empty if the value cannot be read, its machine type or
    * zone is unknown, or its count is below 1.
    */
-  Optional<Requested> decode(JsonNode value) {
+  Optional<MachineRequest> decode(JsonNode value) {
     Optional<Integer> type = catalogue.typeIndex(value.path("type").asText());
     Optional<Integer> zone = catalogue.zoneIndex(value.path("zone").asText());
     int count = value.path("count").asInt();
@@ -58,28 +58,28 @@
       return Optional.empty();
     }
     MachineGroup group = new MachineGroup(type.get(), zone.get(), value.path("spot").asBoolean());
-    return Optional.of(new Requested(group, count));
+    return Optional.of(new MachineRequest(group, count));
   }
 
   /** Creates the intent's record, and delivers what is known of the outcome. */
-  void create(String name, Requested requested, Consumer<CreateOutcome> then) {
-    MachineGroup group = requested.group();
+  void create(String name, MachineRequest request, Consumer<CreateOutcome> callback) {
+    MachineGroup group = request.group();
     ObjectNode value = Cbor.map();
     value.put("type", typeName(group));
     value.put("zone", zoneName(group));
     value.put("spot", group.spot());
-    value.put("count", requested.count());
-    writer.create(new Change.Put(Keys.provisioningIntent(name), value), then);
+    value.put("count", request.count());
+    writer.create(new Change.Put(Keys.provisioningIntent(name), value), callback);
   }
 
   /**
    * Removes the intent's record.
    *
-   * @param then called with true if the record is certainly removed, with false if it may still
+   * @param callback called with true if the record is certainly removed, with false if it may still
    *     exist
    */
-  void remove(String name, Consumer<Boolean> then) {
-    writer.writeBestEffort(new Change.Remove(Keys.provisioningIntent(name)), then);
+  void remove(String name, Consumer<Boolean> callback) {
+    writer.writeBestEffort(new Change.Remove(Keys.provisioningIntent(name)), callback);
   }
 
   String typeName(MachineGroup group) {
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
@@ -74,14 +74,14 @@
    * that machines may exist which this leader does not know. An intent without an answer for longer
    * than {@link #MAX_UNANSWERED_MS} does not delay scale-out; its machines count as pending.
    */
-  boolean haveUnanswered() {
+  boolean hasUnanswered() {
     long nowMs = scheduler.nowMs();
     return intents.values().stream()
         .anyMatch(
             intent ->
                 intent.isRecorded()
                     && !intent.isAnswered()
-                    && nowMs - intent.sinceMs() < MAX_UNANSWERED_MS);
+                    && nowMs - intent.knownSinceMs() < MAX_UNANSWERED_MS);
   }
 
   /**
@@ -102,7 +102,7 @@
    * How many machines of the type unanswered intents request in the zone, spot and on-demand
    * together.
    */
-  int unansweredMachines(int type, int zone) {
+  int unansweredMachineCount(int type, int zone) {
     int count = 0;
     for (ProvisioningIntent intent : intents.values()) {
       MachineGroup group = intent.group();
@@ -118,21 +118,21 @@
    * executed it before, it returns the same machines.
    */
   void inherit(Entry entry) {
-    Optional<ProvisioningIntentRecords.Requested> requested = records.decode(entry.value());
-    if (requested.isEmpty()) {
+    Optional<ProvisioningIntentRecords.MachineRequest> request = records.decode(entry.value());
+    if (request.isEmpty()) {
       LOG.error("unreadable provisioning intent, record kept as it is: key={}", entry.key());
       return;
     }
     String name = ProvisioningIntentRecords.name(entry);
-    intents.put(name, ProvisioningIntent.inherit(name, requested.get(), scheduler.nowMs()));
+    intents.put(name, ProvisioningIntent.inherit(name, request.get(), scheduler.nowMs()));
   }
 
   /** Records an intent, and requests its machines as soon as the record is durable. */
   void provision(MachineGroup group, int count) {
     String name = records.newName();
-    ProvisioningIntentRecords.Requested requested =
-        new ProvisioningIntentRecords.Requested(group, count);
-    ProvisioningIntent intent = ProvisioningIntent.create(name, requested, scheduler.nowMs());
+    ProvisioningIntentRecords.MachineRequest request =
+        new ProvisioningIntentRecords.MachineRequest(group, count);
+    ProvisioningIntent intent = ProvisioningIntent.create(name, request, scheduler.nowMs());
     intents.put(name, intent);
     LOG.info(
         "provisioning machines: intent={} count={} type={} zone={} spot={}",
@@ -143,23 +143,23 @@
         group.spot());
     // The record must be durable before the request is sent: a leader that takes over in between
     // learns from it which machines may have been provisioned.
-    records.create(name, requested, outcome -> recorded(intent, outcome));
+    records.create(name, request, outcome -> onRecorded(intent, outcome));
   }
 
-  private void recorded(ProvisioningIntent intent, LeaderWriter.CreateOutcome outcome) {
+  private void onRecorded(ProvisioningIntent intent, LeaderWriter.CreateOutcome outcome) {
     if (outcome == LeaderWriter.CreateOutcome.CREATED) {
       intent.markRecorded();
-      request(intent);
+      sendRequest(intent);
     } else {
       intents.remove(intent.name());
     }
   }
 
-  private void request(ProvisioningIntent intent) {
+  private void sendRequest(ProvisioningIntent intent) {
     if (intent.isRequestInFlight() || !tryTakeCall.getAsBoolean()) {
       return;
     }
-    intent.requestSent(scheduler.nowMs());
+    intent.markRequestSent(scheduler.nowMs());
     MachineGroup group = intent.group();
     cloud.provision(
         intent.name(),
@@ -167,12 +167,12 @@
         records.zoneName(group),
         group.spot(),
         intent.count(),
-        result -> answered(intent, result));
+        result -> onResult(intent, result));
   }
 
-  private void answered(ProvisioningIntent intent, CloudClient.ProvisionResult result) {
+  private void onResult(ProvisioningIntent intent, CloudClient.ProvisionResult result) {
     if (result instanceof CloudClient.ProvisionResult.Provisioned provisioned) {
-      provisioned(intent, provisioned.hosts());
+      onProvisioned(intent, provisioned.hosts());
     } else if (result instanceof CloudClient.ProvisionResult.Malformed) {
       // A malformed request is not repeated: its intent would stay unanswered and delay all
       // scale-out.
@@ -183,10 +183,10 @@
           records.typeName(intent.group()),
           records.zoneName(intent.group()),
           intent.group().spot());
-      giveUp(intent);
+      abandon(intent);
     } else if (result instanceof CloudClient.ProvisionResult.NoCapacity) {
       LOG.info("no capacity, group backs off: intent={}", intent.name());
-      giveUp(intent);
+      abandon(intent);
     } else {
       // No answer, or refused temporarily. The request is repeated under the same name, so that its
       // machines are provisioned at most once.
@@ -194,18 +194,18 @@
     }
   }
 
-  private void giveUp(ProvisioningIntent intent) {
-    limits.notFilled(intent.group());
+  private void abandon(ProvisioningIntent intent) {
+    limits.recordUnfilled(intent.group());
     removeRecord(intent);
   }
 
-  private void provisioned(ProvisioningIntent intent, List<String> hosts) {
-    intent.answered(hosts);
+  private void onProvisioned(ProvisioningIntent intent, List<String> hosts) {
+    intent.markAnswered(hosts);
     MachineGroup group = intent.group();
     if (hosts.size() < intent.count()) {
-      limits.notFilled(group);
+      limits.recordUnfilled(group);
     } else {
-      limits.filled(group);
+      limits.recordFilled(group);
     }
     for (String host : hosts) {
       if (!fleet.wasTerminated(host)) {
@@ -217,21 +217,21 @@
                 group.spot(),
                 scheduler.nowMs())
             .filter(machine -> !intent.isInherited())
-            .ifPresent(machine -> provisionedInThisTerm(machine, intent));
+            .ifPresent(machine -> markProvisionedInThisTerm(machine, intent));
       }
     }
   }
 
-  private static void provisionedInThisTerm(Machine machine, ProvisioningIntent intent) {
+  private static void markProvisionedInThisTerm(Machine machine, ProvisioningIntent intent) {
     machine.provisionedAt(intent.requestedMs());
     machine.endQuarantine();
   }
 
   /** Repeats requests without an answer, and removes the intents whose machines are all known. */
-  void retryUnanswered() {
+  void advance() {
     for (ProvisioningIntent intent : List.copyOf(intents.values())) {
       if (intent.isRecorded() && !intent.isAnswered()) {
-        request(intent);
+        sendRequest(intent);
       } else if (intent.hosts().isPresent()
           && intent.hosts().get().stream().allMatch(this::isKnown)) {
         removeRecord(intent);
@@ -251,7 +251,7 @@
     if (intent.isRemoving()) {
       return;
     }
-    intent.removing(true);
+    intent.setRemoving(true);
     records.remove(
         intent.name(),
         removed -> {
@@ -259,9 +259,9 @@
             intents.remove(intent.name());
             return;
           }
-          scheduler.schedule(REMOVE_RETRY_MS, () -> intent.removing(false));
+          scheduler.schedule(REMOVE_RETRY_MS, () -> intent.setRemoving(false));
           if (!intent.isAnswered()) {
-            intent.answered(List.of());
+            intent.markAnswered(List.of());
           }
         });
   }
--- a/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
@@ -16,7 +16,7 @@
    * In a large fleet, one of this number of machines may be selected in one round. Several requests
    * to the cloud then terminate them.
    */
-  private static final int MACHINES_PER_TERMINATION = 20;
+  private static final int FLEET_MACHINES_PER_SELECTED_MACHINE = 20;
 
   /**
    * Longest time for which idle machines wait for spare write budget of the state service, counted
@@ -26,8 +26,8 @@
 
   private final Scheduler scheduler;
   private final MachineRegistry fleet;
-  private final UnusableMachines unusable;
-  private final IdleMachines idle;
+  private final UnusableMachines unusableMachines;
+  private final IdleMachines idleMachines;
   private final MachineTerminations terminations;
   private final BooleanSupplier isAuthoritative;
   private long lastIdleTerminationMs;
@@ -38,14 +38,14 @@
   ScaleInPlanner(
       Scheduler scheduler,
       MachineRegistry fleet,
-      UnusableMachines unusable,
-      IdleMachines idle,
+      UnusableMachines unusableMachines,
+      IdleMachines idleMachines,
       MachineTerminations terminations,
       BooleanSupplier isAuthoritative) {
     this.scheduler = scheduler;
     this.fleet = fleet;
-    this.unusable = unusable;
-    this.idle = idle;
+    this.unusableMachines = unusableMachines;
+    this.idleMachines = idleMachines;
     this.terminations = terminations;
     this.isAuthoritative = isAuthoritative;
     this.lastIdleTerminationMs = scheduler.nowMs();
@@ -67,9 +67,11 @@
     long nowMs = scheduler.nowMs();
     int maxMachines =
         Math.max(
-            TerminationClient.MAX_HOSTS_PER_RELEASE, fleet.all().size() / MACHINES_PER_TERMINATION);
-    Predicate<Machine> isIdle = mayTerminateIdle(nowMs) ? idle.newRound(nowMs) : machine -> false;
-    FleetConnectivity connectivity = unusable.connectivity(nowMs);
+            TerminationClient.MAX_MACHINES_PER_REQUEST,
+            fleet.all().size() / FLEET_MACHINES_PER_SELECTED_MACHINE);
+    Predicate<Machine> isIdle =
+        mayTerminateIdle(nowMs) ? idleMachines.newRoundPredicate(nowMs) : machine -> false;
+    FleetConnectivity connectivity = unusableMachines.connectivity(nowMs);
     List<Machine> selected = new ArrayList<>();
     for (Machine machine : fleet.all()) {
       if (selected.size() >= maxMachines) {
@@ -78,7 +80,7 @@
       if (machine.isTerminating()) {
         continue;
       }
-      if (unusable.test(machine, nowMs, connectivity)) {
+      if (unusableMachines.mustTerminate(machine, nowMs, connectivity)) {
         selected.add(machine);
       } else if (isIdle.test(machine)) {
         lastIdleTerminationMs = nowMs;
--- a/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleOutLimits.java
@@ -34,7 +34,7 @@
    * Groups whose last request was refused or filled only in part. Their next round sends a single
    * request, to find out whether the cloud has capacity again.
    */
-  private final Set<MachineGroup> limitedGroups = new HashSet<>();
+  private final Set<MachineGroup> unfilledGroups = new HashSet<>();
 
   /**
    * @param callsPerS the rate of the budget of calls to the cloud, in calls per second
@@ -55,7 +55,7 @@
    * their intents would delay the writes of placements.
    */
   int maxPerRound(MachineGroup group) {
-    return limitedGroups.contains(group)
+    return unfilledGroups.contains(group)
         ? ProvisioningIntents.MAX_MACHINES_PER_REQUEST
         : maxPerRound;
   }
@@ -66,13 +66,13 @@
   }
 
   /** Records that a request was refused or filled only in part, and backs the group off. */
-  void notFilled(MachineGroup group) {
-    limitedGroups.add(group);
+  void recordUnfilled(MachineGroup group) {
+    unfilledGroups.add(group);
     backoffs.backOff(group);
   }
 
   /** Records that a request was filled. */
-  void filled(MachineGroup group) {
-    limitedGroups.remove(group);
+  void recordFilled(MachineGroup group) {
+    unfilledGroups.remove(group);
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/ScaleOutRound.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleOutRound.java
@@ -16,7 +16,7 @@
 final class ScaleOutRound {
   private final Scheduler scheduler;
   private final MachineRegistry fleet;
-  private final BootTracker boots;
+  private final BootTracker bootTracker;
   private final CandidateGroups candidateGroups;
   private final ScaleOutLimits limits;
   private final ProvisioningIntents intents;
@@ -25,14 +25,14 @@
   ScaleOutRound(
       Scheduler scheduler,
       MachineRegistry fleet,
-      BootTracker boots,
+      BootTracker bootTracker,
       CandidateGroups candidateGroups,
       ScaleOutLimits limits,
       ProvisioningIntents intents,
       Autoscaler.Workload workload) {
     this.scheduler = scheduler;
     this.fleet = fleet;
-    this.boots = boots;
+    this.bootTracker = bootTracker;
     this.candidateGroups = candidateGroups;
     this.limits = limits;
     this.intents = intents;
@@ -44,12 +44,12 @@
    * outcome of earlier provisioning requests is known.
    */
   void run() {
-    boots.observe(fleet.all(), scheduler.nowMs());
+    bootTracker.observe(fleet.all(), scheduler.nowMs());
     CandidateGroups.Evaluation evaluation = candidateGroups.evaluate();
-    Map<MachineGroup, Integer> requested = new LinkedHashMap<>(evaluation.missing());
+    Map<MachineGroup, Integer> requested = new LinkedHashMap<>(evaluation.shortfalls());
     List<MachineGroup> pending = pendingMachines();
     evaluation
-        .missing()
+        .shortfalls()
         .forEach(
             (group, count) -> {
               for (int i = 0; i < count; i++) {
@@ -71,7 +71,9 @@
     List<MachineGroup> pending = intents.pendingMachines();
     long nowMs = scheduler.nowMs();
     for (Machine machine : fleet.all()) {
-      if (!machine.isUp() && !machine.isDecommissioning() && !boots.isOverdue(machine, nowMs)) {
+      if (!machine.isUp()
+          && !machine.isDecommissioning()
+          && !bootTracker.isOverdue(machine, nowMs)) {
         pending.add(MachineGroup.of(machine));
       }
     }
@@ -79,10 +81,10 @@
   }
 
   private void provision(MachineGroup group, int count) {
-    int left = Math.min(count, limits.maxPerRound(group));
-    while (left > 0) {
-      intents.provision(group, Math.min(ProvisioningIntents.MAX_MACHINES_PER_REQUEST, left));
-      left -= ProvisioningIntents.MAX_MACHINES_PER_REQUEST;
+    int remaining = Math.min(count, limits.maxPerRound(group));
+    while (remaining > 0) {
+      intents.provision(group, Math.min(ProvisioningIntents.MAX_MACHINES_PER_REQUEST, remaining));
+      remaining -= ProvisioningIntents.MAX_MACHINES_PER_REQUEST;
     }
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/UnusableMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/UnusableMachines.java
@@ -29,38 +29,41 @@
   private static final long MAX_SILENCE_BEYOND_LEASE_MS = 15_000;
 
   private final MachineRegistry fleet;
-  private final BootTracker boots;
+  private final BootTracker bootTracker;
   private final GroupBackoffs backoffs;
   private final long termStartMs;
-  private final double leaseMs;
+  private final double workerLeaseMs;
 
   /**
    * @param termStartMs when the leader's term began, in milliseconds on the steady clock
-   * @param leaseS the duration of a worker lease, in seconds
+   * @param workerLeaseS the duration of a worker lease, in seconds
    */
   UnusableMachines(
       MachineRegistry fleet,
-      BootTracker boots,
+      BootTracker bootTracker,
       GroupBackoffs backoffs,
       long termStartMs,
-      double leaseS) {
+      double workerLeaseS) {
     this.fleet = fleet;
-    this.boots = boots;
+    this.bootTracker = bootTracker;
     this.backoffs = backoffs;
     this.termStartMs = termStartMs;
-    this.leaseMs = leaseS * MS_PER_S;
+    this.workerLeaseMs = workerLeaseS * MS_PER_S;
   }
 
-  /** Returns the fleet's connectivity, to be passed to all calls of {@link #test} in one round. */
+  /**
+   * Returns the fleet's connectivity, to be passed to all calls of {@link #mustTerminate} in one
+   * round.
+   */
   FleetConnectivity connectivity(long nowMs) {
-    return new FleetConnectivity(fleet, leaseMs, nowMs);
+    return new FleetConnectivity(fleet, workerLeaseMs, nowMs);
   }
 
   /**
    * Whether the machine must be terminated. If that is because its boot is stuck, its group is
    * backed off.
    */
-  boolean test(Machine machine, long nowMs, FleetConnectivity connectivity) {
+  boolean mustTerminate(Machine machine, long nowMs, FleetConnectivity connectivity) {
     if (machine.isDecommissioning()) {
       return true;
     }
@@ -89,7 +92,7 @@
     // Therefore its worker lease must have expired as well.
     boolean leaseExpired =
         nowMs - termStartMs > fleet.leaseExpiryMs(machine) - machine.knownSinceMs();
-    if (!leaseExpired || !boots.isStuck(machine, nowMs)) {
+    if (!leaseExpired || !bootTracker.isStuck(machine, nowMs)) {
       return false;
     }
     LOG.info(
@@ -106,8 +109,8 @@
    */
   private boolean isUnreachable(Machine machine, long nowMs, FleetConnectivity connectivity) {
     return machine.unreachableSinceMs() >= 0
-        && nowMs - machine.unreachableSinceMs() >= leaseMs * MAX_UNREACHABLE_LEASES
-        && connectivity.fewAreUnreachable();
+        && nowMs - machine.unreachableSinceMs() >= workerLeaseMs * MAX_UNREACHABLE_LEASES
+        && connectivity.atMostHalfAreUnreachable();
   }
 
   /**
@@ -116,6 +119,6 @@
    */
   private boolean isLost(Machine machine, long nowMs, FleetConnectivity connectivity) {
     return nowMs > fleet.leaseExpiryMs(machine) + MAX_SILENCE_BEYOND_LEASE_MS
-        && connectivity.mostSendHeartbeats();
+        && connectivity.atLeastHalfSendHeartbeats();
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
+++ b/src/main/java/org/ploverspindle/scalein/MachineTerminations.java
@@ -42,7 +42,7 @@
    * record is found, a request of an earlier leader may still terminate the machines that the
    * record names.
    */
-  private static final long LATE_REQUEST_MS = 300_000;
+  private static final long MAX_REQUEST_DELAY_MS = 300_000;
 
   private final Scheduler scheduler;
   private final MachineRegistry registry;
@@ -50,7 +50,7 @@
   private final TerminationRecordWriter writer;
   private final TerminationSender sender;
   private final long recordRetentionMs;
-  private final Consumer<List<Placement>> onLost;
+  private final Consumer<List<Placement>> onPlacementsLost;
   private final TerminationStatistics statistics = new TerminationStatistics();
 
   /** The terminations whose records exist or are being written, by the key of the record. */
@@ -59,8 +59,8 @@
   /**
    * @param recordRetentionMs for how long a record is kept after the cloud's confirmation, since a
    *     list may still show the machines for this time
-   * @param onLost called for each machine whose termination is confirmed, with the placements that
-   *     were on it
+   * @param onPlacementsLost called for each machine whose termination is confirmed, with the
+   *     placements that were on it
    */
   public MachineTerminations(
       Scheduler scheduler,
@@ -69,14 +69,14 @@
       TerminationRecordWriter writer,
       TerminationSender sender,
       long recordRetentionMs,
-      Consumer<List<Placement>> onLost) {
+      Consumer<List<Placement>> onPlacementsLost) {
     this.scheduler = scheduler;
     this.registry = registry;
     this.heartbeatTimeout = heartbeatTimeout;
     this.writer = writer;
     this.sender = sender;
     this.recordRetentionMs = recordRetentionMs;
-    this.onLost = onLost;
+    this.onPlacementsLost = onPlacementsLost;
   }
 
   /**
@@ -91,8 +91,8 @@
           "unreadable termination record, record kept as it is, machines of earlier terms"
               + " quarantined: key={} quarantine_s={}",
           entry.key(),
-          LATE_REQUEST_MS / 1_000);
-      registry.quarantineEarlierMachines(scheduler.nowMs() + LATE_REQUEST_MS);
+          MAX_REQUEST_DELAY_MS / 1_000);
+      registry.quarantineEarlierMachines(scheduler.nowMs() + MAX_REQUEST_DELAY_MS);
       return;
     }
     List<String> hosts = record.get().hosts();
@@ -152,27 +152,27 @@
       }
       if (pending.phase() == PendingTermination.Phase.RECORDING) {
         createRecord(pending);
-      } else if (isOutdated(pending, nowMs) && writer.hasSpareWrites()) {
+      } else if (isRetentionOver(pending, nowMs) && writer.hasSpareWrites()) {
         removeRecord(pending);
       }
     }
-    sendDue();
+    sendDueRequests();
   }
 
-  private boolean isOutdated(PendingTermination pending, long nowMs) {
+  private boolean isRetentionOver(PendingTermination pending, long nowMs) {
     return pending.phase() == PendingTermination.Phase.CONFIRMED
         && nowMs - pending.confirmedMs() >= recordRetentionMs;
   }
 
   private void createRecord(PendingTermination pending) {
-    pending.markWriting();
+    pending.markWriteInFlight();
     writer.create(pending, outcome -> onCreateResult(pending, outcome));
   }
 
   private void onCreateResult(PendingTermination pending, CreateOutcome outcome) {
     if (outcome == CreateOutcome.CREATED) {
       pending.markRecorded();
-      sendDue();
+      sendDueRequests();
       return;
     }
     if (outcome == CreateOutcome.TOO_LARGE && pending.hosts().size() > 1) {
@@ -186,7 +186,7 @@
   }
 
   private void removeRecord(PendingTermination pending) {
-    pending.markWriting();
+    pending.markWriteInFlight();
     writer.remove(
         pending,
         removed -> {
@@ -198,10 +198,10 @@
         });
   }
 
-  private void sendDue() {
+  private void sendDueRequests() {
     List<String> due = dueHosts();
-    for (int from = 0; from < due.size(); from += TerminationClient.MAX_HOSTS_PER_RELEASE) {
-      int end = Math.min(due.size(), from + TerminationClient.MAX_HOSTS_PER_RELEASE);
+    for (int from = 0; from < due.size(); from += TerminationClient.MAX_MACHINES_PER_REQUEST) {
+      int end = Math.min(due.size(), from + TerminationClient.MAX_MACHINES_PER_REQUEST);
       List<String> hosts = List.copyOf(due.subList(from, end));
       boolean isRepeat = hosts.stream().anyMatch(sender::wasSent);
       if (!sender.send(hosts, this::onConfirmed)) {
@@ -242,7 +242,7 @@
   private void onConfirmed(List<String> hosts) {
     long nowMs = scheduler.nowMs();
     for (String host : hosts) {
-      onLost.accept(registry.confirmTermination(host, nowMs));
+      onPlacementsLost.accept(registry.confirmTermination(host, nowMs));
     }
     for (PendingTermination pending : terminations.values()) {
       for (String host : hosts) {
@@ -256,13 +256,14 @@
 
   /** Counts and latencies of this term's terminations, as one line of the status output. */
   public String summary() {
-    return statistics.text(
+    return statistics.statusLine(
         count(PendingTermination.Phase.RECORDING),
         count(PendingTermination.Phase.RECORDED),
         count(PendingTermination.Phase.CONFIRMED));
   }
 
   private int count(PendingTermination.Phase phase) {
-    return (int) terminations.values().stream().filter(each -> each.phase() == phase).count();
+    return (int)
+        terminations.values().stream().filter(termination -> termination.phase() == phase).count();
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/PendingTermination.java
+++ b/src/main/java/org/ploverspindle/scalein/PendingTermination.java
@@ -21,7 +21,7 @@
   }
 
   /** A time that has always passed: the write may be sent immediately. */
-  private static final long AT_ONCE_MS = Long.MIN_VALUE;
+  private static final long IMMEDIATELY_MS = Long.MIN_VALUE;
 
   private final String key;
   private final TerminationRecord record;
@@ -29,8 +29,8 @@
   private final Set<String> unconfirmed;
   private final Set<String> unconfirmedView;
   private Phase phase;
-  private boolean writing;
-  private long writeNotBeforeMs = AT_ONCE_MS;
+  private boolean isWriteInFlight;
+  private long writeNotBeforeMs = IMMEDIATELY_MS;
   private long confirmedMs;
 
   /**
@@ -72,11 +72,11 @@
 
   /** Whether the record's write or removal may be sent now. */
   boolean mayWrite(long nowMs) {
-    return !writing && nowMs >= writeNotBeforeMs;
+    return !isWriteInFlight && nowMs >= writeNotBeforeMs;
   }
 
-  void markWriting() {
-    writing = true;
+  void markWriteInFlight() {
+    isWriteInFlight = true;
   }
 
   /**
@@ -85,12 +85,12 @@
    * @param retryAtMs when it may be sent again, in milliseconds on the steady clock
    */
   void retryWriteAt(long retryAtMs) {
-    writing = false;
+    isWriteInFlight = false;
     writeNotBeforeMs = retryAtMs;
   }
 
   void markRecorded() {
-    writing = false;
+    isWriteInFlight = false;
     phase = Phase.RECORDED;
   }
 
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecord.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecord.java
@@ -46,28 +46,29 @@
    * Divides the machines, in their order, into records that each fit into one value of the state
    * service and into one request to the cloud.
    *
-   * @param valueBytes the state service's limit for the size of a value in JSON form
+   * @param maxValueBytes the state service's limit for the size of a value in JSON form
    */
-  static List<TerminationRecord> partition(List<String> hosts, int valueBytes) {
+  static List<TerminationRecord> partition(List<String> hosts, int maxValueBytes) {
     int emptyBytes = Cbor.jsonSize(new TerminationRecord(List.of()).encode());
     List<TerminationRecord> records = new ArrayList<>();
-    List<String> chunk = new ArrayList<>();
-    int bytes = emptyBytes;
+    List<String> recordHosts = new ArrayList<>();
+    int recordBytes = emptyBytes;
     for (String host : hosts) {
       // The size of the quoted name, and 1 byte for a comma.
       int hostBytes = Cbor.jsonSize(Cbor.map().textNode(host)) + 1;
       boolean isFull =
-          chunk.size() == TerminationClient.MAX_HOSTS_PER_RELEASE || bytes + hostBytes > valueBytes;
-      if (isFull && !chunk.isEmpty()) {
-        records.add(new TerminationRecord(List.copyOf(chunk)));
-        chunk.clear();
-        bytes = emptyBytes;
+          recordHosts.size() == TerminationClient.MAX_MACHINES_PER_REQUEST
+              || recordBytes + hostBytes > maxValueBytes;
+      if (isFull && !recordHosts.isEmpty()) {
+        records.add(new TerminationRecord(List.copyOf(recordHosts)));
+        recordHosts.clear();
+        recordBytes = emptyBytes;
       }
-      chunk.add(host);
-      bytes += hostBytes;
+      recordHosts.add(host);
+      recordBytes += hostBytes;
     }
-    if (!chunk.isEmpty()) {
-      records.add(new TerminationRecord(List.copyOf(chunk)));
+    if (!recordHosts.isEmpty()) {
+      records.add(new TerminationRecord(List.copyOf(recordHosts)));
     }
     return records;
   }
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
@@ -14,19 +14,19 @@
 public final class TerminationRecordWriter {
   private final LeaderWriter leaderWriter;
   private final long fencingToken;
-  private final int valueBytes;
+  private final int maxValueBytes;
   private long recordCount;
 
   /**
    * @param fencingToken the first fencing token of the term, which makes the keys unique over all
    *     terms
-   * @param valueBytes the lowest limit that the state service has announced for the size of a value
-   *     in JSON form
+   * @param maxValueBytes the lowest limit that the state service has announced for the size of a
+   *     value in JSON form
    */
-  public TerminationRecordWriter(LeaderWriter leaderWriter, long fencingToken, int valueBytes) {
+  public TerminationRecordWriter(LeaderWriter leaderWriter, long fencingToken, int maxValueBytes) {
     this.leaderWriter = leaderWriter;
     this.fencingToken = fencingToken;
-    this.valueBytes = valueBytes;
+    this.maxValueBytes = maxValueBytes;
   }
 
   /** Whether the write budget allows a write now that can also wait. */
@@ -39,7 +39,7 @@
    * written here.
    */
   List<PendingTermination> prepare(List<String> hosts, long nowMs) {
-    return TerminationRecord.partition(hosts, valueBytes).stream()
+    return TerminationRecord.partition(hosts, maxValueBytes).stream()
         .map(record -> newTermination(record, nowMs))
         .toList();
   }
@@ -65,18 +65,18 @@
   /**
    * Creates the termination's record.
    *
-   * @param then called with what is known of the outcome
+   * @param callback called with what is known of the outcome
    */
-  void create(PendingTermination pending, Consumer<CreateOutcome> then) {
-    leaderWriter.create(new Change.Put(pending.key(), pending.record().encode()), then);
+  void create(PendingTermination pending, Consumer<CreateOutcome> callback) {
+    leaderWriter.create(new Change.Put(pending.key(), pending.record().encode()), callback);
   }
 
   /**
    * Removes the termination's record.
    *
-   * @param then called with true if the record is known to be removed, otherwise with false
+   * @param callback called with true if the record is known to be removed, otherwise with false
    */
-  void remove(PendingTermination pending, Consumer<Boolean> then) {
-    leaderWriter.writeBestEffort(new Change.Remove(pending.key()), then);
+  void remove(PendingTermination pending, Consumer<Boolean> callback) {
+    leaderWriter.writeBestEffort(new Change.Remove(pending.key()), callback);
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/TerminationSender.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationSender.java
@@ -21,65 +21,68 @@
 
   private final Scheduler scheduler;
   private final TerminationClient cloud;
-  private final BooleanSupplier takeCallBudget;
+  private final BooleanSupplier tryTakeCall;
   private final RetryDelay retryDelay;
 
   /**
    * When a machine that a request has named may be named again, in milliseconds on the steady
    * clock, by the machine's name. Machines whose termination was confirmed are removed.
    */
-  private final Map<String, Long> notBeforeMs = new HashMap<>();
+  private final Map<String, Long> nextSendMs = new HashMap<>();
 
   /**
-   * @param takeCallBudget takes a call to the cloud from the budget and returns true; returns false
-   *     if the budget is used up or this leader's lease is not certainly valid. It is the last
-   *     check before each request
+   * @param tryTakeCall takes a call to the cloud from the budget and returns true; returns false if
+   *     the budget is used up or this leader's lease is not certainly valid. It is the last check
+   *     before each request
    * @param retryDelay the delay before a request without a confirmation is repeated
    */
   public TerminationSender(
       Scheduler scheduler,
       TerminationClient cloud,
-      BooleanSupplier takeCallBudget,
+      BooleanSupplier tryTakeCall,
       RetryDelay retryDelay) {
     this.scheduler = scheduler;
     this.cloud = cloud;
-    this.takeCallBudget = takeCallBudget;
+    this.tryTakeCall = tryTakeCall;
     this.retryDelay = retryDelay;
   }
 
   /** Whether no request that names the machine is in flight, and its retry delay has passed. */
   boolean maySend(String host) {
-    return scheduler.nowMs() >= notBeforeMs.getOrDefault(host, Long.MIN_VALUE);
+    return scheduler.nowMs() >= nextSendMs.getOrDefault(host, Long.MIN_VALUE);
   }
 
   /** Whether a request has named the machine and has not been confirmed. */
   boolean wasSent(String host) {
-    return notBeforeMs.containsKey(host);
+    return nextSendMs.containsKey(host);
   }
 
   /**
    * Sends one request, if this leader's lease is certainly valid and the call budget allows it.
    *
-   * @param hosts the names of the machines, at most {@link TerminationClient#MAX_HOSTS_PER_RELEASE}
-   * @param confirmed called with the names when the cloud has confirmed that the machines are gone
+   * @param hosts the names of the machines, at most {@link
+   *     TerminationClient#MAX_MACHINES_PER_REQUEST}
+   * @param onConfirmed called with the names when the cloud has confirmed that the machines are
+   *     gone
    * @return whether the request was sent
    */
-  boolean send(List<String> hosts, Consumer<List<String>> confirmed) {
-    if (!takeCallBudget.getAsBoolean()) {
+  boolean send(List<String> hosts, Consumer<List<String>> onConfirmed) {
+    if (!tryTakeCall.getAsBoolean()) {
       return false;
     }
-    hosts.forEach(host -> notBeforeMs.put(host, IN_FLIGHT_MS));
-    cloud.terminate(hosts, gone -> onResponse(hosts, gone, confirmed));
+    hosts.forEach(host -> nextSendMs.put(host, IN_FLIGHT_MS));
+    cloud.terminate(hosts, isConfirmed -> onResponse(hosts, isConfirmed, onConfirmed));
     return true;
   }
 
-  private void onResponse(List<String> hosts, boolean gone, Consumer<List<String>> confirmed) {
-    if (gone) {
-      hosts.forEach(notBeforeMs::remove);
-      confirmed.accept(hosts);
+  private void onResponse(
+      List<String> hosts, boolean isConfirmed, Consumer<List<String>> onConfirmed) {
+    if (isConfirmed) {
+      hosts.forEach(nextSendMs::remove);
+      onConfirmed.accept(hosts);
       return;
     }
     long retryAtMs = scheduler.nowMs() + retryDelay.nextMs();
-    hosts.forEach(host -> notBeforeMs.put(host, retryAtMs));
+    hosts.forEach(host -> nextSendMs.put(host, retryAtMs));
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/TerminationStatistics.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationStatistics.java
@@ -16,7 +16,8 @@
    * Latencies of the confirmed terminations, in milliseconds, one for each machine: from the
    * beginning of the termination in this term to the cloud's confirmation.
    */
-  private final Histogram confirmedAfterMs = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+  private final Histogram confirmationLatenciesMs =
+      new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
 
   private long decided;
   private long inherited;
@@ -36,8 +37,8 @@
     repeated += isRepeat ? 1 : 0;
   }
 
-  void recordConfirmed(long afterMs) {
-    confirmedAfterMs.recordValue(Math.max(0, Math.min(MAX_RECORDED_MS, afterMs)));
+  void recordConfirmed(long latencyMs) {
+    confirmationLatenciesMs.recordValue(Math.max(0, Math.min(MAX_RECORDED_MS, latencyMs)));
   }
 
   /**
@@ -47,7 +48,7 @@
    * @param recorded number of terminations that are recorded and not confirmed by the cloud
    * @param keptRecords number of terminations that are confirmed and whose record is kept
    */
-  String text(int recording, int recorded, int keptRecords) {
+  String statusLine(int recording, int recorded, int keptRecords) {
     return String.format(
         Locale.ROOT,
         "returns decided=%d inherited=%d recording=%d recorded=%d kept_records=%d requests=%d"
@@ -59,9 +60,9 @@
         keptRecords,
         requests,
         repeated,
-        confirmedAfterMs.getTotalCount(),
-        confirmedAfterMs.getValueAtPercentile(MEDIAN_PERCENTILE),
-        confirmedAfterMs.getValueAtPercentile(TAIL_PERCENTILE),
-        confirmedAfterMs.getMaxValue());
+        confirmationLatenciesMs.getTotalCount(),
+        confirmationLatenciesMs.getValueAtPercentile(MEDIAN_PERCENTILE),
+        confirmationLatenciesMs.getValueAtPercentile(TAIL_PERCENTILE),
+        confirmationLatenciesMs.getMaxValue());
   }
 }
--- a/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
+++ b/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
@@ -34,7 +34,7 @@
   private final Catalogue catalogue = new Catalogue(List.of("a"));
   private final MachineRegistry fleet;
   private final HeartbeatHandler handler;
-  private final BootTracker boots;
+  private final BootTracker bootTracker;
   private final MachineGroup group = new MachineGroup(0, 0, true);
 
   BootTrackerTest() {
@@ -44,12 +44,12 @@
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
     fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
     handler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
-    boots = new BootTracker(catalogue);
+    bootTracker = new BootTracker(catalogue);
   }
 
-  private List<Machine> provision(int from, int count, long atMs) {
+  private List<Machine> provision(int firstIndex, int count, long atMs) {
     List<Machine> machines = new ArrayList<>();
-    for (int i = from; i < from + count; i++) {
+    for (int i = firstIndex; i < firstIndex + count; i++) {
       Machine machine = fleet.adopt("i-" + i, "t", "a", true, atMs).orElseThrow();
       machine.provisionedAt(atMs);
       machines.add(machine);
@@ -57,7 +57,7 @@
     return machines;
   }
 
-  private void bootsAt(Machine machine, long nowMs) {
+  private void sendFirstHeartbeat(Machine machine, long nowMs) {
     handler.handle(
         new Heartbeat(
             machine.host(), "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
@@ -65,54 +65,57 @@
   }
 
   @Test
-  void aFewMachinesThatDoNotBootDoNotMakeTheirGroupBad() {
-    provision(0, 10, 0).forEach(m -> bootsAt(m, 35_000));
-    List<Machine> missing = provision(10, 2, 0);
-    boots.observe(fleet.all(), 60_000);
-    assertFalse(boots.isBootingBadly(group), "2 overdue of 12 machines are single failures");
-    assertTrue(boots.isOverdue(missing.get(0), 60_000));
-    assertFalse(boots.isStuck(missing.get(0), 100_000));
-    assertTrue(boots.isStuck(missing.get(0), 106_000));
+  void twoOverdueMachinesOfTwelveDoNotMakeTheirGroupLate() {
+    provision(0, 10, 0).forEach(machine -> sendFirstHeartbeat(machine, 35_000));
+    List<Machine> booting = provision(10, 2, 0);
+    bootTracker.observe(fleet.all(), 60_000);
+    assertFalse(bootTracker.isBootingLate(group), "2 overdue of 12 machines are single failures");
+    assertTrue(bootTracker.isOverdue(booting.get(0), 60_000));
+    assertFalse(bootTracker.isStuck(booting.get(0), 100_000));
+    assertTrue(bootTracker.isStuck(booting.get(0), 106_000));
   }
 
   @Test
-  void aGroupOfWhichNoMachineBootsIsBadAndItsMachinesAreOverdue() {
+  void groupWithoutBootsIsLateUntilBootsOutnumberItsOverdueMachines() {
     List<Machine> booting = provision(0, 10, 0);
-    boots.observe(fleet.all(), 50_000);
-    assertFalse(boots.isBootingBadly(group));
-    boots.observe(fleet.all(), 57_000);
-    assertTrue(boots.isBootingBadly(group));
-    assertTrue(booting.stream().allMatch(m -> boots.isOverdue(m, 57_000)));
-    provision(10, 12, 60_000).forEach(m -> bootsAt(m, 90_000));
-    boots.observe(fleet.all(), 90_000);
+    bootTracker.observe(fleet.all(), 50_000);
+    assertFalse(bootTracker.isBootingLate(group));
+    bootTracker.observe(fleet.all(), 57_000);
+    assertTrue(bootTracker.isBootingLate(group));
+    assertTrue(booting.stream().allMatch(machine -> bootTracker.isOverdue(machine, 57_000)));
+    provision(10, 12, 60_000).forEach(machine -> sendFirstHeartbeat(machine, 90_000));
+    bootTracker.observe(fleet.all(), 90_000);
     assertFalse(
-        boots.isBootingBadly(group), "12 recent boots in time outnumber the 10 overdue machines");
+        bootTracker.isBootingLate(group),
+        "12 recent boots in time outnumber the 10 overdue machines");
   }
 
   @Test
-  void whereMachinesBootSlowlyTheOthersAreOverdueLater() {
-    List<Machine> late = provision(0, 10, 0);
-    boots.observe(fleet.all(), 80_000);
-    assertTrue(boots.isOverdue(late.get(9), 80_000));
-    late.subList(0, 3).forEach(m -> bootsAt(m, 90_000));
-    boots.observe(fleet.all(), 90_000);
+  void slowRecentBootsDelayWhenOtherMachinesAreOverdueOrStuck() {
+    List<Machine> booting = provision(0, 10, 0);
+    bootTracker.observe(fleet.all(), 80_000);
+    assertTrue(bootTracker.isOverdue(booting.get(9), 80_000));
+    booting.subList(0, 3).forEach(machine -> sendFirstHeartbeat(machine, 90_000));
+    bootTracker.observe(fleet.all(), 90_000);
     assertFalse(
-        boots.isOverdue(late.get(9), 110_000),
+        bootTracker.isOverdue(booting.get(9), 110_000),
         "the group's recent boots took three times the stated boot time");
-    assertFalse(boots.isStuck(late.get(9), 125_000));
-    assertTrue(boots.isStuck(late.get(9), 135_000));
-    boots.observe(fleet.all(), 300_000);
+    assertFalse(bootTracker.isStuck(booting.get(9), 125_000));
+    assertTrue(bootTracker.isStuck(booting.get(9), 135_000));
+    bootTracker.observe(fleet.all(), 300_000);
     assertTrue(
-        boots.isOverdue(late.get(9), 300_000), "boots observed over 120 s ago no longer count");
+        bootTracker.isOverdue(booting.get(9), 300_000),
+        "boots observed over 120 s ago no longer count");
   }
 
   @Test
-  void machinesOfAnEarlierLeaderThatWereUpDoNotCountAsBoots() {
-    Machine earlier = fleet.adopt("i-1", "t", "a", true, 0).orElseThrow();
-    bootsAt(earlier, 4_000);
-    List<Machine> mine = provision(10, 3, 0);
-    boots.observe(fleet.all(), 57_000);
-    assertEquals(3, mine.stream().filter(x -> boots.isOverdue(x, 57_000)).count());
-    assertTrue(boots.isBootingBadly(group));
+  void firstHeartbeatOfAnInheritedMachineDoesNotCountAsBoot() {
+    Machine inherited = fleet.adopt("i-1", "t", "a", true, 0).orElseThrow();
+    sendFirstHeartbeat(inherited, 4_000);
+    List<Machine> booting = provision(10, 3, 0);
+    bootTracker.observe(fleet.all(), 57_000);
+    assertEquals(
+        3, booting.stream().filter(machine -> bootTracker.isOverdue(machine, 57_000)).count());
+    assertTrue(bootTracker.isBootingLate(group));
   }
 }
--- a/src/test/java/org/ploverspindle/cloud/UnusableMachinesTest.java
+++ b/src/test/java/org/ploverspindle/cloud/UnusableMachinesTest.java
@@ -33,13 +33,13 @@
 class UnusableMachinesTest {
   private static final Term TERM = new Term(7, 1, 0);
   private static final Settings.WorkerLimits WORKERS = new Settings.WorkerLimits(3, 14, 39);
-  private static final int MACHINES = 10;
-  private static final long SILENT_MS = 60_000;
+  private static final int MACHINE_COUNT = 10;
+  private static final long CHECK_MS = 60_000;
 
   private final Catalogue catalogue = new Catalogue(List.of("a"));
   private final MachineRegistry fleet;
   private final HeartbeatHandler handler;
-  private final UnusableMachines unusable;
+  private final UnusableMachines unusableMachines;
 
   UnusableMachinesTest() {
     catalogue.update(
@@ -50,11 +50,11 @@
     handler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
     Policy policy = new Policy(10, 30, 60, 0, 100, 30, Map.of());
     GroupBackoffs backoffs = new GroupBackoffs(new EventLoop(), catalogue, policy, new Random(1));
-    unusable =
+    unusableMachines =
         new UnusableMachines(fleet, new BootTracker(catalogue), backoffs, 0, WORKERS.leaseS());
   }
 
-  private void heartbeat(int machine, int sequence, long nowMs, long fencingToken) {
+  private void sendHeartbeat(int machine, int sequence, long nowMs, long fencingToken) {
     handler.handle(
         new Heartbeat(
             "i-" + machine,
@@ -70,34 +70,34 @@
         nowMs);
   }
 
-  private long unusableCount(long nowMs) {
-    FleetConnectivity connectivity = unusable.connectivity(nowMs);
+  private long selectedCount(long nowMs) {
+    FleetConnectivity connectivity = unusableMachines.connectivity(nowMs);
     return fleet.all().stream()
-        .filter(machine -> unusable.test(machine, nowMs, connectivity))
+        .filter(machine -> unusableMachines.mustTerminate(machine, nowMs, connectivity))
         .count();
   }
 
   @ParameterizedTest
   @CsvSource({"3, 3", "5, 5", "6, 0", "10, 0"})
-  void silentMachinesAreTerminatedUnlessMostAreSilent(int silent, int expected) {
-    for (int i = 0; i < MACHINES; i++) {
-      heartbeat(i, 1, 1_000, TERM.fencingToken());
+  void silentMachinesAreSelectedUnlessMoreThanHalfAreSilent(int silentCount, int expectedCount) {
+    for (int i = 0; i < MACHINE_COUNT; i++) {
+      sendHeartbeat(i, 1, 1_000, TERM.fencingToken());
     }
-    for (int i = silent; i < MACHINES; i++) {
-      heartbeat(i, 2, SILENT_MS, TERM.fencingToken());
+    for (int i = silentCount; i < MACHINE_COUNT; i++) {
+      sendHeartbeat(i, 2, CHECK_MS, TERM.fencingToken());
     }
-    assertEquals(expected, unusableCount(SILENT_MS));
+    assertEquals(expectedCount, selectedCount(CHECK_MS));
     assertEquals(
-        0, unusableCount(20_000), "the next worker epoch of a silent machine may begin late");
+        0, selectedCount(20_000), "the next worker epoch of a silent machine may begin late");
   }
 
   @Test
-  void unusableMachinesAreTerminatedAndTerminatingOnesTakeNoWork() {
-    heartbeat(0, 1, 1_000, TERM.fencingToken());
-    heartbeat(1, 1, 1_000, TERM.fencingToken());
+  void unusableMachineIsSelectedAndUnusableOrTerminatingMachinesAreNotSchedulable() {
+    sendHeartbeat(0, 1, 1_000, TERM.fencingToken());
+    sendHeartbeat(1, 1, 1_000, TERM.fencingToken());
     Machine markedUnusable = fleet.get("i-0").orElseThrow();
     markedUnusable.markUnusable();
-    assertEquals(1, unusableCount(2_000));
+    assertEquals(1, selectedCount(2_000));
     fleet.beginTermination("i-1");
     Machine terminating = fleet.get("i-1").orElseThrow();
     assertEquals(
