--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntent.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntent.java
@@ -113,7 +113,7 @@
     return removing;
   }
 
-  void setRemoving(boolean now) {
-    removing = now;
+  void setRemoving(boolean isRemoving) {
+    removing = isRemoving;
   }
 }
