--- a/src/main/java/org/ploverspindle/cloud/BootTracker.java
+++ b/src/main/java/org/ploverspindle/cloud/BootTracker.java
@@ -58,7 +58,7 @@
   /**
    * A completed boot.
    *
-   * @param atMs when it was observed, in milliseconds on the steady clock
+   * @param observedMs when it was observed, in milliseconds on the steady clock
    * @param ratio its duration as a multiple of the type's boot time
    */
   private record Boot(long observedMs, double ratio) {}
@@ -135,8 +135,9 @@
   }
 
   /**
-   * Whether the machine has been booting for longer than nearly all machines take, and for longer
-   * than the slowest recent boot of its group.
+   * Whether the machine has been booting for longer than nearly all machines take and, in a group
+   * that boots slowly, for longer than the group's slowest recent boot, up to {@link
+   * #MAX_BOOT_RATIO}.
    */
   boolean isOverdue(Machine machine, long nowMs) {
     double slowest = slowestRatio(machine);
--- a/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
+++ b/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Whether at least half of the machines that are up have sent a heartbeat within the last worker
-   * lease. If fewer have, the leader is partitioned from the machines, and their silence does not
-   * show that they have failed.
+   * Whether at least half of the machines that are up have sent a heartbeat within the duration of
+   * one worker lease. If fewer have, the leader is partitioned from the machines, and their silence
+   * does not show that they have failed.
    */
   boolean atLeastHalfSendHeartbeats() {
     count();
--- a/src/main/java/org/ploverspindle/cloud/MachineListReader.java
+++ b/src/main/java/org/ploverspindle/cloud/MachineListReader.java
@@ -141,8 +141,8 @@
 
   /**
    * Requests the next page as soon as the budget allows it. Without the wait, a list of many pages
-   * would use up the cloud's rate limit. The reading ends when this leader's lease is not certainly
-   * valid.
+   * would use up the cloud's rate limit. The reading ends if this leader's lease is not certainly
+   * valid now.
    */
   private void requestNextPage(Reading reading) {
     if (!callBudget.isAuthoritative()) {
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntentRecords.java
@@ -41,7 +41,7 @@
     return "r-" + fencingToken + "-" + ++intentCount;
   }
 
-  /** The name of the intent whose record the entry is. */
+  /** Returns the name of the intent that is stored in the entry. */
   static String name(Entry entry) {
     return entry.key().substring(Keys.PROVISIONING_INTENTS.length());
   }
--- a/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
@@ -13,8 +13,8 @@
 /** Selects the machines to terminate in each scale-in round, and begins their terminations. */
 final class ScaleInPlanner {
   /**
-   * In a large fleet, one of this number of machines may be selected in one round. Several requests
-   * to the cloud then terminate them.
+   * In a large fleet, one round may select as many machines as the size of the fleet divided by
+   * this number. Several requests to the cloud then terminate them.
    */
   private static final int FLEET_MACHINES_PER_SELECTED_MACHINE = 20;
 
