--- a/src/main/java/org/ploverspindle/cloud/Autoscaler.java
+++ b/src/main/java/org/ploverspindle/cloud/Autoscaler.java
@@ -25,69 +25,79 @@
 import org.ploverspindle.state.Replica;
 
 /**
- * Scales the fleet for one term of a leader. It connects the scale-out rounds, the provisioning
- * intents, the scale-in rounds and the reader of the cloud's list, and runs each at its period.
+ * Scales the fleet for one term of a leader: creates the components for scale-out, provisioning,
+ * scale-in and the reading of the cloud's list of machines, and runs each of them periodically.
  */
 public final class Autoscaler {
   private static final double MS_PER_S = 1_000;
 
-  /** A list may be twice as old as its usual lag; a termination record outlives that. */
+  /**
+   * Age of the oldest list of machines that the cloud may return, in milliseconds per second of the
+   * configured list lag: a list may be twice as old as that lag. A termination record is kept for
+   * this time and {@link #OLDEST_LIST_MARGIN_MS}, so that no later list can show its machines.
+   */
   private static final double OLDEST_LIST_MS_PER_LAG_S = 2_000;
 
   private static final long OLDEST_LIST_MARGIN_MS = 1_000;
 
   private static final long SCALE_IN_PERIOD_MS = 1_000;
   private static final long MACHINE_TYPES_PERIOD_MS = 60_000;
-  private static final long UNANSWERED_INTENTS_PERIOD_MS = 500;
+  private static final long PROVISIONING_INTENTS_PERIOD_MS = 500;
 
-  /** A request without a response is sent again after at least this time. */
-  private static final int RETRY_MS = 700;
+  /** Shortest delay before a request to the cloud that got no response is sent again. */
+  private static final int MIN_RETRY_DELAY_MS = 700;
 
-  /** Random addition to the time above. */
+  /** Exclusive upper bound of the random time that is added to {@link #MIN_RETRY_DELAY_MS}. */
   private static final int RETRY_JITTER_MS = 600;
 
-  /** A heartbeat period and a quarter, by which a machine that is up has sent a heartbeat. */
-  private static final double FIRST_HEARTBEAT_MS_PER_PERIOD_S = 1_250;
+  /**
+   * Time in milliseconds per second of the heartbeat interval, that is, 1.25 intervals. After this
+   * time and {@link #FIRST_HEARTBEAT_MARGIN_MS}, every machine that is up has sent a heartbeat to a
+   * new leader.
+   */
+  private static final double FIRST_HEARTBEAT_MS_PER_INTERVAL_S = 1_250;
 
   private static final long FIRST_HEARTBEAT_MARGIN_MS = 1_500;
 
-  /** What the leader's work asks of the fleet, and what the autoscaler reports back to it. */
+  /** The demand of the leader's jobs for machines, and the autoscaler's callbacks to the leader. */
   public interface Workload {
     /**
-     * The machines to request.
+     * Plans the machines to request for pending work.
      *
-     * @param candidates the groups that may grow now
-     * @param pending machines that boot or are requested, each by its group
+     * @param candidates groups in which machines may be requested now
+     * @param pending the groups of the machines that are booting or requested, one element for each
+     *     machine
      */
     List<ScaleOutPlanner.Request> scaleOutRequests(
         List<ScaleOutPlanner.Candidate> candidates, List<MachineGroup> pending);
 
-    /** True when users have stopped submitting jobs, so that idle machines go back sooner. */
+    /** Whether users have stopped submitting jobs. Idle machines are terminated sooner then. */
     boolean isQuiet();
 
     /**
-     * A predicate for idle machines, tested one after the other: true when the machine is not
-     * needed as spare room for the next high-priority job, given those found surplus before.
+     * Returns a stateful predicate that is tested on one idle machine after another. It is true if
+     * the next high-priority job that is expected can do without the machine and without all
+     * machines for which the predicate was true before.
      */
     Predicate<Machine> surplusMachines();
 
-    /** A predicate for any number of machines: true when a pending task could run there. */
+    /** Returns a predicate that is true for each machine on which a pending task could run. */
     Predicate<Machine> usefulMachines();
 
     /**
-     * Since when this leader has received heartbeats without a pause of its own, in milliseconds on
-     * the steady clock.
+     * The time since which this leader has received heartbeats without a pause of its own process,
+     * in milliseconds on the steady clock.
      */
     long listeningSinceMs();
 
-    /** Called with the placements that ended with a terminated machine. */
+    /** Called with the placements that were removed when a machine's termination was confirmed. */
     void placementsLost(List<Placement> placements);
 
-    /** True while this leader's lease is certainly valid. */
+    /** Whether this leader's lease is certainly valid now. */
     boolean isAuthoritative();
   }
 
-  /** What a controller keeps over all its terms. */
+  /** The objects that a controller keeps for all its terms. */
   public record Environment(
       Scheduler scheduler,
       RandomGenerator random,
@@ -96,7 +106,7 @@
       Policy policy,
       Settings settings) {}
 
-  /** What belongs to one term of the leader. */
+  /** The objects that live for one term of the leader. */
   public record LeaderState(
       Term term, MachineRegistry fleet, Replica replica, LeaderWriter writer) {}
 
@@ -110,21 +120,21 @@
   private final LeaderWriter writer;
   private final Workload workload;
 
-  private final CloudCallBudget calls;
-  private final BootTracker boots;
+  private final CloudCallBudget callBudget;
+  private final BootTracker bootTracker;
   private final GroupBackoffs backoffs;
   private final ProvisioningIntents intents;
   private final Pools pools;
   private final PoolBoundsRecords boundsRecords;
-  private final MachineTypesRefresh typesRefresh;
+  private final MachineTypesRefresh machineTypesRefresh;
   private final MachineTerminations terminations;
   private final ScaleInPlanner scaleInPlanner;
   private final ScaleOutRound scaleOutRound;
   private final MachineListReader listReader;
-  private final CancellableGroup tasks = new CancellableGroup();
+  private final CancellableGroup periodicTasks = new CancellableGroup();
 
-  /** True when an earlier leader left intents or machines. */
-  private boolean inheritedFleet;
+  /** Whether an earlier leader left provisioning intents or machines. */
+  private boolean hasInheritedFleet;
 
   public Autoscaler(Environment environment, LeaderState leader, Workload workload) {
     this.scheduler = environment.scheduler();
@@ -138,18 +148,19 @@
     this.workload = workload;
     CloudClient cloud = environment.cloud();
     RandomGenerator random = environment.random();
-    RetryDelay retryDelay = new RetryDelay(random, RETRY_MS, RETRY_JITTER_MS);
+    RetryDelay retryDelay = new RetryDelay(random, MIN_RETRY_DELAY_MS, RETRY_JITTER_MS);
     int maxValueBytes = settings.effectiveStateLimits().maxValueBytes();
-    this.calls =
+    this.callBudget =
         new CloudCallBudget(
             scheduler, settings.cloudLimits().requestsPerS(), workload::isAuthoritative);
-    this.boots = new BootTracker(catalogue);
+    this.bootTracker = new BootTracker(catalogue);
     this.backoffs = new GroupBackoffs(scheduler, catalogue, policy, random);
-    ScaleOutLimits limits = new ScaleOutLimits(backoffs, policy, settings, calls.callsPerS());
+    ScaleOutLimits limits = new ScaleOutLimits(backoffs, policy, settings, callBudget.callsPerS());
     this.intents = newIntents(cloud, limits, retryDelay);
     this.pools = new Pools(catalogue, fleet, intents, backoffs, policy);
     this.boundsRecords = new PoolBoundsRecords(catalogue, backoffs, writer, maxValueBytes);
-    this.typesRefresh = new MachineTypesRefresh(cloud, catalogue, calls, writer, maxValueBytes);
+    this.machineTypesRefresh =
+        new MachineTypesRefresh(cloud, catalogue, callBudget, writer, maxValueBytes);
     HeartbeatTimeout heartbeatTimeout =
         new HeartbeatTimeout(
             settings.workers().heartbeatIntervalS(), term.startMs(), workload::listeningSinceMs);
@@ -167,13 +178,13 @@
         fleet,
         new ProvisioningIntentRecords(catalogue, writer, term.fencingToken()),
         limits,
-        calls::tryTakeAsLeader,
+        callBudget::tryTakeAsLeader,
         retryDelay);
   }
 
   private MachineTerminations newTerminations(
       CloudClient cloud, HeartbeatTimeout heartbeatTimeout, RetryDelay retryDelay) {
-    long keepMs =
+    long recordRetentionMs =
         Math.round(settings.cloudLimits().maxListLagS() * OLDEST_LIST_MS_PER_LAG_S)
             + OLDEST_LIST_MARGIN_MS;
     return new MachineTerminations(
@@ -182,8 +193,8 @@
         heartbeatTimeout,
         new TerminationRecordWriter(
             writer, term.fencingToken(), settings.effectiveStateLimits().maxValueBytes()),
-        new TerminationSender(scheduler, cloud, calls::tryTakeAsLeader, retryDelay),
-        keepMs,
+        new TerminationSender(scheduler, cloud, callBudget::tryTakeAsLeader, retryDelay),
+        recordRetentionMs,
         workload::placementsLost);
   }
 
@@ -191,7 +202,8 @@
     return new ScaleInPlanner(
         scheduler,
         fleet,
-        new UnusableMachines(fleet, boots, backoffs, term.startMs(), settings.workers().leaseS()),
+        new UnusableMachines(
+            fleet, bootTracker, backoffs, term.startMs(), settings.workers().leaseS()),
         new IdleMachines(pools, policy, workload),
         terminations,
         workload::isAuthoritative);
@@ -201,8 +213,8 @@
     return new ScaleOutRound(
         scheduler,
         fleet,
-        boots,
-        new CandidateGroups(catalogue, pools, boundsRecords, limits, boots),
+        bootTracker,
+        new CandidateGroups(catalogue, pools, boundsRecords, limits, bootTracker),
         limits,
         intents,
         workload);
@@ -212,42 +224,48 @@
     double lagS = settings.cloudLimits().maxListLagS();
     ListedMachines listed =
         new ListedMachines(scheduler, fleet, heartbeatTimeout, lagS, term.startMs());
-    return new MachineListReader(scheduler, cloud, calls, listed, lagS, this::listRead);
+    return new MachineListReader(scheduler, cloud, callBudget, listed, lagS, this::onListRead);
   }
 
   /**
-   * Takes over the intents, terminations and backoffs of earlier leaders, and begins. To be called
-   * before the first placement of the term.
+   * Inherits the terminations, provisioning intents and group backoffs that earlier leaders
+   * recorded, and starts the periodic work. Must be called before the first placement of the term.
+   *
+   * @return cancels all periodic work of the autoscaler
    */
   public Cancellable start() {
     replica.withPrefix(Keys.TERMINATIONS).values().forEach(terminations::inheritTermination);
     replica.withPrefix(Keys.PROVISIONING_INTENTS).values().forEach(intents::inherit);
-    inheritedFleet = !intents.isEmpty();
+    hasInheritedFleet = !intents.isEmpty();
     replica.withPrefix(Keys.BOUNDS).values().forEach(boundsRecords::inherit);
-    tasks.add(
+    periodicTasks.add(
         scheduler.scheduleWithFixedDelay(Math.round(policy.scanS() * MS_PER_S), this::scaleOut));
-    tasks.add(scheduler.scheduleWithFixedDelay(SCALE_IN_PERIOD_MS, scaleInPlanner::run));
-    tasks.add(scheduler.scheduleWithFixedDelay(MACHINE_TYPES_PERIOD_MS, typesRefresh::run));
-    tasks.add(
-        scheduler.scheduleWithFixedDelay(UNANSWERED_INTENTS_PERIOD_MS, intents::retryUnanswered));
-    tasks.add(listReader.start());
-    typesRefresh.run();
-    return tasks;
+    periodicTasks.add(scheduler.scheduleWithFixedDelay(SCALE_IN_PERIOD_MS, scaleInPlanner::run));
+    periodicTasks.add(
+        scheduler.scheduleWithFixedDelay(MACHINE_TYPES_PERIOD_MS, machineTypesRefresh::run));
+    periodicTasks.add(
+        scheduler.scheduleWithFixedDelay(PROVISIONING_INTENTS_PERIOD_MS, intents::advance));
+    periodicTasks.add(listReader.start());
+    machineTypesRefresh.run();
+    return periodicTasks;
   }
 
-  /** True once the whole list of machines was read in this term. */
+  /** Whether a complete list of machines has been read in this term. */
   public boolean isMachineListRead() {
-    return listReader.wasRead();
+    return listReader.hasReadList();
   }
 
-  /** Scales out now, without waiting for the next round, if no machine exists or is requested. */
+  /**
+   * Runs a scale-out round now instead of at its next period, if the list of machines has been read
+   * and no machine exists or is requested.
+   */
   public void scaleOutSoon() {
-    if (listReader.wasRead() && intents.isEmpty() && fleet.all().isEmpty()) {
+    if (listReader.hasReadList() && intents.isEmpty() && fleet.all().isEmpty()) {
       scaleOut();
     }
   }
 
-  /** Counts of terminations in this term, as text for the status. */
+  /** Counts and latencies of this term's terminations, as text for the status. */
   public String scaleInStatus() {
     return terminations.summary();
   }
@@ -259,23 +277,25 @@
   }
 
   /**
-   * True when scale-out can rely on the registry. Before most machines of an earlier leader have
-   * sent a heartbeat, capacity that exists would be requested again; where no earlier leader left
-   * any, there is nothing to wait for.
+   * Whether scale-out can rely on the registry: the list of machines has been read, no provisioning
+   * intent waits for the cloud's answer, and machines of an earlier leader have had the time to
+   * send a heartbeat. Before that, capacity that exists already would be requested again. Without
+   * intents or machines of an earlier leader, no heartbeats have to be waited for.
    */
   private boolean isFleetKnown() {
-    if (!listReader.wasRead() || intents.haveUnanswered()) {
+    if (!listReader.hasReadList() || intents.hasUnanswered()) {
       return false;
     }
     long heartbeatsReceivedMs =
         term.startMs()
-            + Math.round(settings.workers().heartbeatIntervalS() * FIRST_HEARTBEAT_MS_PER_PERIOD_S)
+            + Math.round(
+                settings.workers().heartbeatIntervalS() * FIRST_HEARTBEAT_MS_PER_INTERVAL_S)
             + FIRST_HEARTBEAT_MARGIN_MS;
-    return !inheritedFleet || scheduler.nowMs() >= heartbeatsReceivedMs;
+    return !hasInheritedFleet || scheduler.nowMs() >= heartbeatsReceivedMs;
   }
 
-  private void listRead(boolean firstOfTerm) {
-    inheritedFleet |= firstOfTerm && !fleet.all().isEmpty();
+  private void onListRead(boolean firstOfTerm) {
+    hasInheritedFleet |= firstOfTerm && !fleet.all().isEmpty();
     if (firstOfTerm) {
       scaleOut();
     }
--- a/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
+++ b/src/main/java/org/ploverspindle/cloud/FleetConnectivity.java
@@ -4,47 +4,54 @@
 import org.ploverspindle.cluster.MachineRegistry;
 
 /**
- * How many machines of the fleet can be reached and send heartbeats, counted at most once in a
- * scale-in round: when a zone is cut off, thousands of machines ask in the same round.
+ * Whether commands reach most machines of the fleet and most machines send heartbeats. One object
+ * serves one scale-in round and counts the machines at most once: during a network partition of a
+ * zone, the answer is needed for thousands of machines in the same round.
  */
 final class FleetConnectivity {
   private final MachineRegistry fleet;
-  private final double leaseMs;
+  private final double workerLeaseMs;
   private final long nowMs;
-  private boolean counted;
-  private int unreachable;
-  private int up;
-  private int sendingHeartbeats;
+  private boolean isCounted;
+  private int unreachableCount;
+  private int upCount;
+  private int sendingHeartbeatsCount;
 
-  FleetConnectivity(MachineRegistry fleet, double leaseMs, long nowMs) {
+  FleetConnectivity(MachineRegistry fleet, double workerLeaseMs, long nowMs) {
     this.fleet = fleet;
-    this.leaseMs = leaseMs;
+    this.workerLeaseMs = workerLeaseMs;
     this.nowMs = nowMs;
   }
 
-  /** False when so many machines are unreachable that the fault must be on the leader's side. */
-  boolean fewAreUnreachable() {
+  /**
+   * Whether commands fail to reach at most half of the machines. If they fail to reach more, the
+   * fault must be on the leader's side.
+   */
+  boolean atMostHalfAreUnreachable() {
     count();
-    return unreachable * 2 <= fleet.all().size();
+    return unreachableCount * 2 <= fleet.all().size();
   }
 
   /**
-   * False when most machines are silent: then the leader is cut off, the machines have not died.
+   * Whether at least half of the machines that are up have sent a heartbeat within the duration of
+   * one worker lease. If fewer have, the leader is partitioned from the machines, and their silence
+   * does not show that they have failed.
    */
-  boolean mostSendHeartbeats() {
+  boolean atLeastHalfSendHeartbeats() {
     count();
-    return sendingHeartbeats * 2 >= up;
+    return sendingHeartbeatsCount * 2 >= upCount;
   }
 
   private void count() {
-    if (counted) {
+    if (isCounted) {
       return;
     }
-    counted = true;
+    isCounted = true;
     for (Machine machine : fleet.all()) {
-      unreachable += machine.unreachableSinceMs() >= 0 ? 1 : 0;
-      up += machine.isUp() ? 1 : 0;
-      sendingHeartbeats += machine.isUp() && nowMs - machine.lastHeartbeatMs() < leaseMs ? 1 : 0;
+      unreachableCount += machine.unreachableSinceMs() >= 0 ? 1 : 0;
+      upCount += machine.isUp() ? 1 : 0;
+      sendingHeartbeatsCount +=
+          machine.isUp() && nowMs - machine.lastHeartbeatMs() < workerLeaseMs ? 1 : 0;
     }
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/GroupBackoffs.java
+++ b/src/main/java/org/ploverspindle/cloud/GroupBackoffs.java
@@ -14,18 +14,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** GEP-24's backoff: which groups get no request after a failed one, and until when. */
+/**
+ * The backoffs of GEP-24: after a failed provisioning request, a group gets no further request
+ * until its backoff ends.
+ */
 final class GroupBackoffs {
   private static final Logger LOG = LoggerFactory.getLogger(GroupBackoffs.class);
 
-  /** A backoff lasts at least this part of the policy's time. */
-  private static final double MIN_PART = 0.85;
+  /** Shortest duration of a backoff, as a multiple of the policy's backoff time. */
+  private static final double MIN_DURATION_FACTOR = 0.85;
 
-  /** A backoff lasts longer by a random part of the policy's time, of up to this. */
-  private static final double RANDOM_PART = 0.3;
+  /**
+   * Exclusive upper bound of the random time that is added to the shortest duration, as a multiple
+   * of the policy's backoff time.
+   */
+  private static final double RANDOM_DURATION_FACTOR = 0.3;
 
-  /** Fields of a recorded backoff: zone, spot, milliseconds left. */
-  private static final int RECORDED_FIELDS = 3;
+  /**
+   * Number of the comma-separated fields of a recorded backoff: the zone's name, whether the group
+   * is spot, and the milliseconds until the backoff ends.
+   */
+  private static final int RECORDED_FIELD_COUNT = 3;
 
   private static final double MS_PER_S = 1_000;
 
@@ -34,8 +43,8 @@
   private final Policy policy;
   private final RandomGenerator random;
 
-  /** When the backoff of each group ends, on the steady clock. */
-  private final Map<MachineGroup, Long> untilMs = new HashMap<>();
+  /** When the backoff of each group ends, in milliseconds on the steady clock. */
+  private final Map<MachineGroup, Long> backoffEndMs = new HashMap<>();
 
   GroupBackoffs(Scheduler scheduler, Catalogue catalogue, Policy policy, RandomGenerator random) {
     this.scheduler = scheduler;
@@ -44,32 +53,40 @@
     this.random = random;
   }
 
-  /** The group gets no request for the policy's time, somewhat varied at random. */
+  /** Backs the group off for the policy's backoff time, varied at random. */
   void backOff(MachineGroup group) {
-    // Backoffs that began together would otherwise end together, and all groups be tried at once.
-    double part = MIN_PART + RANDOM_PART * random.nextDouble();
-    untilMs.put(group, scheduler.nowMs() + Math.round(policy.backoffS() * MS_PER_S * part));
+    // Without the variation, backoffs that begin together would end together, and requests for all
+    // these groups would be sent at once.
+    double durationFactor = MIN_DURATION_FACTOR + RANDOM_DURATION_FACTOR * random.nextDouble();
+    backoffEndMs.put(
+        group, scheduler.nowMs() + Math.round(policy.backoffS() * MS_PER_S * durationFactor));
   }
 
+  /** Whether the group gets no request now. */
   boolean isBackedOff(MachineGroup group) {
-    return untilMs.getOrDefault(group, Long.MIN_VALUE) > scheduler.nowMs();
+    return backoffEndMs.getOrDefault(group, Long.MIN_VALUE) > scheduler.nowMs();
   }
 
-  /** Adds the backoffs of a type that have not ended to its record, for the next leader. */
+  /**
+   * Adds the backoffs of a machine type's groups that have not ended to the type's record, for the
+   * next leader.
+   */
   void encode(int type, ArrayNode recorded) {
-    untilMs.forEach(
+    backoffEndMs.forEach(
         (group, endMs) -> {
-          long leftMs = endMs - scheduler.nowMs();
-          if (group.type() == type && leftMs > 0) {
-            recorded.add(catalogue.zoneName(group.zone()) + "," + group.spot() + "," + leftMs);
+          long remainingMs = endMs - scheduler.nowMs();
+          if (group.type() == type && remainingMs > 0) {
+            recorded.add(catalogue.zoneName(group.zone()) + "," + group.spot() + "," + remainingMs);
           }
         });
   }
 
   /**
-   * Takes over an earlier leader's backoffs, for the time that was left when they were recorded.
+   * Inherits an earlier leader's backoffs. Each lasts for the time that was left when it was
+   * recorded, but no longer than the policy's backoff time. Unreadable backoffs are ignored.
    *
-   * @param type empty when the record's type is unknown
+   * @param type index of the record's machine type in the catalogue; empty if the catalogue does
+   *     not contain it
    */
   void inherit(Entry entry, Optional<Integer> type) {
     for (JsonNode recorded : entry.value().path("backoff")) {
@@ -82,14 +99,14 @@
   private boolean inherit(int type, String recorded) {
     String[] fields = recorded.split(",", -1);
     Optional<Integer> zone =
-        fields.length == RECORDED_FIELDS ? catalogue.zoneIndex(fields[0]) : Optional.empty();
+        fields.length == RECORDED_FIELD_COUNT ? catalogue.zoneIndex(fields[0]) : Optional.empty();
     if (zone.isEmpty() || !fields[2].matches("\\d{1,9}")) {
       return false;
     }
     long maxMs = Math.round(policy.backoffS() * MS_PER_S);
-    long leftMs = Math.min(Long.parseLong(fields[2]), maxMs);
+    long remainingMs = Math.min(Long.parseLong(fields[2]), maxMs);
     MachineGroup group = new MachineGroup(type, zone.get(), Boolean.parseBoolean(fields[1]));
-    untilMs.put(group, scheduler.nowMs() + leftMs);
+    backoffEndMs.put(group, scheduler.nowMs() + remainingMs);
     return true;
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntent.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntent.java
@@ -4,12 +4,15 @@
 import java.util.Optional;
 import org.ploverspindle.placement.MachineGroup;
 
-/** A provisioning intent and how far it has come: recorded, requested, answered, being removed. */
+/**
+ * A provisioning intent and its progress: whether it is recorded, requested from the cloud,
+ * answered by it, and being removed.
+ */
 final class ProvisioningIntent {
   private final String name;
-  private final ProvisioningIntentRecords.Requested requested;
+  private final ProvisioningIntentRecords.MachineRequest request;
   private final boolean inherited;
-  private final long sinceMs;
+  private final long knownSinceMs;
   private boolean recorded;
   private boolean requestInFlight;
   private long requestedMs;
@@ -17,24 +20,27 @@
   private boolean removing;
 
   private ProvisioningIntent(
-      String name, ProvisioningIntentRecords.Requested requested, boolean inherited, long sinceMs) {
+      String name,
+      ProvisioningIntentRecords.MachineRequest request,
+      boolean inherited,
+      long knownSinceMs) {
     this.name = name;
-    this.requested = requested;
+    this.request = request;
     this.inherited = inherited;
     this.recorded = inherited;
-    this.sinceMs = sinceMs;
+    this.knownSinceMs = knownSinceMs;
   }
 
-  /** A new intent of this term, which is not recorded yet. */
+  /** Creates an intent of this term, which is not recorded yet. */
   static ProvisioningIntent create(
-      String name, ProvisioningIntentRecords.Requested requested, long nowMs) {
-    return new ProvisioningIntent(name, requested, false, nowMs);
+      String name, ProvisioningIntentRecords.MachineRequest request, long nowMs) {
+    return new ProvisioningIntent(name, request, false, nowMs);
   }
 
-  /** An intent that an earlier leader recorded. */
+  /** Creates the object for an intent that an earlier leader recorded. */
   static ProvisioningIntent inherit(
-      String name, ProvisioningIntentRecords.Requested requested, long nowMs) {
-    return new ProvisioningIntent(name, requested, true, nowMs);
+      String name, ProvisioningIntentRecords.MachineRequest request, long nowMs) {
+    return new ProvisioningIntent(name, request, true, nowMs);
   }
 
   String name() {
@@ -42,20 +48,20 @@
   }
 
   MachineGroup group() {
-    return requested.group();
+    return request.group();
   }
 
   int count() {
-    return requested.count();
+    return request.count();
   }
 
   boolean isInherited() {
     return inherited;
   }
 
-  /** Since when this leader knows of the intent, on the steady clock. */
-  long sinceMs() {
-    return sinceMs;
+  /** Since when this leader knows of the intent, in milliseconds on the steady clock. */
+  long knownSinceMs() {
+    return knownSinceMs;
   }
 
   boolean isRecorded() {
@@ -66,12 +72,12 @@
     recorded = true;
   }
 
-  /** True from a request until its response, or until it may be sent again. */
+  /** Whether a request has been sent and may not be sent again yet. */
   boolean isRequestInFlight() {
     return requestInFlight;
   }
 
-  void requestSent(long nowMs) {
+  void markRequestSent(long nowMs) {
     requestInFlight = true;
     requestedMs = nowMs;
   }
@@ -80,31 +86,34 @@
     requestInFlight = false;
   }
 
-  /** When the request was last sent, on the steady clock. */
+  /** When the request was last sent, in milliseconds on the steady clock. */
   long requestedMs() {
     return requestedMs;
   }
 
-  /** True once the cloud has answered, or the intent was given up. */
+  /**
+   * Whether it is known which machines were provisioned: the cloud has provisioned them, or it has
+   * rejected the request and an attempt to remove the intent's record has failed.
+   */
   boolean isAnswered() {
     return hosts.isPresent();
   }
 
-  /** The provisioned hosts; empty until the intent is answered. */
+  /** The names of the provisioned machines; empty until the intent is answered. */
   Optional<List<String>> hosts() {
     return hosts;
   }
 
-  void answered(List<String> provisioned) {
+  void markAnswered(List<String> provisioned) {
     hosts = Optional.of(provisioned);
   }
 
-  /** True while the removal of the record is in flight or waits to be repeated. */
+  /** Whether the removal of the record is in flight or waits for its next attempt. */
   boolean isRemoving() {
     return removing;
   }
 
-  void removing(boolean now) {
-    removing = now;
+  void setRemoving(boolean isRemoving) {
+    removing = isRemoving;
   }
 }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
@@ -17,18 +17,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Provisions machines by write-ahead intents. An intent is recorded durably before the cloud is
- * asked, and the cloud is asked under the intent's name until its outcome is known, if need be by
- * the next leader. Requests are idempotent by that name, so nothing is provisioned twice and no
- * provisioned machine is lost.
+ * Provisions machines by write-ahead intents. An intent is recorded durably before its machines are
+ * requested from the cloud. The request is repeated under the intent's name until its outcome is
+ * known, if necessary by the next leader. Requests are idempotent by that name, so that no machine
+ * is provisioned twice and no provisioned machine is lost.
  */
 final class ProvisioningIntents {
   private static final Logger LOG = LoggerFactory.getLogger(ProvisioningIntents.class);
 
-  /** The cloud's limit for one request. */
+  /** The largest number of machines that the cloud provisions by one request. */
   static final int MAX_MACHINES_PER_REQUEST = 50;
 
-  /** For so long scale-out waits for the answer to a recorded intent. */
+  /** For how long scale-out waits for the cloud's answer to a recorded intent. */
   private static final long MAX_UNANSWERED_MS = 30_000;
 
   private static final long REMOVE_RETRY_MS = 2_000;
@@ -43,9 +43,10 @@
   private final Map<String, ProvisioningIntent> intents = new LinkedHashMap<>();
 
   /**
-   * @param tryTakeCall takes a call to the cloud from its budget, if this leader's lease is
-   *     certainly valid; asked last before each send
-   * @param retryDelay before an intent without an answer is requested again
+   * @param tryTakeCall takes a call to the cloud from the budget and returns true; returns false if
+   *     the budget is used up or this leader's lease is not certainly valid. It is the last check
+   *     before each request
+   * @param retryDelay the delay before the request of an intent without an answer is repeated
    */
   ProvisioningIntents(
       Scheduler scheduler,
@@ -69,21 +70,24 @@
   }
 
   /**
-   * True while a recorded intent has no answer, so that machines may exist that this leader does
-   * not know. An intent that is unanswered for long counts as pending machines, and scale-out goes
-   * on beside it.
+   * Whether scale-out must wait for an answer of the cloud: a recorded intent has no answer yet, so
+   * that machines may exist which this leader does not know. An intent without an answer for longer
+   * than {@link #MAX_UNANSWERED_MS} does not delay scale-out; its machines count as pending.
    */
-  boolean haveUnanswered() {
+  boolean hasUnanswered() {
     long nowMs = scheduler.nowMs();
     return intents.values().stream()
         .anyMatch(
             intent ->
                 intent.isRecorded()
                     && !intent.isAnswered()
-                    && nowMs - intent.sinceMs() < MAX_UNANSWERED_MS);
+                    && nowMs - intent.knownSinceMs() < MAX_UNANSWERED_MS);
   }
 
-  /** The machines of unanswered intents, each by its group; the caller may add to the list. */
+  /**
+   * The groups of the machines that unanswered intents request, one element for each machine. The
+   * caller may add to the list.
+   */
   List<MachineGroup> pendingMachines() {
     List<MachineGroup> pending = new ArrayList<>();
     for (ProvisioningIntent intent : intents.values()) {
@@ -94,8 +98,11 @@
     return pending;
   }
 
-  /** How many machines of the type in the zone, of both kinds, unanswered intents ask for. */
-  int unansweredMachines(int type, int zone) {
+  /**
+   * How many machines of the type unanswered intents request in the zone, spot and on-demand
+   * together.
+   */
+  int unansweredMachineCount(int type, int zone) {
     int count = 0;
     for (ProvisioningIntent intent : intents.values()) {
       MachineGroup group = intent.group();
@@ -106,23 +113,26 @@
     return count;
   }
 
-  /** Takes over an earlier leader's intent; a repeated request returns what it provisioned. */
+  /**
+   * Inherits an intent that an earlier leader recorded. Its request is repeated; if the cloud has
+   * executed it before, it returns the same machines.
+   */
   void inherit(Entry entry) {
-    Optional<ProvisioningIntentRecords.Requested> requested = records.decode(entry.value());
-    if (requested.isEmpty()) {
+    Optional<ProvisioningIntentRecords.MachineRequest> request = records.decode(entry.value());
+    if (request.isEmpty()) {
       LOG.error("unreadable provisioning intent, record kept as it is: key={}", entry.key());
       return;
     }
     String name = ProvisioningIntentRecords.name(entry);
-    intents.put(name, ProvisioningIntent.inherit(name, requested.get(), scheduler.nowMs()));
+    intents.put(name, ProvisioningIntent.inherit(name, request.get(), scheduler.nowMs()));
   }
 
-  /** Records an intent, and requests its machines once the record is durable. */
+  /** Records an intent, and requests its machines as soon as the record is durable. */
   void provision(MachineGroup group, int count) {
     String name = records.newName();
-    ProvisioningIntentRecords.Requested requested =
-        new ProvisioningIntentRecords.Requested(group, count);
-    ProvisioningIntent intent = ProvisioningIntent.create(name, requested, scheduler.nowMs());
+    ProvisioningIntentRecords.MachineRequest request =
+        new ProvisioningIntentRecords.MachineRequest(group, count);
+    ProvisioningIntent intent = ProvisioningIntent.create(name, request, scheduler.nowMs());
     intents.put(name, intent);
     LOG.info(
         "provisioning machines: intent={} count={} type={} zone={} spot={}",
@@ -131,24 +141,25 @@
         records.typeName(group),
         records.zoneName(group),
         group.spot());
-    // Durable first: a leader that takes over in between learns what may have been provisioned.
-    records.create(name, requested, outcome -> recorded(intent, outcome));
+    // The record must be durable before the request is sent: a leader that takes over in between
+    // learns from it which machines may have been provisioned.
+    records.create(name, request, outcome -> onRecorded(intent, outcome));
   }
 
-  private void recorded(ProvisioningIntent intent, LeaderWriter.CreateOutcome outcome) {
+  private void onRecorded(ProvisioningIntent intent, LeaderWriter.CreateOutcome outcome) {
     if (outcome == LeaderWriter.CreateOutcome.CREATED) {
       intent.markRecorded();
-      request(intent);
+      sendRequest(intent);
     } else {
       intents.remove(intent.name());
     }
   }
 
-  private void request(ProvisioningIntent intent) {
+  private void sendRequest(ProvisioningIntent intent) {
     if (intent.isRequestInFlight() || !tryTakeCall.getAsBoolean()) {
       return;
     }
-    intent.requestSent(scheduler.nowMs());
+    intent.markRequestSent(scheduler.nowMs());
     MachineGroup group = intent.group();
     cloud.provision(
         intent.name(),
@@ -156,14 +167,15 @@
         records.zoneName(group),
         group.spot(),
         intent.count(),
-        result -> answered(intent, result));
+        result -> onResult(intent, result));
   }
 
-  private void answered(ProvisioningIntent intent, CloudClient.ProvisionResult result) {
+  private void onResult(ProvisioningIntent intent, CloudClient.ProvisionResult result) {
     if (result instanceof CloudClient.ProvisionResult.Provisioned provisioned) {
-      provisioned(intent, provisioned.hosts());
+      onProvisioned(intent, provisioned.hosts());
     } else if (result instanceof CloudClient.ProvisionResult.Malformed) {
-      // Repeated, it would stay unanswered and hold up all scale-out.
+      // A malformed request is not repeated: its intent would stay unanswered and delay all
+      // scale-out.
       LOG.error(
           "provisioning request rejected as malformed, group backs off: intent={} type={} zone={}"
               + " spot={}",
@@ -171,28 +183,29 @@
           records.typeName(intent.group()),
           records.zoneName(intent.group()),
           intent.group().spot());
-      giveUp(intent);
+      abandon(intent);
     } else if (result instanceof CloudClient.ProvisionResult.NoCapacity) {
       LOG.info("no capacity, group backs off: intent={}", intent.name());
-      giveUp(intent);
+      abandon(intent);
     } else {
-      // No answer, or refused for now: repeated by name, it provisions once at most.
+      // No answer, or refused temporarily. The request is repeated under the same name, so that its
+      // machines are provisioned at most once.
       scheduler.schedule(retryDelay.nextMs(), intent::allowRetry);
     }
   }
 
-  private void giveUp(ProvisioningIntent intent) {
-    limits.notFilled(intent.group());
+  private void abandon(ProvisioningIntent intent) {
+    limits.recordUnfilled(intent.group());
     removeRecord(intent);
   }
 
-  private void provisioned(ProvisioningIntent intent, List<String> hosts) {
-    intent.answered(hosts);
+  private void onProvisioned(ProvisioningIntent intent, List<String> hosts) {
+    intent.markAnswered(hosts);
     MachineGroup group = intent.group();
     if (hosts.size() < intent.count()) {
-      limits.notFilled(group);
+      limits.recordUnfilled(group);
     } else {
-      limits.filled(group);
+      limits.recordFilled(group);
     }
     for (String host : hosts) {
       if (!fleet.wasTerminated(host)) {
@@ -204,21 +217,21 @@
                 group.spot(),
                 scheduler.nowMs())
             .filter(machine -> !intent.isInherited())
-            .ifPresent(machine -> provisionedInThisTerm(machine, intent));
+            .ifPresent(machine -> markProvisionedInThisTerm(machine, intent));
       }
     }
   }
 
-  private static void provisionedInThisTerm(Machine machine, ProvisioningIntent intent) {
+  private static void markProvisionedInThisTerm(Machine machine, ProvisioningIntent intent) {
     machine.provisionedAt(intent.requestedMs());
     machine.endQuarantine();
   }
 
-  /** Repeats requests without an answer, and removes intents all of whose machines are known. */
-  void retryUnanswered() {
+  /** Repeats requests without an answer, and removes the intents whose machines are all known. */
+  void advance() {
     for (ProvisioningIntent intent : List.copyOf(intents.values())) {
       if (intent.isRecorded() && !intent.isAnswered()) {
-        request(intent);
+        sendRequest(intent);
       } else if (intent.hosts().isPresent()
           && intent.hosts().get().stream().allMatch(this::isKnown)) {
         removeRecord(intent);
@@ -226,7 +239,10 @@
     }
   }
 
-  /** True when the machine was seen in the list or by a heartbeat, or is gone again. */
+  /**
+   * Whether the machine has sent a heartbeat or has been listed, or is not in the registry any
+   * more.
+   */
   private boolean isKnown(String host) {
     return fleet.get(host).map(machine -> machine.isUp() || machine.isListed()).orElse(true);
   }
@@ -235,7 +251,7 @@
     if (intent.isRemoving()) {
       return;
     }
-    intent.removing(true);
+    intent.setRemoving(true);
     records.remove(
         intent.name(),
         removed -> {
@@ -243,9 +259,9 @@
             intents.remove(intent.name());
             return;
           }
-          scheduler.schedule(REMOVE_RETRY_MS, () -> intent.removing(false));
+          scheduler.schedule(REMOVE_RETRY_MS, () -> intent.setRemoving(false));
           if (!intent.isAnswered()) {
-            intent.answered(List.of());
+            intent.markAnswered(List.of());
           }
         });
   }
--- a/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleInPlanner.java
@@ -10,42 +10,51 @@
 import org.ploverspindle.scalein.MachineTerminations;
 import org.ploverspindle.scalein.TerminationClient;
 
-/** Selects the machines to terminate, round by round, and has their terminations carried out. */
+/** Selects the machines to terminate in each scale-in round, and begins their terminations. */
 final class ScaleInPlanner {
-  /** In a large fleet, one of so many machines may go in one round, by several requests. */
-  private static final int MACHINES_PER_TERMINATION = 20;
+  /**
+   * In a large fleet, one round may select as many machines as the size of the fleet divided by
+   * this number. Several requests to the cloud then terminate them.
+   */
+  private static final int FLEET_MACHINES_PER_SELECTED_MACHINE = 20;
 
-  /** Idle machines wait no longer than this for spare writes to the state service. */
+  /**
+   * Longest time for which idle machines wait for spare write budget of the state service, counted
+   * from the last round that selected an idle machine.
+   */
   private static final long MAX_WAIT_FOR_WRITES_MS = 3_000;
 
   private final Scheduler scheduler;
   private final MachineRegistry fleet;
-  private final UnusableMachines unusable;
-  private final IdleMachines idle;
+  private final UnusableMachines unusableMachines;
+  private final IdleMachines idleMachines;
   private final MachineTerminations terminations;
   private final BooleanSupplier isAuthoritative;
   private long lastIdleTerminationMs;
 
   /**
-   * @param isAuthoritative whether this leader's lease is certainly valid
+   * @param isAuthoritative whether this leader's lease is certainly valid now
    */
   ScaleInPlanner(
       Scheduler scheduler,
       MachineRegistry fleet,
-      UnusableMachines unusable,
-      IdleMachines idle,
+      UnusableMachines unusableMachines,
+      IdleMachines idleMachines,
       MachineTerminations terminations,
       BooleanSupplier isAuthoritative) {
     this.scheduler = scheduler;
     this.fleet = fleet;
-    this.unusable = unusable;
-    this.idle = idle;
+    this.unusableMachines = unusableMachines;
+    this.idleMachines = idleMachines;
     this.terminations = terminations;
     this.isAuthoritative = isAuthoritative;
     this.lastIdleTerminationMs = scheduler.nowMs();
   }
 
-  /** Begins the terminations that are due, and advances those that were begun. */
+  /**
+   * Runs one scale-in round: begins the terminations of the selected machines, and advances all
+   * terminations that have begun. Does nothing while this leader's lease is not certainly valid.
+   */
   void run() {
     if (!isAuthoritative.getAsBoolean()) {
       return;
@@ -58,9 +67,11 @@
     long nowMs = scheduler.nowMs();
     int maxMachines =
         Math.max(
-            TerminationClient.MAX_HOSTS_PER_RELEASE, fleet.all().size() / MACHINES_PER_TERMINATION);
-    Predicate<Machine> isIdle = mayTerminateIdle(nowMs) ? idle.newRound(nowMs) : machine -> false;
-    FleetConnectivity connectivity = unusable.connectivity(nowMs);
+            TerminationClient.MAX_MACHINES_PER_REQUEST,
+            fleet.all().size() / FLEET_MACHINES_PER_SELECTED_MACHINE);
+    Predicate<Machine> isIdle =
+        mayTerminateIdle(nowMs) ? idleMachines.newRoundPredicate(nowMs) : machine -> false;
+    FleetConnectivity connectivity = unusableMachines.connectivity(nowMs);
     List<Machine> selected = new ArrayList<>();
     for (Machine machine : fleet.all()) {
       if (selected.size() >= maxMachines) {
@@ -69,7 +80,7 @@
       if (machine.isTerminating()) {
         continue;
       }
-      if (unusable.test(machine, nowMs, connectivity)) {
+      if (unusableMachines.mustTerminate(machine, nowMs, connectivity)) {
         selected.add(machine);
       } else if (isIdle.test(machine)) {
         lastIdleTerminationMs = nowMs;
@@ -80,8 +91,9 @@
   }
 
   /**
-   * An idle machine may still get work, but not once its termination has begun, which is never
-   * revoked. So idle machines wait behind the writes of that work, and while terminations stall.
+   * Whether idle machines may be selected now. An idle machine can still get tasks, but not after
+   * its termination has begun, since that is never revoked. Therefore the writes that record tasks
+   * have precedence over idle machines, and no idle machine is selected while terminations stall.
    */
   private boolean mayTerminateIdle(long nowMs) {
     return !terminations.isStalled()
--- a/src/main/java/org/ploverspindle/cloud/ScaleOutRound.java
+++ b/src/main/java/org/ploverspindle/cloud/ScaleOutRound.java
@@ -10,13 +10,13 @@
 import org.ploverspindle.placement.ScaleOutPlanner;
 
 /**
- * One scale-out round, GEP-24's scan: evaluates the pools' bounds, plans what pending work needs,
- * and requests the machines.
+ * Runs scale-out rounds, the scans of GEP-24. A round evaluates the pools' bounds, plans which
+ * machines pending work needs, and requests the machines.
  */
 final class ScaleOutRound {
   private final Scheduler scheduler;
   private final MachineRegistry fleet;
-  private final BootTracker boots;
+  private final BootTracker bootTracker;
   private final CandidateGroups candidateGroups;
   private final ScaleOutLimits limits;
   private final ProvisioningIntents intents;
@@ -25,28 +25,31 @@
   ScaleOutRound(
       Scheduler scheduler,
       MachineRegistry fleet,
-      BootTracker boots,
+      BootTracker bootTracker,
       CandidateGroups candidateGroups,
       ScaleOutLimits limits,
       ProvisioningIntents intents,
       Autoscaler.Workload workload) {
     this.scheduler = scheduler;
     this.fleet = fleet;
-    this.boots = boots;
+    this.bootTracker = bootTracker;
     this.candidateGroups = candidateGroups;
     this.limits = limits;
     this.intents = intents;
     this.workload = workload;
   }
 
-  /** Plans and requests. To be called only when the fleet and the open intents are known. */
+  /**
+   * Runs one round. Must be called only when the registry shows the machines that exist, and the
+   * outcome of earlier provisioning requests is known.
+   */
   void run() {
-    boots.observe(fleet.all(), scheduler.nowMs());
+    bootTracker.observe(fleet.all(), scheduler.nowMs());
     CandidateGroups.Evaluation evaluation = candidateGroups.evaluate();
-    Map<MachineGroup, Integer> requested = new LinkedHashMap<>(evaluation.missing());
+    Map<MachineGroup, Integer> requested = new LinkedHashMap<>(evaluation.shortfalls());
     List<MachineGroup> pending = pendingMachines();
     evaluation
-        .missing()
+        .shortfalls()
         .forEach(
             (group, count) -> {
               for (int i = 0; i < count; i++) {
@@ -60,12 +63,17 @@
     requested.forEach(this::provision);
   }
 
-  /** Machines that boot in time and machines that are requested, each by its group. */
+  /**
+   * The groups of the machines that are requested, or that are booting and not overdue, one element
+   * for each machine.
+   */
   private List<MachineGroup> pendingMachines() {
     List<MachineGroup> pending = intents.pendingMachines();
     long nowMs = scheduler.nowMs();
     for (Machine machine : fleet.all()) {
-      if (!machine.isUp() && !machine.isDecommissioning() && !boots.isOverdue(machine, nowMs)) {
+      if (!machine.isUp()
+          && !machine.isDecommissioning()
+          && !bootTracker.isOverdue(machine, nowMs)) {
         pending.add(MachineGroup.of(machine));
       }
     }
@@ -73,10 +81,10 @@
   }
 
   private void provision(MachineGroup group, int count) {
-    int left = Math.min(count, limits.maxPerRound(group));
-    while (left > 0) {
-      intents.provision(group, Math.min(ProvisioningIntents.MAX_MACHINES_PER_REQUEST, left));
-      left -= ProvisioningIntents.MAX_MACHINES_PER_REQUEST;
+    int remaining = Math.min(count, limits.maxPerRound(group));
+    while (remaining > 0) {
+      intents.provision(group, Math.min(ProvisioningIntents.MAX_MACHINES_PER_REQUEST, remaining));
+      remaining -= ProvisioningIntents.MAX_MACHINES_PER_REQUEST;
     }
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationRecordWriter.java
@@ -8,40 +8,45 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /**
- * Writes and removes termination records. A record is created once, under a key that no other
- * leader and no other termination of this term uses, and is never changed.
+ * Writes and removes termination records. A record is never changed after its creation. No other
+ * leader and no other termination of this term uses its key.
  */
 public final class TerminationRecordWriter {
   private final LeaderWriter leaderWriter;
   private final long fencingToken;
-  private final int valueBytes;
+  private final int maxValueBytes;
   private long recordCount;
 
   /**
-   * @param fencingToken the first token of the term, which makes the keys unique over all terms
-   * @param valueBytes the state service's lowest announced limit for a value in JSON form
+   * @param fencingToken the first fencing token of the term, which makes the keys unique over all
+   *     terms
+   * @param maxValueBytes the lowest limit that the state service has announced for the size of a
+   *     value in JSON form
    */
-  public TerminationRecordWriter(LeaderWriter leaderWriter, long fencingToken, int valueBytes) {
+  public TerminationRecordWriter(LeaderWriter leaderWriter, long fencingToken, int maxValueBytes) {
     this.leaderWriter = leaderWriter;
     this.fencingToken = fencingToken;
-    this.valueBytes = valueBytes;
+    this.maxValueBytes = maxValueBytes;
   }
 
-  /** Whether the write budget allows a write now that could also wait. */
+  /** Whether the write budget allows a write now that can also wait. */
   boolean hasSpareWrites() {
     return leaderWriter.hasSpareBudget();
   }
 
-  /** Divides the machines into terminations whose records fit into a value; writes nothing. */
+  /**
+   * Divides the machines into terminations whose records each fit into one value. Nothing is
+   * written here.
+   */
   List<PendingTermination> prepare(List<String> hosts, long nowMs) {
-    return TerminationRecord.partition(hosts, valueBytes).stream()
+    return TerminationRecord.partition(hosts, maxValueBytes).stream()
         .map(record -> newTermination(record, nowMs))
         .toList();
   }
 
   /**
-   * Two terminations in place of one whose record was refused for its size, and so was never
-   * written.
+   * Replaces a termination by two of half its size, after its record was refused as too large and
+   * thus was not written.
    */
   List<PendingTermination> halve(PendingTermination refused, long nowMs) {
     List<String> hosts = refused.hosts();
@@ -57,14 +62,21 @@
     return new PendingTermination(key, record, PendingTermination.Phase.RECORDING, nowMs);
   }
 
-  void create(PendingTermination pending, Consumer<CreateOutcome> then) {
-    leaderWriter.create(new Change.Put(pending.key(), pending.record().encode()), then);
+  /**
+   * Creates the termination's record.
+   *
+   * @param callback called with what is known of the outcome
+   */
+  void create(PendingTermination pending, Consumer<CreateOutcome> callback) {
+    leaderWriter.create(new Change.Put(pending.key(), pending.record().encode()), callback);
   }
 
   /**
-   * @param then called with whether the record is known to be removed
+   * Removes the termination's record.
+   *
+   * @param callback called with true if the record is known to be removed, otherwise with false
    */
-  void remove(PendingTermination pending, Consumer<Boolean> then) {
-    leaderWriter.writeBestEffort(new Change.Remove(pending.key()), then);
+  void remove(PendingTermination pending, Consumer<Boolean> callback) {
+    leaderWriter.writeBestEffort(new Change.Remove(pending.key()), callback);
   }
 }
--- a/src/main/java/org/ploverspindle/scalein/TerminationStatistics.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationStatistics.java
@@ -5,15 +5,19 @@
 
 /** Counts and latencies of this term's terminations. */
 final class TerminationStatistics {
-  /** Longer latencies are recorded as this one. */
+  /** Upper bound of the recorded latencies. Longer ones are recorded as this value. */
   private static final long MAX_RECORDED_MS = 3_600_000;
 
   private static final int SIGNIFICANT_DIGITS = 2;
   private static final double MEDIAN_PERCENTILE = 50;
   private static final double TAIL_PERCENTILE = 99;
 
-  /** From the decision to terminate a machine to the cloud's confirmation, in milliseconds. */
-  private final Histogram confirmedAfterMs = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+  /**
+   * Latencies of the confirmed terminations, in milliseconds, one for each machine: from the
+   * beginning of the termination in this term to the cloud's confirmation.
+   */
+  private final Histogram confirmationLatenciesMs =
+      new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
 
   private long decided;
   private long inherited;
@@ -33,18 +37,18 @@
     repeated += isRepeat ? 1 : 0;
   }
 
-  void recordConfirmed(long afterMs) {
-    confirmedAfterMs.recordValue(Math.max(0, Math.min(MAX_RECORDED_MS, afterMs)));
+  void recordConfirmed(long latencyMs) {
+    confirmationLatenciesMs.recordValue(Math.max(0, Math.min(MAX_RECORDED_MS, latencyMs)));
   }
 
   /**
-   * The line for operators. Its wording is part of the status output and does not change.
+   * Formats the line of the status output. Its wording must not change.
    *
-   * @param recording terminations whose record is not known to be durable
-   * @param recorded terminations that the cloud has not confirmed
-   * @param keptRecords terminations that are confirmed and whose record is kept
+   * @param recording number of terminations whose record is not known to be durable
+   * @param recorded number of terminations that are recorded and not confirmed by the cloud
+   * @param keptRecords number of terminations that are confirmed and whose record is kept
    */
-  String text(int recording, int recorded, int keptRecords) {
+  String statusLine(int recording, int recorded, int keptRecords) {
     return String.format(
         Locale.ROOT,
         "returns decided=%d inherited=%d recording=%d recorded=%d kept_records=%d requests=%d"
@@ -56,9 +60,9 @@
         keptRecords,
         requests,
         repeated,
-        confirmedAfterMs.getTotalCount(),
-        confirmedAfterMs.getValueAtPercentile(MEDIAN_PERCENTILE),
-        confirmedAfterMs.getValueAtPercentile(TAIL_PERCENTILE),
-        confirmedAfterMs.getMaxValue());
+        confirmationLatenciesMs.getTotalCount(),
+        confirmationLatenciesMs.getValueAtPercentile(MEDIAN_PERCENTILE),
+        confirmationLatenciesMs.getValueAtPercentile(TAIL_PERCENTILE),
+        confirmationLatenciesMs.getMaxValue());
   }
 }
