--- a/src/main/java/org/ploverspindle/leases/FencedStore.java
+++ b/src/main/java/org/ploverspindle/leases/FencedStore.java
@@ -37,8 +37,8 @@
   }
 
   @Override
-  public void readPage(String prefix, String after, int size, Consumer<PageResult> callback) {
-    store.readPage(prefix, after, size, callback);
+  public void readPage(String prefix, String after, int pageSize, Consumer<PageResult> callback) {
+    store.readPage(prefix, after, pageSize, callback);
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/leases/LeaseTiming.java
+++ b/src/main/java/org/ploverspindle/leases/LeaseTiming.java
@@ -35,7 +35,7 @@
   }
 
   /** A lease that was not renewed for longer is not used for acquiring a role. */
-  long freshMs() {
+  long maxAgeToAcquireMs() {
     return validMs / 2;
   }
 }
--- a/src/main/java/org/ploverspindle/leases/RoleLease.java
+++ b/src/main/java/org/ploverspindle/leases/RoleLease.java
@@ -141,7 +141,7 @@
     }
     // A lease is opened only for an attempt: renewals by all controllers would use up the shared
     // rate limit of the state service.
-    if (!lease.isFresh()) {
+    if (!lease.isFreshEnoughToAcquire()) {
       lease.open(this::isVacant, this::tick);
       return;
     }
@@ -168,7 +168,7 @@
                 new Change.Put(records.epochKey(), records.encodeEpochs(epoch)))),
         result -> {
           if (result instanceof TransactionResult.NoSuchLease) {
-            lease.forget();
+            lease.discard();
           }
           // Whatever the result, the replica shows who holds the role: an attempt without an answer
           // may have been executed.
@@ -197,8 +197,8 @@
     if (holder.isEmpty()) {
       logUnreadable(key);
       end("the holder's record is malformed");
-    } else if (isOurs(holder.get())) {
-      acquiredAt(entry.get().modRevision(), holder.get());
+    } else if (isOwnRecord(holder.get())) {
+      ownRecordWritten(entry.get().modRevision(), holder.get());
     } else {
       closeIfAbandoned(holder.get());
       end("another controller holds the role: " + holder.get().member());
@@ -214,7 +214,7 @@
    * Was the record written by this process under its current lease? An attempt that was executed
    * late, under a lease that was dropped, does not count: its record is removed with that lease.
    */
-  private boolean isOurs(RoleHolder holder) {
+  private boolean isOwnRecord(RoleHolder holder) {
     return holder.nonce().equals(nonce) && lease.id().map(id -> id == holder.lease()).orElse(false);
   }
 
@@ -228,7 +228,7 @@
     }
   }
 
-  private void acquiredAt(long modRevision, RoleHolder ownRecord) {
+  private void ownRecordWritten(long modRevision, RoleHolder ownRecord) {
     if (held.isPresent() && held.get().modRevision() == modRevision) {
       return;
     }
@@ -261,9 +261,9 @@
   /** Ends the role in this process on a sign that it is lost; the record stays with its lease. */
   public void end(String cause) {
     if (held.isPresent()) {
-      HeldRole lost = held.get();
+      HeldRole lostRole = held.get();
       held = Optional.empty();
-      listener.lost(lost, cause);
+      listener.lost(lostRole, cause);
     }
   }
 
--- a/src/main/java/org/ploverspindle/leases/RoleRecords.java
+++ b/src/main/java/org/ploverspindle/leases/RoleRecords.java
@@ -21,7 +21,7 @@
   Optional<RoleHolder> decode(JsonNode record);
 
   /** The record of epochs once this epoch is taken. */
-  JsonNode encodeEpochs(long taken);
+  JsonNode encodeEpochs(long latestEpoch);
 
   /**
    * The epoch that follows all that were taken; empty if the record is malformed.
--- a/src/main/java/org/ploverspindle/leases/StateLease.java
+++ b/src/main/java/org/ploverspindle/leases/StateLease.java
@@ -46,8 +46,8 @@
   }
 
   /** Is enough of the lease left to acquire a role under it? */
-  boolean isFresh() {
-    return id.isPresent() && scheduler.nowMs() <= lastRenewalSentMs + timing.freshMs();
+  boolean isFreshEnoughToAcquire() {
+    return id.isPresent() && scheduler.nowMs() <= lastRenewalSentMs + timing.maxAgeToAcquireMs();
   }
 
   /**
@@ -58,7 +58,7 @@
    *     renewals of the new one would not keep it.
    * @param opened called when the new lease is this process's
    */
-  void open(BooleanSupplier isStillWanted, Runnable opened) {
+  void open(BooleanSupplier isStillWanted, Runnable onOpened) {
     if (requestInFlight) {
       return;
     }
@@ -73,7 +73,7 @@
           } else if (leaseId.isPresent()) {
             id = leaseId;
             lastRenewalSentMs = requestSentMs;
-            opened.run();
+            onOpened.run();
           }
         });
   }
@@ -83,15 +83,15 @@
    *
    * @param ended called when the state service no longer knows the lease
    */
-  void renewIfDue(Runnable ended) {
+  void renewIfDue(Runnable onExpired) {
     if (id.isPresent()
         && !requestInFlight
         && scheduler.nowMs() - lastRenewalSentMs >= timing.renewAfterMs()) {
-      renew(id.get(), ended);
+      renew(id.get(), onExpired);
     }
   }
 
-  private void renew(long leaseId, Runnable ended) {
+  private void renew(long leaseId, Runnable onExpired) {
     requestInFlight = true;
     long requestSentMs = scheduler.nowMs();
     store.renewLease(
@@ -104,13 +104,13 @@
             renewalMs.recordValue(Math.min(MAX_RECORDED_RENEWAL_MS, durationMs));
           } else if (result == Renewal.GONE) {
             id = Optional.empty();
-            ended.run();
+            onExpired.run();
           }
         });
   }
 
   /** Drops the lease: the state service does not know it. */
-  void forget() {
+  void discard() {
     id = Optional.empty();
   }
 
--- a/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
+++ b/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
@@ -44,7 +44,7 @@
 
   /** Follows the jobs in the replica. */
   public AcceptedJobIndex(Replica replica) {
-    replica.addListener(this::changed);
+    replica.addListener(this::entryChanged);
   }
 
   /** Adds a listener; one that belongs to a term must be cancelled with it. */
@@ -63,7 +63,7 @@
     return Collections.unmodifiableSet(jobs.keySet());
   }
 
-  private void changed(String key, Optional<Entry> entry) {
+  private void entryChanged(String key, Optional<Entry> entry) {
     if (entry.isEmpty()) {
       return;
     }
@@ -79,15 +79,15 @@
   }
 
   private void add(AcceptedJob job) {
-    AcceptedJob known = jobs.get(job.uid());
-    if (known != null && !job.isBefore(known)) {
+    AcceptedJob existing = jobs.get(job.uid());
+    if (existing != null && !job.isBefore(existing)) {
       return;
     }
     jobs.put(job.uid(), job);
-    if (known == null) {
-      List.copyOf(listeners).forEach(l -> l.accepted(job));
+    if (existing == null) {
+      List.copyOf(listeners).forEach(listener -> listener.accepted(job));
     } else {
-      List.copyOf(listeners).forEach(l -> l.corrected(job));
+      List.copyOf(listeners).forEach(listener -> listener.corrected(job));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/state/DependenciesRecord.java
+++ b/src/main/java/org/ploverspindle/state/DependenciesRecord.java
@@ -25,18 +25,19 @@
   private static final String IDS = "ids";
 
   /** Braces, field name and quotes of a part. */
-  private static final int FRAME_BYTES = 20;
+  private static final int PART_OVERHEAD_BYTES = 20;
 
   /** How much of the SHA-256 digest of the list is in its name. */
   private static final int DIGEST_BYTES = 10;
 
   /** Splits a job's list into parts of at most {@code valueBytes}. */
-  public static DependenciesRecord split(String jobUid, List<String> dependencies, int valueBytes) {
+  public static DependenciesRecord split(
+      String jobUid, List<String> dependencies, int maxValueBytes) {
     List<JsonNode> parts = new ArrayList<>();
     StringBuilder ids = new StringBuilder();
     MessageDigest digest = sha256();
     for (String uid : dependencies) {
-      if (!ids.isEmpty() && ids.length() + 1 + uid.length() > valueBytes - FRAME_BYTES) {
+      if (!ids.isEmpty() && ids.length() + 1 + uid.length() > maxValueBytes - PART_OVERHEAD_BYTES) {
         parts.add(Cbor.map().put(IDS, ids.toString()));
         digest.update((byte) '\n');
         ids.setLength(0);
--- a/src/main/java/org/ploverspindle/state/HttpStateStore.java
+++ b/src/main/java/org/ploverspindle/state/HttpStateStore.java
@@ -19,7 +19,7 @@
 
 /** Speaks the protocol of the state service. Malformed or unexpected answers count as none. */
 public final class HttpStateStore implements StateStore {
-  private static final byte[] EMPTY = {};
+  private static final byte[] EMPTY_BODY = {};
 
   private static final int OK = 200;
   private static final int BAD_REQUEST = 400;
@@ -27,12 +27,12 @@
   private static final int CONFLICT = 409;
   private static final int GONE = 410;
   private static final int TOO_MANY_REQUESTS = 429;
-  private static final int UNAVAILABLE = 503;
+  private static final int SERVICE_UNAVAILABLE = 503;
 
   /** The status that is reported for a transaction that was not sent. */
   private static final int NOT_SENT = 0;
 
-  private static final long TIMEOUT_MS = 2_500;
+  private static final long REQUEST_TIMEOUT_MS = 2_500;
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpStateStore.class);
 
@@ -47,13 +47,13 @@
   }
 
   @Override
-  public void commit(Transaction transaction, Consumer<TransactionResult> then) {
+  public void commit(Transaction transaction, Consumer<TransactionResult> callback) {
     client.send(
         "POST",
         "/txn",
         Cbor.write(encode(transaction)),
-        TIMEOUT_MS,
-        result -> then.accept(transactionResult(result)));
+        REQUEST_TIMEOUT_MS,
+        result -> callback.accept(transactionResult(result)));
   }
 
   /** The body of the request that executes this transaction. */
@@ -63,14 +63,14 @@
     for (Condition condition : transaction.conditions()) {
       conditions.addObject().put("path", condition.key()).put("stamp", condition.modRevision());
     }
-    ArrayNode apply = body.putArray("apply");
+    ArrayNode changes = body.putArray("apply");
     for (Change change : transaction.changes()) {
       if (change instanceof Change.Put put) {
-        ObjectNode node = apply.addObject().put("put", put.key());
-        node.set("v", put.value());
-        put.lease().ifPresent(lease -> node.put("hold", lease));
+        ObjectNode putNode = changes.addObject().put("put", put.key());
+        putNode.set("v", put.value());
+        put.lease().ifPresent(lease -> putNode.put("hold", lease));
       } else {
-        apply.addObject().put("remove", change.key());
+        changes.addObject().put("remove", change.key());
       }
     }
     return body;
@@ -86,16 +86,17 @@
     Optional<ObjectNode> body = Cbor.readMap(response.body());
     switch (response.status()) {
       case OK:
-        return body.filter(b -> b.path("ledger").canConvertToLong())
-            .<TransactionResult>map(b -> new TransactionResult.Committed(b.path("ledger").asLong()))
+        return body.filter(map -> map.path("ledger").canConvertToLong())
+            .<TransactionResult>map(
+                map -> new TransactionResult.Committed(map.path("ledger").asLong()))
             .orElse(new TransactionResult.Unknown());
       case CONFLICT:
         return conflict(body);
       case BAD_REQUEST:
-        return body.map(b -> b.path("error").asText("")).orElse("").contains("lease")
+        return body.map(map -> map.path("error").asText("")).orElse("").contains("lease")
             ? new TransactionResult.NoSuchLease()
             : new TransactionResult.Refused(BAD_REQUEST);
-      case TOO_MANY_REQUESTS, UNAVAILABLE:
+      case TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE:
         return new TransactionResult.Refused(response.status());
       default:
         if (loggedStatuses.add(response.status())) {
@@ -108,9 +109,9 @@
   }
 
   private static TransactionResult conflict(Optional<ObjectNode> body) {
-    List<String> failed = new ArrayList<>();
-    body.ifPresent(b -> b.path("failed").forEach(key -> failed.add(key.asText())));
-    return new TransactionResult.Conflict(failed);
+    List<String> failedKeys = new ArrayList<>();
+    body.ifPresent(map -> map.path("failed").forEach(key -> failedKeys.add(key.asText())));
+    return new TransactionResult.Conflict(failedKeys);
   }
 
   private static Optional<ObjectNode> successBody(HttpResult result) {
@@ -124,14 +125,15 @@
   }
 
   @Override
-  public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
+  public void readPage(String prefix, String after, int pageSize, Consumer<PageResult> callback) {
     String path =
         "/kv?starts="
             + urlEncode(prefix)
             + (after.isEmpty() ? "" : "&after=" + urlEncode(after))
             + "&page="
-            + size;
-    client.send("GET", path, EMPTY, TIMEOUT_MS, result -> then.accept(pageResult(result)));
+            + pageSize;
+    client.send(
+        "GET", path, EMPTY_BODY, REQUEST_TIMEOUT_MS, result -> callback.accept(pageResult(result)));
   }
 
   private static PageResult pageResult(HttpResult result) {
@@ -149,9 +151,14 @@
   }
 
   @Override
-  public void readChanges(String prefix, long revision, Consumer<ChangesResult> then) {
+  public void readChanges(String prefix, long revision, Consumer<ChangesResult> callback) {
     String path = "/follow?starts=" + urlEncode(prefix) + "&after=" + revision + "&wait_ms=0";
-    client.send("GET", path, EMPTY, TIMEOUT_MS, result -> then.accept(changesResult(result)));
+    client.send(
+        "GET",
+        path,
+        EMPTY_BODY,
+        REQUEST_TIMEOUT_MS,
+        result -> callback.accept(changesResult(result)));
   }
 
   private static ChangesResult changesResult(HttpResult result) {
@@ -167,25 +174,25 @@
     }
     List<ChangedEntry> changes = new ArrayList<>();
     for (JsonNode change : body.get().path("news")) {
-      boolean put = change.has("put");
+      boolean isPut = change.has("put");
       changes.add(
           new ChangedEntry(
-              change.path(put ? "put" : "remove").asText(),
-              put ? Optional.of(change.path("v")) : Optional.empty(),
+              change.path(isPut ? "put" : "remove").asText(),
+              isPut ? Optional.of(change.path("v")) : Optional.empty(),
               change.path("stamp").asLong()));
     }
     return new ChangesResult.Changes(body.get().path("ledger").asLong(), changes);
   }
 
   @Override
-  public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
+  public void openLease(long ttlMs, Consumer<Optional<Long>> callback) {
     client.send(
         "POST",
         "/holds",
         Cbor.write(Cbor.map().put("ttl_ms", ttlMs)),
-        TIMEOUT_MS,
+        REQUEST_TIMEOUT_MS,
         result ->
-            then.accept(
+            callback.accept(
                 successBody(result)
                     .map(body -> body.path("hold"))
                     .filter(JsonNode::canConvertToLong)
@@ -193,13 +200,13 @@
   }
 
   @Override
-  public void renewLease(long lease, Consumer<Renewal> then) {
+  public void renewLease(long lease, Consumer<Renewal> callback) {
     client.send(
         "POST",
         "/holds/" + lease + "/extend",
-        EMPTY,
-        TIMEOUT_MS,
-        result -> then.accept(renewal(result)));
+        EMPTY_BODY,
+        REQUEST_TIMEOUT_MS,
+        result -> callback.accept(renewal(result)));
   }
 
   private static Renewal renewal(HttpResult result) {
@@ -213,6 +220,6 @@
 
   @Override
   public void closeLease(long lease) {
-    client.send("DELETE", "/holds/" + lease, EMPTY, TIMEOUT_MS, result -> {});
+    client.send("DELETE", "/holds/" + lease, EMPTY_BODY, REQUEST_TIMEOUT_MS, result -> {});
   }
 }
--- a/src/main/java/org/ploverspindle/state/LeaderWriter.java
+++ b/src/main/java/org/ploverspindle/state/LeaderWriter.java
@@ -14,29 +14,29 @@
  */
 public final class LeaderWriter {
   /** The status of a transaction that is malformed or beyond the limits. */
-  private static final int BEYOND_LIMITS = 400;
+  private static final int BAD_REQUEST = 400;
 
   /** How much of the budget is left for writes that can't wait. */
-  private static final double RESERVED_BUDGET = 2;
+  private static final double RESERVED_WRITES = 2;
 
   private final StateStore store;
   private final Replica replica;
-  private final TokenBucket writes;
+  private final TokenBucket writeBudget;
   private final Term term;
 
   /**
-   * @param writes the budget of changes
+   * @param writeBudget the budget of changes
    */
-  public LeaderWriter(StateStore store, Replica replica, TokenBucket writes, Term term) {
+  public LeaderWriter(StateStore store, Replica replica, TokenBucket writeBudget, Term term) {
     this.store = store;
     this.replica = replica;
-    this.writes = writes;
+    this.writeBudget = writeBudget;
     this.term = term;
   }
 
   /** Whether the budget allows a write that can wait. */
   public boolean hasSpareBudget() {
-    return writes.available() >= RESERVED_BUDGET;
+    return writeBudget.available() >= RESERVED_WRITES;
   }
 
   /** What is known of a key that was to be created. */
@@ -52,23 +52,21 @@
   }
 
   /** Creates the key; reads it back when the answer does not show whether it exists. */
-  public void create(Change.Put put, Consumer<CreateOutcome> then) {
+  public void create(Change.Put put, Consumer<CreateOutcome> callback) {
     write(
         List.of(new Condition(put.key(), 0)),
         put,
         result -> {
           if (result instanceof TransactionResult.Committed) {
-            then.accept(CreateOutcome.CREATED);
+            callback.accept(CreateOutcome.CREATED);
           } else if (result instanceof TransactionResult.Refused refused) {
-            then.accept(
-                refused.status() == BEYOND_LIMITS
-                    ? CreateOutcome.TOO_LARGE
-                    : CreateOutcome.REFUSED);
+            callback.accept(
+                refused.status() == BAD_REQUEST ? CreateOutcome.TOO_LARGE : CreateOutcome.REFUSED);
           } else {
             replica.readBarrier(
-                read ->
-                    then.accept(
-                        read && isStored(put) ? CreateOutcome.CREATED : CreateOutcome.UNKNOWN));
+                isRead ->
+                    callback.accept(
+                        isRead && isStored(put) ? CreateOutcome.CREATED : CreateOutcome.UNKNOWN));
           }
         });
   }
@@ -78,14 +76,18 @@
   }
 
   /** Writes or removes a key without a retry: losing it may only cost time. */
-  public void writeBestEffort(Change change, Consumer<Boolean> then) {
-    write(List.of(), change, result -> then.accept(result instanceof TransactionResult.Committed));
+  public void writeBestEffort(Change change, Consumer<Boolean> callback) {
+    write(
+        List.of(),
+        change,
+        result -> callback.accept(result instanceof TransactionResult.Committed));
   }
 
-  private void write(List<Condition> conditions, Change change, Consumer<TransactionResult> then) {
-    List<Condition> all = new ArrayList<>(conditions);
-    all.add(new Condition(Keys.LEADER, term.leaderRevision()));
-    writes.take(1);
-    store.commit(new StateStore.Transaction(all, List.of(change)), then);
+  private void write(
+      List<Condition> conditions, Change change, Consumer<TransactionResult> callback) {
+    List<Condition> allConditions = new ArrayList<>(conditions);
+    allConditions.add(new Condition(Keys.LEADER, term.leaderRevision()));
+    writeBudget.take(1);
+    store.commit(new StateStore.Transaction(allConditions, List.of(change)), callback);
   }
 }
--- a/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
+++ b/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
@@ -28,12 +28,12 @@
    * case the single record is left as it is, for readers of versions that don't know parts: some of
    * the types alone would mislead them.
    */
-  public static List<Change.Put> puts(List<MachineType> types, int valueBytes) {
-    JsonNode whole = encode(types);
-    if (Cbor.jsonSize(whole) <= valueBytes) {
-      return List.of(new Change.Put(Keys.MACHINE_TYPES, whole));
+  public static List<Change.Put> puts(List<MachineType> types, int maxValueBytes) {
+    JsonNode single = encode(types);
+    if (Cbor.jsonSize(single) <= maxValueBytes) {
+      return List.of(new Change.Put(Keys.MACHINE_TYPES, single));
     }
-    List<List<MachineType>> parts = split(types, valueBytes - PARTS_FIELD_BYTES);
+    List<List<MachineType>> parts = split(types, maxValueBytes - PARTS_FIELD_BYTES);
     List<Change.Put> puts = new ArrayList<>();
     for (int i = 0; i < parts.size(); i++) {
       ObjectNode part = encode(parts.get(i)).put(PARTS, parts.size());
@@ -89,17 +89,17 @@
     ObjectNode value = Cbor.map();
     ArrayNode list = value.putArray("types");
     for (MachineType type : types) {
-      ObjectNode node = list.addObject();
-      node.put("name", type.name());
-      node.put("cores", type.size().cores());
-      node.put("accel", type.size().accelerators());
-      node.put("mem", type.size().memory());
-      node.put("cache_gb", type.cacheGb());
-      node.put("fetch", type.fetchGbPerS());
-      node.put("price", type.price());
-      node.put("spot_price", type.spotPrice());
-      node.put("boot_s", type.bootS());
-      type.zones().forEach(node.putArray("zones")::add);
+      ObjectNode typeNode = list.addObject();
+      typeNode.put("name", type.name());
+      typeNode.put("cores", type.size().cores());
+      typeNode.put("accel", type.size().accelerators());
+      typeNode.put("mem", type.size().memory());
+      typeNode.put("cache_gb", type.cacheGb());
+      typeNode.put("fetch", type.fetchGbPerS());
+      typeNode.put("price", type.price());
+      typeNode.put("spot_price", type.spotPrice());
+      typeNode.put("boot_s", type.bootS());
+      type.zones().forEach(typeNode.putArray("zones")::add);
     }
     return value;
   }
@@ -107,31 +107,33 @@
   /** Decodes a record; empty if a type in it is unreadable, or it holds none. */
   public static Optional<List<MachineType>> decode(JsonNode value) {
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode node : value.path("types")) {
+    for (JsonNode typeNode : value.path("types")) {
       List<String> zones = new ArrayList<>();
-      node.path("zones").forEach(zone -> zones.add(zone.asText()));
-      if (!node.path("name").isTextual()
-          || !node.path("cores").isIntegralNumber()
+      typeNode.path("zones").forEach(zone -> zones.add(zone.asText()));
+      if (!typeNode.path("name").isTextual()
+          || !typeNode.path("cores").isIntegralNumber()
           || zones.isEmpty()) {
         return Optional.empty();
       }
-      types.add(decodeType(node, List.copyOf(zones)));
+      types.add(decodeType(typeNode, List.copyOf(zones)));
     }
     return types.isEmpty() ? Optional.empty() : Optional.of(types);
   }
 
-  private static MachineType decodeType(JsonNode node, List<String> zones) {
+  private static MachineType decodeType(JsonNode typeNode, List<String> zones) {
     Resources size =
         new Resources(
-            node.path("cores").asLong(), node.path("accel").asLong(), node.path("mem").asLong());
+            typeNode.path("cores").asLong(),
+            typeNode.path("accel").asLong(),
+            typeNode.path("mem").asLong());
     return new MachineType(
-        node.path("name").asText(),
+        typeNode.path("name").asText(),
         size,
-        node.path("cache_gb").asDouble(),
-        node.path("fetch").asDouble(),
-        node.path("price").asDouble(),
-        node.path("spot_price").asDouble(),
-        node.path("boot_s").asDouble(),
+        typeNode.path("cache_gb").asDouble(),
+        typeNode.path("fetch").asDouble(),
+        typeNode.path("price").asDouble(),
+        typeNode.path("spot_price").asDouble(),
+        typeNode.path("boot_s").asDouble(),
         zones);
   }
 }
--- a/src/main/java/org/ploverspindle/state/PlacementText.java
+++ b/src/main/java/org/ploverspindle/state/PlacementText.java
@@ -10,7 +10,7 @@
  */
 final class PlacementText {
   /** How many fields the text form has. */
-  static final int FIELDS = 4;
+  static final int FIELD_COUNT = 4;
 
   /** Number of the field with the task, or with a range of tasks. */
   static final int TASK = 0;
@@ -61,7 +61,7 @@
   }
 
   /** The text form of a machine's type, zone and whether it is a spot machine. */
-  static String kind(MachineInfo machine) {
+  static String machineGroup(MachineInfo machine) {
     return machine.type() + "," + machine.zone() + "," + (machine.spot() ? SPOT : ON_DEMAND);
   }
 
--- a/src/main/java/org/ploverspindle/state/ProgressCounts.java
+++ b/src/main/java/org/ploverspindle/state/ProgressCounts.java
@@ -25,7 +25,7 @@
 
   /** Follows the records in the replica. */
   public ProgressCounts(Replica replica) {
-    replica.addListener(this::changed);
+    replica.addListener(this::entryChanged);
   }
 
   /** The latest counts of the job; zeros if none are recorded. */
@@ -33,14 +33,15 @@
     return counts.getOrDefault(uid, Counts.NONE);
   }
 
-  private void changed(String key, Optional<Entry> entry) {
+  private void entryChanged(String key, Optional<Entry> entry) {
     if (entry.isEmpty()) {
       return;
     }
     JsonNode value = entry.get().value();
     if (key.startsWith(Keys.PROGRESS_LOG)) {
       long sequence = value.path("n").asLong();
-      ProgressLogRecord.counts(value, (uid, done, running) -> update(uid, sequence, done, running));
+      ProgressLogRecord.readCounts(
+          value, (uid, completed, running) -> update(uid, sequence, completed, running));
     } else if (key.startsWith(Keys.SNAPSHOTS)) {
       // Versions without a progress log stored the counts of the snapshot alone.
       update(
@@ -53,9 +54,9 @@
     }
   }
 
-  private void update(String uid, long sequence, int done, int running) {
+  private void update(String uid, long sequence, int completed, int running) {
     if (of(uid).sequence() <= sequence) {
-      counts.put(uid, new Counts(sequence, done, running));
+      counts.put(uid, new Counts(sequence, completed, running));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
+++ b/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
@@ -44,8 +44,8 @@
 
   // The fields of a job's line, which are separated by bars.
   private static final int UID = 0;
-  private static final int DONE_COUNT = 1;
-  private static final int RUNNING = 2;
+  private static final int COMPLETED_COUNT = 1;
+  private static final int RUNNING_COUNT = 2;
   private static final int COMPLETED = 3;
   private static final int CLEARED = 4;
   private static final int PLACEMENTS = 5;
@@ -59,30 +59,30 @@
 
   /** Builds the value of a record within a size, counted in JSON form. */
   public static final class Builder {
-    private static final int FIXED_BYTES = 120;
+    private static final int RECORD_OVERHEAD_BYTES = 120;
 
     /** What the line of a job takes beside its placements, by estimate. */
-    private static final int JOB_BYTES = 300;
+    private static final int JOB_OVERHEAD_BYTES = 300;
 
     /** Upper bound for a placement with a machine of its own, with usual names. */
-    private static final int PLACEMENT_BYTES = 75;
+    private static final int MAX_PLACEMENT_BYTES = 75;
 
     /** Quotes and comma of a text in a list. */
-    private static final int TEXT_FRAME_BYTES = 3;
+    private static final int STRING_OVERHEAD_BYTES = 3;
 
     /** Quotes, commas and the index of the kind in the text of a machine. */
-    private static final int MACHINE_FRAME_BYTES = 6;
+    private static final int MACHINE_OVERHEAD_BYTES = 6;
 
     private final long sequence;
     private final String id;
     private final int maxBytes;
 
     /** Type, zone and spot or on-demand of the machines, each with its index. */
-    private final Map<String, Integer> kinds = new LinkedHashMap<>();
+    private final Map<String, Integer> groups = new LinkedHashMap<>();
 
     private final Map<MachineInfo, Integer> machines = new LinkedHashMap<>();
-    private final List<String> lines = new ArrayList<>();
-    private int bytes = FIXED_BYTES;
+    private final List<String> jobLines = new ArrayList<>();
+    private int bytes = RECORD_OVERHEAD_BYTES;
 
     /**
      * @param maxBytes the largest size of the value
@@ -95,26 +95,27 @@
 
     /** How many tasks of a job, each on a machine of its own, certainly fit into a record. */
     public static int tasksThatFit(int maxBytes) {
-      return Math.max(1, (maxBytes - FIXED_BYTES - JOB_BYTES) / PLACEMENT_BYTES);
+      return Math.max(
+          1, (maxBytes - RECORD_OVERHEAD_BYTES - JOB_OVERHEAD_BYTES) / MAX_PLACEMENT_BYTES);
     }
 
     /** Adds the statuses of a job; false, and nothing is added, if they don't fit. */
     public boolean add(Delta delta) {
       int machinesBefore = machines.size();
-      int kindsBefore = kinds.size();
+      int groupsBefore = groups.size();
       StringBuilder line = new StringBuilder(delta.uid());
       line.append('|').append(delta.jobCompleted()).append('|').append(delta.jobRunning());
       line.append('|').append(TaskRanges.format(delta.completed()));
       line.append('|').append(TaskRanges.format(delta.cleared())).append('|');
       int addedBytes = appendPlacements(line, delta.placements());
-      addedBytes += line.length() + TEXT_FRAME_BYTES;
+      addedBytes += line.length() + STRING_OVERHEAD_BYTES;
       if (bytes + addedBytes > maxBytes) {
         truncate(machines, machinesBefore);
-        truncate(kinds, kindsBefore);
+        truncate(groups, groupsBefore);
         return false;
       }
       bytes += addedBytes;
-      lines.add(line.toString());
+      jobLines.add(line.toString());
       return true;
     }
 
@@ -145,13 +146,13 @@
       RecordedPlacement first = placements.get(start);
       int length = 1;
       while (start + length < placements.size()
-          && continues(first, placements.get(start + length), length)) {
+          && continuesRun(first, placements.get(start + length), length)) {
         length++;
       }
       return length;
     }
 
-    private static boolean continues(
+    private static boolean continuesRun(
         RecordedPlacement first, RecordedPlacement next, int distance) {
       return next.task() == first.task() + distance
           && next.attempt() == first.attempt() + distance
@@ -165,17 +166,17 @@
         return 0;
       }
       machines.put(machine, machines.size());
-      int addedBytes = machine.id().length() + MACHINE_FRAME_BYTES;
-      String kind = PlacementText.kind(machine);
-      if (kinds.putIfAbsent(kind, kinds.size()) == null) {
-        addedBytes += kind.length() + TEXT_FRAME_BYTES;
+      int addedBytes = machine.id().length() + MACHINE_OVERHEAD_BYTES;
+      String group = PlacementText.machineGroup(machine);
+      if (groups.putIfAbsent(group, groups.size()) == null) {
+        addedBytes += group.length() + STRING_OVERHEAD_BYTES;
       }
       return addedBytes;
     }
 
     /** Whether no statuses were added. */
     public boolean isEmpty() {
-      return lines.isEmpty();
+      return jobLines.isEmpty();
     }
 
     /** The size of the value, counted in JSON form. */
@@ -188,38 +189,42 @@
       ObjectNode value = Cbor.map();
       value.put("n", sequence);
       value.put("id", id);
-      ArrayNode kindNames = value.putArray("kinds");
-      kinds.keySet().forEach(kindNames::add);
+      ArrayNode groupNames = value.putArray("kinds");
+      groups.keySet().forEach(groupNames::add);
       ArrayNode hosts = value.putArray("hosts");
-      machines.keySet().forEach(m -> hosts.add(m.id() + "," + kinds.get(PlacementText.kind(m))));
+      machines
+          .keySet()
+          .forEach(
+              machine ->
+                  hosts.add(machine.id() + "," + groups.get(PlacementText.machineGroup(machine))));
       ArrayNode jobs = value.putArray("jobs");
-      lines.forEach(jobs::add);
+      jobLines.forEach(jobs::add);
       return value;
     }
   }
 
   /** Receives the counts of a job in a record. */
-  public interface CountsReader {
+  public interface CountsConsumer {
     /** The job has so many completed tasks, and so many on machines. */
-    void counts(String uid, int done, int running);
+    void accept(String uid, int completed, int running);
   }
 
   /**
    * Reads the counts of each job in a record, without the rest of it; for display alone. Unreadable
    * lines are skipped, as {@link #decode} reports them.
    */
-  public static void counts(JsonNode value, CountsReader reader) {
+  public static void readCounts(JsonNode value, CountsConsumer consumer) {
     for (JsonNode job : value.path("jobs")) {
       String line = job.asText();
       int uidEnd = line.indexOf('|');
-      int doneEnd = line.indexOf('|', uidEnd + 1);
-      int runningEnd = line.indexOf('|', doneEnd + 1);
-      if (uidEnd > 0 && doneEnd > 0 && runningEnd > 0) {
+      int completedEnd = line.indexOf('|', uidEnd + 1);
+      int runningEnd = line.indexOf('|', completedEnd + 1);
+      if (uidEnd > 0 && completedEnd > 0 && runningEnd > 0) {
         try {
-          reader.counts(
+          consumer.accept(
               line.substring(0, uidEnd),
-              Integer.parseInt(line, uidEnd + 1, doneEnd, DECIMAL),
-              Integer.parseInt(line, doneEnd + 1, runningEnd, DECIMAL));
+              Integer.parseInt(line, uidEnd + 1, completedEnd, DECIMAL),
+              Integer.parseInt(line, completedEnd + 1, runningEnd, DECIMAL));
         } catch (NumberFormatException e) {
           // Skipped, see above.
         }
@@ -250,13 +255,13 @@
   }
 
   private static List<MachineInfo> decodeMachines(JsonNode value) {
-    List<String[]> kinds = new ArrayList<>();
-    value.path("kinds").forEach(kind -> kinds.add(kind.asText().split(",", -1)));
+    List<String[]> groups = new ArrayList<>();
+    value.path("kinds").forEach(group -> groups.add(group.asText().split(",", -1)));
     List<MachineInfo> machines = new ArrayList<>();
     for (JsonNode host : value.path("hosts")) {
       String[] fields = host.asText().split(",", -1);
-      String[] kind = kinds.get(Integer.parseInt(fields[1]));
-      machines.add(new MachineInfo(fields[0], kind[0], kind[1], PlacementText.isSpot(kind[2])));
+      String[] group = groups.get(Integer.parseInt(fields[1]));
+      machines.add(new MachineInfo(fields[0], group[0], group[1], PlacementText.isSpot(group[2])));
     }
     return machines;
   }
@@ -265,8 +270,8 @@
     String[] fields = line.split("\\|", -1);
     return new Delta(
         fields[UID],
-        Integer.parseInt(fields[DONE_COUNT]),
-        Integer.parseInt(fields[RUNNING]),
+        Integer.parseInt(fields[COMPLETED_COUNT]),
+        Integer.parseInt(fields[RUNNING_COUNT]),
         TaskRanges.parse(fields[COMPLETED]),
         TaskRanges.parse(fields[CLEARED]),
         decodePlacements(fields[PLACEMENTS], machines));
@@ -278,11 +283,11 @@
       String[] fields = PlacementText.fields(item);
       String tasks = fields[PlacementText.TASK];
       int dash = tasks.indexOf('-');
-      int from = Integer.parseInt(dash < 0 ? tasks : tasks.substring(0, dash));
-      int to = dash < 0 ? from : Integer.parseInt(tasks.substring(dash + 1));
+      int firstTask = Integer.parseInt(dash < 0 ? tasks : tasks.substring(0, dash));
+      int lastTask = dash < 0 ? firstTask : Integer.parseInt(tasks.substring(dash + 1));
       long attempt = PlacementText.attempt(fields);
-      for (int task = from; task <= to; task++) {
-        placements.add(PlacementText.placement(task, attempt + task - from, fields, machines));
+      for (int task = firstTask; task <= lastTask; task++) {
+        placements.add(PlacementText.placement(task, attempt + task - firstTask, fields, machines));
       }
     }
     return placements;
--- a/src/main/java/org/ploverspindle/state/ReadPacing.java
+++ b/src/main/java/org/ploverspindle/state/ReadPacing.java
@@ -10,15 +10,15 @@
   private static final long INITIAL_INTERVAL_MS = 150;
 
   /** How many reads may be sent ahead of the share. */
-  private static final long BURST = 2;
+  private static final long BURST_READS = 2;
 
   /** Readers that can wait get half of the share: the other half is kept for urgent readers. */
-  private static final long LOW_PRIORITY_INTERVALS = 2;
+  private static final long LOW_PRIORITY_INTERVAL_FACTOR = 2;
 
   /** The longest time between reads while readers wait, however small the share. */
-  private static final long MAX_WAIT_MS = 600;
+  private static final long MAX_INTERVAL_MS = 600;
 
-  private static final long RELOAD_BACKOFF_MS = 200;
+  private static final long RELOAD_BACKOFF_STEP_MS = 200;
   private static final long MAX_RELOAD_BACKOFF_MS = 2_000;
 
   private final Scheduler scheduler;
@@ -26,7 +26,7 @@
   private long lastSentMs = NEVER_MS;
 
   /** The reads that were sent use up the share of requests until then. */
-  private long shareSpentUntilMs = NEVER_MS;
+  private long shareUsedUntilMs = NEVER_MS;
 
   private int consecutiveFailures;
 
@@ -40,20 +40,20 @@
   }
 
   /** A read is being sent now. */
-  void sent() {
+  void readSent() {
     lastSentMs = scheduler.nowMs();
-    shareSpentUntilMs = Math.max(shareSpentUntilMs, lastSentMs) + intervalMs;
+    shareUsedUntilMs = Math.max(shareUsedUntilMs, lastSentMs) + intervalMs;
   }
 
   long lastSentMs() {
     return lastSentMs;
   }
 
-  void succeeded() {
+  void readSucceeded() {
     consecutiveFailures = 0;
   }
 
-  void failed() {
+  void readFailed() {
     consecutiveFailures++;
   }
 
@@ -70,16 +70,16 @@
   long nextReadMs(boolean urgent) {
     if (consecutiveFailures > 0) {
       // Backs off while reads fail: they must not use up the requests that leadership needs.
-      return lastSentMs + Math.min(MAX_WAIT_MS, intervalMs * (1 + consecutiveFailures));
+      return lastSentMs + Math.min(MAX_INTERVAL_MS, intervalMs * (1 + consecutiveFailures));
     }
     if (urgent) {
-      return shareSpentUntilMs - BURST * intervalMs;
+      return shareUsedUntilMs - BURST_READS * intervalMs;
     }
-    return lastSentMs + Math.min(MAX_WAIT_MS, LOW_PRIORITY_INTERVALS * intervalMs);
+    return lastSentMs + Math.min(MAX_INTERVAL_MS, LOW_PRIORITY_INTERVAL_FACTOR * intervalMs);
   }
 
   /** How long to wait before a failed reload is tried again. */
   long reloadBackoffMs() {
-    return Math.min(MAX_RELOAD_BACKOFF_MS, RELOAD_BACKOFF_MS * consecutiveFailures);
+    return Math.min(MAX_RELOAD_BACKOFF_MS, RELOAD_BACKOFF_STEP_MS * consecutiveFailures);
   }
 }
--- a/src/main/java/org/ploverspindle/state/Replica.java
+++ b/src/main/java/org/ploverspindle/state/Replica.java
@@ -43,8 +43,8 @@
   private List<Consumer<Boolean>> waitingReaders = new ArrayList<>();
   private boolean urgentReadWaiting;
   private boolean readInFlight;
-  private Optional<Cancellable> plannedRead = Optional.empty();
-  private long plannedForMs;
+  private Optional<Cancellable> scheduledRead = Optional.empty();
+  private long scheduledReadMs;
 
   private boolean loaded;
   private long revision;
@@ -121,43 +121,43 @@
    * Calls {@code then} with true once the replica holds everything that was committed before this
    * call, or with false if the state service could not be read.
    */
-  public void readBarrier(Consumer<Boolean> then) {
-    waitingReaders.add(then);
+  public void readBarrier(Consumer<Boolean> callback) {
+    waitingReaders.add(callback);
     urgentReadWaiting = true;
-    planRead();
+    scheduleRead();
   }
 
   /**
    * Like {@link #readBarrier}, for frequent requests that can wait: their reads leave half of the
    * share of requests to readers on which users wait.
    */
-  public void lowPriorityReadBarrier(Consumer<Boolean> then) {
-    waitingReaders.add(then);
-    planRead();
+  public void lowPriorityReadBarrier(Consumer<Boolean> callback) {
+    waitingReaders.add(callback);
+    scheduleRead();
   }
 
-  private void planRead() {
+  private void scheduleRead() {
     if (readInFlight) {
       return;
     }
     long dueMs = pacing.nextReadMs(urgentReadWaiting);
-    if (plannedRead.isPresent() && plannedForMs <= dueMs) {
+    if (scheduledRead.isPresent() && scheduledReadMs <= dueMs) {
       return;
     }
-    plannedRead.ifPresent(Cancellable::cancel);
-    plannedRead = Optional.empty();
+    scheduledRead.ifPresent(Cancellable::cancel);
+    scheduledRead = Optional.empty();
     long waitMs = dueMs - scheduler.nowMs();
     if (waitMs <= 0) {
       read();
       return;
     }
-    plannedForMs = dueMs;
-    plannedRead =
+    scheduledReadMs = dueMs;
+    scheduledRead =
         Optional.of(
             scheduler.schedule(
                 waitMs,
                 () -> {
-                  plannedRead = Optional.empty();
+                  scheduledRead = Optional.empty();
                   read();
                 }));
   }
@@ -171,11 +171,11 @@
       return;
     }
     readInFlight = true;
-    pacing.sent();
+    pacing.readSent();
     long sentMs = pacing.lastSentMs();
-    List<Consumer<Boolean>> served = takeWaitingReaders();
+    List<Consumer<Boolean>> servedReaders = takeWaitingReaders();
     urgentReadWaiting = false;
-    store.readChanges(prefix, revision, result -> received(result, sentMs, served));
+    store.readChanges(prefix, revision, result -> changesReceived(result, sentMs, servedReaders));
   }
 
   private List<Consumer<Boolean>> takeWaitingReaders() {
@@ -184,25 +184,26 @@
     return readers;
   }
 
-  private void received(ChangesResult result, long sentMs, List<Consumer<Boolean>> served) {
+  private void changesReceived(
+      ChangesResult result, long sentMs, List<Consumer<Boolean>> servedReaders) {
     readInFlight = false;
     if (result instanceof ChangesResult.Changes changes) {
-      pacing.succeeded();
+      pacing.readSucceeded();
       changes.changes().forEach(entries::apply);
       revision = Math.max(revision, changes.revision());
       freshAsOfMs = Math.max(freshAsOfMs, sentMs);
-      served.forEach(reader -> reader.accept(true));
+      servedReaders.forEach(reader -> reader.accept(true));
     } else if (result instanceof ChangesResult.TooOld) {
       loaded = false;
-      waitingReaders.addAll(served);
+      waitingReaders.addAll(servedReaders);
       urgentReadWaiting = true;
       reload();
     } else {
-      pacing.failed();
-      served.forEach(reader -> reader.accept(false));
+      pacing.readFailed();
+      servedReaders.forEach(reader -> reader.accept(false));
     }
     if (!waitingReaders.isEmpty()) {
-      planRead();
+      scheduleRead();
     }
   }
 
@@ -225,7 +226,7 @@
       return;
     }
     readInFlight = true;
-    pacing.sent();
+    pacing.readSent();
     loadPage("", OptionalLong.empty(), new HashSet<>(), pacing.lastSentMs());
   }
 
@@ -261,14 +262,14 @@
           if (page.hasNext() && !page.entries().isEmpty()) {
             loadPage(lastKey, OptionalLong.of(baseRevision), loadedKeys, sentMs);
           } else {
-            reloaded(baseRevision, loadedKeys, sentMs);
+            reloadSucceeded(baseRevision, loadedKeys, sentMs);
           }
         });
   }
 
   private void reloadFailed() {
     readInFlight = false;
-    pacing.failed();
+    pacing.readFailed();
     takeWaitingReaders().forEach(reader -> reader.accept(false));
     // Backs off: a service that just came back must not receive the reloads of all controllers at
     // once.
@@ -281,14 +282,14 @@
         });
   }
 
-  private void reloaded(long baseRevision, Set<String> loadedKeys, long sentMs) {
+  private void reloadSucceeded(long baseRevision, Set<String> loadedKeys, long sentMs) {
     entries.retainOnly(loadedKeys);
     revision = baseRevision;
     readInFlight = false;
     loaded = true;
-    pacing.succeeded();
+    pacing.readSucceeded();
     freshAsOfMs = Math.max(freshAsOfMs, sentMs);
     // Readers that wait may have arrived after the reload was sent: they need another read.
-    planRead();
+    scheduleRead();
   }
 }
--- a/src/main/java/org/ploverspindle/state/ReplicaEntries.java
+++ b/src/main/java/org/ploverspindle/state/ReplicaEntries.java
@@ -31,15 +31,15 @@
 
   /** Applies a change, unless this or a later change of the key was applied before. */
   void apply(ChangedEntry change) {
-    Entry known = entries.get(change.key());
-    if (known != null && known.modRevision() >= change.modRevision()) {
+    Entry current = entries.get(change.key());
+    if (current != null && current.modRevision() >= change.modRevision()) {
       return;
     }
     if (change.value().isPresent()) {
       Entry entry = new Entry(change.key(), change.value().get(), change.modRevision());
       entries.put(change.key(), entry);
       notifyListeners(change.key(), Optional.of(entry));
-    } else if (known != null) {
+    } else if (current != null) {
       entries.remove(change.key());
       notifyListeners(change.key(), Optional.empty());
     }
--- a/src/main/java/org/ploverspindle/state/SnapshotRecord.java
+++ b/src/main/java/org/ploverspindle/state/SnapshotRecord.java
@@ -31,29 +31,29 @@
   public record RecordedPlacement(int task, long attempt, MachineInfo machine, long agentEpoch) {}
 
   /** Upper bound for a placement with a machine of its own, with usual names. */
-  private static final int PLACEMENT_BYTES = 100;
+  private static final int MAX_PLACEMENT_BYTES = 100;
 
   /** Upper bound for the rest of a snapshot. */
-  private static final int FIXED_BYTES = 250;
+  private static final int MAX_OVERHEAD_BYTES = 250;
 
   /** Also where the state service allows more: several records should fit into a transaction. */
   private static final int MAX_VALUE_BYTES = 16 * 1024;
 
   private static final int MIN_SHARD_SIZE = 8;
 
-  private static final int MACHINE_FIELDS = 4;
-  private static final int MACHINE_SPOT = 3;
+  private static final int MACHINE_FIELD_COUNT = 4;
+  private static final int MACHINE_SPOT_FIELD = 3;
 
   /** How many tasks a shard may have so that its snapshot always fits in a value. */
-  public static int shardSizeFor(int valueBytes) {
-    int placementBytes = Math.min(valueBytes, MAX_VALUE_BYTES) - FIXED_BYTES;
-    return Math.max(MIN_SHARD_SIZE, placementBytes / PLACEMENT_BYTES);
+  public static int shardSizeFor(int maxValueBytes) {
+    int bytesForPlacements = Math.min(maxValueBytes, MAX_VALUE_BYTES) - MAX_OVERHEAD_BYTES;
+    return Math.max(MIN_SHARD_SIZE, bytesForPlacements / MAX_PLACEMENT_BYTES);
   }
 
   /** The stored form, with counts of the whole job for display. */
-  public JsonNode encode(int jobDone, int jobRunning) {
+  public JsonNode encode(int jobCompleted, int jobRunning) {
     ObjectNode value = encode();
-    value.put("job_done", jobDone);
+    value.put("job_done", jobCompleted);
     value.put("job_running", jobRunning);
     return value;
   }
@@ -61,21 +61,21 @@
   /** The stored form. */
   public ObjectNode encode() {
     Map<MachineInfo, Integer> machines = new LinkedHashMap<>();
-    StringBuilder places = new StringBuilder();
+    StringBuilder placementsText = new StringBuilder();
     for (RecordedPlacement placement : placements) {
       int machine = machines.computeIfAbsent(placement.machine(), m -> machines.size());
-      places.append(places.isEmpty() ? "" : ",").append(placement.task());
-      PlacementText.appendDetails(places, placement, machine);
+      placementsText.append(placementsText.isEmpty() ? "" : ",").append(placement.task());
+      PlacementText.appendDetails(placementsText, placement, machine);
     }
     ObjectNode value = Cbor.map();
     value.put("n", completed.cardinality());
     value.put("r", running);
     value.put("upto", coveredUpTo);
     value.put("done", TaskRanges.format(completed));
-    value.put("live", places.toString());
-    ArrayNode names = value.putArray("hosts");
+    value.put("live", placementsText.toString());
+    ArrayNode hosts = value.putArray("hosts");
     for (MachineInfo machine : machines.keySet()) {
-      names.add(machine.id() + "," + PlacementText.kind(machine));
+      hosts.add(machine.id() + "," + PlacementText.machineGroup(machine));
     }
     return value;
   }
@@ -86,12 +86,12 @@
       return Optional.empty();
     }
     try {
-      BitSet done = TaskRanges.parse(value.path("done").asText());
+      BitSet completed = TaskRanges.parse(value.path("done").asText());
       List<MachineInfo> machines = decodeMachines(value.path("hosts"));
       List<RecordedPlacement> placements = decodePlacements(value.path("live").asText(), machines);
       return Optional.of(
           new SnapshotRecord(
-              done, placements, value.path("r").asInt(), value.path("upto").asLong(0)));
+              completed, placements, value.path("r").asInt(), value.path("upto").asLong(0)));
     } catch (NumberFormatException | IndexOutOfBoundsException e) {
       return Optional.empty();
     }
@@ -101,10 +101,10 @@
     List<MachineInfo> machines = new ArrayList<>();
     for (JsonNode host : hosts) {
       String[] fields = host.asText().split(",", -1);
-      requireFields(fields, MACHINE_FIELDS);
+      requireFields(fields, MACHINE_FIELD_COUNT);
       machines.add(
           new MachineInfo(
-              fields[0], fields[1], fields[2], PlacementText.isSpot(fields[MACHINE_SPOT])));
+              fields[0], fields[1], fields[2], PlacementText.isSpot(fields[MACHINE_SPOT_FIELD])));
     }
     return machines;
   }
@@ -113,7 +113,7 @@
     List<RecordedPlacement> placements = new ArrayList<>();
     for (String item : TaskRanges.items(text)) {
       String[] fields = PlacementText.fields(item);
-      requireFields(fields, PlacementText.FIELDS);
+      requireFields(fields, PlacementText.FIELD_COUNT);
       int task = Integer.parseInt(fields[PlacementText.TASK]);
       placements.add(
           PlacementText.placement(task, PlacementText.attempt(fields), fields, machines));
--- a/src/main/java/org/ploverspindle/state/StateStore.java
+++ b/src/main/java/org/ploverspindle/state/StateStore.java
@@ -98,19 +98,19 @@
   }
 
   /** Executes a transaction. */
-  void commit(Transaction transaction, Consumer<TransactionResult> then);
+  void commit(Transaction transaction, Consumer<TransactionResult> callback);
 
   /** Reads the first entries with a prefix whose keys come after {@code after}, or all if empty. */
-  void readPage(String prefix, String after, int size, Consumer<PageResult> then);
+  void readPage(String prefix, String after, int pageSize, Consumer<PageResult> callback);
 
   /** Reads the changes of keys with a prefix after a revision. */
-  void readChanges(String prefix, long revision, Consumer<ChangesResult> then);
+  void readChanges(String prefix, long revision, Consumer<ChangesResult> callback);
 
   /** Opens a lease that expires when it is not renewed for {@code ttlMs}; empty if that failed. */
-  void openLease(long ttlMs, Consumer<Optional<Long>> then);
+  void openLease(long ttlMs, Consumer<Optional<Long>> callback);
 
   /** Renews a lease. */
-  void renewLease(long lease, Consumer<Renewal> then);
+  void renewLease(long lease, Consumer<Renewal> callback);
 
   /** Ends a lease and removes the keys that are attached to it; without confirmation. */
   void closeLease(long lease);
--- a/src/main/java/org/ploverspindle/state/StoredNames.java
+++ b/src/main/java/org/ploverspindle/state/StoredNames.java
@@ -40,6 +40,8 @@
 
   private static <T> Optional<T> find(T[] values, Function<T, String> storedName, String name) {
     String lowerCase = name.toLowerCase(Locale.ROOT);
-    return Arrays.stream(values).filter(v -> storedName.apply(v).equals(lowerCase)).findFirst();
+    return Arrays.stream(values)
+        .filter(constant -> storedName.apply(constant).equals(lowerCase))
+        .findFirst();
   }
 }
--- a/src/main/java/org/ploverspindle/state/TaskRanges.java
+++ b/src/main/java/org/ploverspindle/state/TaskRanges.java
@@ -8,13 +8,13 @@
 
   static String format(BitSet tasks) {
     StringBuilder text = new StringBuilder();
-    for (int from = tasks.nextSetBit(0); from >= 0; ) {
-      int to = tasks.nextClearBit(from) - 1;
-      text.append(text.isEmpty() ? "" : ",").append(from);
-      if (to > from) {
-        text.append('-').append(to);
+    for (int first = tasks.nextSetBit(0); first >= 0; ) {
+      int last = tasks.nextClearBit(first) - 1;
+      text.append(text.isEmpty() ? "" : ",").append(first);
+      if (last > first) {
+        text.append('-').append(last);
       }
-      from = tasks.nextSetBit(to + 1);
+      first = tasks.nextSetBit(last + 1);
     }
     return text.toString();
   }
@@ -29,9 +29,9 @@
     BitSet tasks = new BitSet();
     for (String range : items(text)) {
       int dash = range.indexOf('-');
-      int from = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
-      int to = dash < 0 ? from : Integer.parseInt(range.substring(dash + 1));
-      tasks.set(from, to + 1);
+      int first = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
+      int last = dash < 0 ? first : Integer.parseInt(range.substring(dash + 1));
+      tasks.set(first, last + 1);
     }
     return tasks;
   }
--- a/src/main/java/org/ploverspindle/state/TokenBucket.java
+++ b/src/main/java/org/ploverspindle/state/TokenBucket.java
@@ -4,19 +4,19 @@
 
 /** A token bucket on the injected clock: a budget with a rate and a burst. */
 public final class TokenBucket {
-  private final Scheduler clock;
+  private final Scheduler scheduler;
   private final double burst;
   private double ratePerSecond;
   private double tokens;
-  private long lastMs;
+  private long lastRefillMs;
 
   /** A full bucket. */
-  public TokenBucket(Scheduler clock, double ratePerSecond, double burst) {
-    this.clock = clock;
+  public TokenBucket(Scheduler scheduler, double ratePerSecond, double burst) {
+    this.scheduler = scheduler;
     this.ratePerSecond = ratePerSecond;
     this.burst = burst;
     this.tokens = burst;
-    this.lastMs = clock.nowMs();
+    this.lastRefillMs = scheduler.nowMs();
   }
 
   /** Changes the rate from now on. */
@@ -26,9 +26,9 @@
   }
 
   private void refill() {
-    long nowMs = clock.nowMs();
-    tokens = Math.min(burst, tokens + (nowMs - lastMs) * ratePerSecond / 1000.0);
-    lastMs = nowMs;
+    long nowMs = scheduler.nowMs();
+    tokens = Math.min(burst, tokens + (nowMs - lastRefillMs) * ratePerSecond / 1000.0);
+    lastRefillMs = nowMs;
   }
 
   /** The tokens that may be taken now; negative while there is debt. */
--- a/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
+++ b/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
@@ -11,7 +11,7 @@
 class HttpStateStoreTest {
   private static List<StateStore.ChangesResult> changesFor(HttpResult result) {
     List<StateStore.ChangesResult> received = new ArrayList<>();
-    new HttpStateStore((method, path, body, timeoutMs, then) -> then.accept(result))
+    new HttpStateStore((method, path, body, timeoutMs, callback) -> callback.accept(result))
         .readChanges("x/", 7, received::add);
     return received;
   }
@@ -22,7 +22,7 @@
    * discarded them; meanwhile its controller could not serve anything.
    */
   @Test
-  void changesThatAreTooManyToReadAreReadAsPages() {
+  void tooManyOrDiscardedChangesRequireReadingAllKeys() {
     assertEquals(
         List.of(new StateStore.ChangesResult.TooOld()), changesFor(new HttpResult.TooLarge(1)));
     assertEquals(
--- a/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void manyTypesAreKeptInPartsThatFitAndFewInTheRecordThatAllVersionsRead() {
+  void fewTypesUseTheSingleRecordAndManyTypesAreSplitIntoPartsWithinTheLimit() {
     assertEquals(
         List.of(new Change.Put(Keys.MACHINE_TYPES, MachineTypesRecord.encode(types(3)))),
         MachineTypesRecord.puts(types(3), 2048));
--- a/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void whatIsWrittenIsRead() {
+  void encodedRecordDecodesToTheSameRecord() {
     for (int seed = 0; seed < 200; seed++) {
       Random random = new Random(seed);
       ProgressLogRecord.Builder builder = new ProgressLogRecord.Builder(seed, "4.7", 64_000);
@@ -60,8 +60,8 @@
           new ProgressLogRecord(seed, "4.7", deltas),
           ProgressLogRecord.decode(builder.value()).orElseThrow());
       Map<String, String> counts = new HashMap<>();
-      ProgressLogRecord.counts(
-          builder.value(), (uid, done, running) -> counts.put(uid, done + "/" + running));
+      ProgressLogRecord.readCounts(
+          builder.value(), (uid, completed, running) -> counts.put(uid, completed + "/" + running));
       deltas.forEach(
           delta ->
               assertEquals(
@@ -70,14 +70,14 @@
   }
 
   @Test
-  void aRecordNeverGrowsBeyondItsSizeAndHoldsTheGuaranteedTasks() {
-    for (int kb : new int[] {1, 8, 16}) {
-      int size = kb * 1024;
-      int taskCount = ProgressLogRecord.Builder.tasksThatFit(size);
-      Random random = new Random(kb);
+  void recordStaysWithinItsSizeAndHoldsTheGuaranteedNumberOfTasks() {
+    for (int kib : new int[] {1, 8, 16}) {
+      int maxBytes = kib * 1024;
+      int taskCount = ProgressLogRecord.Builder.tasksThatFit(maxBytes);
+      Random random = new Random(kib);
       for (int round = 0; round < 50; round++) {
         ProgressLogRecord.Builder builder =
-            new ProgressLogRecord.Builder(Long.MAX_VALUE / 2, "9999999.99999", size);
+            new ProgressLogRecord.Builder(Long.MAX_VALUE / 2, "9999999.99999", maxBytes);
         List<RecordedPlacement> placements = new ArrayList<>();
         for (int task = 0; task < taskCount; task++) {
           MachineInfo machine =
@@ -88,31 +88,31 @@
         }
         BitSet none = new BitSet();
         assertTrue(
-            builder.add(new Delta("run-999999999", 1, 1, none, none, placements)), kb + " KB");
+            builder.add(new Delta("run-999999999", 1, 1, none, none, placements)), kib + " KB");
         while (builder.add(delta(random, "run-" + random.nextInt(100), 1 + random.nextInt(8)))) {
-          assertTrue(Cbor.jsonSize(builder.value()) <= size);
+          assertTrue(Cbor.jsonSize(builder.value()) <= maxBytes);
         }
-        assertTrue(Cbor.jsonSize(builder.value()) <= size);
+        assertTrue(Cbor.jsonSize(builder.value()) <= maxBytes);
         assertTrue(ProgressLogRecord.decode(builder.value()).isPresent());
       }
     }
   }
 
   @Test
-  void unreadableRecordsAreReported() {
+  void malformedRecordIsNotDecoded() {
     ProgressLogRecord.Builder builder = new ProgressLogRecord.Builder(5, "1.1", 8_000);
     builder.add(delta(new Random(3), "run-1", 20));
-    ObjectNode good = (ObjectNode) builder.value();
+    ObjectNode valid = (ObjectNode) builder.value();
     for (String field : List.of("n", "id", "jobs")) {
-      ObjectNode broken = good.deepCopy();
-      broken.remove(field);
-      assertFalse(ProgressLogRecord.decode(broken).isPresent(), field);
+      ObjectNode incomplete = valid.deepCopy();
+      incomplete.remove(field);
+      assertFalse(ProgressLogRecord.decode(incomplete).isPresent(), field);
     }
-    ObjectNode noHosts = good.deepCopy();
+    ObjectNode noHosts = valid.deepCopy();
     noHosts.putArray("hosts");
     assertFalse(ProgressLogRecord.decode(noHosts).isPresent());
-    ObjectNode cut = good.deepCopy();
-    cut.putArray("jobs").add("run-1|3");
-    assertFalse(ProgressLogRecord.decode(cut).isPresent());
+    ObjectNode truncated = valid.deepCopy();
+    truncated.putArray("jobs").add("run-1|3");
+    assertFalse(ProgressLogRecord.decode(truncated).isPresent());
   }
 }
--- a/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
@@ -16,45 +16,45 @@
 class SnapshotRecordTest {
 
   @Test
-  void whatIsWrittenIsRead() {
+  void encodedSnapshotDecodesToTheSameSnapshot() {
     Random random = new Random(3);
     for (int round = 0; round < 200; round++) {
-      BitSet done = new BitSet();
+      BitSet completed = new BitSet();
       List<RecordedPlacement> placements = new ArrayList<>();
       for (int task = 0; task < 60; task++) {
-        int fate = random.nextInt(3);
-        if (fate == 0) {
-          done.set(task);
-        } else if (fate == 1) {
+        int status = random.nextInt(3);
+        if (status == 0) {
+          completed.set(task);
+        } else if (status == 1) {
           MachineInfo machine =
               new MachineInfo("i-" + random.nextInt(9), "t", "z", random.nextBoolean());
           placements.add(
               new RecordedPlacement(task, random.nextLong() >>> 2, machine, random.nextInt(100)));
         }
       }
-      SnapshotRecord record = new SnapshotRecord(done, placements, placements.size(), 0);
+      SnapshotRecord record = new SnapshotRecord(completed, placements, placements.size(), 0);
       byte[] stored = Cbor.write(record.encode());
       assertEquals(Optional.of(record), SnapshotRecord.decode(Cbor.readMap(stored).orElseThrow()));
     }
   }
 
   @Test
-  void theLargestShardFitsInAValue() {
-    for (int kb : new int[] {4, 8, 16}) {
+  void snapshotOfTheLargestShardFitsInAValue() {
+    for (int kib : new int[] {4, 8, 16}) {
       List<RecordedPlacement> placements = new ArrayList<>();
-      int shardSize = SnapshotRecord.shardSizeFor(kb * 1024);
+      int shardSize = SnapshotRecord.shardSizeFor(kib * 1024);
       for (int task = 0; task < shardSize; task++) {
         MachineInfo machine =
             new MachineInfo("i-99" + task, "machine-type-16", "some-zone-a1", false);
         placements.add(new RecordedPlacement(99_000 + task, (1L << 40) + task, machine, 1234));
       }
       int size = Cbor.jsonSize(new SnapshotRecord(new BitSet(), placements, shardSize, 0).encode());
-      assertTrue(size <= kb * 1024, size + " bytes for " + kb + " KiB");
+      assertTrue(size <= kib * 1024, size + " bytes for " + kib + " KiB");
     }
   }
 
   @Test
-  void whatCannotBeReadIsNotGuessedAt() {
+  void malformedSnapshotIsNotDecoded() {
     for (String live : List.of("1:2", "a:1:0:1", "1:1:7:1")) {
       assertEquals(
           Optional.empty(),
--- a/src/test/java/org/ploverspindle/state/StoredNamesTest.java
+++ b/src/test/java/org/ploverspindle/state/StoredNamesTest.java
@@ -12,7 +12,7 @@
 /** Other versions run on the same records: a renamed constant must keep its stored name. */
 class StoredNamesTest {
   @Test
-  void theStoredNamesAreFixed() {
+  void enumConstantsKeepTheirStoredNames() {
     assertEquals(
         List.of("batch", "gang", "service"),
         Arrays.stream(JobKind.values()).map(StoredNames::of).toList());
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void whatIsStoredIsRead() {
+  void storedNamesReadBackAndUnknownNamesAreRejected() {
     for (JobKind kind : JobKind.values()) {
       assertEquals(Optional.of(kind), StoredNames.kind(StoredNames.of(kind)));
     }
