--- a/src/main/java/org/ploverspindle/leases/FencedStore.java
+++ b/src/main/java/org/ploverspindle/leases/FencedStore.java
@@ -5,9 +5,9 @@
 import org.ploverspindle.state.StateStore;
 
 /**
- * The state service as the holder of a role uses it. Passes all calls on, and counts the
- * transactions that were refused because another holder's record has replaced the one they are
- * conditional on.
+ * A client of the state service for the holder of a role. It forwards all calls to another client,
+ * and counts the transactions that failed because the holder's record, which they are conditional
+ * on, was replaced or removed.
  */
 public final class FencedStore implements StateStore {
   private final StateStore store;
@@ -15,7 +15,9 @@
   private final FencingRejections rejections;
 
   /**
-   * @param holderKey the key of the record that names the holder
+   * @param store the client that all calls are forwarded to
+   * @param holderKey the key of the record that names the holder of the role
+   * @param rejections counts the failed transactions
    */
   public FencedStore(StateStore store, String holderKey, FencingRejections rejections) {
     this.store = store;
--- a/src/main/java/org/ploverspindle/leases/RoleHolder.java
+++ b/src/main/java/org/ploverspindle/leases/RoleHolder.java
@@ -1,11 +1,12 @@
 package org.ploverspindle.leases;
 
 /**
- * Who holds a role, as it is recorded.
+ * The recorded holder of a role.
  *
- * @param member the controller's name
- * @param nonce identifies its process: after a restart, the same controller is another holder
- * @param epoch the fencing token; grows with each holder
- * @param lease the lease of the state service that the record is attached to
+ * @param member the name of the controller that holds the role
+ * @param nonce a random text that identifies the controller's process, so that the controller
+ *     counts as a different holder after a restart
+ * @param epoch the fencing token, which is higher for each later holder
+ * @param lease the id of the state service lease that the record is attached to
  */
 public record RoleHolder(String member, String nonce, long epoch, long lease) {}
--- a/src/main/java/org/ploverspindle/leases/RoleLease.java
+++ b/src/main/java/org/ploverspindle/leases/RoleLease.java
@@ -16,37 +16,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Acquires a role that one process may hold at a time, and keeps it. A record that is attached to a
- * lease of the state service names the holder. The transaction that writes the record also raises
- * the epoch, so epochs grow from holder to holder and none is used twice. A holder keeps the role
- * until its lease expires or it releases the role.
+ * Acquires and keeps a role that only one process may hold at a time. A record that is attached to
+ * a lease of the state service names the holder. The transaction that writes the record also raises
+ * the epoch, so that each holder has a higher epoch than all earlier holders. A holder keeps the
+ * role until its lease expires or it releases the role.
  */
 public final class RoleLease {
   private static final Logger LOG = LoggerFactory.getLogger(RoleLease.class);
 
-  /** Spreads the first attempts of all controllers after the holder's record is removed. */
+  /**
+   * The upper bound of the random delay before the first attempt to acquire the role after the
+   * holder's record is removed. The delay keeps all controllers from trying at the same time.
+   */
   private static final int FIRST_ATTEMPT_JITTER_MS = 150;
 
   private static final int RETRY_DELAY_MS = 50;
   private static final int RETRY_JITTER_MS = 400;
   private static final long MAX_RECORDED_VACANCY_MS = 3_600_000;
 
-  /** Is called on the event loop. */
+  /** Is notified of acquiring and losing the role; its methods are called on the event loop. */
   public interface Listener {
-    /** The role is held; the replica has all that earlier holders wrote. */
+    /** Called when the role is held and the replica contains all writes of earlier holders. */
     void acquired(HeldRole role);
 
-    /** The role is lost: nothing may be done under it any more. */
+    /** Called when the role is lost. From then on, no action may be taken under it. */
     void lost(HeldRole role, String cause);
 
-    /** May this process try to acquire the role now? Asked before each attempt. */
+    /** Returns whether this process may try to acquire the role now; called before each attempt. */
     boolean mayAcquire();
   }
 
   /**
-   * Who tries to acquire which role, and for how long its lease lives.
+   * The candidacy of a controller for a role.
    *
    * @param member the name of this controller
+   * @param records the keys and the encoding of the role's records
+   * @param timing the timing of the lease that the holder's record is attached to
    */
   public record Candidacy(String member, RoleRecords records, LeaseTiming timing) {}
 
@@ -66,7 +71,7 @@
   private boolean acquiring;
   private long nextAttemptMs;
 
-  /** A role that no attempt is made for before the first {@link #tick}. */
+  /** Creates a candidate that does not try to acquire the role before the first {@link #tick}. */
   public RoleLease(
       Scheduler scheduler,
       StateStore store,
@@ -86,40 +91,50 @@
     replica.addListener(this::holderRecordChanged);
   }
 
-  /** The role, if this process holds it as far as it knows. */
+  /** Returns the role if this process holds it as far as it knows. */
   public Optional<HeldRole> held() {
     return held;
   }
 
   /**
-   * Does this process certainly hold the role, if its clock runs at the right rate? To be asked
-   * last before each send. It is no proof: only the receiver's check of the epoch is.
+   * Returns whether this process certainly holds the role, provided that its clock runs at the
+   * right rate. Callers must check this immediately before each request that they send under the
+   * role. The result is no proof, since the process may be paused before it sends: only the
+   * receiver's check of the epoch or of the mod revision proves that the role is held.
    */
   public boolean isCertainlyHeld() {
     return held.isPresent() && lease.isCertainlyValid();
   }
 
-  /** When the lease was last known to be valid, on the steady clock. */
+  /**
+   * Returns when the last acknowledged request to open or renew the lease was sent, in milliseconds
+   * on the monotonic clock.
+   */
   public long lastRenewalMs() {
     return lease.lastRenewalSentMs();
   }
 
-  /** The holder by the replica, whichever controller it is. */
+  /** Returns the holder that the replica shows, which may be any controller. */
   public Optional<RoleHolder> holder() {
     return replica.get(records.holderKey()).map(Entry::value).flatMap(records::decode);
   }
 
-  /** How long renewals of the lease took to be answered, in milliseconds. */
+  /** Returns the response times of acknowledged renewals of the lease, in milliseconds. */
   public Histogram renewalMs() {
     return lease.renewalMs();
   }
 
-  /** For how long the role had no holder, each time, in milliseconds, as this process saw it. */
+  /**
+   * Returns the durations of the periods without a holder that this process saw, in milliseconds.
+   */
   public Histogram vacantMs() {
     return vacantMs;
   }
 
-  /** Renews the lease or tries to acquire the role. To be called many times within a lease. */
+  /**
+   * Renews the lease if a renewal is due, or tries to acquire the role if it has no holder. Must be
+   * called many times within the time to live of the lease.
+   */
   public void tick() {
     if (!replica.isLoaded()) {
       return;
@@ -139,8 +154,9 @@
     if (acquiring || scheduler.nowMs() < nextAttemptMs || !listener.mayAcquire()) {
       return;
     }
-    // A lease is opened only for an attempt: renewals by all controllers would use up the shared
-    // rate limit of the state service.
+    // A lease is opened only for an attempt to acquire the role. If all controllers kept a lease,
+    // its
+    // renewals would use up the rate limit of the state service, which all controllers share.
     if (!lease.isFreshEnoughToAcquire()) {
       lease.open(this::isVacant, this::tick);
       return;
@@ -148,7 +164,7 @@
     Optional<Entry> epochRecord = replica.get(records.epochKey());
     Optional<Long> epoch = records.nextEpoch(epochRecord.map(Entry::value));
     if (epoch.isEmpty()) {
-      // A guessed epoch could be one that a former holder still acts under.
+      // The role is not acquired with a guessed epoch, since a former holder could still use it.
       logUnreadable(records.epochKey());
       return;
     }
@@ -170,8 +186,8 @@
           if (result instanceof TransactionResult.NoSuchLease) {
             lease.discard();
           }
-          // Whatever the result, the replica shows who holds the role: an attempt without an answer
-          // may have been executed.
+          // Only the replica shows who holds the role, whatever the result of the transaction is: a
+          // transaction without a response may have been executed.
           replica.readBarrier(
               isRead -> {
                 acquiring = false;
@@ -211,16 +227,18 @@
   }
 
   /**
-   * Was the record written by this process under its current lease? An attempt that was executed
-   * late, under a lease that was dropped, does not count: its record is removed with that lease.
+   * Returns whether this process wrote the record under its current lease. A record that was
+   * written late, under an earlier lease of this process, does not count, because it is removed
+   * when that lease ends.
    */
   private boolean isOwnRecord(RoleHolder holder) {
     return holder.nonce().equals(nonce) && lease.id().map(id -> id == holder.lease()).orElse(false);
   }
 
   /**
-   * Ends the lease of a record that was left by an earlier process of this controller, or by a late
-   * attempt of it: nobody renews that lease, and others need not wait for it to expire.
+   * Ends the lease of a record that an earlier process of this controller wrote, or that this
+   * process wrote late under an earlier lease. No process renews that lease, and ending it lets
+   * controllers acquire the role without waiting for it to expire.
    */
   private void closeIfAbandoned(RoleHolder holder) {
     if (holder.member().equals(member)) {
@@ -234,12 +252,15 @@
     }
     end("the holder's record was replaced");
     HeldRole role = new HeldRole(ownRecord.epoch(), modRevision, scheduler.nowMs());
-    // One more read after the record was written: then the replica has every write of earlier
-    // holders, and any later one fails on its condition.
+    // After a read that is sent now, the replica contains every write of earlier holders that was
+    // executed. Their later writes fail, as they are conditional on the replaced holder's record.
     replica.readBarrier(isRead -> confirmAcquired(role, ownRecord.lease(), isRead));
   }
 
-  /** Begins to hold the role, unless it was lost or released while the replica was read. */
+  /**
+   * Begins to hold the role, unless it was lost or released while the replica was read. A failed
+   * read is repeated.
+   */
   private void confirmAcquired(HeldRole role, long leaseId, boolean isRead) {
     boolean isCurrent =
         replica
@@ -258,7 +279,10 @@
     listener.acquired(role);
   }
 
-  /** Ends the role in this process on a sign that it is lost; the record stays with its lease. */
+  /**
+   * Stops holding the role in this process because it may have been lost. The holder's record stays
+   * until its lease ends.
+   */
   public void end(String cause) {
     if (held.isPresent()) {
       HeldRole lostRole = held.get();
@@ -267,7 +291,10 @@
     }
   }
 
-  /** Releases the role at once, so that others need not wait for the lease to expire. */
+  /**
+   * Releases the role immediately, so that other controllers can acquire it without waiting for the
+   * lease to expire.
+   */
   public void release(String cause) {
     lease.close();
     end(cause);
--- a/src/main/java/org/ploverspindle/leases/RoleRecords.java
+++ b/src/main/java/org/ploverspindle/leases/RoleRecords.java
@@ -3,30 +3,30 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
 
-/** How the holder of a role and its epochs are stored. */
+/** The keys and the encoding of the stored records of a role. */
 public interface RoleRecords {
-  /** The role's name, for log lines. */
+  /** Returns the name of the role for log lines. */
   String name();
 
-  /** The key of the holder's record. The record exists while the role is held. */
+  /** Returns the key of the holder's record, which exists while the role is held. */
   String holderKey();
 
-  /** The key of the record of epochs, which outlives every holder. */
+  /** Returns the key of the epoch record, which is kept when the role has no holder. */
   String epochKey();
 
-  /** The holder's record in its stored form. */
+  /** Returns the stored form of the holder's record. */
   JsonNode encode(RoleHolder holder);
 
   /** Decodes a holder's record; empty if it is malformed. */
   Optional<RoleHolder> decode(JsonNode record);
 
-  /** The record of epochs once this epoch is taken. */
+  /** Returns the stored form of the epoch record after this epoch was used for a holder. */
   JsonNode encodeEpochs(long latestEpoch);
 
   /**
-   * The epoch that follows all that were taken; empty if the record is malformed.
+   * Returns an epoch that is higher than all epochs used so far; empty if the record is malformed.
    *
-   * @param record the record of epochs, if there is one yet
+   * @param record the epoch record; empty if the role never had a holder
    */
   Optional<Long> nextEpoch(Optional<JsonNode> record);
 }
--- a/src/main/java/org/ploverspindle/leases/StateLease.java
+++ b/src/main/java/org/ploverspindle/leases/StateLease.java
@@ -8,10 +8,12 @@
 import org.ploverspindle.state.StateStore.Renewal;
 
 /**
- * One lease of the state service, which removes the keys that are attached to it when it expires.
+ * A lease of the state service. The state service removes the keys that are attached to a lease
+ * when the lease expires.
  *
- * <p>Its validity is counted from the sending of the last renewal that was answered, on the steady
- * clock. A renewal whose answer is lost may have been executed, but is not counted.
+ * <p>The validity of the lease is counted from the time at which the last acknowledged renewal was
+ * sent, on the monotonic clock. A renewal whose response was lost may have been executed, but does
+ * not extend the validity.
  */
 final class StateLease {
   private static final long MAX_RECORDED_RENEWAL_MS = 60_000;
@@ -30,33 +32,39 @@
     this.timing = timing;
   }
 
-  /** The lease's id in the state service, while the lease is not known to have ended. */
+  /** Returns the id of the lease in the state service; empty if there is none or it has ended. */
   Optional<Long> id() {
     return id;
   }
 
-  /** When the last request to open or renew the lease that was answered was sent. */
+  /**
+   * Returns when the last acknowledged request to open or renew the lease was sent, in milliseconds
+   * on the monotonic clock.
+   */
   long lastRenewalSentMs() {
     return lastRenewalSentMs;
   }
 
-  /** Is the lease certainly valid, if this process's clock runs at the right rate? */
+  /**
+   * Returns whether the lease is certainly valid, provided that the clock runs at the right rate.
+   */
   boolean isCertainlyValid() {
     return scheduler.nowMs() < lastRenewalSentMs + timing.validMs();
   }
 
-  /** Is enough of the lease left to acquire a role under it? */
+  /** Returns whether the last renewal is recent enough to acquire a role under the lease. */
   boolean isFreshEnoughToAcquire() {
     return id.isPresent() && scheduler.nowMs() <= lastRenewalSentMs + timing.maxAgeToAcquireMs();
   }
 
   /**
-   * Opens a new lease; an earlier one is left to expire by itself.
+   * Opens a new lease that replaces the current one, which expires without renewals. Does nothing
+   * if another request is in flight.
    *
-   * @param isStillWanted asked when the lease is opened. An attempt to acquire the role under the
-   *     earlier lease may have been executed meanwhile: then the record depends on that lease, and
-   *     renewals of the new one would not keep it.
-   * @param opened called when the new lease is this process's
+   * @param isStillWanted called when the lease was opened; if it returns false, the new lease is
+   *     ended. A late transaction may have written the holder's record under the current lease in
+   *     the meantime, and renewals of the new lease would not keep that record.
+   * @param onOpened called after the new lease replaced the current one
    */
   void open(BooleanSupplier isStillWanted, Runnable onOpened) {
     if (requestInFlight) {
@@ -79,9 +87,9 @@
   }
 
   /**
-   * Renews the lease if a renewal is due. A failed renewal is repeated with the next call.
+   * Renews the lease if a renewal is due. The next call repeats a failed renewal.
    *
-   * @param ended called when the state service no longer knows the lease
+   * @param onExpired called if the state service no longer has the lease
    */
   void renewIfDue(Runnable onExpired) {
     if (id.isPresent()
@@ -109,18 +117,18 @@
         });
   }
 
-  /** Drops the lease: the state service does not know it. */
+  /** Forgets the lease after the state service reported that it does not exist. */
   void discard() {
     id = Optional.empty();
   }
 
-  /** Ends the lease at once, so that others need not wait for it to expire. */
+  /** Ends the lease immediately, so that its keys are removed before it would expire. */
   void close() {
     id.ifPresent(store::closeLease);
     id = Optional.empty();
   }
 
-  /** How long renewals took to be answered, in milliseconds. */
+  /** Returns the response times of acknowledged renewals, in milliseconds. */
   Histogram renewalMs() {
     return renewalMs;
   }
--- a/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
+++ b/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
@@ -12,16 +12,17 @@
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
- * Accepted jobs by id, as found in the replica.
+ * An index of the accepted jobs in the replica by job id.
  *
- * <p>A record holds all jobs that a controller accepted at once, since changes are scarce. So no
+ * <p>One record holds all jobs that a controller accepted at the same time, because the state
+ * service strictly limits the rate of changes. Such a record has no job id in its key, so no
  * condition on a key keeps two controllers from accepting jobs with the same id. The record that
  * was written first counts, at every controller and permanently: a transaction that is executed
- * late can't come before it. The controller that wrote the other record did not mislead its user,
- * as a job with this id was accepted.
+ * later gets a higher mod revision. The acknowledgement that the other controller sent is still
+ * true, since a job with this id was accepted.
  */
 public final class AcceptedJobIndex {
-  /** An accepted job's record, with the key that holds it and the key's mod revision. */
+  /** An accepted job's record, the key that holds it, and the mod revision of that key. */
   public record AcceptedJob(String uid, JsonNode value, long modRevision, String key) {
     private boolean isBefore(AcceptedJob other) {
       return modRevision != other.modRevision
@@ -30,35 +31,42 @@
     }
   }
 
-  /** Notified of the jobs in the index. */
+  /** Is notified of changes to the index. */
   public interface Listener {
-    /** A job was added. */
+    /** Called after a job was added to the index. */
     void accepted(AcceptedJob job);
 
-    /** An earlier record of the job replaces the known one; happens during loading alone. */
+    /**
+     * Called after an earlier record of the job replaced the known one. This happens only while the
+     * replica is being loaded, since keys are then not read in the order of their revisions.
+     */
     default void corrected(AcceptedJob job) {}
   }
 
   private final Map<String, AcceptedJob> jobs = new HashMap<>();
   private final List<Listener> listeners = new ArrayList<>();
 
-  /** Follows the jobs in the replica. */
+  /** Creates an index that follows the changes of the replica. */
   public AcceptedJobIndex(Replica replica) {
     replica.addListener(this::entryChanged);
   }
 
-  /** Adds a listener; one that belongs to a term must be cancelled with it. */
+  /**
+   * Adds a listener. A listener that belongs to a term must be cancelled at the end of the term.
+   *
+   * @return removes the listener when cancelled
+   */
   public Cancellable addListener(Listener listener) {
     listeners.add(listener);
     return () -> listeners.remove(listener);
   }
 
-  /** The accepted job with this id. */
+  /** Returns the accepted job with this id; empty if there is none. */
   public Optional<AcceptedJob> get(String uid) {
     return Optional.ofNullable(jobs.get(uid));
   }
 
-  /** The ids of all accepted jobs; an unmodifiable live view. */
+  /** Returns the ids of all accepted jobs as an unmodifiable live view. */
   public Set<String> uids() {
     return Collections.unmodifiableSet(jobs.keySet());
   }
--- a/src/main/java/org/ploverspindle/state/DependenciesRecord.java
+++ b/src/main/java/org/ploverspindle/state/DependenciesRecord.java
@@ -11,26 +11,26 @@
 import org.ploverspindle.net.Cbor;
 
 /**
- * A list of dependencies that is too long for its job's record, in parts that each fit into a
- * value.
+ * A list of dependencies that is too long for the record of its job. It is stored in parts that
+ * each fit into one value.
  *
- * <p>The name is derived from the content, so that writing the list is idempotent: a retry at any
- * controller continues where an earlier request stopped, two controllers that write the same list
- * write the same keys and values, and parts of different lists never mix.
+ * <p>The name of the list is derived from its content, so that writing the list is idempotent: a
+ * retry at any controller continues where an earlier request stopped, two controllers that write
+ * the same list write the same keys and values, and parts of different lists are never mixed.
  *
- * @param name identifies the list among all jobs
- * @param parts the stored values, in order
+ * @param name the name of the list, unique among the lists of all jobs
+ * @param parts the stored values of the parts, in the order of the list
  */
 public record DependenciesRecord(String name, List<JsonNode> parts) {
   private static final String IDS = "ids";
 
-  /** Braces, field name and quotes of a part. */
+  /** Upper bound of the bytes that the braces, field name and quotes of a part take. */
   private static final int PART_OVERHEAD_BYTES = 20;
 
-  /** How much of the SHA-256 digest of the list is in its name. */
+  /** The number of bytes of the list's SHA-256 digest that its name contains. */
   private static final int DIGEST_BYTES = 10;
 
-  /** Splits a job's list into parts of at most {@code valueBytes}. */
+  /** Splits the dependencies of a job into parts of at most {@code maxValueBytes} bytes each. */
   public static DependenciesRecord split(
       String jobUid, List<String> dependencies, int maxValueBytes) {
     List<JsonNode> parts = new ArrayList<>();
@@ -54,16 +54,17 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
+      throw new IllegalStateException(
+          "SHA-256 is not available, although every Java platform must provide it", e);
     }
   }
 
-  /** The key of a part. */
+  /** Returns the key of the part with this index. */
   public String key(int part) {
     return Keys.dependencies(name, part);
   }
 
-  /** Reads the whole list from the replica; empty while a part of it is missing. */
+  /** Reads the whole list from the replica; empty if a part is missing. */
   public static Optional<List<String>> read(
       Replica replica, JobRecord.StoredDependencies.Separate stored) {
     List<String> uids = new ArrayList<>();
--- a/src/main/java/org/ploverspindle/state/HttpStateStore.java
+++ b/src/main/java/org/ploverspindle/state/HttpStateStore.java
@@ -17,7 +17,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Speaks the protocol of the state service. Malformed or unexpected answers count as none. */
+/**
+ * A client for the HTTP protocol of the state service. A malformed or unexpected response is
+ * handled like a missing one.
+ */
 public final class HttpStateStore implements StateStore {
   private static final byte[] EMPTY_BODY = {};
 
@@ -29,7 +32,7 @@
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int SERVICE_UNAVAILABLE = 503;
 
-  /** The status that is reported for a transaction that was not sent. */
+  /** The status in {@link StateStore.TransactionResult.Refused} if the request was not sent. */
   private static final int NOT_SENT = 0;
 
   private static final long REQUEST_TIMEOUT_MS = 2_500;
@@ -38,10 +41,10 @@
 
   private final HttpClient client;
 
-  /** Unexpected statuses that were logged: each is logged once. */
+  /** The unexpected HTTP statuses that were already logged; each status is logged only once. */
   private final Set<Integer> loggedStatuses = new HashSet<>();
 
-  /** Sends all requests through this client. */
+  /** Creates a state store that sends all its requests through this client. */
   public HttpStateStore(HttpClient client) {
     this.client = client;
   }
@@ -56,7 +59,7 @@
         result -> callback.accept(transactionResult(result)));
   }
 
-  /** The body of the request that executes this transaction. */
+  /** Returns the body of the request that executes this transaction. */
   public static ObjectNode encode(Transaction transaction) {
     ObjectNode body = Cbor.map();
     ArrayNode conditions = body.putArray("if");
@@ -162,8 +165,9 @@
   }
 
   private static ChangesResult changesResult(HttpResult result) {
-    // Changes have no size limit, pages have. After a long outage of a busy store the changes may
-    // be more than the client accepts, and asking again would give the same: read pages instead.
+    // The state service limits the size of pages, but not of changes. After a long outage of a busy
+    // state service the changes can exceed the largest response that the client accepts. The same
+    // request would fail again, so the caller must read all keys in pages instead.
     boolean tooLarge = result instanceof HttpResult.TooLarge;
     if (tooLarge || result instanceof HttpResult.Response response && response.status() == GONE) {
       return new ChangesResult.TooOld();
--- a/src/main/java/org/ploverspindle/state/JobRecord.java
+++ b/src/main/java/org/ploverspindle/state/JobRecord.java
@@ -12,11 +12,13 @@
 import org.ploverspindle.net.Cbor;
 
 /**
- * An accepted job as it is stored.
+ * The stored record of an accepted job.
  *
- * @param acceptedWallMs when the job was accepted, by the accepting controller's wall clock
- * @param shardSize how many of the job's tasks share a progress snapshot; fixed when the job is
- *     accepted, since the settings that it follows from may change
+ * @param acceptedWallMs when the job was accepted, in milliseconds on the wall clock of the
+ *     controller that accepted it
+ * @param shardSize the number of tasks per shard. The tasks of a shard share a progress snapshot.
+ *     The number is fixed when the job is accepted, because the settings that it is computed from
+ *     may change later.
  */
 public record JobRecord(JobSpec spec, long acceptedWallMs, int shardSize) {
   private static final String KIND = "shape";
@@ -24,8 +26,8 @@
   private static final String DEPENDENCIES_KEY = "awaits_in";
 
   /**
-   * The stored form, with the dependencies in it. A job without dependencies is stored without the
-   * field, since earlier versions, which may read the record, don't know it.
+   * Returns the stored form with the dependencies inline. The record of a job without dependencies
+   * lacks the field, because earlier versions may read the record and do not know the field.
    */
   public ObjectNode encode() {
     ObjectNode value = encodeWithoutDependencies();
@@ -35,7 +37,10 @@
     return value;
   }
 
-  /** The stored form that refers to separate records, which must be written before this one. */
+  /**
+   * Returns the stored form that refers to a separate list of dependencies. All parts of that list
+   * must be written before this record.
+   */
   public ObjectNode encode(DependenciesRecord separate) {
     ObjectNode value = encodeWithoutDependencies();
     value
@@ -45,16 +50,19 @@
     return value;
   }
 
-  /** Where the dependencies of a stored job are. */
+  /** The place where the dependencies of a job are stored. */
   public sealed interface StoredDependencies {
-    /** In the job's own record; the list is empty for a job without dependencies. */
+    /** The job's own record contains the dependencies; the list is empty if the job has none. */
     record Inline(List<String> uids) implements StoredDependencies {}
 
-    /** In a {@link DependenciesRecord} of this name with so many parts. */
+    /** The {@link DependenciesRecord} with this name and number of parts contains them. */
     record Separate(String name, int parts) implements StoredDependencies {}
   }
 
-  /** Where the dependencies of the job with this record are; does not decode the rest of it. */
+  /**
+   * Returns where the dependencies of the job with this record are stored, without decoding the
+   * rest of the record.
+   */
   public static StoredDependencies storedDependencies(JsonNode value) {
     JsonNode separate = value.path(DEPENDENCIES_KEY);
     if (separate.isObject()) {
@@ -92,17 +100,20 @@
     return value;
   }
 
-  /** When the job was accepted; does not decode the rest of the record. */
+  /**
+   * Returns when the job was accepted, in milliseconds on the wall clock, without decoding the rest
+   * of the record.
+   */
   public static long acceptedWallMs(JsonNode value) {
     return value.path("at").asLong();
   }
 
-  /** Whether the job is a service; does not decode the rest of the record. */
+  /** Returns whether the job is a service, without decoding the rest of the record. */
   public static boolean isService(JsonNode value) {
     return value.path(KIND).asText().equals(StoredNames.of(JobKind.SERVICE));
   }
 
-  /** Decodes a record; empty if it is unreadable. */
+  /** Decodes the record of the job with this id; empty if the record is malformed. */
   public static Optional<JobRecord> decode(String uid, JsonNode value) {
     int tasks = value.path("tasks").asInt(0);
     int shardSize = value.path("chunk").asInt(0);
--- a/src/main/java/org/ploverspindle/state/Keys.java
+++ b/src/main/java/org/ploverspindle/state/Keys.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * The keys in the state service. All start with a prefix that names the version of the format. A
- * {@code uid} is the id of a job.
+ * The keys in the state service. Each key starts with a prefix that contains the version of the
+ * storage format. A parameter named {@code uid} is the id of a job.
  */
 public final class Keys {
   public static final String PREFIX = "ps1/";
@@ -14,7 +14,11 @@
   public static final String JOBS = PREFIX + "j/";
   public static final String JOB_BATCHES = PREFIX + "b/";
 
-  /** Sorts before the jobs' keys, so that a load reads the lists before the jobs that need them. */
+  /**
+   * The prefix of dependency lists that are stored outside the record of their job. It sorts before
+   * the prefixes of job records, so that a full load reads each list before the job that refers to
+   * it.
+   */
   public static final String DEPENDENCIES = PREFIX + "a/";
 
   public static final String CANCELLATIONS = PREFIX + "c/";
@@ -24,62 +28,67 @@
   public static final String PROVISIONING_INTENTS = PREFIX + "r/";
   public static final String BOUNDS = PREFIX + "g/";
 
-  /** Terminations of machines: recorded before the cloud is asked, and never revoked. */
+  /**
+   * The prefix of machine terminations. A termination is recorded before it is requested from the
+   * cloud, and is never revoked.
+   */
   public static final String TERMINATIONS = PREFIX + "x/";
 
   private Keys() {}
 
-  /** Jobs that were accepted together. */
+  /** Returns the key of a record of jobs that were accepted together. */
   public static String jobBatch(String name) {
     return JOB_BATCHES + name;
   }
 
-  /** A part of a list of dependencies. */
+  /** Returns the key of a part of a dependency list. */
   public static String dependencies(String name, int part) {
     return DEPENDENCIES + name + "/" + String.format(Locale.ROOT, "%04d", part);
   }
 
-  /** The slot of the record with this sequence number. */
+  /** Returns the key of the slot that holds the progress log record with this sequence number. */
   public static String progressLog(long sequence) {
     return PROGRESS_LOG + String.format(Locale.ROOT, "%03d", ProgressLogRecord.slot(sequence));
   }
 
-  /** Exists once the job is cancelled. */
+  /** Returns the key that exists once the cancellation of the job is recorded. */
   public static String cancellation(String uid) {
     return CANCELLATIONS + uid;
   }
 
-  /** Exists once the job is complete. */
+  /** Returns the key that exists once the completion of the job is recorded. */
   public static String completion(String uid) {
     return COMPLETIONS + uid;
   }
 
-  /** Prefix of the job's progress snapshots. */
+  /** Returns the prefix of the keys of the job's progress snapshots. */
   public static String snapshotsOf(String uid) {
     return SNAPSHOTS + uid + "/";
   }
 
-  /** The progress snapshot of a shard of the job. */
+  /** Returns the key of the progress snapshot of one shard of the job. */
   public static String snapshot(String uid, int shard) {
     return snapshotsOf(uid) + String.format(Locale.ROOT, "%05d", shard);
   }
 
-  /** A part of the machine types, where one value can't hold them. */
+  /**
+   * Returns the key of a part of the machine types; parts are used if one value can't hold them.
+   */
   public static String machineTypes(int part) {
     return MACHINE_TYPES + "/" + String.format(Locale.ROOT, "%04d", part);
   }
 
-  /** The record of a provisioning intent. */
+  /** Returns the key of the provisioning intent with this name. */
   public static String provisioningIntent(String name) {
     return PROVISIONING_INTENTS + name;
   }
 
-  /** A termination; its name is used once over all terms. */
+  /** Returns the key of the termination with this name; names are unique across all terms. */
   public static String termination(String name) {
     return TERMINATIONS + name;
   }
 
-  /** The recorded bounds of the groups of a machine type. */
+  /** Returns the key of the recorded bounds of the machine groups of a machine type. */
   public static String bounds(String machineType) {
     return BOUNDS + machineType;
   }
--- a/src/main/java/org/ploverspindle/state/LeaderWriter.java
+++ b/src/main/java/org/ploverspindle/state/LeaderWriter.java
@@ -9,14 +9,15 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
- * Single writes of a leader other than progress. Each is conditional on the leader key's mod
- * revision, so that writes of a deposed leader fail.
+ * Writes single keys for the leader, except for task progress. Each write has the condition that
+ * the leader key still has the mod revision that this term wrote, so that writes of a deposed
+ * leader fail.
  */
 public final class LeaderWriter {
-  /** The status of a transaction that is malformed or beyond the limits. */
+  /** The HTTP status of a transaction that is malformed or exceeds a limit of the state service. */
   private static final int BAD_REQUEST = 400;
 
-  /** How much of the budget is left for writes that can't wait. */
+  /** The number of writes of the budget that are reserved for writes that can't wait. */
   private static final double RESERVED_WRITES = 2;
 
   private final StateStore store;
@@ -25,7 +26,7 @@
   private final Term term;
 
   /**
-   * @param writeBudget the budget of changes
+   * @param writeBudget limits the rate of changes that this process makes in the state service
    */
   public LeaderWriter(StateStore store, Replica replica, TokenBucket writeBudget, Term term) {
     this.store = store;
@@ -34,24 +35,27 @@
     this.term = term;
   }
 
-  /** Whether the budget allows a write that can wait. */
+  /** Returns whether the budget allows a write that can wait, beyond the reserved writes. */
   public boolean hasSpareBudget() {
     return writeBudget.available() >= RESERVED_WRITES;
   }
 
-  /** What is known of a key that was to be created. */
+  /** What is known about a key after an attempt to create it. */
   public enum CreateOutcome {
-    /** It exists with the given value. */
+    /** The key exists with the given value. */
     CREATED,
-    /** It was certainly not created. */
+    /** The key was certainly not created, and won't be by this write. */
     REFUSED,
-    /** It was certainly not created, as it is beyond the state service's limits. */
+    /** The key was certainly not created, because it exceeds a limit of the state service. */
     TOO_LARGE,
-    /** It may exist, or may still be created. */
+    /** The key may exist, or may still be created by a write that is executed late. */
     UNKNOWN
   }
 
-  /** Creates the key; reads it back when the answer does not show whether it exists. */
+  /**
+   * Creates the key. If the response does not show whether the key was created with this value,
+   * reads it back behind a read barrier.
+   */
   public void create(Change.Put put, Consumer<CreateOutcome> callback) {
     write(
         List.of(new Condition(put.key(), 0)),
@@ -75,7 +79,12 @@
     return replica.get(put.key()).filter(entry -> entry.value().equals(put.value())).isPresent();
   }
 
-  /** Writes or removes a key without a retry: losing it may only cost time. */
+  /**
+   * Writes or removes a key once, without a retry. Callers must remain correct if the change is
+   * lost; a lost change may only delay later work.
+   *
+   * @param callback receives whether the change was certainly executed
+   */
   public void writeBestEffort(Change change, Consumer<Boolean> callback) {
     write(
         List.of(),
--- a/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
+++ b/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
@@ -12,21 +12,24 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /**
- * The machine types that the cloud listed last. They are stored so that controllers that all
- * restart while the cloud is unreachable can still lead, answer workers, and validate submissions.
+ * The stored record of the machine types that the cloud listed last. With this record, controllers
+ * that all restart while the cloud is unreachable can still acquire leadership, answer workers, and
+ * validate submissions.
  */
 public final class MachineTypesRecord {
   private static final String PARTS = "parts";
 
-  /** What the field with the number of parts takes in a part. */
+  /** Upper bound of the bytes that the field with the number of parts takes in each part. */
   private static final int PARTS_FIELD_BYTES = 20;
 
   private MachineTypesRecord() {}
 
   /**
-   * The writes that store the types: one, or several parts where one value can't hold them. In that
-   * case the single record is left as it is, for readers of versions that don't know parts: some of
-   * the types alone would mislead them.
+   * Returns the writes that store the machine types: a single record, or several parts if one value
+   * can't hold them. With parts, an existing single record is not changed. Earlier versions read
+   * only the single record, and would take an incomplete list in it for the complete one.
+   *
+   * @param maxValueBytes the largest value that the state service accepts, in bytes of JSON
    */
   public static List<Change.Put> puts(List<MachineType> types, int maxValueBytes) {
     JsonNode single = encode(types);
@@ -57,7 +60,10 @@
     return parts;
   }
 
-  /** All types that are recorded, the newest last; empty when there are none. */
+  /**
+   * Returns all recorded machine types, the newest last; empty if there are none. The types of the
+   * single record come first, since that record is not updated while parts are written.
+   */
   public static Optional<List<MachineType>> read(Replica replica) {
     List<MachineType> types = new ArrayList<>();
     replica
@@ -68,7 +74,9 @@
     return types.isEmpty() ? Optional.empty() : Optional.of(types);
   }
 
-  /** The types that are stored in parts; empty if a part is missing or unreadable. */
+  /**
+   * Returns the machine types that are stored in parts; empty if a part is missing or malformed.
+   */
   private static Optional<List<MachineType>> readParts(Replica replica) {
     int parts =
         replica.get(Keys.machineTypes(0)).map(entry -> entry.value().path(PARTS).asInt()).orElse(0);
@@ -84,7 +92,7 @@
     return Optional.of(types);
   }
 
-  /** The stored form of these types. */
+  /** Returns the stored form of these machine types. */
   public static ObjectNode encode(List<MachineType> types) {
     ObjectNode value = Cbor.map();
     ArrayNode list = value.putArray("types");
@@ -104,7 +112,7 @@
     return value;
   }
 
-  /** Decodes a record; empty if a type in it is unreadable, or it holds none. */
+  /** Decodes a record; empty if a machine type in it is malformed, or if it contains none. */
   public static Optional<List<MachineType>> decode(JsonNode value) {
     List<MachineType> types = new ArrayList<>();
     for (JsonNode typeNode : value.path("types")) {
--- a/src/main/java/org/ploverspindle/state/PlacementText.java
+++ b/src/main/java/org/ploverspindle/state/PlacementText.java
@@ -5,14 +5,15 @@
 import org.ploverspindle.state.SnapshotRecord.RecordedPlacement;
 
 /**
- * Placements in text form, {@code task:attempt:machine:epoch}: the attempt in base 36, the machine
- * as an index into the machines of the same record.
+ * The text form of placements in stored records, {@code task:attempt:machine:epoch}. The attempt is
+ * written in base 36. The machine is an index into the list of machines in the same record. The
+ * epoch is the worker epoch.
  */
 final class PlacementText {
-  /** How many fields the text form has. */
+  /** The number of fields in the text form of a placement. */
   static final int FIELD_COUNT = 4;
 
-  /** Number of the field with the task, or with a range of tasks. */
+  /** The index of the field that contains the task, or a range of tasks. */
   static final int TASK = 0;
 
   private static final int ATTEMPT = 1;
@@ -25,7 +26,7 @@
 
   private PlacementText() {}
 
-  /** Appends what follows the task. */
+  /** Appends the attempt, machine and worker epoch of a placement, which follow the task. */
   static void appendDetails(StringBuilder text, RecordedPlacement placement, int machineIndex) {
     text.append(':').append(Long.toString(placement.attempt(), ATTEMPT_RADIX));
     text.append(':').append(machineIndex);
@@ -37,19 +38,20 @@
   }
 
   /**
-   * The attempt in these fields.
+   * Returns the attempt in these fields.
    *
-   * @throws NumberFormatException if it is not a number
+   * @throws NumberFormatException if the field is not a number in base 36
    */
   static long attempt(String[] fields) {
     return Long.parseLong(fields[ATTEMPT], ATTEMPT_RADIX);
   }
 
   /**
-   * The placement of a task and attempt on the machine in these fields.
+   * Returns the placement of this task and attempt on the machine in these fields.
    *
    * @throws NumberFormatException if a field is not a number
-   * @throws IndexOutOfBoundsException if a field is missing, or there is no such machine
+   * @throws IndexOutOfBoundsException if a field is missing, or the list has no machine with this
+   *     index
    */
   static RecordedPlacement placement(
       int task, long attempt, String[] fields, List<MachineInfo> machines) {
@@ -60,7 +62,7 @@
         Long.parseLong(fields[AGENT_EPOCH]));
   }
 
-  /** The text form of a machine's type, zone and whether it is a spot machine. */
+  /** Returns the text form of a machine's group: its type, its zone, and spot or on-demand. */
   static String machineGroup(MachineInfo machine) {
     return machine.type() + "," + machine.zone() + "," + (machine.spot() ? SPOT : ON_DEMAND);
   }
--- a/src/main/java/org/ploverspindle/state/ProgressCounts.java
+++ b/src/main/java/org/ploverspindle/state/ProgressCounts.java
@@ -7,28 +7,31 @@
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
- * How many tasks of each unfinished job are recorded as completed and placed; for display alone.
+ * Counts, for each unfinished job, the tasks that are recorded as completed and as placed. The
+ * counts are used only for display.
  */
 public final class ProgressCounts {
   /**
-   * Counts of a whole job.
+   * The counts of a whole job.
    *
-   * @param sequence sequence number of the log record that they are from, or that the snapshot
-   *     covers
+   * @param sequence the sequence number of the progress log record that contains the counts; for
+   *     counts in a snapshot, the last sequence number that the snapshot covers
+   * @param completed the number of completed tasks
+   * @param running the number of tasks that are placed on machines
    */
   public record Counts(long sequence, int completed, int running) {
-    /** Older than any record. */
+    /** The counts of a job without records; any recorded counts replace them. */
     static final Counts NONE = new Counts(-1, 0, 0);
   }
 
   private final Map<String, Counts> counts = new HashMap<>();
 
-  /** Follows the records in the replica. */
+  /** Creates counts that follow the records in the replica. */
   public ProgressCounts(Replica replica) {
     replica.addListener(this::entryChanged);
   }
 
-  /** The latest counts of the job; zeros if none are recorded. */
+  /** Returns the latest recorded counts of the job; zeros if none are recorded. */
   public Counts of(String uid) {
     return counts.getOrDefault(uid, Counts.NONE);
   }
@@ -43,7 +46,8 @@
       ProgressLogRecord.readCounts(
           value, (uid, completed, running) -> update(uid, sequence, completed, running));
     } else if (key.startsWith(Keys.SNAPSHOTS)) {
-      // Versions without a progress log stored the counts of the snapshot alone.
+      // Versions without a progress log stored only the counts of the snapshot itself, not those of
+      // the whole job.
       update(
           key.substring(Keys.SNAPSHOTS.length(), key.lastIndexOf('/')),
           value.path("upto").asLong(0),
--- a/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
+++ b/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
@@ -14,22 +14,28 @@
 import org.ploverspindle.state.SnapshotRecord.RecordedPlacement;
 
 /**
- * One record of the leader's progress log: the present statuses of the changed tasks of any number
- * of jobs. Changes are the scarcest resource of the state service, so one put carries all that
- * happened since the last one. Records hold statuses and not events: applying one again, or
- * together with a newer snapshot, is idempotent.
+ * One record of the leader's progress log. It contains the current statuses of changed tasks of any
+ * number of jobs. The rate of changes is the tightest limit of the state service, so one put writes
+ * everything that happened since the last record. A record contains statuses and not events, so
+ * that applying it again, or together with a newer snapshot, is idempotent.
  *
- * @param sequence place in the log; the statuses in later records are newer
- * @param id identifies the attempt to write the record
+ * @param sequence the position in the log; a record with a higher sequence number is newer
+ * @param id identifies the write of the record, so that two writes with the same sequence number
+ *     can be told apart
+ * @param deltas the changed statuses, one element per job
  */
 public record ProgressLogRecord(long sequence, String id, List<Delta> deltas) {
 
   /**
-   * The statuses of the changed tasks of a job: completed, on a machine, or neither.
+   * The statuses of the changed tasks of a job. Each such task is completed, placed on a machine,
+   * or neither.
    *
-   * @param jobCompleted completed tasks of the whole job, for display
-   * @param jobRunning tasks of the whole job that are on machines, for display
-   * @param cleared tasks that are neither completed nor on a machine
+   * @param uid the id of the job
+   * @param jobCompleted the number of completed tasks of the whole job, for display
+   * @param jobRunning the number of tasks of the whole job that are placed on machines, for display
+   * @param completed the changed tasks that are completed
+   * @param cleared the changed tasks that are neither completed nor placed on a machine
+   * @param placements the placements of the changed tasks that are placed on a machine
    */
   public record Delta(
       String uid,
@@ -39,10 +45,13 @@
       BitSet cleared,
       List<RecordedPlacement> placements) {}
 
-  /** How many records the log holds; the oldest is replaced once snapshots cover it. */
+  /**
+   * The number of records that the log holds. A slot is overwritten only if each status in its
+   * record is covered by a snapshot or a newer record, or is carried over into the new record.
+   */
   public static final int SLOTS = 256;
 
-  // The fields of a job's line, which are separated by bars.
+  // The indexes of the fields in the text line of a job. The fields are separated by '|'.
   private static final int UID = 0;
   private static final int COMPLETED_COUNT = 1;
   private static final int RUNNING_COUNT = 2;
@@ -52,32 +61,35 @@
 
   private static final int DECIMAL = 10;
 
-  /** The slot of the log that the record with this sequence number is stored in. */
+  /** Returns the slot of the log that stores the record with this sequence number. */
   public static int slot(long sequence) {
     return (int) (sequence % SLOTS);
   }
 
-  /** Builds the value of a record within a size, counted in JSON form. */
+  /** Builds the stored value of a record up to a largest size, measured in bytes of JSON. */
   public static final class Builder {
     private static final int RECORD_OVERHEAD_BYTES = 120;
 
-    /** What the line of a job takes beside its placements, by estimate. */
+    /** Estimated upper bound of the bytes of a job's line without its placements. */
     private static final int JOB_OVERHEAD_BYTES = 300;
 
-    /** Upper bound for a placement with a machine of its own, with usual names. */
+    /**
+     * Upper bound of the bytes of a placement whose machine has no other placement in the record,
+     * for names of usual length.
+     */
     private static final int MAX_PLACEMENT_BYTES = 75;
 
-    /** Quotes and comma of a text in a list. */
+    /** The bytes of the quotes and the comma of a string in a list. */
     private static final int STRING_OVERHEAD_BYTES = 3;
 
-    /** Quotes, commas and the index of the kind in the text of a machine. */
+    /** The bytes of the quotes, the commas and the group index in the text of a machine. */
     private static final int MACHINE_OVERHEAD_BYTES = 6;
 
     private final long sequence;
     private final String id;
     private final int maxBytes;
 
-    /** Type, zone and spot or on-demand of the machines, each with its index. */
+    /** The machine groups (type, zone, and spot or on-demand) in the record with their indexes. */
     private final Map<String, Integer> groups = new LinkedHashMap<>();
 
     private final Map<MachineInfo, Integer> machines = new LinkedHashMap<>();
@@ -85,7 +97,7 @@
     private int bytes = RECORD_OVERHEAD_BYTES;
 
     /**
-     * @param maxBytes the largest size of the value
+     * @param maxBytes the largest size of the value in bytes of JSON
      */
     public Builder(long sequence, String id, int maxBytes) {
       this.sequence = sequence;
@@ -93,13 +105,16 @@
       this.maxBytes = maxBytes;
     }
 
-    /** How many tasks of a job, each on a machine of its own, certainly fit into a record. */
+    /**
+     * Returns how many tasks of one job fit into a record even if each is placed on a different
+     * machine, for names of usual length.
+     */
     public static int tasksThatFit(int maxBytes) {
       return Math.max(
           1, (maxBytes - RECORD_OVERHEAD_BYTES - JOB_OVERHEAD_BYTES) / MAX_PLACEMENT_BYTES);
     }
 
-    /** Adds the statuses of a job; false, and nothing is added, if they don't fit. */
+    /** Adds the statuses of a job. Returns false and adds nothing if they don't fit. */
     public boolean add(Delta delta) {
       int machinesBefore = machines.size();
       int groupsBefore = groups.size();
@@ -123,7 +138,7 @@
       indexes.values().removeIf(index -> index >= size);
     }
 
-    /** Appends the placements; returns the size of the machines that this adds to the record. */
+    /** Appends the placements; returns the bytes that their new machines add to the record. */
     private int appendPlacements(StringBuilder line, List<RecordedPlacement> placements) {
       int addedBytes = 0;
       int next = 0;
@@ -141,7 +156,10 @@
       return addedBytes;
     }
 
-    /** How many placements from this one on differ only in consecutive tasks and attempts. */
+    /**
+     * Returns the number of placements, beginning at {@code start}, that have the same machine and
+     * worker epoch, and consecutive tasks and attempts. They are written as one range.
+     */
     private static int runLength(List<RecordedPlacement> placements, int start) {
       RecordedPlacement first = placements.get(start);
       int length = 1;
@@ -160,7 +178,7 @@
           && next.machine().equals(first.machine());
     }
 
-    /** Adds the machine if it is new; returns the size that this adds to the record. */
+    /** Adds the machine if the record lacks it; returns the bytes that this adds to the record. */
     private int addMachine(MachineInfo machine) {
       if (machines.containsKey(machine)) {
         return 0;
@@ -174,17 +192,17 @@
       return addedBytes;
     }
 
-    /** Whether no statuses were added. */
+    /** Returns whether no statuses were added. */
     public boolean isEmpty() {
       return jobLines.isEmpty();
     }
 
-    /** The size of the value, counted in JSON form. */
+    /** Returns the size of the value in bytes of JSON, which may be an overestimate. */
     public int bytes() {
       return bytes;
     }
 
-    /** The stored form. */
+    /** Returns the stored form of the record. */
     public JsonNode value() {
       ObjectNode value = Cbor.map();
       value.put("n", sequence);
@@ -203,15 +221,15 @@
     }
   }
 
-  /** Receives the counts of a job in a record. */
+  /** Receives the counts of each job in a record. */
   public interface CountsConsumer {
-    /** The job has so many completed tasks, and so many on machines. */
+    /** Called with the job's numbers of completed tasks and of tasks placed on machines. */
     void accept(String uid, int completed, int running);
   }
 
   /**
-   * Reads the counts of each job in a record, without the rest of it; for display alone. Unreadable
-   * lines are skipped, as {@link #decode} reports them.
+   * Reads only the counts of each job in a record, for display. Malformed lines are skipped; {@link
+   * #decode} rejects a record that contains one.
    */
   public static void readCounts(JsonNode value, CountsConsumer consumer) {
     for (JsonNode job : value.path("jobs")) {
@@ -226,13 +244,13 @@
               Integer.parseInt(line, uidEnd + 1, completedEnd, DECIMAL),
               Integer.parseInt(line, completedEnd + 1, runningEnd, DECIMAL));
         } catch (NumberFormatException e) {
-          // Skipped, see above.
+          // The malformed line is skipped, since these counts are only displayed.
         }
       }
     }
   }
 
-  /** Decodes a record; empty if any part of it is unreadable. */
+  /** Decodes a record; empty if any part of it is malformed. */
   public static Optional<ProgressLogRecord> decode(JsonNode value) {
     JsonNode sequence = value.path("n");
     if (!sequence.canConvertToLong() || !sequence.isIntegralNumber()) {
--- a/src/main/java/org/ploverspindle/state/ReadPacing.java
+++ b/src/main/java/org/ploverspindle/state/ReadPacing.java
@@ -2,20 +2,32 @@
 
 import org.ploverspindle.eventloop.Scheduler;
 
-/** Decides when a replica may read, within this process's share of the state service's requests. */
+/**
+ * Decides when a replica may send its next read, so that its reads stay within this process's share
+ * of the state service's request rate limit.
+ */
 final class ReadPacing {
-  /** Before any time of the scheduler, and far enough from the ends of the range of long. */
+  /**
+   * A time before any time of the scheduler. Its distance from the ends of the range of {@code
+   * long} keeps differences and sums with it from overflowing.
+   */
   static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   private static final long INITIAL_INTERVAL_MS = 150;
 
-  /** How many reads may be sent ahead of the share. */
+  /** The number of urgent reads that may be sent ahead of the share. */
   private static final long BURST_READS = 2;
 
-  /** Readers that can wait get half of the share: the other half is kept for urgent readers. */
+  /**
+   * The factor between the average read interval and the interval of low-priority reads. With 2,
+   * low-priority reads use half of the share, and the other half is left for urgent reads.
+   */
   private static final long LOW_PRIORITY_INTERVAL_FACTOR = 2;
 
-  /** The longest time between reads while readers wait, however small the share. */
+  /**
+   * The upper bound of the time between reads for low-priority readers and after failed reads,
+   * however small the share is.
+   */
   private static final long MAX_INTERVAL_MS = 600;
 
   private static final long RELOAD_BACKOFF_STEP_MS = 200;
@@ -25,7 +37,7 @@
   private long intervalMs = INITIAL_INTERVAL_MS;
   private long lastSentMs = NEVER_MS;
 
-  /** The reads that were sent use up the share of requests until then. */
+  /** The time until which the reads sent so far use up the share of requests. */
   private long shareUsedUntilMs = NEVER_MS;
 
   private int consecutiveFailures;
@@ -34,12 +46,12 @@
     this.scheduler = scheduler;
   }
 
-  /** Sets the average time between reads that the share allows. */
+  /** Sets the average time between reads that the share allows, in milliseconds. */
   void setInterval(long ms) {
     intervalMs = ms;
   }
 
-  /** A read is being sent now. */
+  /** Records that a read is being sent now. */
   void readSent() {
     lastSentMs = scheduler.nowMs();
     shareUsedUntilMs = Math.max(shareUsedUntilMs, lastSentMs) + intervalMs;
@@ -57,19 +69,22 @@
     consecutiveFailures++;
   }
 
-  /** Whether the last read is this old; while reads fail, correspondingly older. */
+  /**
+   * Returns whether the last read was sent at least {@code ms} milliseconds ago. Each consecutive
+   * failure adds another {@code ms} to this time.
+   */
   boolean isLastReadOlderThan(long ms) {
     return scheduler.nowMs() - lastSentMs >= ms * (1 + consecutiveFailures);
   }
 
   /**
-   * When the next read may be sent; may be in the past.
+   * Returns the time from which the next read may be sent, which may be in the past.
    *
-   * @param urgent whether a reader waits that should not wait for long
+   * @param urgent whether a waiting reader needs the result soon
    */
   long nextReadMs(boolean urgent) {
     if (consecutiveFailures > 0) {
-      // Backs off while reads fail: they must not use up the requests that leadership needs.
+      // Failing reads back off, since leadership needs the rest of the request rate limit.
       return lastSentMs + Math.min(MAX_INTERVAL_MS, intervalMs * (1 + consecutiveFailures));
     }
     if (urgent) {
@@ -78,7 +93,7 @@
     return lastSentMs + Math.min(MAX_INTERVAL_MS, LOW_PRIORITY_INTERVAL_FACTOR * intervalMs);
   }
 
-  /** How long to wait before a failed reload is tried again. */
+  /** Returns the time to wait before a failed reload is retried, in milliseconds. */
   long reloadBackoffMs() {
     return Math.min(MAX_RELOAD_BACKOFF_MS, RELOAD_BACKOFF_STEP_MS * consecutiveFailures);
   }
--- a/src/main/java/org/ploverspindle/state/Replica.java
+++ b/src/main/java/org/ploverspindle/state/Replica.java
@@ -18,16 +18,21 @@
 import org.ploverspindle.state.StateStore.PageResult;
 
 /**
- * This process's replica of the state service, brought up to date by short reads of what changed.
+ * This process's replica of the state service. Short reads of the changes since the last read keep
+ * it up to date.
  *
  * <p>Each read is also a read barrier: it is sent after the requests that wait for it arrived, so
- * its result holds everything that any controller can have confirmed before then. One read serves
- * all requests that wait.
+ * its result contains everything that any controller can have acknowledged before that. One read
+ * serves all requests that wait when it is sent.
  */
 public final class Replica {
-  /** Notified of every change of a key; the entry is empty when the key was removed. */
+  /** Is notified of every change of a key. */
   public interface Listener {
-    /** Called after the change was applied to the replica. */
+    /**
+     * Called after a change was applied to the replica.
+     *
+     * @param entry the new entry of the key; empty if the key was removed
+     */
     void changed(String key, Optional<Entry> entry);
   }
 
@@ -52,7 +57,8 @@
 
   /**
    * @param prefix the prefix of the keys that are replicated
-   * @param idlePeriodMs the longest time between two reads when nobody waits for one
+   * @param idlePeriodMs the time between two reads while no reader waits, in milliseconds; it is
+   *     longer while reads fail
    */
   public Replica(Scheduler scheduler, StateStore store, String prefix, long idlePeriodMs) {
     this.scheduler = scheduler;
@@ -63,52 +69,66 @@
   }
 
   /**
-   * Adds a listener. A listener that belongs to a term must be cancelled with it, since the replica
-   * would keep the deposed leader's objects for the life of the process.
+   * Adds a listener. A listener that belongs to a term must be cancelled at the end of the term;
+   * otherwise the replica keeps the objects of the deposed leader in memory until the process ends.
+   *
+   * @return removes the listener when cancelled
    */
   public Cancellable addListener(Listener listener) {
     return entries.addListener(listener);
   }
 
-  /** Loads the replica, and keeps it up to date until it is cancelled. */
+  /** Loads the replica, and reads changes periodically until the returned handle is cancelled. */
   public Cancellable start() {
     reload();
     return scheduler.scheduleWithFixedDelay(idlePeriodMs, () -> readIfOlderThan(idlePeriodMs));
   }
 
-  /** Sets the average time between reads: this process's share of the state service's requests. */
+  /**
+   * Sets the average time between reads, in milliseconds. It expresses this process's share of the
+   * state service's request rate limit.
+   */
   public void setReadInterval(long ms) {
     pacing.setInterval(ms);
   }
 
-  /** Reads at once if the last read was sent at least this long ago. */
+  /**
+   * Reads immediately if the last read was sent at least {@code ms} milliseconds ago. Each
+   * consecutive failed read adds another {@code ms} to this time.
+   */
   public void readIfOlderThan(long ms) {
     if (pacing.isLastReadOlderThan(ms)) {
       read();
     }
   }
 
-  /** Whether all keys were read at least once, and the changes since then can still be read. */
+  /**
+   * Returns whether all keys were read at least once, and the changes since then can still be read
+   * from the state service.
+   */
   public boolean isLoaded() {
     return loaded;
   }
 
-  /** When the last answered read was sent: the replica holds all that was committed before then. */
+  /**
+   * Returns when the last successful read was sent. The replica contains everything that was
+   * committed before that time.
+   */
   public long freshAsOfMs() {
     return freshAsOfMs;
   }
 
-  /** The entry of a key; empty if the key does not exist. */
+  /** Returns the entry of a key; empty if the key does not exist. */
   public Optional<Entry> get(String key) {
     return entries.get(key);
   }
 
-  /** The entries with this prefix in the order of their keys; an unmodifiable live view. */
+  /** Returns the entries with this prefix in key order, as an unmodifiable live view. */
   public SortedMap<String, Entry> withPrefix(String keyPrefix) {
     return entries.withPrefix(keyPrefix);
   }
 
-  /** The text in a field of the key's value, if the key exists and the field is a text. */
+  /** Returns the text in a field of the key's value, if the key exists and the field is text. */
   public Optional<String> text(String key, String field) {
     return get(key)
         .map(Entry::value)
@@ -118,8 +138,8 @@
   }
 
   /**
-   * Calls {@code then} with true once the replica holds everything that was committed before this
-   * call, or with false if the state service could not be read.
+   * Calls {@code callback} with true once the replica contains everything that was committed before
+   * this call, or with false if the state service could not be read.
    */
   public void readBarrier(Consumer<Boolean> callback) {
     waitingReaders.add(callback);
@@ -128,8 +148,9 @@
   }
 
   /**
-   * Like {@link #readBarrier}, for frequent requests that can wait: their reads leave half of the
-   * share of requests to readers on which users wait.
+   * Gives the same guarantee as {@link #readBarrier}, for frequent requests that can wait. Reads
+   * for these requests are paced to half of the share of requests, and leave the other half to
+   * readers that users wait for.
    */
   public void lowPriorityReadBarrier(Consumer<Boolean> callback) {
     waitingReaders.add(callback);
@@ -208,14 +229,15 @@
   }
 
   /**
-   * Shows what a transaction of this process created as soon as it is answered, before a read
-   * brings it. Only for keys that are created once and never change: a reader of the replica must
-   * not conclude anything from which other keys are still missing.
+   * Applies a key that a transaction of this process created, without waiting for the next read. It
+   * may be used only for keys that are created once and never change. The replica may still lack
+   * other keys with lower revisions, so readers must not draw conclusions from missing keys.
    *
-   * @param createdRevision the revision of the transaction
+   * @param createdRevision the revision of the transaction that created the key
    */
   public void applyCreated(Change.Put put, long createdRevision) {
-    // During a reload a page that was read before the key was created would make it seem removed.
+    // During a reload the key may be missing from a page that was read before the key was created.
+    // The end of the reload would then remove the key from the replica.
     if (loaded) {
       entries.apply(new ChangedEntry(put.key(), Optional.of(put.value()), createdRevision));
     }
@@ -231,11 +253,11 @@
   }
 
   /**
-   * Loads a page and those after it.
+   * Loads a page and all pages after it.
    *
-   * @param after the last key of the page before; empty for the first page
-   * @param firstRevision the revision of the first page, if this is a later one
-   * @param loadedKeys the keys of the pages before
+   * @param after the last key of the previous page; empty for the first page
+   * @param firstRevision the revision of the first page; empty if this is the first page
+   * @param loadedKeys the keys of the previous pages; the keys of this page are added to it
    * @param sentMs when the first page was requested
    */
   private void loadPage(
@@ -256,8 +278,8 @@
             entries.apply(
                 new ChangedEntry(entry.key(), Optional.of(entry.value()), entry.modRevision()));
           }
-          // Changes that are made between pages are read afterwards, from the first page's
-          // revision.
+          // Pages can have different revisions. The next read of changes starts at the revision of
+          // the first page, and so includes all changes that were made between pages.
           long baseRevision = firstRevision.orElse(page.revision());
           if (page.hasNext() && !page.entries().isEmpty()) {
             loadPage(lastKey, OptionalLong.of(baseRevision), loadedKeys, sentMs);
@@ -271,8 +293,8 @@
     readInFlight = false;
     pacing.readFailed();
     takeWaitingReaders().forEach(reader -> reader.accept(false));
-    // Backs off: a service that just came back must not receive the reloads of all controllers at
-    // once.
+    // Reloads back off, so that a state service that recovers from an outage does not receive the
+    // reloads of all controllers at the same time.
     scheduler.schedule(
         pacing.reloadBackoffMs(),
         () -> {
@@ -289,7 +311,8 @@
     loaded = true;
     pacing.readSucceeded();
     freshAsOfMs = Math.max(freshAsOfMs, sentMs);
-    // Readers that wait may have arrived after the reload was sent: they need another read.
+    // A waiting reader may have arrived after the first page was requested. It is served by another
+    // read, since the reload may lack changes that were committed before the reader arrived.
     scheduleRead();
   }
 }
--- a/src/main/java/org/ploverspindle/state/ReplicaEntries.java
+++ b/src/main/java/org/ploverspindle/state/ReplicaEntries.java
@@ -29,7 +29,7 @@
     return Collections.unmodifiableSortedMap(entries.subMap(prefix, prefix + Character.MAX_VALUE));
   }
 
-  /** Applies a change, unless this or a later change of the key was applied before. */
+  /** Applies a change, unless this change or a later change of the key was already applied. */
   void apply(ChangedEntry change) {
     Entry current = entries.get(change.key());
     if (current != null && current.modRevision() >= change.modRevision()) {
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Removes all entries whose key is not among these. */
+  /** Removes all entries whose keys are not in this set. */
   void retainOnly(Set<String> keys) {
     List<String> removed = entries.keySet().stream().filter(key -> !keys.contains(key)).toList();
     for (String key : removed) {
--- a/src/main/java/org/ploverspindle/state/SnapshotRecord.java
+++ b/src/main/java/org/ploverspindle/state/SnapshotRecord.java
@@ -12,31 +12,41 @@
 import org.ploverspindle.net.Cbor;
 
 /**
- * The progress snapshot of a shard of a job's tasks, packed as text since a value may hold only a
- * few kilobytes.
+ * The progress snapshot of a shard, which is a run of a job's tasks. It is encoded as compact text,
+ * because the state service may limit values to a few kilobytes.
  *
  * @param completed the tasks that have completed
- * @param placements where tasks were last placed
- * @param running how many tasks are on machines, for display
- * @param coveredUpTo the last record of the progress log that the snapshot covers: later records
- *     are newer than the snapshot. 0 in snapshots of versions without a progress log.
+ * @param placements the last placements of tasks
+ * @param running the number of tasks that are placed on machines, for display
+ * @param coveredUpTo the sequence number of the last progress log record that the snapshot covers.
+ *     Records with higher sequence numbers are newer than the snapshot. 0 in snapshots of versions
+ *     without a progress log.
  */
 public record SnapshotRecord(
     BitSet completed, List<RecordedPlacement> placements, int running, long coveredUpTo) {
 
-  /** What a new leader must know of a machine before the machine sends a heartbeat or is listed. */
+  /**
+   * The description of a machine that a new leader needs before the machine sends a heartbeat to it
+   * or the cloud lists the machine.
+   */
   public record MachineInfo(String id, String type, String zone, boolean spot) {}
 
-  /** A placement of a task; it is recorded before the launch command is sent. */
+  /** A placement of a task. It is recorded before the launch command is sent to the worker. */
   public record RecordedPlacement(int task, long attempt, MachineInfo machine, long agentEpoch) {}
 
-  /** Upper bound for a placement with a machine of its own, with usual names. */
+  /**
+   * Upper bound of the bytes of a placement whose machine has no other placement in the snapshot,
+   * for names of usual length.
+   */
   private static final int MAX_PLACEMENT_BYTES = 100;
 
-  /** Upper bound for the rest of a snapshot. */
+  /** Upper bound of the bytes of a snapshot without its placements. */
   private static final int MAX_OVERHEAD_BYTES = 250;
 
-  /** Also where the state service allows more: several records should fit into a transaction. */
+  /**
+   * The largest size of a snapshot, even if the state service accepts larger values, so that
+   * several records fit into one transaction.
+   */
   private static final int MAX_VALUE_BYTES = 16 * 1024;
 
   private static final int MIN_SHARD_SIZE = 8;
@@ -44,13 +54,17 @@
   private static final int MACHINE_FIELD_COUNT = 4;
   private static final int MACHINE_SPOT_FIELD = 3;
 
-  /** How many tasks a shard may have so that its snapshot always fits in a value. */
+  /**
+   * Returns the largest number of tasks in a shard whose snapshot always fits into a value, for
+   * names of usual length. The result is never less than the minimum shard size, even if the value
+   * is too small for it.
+   */
   public static int shardSizeFor(int maxValueBytes) {
     int bytesForPlacements = Math.min(maxValueBytes, MAX_VALUE_BYTES) - MAX_OVERHEAD_BYTES;
     return Math.max(MIN_SHARD_SIZE, bytesForPlacements / MAX_PLACEMENT_BYTES);
   }
 
-  /** The stored form, with counts of the whole job for display. */
+  /** Returns the stored form with the counts of the whole job, which are only displayed. */
   public JsonNode encode(int jobCompleted, int jobRunning) {
     ObjectNode value = encode();
     value.put("job_done", jobCompleted);
@@ -58,7 +72,7 @@
     return value;
   }
 
-  /** The stored form. */
+  /** Returns the stored form without the counts of the whole job. */
   public ObjectNode encode() {
     Map<MachineInfo, Integer> machines = new LinkedHashMap<>();
     StringBuilder placementsText = new StringBuilder();
@@ -80,7 +94,7 @@
     return value;
   }
 
-  /** Decodes a record; empty if it is unreadable. */
+  /** Decodes a record; empty if it is malformed. */
   public static Optional<SnapshotRecord> decode(JsonNode value) {
     if (!value.path("done").isTextual() || !value.path("live").isTextual()) {
       return Optional.empty();
@@ -123,7 +137,8 @@
 
   private static void requireFields(String[] fields, int count) {
     if (fields.length != count) {
-      throw new IndexOutOfBoundsException(fields.length + " fields instead of " + count);
+      throw new IndexOutOfBoundsException(
+          fields.length + " fields in a stored placement or machine, expected " + count);
     }
   }
 }
--- a/src/main/java/org/ploverspindle/state/StoredNames.java
+++ b/src/main/java/org/ploverspindle/state/StoredNames.java
@@ -7,7 +7,7 @@
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.Priority;
 
-/** The names under which enum constants are stored; independent of the constants' names. */
+/** The stored names of enum constants, which stay the same if a constant is renamed in the code. */
 final class StoredNames {
   private StoredNames() {}
 
@@ -28,12 +28,12 @@
     };
   }
 
-  /** The kind that is stored under this name, in upper or lower case. */
+  /** Returns the job kind with this stored name, ignoring case; empty if there is none. */
   static Optional<JobKind> kind(String name) {
     return find(JobKind.values(), StoredNames::of, name);
   }
 
-  /** The priority that is stored under this name, in upper or lower case. */
+  /** Returns the priority with this stored name, ignoring case; empty if there is none. */
   static Optional<Priority> priority(String name) {
     return find(Priority.values(), StoredNames::of, name);
   }
--- a/src/main/java/org/ploverspindle/state/TaskRanges.java
+++ b/src/main/java/org/ploverspindle/state/TaskRanges.java
@@ -2,7 +2,10 @@
 
 import java.util.BitSet;
 
-/** Sets of task indexes in text form, such as {@code 0-4,7}: small enough for a stored value. */
+/**
+ * The compact text form of sets of task indexes in stored values, such as {@code 0-4,7}. Both
+ * bounds of a range are inclusive.
+ */
 final class TaskRanges {
   private TaskRanges() {}
 
@@ -20,10 +23,10 @@
   }
 
   /**
-   * Reads the text form.
+   * Parses the text form.
    *
    * @throws NumberFormatException if a bound is not a number
-   * @throws IndexOutOfBoundsException if a range ends before it begins
+   * @throws IndexOutOfBoundsException if the last task of a range is less than its first task
    */
   static BitSet parse(String text) {
     BitSet tasks = new BitSet();
@@ -36,7 +39,7 @@
     return tasks;
   }
 
-  /** The items of a list that is separated by commas; none for an empty text. */
+  /** Splits a comma-separated list into its items; an empty text has no items. */
   static String[] items(String text) {
     return text.isEmpty() ? new String[0] : text.split(",", -1);
   }
--- a/src/main/java/org/ploverspindle/state/TokenBucket.java
+++ b/src/main/java/org/ploverspindle/state/TokenBucket.java
@@ -2,7 +2,10 @@
 
 import org.ploverspindle.eventloop.Scheduler;
 
-/** A token bucket on the injected clock: a budget with a rate and a burst. */
+/**
+ * A token bucket that limits a rate and allows bursts. It reads time from the scheduler, so that
+ * tests can simulate it.
+ */
 public final class TokenBucket {
   private final Scheduler scheduler;
   private final double burst;
@@ -10,7 +13,11 @@
   private double tokens;
   private long lastRefillMs;
 
-  /** A full bucket. */
+  /**
+   * Creates a full bucket.
+   *
+   * @param burst the capacity of the bucket in tokens
+   */
   public TokenBucket(Scheduler scheduler, double ratePerSecond, double burst) {
     this.scheduler = scheduler;
     this.ratePerSecond = ratePerSecond;
@@ -19,7 +26,7 @@
     this.lastRefillMs = scheduler.nowMs();
   }
 
-  /** Changes the rate from now on. */
+  /** Sets the rate at which tokens are added from now on. */
   public void setRate(double newRatePerSecond) {
     refill();
     ratePerSecond = newRatePerSecond;
@@ -31,13 +38,16 @@
     lastRefillMs = nowMs;
   }
 
-  /** The tokens that may be taken now; negative while there is debt. */
+  /**
+   * Returns the tokens that are available now. The number is negative if {@link #take} took more
+   * than were available.
+   */
   public double available() {
     refill();
     return tokens;
   }
 
-  /** Takes the tokens if they are available. */
+  /** Takes the tokens if they are available; returns whether it did. */
   public boolean tryTake(double amount) {
     refill();
     if (tokens < amount) {
@@ -47,7 +57,10 @@
     return true;
   }
 
-  /** Takes tokens for what must be sent in any case; the bucket may go into debt. */
+  /**
+   * Takes tokens for a request that must be sent in any case. The available tokens may become
+   * negative.
+   */
   public void take(double amount) {
     refill();
     tokens -= amount;
--- a/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
+++ b/src/test/java/org/ploverspindle/state/HttpStateStoreTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.ploverspindle.net.HttpResult;
 
-/** How answers of the state service are interpreted. */
+/** Tests how {@link HttpStateStore} interprets responses of the state service. */
 class HttpStateStoreTest {
   private static List<StateStore.ChangesResult> changesFor(HttpResult result) {
     List<StateStore.ChangesResult> received = new ArrayList<>();
@@ -17,9 +17,11 @@
   }
 
   /**
-   * Changes have no size limit. A replica that was partitioned for a minute in a busy deployment
-   * requested more changes than it accepts, and repeated the same request until the service had
-   * discarded them; meanwhile its controller could not serve anything.
+   * Guards against a replica that repeats a request whose response is always too large. The state
+   * service does not limit the size of changes. After a network partition of a minute in a busy
+   * deployment, a replica requested more changes than its client accepts. It repeated this request
+   * until the state service had discarded the changes, and its controller could serve no requests
+   * until then.
    */
   @Test
   void tooManyOrDiscardedChangesRequireReadingAllKeys() {
--- a/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
@@ -12,6 +12,10 @@
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.StateStore.Change;
 
+/**
+ * Guards against stored machine types that are incomplete or exceed the largest value of the state
+ * service. This can happen if the cloud lists more machine types than fit into one value.
+ */
 class MachineTypesRecordTest {
   private static List<MachineType> types(int count) {
     return IntStream.range(0, count)
--- a/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
@@ -17,6 +17,11 @@
 import org.ploverspindle.state.SnapshotRecord.MachineInfo;
 import org.ploverspindle.state.SnapshotRecord.RecordedPlacement;
 
+/**
+ * Guards against progress that is changed by storing it. A record must decode to the statuses that
+ * were encoded, must stay within its largest size, and must be rejected if a part of it is
+ * malformed.
+ */
 class ProgressLogRecordTest {
   private static Delta delta(Random random, String uid, int tasks) {
     BitSet completed = new BitSet();
@@ -88,7 +93,7 @@
         }
         BitSet none = new BitSet();
         assertTrue(
-            builder.add(new Delta("run-999999999", 1, 1, none, none, placements)), kib + " KB");
+            builder.add(new Delta("run-999999999", 1, 1, none, none, placements)), kib + " KiB");
         while (builder.add(delta(random, "run-" + random.nextInt(100), 1 + random.nextInt(8)))) {
           assertTrue(Cbor.jsonSize(builder.value()) <= maxBytes);
         }
--- a/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
@@ -13,6 +13,10 @@
 import org.ploverspindle.state.SnapshotRecord.MachineInfo;
 import org.ploverspindle.state.SnapshotRecord.RecordedPlacement;
 
+/**
+ * Guards against progress that is changed by storing it. A snapshot must decode to the statuses
+ * that were encoded, must fit into one value, and must be rejected if a part of it is malformed.
+ */
 class SnapshotRecordTest {
 
   @Test
--- a/src/test/java/org/ploverspindle/state/StoredNamesTest.java
+++ b/src/test/java/org/ploverspindle/state/StoredNamesTest.java
@@ -9,7 +9,10 @@
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.Priority;
 
-/** Other versions run on the same records: a renamed constant must keep its stored name. */
+/**
+ * Guards against stored names that change when an enum constant is renamed. Other versions read the
+ * same records, and could not read a changed name.
+ */
 class StoredNamesTest {
   @Test
   void enumConstantsKeepTheirStoredNames() {
