--- a/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
+++ b/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
@@ -46,8 +46,9 @@
       List<RecordedPlacement> placements) {}
 
   /**
-   * The number of records that the log holds. A slot is overwritten only if each status in its
-   * record is covered by a snapshot or a newer record, or is carried over into the new record.
+   * The number of records that the log holds. A slot is overwritten only if the statuses in its
+   * record that are still needed are carried over into the new record. A status is no longer needed
+   * once a snapshot or a newer record covers it.
    */
   public static final int SLOTS = 256;
 
