--- a/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
+++ b/src/main/java/org/ploverspindle/state/MachineTypesRecord.java
@@ -12,28 +12,31 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /**
- * The machine types that the cloud listed last. They are stored so that controllers that all
- * restart while the cloud is unreachable can still lead, answer workers, and validate submissions.
+ * The stored record of the machine types that the cloud listed last. With this record, controllers
+ * that all restart while the cloud is unreachable can still acquire leadership, answer workers, and
+ * validate submissions.
  */
 public final class MachineTypesRecord {
   private static final String PARTS = "parts";
 
-  /** What the field with the number of parts takes in a part. */
+  /** Upper bound of the bytes that the field with the number of parts takes in each part. */
   private static final int PARTS_FIELD_BYTES = 20;
 
   private MachineTypesRecord() {}
 
   /**
-   * The writes that store the types: one, or several parts where one value can't hold them. In that
-   * case the single record is left as it is, for readers of versions that don't know parts: some of
-   * the types alone would mislead them.
+   * Returns the writes that store the machine types: a single record, or several parts if one value
+   * can't hold them. With parts, an existing single record is not changed. Earlier versions read
+   * only the single record, and would take an incomplete list in it for the complete one.
+   *
+   * @param maxValueBytes the largest value that the state service accepts, in bytes of JSON
    */
-  public static List<Change.Put> puts(List<MachineType> types, int valueBytes) {
-    JsonNode whole = encode(types);
-    if (Cbor.jsonSize(whole) <= valueBytes) {
-      return List.of(new Change.Put(Keys.MACHINE_TYPES, whole));
+  public static List<Change.Put> puts(List<MachineType> types, int maxValueBytes) {
+    JsonNode single = encode(types);
+    if (Cbor.jsonSize(single) <= maxValueBytes) {
+      return List.of(new Change.Put(Keys.MACHINE_TYPES, single));
     }
-    List<List<MachineType>> parts = split(types, valueBytes - PARTS_FIELD_BYTES);
+    List<List<MachineType>> parts = split(types, maxValueBytes - PARTS_FIELD_BYTES);
     List<Change.Put> puts = new ArrayList<>();
     for (int i = 0; i < parts.size(); i++) {
       ObjectNode part = encode(parts.get(i)).put(PARTS, parts.size());
@@ -57,7 +60,10 @@
     return parts;
   }
 
-  /** All types that are recorded, the newest last; empty when there are none. */
+  /**
+   * Returns all recorded machine types, the newest last; empty if there are none. The types of the
+   * single record come first, since that record is not updated while parts are written.
+   */
   public static Optional<List<MachineType>> read(Replica replica) {
     List<MachineType> types = new ArrayList<>();
     replica
@@ -68,7 +74,9 @@
     return types.isEmpty() ? Optional.empty() : Optional.of(types);
   }
 
-  /** The types that are stored in parts; empty if a part is missing or unreadable. */
+  /**
+   * Returns the machine types that are stored in parts; empty if a part is missing or malformed.
+   */
   private static Optional<List<MachineType>> readParts(Replica replica) {
     int parts =
         replica.get(Keys.machineTypes(0)).map(entry -> entry.value().path(PARTS).asInt()).orElse(0);
@@ -84,54 +92,56 @@
     return Optional.of(types);
   }
 
-  /** The stored form of these types. */
+  /** Returns the stored form of these machine types. */
   public static ObjectNode encode(List<MachineType> types) {
     ObjectNode value = Cbor.map();
     ArrayNode list = value.putArray("types");
     for (MachineType type : types) {
-      ObjectNode node = list.addObject();
-      node.put("name", type.name());
-      node.put("cores", type.size().cores());
-      node.put("accel", type.size().accelerators());
-      node.put("mem", type.size().memory());
-      node.put("cache_gb", type.cacheGb());
-      node.put("fetch", type.fetchGbPerS());
-      node.put("price", type.price());
-      node.put("spot_price", type.spotPrice());
-      node.put("boot_s", type.bootS());
-      type.zones().forEach(node.putArray("zones")::add);
+      ObjectNode typeNode = list.addObject();
+      typeNode.put("name", type.name());
+      typeNode.put("cores", type.size().cores());
+      typeNode.put("accel", type.size().accelerators());
+      typeNode.put("mem", type.size().memory());
+      typeNode.put("cache_gb", type.cacheGb());
+      typeNode.put("fetch", type.fetchGbPerS());
+      typeNode.put("price", type.price());
+      typeNode.put("spot_price", type.spotPrice());
+      typeNode.put("boot_s", type.bootS());
+      type.zones().forEach(typeNode.putArray("zones")::add);
     }
     return value;
   }
 
-  /** Decodes a record; empty if a type in it is unreadable, or it holds none. */
+  /** Decodes a record; empty if a machine type in it is malformed, or if it contains none. */
   public static Optional<List<MachineType>> decode(JsonNode value) {
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode node : value.path("types")) {
+    for (JsonNode typeNode : value.path("types")) {
       List<String> zones = new ArrayList<>();
-      node.path("zones").forEach(zone -> zones.add(zone.asText()));
-      if (!node.path("name").isTextual()
-          || !node.path("cores").isIntegralNumber()
+      typeNode.path("zones").forEach(zone -> zones.add(zone.asText()));
+      if (!typeNode.path("name").isTextual()
+          || !typeNode.path("cores").isIntegralNumber()
           || zones.isEmpty()) {
         return Optional.empty();
       }
-      types.add(decodeType(node, List.copyOf(zones)));
+      types.add(decodeType(typeNode, List.copyOf(zones)));
     }
     return types.isEmpty() ? Optional.empty() : Optional.of(types);
   }
 
-  private static MachineType decodeType(JsonNode node, List<String> zones) {
+  private static MachineType decodeType(JsonNode typeNode, List<String> zones) {
     Resources size =
         new Resources(
-            node.path("cores").asLong(), node.path("accel").asLong(), node.path("mem").asLong());
+            typeNode.path("cores").asLong(),
+            typeNode.path("accel").asLong(),
+            typeNode.path("mem").asLong());
     return new MachineType(
-        node.path("name").asText(),
+        typeNode.path("name").asText(),
         size,
-        node.path("cache_gb").asDouble(),
-        node.path("fetch").asDouble(),
-        node.path("price").asDouble(),
-        node.path("spot_price").asDouble(),
-        node.path("boot_s").asDouble(),
+        typeNode.path("cache_gb").asDouble(),
+        typeNode.path("fetch").asDouble(),
+        typeNode.path("price").asDouble(),
+        typeNode.path("spot_price").asDouble(),
+        typeNode.path("boot_s").asDouble(),
         zones);
   }
 }
--- a/src/main/java/org/ploverspindle/state/ReplicaEntries.java
+++ b/src/main/java/org/ploverspindle/state/ReplicaEntries.java
@@ -29,23 +29,23 @@
     return Collections.unmodifiableSortedMap(entries.subMap(prefix, prefix + Character.MAX_VALUE));
   }
 
-  /** Applies a change, unless this or a later change of the key was applied before. */
+  /** Applies a change, unless this change or a later change of the key was already applied. */
   void apply(ChangedEntry change) {
-    Entry known = entries.get(change.key());
-    if (known != null && known.modRevision() >= change.modRevision()) {
+    Entry current = entries.get(change.key());
+    if (current != null && current.modRevision() >= change.modRevision()) {
       return;
     }
     if (change.value().isPresent()) {
       Entry entry = new Entry(change.key(), change.value().get(), change.modRevision());
       entries.put(change.key(), entry);
       notifyListeners(change.key(), Optional.of(entry));
-    } else if (known != null) {
+    } else if (current != null) {
       entries.remove(change.key());
       notifyListeners(change.key(), Optional.empty());
     }
   }
 
-  /** Removes all entries whose key is not among these. */
+  /** Removes all entries whose keys are not in this set. */
   void retainOnly(Set<String> keys) {
     List<String> removed = entries.keySet().stream().filter(key -> !keys.contains(key)).toList();
     for (String key : removed) {
--- a/src/main/java/org/ploverspindle/state/StoredNames.java
+++ b/src/main/java/org/ploverspindle/state/StoredNames.java
@@ -7,7 +7,7 @@
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.Priority;
 
-/** The names under which enum constants are stored; independent of the constants' names. */
+/** The stored names of enum constants, which stay the same if a constant is renamed in the code. */
 final class StoredNames {
   private StoredNames() {}
 
@@ -28,18 +28,20 @@
     };
   }
 
-  /** The kind that is stored under this name, in upper or lower case. */
+  /** Returns the job kind with this stored name, ignoring case; empty if there is none. */
   static Optional<JobKind> kind(String name) {
     return find(JobKind.values(), StoredNames::of, name);
   }
 
-  /** The priority that is stored under this name, in upper or lower case. */
+  /** Returns the priority with this stored name, ignoring case; empty if there is none. */
   static Optional<Priority> priority(String name) {
     return find(Priority.values(), StoredNames::of, name);
   }
 
   private static <T> Optional<T> find(T[] values, Function<T, String> storedName, String name) {
     String lowerCase = name.toLowerCase(Locale.ROOT);
-    return Arrays.stream(values).filter(v -> storedName.apply(v).equals(lowerCase)).findFirst();
+    return Arrays.stream(values)
+        .filter(constant -> storedName.apply(constant).equals(lowerCase))
+        .findFirst();
   }
 }
--- a/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/MachineTypesRecordTest.java
@@ -12,6 +12,10 @@
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.StateStore.Change;
 
+/**
+ * Guards against stored machine types that are incomplete or exceed the largest value of the state
+ * service. This can happen if the cloud lists more machine types than fit into one value.
+ */
 class MachineTypesRecordTest {
   private static List<MachineType> types(int count) {
     return IntStream.range(0, count)
@@ -30,7 +34,7 @@
   }
 
   @Test
-  void manyTypesAreKeptInPartsThatFitAndFewInTheRecordThatAllVersionsRead() {
+  void fewTypesUseTheSingleRecordAndManyTypesAreSplitIntoPartsWithinTheLimit() {
     assertEquals(
         List.of(new Change.Put(Keys.MACHINE_TYPES, MachineTypesRecord.encode(types(3)))),
         MachineTypesRecord.puts(types(3), 2048));
--- a/src/test/java/org/ploverspindle/state/StoredNamesTest.java
+++ b/src/test/java/org/ploverspindle/state/StoredNamesTest.java
@@ -9,10 +9,13 @@
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.Priority;
 
-/** Other versions run on the same records: a renamed constant must keep its stored name. */
+/**
+ * Guards against stored names that change when an enum constant is renamed. Other versions read the
+ * same records, and could not read a changed name.
+ */
 class StoredNamesTest {
   @Test
-  void theStoredNamesAreFixed() {
+  void enumConstantsKeepTheirStoredNames() {
     assertEquals(
         List.of("batch", "gang", "service"),
         Arrays.stream(JobKind.values()).map(StoredNames::of).toList());
@@ -22,7 +25,7 @@
   }
 
   @Test
-  void whatIsStoredIsRead() {
+  void storedNamesReadBackAndUnknownNamesAreRejected() {
     for (JobKind kind : JobKind.values()) {
       assertEquals(Optional.of(kind), StoredNames.kind(StoredNames.of(kind)));
     }
