--- a/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
+++ b/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
@@ -13,18 +13,25 @@
 
 /**
  * Orders jobs so that as many as possible meet their deadlines when there is more work than
- * capacity. Serving by latest start alone would then start every job just too late. As in Moore and
- * Hodgson's rule, whenever a job in that order would be late, the one with the most work so far is
- * deferred. Deferred jobs are served after the others, the least work first.
+ * capacity. Serving jobs by their latest start alone would then start each of them slightly too
+ * late. As in the Moore-Hodgson rule, jobs are admitted in the order of their latest start, and
+ * whenever a job would be late, the admitted job with the most work is deferred. Deferred jobs are
+ * served after the admitted ones, those with the least work first.
  */
 final class AdmissionOrder {
-  /** Estimates may be wrong by half: a job is late only if it is by this part of the work. */
+  /**
+   * The work ahead of a job counts at this fraction of its estimate: estimates may be wrong by
+   * half, so a job is taken for late only if even this much work would make it late.
+   */
   private static final double CERTAINTY = 0.6;
 
-  /** Added to each job's slack. */
+  /** Seconds added to each job's slack before it is compared with the work ahead of the job. */
   private static final double SLACK_MARGIN_S = 6;
 
-  /** Another job is deferred in a job's place only if it has so many times its work. */
+  /**
+   * Another job is deferred in place of a late job only if it has at least this many times the late
+   * job's work.
+   */
   private static final double MIN_WORK_RATIO = 1.5;
 
   private final Function<Job, OptionalDouble> remainingSlackS;
@@ -34,9 +41,10 @@
   private final long nowMs;
 
   /**
-   * @param remainingSlackS a job's slack in seconds; empty when it cannot be in time even alone
-   * @param capacity of all machines
-   * @param teamCapacity of the teams with a limit, within it
+   * @param remainingSlackS returns a job's slack in seconds, or empty if the job would be late even
+   *     without competing jobs
+   * @param capacity the capacity of all machines
+   * @param teamCapacity for each team with a limit, the capacity within that limit
    */
   AdmissionOrder(
       Function<Job, OptionalDouble> remainingSlackS,
@@ -51,15 +59,17 @@
     this.nowMs = nowMs;
   }
 
-  /** Core seconds of the job's tasks that may start now. */
+  /** Estimated work of the job's tasks that may start now, in thousandths of core seconds. */
   private double work(Job job) {
     return job.schedulableTasks(nowMs) * job.perTask().cores() * estimates.runS(job);
   }
 
   /**
-   * The same jobs; within a priority, those that can be in time come first.
+   * Returns the same jobs in the order in which they are served: by priority, and within a priority
+   * the admitted jobs before the deferred ones.
    *
-   * @param byLatestStart by priority, and within it in the order of their latest start
+   * @param byLatestStart the jobs by priority, and within a priority in the order in which they are
+   *     considered for admission, which is by latest start
    */
   List<Job> order(List<Job> byLatestStart) {
     List<Job> result = new ArrayList<>(byLatestStart.size());
@@ -85,7 +95,7 @@
     return to;
   }
 
-  /** The work of some jobs, in all and by team. */
+  /** The work of a set of jobs, in total and by team, in thousandths of core seconds. */
   private final class WorkSums {
     private double all;
     private final Map<Integer, Double> byTeam;
@@ -110,9 +120,9 @@
     }
   }
 
-  /** The admission of jobs of one priority. */
+  /** Divides the jobs of one priority into admitted and deferred ones. */
   private final class Admission {
-    /** The work of higher priorities and of the admitted jobs. */
+    /** The work of all jobs of higher priorities and of the jobs admitted so far. */
     private final WorkSums work;
 
     private final List<Job> admitted = new ArrayList<>();
@@ -122,11 +132,14 @@
       this.work = work;
     }
 
-    /** Admits the job, and defers jobs until all admitted ones can be in time. */
+    /**
+     * Admits the job, then defers admitted jobs until this job can be in time or is itself
+     * deferred.
+     */
     void add(Job job) {
       OptionalDouble slackS = remainingSlackS.apply(job);
       if (slackS.isEmpty()) {
-        // It cannot be in time even alone: no other job should be deferred for it.
+        // The job is late even without competing jobs, so no other job is deferred for it.
         deferred.add(job);
         return;
       }
@@ -140,7 +153,8 @@
               .orElse(Double.MAX_VALUE);
       boolean stillAdmitted = true;
       while (stillAdmitted) {
-        // A job's last tasks start about when the work before them is done.
+        // The job's last tasks start at about the time when the work ahead of the job is done, so
+        // its own work is left out of the comparison.
         boolean teamFull = exceeds(work.byTeam.get(job.team()), job, teamLimit);
         if (!teamFull && !exceeds(work.all, job, fleetLimit)) {
           return;
@@ -155,7 +169,12 @@
       return (sum - work(job)) * CERTAINTY > limit;
     }
 
-    /** The admitted job with the most work, of the same team if that is at its limit. */
+    /**
+     * Returns the admitted job with the most work, or the given job if no other has much more work.
+     *
+     * @param sameTeam whether only jobs of the same team may be deferred, because the job is late
+     *     on account of its team's limit
+     */
     private Job jobToDefer(Job job, boolean sameTeam) {
       Predicate<Job> eligible = other -> !sameTeam || other.team() == job.team();
       Job largest =
--- a/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
+++ b/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
@@ -13,33 +13,40 @@
 
 /**
  * Statistics of recent arrivals: how often jobs arrive, how much work they bring, and how large
- * high-priority jobs are. Times are times of day of the controllers that accepted the jobs, which
- * is good enough for a rate; nothing else depends on them.
+ * high-priority jobs are. Times are wall-clock times, in milliseconds, of the controllers that
+ * accepted the jobs. That is accurate enough for a rate, and nothing else depends on these times.
  */
 public final class ArrivalForecast {
-  /** Work whose deadline is later after its arrival need not find its machines running. */
+  /**
+   * Only work whose deadline is at most this long after its arrival counts towards the rate. Other
+   * work can wait until machines have booted for it.
+   */
   static final double SHORT_WINDOW_S = 240;
 
   private static final int ARRIVALS_KEPT = 24;
   private static final int HIGH_PRIORITY_KEPT = 12;
 
-  /** With fewer arrivals it is unknown whether they have stopped. */
+  /** With fewer recorded arrivals it is unknown whether arrivals have stopped. */
   private static final int MIN_ARRIVALS = 4;
 
-  /** After so many mean intervals without one, no more arrivals are expected. */
+  /** Arrivals have stopped when none has come for more than this many of their mean intervals. */
   private static final double MAX_INTERVALS = 7;
 
+  /** A pause of at most this length never counts as the end of arrivals. */
   private static final long MIN_QUIET_MS = 12_000;
 
-  /** The rate of work is taken over this time: about as long as a machine takes to boot. */
+  /** The rate of work is averaged over this time, which is about as long as a machine boots. */
   private static final long RATE_WINDOW_MS = 75_000;
 
   private static final double RATE_WINDOW_S = RATE_WINDOW_MS / 1_000.0;
 
-  /** With fewer high-priority jobs none is expected. */
+  /** With fewer recorded high-priority jobs, no further one is expected. */
   private static final int MIN_HIGH_PRIORITY = 3;
 
-  /** The expected job is somewhat larger than the median: at three fifths of the jobs by size. */
+  /**
+   * The expected high-priority job is the one at three fifths of the recorded jobs by size, which
+   * is somewhat larger than the median.
+   */
   private static final int TYPICAL_NUMERATOR = 3;
 
   private static final int TYPICAL_DENOMINATOR = 5;
@@ -48,21 +55,21 @@
 
   private final Deque<ArrivedWork> recentWork = new ArrayDeque<>();
 
-  /** When users submitted jobs that could run at once. */
+  /** When users submitted jobs that were ready to run at submission. */
   private final Deque<Long> submissions = new ArrayDeque<>();
 
-  /** When jobs could run, submitted or with their dependencies done. */
+  /** When jobs became ready to run: at submission, or when their dependencies were completed. */
   private final Deque<Long> arrivals = new ArrayDeque<>();
 
   private final Deque<Job> highPriorityJobs = new ArrayDeque<>();
 
-  /** Records that a user submitted a job that could run at once. */
+  /** Records that a user submitted a job that was ready to run at submission. */
   public void recordSubmission(long wallMs) {
     keep(submissions, wallMs);
     keep(arrivals, wallMs);
   }
 
-  /** Records that a job's dependencies were done, so that it could run. */
+  /** Records that a job became ready to run because its dependencies were completed. */
   public void recordReady(long wallMs) {
     keep(arrivals, wallMs);
   }
@@ -75,9 +82,10 @@
   }
 
   /**
-   * Records arrived work for the rate; only work with an early deadline counts.
+   * Records the work of a job that became ready to run. Only batch jobs with an early deadline
+   * count towards the rate.
    *
-   * @param deadlineS seconds from its arrival
+   * @param deadlineS the job's deadline in seconds from its arrival; empty if it has none
    */
   public void recordWork(JobSpec spec, OptionalDouble deadlineS, long wallMs) {
     if (spec.kind() == JobKind.BATCH && deadlineS.orElse(Double.MAX_VALUE) <= SHORT_WINDOW_S) {
@@ -87,9 +95,9 @@
   }
 
   /**
-   * Cores, in thousandths, that work keeps busy if it goes on to arrive at the present rate. With
-   * fewer, work piles up: a machine that is requested when work is pending comes up too late for
-   * it.
+   * Returns the cores, in thousandths, that work keeps busy if it continues to arrive at the recent
+   * rate. With fewer cores a backlog builds up, as a machine that is requested only once work is
+   * pending comes up too late for that work.
    */
   public double coresForRate(RuntimeEstimates estimates, long wallMs) {
     recentWork.removeIf(work -> wallMs - work.wallMs() > RATE_WINDOW_MS);
@@ -100,7 +108,10 @@
     return sum / RATE_WINDOW_S;
   }
 
-  /** Records a job that should start at once: of high priority, or covered by a guarantee. */
+  /**
+   * Records a job that should start at once because it has a high priority or is covered by its
+   * team's guarantee.
+   */
   public void recordHighPriority(Job job) {
     highPriorityJobs.addLast(job);
     if (highPriorityJobs.size() > HIGH_PRIORITY_KEPT) {
@@ -108,12 +119,18 @@
     }
   }
 
-  /** True when users submitted jobs before and have stopped; pipelines may still go on. */
+  /**
+   * True when users have submitted jobs and have stopped doing so. Jobs with dependencies may still
+   * become ready.
+   */
   public boolean submissionsStopped(long wallMs) {
     return haveStopped(submissions, wallMs);
   }
 
-  /** True when jobs could run before, and neither users nor pipelines bring any more. */
+  /**
+   * True when jobs have become ready to run and no more do so, neither by submission nor by
+   * completion of their dependencies.
+   */
   public boolean arrivalsStopped(long wallMs) {
     return haveStopped(arrivals, wallMs);
   }
@@ -128,7 +145,10 @@
     return wallMs - last > Math.max(MIN_QUIET_MS, MAX_INTERVALS * intervalMs);
   }
 
-  /** A typical one of the last high-priority jobs: the next one is expected to be like it. */
+  /**
+   * Returns a job of typical size among the last high-priority jobs, which the next one is expected
+   * to resemble; empty if too few have been recorded.
+   */
   public Optional<Job> typicalHighPriorityJob() {
     if (highPriorityJobs.size() < MIN_HIGH_PRIORITY) {
       return Optional.empty();
--- a/src/main/java/org/ploverspindle/placement/CandidateList.java
+++ b/src/main/java/org/ploverspindle/placement/CandidateList.java
@@ -6,12 +6,12 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.model.Catalogue;
 
-/** The groups that may grow, with what a plan has requested of each so far. */
+/** The groups that may grow, with the machines that a plan has requested in each so far. */
 final class CandidateList {
-  /** Smaller differences in price count as none. */
+  /** Prices that differ by less than this count as equal. */
   private static final double PRICE_TOLERANCE = 1e-9;
 
-  /** A candidate and how many of its machines the plan requests. */
+  /** A candidate, with the number of machines that the plan requests in its group. */
   static final class Selection {
     private final ScaleOutPlanner.Candidate candidate;
     private int requested;
@@ -24,7 +24,7 @@
       return candidate.group();
     }
 
-    /** How many more machines may be requested. */
+    /** Returns how many more machines may be requested in the group. */
     int remaining() {
       return candidate.maxMachines() - requested;
     }
@@ -45,7 +45,7 @@
     selections.add(new Selection(candidate));
   }
 
-  /** What is requested, in the order of the candidates. */
+  /** Returns the requests of the plan, in the order of the candidates. */
   List<ScaleOutPlanner.Request> requests() {
     List<ScaleOutPlanner.Request> requests = new ArrayList<>();
     for (Selection selection : selections) {
@@ -57,13 +57,13 @@
   }
 
   /**
-   * The candidate with the least price for each task that would run there. Among equals it is the
-   * zone that holds the fewest machines of the type: by GEP-24's formula all zones have the same
-   * room below the pool's maximum, so that all machines would go to the first zone, and be lost
-   * with it.
+   * Returns the candidate with the lowest price per task that would run there. Among candidates of
+   * equal price it is the one whose zone has the fewest machines of the type. Otherwise all
+   * machines would go to the first zone and be lost with it, as GEP-24's formula lets all zones
+   * grow by the same number of machines below the pool's maximum.
    *
-   * @param tasks how many tasks of the job need room
-   * @param includeLate also groups whose machines come up late at present
+   * @param tasks how many tasks of the job need machines
+   * @param includeLate whether groups whose machines currently come up late are included
    */
   Optional<Selection> cheapest(Job job, int tasks, boolean includeLate) {
     Optional<Selection> best = Optional.empty();
@@ -95,7 +95,10 @@
     return catalogue.type(group.type()).price(group.spot()) / Math.min(fitting, tasks);
   }
 
-  /** Machines of the type, of both kinds, in the selection's zone, those of this plan included. */
+  /**
+   * Returns the number of machines of the selection's type in its zone, spot and on-demand,
+   * including those that this plan requests.
+   */
   private int held(Selection selection) {
     MachineGroup group = selection.group();
     int held = selection.candidate.held();
@@ -107,7 +110,10 @@
     return held;
   }
 
-  /** True when room for a task costs far more there than in the cheapest type the job may use. */
+  /**
+   * True when capacity for a task costs more than {@link ScaleOutPlanner#EXPENSIVE_PRICE_RATIO}
+   * times as much in the group as in the cheapest type that the job may use.
+   */
   boolean isExpensive(Job job, MachineGroup group) {
     double least = Double.MAX_VALUE;
     for (int type = 0; type < catalogue.types().size(); type++) {
@@ -119,7 +125,7 @@
         > least * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO;
   }
 
-  /** The price for each task on a machine that is filled with them. */
+  /** Returns the price per task on a machine that is filled with tasks of the job. */
   private double fullPricePerTask(Job job, int type, boolean spot) {
     int fitting = Math.max(1, catalogue.type(type).size().capacityFor(job.perTask()));
     return catalogue.type(type).price(spot) / fitting;
--- a/src/main/java/org/ploverspindle/placement/Capacity.java
+++ b/src/main/java/org/ploverspindle/placement/Capacity.java
@@ -7,24 +7,28 @@
 import org.ploverspindle.cluster.Placement;
 
 /**
- * How much work can be done within a time, beside what runs now. The times at which cores become
- * free are kept in steps, far finer than any estimate is right, so that one pass over the
- * placements is enough, without sorting: a large fleet has tens of thousands.
+ * How much more work can be done within a given time while the tasks that run now go on. The times
+ * at which cores become free are rounded up to steps, which are far finer than runtime estimates
+ * are accurate. One pass over the placements is then enough, without sorting them: a large fleet
+ * has tens of thousands of placements.
  */
 final class Capacity {
   private static final double STEP_S = 0.25;
   private static final int STEPS = 4_800;
 
-  /** Cores that are free at the end of step i, in thousandths. */
+  /** By step, the cores that are free at its end, in thousandths. */
   private final double[] cores = new double[STEPS + 1];
 
-  /** The sum, over these cores, of the seconds until each becomes free. */
+  /**
+   * By step, the sum over the cores that are free at its end of the seconds until each becomes
+   * free, in thousandths of core seconds.
+   */
   private final double[] coreSeconds = new double[STEPS + 1];
 
   /**
-   * The capacity of all machines that take tasks.
+   * Computes the capacity of all schedulable machines.
    *
-   * @param heartbeatTimeoutMs a machine without a heartbeat for longer does not count
+   * @param heartbeatTimeoutMs a machine whose last heartbeat is older than this does not count
    */
   Capacity(MachineRegistry fleet, RuntimeEstimates estimates, long nowMs, long heartbeatTimeoutMs) {
     for (Machine machine : fleet.all()) {
@@ -39,9 +43,10 @@
   }
 
   /**
-   * The capacity within a team's limit: what the limit leaves, and what its own tasks free.
+   * Computes the capacity within a team's limit: the unused cores of the limit, and the cores that
+   * become free when the team's running tasks end.
    *
-   * @param free what the limit leaves now, in thousandths of cores
+   * @param free the unused cores of the limit, in thousandths
    */
   Capacity(Collection<Job> jobsOfTeam, long free, RuntimeEstimates estimates, long nowMs) {
     add(free, 0);
@@ -60,7 +65,10 @@
     }
   }
 
-  /** Cores that become free after the last step, as a service's do, do not count. */
+  /**
+   * Adds cores that become free after a time. Cores that become free after the last step do not
+   * count, such as those of a service, which runs until it is cancelled.
+   */
   private void add(double freedCores, double afterS) {
     int step = (int) Math.ceil(afterS / STEP_S);
     if (step <= STEPS) {
@@ -69,7 +77,7 @@
     }
   }
 
-  /** Core seconds, in thousandths of cores, that can be done within the time. */
+  /** Returns the work that can be done within a time, in thousandths of core seconds. */
   double within(double seconds) {
     int step = (int) Math.min(STEPS, Math.floor(seconds / STEP_S));
     return cores[step] * seconds - coreSeconds[step];
--- a/src/main/java/org/ploverspindle/placement/CoreBalances.java
+++ b/src/main/java/org/ploverspindle/placement/CoreBalances.java
@@ -13,19 +13,21 @@
 import org.ploverspindle.cluster.Placement;
 
 /**
- * How many cores may still be requested, for each set of groups that some job can use. Where only
- * some types fit a task, the cores of all others are of no help to it, however many they are.
+ * The difference between the cores that are needed and the cores that exist or are requested, for
+ * each set of groups that some job can use. The sets are balanced separately because cores of
+ * machine types on which a task does not fit are of no use to it, however many there are.
  */
 final class CoreBalances {
   /**
-   * Work arrives unevenly: for what keeps so many cores busy on average, this much more is held.
+   * Work arrives unevenly, so this many times the cores that arriving work keeps busy on average
+   * are kept for it.
    */
   private static final double RATE_HEADROOM = 1.3;
 
-  /** The same for expensive machines. */
+  /** Replaces {@link #RATE_HEADROOM} where only expensive machines are left to be requested. */
   private static final double EXPENSIVE_RATE_HEADROOM = 1.15;
 
-  /** The balance of one set of groups, in thousandths of cores. */
+  /** The balance of one set of groups, in thousandths of cores; a negative one is a surplus. */
   static final class Balance {
     private double missing;
     private double missingAtAnyPrice;
@@ -35,7 +37,10 @@
       return missing > 0;
     }
 
-    /** True when they are needed even if only expensive machines are left. */
+    /**
+     * True when more cores are needed than exist or are requested even if only expensive machines
+     * are left to be requested.
+     */
     boolean isShortAtAnyPrice() {
       return missingAtAnyPrice > 0;
     }
@@ -52,16 +57,23 @@
     this.pending = pending;
   }
 
-  /** Cores that are held for work that arrives at this rate, if need be at a high price. */
+  /**
+   * Returns the cores that are kept for arriving work even if only expensive machines are left to
+   * be requested, in thousandths.
+   *
+   * @param coresForRate the cores that arriving work keeps busy on average, in thousandths
+   */
   static double heldForRate(double coresForRate) {
     return coresForRate * EXPENSIVE_RATE_HEADROOM;
   }
 
   /**
-   * Computes, for each set of groups that some job can use, what the jobs need that can use no
-   * others, less what exists of these groups and is not taken by jobs that could run elsewhere.
+   * Computes the balance of each set of groups that some job can use. It is the need of the jobs
+   * that can use groups of this set only, less the cores in the set that exist or are pending and
+   * are not taken by jobs that could also run outside of it.
    *
-   * @param coresForRate what work that keeps arriving as it does keeps busy, in thousandths
+   * @param coresForRate the cores that work keeps busy if it continues to arrive at the recent
+   *     rate, in thousandths
    */
   void compute(
       Collection<Job> jobs, List<Machine> machines, double coresForRate, long nowMs, long wallMs) {
@@ -93,7 +105,7 @@
         });
   }
 
-  /** Adds what the jobs need that can use these groups only. */
+  /** Adds the needs of the jobs that can use groups of this set only. */
   private static void addNeeds(
       Balance balance, BitSet groups, Map<Job, CoreDemand.Need> needs, Map<Job, BitSet> usable) {
     for (Map.Entry<Job, CoreDemand.Need> entry : needs.entrySet()) {
@@ -116,7 +128,10 @@
     return cores + pending.cores(groups);
   }
 
-  /** Cores that are taken by tasks of jobs that could run outside of these groups as well. */
+  /**
+   * Returns the cores of the machine that are taken by tasks of jobs that could also run outside of
+   * this set of groups, in thousandths.
+   */
   private static double takenByOthers(Machine machine, BitSet groups, Map<Job, BitSet> usable) {
     double cores = 0;
     for (Placement placement : machine.placements()) {
@@ -128,12 +143,15 @@
     return cores;
   }
 
-  /** The balance for what the job can use; empty when it needs nothing. */
+  /**
+   * Returns the balance of the set of groups that the job can use; empty if no unfinished job can
+   * use exactly this set.
+   */
   Optional<Balance> of(Job job) {
     return Optional.ofNullable(balances.get(groupSets.usableBy(job)));
   }
 
-  /** So many cores, in thousandths, are added to a group. */
+  /** Counts cores, in thousandths, as added to a group. */
   void add(MachineGroup group, double cores) {
     add(groupSets.index(group), cores);
   }
@@ -149,8 +167,8 @@
   }
 
   /**
-   * Removes the machine if more cores would remain without it than are needed even at a high price.
-   * Returns whether it was removed.
+   * Counts the machine as removed if enough cores remain without it, in each set of groups that it
+   * belongs to, for what is needed even at a high price. Returns whether it was removed.
    */
   boolean removeIfSurplus(Machine machine) {
     int group = groupSets.index(machine.type(), machine.zone(), machine.isSpot());
--- a/src/main/java/org/ploverspindle/placement/CoreDemand.java
+++ b/src/main/java/org/ploverspindle/placement/CoreDemand.java
@@ -13,24 +13,34 @@
 import org.ploverspindle.model.JobKind;
 import org.ploverspindle.model.Resources;
 
-/** How many cores jobs need so that their work is done in time. */
+/** Computes how many cores jobs need so that their work is done in time. */
 final class CoreDemand {
-  /** Part of the time left in which machines of any price are to finish the work. */
+  /**
+   * Fraction of the time left until a job's deadline in which its work should finish. Machines that
+   * are not expensive are added until it does.
+   */
   private static final double WINDOW = 0.5;
 
-  /** The same for expensive machines: they are added only for work that is late without them. */
+  /**
+   * Fraction of the time left, until the deadline or the last start, that applies to expensive
+   * machines. It is larger, as these are added only for work that would be late without them.
+   */
   private static final double EXPENSIVE_WINDOW = 0.85;
 
-  /** Part of the time left until the last start, for machines that are not expensive. */
+  /**
+   * Fraction of the time left until a job's last task should have started in which it should start.
+   * Machines that are not expensive are added until it does.
+   */
   private static final double START_WINDOW = 0.7;
 
-  /** A running task has at least this part of its estimate left. */
+  /** A running task is assumed to have at least this fraction of its estimated runtime left. */
   private static final double MIN_REMAINING = 0.1;
 
   /**
    * The cores that a job needs, in thousandths.
    *
-   * @param atAnyPrice what it needs even if only expensive machines are left
+   * @param cores the cores that it needs as long as they are not expensive
+   * @param atAnyPrice the cores that it needs even if only expensive machines are left
    */
   record Need(double cores, double atAnyPrice) {}
 
@@ -40,7 +50,7 @@
   private final double drainS;
 
   /**
-   * @param drainS in how many seconds work that should not wait is to be done
+   * @param drainS the time in seconds within which work that should not wait is to be done
    */
   CoreDemand(
       TeamUsage teams,
@@ -53,14 +63,14 @@
     this.drainS = drainS;
   }
 
-  /** How many tasks of the job may start now, within its team's limit. */
+  /** Returns how many tasks of the job may start now within its team's limit. */
   int startableTasks(Job job, long nowMs) {
     int withinLimit = teams.tasksWithinLimit(job.team(), job.perTask());
     return Math.min(job.schedulableTasks(nowMs), withinLimit);
   }
 
   /**
-   * The cores that finish the job's work within its window.
+   * Returns the cores that finish the job's work in the time that it should take.
    *
    * @param guaranteed whether its team's guarantee covers the job
    */
@@ -85,10 +95,13 @@
   }
 
   /**
-   * In how many seconds a job's work should be done. What its team's guarantee covers, and what has
-   * no deadline, is served as fast as can be. Other work may take a part of the time it has left;
-   * the rest is for estimates that are wrong. Expensive machines are requested only for what would
-   * be late without them: work that can wait waits for cheap ones.
+   * Returns the time in seconds in which a job's work should be done. Work that is covered by its
+   * team's guarantee or has no deadline should be done within {@link #drainS}. Other work may take
+   * a fraction of the time that it has left; the rest is a margin for wrong estimates. Expensive
+   * machines are requested only for work that would be late without them, while other work waits
+   * for cheap ones.
+   *
+   * @param expensive whether the result decides on expensive machines
    */
   private double windowS(Job job, boolean guaranteed, long wallMs, boolean expensive) {
     if (guaranteed || job.deadlineS().isEmpty()) {
@@ -101,7 +114,8 @@
     OptionalDouble lastStartS = objectives.lastStartS(job);
     double startLeftS = lastStartS.orElse(0) - waitedS;
     if (startLeftS > 0 && !job.pendingTasks().isEmpty()) {
-      // The last tasks start when all others have run: one run before the work is done.
+      // The last tasks start when all others have run, which is one task's runtime before the work
+      // is done.
       double startPart = expensive ? EXPENSIVE_WINDOW : START_WINDOW;
       double startedS = startLeftS * startPart + estimates.runS(job);
       windowS = Math.min(windowS, Math.max(drainS, startedS));
@@ -109,7 +123,10 @@
     return windowS;
   }
 
-  /** Jobs that their team's guarantee covers together with the team's earlier unfinished ones. */
+  /**
+   * Returns the jobs that their team's guarantee covers. It covers a job if it is large enough for
+   * this job together with the team's unfinished jobs that became eligible to run before it.
+   */
   Set<Job> guaranteed(Collection<Job> jobs, long nowMs) {
     Set<Job> covered = new HashSet<>();
     Map<Integer, Resources> requiredByTeam = new HashMap<>();
@@ -128,7 +145,9 @@
   }
 
   /**
-   * What the job's unfinished tasks require; a job that fails everywhere must not use it all up.
+   * Returns the cores and accelerators that the job's unfinished tasks require. A job that fails on
+   * every machine must not use up its team's guarantee, so of a job that is not known to run only
+   * the placed tasks count, and at least one task.
    */
   private static Resources required(Job job, long nowMs) {
     long tasks =
--- a/src/main/java/org/ploverspindle/placement/GroupSets.java
+++ b/src/main/java/org/ploverspindle/placement/GroupSets.java
@@ -14,24 +14,27 @@
     this.catalogue = catalogue;
   }
 
-  /** The group's index in a set. */
+  /** Returns the group's index in a set. */
   int index(MachineGroup group) {
     return index(group.type(), group.zone(), group.spot());
   }
 
-  /** The same without an object for the group: machines are looked up one by one. */
+  /**
+   * Returns the index in a set of the group with this type, zone and kind. Callers that look up
+   * many machines avoid creating a group for each.
+   */
   int index(int type, int zone, boolean spot) {
     return (type * catalogue.zoneCount() + zone) * KINDS + (spot ? 1 : 0);
   }
 
-  /** The set of all groups. */
+  /** Returns the set of all groups. */
   BitSet all() {
     BitSet groups = new BitSet();
     groups.set(0, catalogue.types().size() * catalogue.zoneCount() * KINDS);
     return groups;
   }
 
-  /** The groups on whose machines the job's tasks may run and fit. */
+  /** Returns the groups on whose machines the job's tasks may run and fit. */
   BitSet usableBy(Job job) {
     BitSet groups = new BitSet();
     BitSet types = job.types();
@@ -46,7 +49,7 @@
     return groups;
   }
 
-  /** True when the whole set has all groups of the part. */
+  /** True when every group of the first set is also in the second. */
   static boolean isSubset(BitSet part, BitSet whole) {
     BitSet rest = (BitSet) part.clone();
     rest.andNot(whole);
--- a/src/main/java/org/ploverspindle/placement/MachineSelector.java
+++ b/src/main/java/org/ploverspindle/placement/MachineSelector.java
@@ -6,25 +6,35 @@
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.model.Catalogue;
 
-/** Selects the machine for a task: bin packing, with penalties in cores. */
+/**
+ * Selects the machine for a task by bin packing. A machine's score is its free cores plus penalties
+ * that are expressed in cores, and the machine with the lowest score is selected.
+ */
 final class MachineSelector {
-  /** The penalty for each second of fetching the image. */
+  /** Penalty in cores for each second that it takes to fetch the image. */
   private static final double CORES_PER_FETCH_S = 2;
 
-  /** The same for a job that should start at once: any machine that has its image comes first. */
+  /**
+   * Penalty in cores for each second that it takes to fetch the image for a job that should start
+   * at once. It is so large that any machine that has the image is preferred.
+   */
   private static final double CORES_PER_FETCH_S_PROMPT = 200;
 
   /**
-   * The penalty for a machine of the other kind. A job that saves its progress or is short loses
-   * little with a reclaimed spot machine, and leaves on-demand machines to those that would begin
-   * anew.
+   * Penalty in cores for a machine of the kind, spot or on-demand, that the job does not prefer. A
+   * job that writes checkpoints or has short tasks loses little when a spot machine is reclaimed.
+   * It prefers spot machines and so leaves on-demand machines to jobs that would have to start from
+   * the beginning.
    */
   private static final double OTHER_KIND_CORES = 20;
 
-  /** Tasks up to this estimate are short. */
+  /** Tasks with an estimated runtime of at most this many seconds are short. */
   private static final double SHORT_S = 20;
 
-  /** The penalty for a machine where the job failed: only another can show whose fault it was. */
+  /**
+   * Penalty in cores for a machine on which a task of the job failed. Only an attempt on another
+   * machine can show whether the job or the machine was at fault.
+   */
   private static final double FAILED_HERE_CORES = 10_000;
 
   private static final double MIN_FETCH_GB_PER_S = 0.01;
@@ -41,7 +51,10 @@
     this.objectives = objectives;
   }
 
-  /** True when a task of the job could be placed on the machine now, whatever its heartbeats. */
+  /**
+   * True when a task of the job fits on the machine and may be placed there. A suspect machine
+   * accepts a task only while it has no placement. Heartbeats of the machine are not considered.
+   */
   static boolean accepts(Machine machine, Job job) {
     return job.perTask().fitsIn(machine.free())
         && Placer.allows(job, machine)
@@ -49,8 +62,8 @@
   }
 
   /**
-   * The machine with the least room, so that large rooms stay whole for large tasks. Fetching the
-   * image counts against a machine that lacks it. Empty when no machine accepts the job.
+   * Returns the machine with the lowest score; empty when no machine accepts the job. Machines with
+   * few free cores are preferred, so that large tasks still find machines on which they fit.
    */
   Optional<Machine> select(Job job, List<Machine> machines) {
     Machine best = null;
--- a/src/main/java/org/ploverspindle/placement/PendingCapacity.java
+++ b/src/main/java/org/ploverspindle/placement/PendingCapacity.java
@@ -7,7 +7,10 @@
 import org.ploverspindle.model.Catalogue;
 import org.ploverspindle.model.Resources;
 
-/** The capacity of machines that boot or are requested, which pending tasks use first. */
+/**
+ * The capacity of machines that are booting or requested. Pending tasks are assigned to it before
+ * further machines are requested for them.
+ */
 final class PendingCapacity {
   private static final class PendingMachine {
     private final MachineGroup group;
@@ -18,7 +21,7 @@
       this.free = free;
     }
 
-    /** Reserves room for up to so many of the job's tasks; returns how many fit. */
+    /** Reserves capacity for at most this many of the job's tasks; returns how many fit. */
     int reserve(Job job, int tasks) {
       int fitting = Math.min(tasks, free.capacityFor(job.perTask()));
       for (int i = 0; i < fitting; i++) {
@@ -43,7 +46,8 @@
   }
 
   /**
-   * Reserves room for up to so many of the job's tasks, machine by machine; returns how many fit.
+   * Reserves capacity for at most this many of the job's tasks, on one machine after the other;
+   * returns how many fit.
    */
   int reserve(Job job, int tasks) {
     int reserved = 0;
@@ -58,17 +62,20 @@
     return reserved;
   }
 
-  /** Reserves room on the machine that was added last. */
+  /**
+   * Reserves capacity for at most this many of the job's tasks on the machine that was added last;
+   * returns how many fit.
+   */
   int reserveOnLast(Job job, int tasks) {
     return machines.get(machines.size() - 1).reserve(job, tasks);
   }
 
-  /** True when the job's tasks may run on some machine, with or without room left. */
+  /** True when the job's tasks may run on some machine, whether or not it has capacity left. */
   boolean isUsableBy(Job job) {
     return machines.stream().anyMatch(machine -> Placer.allows(job, machine.group));
   }
 
-  /** All cores of the machines in these groups, in thousandths. */
+  /** Returns the cores of the machines in these groups, reserved or not, in thousandths. */
   double cores(BitSet groups) {
     double cores = 0;
     for (PendingMachine machine : machines) {
--- a/src/main/java/org/ploverspindle/placement/PendingJobOrder.java
+++ b/src/main/java/org/ploverspindle/placement/PendingJobOrder.java
@@ -10,12 +10,12 @@
 import org.ploverspindle.cluster.Job;
 
 /**
- * The order in which jobs with pending tasks are served: by priority, then those within their
- * team's guarantee, then by slack; and within a priority those that can be in time before those
- * that cannot.
+ * The order in which jobs with pending tasks are served. Jobs are sorted by priority, then those
+ * within their team's guarantee before the others, then by slack. Within each priority, {@link
+ * AdmissionOrder} then moves jobs that can be in time before those that cannot.
  */
 final class PendingJobOrder {
-  /** A job with its sort keys, computed once and not in every comparison. */
+  /** A job with its sort keys, which are computed once and not in every comparison. */
   private record Ranked(Job job, boolean beyondGuarantee, double slackS)
       implements Comparable<Ranked> {
     @Override
@@ -33,19 +33,25 @@
     }
   }
 
-  /** Computing the capacity goes through every placement, and placing runs many times a second. */
+  /**
+   * The capacity is computed again only when it is older than this, as computing it visits every
+   * placement and placement runs many times a second.
+   */
   private static final long CAPACITY_KEPT_MS = 300;
 
-  /** A machine without a heartbeat for longer does not count as capacity. */
+  /** A machine whose last heartbeat is older than this does not count as capacity. */
   private static final long CAPACITY_HEARTBEAT_TIMEOUT_MS = 60_000;
 
-  /** Estimates are often wrong: a task may be shorter by this part of its estimate. */
+  /** Estimates are often wrong: a task may be shorter than its estimate by this fraction of it. */
   private static final double ESTIMATE_ERROR = 0.4;
 
-  /** A job that is late by no more than this is not given up. */
+  /**
+   * An objective that a job would miss by no more than this many seconds, beyond the error of its
+   * estimate, still counts as one that it can meet.
+   */
   private static final double LATE_MARGIN_S = 2;
 
-  /** In place of a deadline, for jobs without one: they come last. */
+  /** The deadline that is assumed for jobs without one, so late that they are served last. */
   private static final double NO_DEADLINE_S = 1e6;
 
   private static final double MS_PER_S = 1_000;
@@ -56,7 +62,10 @@
   private Optional<Capacity> capacity = Optional.empty();
   private long capacityMs;
 
-  /** Of teams with a limit: one with more work than it may run serves first what can be in time. */
+  /**
+   * For each team with a limit, the capacity within it. Jobs that can be in time are served first
+   * also where a team has more work than its limit lets it run.
+   */
   private final Map<Integer, Capacity> teamCapacity = new HashMap<>();
 
   PendingJobOrder(
@@ -66,7 +75,7 @@
     this.objectives = objectives;
   }
 
-  /** The jobs with tasks that could start now, in the order in which they are served. */
+  /** Returns the jobs with tasks that could start now, in the order in which they are served. */
   List<Job> order(long nowMs, long wallMs) {
     List<Ranked> ranked = new ArrayList<>();
     for (Job job : cluster.jobs().all()) {
@@ -111,20 +120,25 @@
         });
   }
 
-  /** Seconds since the job could first run. */
+  /** Returns the seconds since the job became eligible to run. */
   static double waitedS(Job job, long wallMs) {
     return (wallMs - job.eligibleSinceWallMs()) / MS_PER_S;
   }
 
-  /** Seconds until the job must run to meet its deadline; a large number for a job without one. */
+  /**
+   * Returns the seconds until the job's tasks must start for it to meet its deadline, by its
+   * estimate; a large number for a job without a deadline.
+   */
   double slackS(Job job, long wallMs) {
     return job.deadlineS().orElse(NO_DEADLINE_S) - waitedS(job, wallMs) - estimates.runS(job);
   }
 
   /**
-   * Slack to the first objective that can still be met: the deadline, a multiple of it, or a start
-   * or completion within a time that the class's objectives name. Empty when none can be met. A job
-   * that is a little late by its estimate is not given up, as estimates may be wrong by half.
+   * Returns the slack in seconds to the first objective that the job can still meet: its deadline,
+   * a multiple of it, or a start or completion within a time that the objectives of its class set.
+   * Without such an objective it is {@link #slackS} for a job without a deadline, and empty for a
+   * job with one. An objective that the job would miss by a little counts as one that it can meet,
+   * as estimates may be wrong by half.
    */
   OptionalDouble remainingSlackS(Job job, long wallMs) {
     double runS = estimates.runS(job);
--- a/src/main/java/org/ploverspindle/placement/Placer.java
+++ b/src/main/java/org/ploverspindle/placement/Placer.java
@@ -9,15 +9,18 @@
 import org.ploverspindle.cluster.Placement;
 import org.ploverspindle.model.Priority;
 
-/** Places pending tasks on machines that have room, in the order of {@link PendingJobOrder}. */
+/** Places pending tasks on machines where they fit, in the order of {@link PendingJobOrder}. */
 public final class Placer {
-  /** Informed of every placement. */
+  /** Is informed of every placement. */
   public interface Listener {
     /** The task was placed; its intent must be recorded before a launch command is sent. */
     void placed(Placement placement);
   }
 
-  /** With more slack than this a job does not use machines that are to be scaled in. */
+  /**
+   * A job with more than this many seconds of slack does not use machines that are candidates for
+   * scale-in.
+   */
   private static final double MAY_WAIT_S = 45;
 
   private final ClusterView cluster;
@@ -29,8 +32,8 @@
   private final Preemption preemption;
 
   /**
-   * @param heartbeatTimeoutMs a machine without a heartbeat for longer gets no tasks
-   * @param nextAttempt gives each attempt's number, never twice the same
+   * @param heartbeatTimeoutMs a machine whose last heartbeat is older than this gets no tasks
+   * @param nextAttempt returns the number of each new attempt, and never returns a number twice
    */
   public Placer(
       ClusterView cluster,
@@ -53,18 +56,19 @@
   }
 
   /**
-   * The jobs with tasks that could start now, in the order in which they are served.
+   * Returns the jobs with tasks that could start now, in the order in which they are served.
    *
-   * @param nowMs on the steady clock
-   * @param wallMs the time of day
+   * @param nowMs the time on the steady clock, in milliseconds
+   * @param wallMs the wall-clock time, in milliseconds
    */
   public List<Job> pendingJobs(long nowMs, long wallMs) {
     return order.order(nowMs, wallMs);
   }
 
-  /** Places what can be placed now; the listener is informed of each placement. */
+  /** Places the tasks that can be placed now, and informs the listener of each placement. */
   public void run(long nowMs, long wallMs) {
-    // Nearly all machines of a busy fleet are full: only those with room are searched for each job.
+    // Nearly all machines of a busy fleet are full, so only those with free cores are searched for
+    // each job.
     List<Machine> withRoom = new ArrayList<>();
     for (Machine machine : cluster.fleet().all()) {
       if (machine.free().cores() > 0 && machine.isSchedulable(nowMs, heartbeatTimeoutMs)) {
@@ -84,7 +88,7 @@
     }
   }
 
-  /** True when the job has slack, and nobody expects it to start at once. */
+  /** True when the job has enough slack, and no priority or objective asks for a start at once. */
   private boolean mayWait(Job job, long wallMs) {
     return job.priority().compareTo(Priority.HIGH) > 0
         && !objectives.requiresPromptStart(job)
@@ -93,8 +97,9 @@
   }
 
   /**
-   * A predicate for any number of machines: true when a pending task could be placed there once the
-   * machine is usable. The jobs are gone through once, not for each machine.
+   * Returns a predicate that is true for a machine on which a pending task could be placed once the
+   * machine is schedulable. The jobs are visited once by this call, and not again for each machine
+   * that is tested.
    */
   public Predicate<Machine> usefulMachines(long nowMs) {
     List<Job> startable = new ArrayList<>();
@@ -109,17 +114,23 @@
     return machine -> startable.stream().anyMatch(job -> MachineSelector.accepts(machine, job));
   }
 
-  /** Stops tasks to make room for high-priority jobs that found none; returns how many. */
+  /**
+   * Stops tasks to make room for pending jobs that have a high priority or are within their team's
+   * guarantee; returns how many tasks are stopped.
+   */
   public int preempt(long nowMs, long wallMs) {
     return preemption.run(pendingJobs(nowMs, wallMs), nowMs);
   }
 
-  /** True when the machine's type, kind and zone suit the job, given its other tasks' zones. */
+  /**
+   * True when the job may run on the machine's type, kind and zone, given the zones of its other
+   * tasks.
+   */
   public static boolean allows(Job job, Machine machine) {
     return allows(job, machine.type(), machine.zone(), machine.isSpot());
   }
 
-  /** The same for any machine of a group. */
+  /** True when the job may run on machines of the group, given the zones of its other tasks. */
   static boolean allows(Job job, MachineGroup group) {
     return allows(job, group.type(), group.zone(), group.spot());
   }
--- a/src/main/java/org/ploverspindle/placement/Preemption.java
+++ b/src/main/java/org/ploverspindle/placement/Preemption.java
@@ -19,10 +19,13 @@
 
 /**
  * Makes room for high-priority jobs, and for jobs within their team's guarantee, by stopping tasks.
- * Which tasks may be stopped for a job is up to {@link PreemptionPlanner}.
+ * {@link PreemptionPlanner} decides which tasks may be stopped for a job.
  */
 final class Preemption {
-  /** At most so many tasks are stopped in a round, and in a large fleet one for ten machines. */
+  /**
+   * A round makes no further room once it has stopped this many tasks, or one for every ten
+   * machines if that is more.
+   */
   private static final int MIN_TASK_LIMIT = 24;
 
   private static final int MACHINES_PER_TASK = 10;
@@ -33,7 +36,8 @@
   private final long heartbeatTimeoutMs;
 
   /**
-   * @param heartbeatTimeoutMs a machine without a heartbeat for longer is left alone
+   * @param heartbeatTimeoutMs on a machine whose last heartbeat is older than this no tasks are
+   *     stopped
    */
   Preemption(
       MachineRegistry fleet,
@@ -48,9 +52,9 @@
   }
 
   /**
-   * Stops tasks that give way to the pending jobs.
+   * Stops tasks to make room for those pending jobs that may preempt others.
    *
-   * @param pending in the order in which they are served
+   * @param pending the pending jobs, in the order in which they are served
    * @return how many tasks are stopped
    */
   int run(List<Job> pending, long nowMs) {
@@ -68,7 +72,10 @@
         || teams.withinGuarantee(job.team(), job.perTask());
   }
 
-  /** All that a plan for a job depends on: where one job found none, an equal one finds none. */
+  /**
+   * All properties of a job on which its plans depend. When there is no plan for a job, there is
+   * none in the same round for another job with equal requirements.
+   */
   private record Requirements(
       Resources perTask,
       BitSet types,
@@ -96,7 +103,7 @@
     private final List<PreemptionPlanner.Room> rooms = new ArrayList<>();
     private final int maxTasks;
 
-    /** What jobs were given room for in this round, by team. */
+    /** The resources for which jobs got room in this round, by team. */
     private final Map<Integer, Resources> promised = new HashMap<>();
 
     private final Set<Requirements> withoutPlan = new HashSet<>();
@@ -134,7 +141,7 @@
           return;
         }
         execute(job, plan);
-        // Only this machine has changed; the plans for all others still hold.
+        // Only the room on this machine has changed, so the plans for all others stay valid.
         planner.plan(job, plan.room(), within, nowMs).ifPresent(plans::add);
       }
     }
--- a/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
@@ -13,28 +13,33 @@
 import org.ploverspindle.model.Resources;
 
 /**
- * Finds the tasks to stop so that a task of a job gets room: tasks of lower priority, or what
- * another team runs beyond its guarantee when the job is within its own. The plan that loses the
- * least work comes first. Tasks that end soon anyway are not stopped, and no new ones either whose
- * start matters, since work would go round in circles.
+ * Finds the tasks to stop so that a task of a job gets room. These are tasks of lower priority and,
+ * for a job within its team's guarantee, tasks of other teams that exceed their own guarantee. The
+ * plan that loses the least work comes first. Tasks that will end soon are not stopped. Nor are
+ * tasks that have just started, if their start matters, since they could be stopped and started
+ * again without end.
  */
 final class PreemptionPlanner {
-  /** A task that ends within this time is not stopped. */
+  /** A task that is expected to end within this many seconds is not stopped. */
   private static final double ENDS_SOON_S = 8;
 
-  /** A task that ran for no longer than this has just started. */
+  /** A task that has run for no longer than this many seconds has just started. */
   private static final double JUST_STARTED_S = 30;
 
   private static final double CORE = 1_000;
 
-  /** A machine with what is free on it once the tasks that are being stopped are gone. */
+  /**
+   * A machine, with the resources that will be free on it once the tasks that are being stopped
+   * have ended.
+   */
   static final class Room {
     private final Machine machine;
     private final int index;
     private Resources free;
 
     /**
-     * @param index position among the machines of the round, which breaks ties between plans
+     * @param index the machine's position among those of the round, which orders plans that lose
+     *     the same amount of work
      */
     Room(Machine machine, int index) {
       this.machine = machine;
@@ -51,7 +56,7 @@
       free = free.plus(placement.job().perTask());
     }
 
-    /** Reserves room for a task of the job. */
+    /** Reserves room for one task of the job. */
     void reserve(Job job) {
       free = free.minus(job.perTask());
     }
@@ -60,7 +65,7 @@
   /**
    * The tasks to stop on one machine for one task of a job.
    *
-   * @param lostCoreS core seconds that are done again
+   * @param lostCoreS core seconds of work that are lost and must be done again
    */
   record Plan(Room room, List<Placement> victims, double lostCoreS) {
     private int index() {
@@ -80,7 +85,8 @@
   }
 
   /**
-   * One plan for each machine where a task of the job can get room, the least loss first.
+   * Returns one plan for each machine on which a task of the job can get room, with those that lose
+   * the least work first.
    *
    * @param withinGuarantee whether the task is within its team's guarantee
    */
@@ -96,7 +102,7 @@
     return plans;
   }
 
-  /** The plan for one machine; empty when the task cannot get room there. */
+  /** Returns the plan for one machine; empty when the task cannot get room there. */
   Optional<Plan> plan(Job job, Room room, boolean withinGuarantee, long nowMs) {
     if (job.perTask().fitsIn(room.free)) {
       return Optional.of(new Plan(room, List.of(), 0));
@@ -159,14 +165,15 @@
   }
 
   /**
-   * A start that is stopped within 30 s does not count for the objectives. Where nobody waits for
-   * the start, tasks that have just started are the best to stop, as the least work is lost.
+   * True when the start of the job's tasks matters: a task that is stopped within 30 s does not
+   * count as started for the objectives. Of other jobs, tasks that have just started are the best
+   * ones to stop, as the least work is lost.
    */
   private boolean startMatters(Job job) {
     return objectives.requiresPromptStart(job) || job.priority().compareTo(Priority.HIGH) <= 0;
   }
 
-  /** Core seconds that are done again after a stop now. */
+  /** Returns the core seconds of work that are lost if the task is stopped now. */
   private static double lostCoreS(Placement placement, long nowMs) {
     Job job = placement.job();
     double lostS =
--- a/src/main/java/org/ploverspindle/placement/RuntimeEstimates.java
+++ b/src/main/java/org/ploverspindle/placement/RuntimeEstimates.java
@@ -6,17 +6,21 @@
 import org.ploverspindle.cluster.Placement;
 import org.ploverspindle.model.JobSpec;
 
-/** Users' runtime estimates, corrected by job class from what finished tasks really took. */
+/**
+ * Users' runtime estimates, corrected for each job class by how long its completed tasks have
+ * actually run.
+ */
 public final class RuntimeEstimates {
-  /** The weight of a finished task in its class's moving average. */
+  /** Weight of the latest completed task in the moving average of its job class. */
   private static final double WEIGHT = 0.08;
 
-  /** Bounds of one task's ratio, so that single tasks do not spoil the average. */
+  /** Lower bound of the ratio of one task, so that single outliers do not distort the average. */
   private static final double MIN_RATIO = 0.1;
 
+  /** Upper bound of the ratio of one task, so that single outliers do not distort the average. */
   private static final double MAX_RATIO = 8;
 
-  /** The part of its estimate that a task has left at least. */
+  /** A running task is assumed to have at least this fraction of its estimated runtime left. */
   private static final double MIN_REMAINING = 0.2;
 
   private static final double MS_PER_S = 1_000;
@@ -24,9 +28,10 @@
   private final Map<String, Double> ratioByClass = new HashMap<>();
 
   /**
-   * A task of the job has finished.
+   * Records how long a completed task of the job ran.
    *
-   * @param ranS seconds from the first heartbeat with it running to the one with it done
+   * @param ranS seconds from the first heartbeat that showed the task running to the one that
+   *     showed it completed
    */
   public void observed(Job job, double ranS) {
     if (job.spec().expectedS() <= 0 || ranS <= 0) {
@@ -39,24 +44,28 @@
         (average, latest) -> average * (1 - WEIGHT) + latest * WEIGHT);
   }
 
-  /** How long a task of the job runs, in seconds. */
+  /** Returns the corrected estimate of how long a task of the job runs, in seconds. */
   public double runS(Job job) {
     return runS(job.spec());
   }
 
-  /** The same for a job that is not in the job table. */
+  /**
+   * Returns the corrected estimate of how long a task runs, in seconds, for a job that need not be
+   * in the job table.
+   */
   public double runS(JobSpec spec) {
     return spec.expectedS() * ratio(spec.jobClass());
   }
 
-  /** For how many seconds the task has been running; 0 when it is not running yet. */
+  /** Returns for how many seconds the task has been running; 0 when it is not running yet. */
   static double ranS(Placement placement, long nowMs) {
     return placement.runningSinceMs() < 0 ? 0 : (nowMs - placement.runningSinceMs()) / MS_PER_S;
   }
 
   /**
-   * For how many seconds a placement goes on: a fifth of its estimate at least, and without end for
-   * a service, which runs until it is cancelled.
+   * Returns for how many more seconds the task is expected to run. This is at least a fifth of its
+   * estimated runtime, and {@link Double#MAX_VALUE} for a service, which runs until it is
+   * cancelled.
    */
   double remainingS(Placement placement, long nowMs) {
     if (placement.job().spec().expectedS() <= 0) {
@@ -66,7 +75,10 @@
     return Math.max(runS * MIN_REMAINING, runS - ranS(placement, nowMs));
   }
 
-  /** By what factor the tasks of a class have run longer than estimated. */
+  /**
+   * Returns the average ratio of actual to estimated runtime of a class's tasks; 1 if none has
+   * completed.
+   */
   double ratio(String jobClass) {
     return ratioByClass.getOrDefault(jobClass, 1.0);
   }
--- a/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
@@ -12,43 +12,46 @@
 import org.ploverspindle.model.Resources;
 
 /**
- * Plans which machines to request for pending tasks that fit nowhere. Machines that boot or are
- * requested are room for them first; and as many cores as finish the work in time are enough, since
- * tasks end and make room. A planner makes one plan.
+ * Plans which machines to request for pending tasks that do not fit on the existing ones. The tasks
+ * are first assigned to machines that are booting or already requested. No more cores are requested
+ * than finish the work in time, since cores become free as tasks end. Each planner makes one plan.
  */
 public final class ScaleOutPlanner {
-  /** A machine whose core costs this much more than the cheapest counts as expensive. */
+  /** A machine is expensive when its cores cost more than this many times the lowest price. */
   public static final double EXPENSIVE_PRICE_RATIO = 1.5;
 
   /**
    * A group that may grow now.
    *
-   * @param maxMachines how many machines may be requested
-   * @param held machines of the type, of both kinds, that exist or are requested in the zone
-   * @param bootsLate its machines come up late or never at present
+   * @param maxMachines the largest number of machines that may be requested
+   * @param held the number of machines of the type, spot and on-demand, that exist or are requested
+   *     in the zone
+   * @param bootsLate whether the group's machines currently come up late or never
    */
   public record Candidate(MachineGroup group, int maxMachines, int held, boolean bootsLate) {}
 
-  /** So many machines of the group are to be requested. */
+  /** A number of machines to be requested in a group. */
   public record Request(MachineGroup group, int count) {}
 
   /**
-   * The work that capacity is needed for.
+   * The work for which capacity is needed.
    *
-   * @param pending jobs with pending tasks, in the order in which they are served
-   * @param all all jobs
-   * @param expected a job like the next high-priority one, for which room is kept
-   * @param coresForRate what work that keeps arriving as it does keeps busy, in thousandths of
-   *     cores
+   * @param pending the jobs with pending tasks, in the order in which they are served
+   * @param all all jobs, whether or not they have pending tasks
+   * @param expected a job that the next high-priority job is expected to resemble; capacity is kept
+   *     for it
+   * @param coresForRate the cores that work keeps busy if it continues to arrive at the recent
+   *     rate, in thousandths
    */
   public record Work(
       List<Job> pending, Collection<Job> all, Optional<Job> expected, double coresForRate) {}
 
   /**
-   * The capacity that exists, and where more may be requested.
+   * The capacity that exists, and the groups in which more may be requested.
    *
-   * @param machines machines that are up and take tasks
-   * @param pending machines that boot or are requested, each by its group
+   * @param machines the machines that are up and accept tasks
+   * @param pending for each machine that is booting or requested, its group
+   * @param candidates the groups in which machines may be requested
    */
   public record Supply(
       List<Machine> machines, List<MachineGroup> pending, List<Candidate> candidates) {}
@@ -59,11 +62,14 @@
   private final CoreBalances balances;
   private final CandidateList candidates;
 
-  /** Cores that exist, are pending or are requested by this plan, in thousandths. */
+  /**
+   * Cores of machines that exist, are pending, or are requested by this plan for pending jobs, in
+   * thousandths.
+   */
   private double cores;
 
   /**
-   * @param drainS in how many seconds work that should not wait is to be done
+   * @param drainS the time in seconds within which work that should not wait is to be done
    */
   public ScaleOutPlanner(
       Catalogue catalogue,
@@ -80,10 +86,10 @@
   }
 
   /**
-   * The machines to request, in the order of the candidates.
+   * Returns the machines to request, in the order of the candidates.
    *
-   * @param nowMs on the steady clock
-   * @param wallMs the time of day
+   * @param nowMs the time on the steady clock, in milliseconds
+   * @param wallMs the wall-clock time, in milliseconds
    */
   public List<Request> plan(Work work, Supply supply, long nowMs, long wallMs) {
     List<Machine> machines = supply.machines();
@@ -105,18 +111,19 @@
   }
 
   /**
-   * True when, after the plan, more capacity would be left without the machine than is needed even
-   * at a high price. Such a machine counts as gone from then on.
+   * True when, after the plan, the capacity without the machine is enough for what is needed even
+   * at a high price. The machine then counts as removed in later calls.
    */
   public boolean isExpensiveSurplus(Machine machine) {
     return balances.removeIfSurplus(machine);
   }
 
   /**
-   * Requests room for the job's pending tasks.
+   * Requests machines for the job's pending tasks.
    *
-   * @param starving the machines that it may use have been taken by others for long. Then it gets
-   *     one machine whatever the balance says, if not an expensive one.
+   * @param starving whether no task of the job has begun for a long time because other jobs take
+   *     the machines that it may use. One machine is then requested for it even if the balance
+   *     shows no shortage, unless that machine would be expensive.
    */
   private void serve(Job job, List<Machine> machines, boolean starving, long nowMs) {
     int tasks = demand.startableTasks(job, nowMs);
@@ -141,7 +148,10 @@
     }
   }
 
-  /** The cheapest candidate; one whose machines come up late only where there is no other. */
+  /**
+   * Returns the cheapest candidate. One whose machines come up late is returned only if there is no
+   * other.
+   */
   private Optional<CandidateList.Selection> select(Job job, int tasks, boolean atAnyPrice) {
     return candidates
         .cheapest(job, tasks, false)
@@ -157,7 +167,7 @@
     return atAnyPrice || !candidates.isExpensive(job, selection.group());
   }
 
-  /** Requests one machine and reserves its room for the job; returns for how many tasks. */
+  /** Requests one machine and reserves capacity on it for the job; returns for how many tasks. */
   private int request(CandidateList.Selection selection, Job job, int tasks) {
     MachineGroup group = selection.group();
     Resources size = catalogue.type(group.type()).size();
@@ -169,9 +179,12 @@
   }
 
   /**
-   * Requests cores that are missing for work that arrives at the present rate, after machines were
-   * lost or as more work arrives. Requested only once work is pending, they would be up too late
-   * for it. Their type is chosen for the latest job that counts for the rate.
+   * Requests the cores that are missing for work that arrives at the recent rate, after machines
+   * were lost or as more work arrives. Machines that are requested only once work is pending would
+   * come up too late for it. The type of the machines is chosen for the latest job that counts
+   * towards the rate.
+   *
+   * @param missingCores the missing cores, in thousandths
    */
   private void keepRate(Collection<Job> jobs, double missingCores) {
     Optional<Job> latest =
@@ -192,7 +205,10 @@
     }
   }
 
-  /** A high-priority job cannot wait for a machine to boot: room is kept for the next one. */
+  /**
+   * Requests machines so that there is capacity for the next high-priority job, as such a job
+   * cannot wait for a machine to boot.
+   */
   private void keepRoom(Job job, List<Machine> machines) {
     int tasks = job.spec().tasks();
     for (Machine machine : machines) {
--- a/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
+++ b/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
@@ -8,9 +8,12 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.settings.Settings;
 
-/** The operators' objectives for job classes, as far as placement considers them. */
+/** The operators' service level objectives for job classes, as far as they affect placement. */
 public final class ServiceLevelObjectives {
-  /** A start within this time leaves no time to fetch an image, let alone to boot a machine. */
+  /**
+   * A start within at most this many seconds is prompt: there is no time to fetch an image, let
+   * alone to boot a machine.
+   */
   private static final double PROMPT_S = 15;
 
   private final Map<String, List<Double>> deadlineMultiples = new HashMap<>();
@@ -37,11 +40,13 @@
   }
 
   /**
-   * By when, in seconds from when it could first run, a job must start to meet its next objective:
-   * its deadline or that of its dependents, a multiple of its own deadline, a start within a time,
-   * or completion within one. The earliest that is not before {@code atLeastS}; empty when all are.
+   * Returns by when a job must start to meet its next objective, in seconds from the time when it
+   * became eligible to run. The objectives are its deadline or that of its dependents, multiples of
+   * its own deadline, and a start or completion within a time; prompt starts are not considered.
    *
-   * @param runS how long its tasks run
+   * @param runS how long its tasks run, in seconds
+   * @param atLeastS the earliest result: objectives that require an earlier start are ignored
+   * @return the earliest time by which an objective requires the start; empty if all are ignored
    */
   OptionalDouble startByS(Job job, double runS, double atLeastS) {
     double best = Double.MAX_VALUE;
@@ -76,8 +81,8 @@
   }
 
   /**
-   * Within how many seconds of when it could first run a job's last task should have started; empty
-   * when no objective names a time, or only a prompt start.
+   * Returns by when a job's last task should have started, in seconds from the time when the job
+   * became eligible to run; empty when no objective requires a start, other than a prompt one.
    */
   OptionalDouble lastStartS(Job job) {
     return ofClass(startWithinS, job).stream()
@@ -86,14 +91,17 @@
         .min();
   }
 
-  /** The largest multiple of its deadline that counts for the class; 1 if none is named. */
+  /**
+   * Returns the largest multiple of a job's deadline for which the class has an objective; 1 if
+   * there is none.
+   */
   public double lastMultiple(String jobClass) {
     return deadlineMultiples.getOrDefault(jobClass, List.of()).stream()
         .mapToDouble(Double::doubleValue)
         .reduce(1, Math::max);
   }
 
-  /** True when the tasks of the job should start at once. */
+  /** True when an objective requires a prompt start of the job's tasks. */
   public boolean requiresPromptStart(Job job) {
     return ofClass(startWithinS, job).stream().anyMatch(seconds -> seconds <= PROMPT_S);
   }
--- a/src/main/java/org/ploverspindle/placement/StarvationProtection.java
+++ b/src/main/java/org/ploverspindle/placement/StarvationProtection.java
@@ -9,21 +9,22 @@
 import org.ploverspindle.cluster.Placement;
 
 /**
- * Gives jobs that wait for long a share of the cores of their own. Admission serves those that can
- * be in time: under a lasting overload, jobs that it puts last, the largest above all, would never
- * begin, nor would a low priority below a high one whose work never ends.
+ * Reserves a share of the cores for jobs that have waited for a long time. {@link AdmissionOrder}
+ * serves jobs that can be in time first. Under a lasting overload, the jobs that it puts last would
+ * never start, above all the largest ones, nor would jobs of a low priority if the work of a higher
+ * one never ends.
  */
 final class StarvationProtection {
-  /** After waiting for longer, a job of which nothing has begun is starving. */
+  /** A job of which no task has begun is starving when it has waited for longer than this. */
   private static final long STARVING_MS = 90_000;
 
-  /** After waiting for longer, a job may use the share even if some of it has begun. */
+  /** A job of which tasks have begun may use the share when it has waited for longer than this. */
   private static final long AGED_MS = 180_000;
 
-  /** The share of all cores for these jobs. */
+  /** Fraction of all cores that is reserved for these jobs. */
   private static final double SHARE = 0.2;
 
-  /** A starving job starts one part of so many of its tasks first, and one task more. */
+  /** A starving job first starts one task plus the number of its tasks divided by this. */
   private static final int FIRST_PART = 8;
 
   private final MachineRegistry fleet;
@@ -45,7 +46,7 @@
     this.heartbeatTimeoutMs = heartbeatTimeoutMs;
   }
 
-  /** True when the job has waited for long and nothing of it has begun. */
+  /** True when the job has waited for a long time and no task of it has begun. */
   static boolean isStarving(Job job, long wallMs) {
     return job.activePlacements().isEmpty()
         && job.completedTasks().isEmpty()
@@ -53,8 +54,9 @@
   }
 
   /**
-   * Places tasks of jobs that wait for long within their share: first the starving jobs, the
-   * largest first, as admission puts these last; then the oldest.
+   * Places tasks of jobs that have waited for a long time, within the reserved share. Starving jobs
+   * come first, those with the most work before the others, as admission puts these last. The other
+   * jobs follow, those that have waited longest first.
    */
   void run(List<Job> pending, List<Machine> withRoom, long nowMs, long wallMs) {
     List<Job> waiting = waitingLong(pending, wallMs);
@@ -90,12 +92,12 @@
     return waiting;
   }
 
-  /** Core seconds, in thousandths of cores, of all the job's tasks. */
+  /** Returns the estimated work of all the job's tasks, in thousandths of core seconds. */
   private double work(Job job) {
     return job.spec().tasks() * job.perTask().cores() * estimates.runS(job);
   }
 
-  /** Cores of the share that no placement uses, in thousandths. */
+  /** Returns the cores of the share that no placement uses, in thousandths. */
   private double freeShare(long nowMs) {
     double cores = 0;
     for (Machine machine : fleet.all()) {
--- a/src/main/java/org/ploverspindle/placement/TaskPlacer.java
+++ b/src/main/java/org/ploverspindle/placement/TaskPlacer.java
@@ -22,7 +22,7 @@
   private final Placer.Listener listener;
 
   /**
-   * @param nextAttempt gives each attempt's number, never twice the same
+   * @param nextAttempt returns the number of each new attempt, and never returns a number twice
    */
   TaskPlacer(
       MachineRegistry fleet,
@@ -38,7 +38,8 @@
   }
 
   /**
-   * Places up to so many tasks; of a gang all or none.
+   * Places pending tasks of the job: at most {@code maxTasks}, or of a gang either all or none. The
+   * listener is informed of each placement.
    *
    * @return the placements, whose intents are to be recorded
    */
@@ -53,7 +54,8 @@
       if (selected.isEmpty()) {
         break;
       }
-      // The best machine is better still with a task on it: it is filled before the next search.
+      // With a task on it, the selected machine has an even lower score than before, so it is
+      // filled before the machines are searched again.
       Machine machine = selected.get();
       do {
         placed.add(addPlacement(job, task, machine));
@@ -61,7 +63,8 @@
       } while (mayPlace(job, task, placed.size(), limit) && MachineSelector.accepts(machine, job));
     }
     if (gang && !job.pendingTasks().isEmpty()) {
-      // Part of a gang would hold its room and wait for the rest. Nothing was recorded or sent yet.
+      // A part of the gang would occupy machines while it waits for the rest. Its placements can
+      // be removed at once, as nothing has been recorded or sent yet.
       placed.forEach(placement -> fleet.removePlacement(placement, nowMs));
       return List.of();
     }
@@ -88,7 +91,9 @@
     return placement;
   }
 
-  /** The first pending task from this index on that may start now, or {@link #NO_TASK}. */
+  /**
+   * Returns the first pending task from this index on that is not backed off, or {@link #NO_TASK}.
+   */
   private static int nextTask(Job job, int from, long nowMs) {
     int task = job.pendingTasks().next(from);
     while (task != NO_TASK && job.isBackedOff(task, nowMs)) {
