--- a/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
+++ b/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
@@ -23,6 +23,11 @@
 import org.ploverspindle.model.Term;
 import org.ploverspindle.settings.Settings;
 
+/**
+ * Guards against an order of jobs in which a large job makes many others miss their deadlines when
+ * there is more work than capacity, and against lower priorities that are served before higher
+ * ones.
+ */
 class AdmissionOrderTest {
   private static final long NOW = 10_000;
   private static final Term TERM = new Term(7, 1, 0);
@@ -35,7 +40,7 @@
   private static final TeamUsage TEAMS =
       new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
 
-  /** One empty machine of 16 cores that accepts the leader's token. */
+  /** A fleet of one empty machine with 16 cores, which has accepted the leader's fencing token. */
   private static MachineRegistry fleet() {
     Catalogue catalogue = new Catalogue(List.of("a"));
     catalogue.update(
@@ -102,7 +107,7 @@
       job("run-3", Priority.NORMAL, 2, 10, 34)
     };
     assertEquals(List.of("run-1", "run-2", "run-3"), order(jobs));
-    // All 16 cores of the machine are free, and the team may use four of them.
+    // All 16 cores of the machine are free, but the team's limit allows only 4 of them.
     Capacity limited = new Capacity(List.of(), 4_000, new RuntimeEstimates(), NOW);
     assertEquals(List.of("run-2", "run-3", "run-1"), order(Map.of(0, limited), jobs));
   }
--- a/src/test/java/org/ploverspindle/placement/ArrivalForecastTest.java
+++ b/src/test/java/org/ploverspindle/placement/ArrivalForecastTest.java
@@ -5,6 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a forecast that takes a short pause for the end of all arrivals, or that overlooks
+ * jobs that become ready when their dependencies complete.
+ */
 class ArrivalForecastTest {
   @Test
   void submissionsHaveStoppedOnlyAfterALongPause() {
@@ -16,7 +20,7 @@
     assertTrue(forecast.submissionsStopped(36_000 + 29_000));
     assertFalse(
         new ArrivalForecast().submissionsStopped(1_000_000),
-        "without submissions none have stopped");
+        "submissions cannot have stopped if there were none");
   }
 
   @Test
@@ -28,8 +32,8 @@
     for (int i = 0; i < 10; i++) {
       forecast.recordReady(36_000 + 1_000L * 4 * i);
     }
-    assertTrue(forecast.submissionsStopped(36_000 + 29_000), "users have stopped");
-    assertFalse(forecast.arrivalsStopped(36_000 + 29_000), "the pipelines have not");
+    assertTrue(forecast.submissionsStopped(36_000 + 29_000), "users no longer submit jobs");
+    assertFalse(forecast.arrivalsStopped(36_000 + 29_000), "jobs still become ready");
     assertTrue(forecast.arrivalsStopped(72_000 + 29_000));
   }
 }
--- a/src/test/java/org/ploverspindle/placement/CapacityTest.java
+++ b/src/test/java/org/ploverspindle/placement/CapacityTest.java
@@ -8,11 +8,17 @@
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.cluster.Placement;
 
-/** Capacity is counted in steps, and agrees with the exact sum over all placements. */
+/**
+ * Guards against wrong capacity from rounding the times at which cores become free to steps:
+ * compares it with the exact sum over all placements.
+ */
 class CapacityTest {
   private static final long NOW = RandomFleet.NOW;
 
-  /** Cores that are free within the time, each for what is left of it then. */
+  /**
+   * The exact capacity in thousandths of core seconds: each core counts for the part of the time
+   * that is left when it becomes free.
+   */
   private static double exactCapacity(RandomFleet fleet, double withinS) {
     double sum = 0;
     for (Machine machine : fleet.machines.all()) {
@@ -34,7 +40,11 @@
     for (int i = 0; i < 200; i++) {
       double withinS = random.nextDouble() * 240;
       double exact = exactCapacity(fleet, withinS);
-      assertEquals(exact, capacity.within(withinS), exact * 0.005 + 20_000, "at " + withinS);
+      assertEquals(
+          exact,
+          capacity.within(withinS),
+          exact * 0.005 + 20_000,
+          "capacity within " + withinS + " s");
     }
   }
 }
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -32,7 +32,10 @@
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
 
-/** Placement goes by a job's own values, unless its dependents' deadline or priority is tighter. */
+/**
+ * Guards against wrong priorities, deadlines and slack of jobs in pipelines: placement must use a
+ * job's own values unless it inherits a tighter deadline or a higher priority from its dependents.
+ */
 class EffectiveValuesTest {
   private static final long ACCEPTED = 5_000_000;
   private static final List<Settings.Objective> OBJECTIVES =
@@ -87,7 +90,7 @@
         random.nextInt(3) == 0 ? 0 : 10 + random.nextDouble() * 300);
   }
 
-  /** The formula for jobs outside of pipelines, by the user's values alone. */
+  /** The slack in seconds of a job without dependents, computed from the user's values alone. */
   private static OptionalDouble referenceSlackS(JobSpec spec, double runS, long wallMs) {
     double waitedS = (wallMs - ACCEPTED) / 1000.0;
     List<Double> startBy = new ArrayList<>();
@@ -117,7 +120,7 @@
       JobSpec spec = randomSpec(random, i);
       Job job = job(spec);
       if (random.nextBoolean()) {
-        // In a pipeline whose other jobs ask for nothing more.
+        // The job's dependents have a lower priority or the same, and no earlier deadline.
         OptionalLong own =
             spec.deadlineS().isPresent()
                 ? OptionalLong.of(ACCEPTED + Math.round(spec.deadlineS().getAsDouble() * 1000))
@@ -145,13 +148,17 @@
     assertEquals(OptionalDouble.of(40), job.deadlineS());
     assertEquals(OptionalDouble.of(20), objectives.startByS(job, 20, 0));
     assertEquals(
-        OptionalDouble.of(70), objectives.startByS(job, 20, 21), "a start counts from readiness");
+        OptionalDouble.of(70),
+        objectives.startByS(job, 20, 21),
+        "a start objective counts from readiness");
     assertEquals(
-        OptionalDouble.of(120), objectives.startByS(job, 20, 71), "twice the deadline does not");
+        OptionalDouble.of(120),
+        objectives.startByS(job, 20, 71),
+        "twice the deadline counts from acceptance");
     assertEquals(15, jobOrder.slackS(job, ACCEPTED + 65_000));
     assertTrue(
         !StarvationProtection.isStarving(job, ACCEPTED + 149_000),
-        "no job ages while it is blocked on dependencies");
+        "the time for which a job is blocked on dependencies does not count as waiting");
     assertTrue(StarvationProtection.isStarving(job, ACCEPTED + 151_000));
   }
 
@@ -165,8 +172,13 @@
     assertEquals(OptionalDouble.of(60), job.deadlineS());
     assertEquals(OptionalDouble.of(40), objectives.startByS(job, 20, 0));
     assertEquals(
-        OptionalDouble.of(70), objectives.startByS(job, 20, 41), "their last multiple is next");
-    assertEquals(OptionalDouble.of(80), objectives.startByS(job, 20, 71), "then its own deadline");
+        OptionalDouble.of(70),
+        objectives.startByS(job, 20, 41),
+        "the last multiple of the dependents' deadline comes next");
+    assertEquals(
+        OptionalDouble.of(80),
+        objectives.startByS(job, 20, 71),
+        "the job's own deadline comes after it");
     job.inherit(Priority.BEST_EFFORT, OptionalLong.of(ACCEPTED + 160_000), OptionalLong.empty());
     assertEquals(Priority.NORMAL, job.priority());
     assertEquals(OptionalDouble.of(100), job.deadlineS());
--- a/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
+++ b/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
@@ -26,12 +26,15 @@
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
 
-/** In a large fleet, the work of a heartbeat and of a placing run is bounded. */
+/**
+ * Guards against work that grows faster than the fleet: handling a heartbeat must visit no other
+ * machine, and a placement run must visit each machine and each job only a few times.
+ */
 class LargeFleetTest {
   private static final long NOW = RandomFleet.NOW;
   private static final int MACHINES = 1_700;
 
-  /** Counts the values that are iterated over; looking up one key is not counted. */
+  /** A map that counts the values visited by iteration; lookups of single keys do not count. */
   private static final class Counting<V> extends LinkedHashMap<String, V> {
     private static final long serialVersionUID = 1L;
     private long visited;
@@ -81,7 +84,7 @@
   private final Random random = new Random(9);
   private final RandomFleet fleet = new RandomFleet(random, MACHINES);
 
-  /** A heartbeat in which the first of the machine's tasks is done. */
+  /** A heartbeat that shows the first of the machine's tasks completed and the others running. */
   private Heartbeat heartbeat(Machine machine) {
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
     for (Placement placement : machine.placements()) {
@@ -118,7 +121,7 @@
       Heartbeat heartbeat = heartbeat(machine);
       machines.visited = 0;
       fleet.heartbeatHandler.handle(heartbeat, NOW);
-      assertEquals(0, machines.visited, "machines visited for a heartbeat");
+      assertEquals(0, machines.visited, "machines visited while a heartbeat is handled");
     }
 
     JobTable table = pendingJobs();
@@ -135,16 +138,18 @@
             placement -> placed[0]++);
     machines.visited = 0;
     placer.run(NOW, NOW);
-    assertTrue(placed[0] > 100, placed[0] + " are placed");
-    assertTrue(machines.visited <= 3 * MACHINES, machines.visited + " machines in a run");
-    assertTrue(jobs.visited <= 2 * 2_000, jobs.visited + " jobs in a run");
+    assertTrue(placed[0] > 100, placed[0] + " tasks placed, more than 100 expected");
+    assertTrue(
+        machines.visited <= 3 * MACHINES, machines.visited + " machines visited in the first run");
+    assertTrue(jobs.visited <= 2 * 2_000, jobs.visited + " jobs visited in the first run");
     machines.visited = 0;
     jobs.visited = 0;
     placer.run(NOW + 40, NOW + 40);
-    assertTrue(machines.visited <= 2 * MACHINES, machines.visited + " machines in the next run");
+    assertTrue(
+        machines.visited <= 2 * MACHINES, machines.visited + " machines visited in the second run");
     Predicate<Machine> useful = placer.usefulMachines(NOW);
     jobs.visited = 0;
     fleet.machines.all().forEach(useful::test);
-    assertEquals(0, jobs.visited, "the jobs are visited once for all idle machines");
+    assertEquals(0, jobs.visited, "jobs visited while machines are tested with the predicate");
   }
 }
--- a/src/test/java/org/ploverspindle/placement/PlacerTest.java
+++ b/src/test/java/org/ploverspindle/placement/PlacerTest.java
@@ -34,7 +34,9 @@
 import org.ploverspindle.state.Replica;
 
 /**
- * The placer searches only machines with room and fills each; the reference always searches all.
+ * Guards against placements that differ from those of a search over all machines for every task.
+ * The placer searches only machines with free cores and fills the selected machine before it
+ * searches again; the reference placer searches all machines for each task.
  */
 class PlacerTest {
   private static final long NOW = 1_000_000;
@@ -130,7 +132,7 @@
     List<Job> pending = new ArrayList<>(placer.pendingJobs(NOW, NOW));
     Map<String, String> expected = new ReferencePlacer(fleet).place(pending);
     placer.run(NOW, NOW);
-    assertTrue(expected.size() > 10, "something is placed");
+    assertTrue(expected.size() > 10, "the reference places more than 10 tasks");
     assertEquals(expected, placed);
   }
 }
--- a/src/test/java/org/ploverspindle/placement/PreemptionTest.java
+++ b/src/test/java/org/ploverspindle/placement/PreemptionTest.java
@@ -30,6 +30,11 @@
 import org.ploverspindle.model.Term;
 import org.ploverspindle.settings.Settings;
 
+/**
+ * Guards against preemption that stops more tasks than a job needs, tasks of the same priority, or
+ * tasks that have just started or will end soon, and against plans that differ from those of a
+ * search over all machines for every task.
+ */
 class PreemptionTest {
   private static final long NOW = 10_000;
   private static final Term TERM = new Term(7, 1, 0);
@@ -42,7 +47,7 @@
   private static final TeamUsage TEAMS =
       new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
 
-  /** One empty machine of 16 cores that accepts the leader's token. */
+  /** A fleet of one empty machine with 16 cores, which has accepted the leader's fencing token. */
   private static MachineRegistry fleet() {
     Catalogue catalogue = new Catalogue(List.of("a"));
     catalogue.update(
@@ -62,7 +67,10 @@
     return NoOpHeartbeatListener.reportHandler(fleet, TERM);
   }
 
-  /** Fills the machine with four running tasks of the priority and asks for room for a HIGH job. */
+  /**
+   * Fills the machine with four running tasks of the priority, then asks for room for a job of high
+   * priority with two tasks. Returns how many tasks are stopped.
+   */
   private static int stoppedFor(Priority running, double expectedS, long ranMs) {
     return stoppedFor(running, expectedS, ranMs, new ServiceLevelObjectives(List.of()));
   }
@@ -105,7 +113,8 @@
     ServiceLevelObjectives prompt =
         new ServiceLevelObjectives(List.of(new Settings.Objective("wait", "c", 0.9, 1, 5)));
     assertEquals(0, stoppedFor(Priority.NORMAL, 400, 10_000, prompt));
-    assertEquals(2, stoppedFor(Priority.NORMAL, 400, 10_000), "nobody waits for its start");
+    assertEquals(
+        2, stoppedFor(Priority.NORMAL, 400, 10_000), "no objective requires a prompt start");
     assertEquals(0, stoppedFor(Priority.NORMAL, 65, 60_000));
   }
 
@@ -130,7 +139,9 @@
           .filter(Placement::isStopping)
           .forEach(placement -> stopped.add(ReferencePreemption.name(placement)));
     }
-    assertTrue(expected.size() >= 5, expected.size() + " are stopped");
+    assertTrue(
+        expected.size() >= 5,
+        expected.size() + " tasks stopped by the reference, at least 5 expected");
     assertEquals(expected, stopped);
   }
 }
--- a/src/test/java/org/ploverspindle/placement/RandomFleet.java
+++ b/src/test/java/org/ploverspindle/placement/RandomFleet.java
@@ -26,7 +26,10 @@
 import org.ploverspindle.model.Term;
 import org.ploverspindle.settings.Settings;
 
-/** A fleet whose machines run tasks of random jobs, seen running at different times before now. */
+/**
+ * A fleet whose machines run tasks of random jobs. Heartbeats first showed these tasks running at
+ * different times before {@link #NOW}.
+ */
 final class RandomFleet {
   static final long NOW = 5_000_000;
   private static final Term TERM = new Term(7, 1, 0);
@@ -49,7 +52,7 @@
   private final int[] nextTask = new int[RUNNING_JOBS];
   private long nextAttempt = 1;
 
-  /** Draws the fleet from the random numbers, which the caller may go on to use. */
+  /** Creates the fleet from the random numbers, which the caller may continue to use. */
   RandomFleet(Random random, int machineCount) {
     this.random = random;
     catalogue.update(
@@ -77,7 +80,7 @@
     }
   }
 
-  /** A job with random properties, known to the heartbeat handler. */
+  /** Creates a job with random properties that is known to the heartbeat handler. */
   Job job(int i, Priority priority, int tasks) {
     JobSpec spec = spec(i, priority, tasks);
     BitSet types = new BitSet();
@@ -150,7 +153,7 @@
     }
   }
 
-  /** A heartbeat of the machine under the leader's fencing token. */
+  /** Creates a heartbeat of the machine with the leader's fencing token. */
   Heartbeat heartbeat(Machine machine, long sequence, List<Heartbeat.TaskStatus> tasks) {
     return new Heartbeat(
         machine.host(),
--- a/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
+++ b/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
@@ -12,7 +12,10 @@
 import org.ploverspindle.cluster.MachineRegistry;
 import org.ploverspindle.model.Resources;
 
-/** Places each task on the best of all machines, one after the other. Team red has 60 cores. */
+/**
+ * A reference model of placement: searches all machines for each task and places it on the best
+ * one. Team red has a limit of 60 cores, and other teams have none.
+ */
 final class ReferencePlacer {
   private static final long RED_LIMIT = 60_000;
 
@@ -26,7 +29,7 @@
     fleet.all().forEach(machine -> free.put(machine, machine.free()));
   }
 
-  /** The host of each placed task. */
+  /** Places the jobs' tasks in this order, and returns the host of each placed task. */
   Map<String, String> place(List<Job> order) {
     Map<String, String> hosts = new TreeMap<>();
     for (Job job : order) {
--- a/src/test/java/org/ploverspindle/placement/ReferencePreemption.java
+++ b/src/test/java/org/ploverspindle/placement/ReferencePreemption.java
@@ -12,7 +12,10 @@
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.model.Resources;
 
-/** Preemption task by task, with every machine searched anew for each: slow, and without caches. */
+/**
+ * A reference model of preemption: searches all machines again for each task of a job. It is slow,
+ * as it keeps no plans from one task to the next.
+ */
 final class ReferencePreemption {
   private static final long NOW = RandomFleet.NOW;
 
@@ -32,7 +35,7 @@
     return placement.job().uid() + "/" + placement.task();
   }
 
-  /** The tasks that are to be stopped for the pending jobs. */
+  /** Returns the names of the tasks that are to be stopped for the pending jobs. */
   TreeSet<String> run(List<Job> pending, int maxTasks) {
     for (Job job : pending) {
       boolean entitled =
@@ -46,7 +49,7 @@
     return stopped;
   }
 
-  /** Makes room for one task; false when no machine has any for it. */
+  /** Makes room for one task of the job; returns false when no machine can give it room. */
   private boolean makeRoom(Job job) {
     Resources before = promised.getOrDefault(job.team(), Resources.NONE);
     boolean within = fleet.teams.withinGuarantee(job.team(), before.plus(job.perTask()));
--- a/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
+++ b/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
@@ -20,6 +20,11 @@
 import org.ploverspindle.model.Resources;
 import org.ploverspindle.settings.Settings;
 
+/**
+ * Guards against requests for too few machines, because cores that a job cannot use are counted for
+ * it, for too many, and for machines in groups that are crowded or boot late. Also checks which
+ * objective sets the time by which a job must start.
+ */
 class ScaleOutPlannerTest {
   private static final long NOW = 1_000_000;
   private static final List<ScaleOutPlanner.Candidate> CANDIDATES =
@@ -47,7 +52,7 @@
     return new Job(spec, NOW, 80, 0, types, -1, 3);
   }
 
-  /** The one job is all there is, and its tasks are pending. */
+  /** Work that consists of this job alone, with its tasks pending. */
   private static ScaleOutPlanner.Work onlyJob(Job job) {
     return new ScaleOutPlanner.Work(List.of(job), List.of(job), Optional.empty(), 0);
   }
@@ -56,7 +61,7 @@
     return new Machine("i-" + i, type, 0, true, catalogue.type(type).size(), NOW, 1);
   }
 
-  /** Requested cores, by type, for the one pending job. */
+  /** Returns the cores that are requested for this job alone, by machine type. */
   private double[] requested(Job job, List<Machine> machines, ServiceLevelObjectives objectives) {
     double[] cores = new double[2];
     new ScaleOutPlanner(catalogue, teams, new RuntimeEstimates(), objectives, 30)
@@ -74,7 +79,7 @@
     List<Machine> small = IntStream.range(0, 200).mapToObj(i -> idle(i, 0)).toList();
     double[] withSmall = requested(job(8, 40, 50, 400), small, none);
     double[] alone = requested(job(8, 40, 50, 400), List.of(), none);
-    assertTrue(alone[1] >= 80, "40 tasks of 8 cores and 50 s within half of 400 s");
+    assertTrue(alone[1] >= 80, "40 tasks of 8 cores and 50 s need 80 cores within half of 400 s");
     assertEquals(alone[1], withSmall[1]);
     assertEquals(0, withSmall[0]);
   }
@@ -96,7 +101,9 @@
     double withoutObjective =
         requested(job(8, 100, 50, 900), List.of(), new ServiceLevelObjectives(List.of()))[1];
     double prompt = requested(job(8, 100, 50, 900), List.of(), objectives)[1];
-    assertTrue(prompt >= 3 * withoutObjective, prompt + " cores against " + withoutObjective);
+    assertTrue(
+        prompt >= 3 * withoutObjective,
+        prompt + " cores with the objective, " + withoutObjective + " cores without it");
   }
 
   @Test
@@ -113,9 +120,10 @@
         .plan(onlyJob(job), new ScaleOutPlanner.Supply(List.of(), List.of(), candidates), NOW, NOW)
         .forEach(request -> requested[request.group().zone()] += request.count());
     assertEquals(50, requested[0] + requested[1] + requested[2]);
-    assertEquals(4, requested[2], "a zone with little room is used up");
+    assertEquals(4, requested[2], "all machines that the third zone may grow by");
     assertTrue(
-        Math.abs(requested[0] + 30 - requested[1]) <= 1, requested[0] + " and " + requested[1]);
+        Math.abs(requested[0] + 30 - requested[1]) <= 1,
+        requested[0] + " and " + requested[1] + " machines requested in the first two zones");
   }
 
   @Test
@@ -130,8 +138,10 @@
             catalogue, teams, new RuntimeEstimates(), new ServiceLevelObjectives(List.of()), 30)
         .plan(onlyJob(job), new ScaleOutPlanner.Supply(List.of(), List.of(), candidates), NOW, NOW)
         .forEach(request -> requested[request.group().type()] += request.count());
-    assertEquals(3, requested[1], "all that boot in time");
-    assertTrue(requested[0] >= 30, requested[0] + " of the others for the rest");
+    assertEquals(3, requested[1], "all machines of the group that boots in time");
+    assertTrue(
+        requested[0] >= 30,
+        requested[0] + " machines requested in the group that boots late, at least 30 expected");
   }
 
   @Test
