--- a/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
+++ b/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
@@ -23,7 +23,7 @@
    * The work ahead of a job counts at this fraction of its estimate: estimates may be wrong by
    * half, so a job is taken for late only if even this much work would make it late.
    */
-  private static final double CERTAINTY = 0.6;
+  private static final double WORK_AHEAD_FRACTION = 0.6;
 
   /** Seconds added to each job's slack before it is compared with the work ahead of the job. */
   private static final double SLACK_MARGIN_S = 6;
@@ -73,31 +73,31 @@
    */
   List<Job> order(List<Job> byLatestStart) {
     List<Job> result = new ArrayList<>(byLatestStart.size());
-    WorkSums before = new WorkSums();
-    int from = 0;
-    while (from < byLatestStart.size()) {
-      int to = endOfPriority(byLatestStart, from);
-      List<Job> samePriority = byLatestStart.subList(from, to);
-      Admission admission = new Admission(new WorkSums(before));
+    WorkSums higherPriorityWork = new WorkSums();
+    int start = 0;
+    while (start < byLatestStart.size()) {
+      int end = endOfPriority(byLatestStart, start);
+      List<Job> samePriority = byLatestStart.subList(start, end);
+      Admission admission = new Admission(new WorkSums(higherPriorityWork));
       samePriority.forEach(admission::add);
       result.addAll(admission.result());
-      samePriority.forEach(before::add);
-      from = to;
+      samePriority.forEach(higherPriorityWork::add);
+      start = end;
     }
     return result;
   }
 
-  private static int endOfPriority(List<Job> jobs, int from) {
-    int to = from;
-    while (to < jobs.size() && jobs.get(to).priority() == jobs.get(from).priority()) {
-      to++;
+  private static int endOfPriority(List<Job> jobs, int start) {
+    int end = start;
+    while (end < jobs.size() && jobs.get(end).priority() == jobs.get(start).priority()) {
+      end++;
     }
-    return to;
+    return end;
   }
 
   /** The work of a set of jobs, in total and by team, in thousandths of core seconds. */
   private final class WorkSums {
-    private double all;
+    private double total;
     private final Map<Integer, Double> byTeam;
 
     WorkSums() {
@@ -105,17 +105,17 @@
     }
 
     WorkSums(WorkSums other) {
-      this.all = other.all;
+      this.total = other.total;
       this.byTeam = new HashMap<>(other.byTeam);
     }
 
     void add(Job job) {
-      all += work(job);
+      total += work(job);
       byTeam.merge(job.team(), work(job), Double::sum);
     }
 
     void remove(Job job) {
-      all -= work(job);
+      total -= work(job);
       byTeam.merge(job.team(), -work(job), Double::sum);
     }
   }
@@ -145,18 +145,18 @@
       }
       admitted.add(job);
       work.add(job);
-      double withinS = Math.max(0, slackS.getAsDouble()) + SLACK_MARGIN_S;
-      double fleetLimit = capacity.within(withinS);
+      double untilLatestStartS = Math.max(0, slackS.getAsDouble()) + SLACK_MARGIN_S;
+      double fleetLimit = capacity.coreSecondsWithin(untilLatestStartS);
       double teamLimit =
           Optional.ofNullable(teamCapacity.get(job.team()))
-              .map(ofTeam -> ofTeam.within(withinS))
+              .map(limitedCapacity -> limitedCapacity.coreSecondsWithin(untilLatestStartS))
               .orElse(Double.MAX_VALUE);
       boolean stillAdmitted = true;
       while (stillAdmitted) {
         // The job's last tasks start at about the time when the work ahead of the job is done, so
         // its own work is left out of the comparison.
         boolean teamFull = exceeds(work.byTeam.get(job.team()), job, teamLimit);
-        if (!teamFull && !exceeds(work.all, job, fleetLimit)) {
+        if (!teamFull && !exceeds(work.total, job, fleetLimit)) {
           return;
         }
         Job toDefer = jobToDefer(job, teamFull);
@@ -166,7 +166,7 @@
     }
 
     private boolean exceeds(double sum, Job job, double limit) {
-      return (sum - work(job)) * CERTAINTY > limit;
+      return (sum - work(job)) * WORK_AHEAD_FRACTION > limit;
     }
 
     /**
--- a/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
+++ b/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
@@ -21,7 +21,7 @@
    * Only work whose deadline is at most this long after its arrival counts towards the rate. Other
    * work can wait until machines have booted for it.
    */
-  static final double SHORT_WINDOW_S = 240;
+  static final double EARLY_DEADLINE_S = 240;
 
   private static final int ARRIVALS_KEPT = 24;
   private static final int HIGH_PRIORITY_KEPT = 12;
@@ -30,10 +30,10 @@
   private static final int MIN_ARRIVALS = 4;
 
   /** Arrivals have stopped when none has come for more than this many of their mean intervals. */
-  private static final double MAX_INTERVALS = 7;
+  private static final double MAX_PAUSE_INTERVALS = 7;
 
   /** A pause of at most this length never counts as the end of arrivals. */
-  private static final long MIN_QUIET_MS = 12_000;
+  private static final long MIN_PAUSE_MS = 12_000;
 
   /** The rate of work is averaged over this time, which is about as long as a machine boots. */
   private static final long RATE_WINDOW_MS = 75_000;
@@ -47,9 +47,9 @@
    * The expected high-priority job is the one at three fifths of the recorded jobs by size, which
    * is somewhat larger than the median.
    */
-  private static final int TYPICAL_NUMERATOR = 3;
+  private static final int TYPICAL_RANK_NUMERATOR = 3;
 
-  private static final int TYPICAL_DENOMINATOR = 5;
+  private static final int TYPICAL_RANK_DENOMINATOR = 5;
 
   private record ArrivedWork(long wallMs, String jobClass, double coreSeconds) {}
 
@@ -65,16 +65,16 @@
 
   /** Records that a user submitted a job that was ready to run at submission. */
   public void recordSubmission(long wallMs) {
-    keep(submissions, wallMs);
-    keep(arrivals, wallMs);
+    addTime(submissions, wallMs);
+    addTime(arrivals, wallMs);
   }
 
   /** Records that a job became ready to run because its dependencies were completed. */
   public void recordReady(long wallMs) {
-    keep(arrivals, wallMs);
+    addTime(arrivals, wallMs);
   }
 
-  private static void keep(Deque<Long> times, long wallMs) {
+  private static void addTime(Deque<Long> times, long wallMs) {
     times.addLast(wallMs);
     if (times.size() > ARRIVALS_KEPT) {
       times.removeFirst();
@@ -88,7 +88,7 @@
    * @param deadlineS the job's deadline in seconds from its arrival; empty if it has none
    */
   public void recordWork(JobSpec spec, OptionalDouble deadlineS, long wallMs) {
-    if (spec.kind() == JobKind.BATCH && deadlineS.orElse(Double.MAX_VALUE) <= SHORT_WINDOW_S) {
+    if (spec.kind() == JobKind.BATCH && deadlineS.orElse(Double.MAX_VALUE) <= EARLY_DEADLINE_S) {
       double coreSeconds = spec.tasks() * spec.perTask().cores() * spec.expectedS();
       recentWork.addLast(new ArrivedWork(wallMs, spec.jobClass(), coreSeconds));
     }
@@ -142,7 +142,7 @@
     long first = times.stream().mapToLong(Long::longValue).min().orElseThrow();
     long last = times.stream().mapToLong(Long::longValue).max().orElseThrow();
     double intervalMs = (last - first) / (double) (times.size() - 1);
-    return wallMs - last > Math.max(MIN_QUIET_MS, MAX_INTERVALS * intervalMs);
+    return wallMs - last > Math.max(MIN_PAUSE_MS, MAX_PAUSE_INTERVALS * intervalMs);
   }
 
   /**
@@ -155,6 +155,7 @@
     }
     List<Job> bySize = new ArrayList<>(highPriorityJobs);
     bySize.sort(Comparator.comparingLong(job -> job.perTask().cores() * job.spec().tasks()));
-    return Optional.of(bySize.get(bySize.size() * TYPICAL_NUMERATOR / TYPICAL_DENOMINATOR));
+    return Optional.of(
+        bySize.get(bySize.size() * TYPICAL_RANK_NUMERATOR / TYPICAL_RANK_DENOMINATOR));
   }
 }
--- a/src/main/java/org/ploverspindle/placement/CandidateList.java
+++ b/src/main/java/org/ploverspindle/placement/CandidateList.java
@@ -63,20 +63,20 @@
    * grow by the same number of machines below the pool's maximum.
    *
    * @param tasks how many tasks of the job need machines
-   * @param includeLate whether groups whose machines currently come up late are included
+   * @param includeLateBooting whether groups whose machines currently come up late are included
    */
-  Optional<Selection> cheapest(Job job, int tasks, boolean includeLate) {
+  Optional<Selection> cheapest(Job job, int tasks, boolean includeLateBooting) {
     Optional<Selection> best = Optional.empty();
     double bestPrice = Double.MAX_VALUE;
     for (Selection selection : selections) {
-      if (!isEligible(selection, job, includeLate)) {
+      if (!isEligible(selection, job, includeLateBooting)) {
         continue;
       }
       double price = pricePerTask(selection.group(), job, tasks);
       if (price < bestPrice - PRICE_TOLERANCE
           || best.isPresent()
               && price < bestPrice + PRICE_TOLERANCE
-              && held(selection) < held(best.get())) {
+              && machinesInZone(selection) < machinesInZone(best.get())) {
         best = Optional.of(selection);
         bestPrice = price;
       }
@@ -84,9 +84,9 @@
     return best;
   }
 
-  private static boolean isEligible(Selection selection, Job job, boolean includeLate) {
+  private static boolean isEligible(Selection selection, Job job, boolean includeLateBooting) {
     return selection.remaining() > 0
-        && (includeLate || !selection.candidate.bootsLate())
+        && (includeLateBooting || !selection.candidate.bootsLate())
         && Placer.allows(job, selection.group());
   }
 
@@ -99,15 +99,15 @@
    * Returns the number of machines of the selection's type in its zone, spot and on-demand,
    * including those that this plan requests.
    */
-  private int held(Selection selection) {
+  private int machinesInZone(Selection selection) {
     MachineGroup group = selection.group();
-    int held = selection.candidate.held();
+    int machines = selection.candidate.machinesInZone();
     for (Selection other : selections) {
       if (other.group().type() == group.type() && other.group().zone() == group.zone()) {
-        held += other.requested;
+        machines += other.requested;
       }
     }
-    return held;
+    return machines;
   }
 
   /**
@@ -115,18 +115,18 @@
    * times as much in the group as in the cheapest type that the job may use.
    */
   boolean isExpensive(Job job, MachineGroup group) {
-    double least = Double.MAX_VALUE;
+    double lowestPrice = Double.MAX_VALUE;
     for (int type = 0; type < catalogue.types().size(); type++) {
       if (job.types().get(type)) {
-        least = Math.min(least, fullPricePerTask(job, type, job.spec().spot()));
+        lowestPrice = Math.min(lowestPrice, pricePerTaskWhenFull(job, type, job.spec().spot()));
       }
     }
-    return fullPricePerTask(job, group.type(), group.spot())
-        > least * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO;
+    return pricePerTaskWhenFull(job, group.type(), group.spot())
+        > lowestPrice * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO;
   }
 
   /** Returns the price per task on a machine that is filled with tasks of the job. */
-  private double fullPricePerTask(Job job, int type, boolean spot) {
+  private double pricePerTaskWhenFull(Job job, int type, boolean spot) {
     int fitting = Math.max(1, catalogue.type(type).size().capacityFor(job.perTask()));
     return catalogue.type(type).price(spot) / fitting;
   }
--- a/src/main/java/org/ploverspindle/placement/Capacity.java
+++ b/src/main/java/org/ploverspindle/placement/Capacity.java
@@ -17,13 +17,13 @@
   private static final int STEPS = 4_800;
 
   /** By step, the cores that are free at its end, in thousandths. */
-  private final double[] cores = new double[STEPS + 1];
+  private final double[] freeCores = new double[STEPS + 1];
 
   /**
    * By step, the sum over the cores that are free at its end of the seconds until each becomes
    * free, in thousandths of core seconds.
    */
-  private final double[] coreSeconds = new double[STEPS + 1];
+  private final double[] unavailableCoreSeconds = new double[STEPS + 1];
 
   /**
    * Computes the capacity of all schedulable machines.
@@ -46,10 +46,10 @@
    * Computes the capacity within a team's limit: the unused cores of the limit, and the cores that
    * become free when the team's running tasks end.
    *
-   * @param free the unused cores of the limit, in thousandths
+   * @param unusedCores the unused cores of the limit, in thousandths
    */
-  Capacity(Collection<Job> jobsOfTeam, long free, RuntimeEstimates estimates, long nowMs) {
-    add(free, 0);
+  Capacity(Collection<Job> jobsOfTeam, long unusedCores, RuntimeEstimates estimates, long nowMs) {
+    add(unusedCores, 0);
     for (Job job : jobsOfTeam) {
       for (Placement placement : job.activePlacements()) {
         add(job.perTask().cores(), estimates.remainingS(placement, nowMs));
@@ -60,8 +60,8 @@
 
   private void accumulate() {
     for (int i = 1; i <= STEPS; i++) {
-      cores[i] += cores[i - 1];
-      coreSeconds[i] += coreSeconds[i - 1];
+      freeCores[i] += freeCores[i - 1];
+      unavailableCoreSeconds[i] += unavailableCoreSeconds[i - 1];
     }
   }
 
@@ -72,14 +72,14 @@
   private void add(double freedCores, double afterS) {
     int step = (int) Math.ceil(afterS / STEP_S);
     if (step <= STEPS) {
-      cores[step] += freedCores;
-      coreSeconds[step] += freedCores * afterS;
+      freeCores[step] += freedCores;
+      unavailableCoreSeconds[step] += freedCores * afterS;
     }
   }
 
   /** Returns the work that can be done within a time, in thousandths of core seconds. */
-  double within(double seconds) {
+  double coreSecondsWithin(double seconds) {
     int step = (int) Math.min(STEPS, Math.floor(seconds / STEP_S));
-    return cores[step] * seconds - coreSeconds[step];
+    return freeCores[step] * seconds - unavailableCoreSeconds[step];
   }
 }
--- a/src/main/java/org/ploverspindle/placement/CoreBalances.java
+++ b/src/main/java/org/ploverspindle/placement/CoreBalances.java
@@ -29,12 +29,12 @@
 
   /** The balance of one set of groups, in thousandths of cores; a negative one is a surplus. */
   static final class Balance {
-    private double missing;
-    private double missingAtAnyPrice;
+    private double shortfall;
+    private double shortfallAtAnyPrice;
 
     /** True when more cores are needed than exist or are requested. */
     boolean isShort() {
-      return missing > 0;
+      return shortfall > 0;
     }
 
     /**
@@ -42,19 +42,19 @@
      * are left to be requested.
      */
     boolean isShortAtAnyPrice() {
-      return missingAtAnyPrice > 0;
+      return shortfallAtAnyPrice > 0;
     }
   }
 
   private final GroupSets groupSets;
   private final CoreDemand demand;
-  private final PendingCapacity pending;
+  private final PendingCapacity pendingCapacity;
   private final Map<BitSet, Balance> balances = new LinkedHashMap<>();
 
-  CoreBalances(GroupSets groupSets, CoreDemand demand, PendingCapacity pending) {
+  CoreBalances(GroupSets groupSets, CoreDemand demand, PendingCapacity pendingCapacity) {
     this.groupSets = groupSets;
     this.demand = demand;
-    this.pending = pending;
+    this.pendingCapacity = pendingCapacity;
   }
 
   /**
@@ -63,7 +63,7 @@
    *
    * @param coresForRate the cores that arriving work keeps busy on average, in thousandths
    */
-  static double heldForRate(double coresForRate) {
+  static double coresKeptForRate(double coresForRate) {
     return coresForRate * EXPENSIVE_RATE_HEADROOM;
   }
 
@@ -77,14 +77,14 @@
    */
   void compute(
       Collection<Job> jobs, List<Machine> machines, double coresForRate, long nowMs, long wallMs) {
-    BitSet everywhere = groupSets.all();
-    balances.put(everywhere, new Balance());
-    Map<Job, BitSet> usable = new HashMap<>();
+    BitSet allGroups = groupSets.all();
+    balances.put(allGroups, new Balance());
+    Map<Job, BitSet> usableGroups = new HashMap<>();
     Map<Job, CoreDemand.Need> needs = new HashMap<>();
-    Set<Job> guaranteed = demand.guaranteed(jobs, nowMs);
+    Set<Job> guaranteed = demand.guaranteedJobs(jobs, nowMs);
     for (Job job : jobs) {
       BitSet groups = groupSets.usableBy(job);
-      usable.put(job, groups);
+      usableGroups.put(job, groups);
       if (!job.isTerminal() && !job.quarantined()) {
         balances.computeIfAbsent(groups, set -> new Balance());
         needs.put(job, demand.need(job, guaranteed.contains(job), nowMs, wallMs));
@@ -92,51 +92,55 @@
     }
     balances.forEach(
         (groups, balance) -> {
-          boolean all = groups.equals(everywhere);
-          addNeeds(balance, groups, needs, usable);
-          if (all) {
-            balance.missing = Math.max(balance.missing, coresForRate * RATE_HEADROOM);
-            balance.missingAtAnyPrice =
-                Math.max(balance.missingAtAnyPrice, heldForRate(coresForRate));
+          boolean isAllGroups = groups.equals(allGroups);
+          addNeeds(balance, groups, needs, usableGroups);
+          if (isAllGroups) {
+            balance.shortfall = Math.max(balance.shortfall, coresForRate * RATE_HEADROOM);
+            balance.shortfallAtAnyPrice =
+                Math.max(balance.shortfallAtAnyPrice, coresKeptForRate(coresForRate));
           }
-          double available = available(groups, all, machines, usable);
-          balance.missing -= available;
-          balance.missingAtAnyPrice -= available;
+          double available = availableCores(groups, isAllGroups, machines, usableGroups);
+          balance.shortfall -= available;
+          balance.shortfallAtAnyPrice -= available;
         });
   }
 
   /** Adds the needs of the jobs that can use groups of this set only. */
   private static void addNeeds(
-      Balance balance, BitSet groups, Map<Job, CoreDemand.Need> needs, Map<Job, BitSet> usable) {
+      Balance balance,
+      BitSet groups,
+      Map<Job, CoreDemand.Need> needs,
+      Map<Job, BitSet> usableGroups) {
     for (Map.Entry<Job, CoreDemand.Need> entry : needs.entrySet()) {
-      if (GroupSets.isSubset(usable.get(entry.getKey()), groups)) {
-        balance.missing += entry.getValue().cores();
-        balance.missingAtAnyPrice += entry.getValue().atAnyPrice();
+      if (GroupSets.isSubset(usableGroups.get(entry.getKey()), groups)) {
+        balance.shortfall += entry.getValue().cores();
+        balance.shortfallAtAnyPrice += entry.getValue().coresAtAnyPrice();
       }
     }
   }
 
-  private double available(
-      BitSet groups, boolean all, List<Machine> machines, Map<Job, BitSet> usable) {
+  private double availableCores(
+      BitSet groups, boolean isAllGroups, List<Machine> machines, Map<Job, BitSet> usableGroups) {
     double cores = 0;
     for (Machine machine : machines) {
       if (groups.get(groupSets.index(machine.type(), machine.zone(), machine.isSpot()))) {
         cores += machine.size().cores();
-        cores -= all ? 0 : takenByOthers(machine, groups, usable);
+        cores -= isAllGroups ? 0 : coresTakenByOthers(machine, groups, usableGroups);
       }
     }
-    return cores + pending.cores(groups);
+    return cores + pendingCapacity.coresIn(groups);
   }
 
   /**
    * Returns the cores of the machine that are taken by tasks of jobs that could also run outside of
    * this set of groups, in thousandths.
    */
-  private static double takenByOthers(Machine machine, BitSet groups, Map<Job, BitSet> usable) {
+  private static double coresTakenByOthers(
+      Machine machine, BitSet groups, Map<Job, BitSet> usableGroups) {
     double cores = 0;
     for (Placement placement : machine.placements()) {
-      BitSet ofJob = usable.get(placement.job());
-      if (ofJob == null || !GroupSets.isSubset(ofJob, groups)) {
+      BitSet usableByJob = usableGroups.get(placement.job());
+      if (usableByJob == null || !GroupSets.isSubset(usableByJob, groups)) {
         cores += placement.job().perTask().cores();
       }
     }
@@ -147,7 +151,7 @@
    * Returns the balance of the set of groups that the job can use; empty if no unfinished job can
    * use exactly this set.
    */
-  Optional<Balance> of(Job job) {
+  Optional<Balance> forJob(Job job) {
     return Optional.ofNullable(balances.get(groupSets.usableBy(job)));
   }
 
@@ -160,8 +164,8 @@
     balances.forEach(
         (groups, balance) -> {
           if (groups.get(group)) {
-            balance.missing -= cores;
-            balance.missingAtAnyPrice -= cores;
+            balance.shortfall -= cores;
+            balance.shortfallAtAnyPrice -= cores;
           }
         });
   }
@@ -174,7 +178,7 @@
     int group = groupSets.index(machine.type(), machine.zone(), machine.isSpot());
     for (Map.Entry<BitSet, Balance> entry : balances.entrySet()) {
       if (entry.getKey().get(group)
-          && -entry.getValue().missingAtAnyPrice < machine.size().cores()) {
+          && -entry.getValue().shortfallAtAnyPrice < machine.size().cores()) {
         return false;
       }
     }
--- a/src/main/java/org/ploverspindle/placement/CoreDemand.java
+++ b/src/main/java/org/ploverspindle/placement/CoreDemand.java
@@ -19,30 +19,30 @@
    * Fraction of the time left until a job's deadline in which its work should finish. Machines that
    * are not expensive are added until it does.
    */
-  private static final double WINDOW = 0.5;
+  private static final double FINISH_FRACTION = 0.5;
 
   /**
    * Fraction of the time left, until the deadline or the last start, that applies to expensive
    * machines. It is larger, as these are added only for work that would be late without them.
    */
-  private static final double EXPENSIVE_WINDOW = 0.85;
+  private static final double EXPENSIVE_FRACTION = 0.85;
 
   /**
    * Fraction of the time left until a job's last task should have started in which it should start.
    * Machines that are not expensive are added until it does.
    */
-  private static final double START_WINDOW = 0.7;
+  private static final double START_FRACTION = 0.7;
 
   /** A running task is assumed to have at least this fraction of its estimated runtime left. */
-  private static final double MIN_REMAINING = 0.1;
+  private static final double MIN_REMAINING_FRACTION = 0.1;
 
   /**
    * The cores that a job needs, in thousandths.
    *
    * @param cores the cores that it needs as long as they are not expensive
-   * @param atAnyPrice the cores that it needs even if only expensive machines are left
+   * @param coresAtAnyPrice the cores that it needs even if only expensive machines are left
    */
-  record Need(double cores, double atAnyPrice) {}
+  record Need(double cores, double coresAtAnyPrice) {}
 
   private final TeamUsage teams;
   private final RuntimeEstimates estimates;
@@ -75,23 +75,23 @@
    * @param guaranteed whether its team's guarantee covers the job
    */
   Need need(Job job, boolean guaranteed, long nowMs, long wallMs) {
-    double each = job.perTask().cores();
+    double coresPerTask = job.perTask().cores();
     int startable = startableTasks(job, nowMs);
     int tasks = startable + job.activePlacements().size();
     if (job.spec().kind() != JobKind.BATCH) {
-      return new Need(each * tasks, each * tasks);
+      return new Need(coresPerTask * tasks, coresPerTask * tasks);
     }
     double runS = Math.max(1, estimates.runS(job));
     double remainingS = startable * runS;
     for (Placement placement : job.activePlacements()) {
-      double ranS = RuntimeEstimates.ranS(placement, nowMs);
-      remainingS += Math.max(runS * MIN_REMAINING, runS - ranS);
+      double runningForS = RuntimeEstimates.runningForS(placement, nowMs);
+      remainingS += Math.max(runS * MIN_REMAINING_FRACTION, runS - runningForS);
     }
     double windowS = Math.max(runS, windowS(job, guaranteed, wallMs, false));
     double expensiveWindowS = Math.max(runS, windowS(job, guaranteed, wallMs, true));
     return new Need(
-        each * Math.min(tasks, remainingS / windowS),
-        each * Math.min(tasks, remainingS / expensiveWindowS));
+        coresPerTask * Math.min(tasks, remainingS / windowS),
+        coresPerTask * Math.min(tasks, remainingS / expensiveWindowS));
   }
 
   /**
@@ -108,17 +108,20 @@
       return drainS;
     }
     double waitedS = PendingJobOrder.waitedS(job, wallMs);
-    double leftS = job.deadlineS().getAsDouble() - waitedS;
-    double part = expensive ? EXPENSIVE_WINDOW : WINDOW;
-    double windowS = leftS < drainS ? leftS : Math.max(drainS, leftS * part);
-    OptionalDouble lastStartS = objectives.lastStartS(job);
-    double startLeftS = lastStartS.orElse(0) - waitedS;
-    if (startLeftS > 0 && !job.pendingTasks().isEmpty()) {
+    double untilDeadlineS = job.deadlineS().getAsDouble() - waitedS;
+    double finishFraction = expensive ? EXPENSIVE_FRACTION : FINISH_FRACTION;
+    double windowS =
+        untilDeadlineS < drainS
+            ? untilDeadlineS
+            : Math.max(drainS, untilDeadlineS * finishFraction);
+    OptionalDouble lastStartS = objectives.lastTaskStartByS(job);
+    double untilLastStartS = lastStartS.orElse(0) - waitedS;
+    if (untilLastStartS > 0 && !job.pendingTasks().isEmpty()) {
       // The last tasks start when all others have run, which is one task's runtime before the work
       // is done.
-      double startPart = expensive ? EXPENSIVE_WINDOW : START_WINDOW;
-      double startedS = startLeftS * startPart + estimates.runS(job);
-      windowS = Math.min(windowS, Math.max(drainS, startedS));
+      double startFraction = expensive ? EXPENSIVE_FRACTION : START_FRACTION;
+      double startWindowS = untilLastStartS * startFraction + estimates.runS(job);
+      windowS = Math.min(windowS, Math.max(drainS, startWindowS));
     }
     return windowS;
   }
@@ -127,7 +130,7 @@
    * Returns the jobs that their team's guarantee covers. It covers a job if it is large enough for
    * this job together with the team's unfinished jobs that became eligible to run before it.
    */
-  Set<Job> guaranteed(Collection<Job> jobs, long nowMs) {
+  Set<Job> guaranteedJobs(Collection<Job> jobs, long nowMs) {
     Set<Job> covered = new HashSet<>();
     Map<Integer, Resources> requiredByTeam = new HashMap<>();
     jobs.stream()
@@ -135,9 +138,9 @@
         .sorted(Comparator.comparingLong(Job::eligibleSinceWallMs).thenComparing(Job::uid))
         .forEach(
             job -> {
-              Resources ofTeam =
-                  requiredByTeam.merge(job.team(), required(job, nowMs), Resources::plus);
-              if (teams.guarantees(job.team(), ofTeam)) {
+              Resources requiredSoFar =
+                  requiredByTeam.merge(job.team(), requiredResources(job, nowMs), Resources::plus);
+              if (teams.guarantees(job.team(), requiredSoFar)) {
                 covered.add(job);
               }
             });
@@ -149,7 +152,7 @@
    * every machine must not use up its team's guarantee, so of a job that is not known to run only
    * the placed tasks count, and at least one task.
    */
-  private static Resources required(Job job, long nowMs) {
+  private static Resources requiredResources(Job job, long nowMs) {
     long tasks =
         job.isKnownToRun(nowMs)
             ? job.spec().tasks() - job.completedTasks().size()
--- a/src/main/java/org/ploverspindle/placement/GroupSets.java
+++ b/src/main/java/org/ploverspindle/placement/GroupSets.java
@@ -50,9 +50,9 @@
   }
 
   /** True when every group of the first set is also in the second. */
-  static boolean isSubset(BitSet part, BitSet whole) {
-    BitSet rest = (BitSet) part.clone();
-    rest.andNot(whole);
-    return rest.isEmpty();
+  static boolean isSubset(BitSet subset, BitSet superset) {
+    BitSet missing = (BitSet) subset.clone();
+    missing.andNot(superset);
+    return missing.isEmpty();
   }
 }
--- a/src/main/java/org/ploverspindle/placement/MachineSelector.java
+++ b/src/main/java/org/ploverspindle/placement/MachineSelector.java
@@ -12,13 +12,13 @@
  */
 final class MachineSelector {
   /** Penalty in cores for each second that it takes to fetch the image. */
-  private static final double CORES_PER_FETCH_S = 2;
+  private static final double FETCH_PENALTY_CORES_PER_S = 2;
 
   /**
    * Penalty in cores for each second that it takes to fetch the image for a job that should start
    * at once. It is so large that any machine that has the image is preferred.
    */
-  private static final double CORES_PER_FETCH_S_PROMPT = 200;
+  private static final double PROMPT_FETCH_PENALTY_CORES_PER_S = 200;
 
   /**
    * Penalty in cores for a machine of the kind, spot or on-demand, that the job does not prefer. A
@@ -26,19 +26,19 @@
    * It prefers spot machines and so leaves on-demand machines to jobs that would have to start from
    * the beginning.
    */
-  private static final double OTHER_KIND_CORES = 20;
+  private static final double OTHER_KIND_PENALTY_CORES = 20;
 
   /** Tasks with an estimated runtime of at most this many seconds are short. */
-  private static final double SHORT_S = 20;
+  private static final double SHORT_TASK_S = 20;
 
   /**
    * Penalty in cores for a machine on which a task of the job failed. Only an attempt on another
    * machine can show whether the job or the machine was at fault.
    */
-  private static final double FAILED_HERE_CORES = 10_000;
+  private static final double FAILED_HERE_PENALTY_CORES = 10_000;
 
   private static final double MIN_FETCH_GB_PER_S = 0.01;
-  private static final double CORE = 1_000;
+  private static final double THOUSANDTHS_PER_CORE = 1_000;
 
   private final Catalogue catalogue;
   private final RuntimeEstimates estimates;
@@ -68,19 +68,23 @@
   Optional<Machine> select(Job job, List<Machine> machines) {
     Machine best = null;
     double bestScore = Double.MAX_VALUE;
-    boolean prefersOnDemand = !job.spec().isCheckpointed() && estimates.runS(job) > SHORT_S;
-    double coresPerFetchS =
-        objectives.requiresPromptStart(job) ? CORES_PER_FETCH_S_PROMPT : CORES_PER_FETCH_S;
+    boolean prefersOnDemand = !job.spec().isCheckpointed() && estimates.runS(job) > SHORT_TASK_S;
+    double fetchPenaltyCoresPerS =
+        objectives.requiresPromptStart(job)
+            ? PROMPT_FETCH_PENALTY_CORES_PER_S
+            : FETCH_PENALTY_CORES_PER_S;
     for (Machine machine : machines) {
       if (!accepts(machine, job)) {
         continue;
       }
-      double score = machine.free().cores() / CORE + fetchS(job, machine) * coresPerFetchS;
+      double score =
+          machine.free().cores() / THOUSANDTHS_PER_CORE
+              + fetchS(job, machine) * fetchPenaltyCoresPerS;
       if (machine.isSpot() == prefersOnDemand && !machine.isScaleInCandidate()) {
-        score += OTHER_KIND_CORES;
+        score += OTHER_KIND_PENALTY_CORES;
       }
       if (job.hasFailedOn(machine.host())) {
-        score += FAILED_HERE_CORES;
+        score += FAILED_HERE_PENALTY_CORES;
       }
       if (score < bestScore) {
         bestScore = score;
--- a/src/main/java/org/ploverspindle/placement/PendingCapacity.java
+++ b/src/main/java/org/ploverspindle/placement/PendingCapacity.java
@@ -76,7 +76,7 @@
   }
 
   /** Returns the cores of the machines in these groups, reserved or not, in thousandths. */
-  double cores(BitSet groups) {
+  double coresIn(BitSet groups) {
     double cores = 0;
     for (PendingMachine machine : machines) {
       if (groups.get(groupSets.index(machine.group))) {
--- a/src/main/java/org/ploverspindle/placement/PendingJobOrder.java
+++ b/src/main/java/org/ploverspindle/placement/PendingJobOrder.java
@@ -16,10 +16,10 @@
  */
 final class PendingJobOrder {
   /** A job with its sort keys, which are computed once and not in every comparison. */
-  private record Ranked(Job job, boolean beyondGuarantee, double slackS)
-      implements Comparable<Ranked> {
+  private record RankedJob(Job job, boolean beyondGuarantee, double slackS)
+      implements Comparable<RankedJob> {
     @Override
-    public int compareTo(Ranked other) {
+    public int compareTo(RankedJob other) {
       int byPriority = job.priority().compareTo(other.job.priority());
       if (byPriority != 0) {
         return byPriority;
@@ -37,7 +37,7 @@
    * The capacity is computed again only when it is older than this, as computing it visits every
    * placement and placement runs many times a second.
    */
-  private static final long CAPACITY_KEPT_MS = 300;
+  private static final long MAX_CAPACITY_AGE_MS = 300;
 
   /** A machine whose last heartbeat is older than this does not count as capacity. */
   private static final long CAPACITY_HEARTBEAT_TIMEOUT_MS = 60_000;
@@ -60,7 +60,7 @@
   private final RuntimeEstimates estimates;
   private final ServiceLevelObjectives objectives;
   private Optional<Capacity> capacity = Optional.empty();
-  private long capacityMs;
+  private long capacityComputedMs;
 
   /**
    * For each team with a limit, the capacity within it. Jobs that can be in time are served first
@@ -77,29 +77,29 @@
 
   /** Returns the jobs with tasks that could start now, in the order in which they are served. */
   List<Job> order(long nowMs, long wallMs) {
-    List<Ranked> ranked = new ArrayList<>();
+    List<RankedJob> ranked = new ArrayList<>();
     for (Job job : cluster.jobs().all()) {
       if (!job.isTerminal() && !job.quarantined() && job.schedulableTasks(nowMs) > 0) {
         boolean withinGuarantee = cluster.teams().withinGuarantee(job.team(), job.perTask());
         double slackS = remainingSlackS(job, wallMs).orElse(Double.MAX_VALUE);
-        ranked.add(new Ranked(job, !withinGuarantee, slackS));
+        ranked.add(new RankedJob(job, !withinGuarantee, slackS));
       }
     }
     ranked.sort(null);
     List<Job> byLatestStart = new ArrayList<>(ranked.size());
     ranked.forEach(entry -> byLatestStart.add(entry.job()));
-    Capacity ofFleet = capacity(nowMs);
+    Capacity fleetCapacity = capacity(nowMs);
     return new AdmissionOrder(
-            job -> remainingSlackS(job, wallMs), ofFleet, teamCapacity, estimates, nowMs)
+            job -> remainingSlackS(job, wallMs), fleetCapacity, teamCapacity, estimates, nowMs)
         .order(byLatestStart);
   }
 
   private Capacity capacity(long nowMs) {
-    if (capacity.isEmpty() || nowMs - capacityMs > CAPACITY_KEPT_MS) {
+    if (capacity.isEmpty() || nowMs - capacityComputedMs > MAX_CAPACITY_AGE_MS) {
       capacity =
           Optional.of(
               new Capacity(cluster.fleet(), estimates, nowMs, CAPACITY_HEARTBEAT_TIMEOUT_MS));
-      capacityMs = nowMs;
+      capacityComputedMs = nowMs;
       computeTeamCapacity(nowMs);
     }
     return capacity.get();
--- a/src/main/java/org/ploverspindle/placement/Placer.java
+++ b/src/main/java/org/ploverspindle/placement/Placer.java
@@ -21,7 +21,7 @@
    * A job with more than this many seconds of slack does not use machines that are candidates for
    * scale-in.
    */
-  private static final double MAY_WAIT_S = 45;
+  private static final double MIN_SLACK_TO_WAIT_S = 45;
 
   private final ClusterView cluster;
   private final ServiceLevelObjectives objectives;
@@ -69,21 +69,21 @@
   public void run(long nowMs, long wallMs) {
     // Nearly all machines of a busy fleet are full, so only those with free cores are searched for
     // each job.
-    List<Machine> withRoom = new ArrayList<>();
+    List<Machine> machinesWithFreeCores = new ArrayList<>();
     for (Machine machine : cluster.fleet().all()) {
       if (machine.free().cores() > 0 && machine.isSchedulable(nowMs, heartbeatTimeoutMs)) {
-        withRoom.add(machine);
+        machinesWithFreeCores.add(machine);
       }
     }
-    if (withRoom.isEmpty()) {
+    if (machinesWithFreeCores.isEmpty()) {
       return;
     }
     List<Job> pending = pendingJobs(nowMs, wallMs);
-    starvationProtection.run(pending, withRoom, nowMs, wallMs);
-    List<Machine> staying =
-        withRoom.stream().filter(machine -> !machine.isScaleInCandidate()).toList();
+    starvationProtection.run(pending, machinesWithFreeCores, nowMs, wallMs);
+    List<Machine> machinesToKeep =
+        machinesWithFreeCores.stream().filter(machine -> !machine.isScaleInCandidate()).toList();
     for (Job job : pending) {
-      List<Machine> machines = mayWait(job, wallMs) ? staying : withRoom;
+      List<Machine> machines = mayWait(job, wallMs) ? machinesToKeep : machinesWithFreeCores;
       taskPlacer.place(job, machines, nowMs, Integer.MAX_VALUE);
     }
   }
@@ -93,7 +93,7 @@
     return job.priority().compareTo(Priority.HIGH) > 0
         && !objectives.requiresPromptStart(job)
         && job.deadlineS().isPresent()
-        && order.slackS(job, wallMs) > MAY_WAIT_S;
+        && order.slackS(job, wallMs) > MIN_SLACK_TO_WAIT_S;
   }
 
   /**
--- a/src/main/java/org/ploverspindle/placement/Preemption.java
+++ b/src/main/java/org/ploverspindle/placement/Preemption.java
@@ -58,12 +58,12 @@
    * @return how many tasks are stopped
    */
   int run(List<Job> pending, long nowMs) {
-    List<Job> entitled = pending.stream().filter(this::mayPreempt).toList();
-    if (entitled.isEmpty()) {
+    List<Job> preemptors = pending.stream().filter(this::mayPreempt).toList();
+    if (preemptors.isEmpty()) {
       return 0;
     }
     Round round = new Round(nowMs);
-    entitled.forEach(round::makeRoom);
+    preemptors.forEach(round::makeRoom);
     return round.stopped;
   }
 
@@ -85,7 +85,7 @@
       boolean withinGuarantee,
       Optional<String> uidIfBoundToZones) {
     static Requirements of(Job job, boolean withinGuarantee) {
-      boolean bound =
+      boolean isBoundToZones =
           job.requiredZone() >= 0 || job.spec().oneZone() || job.spec().spreadOverZones();
       return new Requirements(
           job.perTask(),
@@ -94,7 +94,7 @@
           job.priority(),
           job.team(),
           withinGuarantee,
-          bound ? Optional.of(job.uid()) : Optional.empty());
+          isBoundToZones ? Optional.of(job.uid()) : Optional.empty());
     }
   }
 
@@ -104,9 +104,9 @@
     private final int maxTasks;
 
     /** The resources for which jobs got room in this round, by team. */
-    private final Map<Integer, Resources> promised = new HashMap<>();
+    private final Map<Integer, Resources> reservedByTeam = new HashMap<>();
 
-    private final Set<Requirements> withoutPlan = new HashSet<>();
+    private final Set<Requirements> requirementsWithoutPlan = new HashSet<>();
     private int stopped;
 
     Round(long nowMs) {
@@ -125,34 +125,34 @@
       if (tasks <= 0 || stopped >= maxTasks) {
         return;
       }
-      boolean within = isWithinGuarantee(job);
+      boolean withinGuarantee = isWithinGuarantee(job);
       PriorityQueue<PreemptionPlanner.Plan> plans =
-          withoutPlan.contains(Requirements.of(job, within))
+          requirementsWithoutPlan.contains(Requirements.of(job, withinGuarantee))
               ? new PriorityQueue<>()
-              : planner.plans(job, rooms, within, nowMs);
+              : planner.plans(job, rooms, withinGuarantee, nowMs);
       for (int i = 0; i < tasks && stopped < maxTasks; i++) {
-        if (isWithinGuarantee(job) != within) {
-          within = !within;
-          plans = planner.plans(job, rooms, within, nowMs);
+        if (isWithinGuarantee(job) != withinGuarantee) {
+          withinGuarantee = !withinGuarantee;
+          plans = planner.plans(job, rooms, withinGuarantee, nowMs);
         }
         PreemptionPlanner.Plan plan = plans.poll();
         if (plan == null) {
-          withoutPlan.add(Requirements.of(job, within));
+          requirementsWithoutPlan.add(Requirements.of(job, withinGuarantee));
           return;
         }
         execute(job, plan);
         // Only the room on this machine has changed, so the plans for all others stay valid.
-        planner.plan(job, plan.room(), within, nowMs).ifPresent(plans::add);
+        planner.plan(job, plan.room(), withinGuarantee, nowMs).ifPresent(plans::add);
       }
     }
 
     private boolean isWithinGuarantee(Job job) {
-      Resources before = promised.getOrDefault(job.team(), Resources.NONE);
-      return teams.withinGuarantee(job.team(), before.plus(job.perTask()));
+      Resources reserved = reservedByTeam.getOrDefault(job.team(), Resources.NONE);
+      return teams.withinGuarantee(job.team(), reserved.plus(job.perTask()));
     }
 
     private void execute(Job job, PreemptionPlanner.Plan plan) {
-      promised.merge(job.team(), job.perTask(), Resources::plus);
+      reservedByTeam.merge(job.team(), job.perTask(), Resources::plus);
       for (Placement victim : plan.victims()) {
         victim.stop(gracePeriodS(victim.job()));
         plan.room().release(victim);
--- a/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
@@ -26,7 +26,7 @@
   /** A task that has run for no longer than this many seconds has just started. */
   private static final double JUST_STARTED_S = 30;
 
-  private static final double CORE = 1_000;
+  private static final double THOUSANDTHS_PER_CORE = 1_000;
 
   /**
    * A machine, with the resources that will be free on it once the tasks that are being stopped
@@ -108,11 +108,11 @@
       return Optional.of(new Plan(room, List.of(), 0));
     }
     List<Placement> candidates = candidates(job, room, withinGuarantee, nowMs);
-    Resources most = room.free;
+    Resources freeIfAllStopped = room.free;
     for (Placement candidate : candidates) {
-      most = most.plus(candidate.job().perTask());
+      freeIfAllStopped = freeIfAllStopped.plus(candidate.job().perTask());
     }
-    if (!job.perTask().fitsIn(most)) {
+    if (!job.perTask().fitsIn(freeIfAllStopped)) {
       return Optional.empty();
     }
     candidates.sort(
@@ -145,18 +145,18 @@
   private boolean mayStop(Job job, Placement placement, boolean withinGuarantee, long nowMs) {
     Job other = placement.job();
     boolean lowerPriority = other.priority().compareTo(job.priority()) > 0;
-    boolean borrowed =
+    boolean exceedsGuarantee =
         withinGuarantee
             && other.team() != job.team()
             && !teams.withinGuarantee(other.team(), Resources.NONE);
-    if (!lowerPriority && !borrowed || !isStarted(placement)) {
+    if (!lowerPriority && !exceedsGuarantee || !isStarted(placement)) {
       return false;
     }
-    double ranS = RuntimeEstimates.ranS(placement, nowMs);
+    double runningForS = RuntimeEstimates.runningForS(placement, nowMs);
     double expectedS = estimates.runS(other);
-    boolean mustKeepStart = ranS <= JUST_STARTED_S && startMatters(other);
-    boolean endsSoon = expectedS > 0 && expectedS - ranS <= ENDS_SOON_S;
-    return !mustKeepStart && !endsSoon;
+    boolean isProtectedStart = runningForS <= JUST_STARTED_S && startMatters(other);
+    boolean endsSoon = expectedS > 0 && expectedS - runningForS <= ENDS_SOON_S;
+    return !isProtectedStart && !endsSoon;
   }
 
   private static boolean isStarted(Placement placement) {
@@ -179,7 +179,7 @@
     double lostS =
         job.spec().isCheckpointed()
             ? job.spec().checkpointCostS()
-            : RuntimeEstimates.ranS(placement, nowMs);
-    return lostS * job.perTask().cores() / CORE;
+            : RuntimeEstimates.runningForS(placement, nowMs);
+    return lostS * job.perTask().cores() / THOUSANDTHS_PER_CORE;
   }
 }
--- a/src/main/java/org/ploverspindle/placement/RuntimeEstimates.java
+++ b/src/main/java/org/ploverspindle/placement/RuntimeEstimates.java
@@ -12,7 +12,7 @@
  */
 public final class RuntimeEstimates {
   /** Weight of the latest completed task in the moving average of its job class. */
-  private static final double WEIGHT = 0.08;
+  private static final double LATEST_TASK_WEIGHT = 0.08;
 
   /** Lower bound of the ratio of one task, so that single outliers do not distort the average. */
   private static final double MIN_RATIO = 0.1;
@@ -21,7 +21,7 @@
   private static final double MAX_RATIO = 8;
 
   /** A running task is assumed to have at least this fraction of its estimated runtime left. */
-  private static final double MIN_REMAINING = 0.2;
+  private static final double MIN_REMAINING_FRACTION = 0.2;
 
   private static final double MS_PER_S = 1_000;
 
@@ -30,18 +30,18 @@
   /**
    * Records how long a completed task of the job ran.
    *
-   * @param ranS seconds from the first heartbeat that showed the task running to the one that
+   * @param runtimeS seconds from the first heartbeat that showed the task running to the one that
    *     showed it completed
    */
-  public void observed(Job job, double ranS) {
-    if (job.spec().expectedS() <= 0 || ranS <= 0) {
+  public void observed(Job job, double runtimeS) {
+    if (job.spec().expectedS() <= 0 || runtimeS <= 0) {
       return;
     }
-    double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, ranS / job.spec().expectedS()));
+    double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, runtimeS / job.spec().expectedS()));
     ratioByClass.merge(
         job.spec().jobClass(),
         ratio,
-        (average, latest) -> average * (1 - WEIGHT) + latest * WEIGHT);
+        (average, latest) -> average * (1 - LATEST_TASK_WEIGHT) + latest * LATEST_TASK_WEIGHT);
   }
 
   /** Returns the corrected estimate of how long a task of the job runs, in seconds. */
@@ -58,7 +58,7 @@
   }
 
   /** Returns for how many seconds the task has been running; 0 when it is not running yet. */
-  static double ranS(Placement placement, long nowMs) {
+  static double runningForS(Placement placement, long nowMs) {
     return placement.runningSinceMs() < 0 ? 0 : (nowMs - placement.runningSinceMs()) / MS_PER_S;
   }
 
@@ -72,7 +72,7 @@
       return Double.MAX_VALUE;
     }
     double runS = runS(placement.job());
-    return Math.max(runS * MIN_REMAINING, runS - ranS(placement, nowMs));
+    return Math.max(runS * MIN_REMAINING_FRACTION, runS - runningForS(placement, nowMs));
   }
 
   /**
--- a/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
@@ -24,11 +24,12 @@
    * A group that may grow now.
    *
    * @param maxMachines the largest number of machines that may be requested
-   * @param held the number of machines of the type, spot and on-demand, that exist or are requested
-   *     in the zone
+   * @param machinesInZone the number of machines of the type, spot and on-demand, that exist or are
+   *     requested in the zone
    * @param bootsLate whether the group's machines currently come up late or never
    */
-  public record Candidate(MachineGroup group, int maxMachines, int held, boolean bootsLate) {}
+  public record Candidate(
+      MachineGroup group, int maxMachines, int machinesInZone, boolean bootsLate) {}
 
   /** A number of machines to be requested in a group. */
   public record Request(MachineGroup group, int count) {}
@@ -36,29 +37,32 @@
   /**
    * The work for which capacity is needed.
    *
-   * @param pending the jobs with pending tasks, in the order in which they are served
-   * @param all all jobs, whether or not they have pending tasks
-   * @param expected a job that the next high-priority job is expected to resemble; capacity is kept
-   *     for it
+   * @param pendingJobs the jobs with pending tasks, in the order in which they are served
+   * @param allJobs all jobs, whether or not they have pending tasks
+   * @param expectedJob a job that the next high-priority job is expected to resemble; capacity is
+   *     kept for it
    * @param coresForRate the cores that work keeps busy if it continues to arrive at the recent
    *     rate, in thousandths
    */
   public record Work(
-      List<Job> pending, Collection<Job> all, Optional<Job> expected, double coresForRate) {}
+      List<Job> pendingJobs,
+      Collection<Job> allJobs,
+      Optional<Job> expectedJob,
+      double coresForRate) {}
 
   /**
    * The capacity that exists, and the groups in which more may be requested.
    *
    * @param machines the machines that are up and accept tasks
-   * @param pending for each machine that is booting or requested, its group
+   * @param pendingMachines for each machine that is booting or requested, its group
    * @param candidates the groups in which machines may be requested
    */
   public record Supply(
-      List<Machine> machines, List<MachineGroup> pending, List<Candidate> candidates) {}
+      List<Machine> machines, List<MachineGroup> pendingMachines, List<Candidate> candidates) {}
 
   private final Catalogue catalogue;
   private final CoreDemand demand;
-  private final PendingCapacity pending;
+  private final PendingCapacity pendingCapacity;
   private final CoreBalances balances;
   private final CandidateList candidates;
 
@@ -66,7 +70,7 @@
    * Cores of machines that exist, are pending, or are requested by this plan for pending jobs, in
    * thousandths.
    */
-  private double cores;
+  private double totalCores;
 
   /**
    * @param drainS the time in seconds within which work that should not wait is to be done
@@ -80,8 +84,8 @@
     this.catalogue = catalogue;
     this.demand = new CoreDemand(teams, estimates, objectives, drainS);
     GroupSets groupSets = new GroupSets(catalogue);
-    this.pending = new PendingCapacity(catalogue, groupSets);
-    this.balances = new CoreBalances(groupSets, demand, pending);
+    this.pendingCapacity = new PendingCapacity(catalogue, groupSets);
+    this.balances = new CoreBalances(groupSets, demand, pendingCapacity);
     this.candidates = new CandidateList(catalogue);
   }
 
@@ -95,18 +99,19 @@
     List<Machine> machines = supply.machines();
     supply.candidates().forEach(candidates::add);
     for (Machine machine : machines) {
-      cores += machine.size().cores();
+      totalCores += machine.size().cores();
     }
-    for (MachineGroup group : supply.pending()) {
-      pending.add(group);
-      cores += catalogue.type(group.type()).size().cores();
+    for (MachineGroup group : supply.pendingMachines()) {
+      pendingCapacity.add(group);
+      totalCores += catalogue.type(group.type()).size().cores();
     }
-    balances.compute(work.all(), machines, work.coresForRate(), nowMs, wallMs);
-    for (Job job : work.pending()) {
-      serve(job, machines, StarvationProtection.isStarving(job, wallMs), nowMs);
+    balances.compute(work.allJobs(), machines, work.coresForRate(), nowMs, wallMs);
+    for (Job job : work.pendingJobs()) {
+      requestForPendingTasks(job, machines, StarvationProtection.isStarving(job, wallMs), nowMs);
     }
-    keepRate(work.all(), CoreBalances.heldForRate(work.coresForRate()) - cores);
-    work.expected().ifPresent(job -> keepRoom(job, machines));
+    requestForArrivalRate(
+        work.allJobs(), CoreBalances.coresKeptForRate(work.coresForRate()) - totalCores);
+    work.expectedJob().ifPresent(job -> requestForExpectedJob(job, machines));
     return candidates.requests();
   }
 
@@ -125,16 +130,17 @@
    *     the machines that it may use. One machine is then requested for it even if the balance
    *     shows no shortage, unless that machine would be expensive.
    */
-  private void serve(Job job, List<Machine> machines, boolean starving, long nowMs) {
+  private void requestForPendingTasks(
+      Job job, List<Machine> machines, boolean starving, long nowMs) {
     int tasks = demand.startableTasks(job, nowMs);
-    tasks -= pending.reserve(job, tasks);
-    Optional<CoreBalances.Balance> balance = balances.of(job);
+    tasks -= pendingCapacity.reserve(job, tasks);
+    Optional<CoreBalances.Balance> balance = balances.forJob(job);
     if (tasks <= 0 || balance.isEmpty()) {
       return;
     }
     boolean usableExists =
         machines.stream().anyMatch(machine -> Placer.allows(job, machine))
-            || pending.isUsableBy(job);
+            || pendingCapacity.isUsableBy(job);
     boolean force = starving;
     while (tasks > 0 && (balance.get().isShort() || !usableExists || force)) {
       boolean atAnyPrice = !usableExists || balance.get().isShortAtAnyPrice();
@@ -172,10 +178,10 @@
     MachineGroup group = selection.group();
     Resources size = catalogue.type(group.type()).size();
     selection.request(1);
-    cores += size.cores();
+    totalCores += size.cores();
     balances.add(group, size.cores());
-    pending.add(group);
-    return pending.reserveOnLast(job, tasks);
+    pendingCapacity.add(group);
+    return pendingCapacity.reserveOnLast(job, tasks);
   }
 
   /**
@@ -186,12 +192,12 @@
    *
    * @param missingCores the missing cores, in thousandths
    */
-  private void keepRate(Collection<Job> jobs, double missingCores) {
+  private void requestForArrivalRate(Collection<Job> jobs, double missingCores) {
     Optional<Job> latest =
         jobs.stream()
             .filter(job -> !job.isTerminal() && job.spec().kind() == JobKind.BATCH)
             .filter(
-                job -> job.deadlineS().orElse(Double.MAX_VALUE) <= ArrivalForecast.SHORT_WINDOW_S)
+                job -> job.deadlineS().orElse(Double.MAX_VALUE) <= ArrivalForecast.EARLY_DEADLINE_S)
             .max(Comparator.comparingLong(Job::eligibleSinceWallMs).thenComparing(Job::uid));
     double missing = missingCores;
     while (latest.isPresent() && missing > 0) {
@@ -209,14 +215,14 @@
    * Requests machines so that there is capacity for the next high-priority job, as such a job
    * cannot wait for a machine to boot.
    */
-  private void keepRoom(Job job, List<Machine> machines) {
+  private void requestForExpectedJob(Job job, List<Machine> machines) {
     int tasks = job.spec().tasks();
     for (Machine machine : machines) {
       if (Placer.allows(job, machine)) {
         tasks -= machine.free().capacityFor(job.perTask());
       }
     }
-    tasks -= pending.reserve(job, tasks);
+    tasks -= pendingCapacity.reserve(job, tasks);
     if (tasks <= 0) {
       return;
     }
--- a/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
+++ b/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
@@ -14,7 +14,7 @@
    * A start within at most this many seconds is prompt: there is no time to fetch an image, let
    * alone to boot a machine.
    */
-  private static final double PROMPT_S = 15;
+  private static final double PROMPT_START_S = 15;
 
   private final Map<String, List<Double>> deadlineMultiples = new HashMap<>();
   private final Map<String, List<Double>> startWithinS = new HashMap<>();
@@ -53,14 +53,14 @@
     best = earlier(best, job.deadlineS(), runS, atLeastS);
     best = earlier(best, job.latestDeadlineS(), runS, atLeastS);
     best = earlier(best, job.ownDeadlineS(1), runS, atLeastS);
-    for (double times : ofClass(deadlineMultiples, job)) {
-      best = earlier(best, job.ownDeadlineS(times), runS, atLeastS);
+    for (double multiple : ofClass(deadlineMultiples, job)) {
+      best = earlier(best, job.ownDeadlineS(multiple), runS, atLeastS);
     }
     for (double withinS : ofClass(finishWithinS, job)) {
       best = earlier(best, withinS - runS, atLeastS);
     }
     for (double withinS : ofClass(startWithinS, job)) {
-      if (withinS > PROMPT_S) {
+      if (withinS > PROMPT_START_S) {
         best = earlier(best, withinS, atLeastS);
       }
     }
@@ -84,9 +84,9 @@
    * Returns by when a job's last task should have started, in seconds from the time when the job
    * became eligible to run; empty when no objective requires a start, other than a prompt one.
    */
-  OptionalDouble lastStartS(Job job) {
+  OptionalDouble lastTaskStartByS(Job job) {
     return ofClass(startWithinS, job).stream()
-        .filter(seconds -> seconds > PROMPT_S)
+        .filter(seconds -> seconds > PROMPT_START_S)
         .mapToDouble(Double::doubleValue)
         .min();
   }
@@ -103,6 +103,6 @@
 
   /** True when an objective requires a prompt start of the job's tasks. */
   public boolean requiresPromptStart(Job job) {
-    return ofClass(startWithinS, job).stream().anyMatch(seconds -> seconds <= PROMPT_S);
+    return ofClass(startWithinS, job).stream().anyMatch(seconds -> seconds <= PROMPT_START_S);
   }
 }
--- a/src/main/java/org/ploverspindle/placement/StarvationProtection.java
+++ b/src/main/java/org/ploverspindle/placement/StarvationProtection.java
@@ -19,13 +19,13 @@
   private static final long STARVING_MS = 90_000;
 
   /** A job of which tasks have begun may use the share when it has waited for longer than this. */
-  private static final long AGED_MS = 180_000;
+  private static final long LONG_WAIT_MS = 180_000;
 
   /** Fraction of all cores that is reserved for these jobs. */
-  private static final double SHARE = 0.2;
+  private static final double RESERVED_FRACTION = 0.2;
 
   /** A starving job first starts one task plus the number of its tasks divided by this. */
-  private static final int FIRST_PART = 8;
+  private static final int FIRST_TASKS_DIVISOR = 8;
 
   private final MachineRegistry fleet;
   private final RuntimeEstimates estimates;
@@ -58,29 +58,29 @@
    * come first, those with the most work before the others, as admission puts these last. The other
    * jobs follow, those that have waited longest first.
    */
-  void run(List<Job> pending, List<Machine> withRoom, long nowMs, long wallMs) {
-    List<Job> waiting = waitingLong(pending, wallMs);
-    if (waiting.isEmpty()) {
+  void run(List<Job> pending, List<Machine> machinesWithFreeCores, long nowMs, long wallMs) {
+    List<Job> longWaiting = longWaitingJobs(pending, wallMs);
+    if (longWaiting.isEmpty()) {
       return;
     }
     placements.removeIf(
         placement -> placement.job().activePlacement(placement.task()) != placement);
-    double freeShare = freeShare(nowMs);
-    for (Job job : waiting) {
-      double each = Math.max(1, job.perTask().cores());
-      int maxTasks = maxTasks(job, freeShare / each, wallMs);
+    double freeCores = freeReservedCores(nowMs);
+    for (Job job : longWaiting) {
+      double coresPerTask = Math.max(1, job.perTask().cores());
+      int maxTasks = maxTasks(job, freeCores / coresPerTask, wallMs);
       if (maxTasks > 0) {
-        List<Placement> placed = placer.place(job, withRoom, nowMs, maxTasks);
+        List<Placement> placed = placer.place(job, machinesWithFreeCores, nowMs, maxTasks);
         placements.addAll(placed);
-        freeShare -= placed.size() * each;
+        freeCores -= placed.size() * coresPerTask;
       }
     }
   }
 
-  private List<Job> waitingLong(List<Job> pending, long wallMs) {
+  private List<Job> longWaitingJobs(List<Job> pending, long wallMs) {
     List<Job> waiting = new ArrayList<>();
     for (Job job : pending) {
-      if (isStarving(job, wallMs) || wallMs - job.eligibleSinceWallMs() > AGED_MS) {
+      if (isStarving(job, wallMs) || wallMs - job.eligibleSinceWallMs() > LONG_WAIT_MS) {
         waiting.add(job);
       }
     }
@@ -98,11 +98,13 @@
   }
 
   /** Returns the cores of the share that no placement uses, in thousandths. */
-  private double freeShare(long nowMs) {
+  private double freeReservedCores(long nowMs) {
     double cores = 0;
     for (Machine machine : fleet.all()) {
       cores +=
-          machine.isSchedulable(nowMs, heartbeatTimeoutMs) ? machine.size().cores() * SHARE : 0;
+          machine.isSchedulable(nowMs, heartbeatTimeoutMs)
+              ? machine.size().cores() * RESERVED_FRACTION
+              : 0;
     }
     for (Placement placement : placements) {
       cores -= placement.job().perTask().cores();
@@ -110,13 +112,13 @@
     return cores;
   }
 
-  private int maxTasks(Job job, double withinShare, long wallMs) {
-    int maxTasks = (int) Math.min(Integer.MAX_VALUE, withinShare);
+  private int maxTasks(Job job, double tasksWithinShare, long wallMs) {
+    int maxTasks = (int) Math.min(Integer.MAX_VALUE, tasksWithinShare);
     if (placements.isEmpty()) {
       maxTasks = Math.max(1, maxTasks);
     }
     if (isStarving(job, wallMs)) {
-      maxTasks = Math.min(maxTasks, 1 + job.spec().tasks() / FIRST_PART);
+      maxTasks = Math.min(maxTasks, 1 + job.spec().tasks() / FIRST_TASKS_DIVISOR);
     }
     return maxTasks;
   }
--- a/src/test/java/org/ploverspindle/placement/CapacityTest.java
+++ b/src/test/java/org/ploverspindle/placement/CapacityTest.java
@@ -42,7 +42,7 @@
       double exact = exactCapacity(fleet, withinS);
       assertEquals(
           exact,
-          capacity.within(withinS),
+          capacity.coreSecondsWithin(withinS),
           exact * 0.005 + 20_000,
           "capacity within " + withinS + " s");
     }
--- a/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
+++ b/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
@@ -160,6 +160,6 @@
     assertEquals(OptionalDouble.of(280), objectives.startByS(job, 20, 141));
     assertEquals(OptionalDouble.empty(), objectives.startByS(job, 20, 281));
     assertTrue(objectives.requiresPromptStart(job));
-    assertEquals(OptionalDouble.of(70), objectives.lastStartS(job));
+    assertEquals(OptionalDouble.of(70), objectives.lastTaskStartByS(job));
   }
 }
