--- a/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
+++ b/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
@@ -73,14 +73,14 @@
   }
 
   @Test
-  void withCapacityForAllTheOrderStays() {
+  void capacityForAllJobsKeepsTheOrder() {
     assertEquals(
         List.of("run-1", "run-2"),
         order(job("run-1", Priority.NORMAL, 4, 10, 30), job("run-2", Priority.NORMAL, 4, 10, 60)));
   }
 
   @Test
-  void theLargestIsDeferredWhenItWouldMakeOthersLate() {
+  void largestJobIsDeferredWhenItMakesOthersLate() {
     assertEquals(
         List.of("run-2", "run-3", "run-1"),
         order(
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void jobsThatCannotBeInTimeAreServedLastAndTheLeastWorkFirst() {
+  void jobsThatCannotBeInTimeAreServedLastWithTheLeastWorkFirst() {
     assertEquals(
         List.of("run-3", "run-2", "run-1"),
         order(
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void theLargestOfATeamIsDeferredWhenTheTeamsLimitMakesOthersLate() {
+  void largestJobOfATeamIsDeferredWhenTheTeamLimitMakesOthersLate() {
     Job[] jobs = {
       job("run-1", Priority.NORMAL, 8, 10, 30),
       job("run-2", Priority.NORMAL, 2, 10, 32),
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void aLowerPriorityNeverGoesFirst() {
+  void lowerPriorityJobIsServedAfterAHigherPriorityJobThatIsLate() {
     List<String> order =
         order(job("run-1", Priority.HIGH, 90, 50, 20), job("run-2", Priority.NORMAL, 1, 1, 60));
     assertEquals(List.of("run-1", "run-2"), order);
--- a/src/test/java/org/ploverspindle/placement/ArrivalForecastTest.java
+++ b/src/test/java/org/ploverspindle/placement/ArrivalForecastTest.java
@@ -11,7 +11,7 @@
  */
 class ArrivalForecastTest {
   @Test
-  void submissionsHaveStoppedOnlyAfterALongPause() {
+  void submissionsCountAsStoppedOnlyAfterALongPause() {
     ArrivalForecast forecast = new ArrivalForecast();
     for (int i = 0; i < 10; i++) {
       forecast.recordSubmission(1_000L * 4 * i);
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void jobsThatBecomeReadyAreArrivalsButNoSubmissions() {
+  void jobsThatBecomeReadyCountAsArrivalsButNotAsSubmissions() {
     ArrivalForecast forecast = new ArrivalForecast();
     for (int i = 0; i < 10; i++) {
       forecast.recordSubmission(1_000L * 4 * i);
--- a/src/test/java/org/ploverspindle/placement/CapacityTest.java
+++ b/src/test/java/org/ploverspindle/placement/CapacityTest.java
@@ -33,7 +33,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void capacityInStepsIsTheExactSum(long seed) {
+  void capacityInStepsIsCloseToTheExactSum(long seed) {
     Random random = new Random(seed);
     RandomFleet fleet = new RandomFleet(random, 1_700);
     Capacity capacity = new Capacity(fleet.machines, fleet.estimates, NOW, 60_000);
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -56,8 +56,8 @@
     catalogue.update(
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
-    Replica none = new Replica(new EventLoop(), null, "x/", 700);
-    jobs = new JobTable(none, new AcceptedJobIndex(none), catalogue, teams);
+    Replica emptyReplica = new Replica(new EventLoop(), null, "x/", 700);
+    jobs = new JobTable(emptyReplica, new AcceptedJobIndex(emptyReplica), catalogue, teams);
     Term term = new Term(7, 1, 0);
     MachineRegistry fleet =
         new MachineRegistry(
@@ -96,8 +96,8 @@
     List<Double> startBy = new ArrayList<>();
     if (spec.deadlineS().isPresent()) {
       startBy.add(spec.deadlineS().getAsDouble() - runS);
-      for (double times : spec.jobClass().equals("c") ? List.of(1.5, 2.0) : List.<Double>of()) {
-        startBy.add(spec.deadlineS().getAsDouble() * times - runS);
+      for (double multiple : spec.jobClass().equals("c") ? List.of(1.5, 2.0) : List.<Double>of()) {
+        startBy.add(spec.deadlineS().getAsDouble() * multiple - runS);
       }
     }
     startBy.add(spec.jobClass().equals("c") ? 70 : 300 - runS);
@@ -114,34 +114,34 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void withoutTighterDependentsAJobsOwnValuesCount(long seed) {
+  void jobWithoutTighterDependentsUsesItsOwnValues(long seed) {
     Random random = new Random(seed);
     for (int i = 0; i < 200; i++) {
       JobSpec spec = randomSpec(random, i);
       Job job = job(spec);
       if (random.nextBoolean()) {
         // The job's dependents have a lower priority or the same, and no earlier deadline.
-        OptionalLong own =
+        OptionalLong ownDeadlineWallMs =
             spec.deadlineS().isPresent()
                 ? OptionalLong.of(ACCEPTED + Math.round(spec.deadlineS().getAsDouble() * 1000))
                 : OptionalLong.empty();
-        job.inherit(Priority.BEST_EFFORT, own, own);
+        job.inherit(Priority.BEST_EFFORT, ownDeadlineWallMs, ownDeadlineWallMs);
       }
       double runS = spec.expectedS();
-      long wall = ACCEPTED + random.nextInt(700_000);
+      long wallMs = ACCEPTED + random.nextInt(700_000);
       assertEquals(spec.priority(), job.priority());
       assertEquals(spec.deadlineS(), job.deadlineS());
       assertEquals(ACCEPTED, job.eligibleSinceWallMs());
       assertEquals(
-          spec.deadlineS().orElse(1e6) - (wall - ACCEPTED) / 1000.0 - runS,
-          jobOrder.slackS(job, wall));
-      assertEquals(referenceSlackS(spec, runS, wall), jobOrder.remainingSlackS(job, wall));
-      assertEquals(wall - ACCEPTED > 90_000, StarvationProtection.isStarving(job, wall));
+          spec.deadlineS().orElse(1e6) - (wallMs - ACCEPTED) / 1000.0 - runS,
+          jobOrder.slackS(job, wallMs));
+      assertEquals(referenceSlackS(spec, runS, wallMs), jobOrder.remainingSlackS(job, wallMs));
+      assertEquals(wallMs - ACCEPTED > 90_000, StarvationProtection.isStarving(job, wallMs));
     }
   }
 
   @Test
-  void deadlinesCountFromAcceptanceAndAllElseFromReadiness() {
+  void deadlinesCountFromAcceptanceAndOtherTimesFromReadiness() {
     Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
     job.markReady(ACCEPTED + 60_000);
     ServiceLevelObjectives objectives = new ServiceLevelObjectives(OBJECTIVES);
@@ -163,7 +163,7 @@
   }
 
   @Test
-  void dependentsRaiseAJobsPriorityAndNeverLowerIt() {
+  void dependentsOnlyRaisePriorityAndTightenTheDeadline() {
     Job job = job(JobSpecFixtures.batch("run-1", "d", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
     job.inherit(
         Priority.HIGH, OptionalLong.of(ACCEPTED + 60_000), OptionalLong.of(ACCEPTED + 90_000));
@@ -186,7 +186,7 @@
   }
 
   @Test
-  void inheritedPriorityAndDeadlineOrderTheJobs() {
+  void jobsAreOrderedByInheritedPriorityAndDeadline() {
     List<Job> waiting = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       JobSpec spec = JobSpecFixtures.batch("run-" + i, "e", "red", Priority.NORMAL, 2, 1, 1, 20, 0);
@@ -207,7 +207,7 @@
   }
 
   @Test
-  void tasksOfAJobThatIsBlockedOnDependenciesAreNotSchedulable() {
+  void jobBlockedOnDependenciesHasNoSchedulableTasks() {
     Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 0));
     job.blockOnDependencies();
     assertEquals(0, job.schedulableTasks(0));
--- a/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
+++ b/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
@@ -35,11 +35,11 @@
   private static final int MACHINES = 1_700;
 
   /** A map that counts the values visited by iteration; lookups of single keys do not count. */
-  private static final class Counting<V> extends LinkedHashMap<String, V> {
+  private static final class CountingMap<V> extends LinkedHashMap<String, V> {
     private static final long serialVersionUID = 1L;
     private long visited;
 
-    Counting(Map<String, V> from) {
+    CountingMap(Map<String, V> from) {
       super(from);
     }
 
@@ -72,11 +72,12 @@
     }
   }
 
-  private static <V> Counting<V> count(Object owner, String field) throws Exception {
+  private static <V> CountingMap<V> replaceByCountingMap(Object owner, String field)
+      throws Exception {
     Field mapField = owner.getClass().getDeclaredField(field);
     mapField.setAccessible(true);
     @SuppressWarnings("unchecked")
-    Counting<V> counting = new Counting<>((Map<String, V>) mapField.get(owner));
+    CountingMap<V> counting = new CountingMap<>((Map<String, V>) mapField.get(owner));
     mapField.set(owner, counting);
     return counting;
   }
@@ -102,8 +103,10 @@
   }
 
   private JobTable pendingJobs() {
-    Replica none = new Replica(new EventLoop(), null, "x/", 700);
-    JobTable table = new JobTable(none, new AcceptedJobIndex(none), fleet.catalogue, fleet.teams);
+    Replica emptyReplica = new Replica(new EventLoop(), null, "x/", 700);
+    JobTable table =
+        new JobTable(
+            emptyReplica, new AcceptedJobIndex(emptyReplica), fleet.catalogue, fleet.teams);
     for (int i = 1_000; i < 3_000; i++) {
       Priority priority = Priority.values()[random.nextInt(4)];
       JobSpec spec = fleet.job(i, priority, 1 + random.nextInt(9)).spec();
@@ -115,8 +118,8 @@
   }
 
   @Test
-  void aHeartbeatVisitsNoOtherMachineAndPlacingVisitsEachAFewTimes() throws Exception {
-    Counting<Machine> machines = count(fleet.machines, "machines");
+  void heartbeatVisitsNoOtherMachineAndPlacementVisitsEachAFewTimes() throws Exception {
+    CountingMap<Machine> machines = replaceByCountingMap(fleet.machines, "machines");
     for (Machine machine : List.copyOf(fleet.machines.all()).subList(0, 200)) {
       Heartbeat heartbeat = heartbeat(machine);
       machines.visited = 0;
@@ -125,7 +128,7 @@
     }
 
     JobTable table = pendingJobs();
-    Counting<Job> jobs = count(table, "jobs");
+    CountingMap<Job> jobs = replaceByCountingMap(table, "jobs");
     long[] attempt = {1 << 20};
     int[] placed = {0};
     Placer placer =
--- a/src/test/java/org/ploverspindle/placement/PlacerTest.java
+++ b/src/test/java/org/ploverspindle/placement/PlacerTest.java
@@ -108,11 +108,12 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void placesLikeTheReference(long seed) {
+  void placementsEqualThoseOfTheReference(long seed) {
     Random random = new Random(seed);
     MachineRegistry fleet = fleet(random, 5 + random.nextInt(25));
-    Replica none = new Replica(new EventLoop(), null, "x/", 700);
-    JobTable jobs = new JobTable(none, new AcceptedJobIndex(none), catalogue, teams);
+    Replica emptyReplica = new Replica(new EventLoop(), null, "x/", 700);
+    JobTable jobs =
+        new JobTable(emptyReplica, new AcceptedJobIndex(emptyReplica), catalogue, teams);
     for (int i = 0; i < 14; i++) {
       jobs.add(
           new AcceptedJobIndex.AcceptedJob(
--- a/src/test/java/org/ploverspindle/placement/PreemptionTest.java
+++ b/src/test/java/org/ploverspindle/placement/PreemptionTest.java
@@ -71,11 +71,11 @@
    * Fills the machine with four running tasks of the priority, then asks for room for a job of high
    * priority with two tasks. Returns how many tasks are stopped.
    */
-  private static int stoppedFor(Priority running, double expectedS, long ranMs) {
-    return stoppedFor(running, expectedS, ranMs, new ServiceLevelObjectives(List.of()));
+  private static int stoppedTaskCount(Priority running, double expectedS, long ranMs) {
+    return stoppedTaskCount(running, expectedS, ranMs, new ServiceLevelObjectives(List.of()));
   }
 
-  private static int stoppedFor(
+  private static int stoppedTaskCount(
       Priority running, double expectedS, long ranMs, ServiceLevelObjectives objectives) {
     MachineRegistry fleet = fleet();
     Machine machine = fleet.get("i-1").orElseThrow();
@@ -99,28 +99,28 @@
   }
 
   @Test
-  void tasksOfLowerPriorityAreStoppedOneByOne() {
-    assertEquals(2, stoppedFor(Priority.NORMAL, 400, 60_000));
+  void onlyAsManyLowerPriorityTasksAreStoppedAsNeeded() {
+    assertEquals(2, stoppedTaskCount(Priority.NORMAL, 400, 60_000));
   }
 
   @Test
-  void tasksOfTheSamePriorityAreNotStopped() {
-    assertEquals(0, stoppedFor(Priority.HIGH, 400, 60_000));
+  void samePriorityTasksAreNotStopped() {
+    assertEquals(0, stoppedTaskCount(Priority.HIGH, 400, 60_000));
   }
 
   @Test
-  void tasksThatJustStartedOrSoonEndAreNotStopped() {
-    ServiceLevelObjectives prompt =
+  void tasksThatJustStartedOrWillEndSoonAreNotStopped() {
+    ServiceLevelObjectives promptStart =
         new ServiceLevelObjectives(List.of(new Settings.Objective("wait", "c", 0.9, 1, 5)));
-    assertEquals(0, stoppedFor(Priority.NORMAL, 400, 10_000, prompt));
+    assertEquals(0, stoppedTaskCount(Priority.NORMAL, 400, 10_000, promptStart));
     assertEquals(
-        2, stoppedFor(Priority.NORMAL, 400, 10_000), "no objective requires a prompt start");
-    assertEquals(0, stoppedFor(Priority.NORMAL, 65, 60_000));
+        2, stoppedTaskCount(Priority.NORMAL, 400, 10_000), "no objective requires a prompt start");
+    assertEquals(0, stoppedTaskCount(Priority.NORMAL, 65, 60_000));
   }
 
   @ParameterizedTest
   @CsvSource({"1,40", "2,40", "3,300", "4,300", "5,1700"})
-  void stopsTheSameTasksAsTheReference(long seed, int machines) {
+  void stoppedTasksEqualThoseOfTheReference(long seed, int machines) {
     Random random = new Random(seed);
     RandomFleet fleet = new RandomFleet(random, machines);
     List<Job> pending = new ArrayList<>();
@@ -130,8 +130,8 @@
     }
     TreeSet<String> expected =
         new ReferencePreemption(fleet).run(pending, Math.max(24, machines / 10));
-    ServiceLevelObjectives none = new ServiceLevelObjectives(List.of());
-    new Preemption(fleet.machines, fleet.teams, fleet.estimates, none, 60_000)
+    ServiceLevelObjectives noObjectives = new ServiceLevelObjectives(List.of());
+    new Preemption(fleet.machines, fleet.teams, fleet.estimates, noObjectives, 60_000)
         .run(pending, RandomFleet.NOW);
     TreeSet<String> stopped = new TreeSet<>();
     for (Machine machine : fleet.machines.all()) {
--- a/src/test/java/org/ploverspindle/placement/RandomFleet.java
+++ b/src/test/java/org/ploverspindle/placement/RandomFleet.java
@@ -35,7 +35,7 @@
   private static final Term TERM = new Term(7, 1, 0);
   private static final int RUNNING_JOBS = 90;
   private static final int TASKS_PER_JOB = 500;
-  private static final int PLACEMENT_TRIES = 30;
+  private static final int PLACEMENT_TRIES_PER_MACHINE = 30;
   private static final List<String> ZONES = List.of("a", "b", "c");
 
   final Catalogue catalogue = new Catalogue(ZONES);
@@ -129,7 +129,7 @@
     long seenMs = NOW - random.nextInt(150_000);
     Machine machine = machines.adopt(host, type, zone, random.nextBoolean(), seenMs).orElseThrow();
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
-    for (int i = 0; i < PLACEMENT_TRIES; i++) {
+    for (int i = 0; i < PLACEMENT_TRIES_PER_MACHINE; i++) {
       int job = random.nextInt(RUNNING_JOBS);
       addRunningTask(machine, running.get(job), job, tasks);
     }
--- a/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
+++ b/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
@@ -22,7 +22,7 @@
   private final MachineRegistry fleet;
   private final Map<Machine, Resources> free = new HashMap<>();
   private final Map<Machine, Set<String>> images = new HashMap<>();
-  private long usedByRed;
+  private long usedCoresOfRed;
 
   ReferencePlacer(MachineRegistry fleet) {
     this.fleet = fleet;
@@ -52,13 +52,13 @@
   }
 
   private boolean isWithinLimit(Job job) {
-    return !isRed(job) || usedByRed + job.perTask().cores() <= RED_LIMIT;
+    return !isRed(job) || usedCoresOfRed + job.perTask().cores() <= RED_LIMIT;
   }
 
   private void place(Job job, Machine machine) {
     free.merge(machine, job.perTask(), Resources::minus);
     images.computeIfAbsent(machine, key -> new HashSet<>()).add(job.spec().image());
-    usedByRed += isRed(job) ? job.perTask().cores() : 0;
+    usedCoresOfRed += isRed(job) ? job.perTask().cores() : 0;
   }
 
   private Optional<Machine> best(Job job, Map<Integer, Integer> tasksInZone) {
@@ -74,13 +74,13 @@
   }
 
   private boolean allows(Job job, Machine machine, Map<Integer, Integer> tasksInZone) {
-    int here = tasksInZone.getOrDefault(machine.zone(), 0);
-    int all = tasksInZone.values().stream().mapToInt(Integer::intValue).sum();
+    int tasksInThisZone = tasksInZone.getOrDefault(machine.zone(), 0);
+    int tasksInAllZones = tasksInZone.values().stream().mapToInt(Integer::intValue).sum();
     return job.types().get(machine.type())
         && (job.spec().spot() || !machine.isSpot())
         && (job.requiredZone() < 0 || job.requiredZone() == machine.zone())
-        && (!job.spec().oneZone() || here == all)
-        && (!job.spec().spreadOverZones() || here < (job.spec().tasks() + 1) / 2)
+        && (!job.spec().oneZone() || tasksInThisZone == tasksInAllZones)
+        && (!job.spec().spreadOverZones() || tasksInThisZone < (job.spec().tasks() + 1) / 2)
         && job.perTask().fitsIn(free.get(machine));
   }
 
--- a/src/test/java/org/ploverspindle/placement/ReferencePreemption.java
+++ b/src/test/java/org/ploverspindle/placement/ReferencePreemption.java
@@ -19,11 +19,11 @@
 final class ReferencePreemption {
   private static final long NOW = RandomFleet.NOW;
 
-  private record Choice(Machine machine, List<Placement> victims, double lost) {}
+  private record Plan(Machine machine, List<Placement> victims, double lostCoreS) {}
 
   private final RandomFleet fleet;
   private final Map<Machine, Resources> free = new HashMap<>();
-  private final Map<Integer, Resources> promised = new HashMap<>();
+  private final Map<Integer, Resources> reservedByTeam = new HashMap<>();
   private final TreeSet<String> stopped = new TreeSet<>();
 
   ReferencePreemption(RandomFleet fleet) {
@@ -38,12 +38,12 @@
   /** Returns the names of the tasks that are to be stopped for the pending jobs. */
   TreeSet<String> run(List<Job> pending, int maxTasks) {
     for (Job job : pending) {
-      boolean entitled =
+      boolean mayPreempt =
           job.spec().priority().compareTo(Priority.HIGH) <= 0
               || fleet.teams.withinGuarantee(job.team(), job.perTask());
       int tasks = job.pendingTasks().size();
-      for (int i = 0; entitled && i < tasks && stopped.size() < maxTasks; i++) {
-        entitled = makeRoom(job);
+      for (int i = 0; mayPreempt && i < tasks && stopped.size() < maxTasks; i++) {
+        mayPreempt = makeRoom(job);
       }
     }
     return stopped;
@@ -51,21 +51,21 @@
 
   /** Makes room for one task of the job; returns false when no machine can give it room. */
   private boolean makeRoom(Job job) {
-    Resources before = promised.getOrDefault(job.team(), Resources.NONE);
-    boolean within = fleet.teams.withinGuarantee(job.team(), before.plus(job.perTask()));
-    Choice best = null;
+    Resources reserved = reservedByTeam.getOrDefault(job.team(), Resources.NONE);
+    boolean withinGuarantee = fleet.teams.withinGuarantee(job.team(), reserved.plus(job.perTask()));
+    Plan best = null;
     for (Machine machine : fleet.machines.all()) {
       if (Placer.allows(job, machine)) {
-        Choice choice = choice(job, machine, within);
-        if (choice != null && (best == null || choice.lost() < best.lost())) {
-          best = choice;
+        Plan plan = plan(job, machine, withinGuarantee);
+        if (plan != null && (best == null || plan.lostCoreS() < best.lostCoreS())) {
+          best = plan;
         }
       }
     }
     if (best == null) {
       return false;
     }
-    promised.merge(job.team(), job.perTask(), Resources::plus);
+    reservedByTeam.merge(job.team(), job.perTask(), Resources::plus);
     for (Placement victim : best.victims()) {
       stopped.add(name(victim));
       free.merge(best.machine(), victim.job().perTask(), Resources::plus);
@@ -74,17 +74,17 @@
     return true;
   }
 
-  private Choice choice(Job job, Machine machine, boolean within) {
+  private Plan plan(Job job, Machine machine, boolean withinGuarantee) {
     List<Placement> candidates =
         machine.placements().stream()
             .filter(placement -> !stopped.contains(name(placement)))
-            .filter(placement -> mayStop(job, placement, within))
+            .filter(placement -> mayStop(job, placement, withinGuarantee))
             .sorted(
-                Comparator.comparingDouble(ReferencePreemption::lost)
+                Comparator.comparingDouble(ReferencePreemption::lostCoreS)
                     .thenComparingLong(Placement::attempt))
             .toList();
     Resources room = free.get(machine);
-    double lost = 0;
+    double lostCoreS = 0;
     List<Placement> victims = new ArrayList<>();
     for (Placement candidate : candidates) {
       if (job.perTask().fitsIn(room)) {
@@ -92,32 +92,34 @@
       }
       victims.add(candidate);
       room = room.plus(candidate.job().perTask());
-      lost += lost(candidate);
+      lostCoreS += lostCoreS(candidate);
     }
-    return job.perTask().fitsIn(room) ? new Choice(machine, victims, lost) : null;
+    return job.perTask().fitsIn(room) ? new Plan(machine, victims, lostCoreS) : null;
   }
 
-  private static double ranS(Placement placement) {
+  private static double runningForS(Placement placement) {
     return (NOW - placement.runningSinceMs()) / 1000.0;
   }
 
-  private static double lost(Placement placement) {
+  private static double lostCoreS(Placement placement) {
     Job job = placement.job();
-    return (job.spec().isCheckpointed() ? job.spec().checkpointCostS() : ranS(placement))
+    return (job.spec().isCheckpointed() ? job.spec().checkpointCostS() : runningForS(placement))
         * job.perTask().cores()
         / 1000.0;
   }
 
-  private boolean mayStop(Job job, Placement placement, boolean within) {
+  private boolean mayStop(Job job, Placement placement, boolean withinGuarantee) {
     Job other = placement.job();
-    boolean lower = other.spec().priority().compareTo(job.spec().priority()) > 0;
-    boolean borrowed =
-        within
+    boolean lowerPriority = other.spec().priority().compareTo(job.spec().priority()) > 0;
+    boolean exceedsGuarantee =
+        withinGuarantee
             && other.team() != job.team()
             && !fleet.teams.withinGuarantee(other.team(), Resources.NONE);
     double runS = other.spec().expectedS();
     boolean justStarted =
-        ranS(placement) <= 30 && other.spec().priority().compareTo(Priority.HIGH) <= 0;
-    return (lower || borrowed) && !justStarted && (runS <= 0 || runS - ranS(placement) > 8);
+        runningForS(placement) <= 30 && other.spec().priority().compareTo(Priority.HIGH) <= 0;
+    return (lowerPriority || exceedsGuarantee)
+        && !justStarted
+        && (runS <= 0 || runS - runningForS(placement) > 8);
   }
 }
--- a/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
+++ b/src/test/java/org/ploverspindle/placement/ScaleOutPlannerTest.java
@@ -57,12 +57,13 @@
     return new ScaleOutPlanner.Work(List.of(job), List.of(job), Optional.empty(), 0);
   }
 
-  private Machine idle(int i, int type) {
+  private Machine idleMachine(int i, int type) {
     return new Machine("i-" + i, type, 0, true, catalogue.type(type).size(), NOW, 1);
   }
 
   /** Returns the cores that are requested for this job alone, by machine type. */
-  private double[] requested(Job job, List<Machine> machines, ServiceLevelObjectives objectives) {
+  private double[] requestedCores(
+      Job job, List<Machine> machines, ServiceLevelObjectives objectives) {
     double[] cores = new double[2];
     new ScaleOutPlanner(catalogue, teams, new RuntimeEstimates(), objectives, 30)
         .plan(onlyJob(job), new ScaleOutPlanner.Supply(machines, List.of(), CANDIDATES), NOW, NOW)
@@ -74,40 +75,42 @@
   }
 
   @Test
-  void coresOfMachinesThatATaskDoesNotFitDoNotCount() {
-    ServiceLevelObjectives none = new ServiceLevelObjectives(List.of());
-    List<Machine> small = IntStream.range(0, 200).mapToObj(i -> idle(i, 0)).toList();
-    double[] withSmall = requested(job(8, 40, 50, 400), small, none);
-    double[] alone = requested(job(8, 40, 50, 400), List.of(), none);
-    assertTrue(alone[1] >= 80, "40 tasks of 8 cores and 50 s need 80 cores within half of 400 s");
-    assertEquals(alone[1], withSmall[1]);
+  void coresOfMachinesOnWhichATaskDoesNotFitDoNotCount() {
+    ServiceLevelObjectives noObjectives = new ServiceLevelObjectives(List.of());
+    List<Machine> small = IntStream.range(0, 200).mapToObj(i -> idleMachine(i, 0)).toList();
+    double[] withSmall = requestedCores(job(8, 40, 50, 400), small, noObjectives);
+    double[] withoutMachines = requestedCores(job(8, 40, 50, 400), List.of(), noObjectives);
+    assertTrue(
+        withoutMachines[1] >= 80,
+        "40 tasks of 8 cores and 50 s need 80 cores within half of 400 s");
+    assertEquals(withoutMachines[1], withSmall[1]);
     assertEquals(0, withSmall[0]);
   }
 
   @Test
-  void coresThatFitAreCounted() {
-    List<Machine> large = IntStream.range(0, 40).mapToObj(i -> idle(i, 1)).toList();
+  void coresOfMachinesOnWhichATaskFitsCount() {
+    List<Machine> large = IntStream.range(0, 40).mapToObj(i -> idleMachine(i, 1)).toList();
     assertEquals(
-        0, requested(job(8, 40, 50, 400), large, new ServiceLevelObjectives(List.of()))[1]);
-    List<Machine> small = IntStream.range(0, 200).mapToObj(i -> idle(i, 0)).toList();
+        0, requestedCores(job(8, 40, 50, 400), large, new ServiceLevelObjectives(List.of()))[1]);
+    List<Machine> small = IntStream.range(0, 200).mapToObj(i -> idleMachine(i, 0)).toList();
     assertEquals(
-        0, requested(job(2, 40, 50, 400), small, new ServiceLevelObjectives(List.of()))[0]);
+        0, requestedCores(job(2, 40, 50, 400), small, new ServiceLevelObjectives(List.of()))[0]);
   }
 
   @Test
-  void aStartObjectiveNeedsMoreThanALateDeadline() {
+  void startObjectiveRequestsMoreCoresThanALateDeadline() {
     ServiceLevelObjectives objectives =
         new ServiceLevelObjectives(List.of(new Settings.Objective("wait", "c", 0.95, 1, 60)));
     double withoutObjective =
-        requested(job(8, 100, 50, 900), List.of(), new ServiceLevelObjectives(List.of()))[1];
-    double prompt = requested(job(8, 100, 50, 900), List.of(), objectives)[1];
+        requestedCores(job(8, 100, 50, 900), List.of(), new ServiceLevelObjectives(List.of()))[1];
+    double withObjective = requestedCores(job(8, 100, 50, 900), List.of(), objectives)[1];
     assertTrue(
-        prompt >= 3 * withoutObjective,
-        prompt + " cores with the objective, " + withoutObjective + " cores without it");
+        withObjective >= 3 * withoutObjective,
+        withObjective + " cores with the objective, " + withoutObjective + " cores without it");
   }
 
   @Test
-  void machinesOfATypeAreSpreadOverItsZones() {
+  void requestedMachinesOfATypeAreSpreadOverItsZones() {
     int[] requested = new int[3];
     List<ScaleOutPlanner.Candidate> candidates =
         List.of(
@@ -127,7 +130,7 @@
   }
 
   @Test
-  void groupsThatBootLateAreUsedOnlyWhereNoOtherHelps() {
+  void groupsThatBootLateAreUsedOnlyWhenNoOtherCanGrow() {
     Job job = job(2, 100, 50, 60);
     List<ScaleOutPlanner.Candidate> candidates =
         List.of(
@@ -145,7 +148,7 @@
   }
 
   @Test
-  void theNextObjectiveThatCanBeMetSetsTheLatestStart() {
+  void nextObjectiveThatCanBeMetSetsTheLatestStart() {
     ServiceLevelObjectives objectives =
         new ServiceLevelObjectives(
             List.of(
