--- a/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
+++ b/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
@@ -21,7 +21,7 @@
 final class AdmissionOrder {
   /**
    * The work ahead of a job counts at this fraction of its estimate: estimates may be wrong by
-   * half, so a job is taken for late only if even this much work would make it late.
+   * half, so a job counts as late only if even this much work would make it late.
    */
   private static final double WORK_AHEAD_FRACTION = 0.6;
 
@@ -170,7 +170,8 @@
     }
 
     /**
-     * Returns the admitted job with the most work, or the given job if no other has much more work.
+     * Returns the job to defer so that the given job can be in time: the admitted job with the most
+     * work, or the given job if that has less than {@link #MIN_WORK_RATIO} times its work.
      *
      * @param sameTeam whether only jobs of the same team may be deferred, because the job is late
      *     on account of its team's limit
--- a/src/main/java/org/ploverspindle/placement/CandidateList.java
+++ b/src/main/java/org/ploverspindle/placement/CandidateList.java
@@ -59,8 +59,8 @@
   /**
    * Returns the candidate with the lowest price per task that would run there. Among candidates of
    * equal price it is the one whose zone has the fewest machines of the type. Otherwise all
-   * machines would go to the first zone and be lost with it, as GEP-24's formula lets all zones
-   * grow by the same number of machines below the pool's maximum.
+   * machines would go to the first zone and be lost with it, as GEP-24's formula allows every zone
+   * the same number of additional machines up to the pool's maximum.
    *
    * @param tasks how many tasks of the job need machines
    * @param includeLateBooting whether groups whose machines currently come up late are included
--- a/src/main/java/org/ploverspindle/placement/Capacity.java
+++ b/src/main/java/org/ploverspindle/placement/Capacity.java
@@ -7,10 +7,10 @@
 import org.ploverspindle.cluster.Placement;
 
 /**
- * How much more work can be done within a given time while the tasks that run now go on. The times
- * at which cores become free are rounded up to steps, which are far finer than runtime estimates
- * are accurate. One pass over the placements is then enough, without sorting them: a large fleet
- * has tens of thousands of placements.
+ * How much work can be done within a given time in addition to the tasks that run now. The times at
+ * which cores become free are rounded up to steps that are far smaller than the errors of runtime
+ * estimates. One pass over the placements is then enough, without sorting them: a large fleet has
+ * tens of thousands of placements.
  */
 final class Capacity {
   private static final double STEP_S = 0.25;
--- a/src/main/java/org/ploverspindle/placement/CoreDemand.java
+++ b/src/main/java/org/ploverspindle/placement/CoreDemand.java
@@ -70,7 +70,8 @@
   }
 
   /**
-   * Returns the cores that finish the job's work in the time that it should take.
+   * Returns the cores with which the job's running and startable tasks finish in the time that
+   * {@link #windowS} gives. A gang or a service needs the cores of all these tasks.
    *
    * @param guaranteed whether its team's guarantee covers the job
    */
@@ -101,7 +102,7 @@
    * machines are requested only for work that would be late without them, while other work waits
    * for cheap ones.
    *
-   * @param expensive whether the result decides on expensive machines
+   * @param expensive whether the time is used to decide on requests for expensive machines
    */
   private double windowS(Job job, boolean guaranteed, long wallMs, boolean expensive) {
     if (guaranteed || job.deadlineS().isEmpty()) {
@@ -127,8 +128,8 @@
   }
 
   /**
-   * Returns the jobs that their team's guarantee covers. It covers a job if it is large enough for
-   * this job together with the team's unfinished jobs that became eligible to run before it.
+   * Returns the jobs that their team's guarantee covers. A job is covered if the guarantee is large
+   * enough for it together with the team's unfinished jobs that became eligible to run before it.
    */
   Set<Job> guaranteedJobs(Collection<Job> jobs, long nowMs) {
     Set<Job> covered = new HashSet<>();
--- a/src/main/java/org/ploverspindle/placement/GroupSets.java
+++ b/src/main/java/org/ploverspindle/placement/GroupSets.java
@@ -4,7 +4,7 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.model.Catalogue;
 
-/** Sets of machine groups as bit sets, and the dense index of each group. */
+/** Represents sets of machine groups as bit sets, in which each group has a fixed index. */
 final class GroupSets {
   private static final int KINDS = 2;
 
--- a/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
@@ -165,9 +165,9 @@
   }
 
   /**
-   * True when the start of the job's tasks matters: a task that is stopped within 30 s does not
-   * count as started for the objectives. Of other jobs, tasks that have just started are the best
-   * ones to stop, as the least work is lost.
+   * True when the job should start at once, so that the starts of its tasks must not be wasted: a
+   * task that is stopped within 30 s of its start does not count as started for the objectives. Of
+   * other jobs, tasks that have just started are the best ones to stop, as the least work is lost.
    */
   private boolean startMatters(Job job) {
     return objectives.requiresPromptStart(job) || job.priority().compareTo(Priority.HIGH) <= 0;
