--- a/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
+++ b/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
@@ -53,13 +53,13 @@
     best = earlier(best, job.deadlineS(), runS, atLeastS);
     best = earlier(best, job.latestDeadlineS(), runS, atLeastS);
     best = earlier(best, job.ownDeadlineS(1), runS, atLeastS);
-    for (double multiple : ofClass(deadlineMultiples, job)) {
+    for (double multiple : valuesOfClass(deadlineMultiples, job)) {
       best = earlier(best, job.ownDeadlineS(multiple), runS, atLeastS);
     }
-    for (double withinS : ofClass(finishWithinS, job)) {
+    for (double withinS : valuesOfClass(finishWithinS, job)) {
       best = earlier(best, withinS - runS, atLeastS);
     }
-    for (double withinS : ofClass(startWithinS, job)) {
+    for (double withinS : valuesOfClass(startWithinS, job)) {
       if (withinS > PROMPT_START_S) {
         best = earlier(best, withinS, atLeastS);
       }
@@ -76,7 +76,7 @@
     return startByS >= atLeastS ? Math.min(best, startByS) : best;
   }
 
-  private static List<Double> ofClass(Map<String, List<Double>> byClass, Job job) {
+  private static List<Double> valuesOfClass(Map<String, List<Double>> byClass, Job job) {
     return byClass.getOrDefault(job.spec().jobClass(), List.of());
   }
 
@@ -85,7 +85,7 @@
    * became eligible to run; empty when no objective requires a start, other than a prompt one.
    */
   OptionalDouble lastTaskStartByS(Job job) {
-    return ofClass(startWithinS, job).stream()
+    return valuesOfClass(startWithinS, job).stream()
         .filter(seconds -> seconds > PROMPT_START_S)
         .mapToDouble(Double::doubleValue)
         .min();
@@ -103,6 +103,6 @@
 
   /** True when an objective requires a prompt start of the job's tasks. */
   public boolean requiresPromptStart(Job job) {
-    return ofClass(startWithinS, job).stream().anyMatch(seconds -> seconds <= PROMPT_START_S);
+    return valuesOfClass(startWithinS, job).stream().anyMatch(seconds -> seconds <= PROMPT_START_S);
   }
 }
