--- a/src/main/java/org/ploverspindle/placement/CandidateList.java
+++ b/src/main/java/org/ploverspindle/placement/CandidateList.java
@@ -6,12 +6,12 @@
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.model.Catalogue;
 
-/** The groups that may grow, with what a plan has requested of each so far. */
+/** The groups that may grow, with the machines that a plan has requested in each so far. */
 final class CandidateList {
-  /** Smaller differences in price count as none. */
+  /** Prices that differ by less than this count as equal. */
   private static final double PRICE_TOLERANCE = 1e-9;
 
-  /** A candidate and how many of its machines the plan requests. */
+  /** A candidate, with the number of machines that the plan requests in its group. */
   static final class Selection {
     private final ScaleOutPlanner.Candidate candidate;
     private int requested;
@@ -24,7 +24,7 @@
       return candidate.group();
     }
 
-    /** How many more machines may be requested. */
+    /** Returns how many more machines may be requested in the group. */
     int remaining() {
       return candidate.maxMachines() - requested;
     }
@@ -45,7 +45,7 @@
     selections.add(new Selection(candidate));
   }
 
-  /** What is requested, in the order of the candidates. */
+  /** Returns the requests of the plan, in the order of the candidates. */
   List<ScaleOutPlanner.Request> requests() {
     List<ScaleOutPlanner.Request> requests = new ArrayList<>();
     for (Selection selection : selections) {
@@ -57,26 +57,26 @@
   }
 
   /**
-   * The candidate with the least price for each task that would run there. Among equals it is the
-   * zone that holds the fewest machines of the type: by GEP-24's formula all zones have the same
-   * room below the pool's maximum, so that all machines would go to the first zone, and be lost
-   * with it.
+   * Returns the candidate with the lowest price per task that would run there. Among candidates of
+   * equal price it is the one whose zone has the fewest machines of the type. Otherwise all
+   * machines would go to the first zone and be lost with it, as GEP-24's formula allows every zone
+   * the same number of additional machines up to the pool's maximum.
    *
-   * @param tasks how many tasks of the job need room
-   * @param includeLate also groups whose machines come up late at present
+   * @param tasks how many tasks of the job need machines
+   * @param includeLateBooting whether groups whose machines currently come up late are included
    */
-  Optional<Selection> cheapest(Job job, int tasks, boolean includeLate) {
+  Optional<Selection> cheapest(Job job, int tasks, boolean includeLateBooting) {
     Optional<Selection> best = Optional.empty();
     double bestPrice = Double.MAX_VALUE;
     for (Selection selection : selections) {
-      if (!isEligible(selection, job, includeLate)) {
+      if (!isEligible(selection, job, includeLateBooting)) {
         continue;
       }
       double price = pricePerTask(selection.group(), job, tasks);
       if (price < bestPrice - PRICE_TOLERANCE
           || best.isPresent()
               && price < bestPrice + PRICE_TOLERANCE
-              && held(selection) < held(best.get())) {
+              && machinesInZone(selection) < machinesInZone(best.get())) {
         best = Optional.of(selection);
         bestPrice = price;
       }
@@ -84,9 +84,9 @@
     return best;
   }
 
-  private static boolean isEligible(Selection selection, Job job, boolean includeLate) {
+  private static boolean isEligible(Selection selection, Job job, boolean includeLateBooting) {
     return selection.remaining() > 0
-        && (includeLate || !selection.candidate.bootsLate())
+        && (includeLateBooting || !selection.candidate.bootsLate())
         && Placer.allows(job, selection.group());
   }
 
@@ -95,32 +95,38 @@
     return catalogue.type(group.type()).price(group.spot()) / Math.min(fitting, tasks);
   }
 
-  /** Machines of the type, of both kinds, in the selection's zone, those of this plan included. */
-  private int held(Selection selection) {
+  /**
+   * Returns the number of machines of the selection's type in its zone, spot and on-demand,
+   * including those that this plan requests.
+   */
+  private int machinesInZone(Selection selection) {
     MachineGroup group = selection.group();
-    int held = selection.candidate.held();
+    int machines = selection.candidate.machinesInZone();
     for (Selection other : selections) {
       if (other.group().type() == group.type() && other.group().zone() == group.zone()) {
-        held += other.requested;
+        machines += other.requested;
       }
     }
-    return held;
+    return machines;
   }
 
-  /** True when room for a task costs far more there than in the cheapest type the job may use. */
+  /**
+   * True when capacity for a task costs more than {@link ScaleOutPlanner#EXPENSIVE_PRICE_RATIO}
+   * times as much in the group as in the cheapest type that the job may use.
+   */
   boolean isExpensive(Job job, MachineGroup group) {
-    double least = Double.MAX_VALUE;
+    double lowestPrice = Double.MAX_VALUE;
     for (int type = 0; type < catalogue.types().size(); type++) {
       if (job.types().get(type)) {
-        least = Math.min(least, fullPricePerTask(job, type, job.spec().spot()));
+        lowestPrice = Math.min(lowestPrice, pricePerTaskWhenFull(job, type, job.spec().spot()));
       }
     }
-    return fullPricePerTask(job, group.type(), group.spot())
-        > least * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO;
+    return pricePerTaskWhenFull(job, group.type(), group.spot())
+        > lowestPrice * ScaleOutPlanner.EXPENSIVE_PRICE_RATIO;
   }
 
-  /** The price for each task on a machine that is filled with them. */
-  private double fullPricePerTask(Job job, int type, boolean spot) {
+  /** Returns the price per task on a machine that is filled with tasks of the job. */
+  private double pricePerTaskWhenFull(Job job, int type, boolean spot) {
     int fitting = Math.max(1, catalogue.type(type).size().capacityFor(job.perTask()));
     return catalogue.type(type).price(spot) / fitting;
   }
--- a/src/main/java/org/ploverspindle/placement/CoreBalances.java
+++ b/src/main/java/org/ploverspindle/placement/CoreBalances.java
@@ -13,66 +13,78 @@
 import org.ploverspindle.cluster.Placement;
 
 /**
- * How many cores may still be requested, for each set of groups that some job can use. Where only
- * some types fit a task, the cores of all others are of no help to it, however many they are.
+ * The difference between the cores that are needed and the cores that exist or are requested, for
+ * each set of groups that some job can use. The sets are balanced separately because cores of
+ * machine types on which a task does not fit are of no use to it, however many there are.
  */
 final class CoreBalances {
   /**
-   * Work arrives unevenly: for what keeps so many cores busy on average, this much more is held.
+   * Work arrives unevenly, so this many times the cores that arriving work keeps busy on average
+   * are kept for it.
    */
   private static final double RATE_HEADROOM = 1.3;
 
-  /** The same for expensive machines. */
+  /** Replaces {@link #RATE_HEADROOM} where only expensive machines are left to be requested. */
   private static final double EXPENSIVE_RATE_HEADROOM = 1.15;
 
-  /** The balance of one set of groups, in thousandths of cores. */
+  /** The balance of one set of groups, in thousandths of cores; a negative one is a surplus. */
   static final class Balance {
-    private double missing;
-    private double missingAtAnyPrice;
+    private double shortfall;
+    private double shortfallAtAnyPrice;
 
     /** True when more cores are needed than exist or are requested. */
     boolean isShort() {
-      return missing > 0;
+      return shortfall > 0;
     }
 
-    /** True when they are needed even if only expensive machines are left. */
+    /**
+     * True when more cores are needed than exist or are requested even if only expensive machines
+     * are left to be requested.
+     */
     boolean isShortAtAnyPrice() {
-      return missingAtAnyPrice > 0;
+      return shortfallAtAnyPrice > 0;
     }
   }
 
   private final GroupSets groupSets;
   private final CoreDemand demand;
-  private final PendingCapacity pending;
+  private final PendingCapacity pendingCapacity;
   private final Map<BitSet, Balance> balances = new LinkedHashMap<>();
 
-  CoreBalances(GroupSets groupSets, CoreDemand demand, PendingCapacity pending) {
+  CoreBalances(GroupSets groupSets, CoreDemand demand, PendingCapacity pendingCapacity) {
     this.groupSets = groupSets;
     this.demand = demand;
-    this.pending = pending;
+    this.pendingCapacity = pendingCapacity;
   }
 
-  /** Cores that are held for work that arrives at this rate, if need be at a high price. */
-  static double heldForRate(double coresForRate) {
+  /**
+   * Returns the cores that are kept for arriving work even if only expensive machines are left to
+   * be requested, in thousandths.
+   *
+   * @param coresForRate the cores that arriving work keeps busy on average, in thousandths
+   */
+  static double coresKeptForRate(double coresForRate) {
     return coresForRate * EXPENSIVE_RATE_HEADROOM;
   }
 
   /**
-   * Computes, for each set of groups that some job can use, what the jobs need that can use no
-   * others, less what exists of these groups and is not taken by jobs that could run elsewhere.
+   * Computes the balance of each set of groups that some job can use. It is the need of the jobs
+   * that can use groups of this set only, less the cores in the set that exist or are pending and
+   * are not taken by jobs that could also run outside of it.
    *
-   * @param coresForRate what work that keeps arriving as it does keeps busy, in thousandths
+   * @param coresForRate the cores that work keeps busy if it continues to arrive at the recent
+   *     rate, in thousandths
    */
   void compute(
       Collection<Job> jobs, List<Machine> machines, double coresForRate, long nowMs, long wallMs) {
-    BitSet everywhere = groupSets.all();
-    balances.put(everywhere, new Balance());
-    Map<Job, BitSet> usable = new HashMap<>();
+    BitSet allGroups = groupSets.all();
+    balances.put(allGroups, new Balance());
+    Map<Job, BitSet> usableGroups = new HashMap<>();
     Map<Job, CoreDemand.Need> needs = new HashMap<>();
-    Set<Job> guaranteed = demand.guaranteed(jobs, nowMs);
+    Set<Job> guaranteed = demand.guaranteedJobs(jobs, nowMs);
     for (Job job : jobs) {
       BitSet groups = groupSets.usableBy(job);
-      usable.put(job, groups);
+      usableGroups.put(job, groups);
       if (!job.isTerminal() && !job.quarantined()) {
         balances.computeIfAbsent(groups, set -> new Balance());
         needs.put(job, demand.need(job, guaranteed.contains(job), nowMs, wallMs));
@@ -80,60 +92,70 @@
     }
     balances.forEach(
         (groups, balance) -> {
-          boolean all = groups.equals(everywhere);
-          addNeeds(balance, groups, needs, usable);
-          if (all) {
-            balance.missing = Math.max(balance.missing, coresForRate * RATE_HEADROOM);
-            balance.missingAtAnyPrice =
-                Math.max(balance.missingAtAnyPrice, heldForRate(coresForRate));
+          boolean isAllGroups = groups.equals(allGroups);
+          addNeeds(balance, groups, needs, usableGroups);
+          if (isAllGroups) {
+            balance.shortfall = Math.max(balance.shortfall, coresForRate * RATE_HEADROOM);
+            balance.shortfallAtAnyPrice =
+                Math.max(balance.shortfallAtAnyPrice, coresKeptForRate(coresForRate));
           }
-          double available = available(groups, all, machines, usable);
-          balance.missing -= available;
-          balance.missingAtAnyPrice -= available;
+          double available = availableCores(groups, isAllGroups, machines, usableGroups);
+          balance.shortfall -= available;
+          balance.shortfallAtAnyPrice -= available;
         });
   }
 
-  /** Adds what the jobs need that can use these groups only. */
+  /** Adds the needs of the jobs that can use groups of this set only. */
   private static void addNeeds(
-      Balance balance, BitSet groups, Map<Job, CoreDemand.Need> needs, Map<Job, BitSet> usable) {
+      Balance balance,
+      BitSet groups,
+      Map<Job, CoreDemand.Need> needs,
+      Map<Job, BitSet> usableGroups) {
     for (Map.Entry<Job, CoreDemand.Need> entry : needs.entrySet()) {
-      if (GroupSets.isSubset(usable.get(entry.getKey()), groups)) {
-        balance.missing += entry.getValue().cores();
-        balance.missingAtAnyPrice += entry.getValue().atAnyPrice();
+      if (GroupSets.isSubset(usableGroups.get(entry.getKey()), groups)) {
+        balance.shortfall += entry.getValue().cores();
+        balance.shortfallAtAnyPrice += entry.getValue().coresAtAnyPrice();
       }
     }
   }
 
-  private double available(
-      BitSet groups, boolean all, List<Machine> machines, Map<Job, BitSet> usable) {
+  private double availableCores(
+      BitSet groups, boolean isAllGroups, List<Machine> machines, Map<Job, BitSet> usableGroups) {
     double cores = 0;
     for (Machine machine : machines) {
       if (groups.get(groupSets.index(machine.type(), machine.zone(), machine.isSpot()))) {
         cores += machine.size().cores();
-        cores -= all ? 0 : takenByOthers(machine, groups, usable);
+        cores -= isAllGroups ? 0 : coresTakenByOthers(machine, groups, usableGroups);
       }
     }
-    return cores + pending.cores(groups);
+    return cores + pendingCapacity.coresIn(groups);
   }
 
-  /** Cores that are taken by tasks of jobs that could run outside of these groups as well. */
-  private static double takenByOthers(Machine machine, BitSet groups, Map<Job, BitSet> usable) {
+  /**
+   * Returns the cores of the machine that are taken by tasks of jobs that could also run outside of
+   * this set of groups, in thousandths.
+   */
+  private static double coresTakenByOthers(
+      Machine machine, BitSet groups, Map<Job, BitSet> usableGroups) {
     double cores = 0;
     for (Placement placement : machine.placements()) {
-      BitSet ofJob = usable.get(placement.job());
-      if (ofJob == null || !GroupSets.isSubset(ofJob, groups)) {
+      BitSet usableByJob = usableGroups.get(placement.job());
+      if (usableByJob == null || !GroupSets.isSubset(usableByJob, groups)) {
         cores += placement.job().perTask().cores();
       }
     }
     return cores;
   }
 
-  /** The balance for what the job can use; empty when it needs nothing. */
-  Optional<Balance> of(Job job) {
+  /**
+   * Returns the balance of the set of groups that the job can use; empty if no unfinished job can
+   * use exactly this set.
+   */
+  Optional<Balance> forJob(Job job) {
     return Optional.ofNullable(balances.get(groupSets.usableBy(job)));
   }
 
-  /** So many cores, in thousandths, are added to a group. */
+  /** Counts cores, in thousandths, as added to a group. */
   void add(MachineGroup group, double cores) {
     add(groupSets.index(group), cores);
   }
@@ -142,21 +164,21 @@
     balances.forEach(
         (groups, balance) -> {
           if (groups.get(group)) {
-            balance.missing -= cores;
-            balance.missingAtAnyPrice -= cores;
+            balance.shortfall -= cores;
+            balance.shortfallAtAnyPrice -= cores;
           }
         });
   }
 
   /**
-   * Removes the machine if more cores would remain without it than are needed even at a high price.
-   * Returns whether it was removed.
+   * Counts the machine as removed if enough cores remain without it, in each set of groups that it
+   * belongs to, for what is needed even at a high price. Returns whether it was removed.
    */
   boolean removeIfSurplus(Machine machine) {
     int group = groupSets.index(machine.type(), machine.zone(), machine.isSpot());
     for (Map.Entry<BitSet, Balance> entry : balances.entrySet()) {
       if (entry.getKey().get(group)
-          && -entry.getValue().missingAtAnyPrice < machine.size().cores()) {
+          && -entry.getValue().shortfallAtAnyPrice < machine.size().cores()) {
         return false;
       }
     }
--- a/src/main/java/org/ploverspindle/placement/Preemption.java
+++ b/src/main/java/org/ploverspindle/placement/Preemption.java
@@ -19,10 +19,13 @@
 
 /**
  * Makes room for high-priority jobs, and for jobs within their team's guarantee, by stopping tasks.
- * Which tasks may be stopped for a job is up to {@link PreemptionPlanner}.
+ * {@link PreemptionPlanner} decides which tasks may be stopped for a job.
  */
 final class Preemption {
-  /** At most so many tasks are stopped in a round, and in a large fleet one for ten machines. */
+  /**
+   * A round makes no further room once it has stopped this many tasks, or one for every ten
+   * machines if that is more.
+   */
   private static final int MIN_TASK_LIMIT = 24;
 
   private static final int MACHINES_PER_TASK = 10;
@@ -33,7 +36,8 @@
   private final long heartbeatTimeoutMs;
 
   /**
-   * @param heartbeatTimeoutMs a machine without a heartbeat for longer is left alone
+   * @param heartbeatTimeoutMs on a machine whose last heartbeat is older than this no tasks are
+   *     stopped
    */
   Preemption(
       MachineRegistry fleet,
@@ -48,18 +52,18 @@
   }
 
   /**
-   * Stops tasks that give way to the pending jobs.
+   * Stops tasks to make room for those pending jobs that may preempt others.
    *
-   * @param pending in the order in which they are served
+   * @param pending the pending jobs, in the order in which they are served
    * @return how many tasks are stopped
    */
   int run(List<Job> pending, long nowMs) {
-    List<Job> entitled = pending.stream().filter(this::mayPreempt).toList();
-    if (entitled.isEmpty()) {
+    List<Job> preemptors = pending.stream().filter(this::mayPreempt).toList();
+    if (preemptors.isEmpty()) {
       return 0;
     }
     Round round = new Round(nowMs);
-    entitled.forEach(round::makeRoom);
+    preemptors.forEach(round::makeRoom);
     return round.stopped;
   }
 
@@ -68,7 +72,10 @@
         || teams.withinGuarantee(job.team(), job.perTask());
   }
 
-  /** All that a plan for a job depends on: where one job found none, an equal one finds none. */
+  /**
+   * All properties of a job on which its plans depend. When there is no plan for a job, there is
+   * none in the same round for another job with equal requirements.
+   */
   private record Requirements(
       Resources perTask,
       BitSet types,
@@ -78,7 +85,7 @@
       boolean withinGuarantee,
       Optional<String> uidIfBoundToZones) {
     static Requirements of(Job job, boolean withinGuarantee) {
-      boolean bound =
+      boolean isBoundToZones =
           job.requiredZone() >= 0 || job.spec().oneZone() || job.spec().spreadOverZones();
       return new Requirements(
           job.perTask(),
@@ -87,7 +94,7 @@
           job.priority(),
           job.team(),
           withinGuarantee,
-          bound ? Optional.of(job.uid()) : Optional.empty());
+          isBoundToZones ? Optional.of(job.uid()) : Optional.empty());
     }
   }
 
@@ -96,10 +103,10 @@
     private final List<PreemptionPlanner.Room> rooms = new ArrayList<>();
     private final int maxTasks;
 
-    /** What jobs were given room for in this round, by team. */
-    private final Map<Integer, Resources> promised = new HashMap<>();
+    /** The resources for which jobs got room in this round, by team. */
+    private final Map<Integer, Resources> reservedByTeam = new HashMap<>();
 
-    private final Set<Requirements> withoutPlan = new HashSet<>();
+    private final Set<Requirements> requirementsWithoutPlan = new HashSet<>();
     private int stopped;
 
     Round(long nowMs) {
@@ -118,34 +125,34 @@
       if (tasks <= 0 || stopped >= maxTasks) {
         return;
       }
-      boolean within = isWithinGuarantee(job);
+      boolean withinGuarantee = isWithinGuarantee(job);
       PriorityQueue<PreemptionPlanner.Plan> plans =
-          withoutPlan.contains(Requirements.of(job, within))
+          requirementsWithoutPlan.contains(Requirements.of(job, withinGuarantee))
               ? new PriorityQueue<>()
-              : planner.plans(job, rooms, within, nowMs);
+              : planner.plans(job, rooms, withinGuarantee, nowMs);
       for (int i = 0; i < tasks && stopped < maxTasks; i++) {
-        if (isWithinGuarantee(job) != within) {
-          within = !within;
-          plans = planner.plans(job, rooms, within, nowMs);
+        if (isWithinGuarantee(job) != withinGuarantee) {
+          withinGuarantee = !withinGuarantee;
+          plans = planner.plans(job, rooms, withinGuarantee, nowMs);
         }
         PreemptionPlanner.Plan plan = plans.poll();
         if (plan == null) {
-          withoutPlan.add(Requirements.of(job, within));
+          requirementsWithoutPlan.add(Requirements.of(job, withinGuarantee));
           return;
         }
         execute(job, plan);
-        // Only this machine has changed; the plans for all others still hold.
-        planner.plan(job, plan.room(), within, nowMs).ifPresent(plans::add);
+        // Only the room on this machine has changed, so the plans for all others stay valid.
+        planner.plan(job, plan.room(), withinGuarantee, nowMs).ifPresent(plans::add);
       }
     }
 
     private boolean isWithinGuarantee(Job job) {
-      Resources before = promised.getOrDefault(job.team(), Resources.NONE);
-      return teams.withinGuarantee(job.team(), before.plus(job.perTask()));
+      Resources reserved = reservedByTeam.getOrDefault(job.team(), Resources.NONE);
+      return teams.withinGuarantee(job.team(), reserved.plus(job.perTask()));
     }
 
     private void execute(Job job, PreemptionPlanner.Plan plan) {
-      promised.merge(job.team(), job.perTask(), Resources::plus);
+      reservedByTeam.merge(job.team(), job.perTask(), Resources::plus);
       for (Placement victim : plan.victims()) {
         victim.stop(gracePeriodS(victim.job()));
         plan.room().release(victim);
--- a/src/main/java/org/ploverspindle/placement/StarvationProtection.java
+++ b/src/main/java/org/ploverspindle/placement/StarvationProtection.java
@@ -9,22 +9,23 @@
 import org.ploverspindle.cluster.Placement;
 
 /**
- * Gives jobs that wait for long a share of the cores of their own. Admission serves those that can
- * be in time: under a lasting overload, jobs that it puts last, the largest above all, would never
- * begin, nor would a low priority below a high one whose work never ends.
+ * Reserves a share of the cores for jobs that have waited for a long time. {@link AdmissionOrder}
+ * serves jobs that can be in time first. Under a lasting overload, the jobs that it puts last would
+ * never start, above all the largest ones, nor would jobs of a low priority if the work of a higher
+ * one never ends.
  */
 final class StarvationProtection {
-  /** After waiting for longer, a job of which nothing has begun is starving. */
+  /** A job of which no task has begun is starving when it has waited for longer than this. */
   private static final long STARVING_MS = 90_000;
 
-  /** After waiting for longer, a job may use the share even if some of it has begun. */
-  private static final long AGED_MS = 180_000;
+  /** A job of which tasks have begun may use the share when it has waited for longer than this. */
+  private static final long LONG_WAIT_MS = 180_000;
 
-  /** The share of all cores for these jobs. */
-  private static final double SHARE = 0.2;
+  /** Fraction of all cores that is reserved for these jobs. */
+  private static final double RESERVED_FRACTION = 0.2;
 
-  /** A starving job starts one part of so many of its tasks first, and one task more. */
-  private static final int FIRST_PART = 8;
+  /** A starving job first starts one task plus the number of its tasks divided by this. */
+  private static final int FIRST_TASKS_DIVISOR = 8;
 
   private final MachineRegistry fleet;
   private final RuntimeEstimates estimates;
@@ -45,7 +46,7 @@
     this.heartbeatTimeoutMs = heartbeatTimeoutMs;
   }
 
-  /** True when the job has waited for long and nothing of it has begun. */
+  /** True when the job has waited for a long time and no task of it has begun. */
   static boolean isStarving(Job job, long wallMs) {
     return job.activePlacements().isEmpty()
         && job.completedTasks().isEmpty()
@@ -53,32 +54,33 @@
   }
 
   /**
-   * Places tasks of jobs that wait for long within their share: first the starving jobs, the
-   * largest first, as admission puts these last; then the oldest.
+   * Places tasks of jobs that have waited for a long time, within the reserved share. Starving jobs
+   * come first, those with the most work before the others, as admission puts these last. The other
+   * jobs follow, those that have waited longest first.
    */
-  void run(List<Job> pending, List<Machine> withRoom, long nowMs, long wallMs) {
-    List<Job> waiting = waitingLong(pending, wallMs);
-    if (waiting.isEmpty()) {
+  void run(List<Job> pending, List<Machine> machinesWithFreeCores, long nowMs, long wallMs) {
+    List<Job> longWaiting = longWaitingJobs(pending, wallMs);
+    if (longWaiting.isEmpty()) {
       return;
     }
     placements.removeIf(
         placement -> placement.job().activePlacement(placement.task()) != placement);
-    double freeShare = freeShare(nowMs);
-    for (Job job : waiting) {
-      double each = Math.max(1, job.perTask().cores());
-      int maxTasks = maxTasks(job, freeShare / each, wallMs);
+    double freeCores = freeReservedCores(nowMs);
+    for (Job job : longWaiting) {
+      double coresPerTask = Math.max(1, job.perTask().cores());
+      int maxTasks = maxTasks(job, freeCores / coresPerTask, wallMs);
       if (maxTasks > 0) {
-        List<Placement> placed = placer.place(job, withRoom, nowMs, maxTasks);
+        List<Placement> placed = placer.place(job, machinesWithFreeCores, nowMs, maxTasks);
         placements.addAll(placed);
-        freeShare -= placed.size() * each;
+        freeCores -= placed.size() * coresPerTask;
       }
     }
   }
 
-  private List<Job> waitingLong(List<Job> pending, long wallMs) {
+  private List<Job> longWaitingJobs(List<Job> pending, long wallMs) {
     List<Job> waiting = new ArrayList<>();
     for (Job job : pending) {
-      if (isStarving(job, wallMs) || wallMs - job.eligibleSinceWallMs() > AGED_MS) {
+      if (isStarving(job, wallMs) || wallMs - job.eligibleSinceWallMs() > LONG_WAIT_MS) {
         waiting.add(job);
       }
     }
@@ -90,17 +92,19 @@
     return waiting;
   }
 
-  /** Core seconds, in thousandths of cores, of all the job's tasks. */
+  /** Returns the estimated work of all the job's tasks, in thousandths of core seconds. */
   private double work(Job job) {
     return job.spec().tasks() * job.perTask().cores() * estimates.runS(job);
   }
 
-  /** Cores of the share that no placement uses, in thousandths. */
-  private double freeShare(long nowMs) {
+  /** Returns the cores of the share that no placement uses, in thousandths. */
+  private double freeReservedCores(long nowMs) {
     double cores = 0;
     for (Machine machine : fleet.all()) {
       cores +=
-          machine.isSchedulable(nowMs, heartbeatTimeoutMs) ? machine.size().cores() * SHARE : 0;
+          machine.isSchedulable(nowMs, heartbeatTimeoutMs)
+              ? machine.size().cores() * RESERVED_FRACTION
+              : 0;
     }
     for (Placement placement : placements) {
       cores -= placement.job().perTask().cores();
@@ -108,13 +112,13 @@
     return cores;
   }
 
-  private int maxTasks(Job job, double withinShare, long wallMs) {
-    int maxTasks = (int) Math.min(Integer.MAX_VALUE, withinShare);
+  private int maxTasks(Job job, double tasksWithinShare, long wallMs) {
+    int maxTasks = (int) Math.min(Integer.MAX_VALUE, tasksWithinShare);
     if (placements.isEmpty()) {
       maxTasks = Math.max(1, maxTasks);
     }
     if (isStarving(job, wallMs)) {
-      maxTasks = Math.min(maxTasks, 1 + job.spec().tasks() / FIRST_PART);
+      maxTasks = Math.min(maxTasks, 1 + job.spec().tasks() / FIRST_TASKS_DIVISOR);
     }
     return maxTasks;
   }
--- a/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
+++ b/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
@@ -23,6 +23,11 @@
 import org.ploverspindle.model.Term;
 import org.ploverspindle.settings.Settings;
 
+/**
+ * Guards against an order of jobs in which a large job makes many others miss their deadlines when
+ * there is more work than capacity, and against lower priorities that are served before higher
+ * ones.
+ */
 class AdmissionOrderTest {
   private static final long NOW = 10_000;
   private static final Term TERM = new Term(7, 1, 0);
@@ -35,7 +40,7 @@
   private static final TeamUsage TEAMS =
       new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
 
-  /** One empty machine of 16 cores that accepts the leader's token. */
+  /** A fleet of one empty machine with 16 cores, which has accepted the leader's fencing token. */
   private static MachineRegistry fleet() {
     Catalogue catalogue = new Catalogue(List.of("a"));
     catalogue.update(
@@ -68,14 +73,14 @@
   }
 
   @Test
-  void withCapacityForAllTheOrderStays() {
+  void capacityForAllJobsKeepsTheOrder() {
     assertEquals(
         List.of("run-1", "run-2"),
         order(job("run-1", Priority.NORMAL, 4, 10, 30), job("run-2", Priority.NORMAL, 4, 10, 60)));
   }
 
   @Test
-  void theLargestIsDeferredWhenItWouldMakeOthersLate() {
+  void largestJobIsDeferredWhenItMakesOthersLate() {
     assertEquals(
         List.of("run-2", "run-3", "run-1"),
         order(
@@ -85,7 +90,7 @@
   }
 
   @Test
-  void jobsThatCannotBeInTimeAreServedLastAndTheLeastWorkFirst() {
+  void jobsThatCannotBeInTimeAreServedLastWithTheLeastWorkFirst() {
     assertEquals(
         List.of("run-3", "run-2", "run-1"),
         order(
@@ -95,20 +100,20 @@
   }
 
   @Test
-  void theLargestOfATeamIsDeferredWhenTheTeamsLimitMakesOthersLate() {
+  void largestJobOfATeamIsDeferredWhenTheTeamLimitMakesOthersLate() {
     Job[] jobs = {
       job("run-1", Priority.NORMAL, 8, 10, 30),
       job("run-2", Priority.NORMAL, 2, 10, 32),
       job("run-3", Priority.NORMAL, 2, 10, 34)
     };
     assertEquals(List.of("run-1", "run-2", "run-3"), order(jobs));
-    // All 16 cores of the machine are free, and the team may use four of them.
+    // All 16 cores of the machine are free, but the team's limit allows only 4 of them.
     Capacity limited = new Capacity(List.of(), 4_000, new RuntimeEstimates(), NOW);
     assertEquals(List.of("run-2", "run-3", "run-1"), order(Map.of(0, limited), jobs));
   }
 
   @Test
-  void aLowerPriorityNeverGoesFirst() {
+  void lowerPriorityJobIsServedAfterAHigherPriorityJobThatIsLate() {
     List<String> order =
         order(job("run-1", Priority.HIGH, 90, 50, 20), job("run-2", Priority.NORMAL, 1, 1, 60));
     assertEquals(List.of("run-1", "run-2"), order);
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -32,7 +32,10 @@
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
 
-/** Placement goes by a job's own values, unless its dependents' deadline or priority is tighter. */
+/**
+ * Guards against wrong priorities, deadlines and slack of jobs in pipelines: placement must use a
+ * job's own values unless it inherits a tighter deadline or a higher priority from its dependents.
+ */
 class EffectiveValuesTest {
   private static final long ACCEPTED = 5_000_000;
   private static final List<Settings.Objective> OBJECTIVES =
@@ -53,8 +56,8 @@
     catalogue.update(
         List.of(
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
-    Replica none = new Replica(new EventLoop(), null, "x/", 700);
-    jobs = new JobTable(none, new AcceptedJobIndex(none), catalogue, teams);
+    Replica emptyReplica = new Replica(new EventLoop(), null, "x/", 700);
+    jobs = new JobTable(emptyReplica, new AcceptedJobIndex(emptyReplica), catalogue, teams);
     Term term = new Term(7, 1, 0);
     MachineRegistry fleet =
         new MachineRegistry(
@@ -87,14 +90,14 @@
         random.nextInt(3) == 0 ? 0 : 10 + random.nextDouble() * 300);
   }
 
-  /** The formula for jobs outside of pipelines, by the user's values alone. */
+  /** The slack in seconds of a job without dependents, computed from the user's values alone. */
   private static OptionalDouble referenceSlackS(JobSpec spec, double runS, long wallMs) {
     double waitedS = (wallMs - ACCEPTED) / 1000.0;
     List<Double> startBy = new ArrayList<>();
     if (spec.deadlineS().isPresent()) {
       startBy.add(spec.deadlineS().getAsDouble() - runS);
-      for (double times : spec.jobClass().equals("c") ? List.of(1.5, 2.0) : List.<Double>of()) {
-        startBy.add(spec.deadlineS().getAsDouble() * times - runS);
+      for (double multiple : spec.jobClass().equals("c") ? List.of(1.5, 2.0) : List.<Double>of()) {
+        startBy.add(spec.deadlineS().getAsDouble() * multiple - runS);
       }
     }
     startBy.add(spec.jobClass().equals("c") ? 70 : 300 - runS);
@@ -111,52 +114,56 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void withoutTighterDependentsAJobsOwnValuesCount(long seed) {
+  void jobWithoutTighterDependentsUsesItsOwnValues(long seed) {
     Random random = new Random(seed);
     for (int i = 0; i < 200; i++) {
       JobSpec spec = randomSpec(random, i);
       Job job = job(spec);
       if (random.nextBoolean()) {
-        // In a pipeline whose other jobs ask for nothing more.
-        OptionalLong own =
+        // The job's dependents have a lower priority or the same, and no earlier deadline.
+        OptionalLong ownDeadlineWallMs =
             spec.deadlineS().isPresent()
                 ? OptionalLong.of(ACCEPTED + Math.round(spec.deadlineS().getAsDouble() * 1000))
                 : OptionalLong.empty();
-        job.inherit(Priority.BEST_EFFORT, own, own);
+        job.inherit(Priority.BEST_EFFORT, ownDeadlineWallMs, ownDeadlineWallMs);
       }
       double runS = spec.expectedS();
-      long wall = ACCEPTED + random.nextInt(700_000);
+      long wallMs = ACCEPTED + random.nextInt(700_000);
       assertEquals(spec.priority(), job.priority());
       assertEquals(spec.deadlineS(), job.deadlineS());
       assertEquals(ACCEPTED, job.eligibleSinceWallMs());
       assertEquals(
-          spec.deadlineS().orElse(1e6) - (wall - ACCEPTED) / 1000.0 - runS,
-          jobOrder.slackS(job, wall));
-      assertEquals(referenceSlackS(spec, runS, wall), jobOrder.remainingSlackS(job, wall));
-      assertEquals(wall - ACCEPTED > 90_000, StarvationProtection.isStarving(job, wall));
+          spec.deadlineS().orElse(1e6) - (wallMs - ACCEPTED) / 1000.0 - runS,
+          jobOrder.slackS(job, wallMs));
+      assertEquals(referenceSlackS(spec, runS, wallMs), jobOrder.remainingSlackS(job, wallMs));
+      assertEquals(wallMs - ACCEPTED > 90_000, StarvationProtection.isStarving(job, wallMs));
     }
   }
 
   @Test
-  void deadlinesCountFromAcceptanceAndAllElseFromReadiness() {
+  void deadlinesCountFromAcceptanceAndOtherTimesFromReadiness() {
     Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
     job.markReady(ACCEPTED + 60_000);
     ServiceLevelObjectives objectives = new ServiceLevelObjectives(OBJECTIVES);
     assertEquals(OptionalDouble.of(40), job.deadlineS());
     assertEquals(OptionalDouble.of(20), objectives.startByS(job, 20, 0));
     assertEquals(
-        OptionalDouble.of(70), objectives.startByS(job, 20, 21), "a start counts from readiness");
+        OptionalDouble.of(70),
+        objectives.startByS(job, 20, 21),
+        "a start objective counts from readiness");
     assertEquals(
-        OptionalDouble.of(120), objectives.startByS(job, 20, 71), "twice the deadline does not");
+        OptionalDouble.of(120),
+        objectives.startByS(job, 20, 71),
+        "twice the deadline counts from acceptance");
     assertEquals(15, jobOrder.slackS(job, ACCEPTED + 65_000));
     assertTrue(
         !StarvationProtection.isStarving(job, ACCEPTED + 149_000),
-        "no job ages while it is blocked on dependencies");
+        "the time for which a job is blocked on dependencies does not count as waiting");
     assertTrue(StarvationProtection.isStarving(job, ACCEPTED + 151_000));
   }
 
   @Test
-  void dependentsRaiseAJobsPriorityAndNeverLowerIt() {
+  void dependentsOnlyRaisePriorityAndTightenTheDeadline() {
     Job job = job(JobSpecFixtures.batch("run-1", "d", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
     job.inherit(
         Priority.HIGH, OptionalLong.of(ACCEPTED + 60_000), OptionalLong.of(ACCEPTED + 90_000));
@@ -165,8 +172,13 @@
     assertEquals(OptionalDouble.of(60), job.deadlineS());
     assertEquals(OptionalDouble.of(40), objectives.startByS(job, 20, 0));
     assertEquals(
-        OptionalDouble.of(70), objectives.startByS(job, 20, 41), "their last multiple is next");
-    assertEquals(OptionalDouble.of(80), objectives.startByS(job, 20, 71), "then its own deadline");
+        OptionalDouble.of(70),
+        objectives.startByS(job, 20, 41),
+        "the last multiple of the dependents' deadline comes next");
+    assertEquals(
+        OptionalDouble.of(80),
+        objectives.startByS(job, 20, 71),
+        "the job's own deadline comes after it");
     job.inherit(Priority.BEST_EFFORT, OptionalLong.of(ACCEPTED + 160_000), OptionalLong.empty());
     assertEquals(Priority.NORMAL, job.priority());
     assertEquals(OptionalDouble.of(100), job.deadlineS());
@@ -174,7 +186,7 @@
   }
 
   @Test
-  void inheritedPriorityAndDeadlineOrderTheJobs() {
+  void jobsAreOrderedByInheritedPriorityAndDeadline() {
     List<Job> waiting = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       JobSpec spec = JobSpecFixtures.batch("run-" + i, "e", "red", Priority.NORMAL, 2, 1, 1, 20, 0);
@@ -195,7 +207,7 @@
   }
 
   @Test
-  void tasksOfAJobThatIsBlockedOnDependenciesAreNotSchedulable() {
+  void jobBlockedOnDependenciesHasNoSchedulableTasks() {
     Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 0));
     job.blockOnDependencies();
     assertEquals(0, job.schedulableTasks(0));
--- a/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
+++ b/src/test/java/org/ploverspindle/placement/LargeFleetTest.java
@@ -26,17 +26,20 @@
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Replica;
 
-/** In a large fleet, the work of a heartbeat and of a placing run is bounded. */
+/**
+ * Guards against work that grows faster than the fleet: handling a heartbeat must visit no other
+ * machine, and a placement run must visit each machine and each job only a few times.
+ */
 class LargeFleetTest {
   private static final long NOW = RandomFleet.NOW;
   private static final int MACHINES = 1_700;
 
-  /** Counts the values that are iterated over; looking up one key is not counted. */
-  private static final class Counting<V> extends LinkedHashMap<String, V> {
+  /** A map that counts the values visited by iteration; lookups of single keys do not count. */
+  private static final class CountingMap<V> extends LinkedHashMap<String, V> {
     private static final long serialVersionUID = 1L;
     private long visited;
 
-    Counting(Map<String, V> from) {
+    CountingMap(Map<String, V> from) {
       super(from);
     }
 
@@ -69,11 +72,12 @@
     }
   }
 
-  private static <V> Counting<V> count(Object owner, String field) throws Exception {
+  private static <V> CountingMap<V> replaceByCountingMap(Object owner, String field)
+      throws Exception {
     Field mapField = owner.getClass().getDeclaredField(field);
     mapField.setAccessible(true);
     @SuppressWarnings("unchecked")
-    Counting<V> counting = new Counting<>((Map<String, V>) mapField.get(owner));
+    CountingMap<V> counting = new CountingMap<>((Map<String, V>) mapField.get(owner));
     mapField.set(owner, counting);
     return counting;
   }
@@ -81,7 +85,7 @@
   private final Random random = new Random(9);
   private final RandomFleet fleet = new RandomFleet(random, MACHINES);
 
-  /** A heartbeat in which the first of the machine's tasks is done. */
+  /** A heartbeat that shows the first of the machine's tasks completed and the others running. */
   private Heartbeat heartbeat(Machine machine) {
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
     for (Placement placement : machine.placements()) {
@@ -99,8 +103,10 @@
   }
 
   private JobTable pendingJobs() {
-    Replica none = new Replica(new EventLoop(), null, "x/", 700);
-    JobTable table = new JobTable(none, new AcceptedJobIndex(none), fleet.catalogue, fleet.teams);
+    Replica emptyReplica = new Replica(new EventLoop(), null, "x/", 700);
+    JobTable table =
+        new JobTable(
+            emptyReplica, new AcceptedJobIndex(emptyReplica), fleet.catalogue, fleet.teams);
     for (int i = 1_000; i < 3_000; i++) {
       Priority priority = Priority.values()[random.nextInt(4)];
       JobSpec spec = fleet.job(i, priority, 1 + random.nextInt(9)).spec();
@@ -112,17 +118,17 @@
   }
 
   @Test
-  void aHeartbeatVisitsNoOtherMachineAndPlacingVisitsEachAFewTimes() throws Exception {
-    Counting<Machine> machines = count(fleet.machines, "machines");
+  void heartbeatVisitsNoOtherMachineAndPlacementVisitsEachAFewTimes() throws Exception {
+    CountingMap<Machine> machines = replaceByCountingMap(fleet.machines, "machines");
     for (Machine machine : List.copyOf(fleet.machines.all()).subList(0, 200)) {
       Heartbeat heartbeat = heartbeat(machine);
       machines.visited = 0;
       fleet.heartbeatHandler.handle(heartbeat, NOW);
-      assertEquals(0, machines.visited, "machines visited for a heartbeat");
+      assertEquals(0, machines.visited, "machines visited while a heartbeat is handled");
     }
 
     JobTable table = pendingJobs();
-    Counting<Job> jobs = count(table, "jobs");
+    CountingMap<Job> jobs = replaceByCountingMap(table, "jobs");
     long[] attempt = {1 << 20};
     int[] placed = {0};
     Placer placer =
@@ -135,16 +141,18 @@
             placement -> placed[0]++);
     machines.visited = 0;
     placer.run(NOW, NOW);
-    assertTrue(placed[0] > 100, placed[0] + " are placed");
-    assertTrue(machines.visited <= 3 * MACHINES, machines.visited + " machines in a run");
-    assertTrue(jobs.visited <= 2 * 2_000, jobs.visited + " jobs in a run");
+    assertTrue(placed[0] > 100, placed[0] + " tasks placed, more than 100 expected");
+    assertTrue(
+        machines.visited <= 3 * MACHINES, machines.visited + " machines visited in the first run");
+    assertTrue(jobs.visited <= 2 * 2_000, jobs.visited + " jobs visited in the first run");
     machines.visited = 0;
     jobs.visited = 0;
     placer.run(NOW + 40, NOW + 40);
-    assertTrue(machines.visited <= 2 * MACHINES, machines.visited + " machines in the next run");
+    assertTrue(
+        machines.visited <= 2 * MACHINES, machines.visited + " machines visited in the second run");
     Predicate<Machine> useful = placer.usefulMachines(NOW);
     jobs.visited = 0;
     fleet.machines.all().forEach(useful::test);
-    assertEquals(0, jobs.visited, "the jobs are visited once for all idle machines");
+    assertEquals(0, jobs.visited, "jobs visited while machines are tested with the predicate");
   }
 }
--- a/src/test/java/org/ploverspindle/placement/PlacerTest.java
+++ b/src/test/java/org/ploverspindle/placement/PlacerTest.java
@@ -34,7 +34,9 @@
 import org.ploverspindle.state.Replica;
 
 /**
- * The placer searches only machines with room and fills each; the reference always searches all.
+ * Guards against placements that differ from those of a search over all machines for every task.
+ * The placer searches only machines with free cores and fills the selected machine before it
+ * searches again; the reference placer searches all machines for each task.
  */
 class PlacerTest {
   private static final long NOW = 1_000_000;
@@ -106,11 +108,12 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void placesLikeTheReference(long seed) {
+  void placementsEqualThoseOfTheReference(long seed) {
     Random random = new Random(seed);
     MachineRegistry fleet = fleet(random, 5 + random.nextInt(25));
-    Replica none = new Replica(new EventLoop(), null, "x/", 700);
-    JobTable jobs = new JobTable(none, new AcceptedJobIndex(none), catalogue, teams);
+    Replica emptyReplica = new Replica(new EventLoop(), null, "x/", 700);
+    JobTable jobs =
+        new JobTable(emptyReplica, new AcceptedJobIndex(emptyReplica), catalogue, teams);
     for (int i = 0; i < 14; i++) {
       jobs.add(
           new AcceptedJobIndex.AcceptedJob(
@@ -130,7 +133,7 @@
     List<Job> pending = new ArrayList<>(placer.pendingJobs(NOW, NOW));
     Map<String, String> expected = new ReferencePlacer(fleet).place(pending);
     placer.run(NOW, NOW);
-    assertTrue(expected.size() > 10, "something is placed");
+    assertTrue(expected.size() > 10, "the reference places more than 10 tasks");
     assertEquals(expected, placed);
   }
 }
--- a/src/test/java/org/ploverspindle/placement/RandomFleet.java
+++ b/src/test/java/org/ploverspindle/placement/RandomFleet.java
@@ -26,13 +26,16 @@
 import org.ploverspindle.model.Term;
 import org.ploverspindle.settings.Settings;
 
-/** A fleet whose machines run tasks of random jobs, seen running at different times before now. */
+/**
+ * A fleet whose machines run tasks of random jobs. Heartbeats first showed these tasks running at
+ * different times before {@link #NOW}.
+ */
 final class RandomFleet {
   static final long NOW = 5_000_000;
   private static final Term TERM = new Term(7, 1, 0);
   private static final int RUNNING_JOBS = 90;
   private static final int TASKS_PER_JOB = 500;
-  private static final int PLACEMENT_TRIES = 30;
+  private static final int PLACEMENT_TRIES_PER_MACHINE = 30;
   private static final List<String> ZONES = List.of("a", "b", "c");
 
   final Catalogue catalogue = new Catalogue(ZONES);
@@ -49,7 +52,7 @@
   private final int[] nextTask = new int[RUNNING_JOBS];
   private long nextAttempt = 1;
 
-  /** Draws the fleet from the random numbers, which the caller may go on to use. */
+  /** Creates the fleet from the random numbers, which the caller may continue to use. */
   RandomFleet(Random random, int machineCount) {
     this.random = random;
     catalogue.update(
@@ -77,7 +80,7 @@
     }
   }
 
-  /** A job with random properties, known to the heartbeat handler. */
+  /** Creates a job with random properties that is known to the heartbeat handler. */
   Job job(int i, Priority priority, int tasks) {
     JobSpec spec = spec(i, priority, tasks);
     BitSet types = new BitSet();
@@ -126,7 +129,7 @@
     long seenMs = NOW - random.nextInt(150_000);
     Machine machine = machines.adopt(host, type, zone, random.nextBoolean(), seenMs).orElseThrow();
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
-    for (int i = 0; i < PLACEMENT_TRIES; i++) {
+    for (int i = 0; i < PLACEMENT_TRIES_PER_MACHINE; i++) {
       int job = random.nextInt(RUNNING_JOBS);
       addRunningTask(machine, running.get(job), job, tasks);
     }
@@ -150,7 +153,7 @@
     }
   }
 
-  /** A heartbeat of the machine under the leader's fencing token. */
+  /** Creates a heartbeat of the machine with the leader's fencing token. */
   Heartbeat heartbeat(Machine machine, long sequence, List<Heartbeat.TaskStatus> tasks) {
     return new Heartbeat(
         machine.host(),
--- a/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
+++ b/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
@@ -12,21 +12,24 @@
 import org.ploverspindle.cluster.MachineRegistry;
 import org.ploverspindle.model.Resources;
 
-/** Places each task on the best of all machines, one after the other. Team red has 60 cores. */
+/**
+ * A reference model of placement: searches all machines for each task and places it on the best
+ * one. Team red has a limit of 60 cores, and other teams have none.
+ */
 final class ReferencePlacer {
   private static final long RED_LIMIT = 60_000;
 
   private final MachineRegistry fleet;
   private final Map<Machine, Resources> free = new HashMap<>();
   private final Map<Machine, Set<String>> images = new HashMap<>();
-  private long usedByRed;
+  private long usedCoresOfRed;
 
   ReferencePlacer(MachineRegistry fleet) {
     this.fleet = fleet;
     fleet.all().forEach(machine -> free.put(machine, machine.free()));
   }
 
-  /** The host of each placed task. */
+  /** Places the jobs' tasks in this order, and returns the host of each placed task. */
   Map<String, String> place(List<Job> order) {
     Map<String, String> hosts = new TreeMap<>();
     for (Job job : order) {
@@ -49,13 +52,13 @@
   }
 
   private boolean isWithinLimit(Job job) {
-    return !isRed(job) || usedByRed + job.perTask().cores() <= RED_LIMIT;
+    return !isRed(job) || usedCoresOfRed + job.perTask().cores() <= RED_LIMIT;
   }
 
   private void place(Job job, Machine machine) {
     free.merge(machine, job.perTask(), Resources::minus);
     images.computeIfAbsent(machine, key -> new HashSet<>()).add(job.spec().image());
-    usedByRed += isRed(job) ? job.perTask().cores() : 0;
+    usedCoresOfRed += isRed(job) ? job.perTask().cores() : 0;
   }
 
   private Optional<Machine> best(Job job, Map<Integer, Integer> tasksInZone) {
@@ -71,13 +74,13 @@
   }
 
   private boolean allows(Job job, Machine machine, Map<Integer, Integer> tasksInZone) {
-    int here = tasksInZone.getOrDefault(machine.zone(), 0);
-    int all = tasksInZone.values().stream().mapToInt(Integer::intValue).sum();
+    int tasksInThisZone = tasksInZone.getOrDefault(machine.zone(), 0);
+    int tasksInAllZones = tasksInZone.values().stream().mapToInt(Integer::intValue).sum();
     return job.types().get(machine.type())
         && (job.spec().spot() || !machine.isSpot())
         && (job.requiredZone() < 0 || job.requiredZone() == machine.zone())
-        && (!job.spec().oneZone() || here == all)
-        && (!job.spec().spreadOverZones() || here < (job.spec().tasks() + 1) / 2)
+        && (!job.spec().oneZone() || tasksInThisZone == tasksInAllZones)
+        && (!job.spec().spreadOverZones() || tasksInThisZone < (job.spec().tasks() + 1) / 2)
         && job.perTask().fitsIn(free.get(machine));
   }
 
