--- a/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
@@ -34,27 +34,27 @@
   private static final int CONDITIONS_PER_CHANGE = 4;
 
   /** Two for the job itself, and one for the record that it is stored in. */
-  private static final int OWN_CONDITIONS = 3;
+  private static final int BASE_CONDITIONS_PER_JOB = 3;
 
   /** Upper bound of what a transaction, a record or a job's own conditions add in size. */
-  private static final int FRAME_BYTES = 200;
+  private static final int OVERHEAD_BYTES = 200;
 
-  private static final int GUARD_BYTES = 100;
+  private static final int BYTES_PER_GUARDED_DEPENDENCY = 100;
   private static final int EMPTY_MAP_BYTES = 2;
 
   private final Limits limits;
   private final List<PendingAcceptance> acceptances = new ArrayList<>();
   private final List<Condition> conditions = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
-  private int bytes = FRAME_BYTES;
+  private int transactionBytes = OVERHEAD_BYTES;
 
   AcceptanceBatch(Limits limits) {
     this.limits = limits;
   }
 
   /** How many guards one job may have, so that its conditions fit into a transaction. */
-  static int maxGuards(int maxChanges) {
-    return Limits.maxConditions(maxChanges) - OWN_CONDITIONS;
+  static int maxGuardedDependencies(int maxChanges) {
+    return Limits.maxConditions(maxChanges) - BASE_CONDITIONS_PER_JOB;
   }
 
   /**
@@ -66,25 +66,25 @@
   void fill(Deque<PendingAcceptance> queue, int maxRecords, Supplier<String> nextKey) {
     while (changes.size() < maxRecords
         && nextFits(queue)
-        && bytes < MAX_TRANSACTION_BYTES - limits.maxValueBytes()) {
+        && transactionBytes < MAX_TRANSACTION_BYTES - limits.maxValueBytes()) {
       addRecord(queue, nextKey);
     }
   }
 
   private void addRecord(Deque<PendingAcceptance> queue, Supplier<String> nextKey) {
     ObjectNode jobs = Cbor.map();
-    int size = EMPTY_MAP_BYTES;
-    while (nextFits(queue) && size + queue.peek().bytes() <= limits.maxValueBytes()) {
+    int valueBytes = EMPTY_MAP_BYTES;
+    while (nextFits(queue) && valueBytes + queue.peek().storedBytes() <= limits.maxValueBytes()) {
       PendingAcceptance acceptance = queue.poll();
       addConditions(acceptance);
-      jobs.set(acceptance.uid(), acceptance.record());
-      size += acceptance.bytes();
+      jobs.set(acceptance.uid(), acceptance.jobRecord());
+      valueBytes += acceptance.storedBytes();
       acceptances.add(acceptance);
     }
     String key = nextKey.get();
     conditions.add(new Condition(key, 0));
     changes.add(new Change.Put(key, jobs));
-    bytes += size + FRAME_BYTES;
+    transactionBytes += valueBytes + OVERHEAD_BYTES;
   }
 
   /**
@@ -95,15 +95,16 @@
   private void addConditions(PendingAcceptance acceptance) {
     conditions.add(new Condition(Keys.cancellation(acceptance.uid()), 0));
     conditions.add(new Condition(Keys.completion(acceptance.uid()), 0));
-    for (String guard : acceptance.guards()) {
-      conditions.add(new Condition(Keys.cancellation(guard), 0));
+    for (String dependency : acceptance.guardedDependencies()) {
+      conditions.add(new Condition(Keys.cancellation(dependency), 0));
     }
-    bytes += FRAME_BYTES + GUARD_BYTES * acceptance.guards().size();
+    transactionBytes +=
+        OVERHEAD_BYTES + BYTES_PER_GUARDED_DEPENDENCY * acceptance.guardedDependencies().size();
   }
 
   private boolean nextFits(Deque<PendingAcceptance> queue) {
     return !queue.isEmpty()
-        && conditions.size() + OWN_CONDITIONS + queue.peek().guards().size()
+        && conditions.size() + BASE_CONDITIONS_PER_JOB + queue.peek().guardedDependencies().size()
             <= limits.maxConditions();
   }
 
--- a/src/main/java/org/ploverspindle/api/AcceptanceBudget.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceBudget.java
@@ -10,10 +10,10 @@
  */
 final class AcceptanceBudget {
   /** After a refused write each controller keeps to its share for this long. */
-  private static final long STRICT_AFTER_REFUSAL_MS = 5_000;
+  private static final long SHARE_ONLY_AFTER_REFUSAL_MS = 5_000;
 
   /** Least time between a write and one beyond the share. */
-  private static final long BEYOND_SHARE_SPACING_MS = 60;
+  private static final long MIN_INTERVAL_BEYOND_SHARE_MS = 60;
 
   /** Changes that a refusal costs, so that the leader's writes get ahead of acceptances. */
   private static final double REFUSAL_COST = 2;
@@ -24,7 +24,7 @@
    * @param records how many it may have; 0: no write now
    * @param withinShare whether it is charged to this controller's share
    */
-  record Grant(int records, boolean withinShare) {}
+  record Grant(int maxRecords, boolean withinShare) {}
 
   private static final Grant NONE = new Grant(0, false);
   private static final Grant ONE_BEYOND_SHARE = new Grant(1, false);
@@ -45,12 +45,14 @@
     if (withinShare >= 1) {
       return new Grant(withinShare, true);
     }
-    boolean strict = isWithin(STRICT_AFTER_REFUSAL_MS, lastRefusalMs);
-    return strict || isWithin(BEYOND_SHARE_SPACING_MS, lastWriteMs) ? NONE : ONE_BEYOND_SHARE;
+    boolean refusedRecently = happenedWithin(SHARE_ONLY_AFTER_REFUSAL_MS, lastRefusalMs);
+    return refusedRecently || happenedWithin(MIN_INTERVAL_BEYOND_SHARE_MS, lastWriteMs)
+        ? NONE
+        : ONE_BEYOND_SHARE;
   }
 
-  private boolean isWithin(long periodMs, OptionalLong sinceMs) {
-    return sinceMs.isPresent() && scheduler.nowMs() - sinceMs.getAsLong() < periodMs;
+  private boolean happenedWithin(long periodMs, OptionalLong eventMs) {
+    return eventMs.isPresent() && scheduler.nowMs() - eventMs.getAsLong() < periodMs;
   }
 
   /** A write of so many records is sent by that grant. */
--- a/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
@@ -22,7 +22,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(AcceptanceWriter.class);
 
   /** Age from which a submission is not written any more, as its user is about to give up. */
-  static final long WRITE_DEADLINE_MS = 2_500;
+  static final long MAX_AGE_AT_WRITE_MS = 2_500;
 
   private static final int MAX_QUEUED = 200;
 
@@ -35,9 +35,9 @@
   private final StateStore store;
   private final LinearizableReads reads;
   private final JobStatusReader statuses;
-  private final DependencyCheck dependencies;
+  private final DependencyCheck dependencyCheck;
   private final AcceptanceBudget budget;
-  private final String recordPrefix;
+  private final String recordNamePrefix;
   private final LeaderNotifier leaderNotifier;
   private final AcceptanceBatch.Limits limits;
 
@@ -45,10 +45,10 @@
   private final Deque<PendingAcceptance> queue = new ArrayDeque<>();
 
   /** All that are not answered yet, by job. */
-  private final Map<String, PendingAcceptance> pending = new HashMap<>();
+  private final Map<String, PendingAcceptance> pendingByUid = new HashMap<>();
 
   private long recordCount;
-  private boolean inFlight;
+  private boolean transactionInFlight;
   private boolean flushScheduled;
 
   AcceptanceWriter(
@@ -56,15 +56,15 @@
       StateWrites writes,
       LinearizableReads reads,
       JobStatusReader statuses,
-      DependencyCheck dependencies,
+      DependencyCheck dependencyCheck,
       AcceptanceBatch.Limits limits) {
     this.scheduler = scheduler;
     this.store = writes.store();
     this.reads = reads;
     this.statuses = statuses;
-    this.dependencies = dependencies;
+    this.dependencyCheck = dependencyCheck;
     this.budget = new AcceptanceBudget(scheduler, writes.budget());
-    this.recordPrefix = writes.recordPrefix();
+    this.recordNamePrefix = writes.recordNamePrefix();
     this.leaderNotifier = writes.leaderNotifier();
     this.limits = limits;
   }
@@ -72,13 +72,14 @@
   /**
    * Stores the job and answers its user, or answers at once that the user is to ask again.
    *
-   * @param guards jobs that the write requires not to be cancelled; see {@link DependencyCheck}
+   * @param guardedDependencies jobs that the write requires not to be cancelled; see {@link
+   *     DependencyCheck}
    */
-  void accept(Submission submission, List<String> guards) {
+  void accept(Submission submission, List<String> guardedDependencies) {
     String uid = submission.spec().uid();
-    PendingAcceptance same = pending.get(uid);
-    if (same != null) {
-      same.addRequest(submission.responder());
+    PendingAcceptance existing = pendingByUid.get(uid);
+    if (existing != null) {
+      existing.addRequest(submission.responder());
       return;
     }
     if (queue.size() >= MAX_QUEUED) {
@@ -89,14 +90,14 @@
                   StatusCodes.TOO_MANY_REQUESTS, "too many submissions at once", 2));
       return;
     }
-    PendingAcceptance acceptance = PendingAcceptance.of(submission, guards);
-    pending.put(uid, acceptance);
+    PendingAcceptance acceptance = PendingAcceptance.of(submission, guardedDependencies);
+    pendingByUid.put(uid, acceptance);
     queue.add(acceptance);
     scheduleFlush(BATCH_WINDOW_MS);
   }
 
   private void scheduleFlush(long delayMs) {
-    if (!flushScheduled && !inFlight) {
+    if (!flushScheduled && !transactionInFlight) {
       flushScheduled = true;
       scheduler.schedule(
           delayMs,
@@ -114,7 +115,7 @@
   }
 
   private void flush() {
-    if (inFlight) {
+    if (transactionInFlight) {
       return;
     }
     expireQueue();
@@ -122,27 +123,28 @@
       return;
     }
     AcceptanceBudget.Grant grant = budget.grant(limits.maxChanges());
-    if (grant.records() == 0) {
+    if (grant.maxRecords() == 0) {
       scheduleFlush(NO_BUDGET_RETRY_MS);
       return;
     }
     AcceptanceBatch batch = new AcceptanceBatch(limits);
-    batch.fill(queue, grant.records(), this::nextRecordKey);
+    batch.fill(queue, grant.maxRecords(), this::nextRecordKey);
     batch.acceptances().forEach(PendingAcceptance::markSent);
-    inFlight = true;
+    transactionInFlight = true;
     budget.recordWrite(grant, batch.changeCount());
     store.commit(batch.transaction(), result -> handleResult(batch.acceptances(), result));
   }
 
   private String nextRecordKey() {
     recordCount++;
-    return Keys.jobBatch(recordPrefix + "-" + recordCount);
+    return Keys.jobBatch(recordNamePrefix + "-" + recordCount);
   }
 
   private void expireQueue() {
-    while (!queue.isEmpty() && scheduler.nowMs() - queue.peek().receivedMs() > WRITE_DEADLINE_MS) {
+    while (!queue.isEmpty()
+        && scheduler.nowMs() - queue.peek().receivedMs() > MAX_AGE_AT_WRITE_MS) {
       PendingAcceptance expired = queue.poll();
-      pending.remove(expired.uid());
+      pendingByUid.remove(expired.uid());
       expired.respondToAll(unavailable("the state service is busy", 2));
     }
   }
@@ -152,15 +154,15 @@
   }
 
   private void handleResult(List<PendingAcceptance> batch, TransactionResult result) {
-    inFlight = false;
+    transactionInFlight = false;
     if (result instanceof TransactionResult.Conflict) {
-      reads.readBarrier(fresh -> batch.forEach(job -> handleConflict(job, fresh)));
+      reads.readBarrier(fresh -> batch.forEach(acceptance -> handleConflict(acceptance, fresh)));
       // Jobs that arrived meanwhile don't wait for that read: it may show that the whole batch is
       // terminal, and then nothing else would start their write.
       scheduleFlushOfRemaining();
       return;
     }
-    batch.forEach(acceptance -> pending.remove(acceptance.uid()));
+    batch.forEach(acceptance -> pendingByUid.remove(acceptance.uid()));
     if (result instanceof TransactionResult.Committed) {
       handleCommitted(batch);
     } else if (result instanceof TransactionResult.Refused refused) {
@@ -169,7 +171,10 @@
       // The write may have been executed, or may yet be: only what is read back is reported.
       reads.readBarrier(
           fresh ->
-              batch.forEach(job -> job.respondToAll(statuses.responseAfterRead(job.uid(), fresh))));
+              batch.forEach(
+                  acceptance ->
+                      acceptance.respondToAll(
+                          statuses.responseAfterRead(acceptance.uid(), fresh))));
     }
     scheduleFlushOfRemaining();
   }
@@ -181,8 +186,8 @@
         batch.get(0).uid(),
         scheduler.nowMs() - batch.get(0).receivedMs());
     for (PendingAcceptance acceptance : batch) {
-      acceptance.respond(accepted(acceptance.spec()));
-      respondToLateRequests(acceptance);
+      acceptance.respondToCovered(accepted(acceptance.spec()));
+      respondToUncoveredRequests(acceptance);
     }
     leaderNotifier.jobsAccepted();
   }
@@ -198,41 +203,41 @@
       LOG.error(
           "job acceptance rejected by the state service: jobs={} bytes={}",
           batch.size(),
-          batch.stream().mapToInt(PendingAcceptance::bytes).sum());
+          batch.stream().mapToInt(PendingAcceptance::storedBytes).sum());
     }
     budget.recordRefusal();
-    batch.forEach(job -> job.respondToAll(unavailable("the state service refuses", 1)));
+    batch.forEach(
+        acceptance -> acceptance.respondToAll(unavailable("the state service refuses", 1)));
   }
 
   /** Jobs of the batch that are known by now are answered so; the others are written again. */
   private void handleConflict(PendingAcceptance acceptance, boolean fresh) {
     String uid = acceptance.uid();
     if (fresh && !statuses.isKnown(uid)) {
-      PendingAcceptance retry = acceptance.retryWith(newGuards(acceptance));
-      pending.put(uid, retry);
+      PendingAcceptance retry = acceptance.retryWith(currentGuardedDependencies(acceptance));
+      pendingByUid.put(uid, retry);
       queue.addFirst(retry);
       scheduleFlush(BATCH_WINDOW_MS);
     } else {
-      pending.remove(uid);
-      acceptance.respond(statuses.responseAfterRead(uid, fresh));
-      respondToLateRequests(acceptance);
+      pendingByUid.remove(uid);
+      acceptance.respondToCovered(statuses.responseAfterRead(uid, fresh));
+      respondToUncoveredRequests(acceptance);
     }
   }
 
   /** Computed anew: a dependency may have been cancelled or done since. */
-  private List<String> newGuards(PendingAcceptance acceptance) {
-    return acceptance.guards().isEmpty()
+  private List<String> currentGuardedDependencies(PendingAcceptance acceptance) {
+    return acceptance.guardedDependencies().isEmpty()
         ? List.of()
-        : dependencies.guards(acceptance.spec()).orElse(List.of());
+        : dependencyCheck.guardedDependencies(acceptance.spec()).orElse(List.of());
   }
 
   /** By a read of their own, as some of them may have arrived after the last one was sent. */
-  private void respondToLateRequests(PendingAcceptance acceptance) {
-    if (acceptance.hasLateRequests()) {
+  private void respondToUncoveredRequests(PendingAcceptance acceptance) {
+    if (acceptance.hasUncoveredRequests()) {
       reads.readBarrier(
           fresh ->
-              acceptance.respondToLateRequests(
-                  statuses.responseAfterRead(acceptance.uid(), fresh)));
+              acceptance.respondToUncovered(statuses.responseAfterRead(acceptance.uid(), fresh)));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/api/ApiResponse.java
+++ b/src/main/java/org/ploverspindle/api/ApiResponse.java
@@ -13,7 +13,7 @@
   private static final int MISDIRECTED_REQUEST = 421;
 
   /** Statuses from here on are not successes. */
-  private static final int FIRST_NON_SUCCESS = 300;
+  private static final int FIRST_NON_SUCCESS_STATUS = 300;
 
   static ApiResponse of(int status, byte[] body) {
     return new ApiResponse(status, body, 0);
@@ -24,8 +24,8 @@
   }
 
   /** 421: another controller leads, and is the one to ask. */
-  public static ApiResponse redirectToLeader(String member) {
-    return of(MISDIRECTED_REQUEST, ResponseCodec.encodeLeader(member));
+  public static ApiResponse redirectToLeader(String leader) {
+    return of(MISDIRECTED_REQUEST, ResponseCodec.encodeLeader(leader));
   }
 
   /** 200 with a line for operators. */
@@ -34,8 +34,8 @@
   }
 
   /** A failure that is reported at once, with the time after which to ask again. */
-  public static ApiResponse retryLater(int status, String message, int afterS) {
-    return new ApiResponse(status, ResponseCodec.encodeError(message), afterS);
+  public static ApiResponse retryLater(int status, String message, int retryAfterS) {
+    return new ApiResponse(status, ResponseCodec.encodeError(message), retryAfterS);
   }
 
   /** 404: the replica, read after the request was received, has no such job. */
@@ -56,8 +56,8 @@
    * @param ageMs time since this response was made
    * @param maxAgeMs age up to which it may be sent
    */
-  ApiResponse orExpired(long ageMs, long maxAgeMs) {
-    boolean assertsState = status < FIRST_NON_SUCCESS || status == StatusCodes.NOT_FOUND;
+  ApiResponse orUnavailableIfExpired(long ageMs, long maxAgeMs) {
+    boolean assertsState = status < FIRST_NON_SUCCESS_STATUS || status == StatusCodes.NOT_FOUND;
     return assertsState && ageMs > maxAgeMs
         ? retryLater(StatusCodes.SERVICE_UNAVAILABLE, "the answer is no longer new", 1)
         : this;
--- a/src/main/java/org/ploverspindle/api/CancellationService.java
+++ b/src/main/java/org/ploverspindle/api/CancellationService.java
@@ -9,7 +9,7 @@
 /** Cancels jobs, and confirms that once it is durable. */
 final class CancellationService {
   /** Age from which an undecided request is no longer retried, as its user is about to give up. */
-  private static final long RETRY_LIMIT_MS = 2_000;
+  private static final long MAX_AGE_AT_RETRY_MS = 2_000;
 
   private final Scheduler scheduler;
   private final LinearizableReads reads;
@@ -35,7 +35,7 @@
             writes.budget(),
             maxChanges,
             reads::readBarrier,
-            new ForwardToLeader(writes.leaderNotifier()));
+            new LeaderNotifyingListener(writes.leaderNotifier()));
   }
 
   /**
@@ -43,34 +43,34 @@
    * it is confirmed, and again when it is durable, as that read may have been too early. On the
    * leader itself the replica shows the cancellation before any user gets a response.
    */
-  private record ForwardToLeader(LeaderNotifier leaderNotifier)
+  private record LeaderNotifyingListener(LeaderNotifier leaderNotifier)
       implements CancellationWriter.Listener {
     @Override
-    public void sent() {
+    public void transactionSent() {
       leaderNotifier.cancellationSent();
     }
 
     @Override
-    public void committed(List<Change.Put> cancellations, long revision) {
+    public void cancellationsCommitted(List<Change.Put> cancellations, long revision) {
       leaderNotifier.cancellationsCommitted(cancellations, revision);
     }
   }
 
   /** Cancels the job, unless it is terminal. Answers with its status. */
-  void cancel(String uid, Consumer<ApiResponse> then) {
+  void cancel(String uid, Consumer<ApiResponse> responder) {
     if (!SubmissionCodec.isValidUid(uid)) {
-      then.accept(ApiResponse.noSuchJob());
+      responder.accept(ApiResponse.noSuchJob());
     } else if (statuses.isTerminal(uid)) {
-      then.accept(terminalResponse(uid));
+      responder.accept(terminalResponse(uid));
     } else if (!reads.isLoaded()) {
-      then.accept(ApiResponse.stateUnavailable());
+      responder.accept(ApiResponse.stateUnavailable());
     } else {
-      Request request = new Request(uid, scheduler.nowMs(), then);
+      Request request = new Request(uid, scheduler.nowMs(), responder);
       reads.readBarrier(fresh -> cancelAfterRead(request, fresh, 0));
     }
   }
 
-  private record Request(String uid, long receivedMs, Consumer<ApiResponse> then) {}
+  private record Request(String uid, long receivedMs, Consumer<ApiResponse> responder) {}
 
   private ApiResponse terminalResponse(String uid) {
     return response(uid, statuses.isDone(uid) ? JobStatus.DONE : JobStatus.ABORTED);
@@ -80,26 +80,27 @@
     return ApiResponse.of(StatusCodes.OK, ResponseCodec.encodeStatus(uid, status));
   }
 
-  private void cancelAfterRead(Request request, boolean fresh, int attempts) {
+  private void cancelAfterRead(Request request, boolean fresh, int writeCount) {
     String uid = request.uid();
-    boolean expired = attempts > 0 && scheduler.nowMs() - request.receivedMs() > RETRY_LIMIT_MS;
+    boolean expired =
+        writeCount > 0 && scheduler.nowMs() - request.receivedMs() > MAX_AGE_AT_RETRY_MS;
     if (statuses.isTerminal(uid)) {
-      request.then().accept(terminalResponse(uid));
+      request.responder().accept(terminalResponse(uid));
     } else if (!fresh || expired) {
-      request.then().accept(ApiResponse.stateUnavailable());
+      request.responder().accept(ApiResponse.stateUnavailable());
     } else if (!statuses.isKnown(uid)) {
-      request.then().accept(ApiResponse.noSuchJob());
+      request.responder().accept(ApiResponse.noSuchJob());
     } else {
-      writer.write(uid, outcome -> handleOutcome(request, outcome, attempts + 1));
+      writer.write(uid, outcome -> handleOutcome(request, outcome, writeCount + 1));
     }
   }
 
-  private void handleOutcome(Request request, CancellationWriter.Outcome outcome, int attempts) {
+  private void handleOutcome(Request request, CancellationWriter.Outcome outcome, int writeCount) {
     switch (outcome) {
-      case DURABLE -> request.then().accept(response(request.uid(), JobStatus.ABORTED));
-      case REFUSED -> request.then().accept(ApiResponse.stateUnavailable());
-      case UNCERTAIN -> reads.readBarrier(fresh -> cancelAfterRead(request, fresh, attempts));
-      case READ_BACK -> cancelAfterRead(request, true, attempts);
+      case DURABLE -> request.responder().accept(response(request.uid(), JobStatus.ABORTED));
+      case REFUSED -> request.responder().accept(ApiResponse.stateUnavailable());
+      case UNCERTAIN -> reads.readBarrier(fresh -> cancelAfterRead(request, fresh, writeCount));
+      case READ_BACK -> cancelAfterRead(request, true, writeCount);
     }
   }
 }
--- a/src/main/java/org/ploverspindle/api/CancellationWriter.java
+++ b/src/main/java/org/ploverspindle/api/CancellationWriter.java
@@ -49,41 +49,41 @@
   /** Is notified of the transactions, before the requests that wait for them are answered. */
   interface Listener {
     /** A transaction has just been sent. */
-    void sent();
+    void transactionSent();
 
     /** These cancellations are durable, as of that revision. */
-    void committed(List<Change.Put> cancellations, long revision);
+    void cancellationsCommitted(List<Change.Put> cancellations, long revision);
   }
 
   /**
    * With this many transactions unanswered the state service is taken to be unavailable, and
    * sending more would not help.
    */
-  static final int MAX_IN_FLIGHT = 4;
+  static final int MAX_IN_FLIGHT_TRANSACTIONS = 4;
 
   /**
    * A response that takes longer is late, and the next transaction does not wait for it. Also
    * bounds the rate of requests of a controller whose responses are all lost.
    */
-  static final long NEXT_AFTER_MS = 100;
+  static final long LATE_RESPONSE_AFTER_MS = 100;
 
   /** Far above the usual time of a response, so that few are read back needlessly. */
   static final long READ_BACK_AFTER_MS = 300;
 
   /** Requests that arrive in one turn of the event loop go into one transaction. */
-  private static final long FIRST_AFTER_MS = 1;
+  private static final long BATCH_WINDOW_MS = 1;
 
   /** Field of a stored cancellation: the wall clock in milliseconds. */
-  private static final String STORED_AT = "at";
+  private static final String CANCELLED_AT_FIELD = "at";
 
   /**
    * A transaction without an outcome, with the requests that wait for its records by job. A class,
    * not a record: two transactions for the same jobs must not be equal.
    */
-  private static final class InFlight {
+  private static final class InFlightTransaction {
     private final Map<String, List<Consumer<Outcome>>> requests;
 
-    InFlight(Map<String, List<Consumer<Outcome>>> requests) {
+    InFlightTransaction(Map<String, List<Consumer<Outcome>>> requests) {
       this.requests = requests;
     }
   }
@@ -99,7 +99,7 @@
   private Map<String, List<Consumer<Outcome>>> pendingRequests = new LinkedHashMap<>();
 
   /** A repeated request for a job of one of these shares its outcome. */
-  private final List<InFlight> inFlight = new ArrayList<>();
+  private final List<InFlightTransaction> inFlightTransactions = new ArrayList<>();
 
   private Optional<Cancellable> scheduledSend = Optional.empty();
 
@@ -128,33 +128,33 @@
 
   /** Writes the cancellation of a job that is not terminal by the replica. Calls once. */
   void write(String uid, Consumer<Outcome> then) {
-    Map<String, List<Consumer<Outcome>>> shared =
-        inFlight.stream()
+    Map<String, List<Consumer<Outcome>>> requestsByUid =
+        inFlightTransactions.stream()
             .map(transaction -> transaction.requests)
             .filter(requests -> requests.containsKey(uid))
             .findFirst()
             .orElse(pendingRequests);
-    shared.computeIfAbsent(uid, job -> new ArrayList<>()).add(then);
+    requestsByUid.computeIfAbsent(uid, key -> new ArrayList<>()).add(then);
     scheduleSend();
   }
 
   private void scheduleSend() {
     scheduledSend.ifPresent(Cancellable::cancel);
     scheduledSend = Optional.empty();
-    if (pendingRequests.isEmpty() || inFlight.size() >= MAX_IN_FLIGHT) {
+    if (pendingRequests.isEmpty() || inFlightTransactions.size() >= MAX_IN_FLIGHT_TRANSACTIONS) {
       return;
     }
-    long delayMs = FIRST_AFTER_MS;
-    if (!inFlight.isEmpty()) {
-      delayMs = Math.max(delayMs, lastSentMs + NEXT_AFTER_MS - scheduler.nowMs());
+    long delayMs = BATCH_WINDOW_MS;
+    if (!inFlightTransactions.isEmpty()) {
+      delayMs = Math.max(delayMs, lastSentMs + LATE_RESPONSE_AFTER_MS - scheduler.nowMs());
     }
     scheduledSend = Optional.of(scheduler.schedule(delayMs, this::send));
   }
 
   private void send() {
     scheduledSend = Optional.empty();
-    InFlight sent = new InFlight(takePendingRequests());
-    inFlight.add(sent);
+    InFlightTransaction sent = new InFlightTransaction(takePendingRequests());
+    inFlightTransactions.add(sent);
     lastSentMs = scheduler.nowMs();
     writeBudget.take(sent.requests.size());
     scheduleReadBack(sent);
@@ -162,30 +162,31 @@
     StateStore.Transaction transaction =
         new StateStore.Transaction(conditions(sent), List.copyOf(records));
     store.commit(transaction, result -> handleResult(sent, records, result));
-    listener.sent();
+    listener.transactionSent();
     scheduleSend();
   }
 
   private Map<String, List<Consumer<Outcome>>> takePendingRequests() {
     Map<String, List<Consumer<Outcome>>> taken = new LinkedHashMap<>();
-    Map<String, List<Consumer<Outcome>>> rest = new LinkedHashMap<>();
+    Map<String, List<Consumer<Outcome>>> remaining = new LinkedHashMap<>();
     pendingRequests.forEach(
-        (uid, requests) -> (taken.size() < maxChanges ? taken : rest).put(uid, requests));
-    pendingRequests = rest;
+        (uid, requests) -> (taken.size() < maxChanges ? taken : remaining).put(uid, requests));
+    pendingRequests = remaining;
     return taken;
   }
 
-  private List<Change.Put> cancellationRecords(InFlight sent) {
+  private List<Change.Put> cancellationRecords(InFlightTransaction sent) {
     List<Change.Put> records = new ArrayList<>();
     for (String uid : sent.requests.keySet()) {
       records.add(
-          new Change.Put(Keys.cancellation(uid), Cbor.map().put(STORED_AT, scheduler.wallMs())));
+          new Change.Put(
+              Keys.cancellation(uid), Cbor.map().put(CANCELLED_AT_FIELD, scheduler.wallMs())));
     }
     return records;
   }
 
   /** Done and cancelled exclude each other: each is written only if the other is absent. */
-  private static List<Condition> conditions(InFlight sent) {
+  private static List<Condition> conditions(InFlightTransaction sent) {
     List<Condition> conditions = new ArrayList<>();
     for (String uid : sent.requests.keySet()) {
       conditions.add(new Condition(Keys.completion(uid), 0));
@@ -194,11 +195,12 @@
     return conditions;
   }
 
-  private void handleResult(InFlight sent, List<Change.Put> records, TransactionResult result) {
+  private void handleResult(
+      InFlightTransaction sent, List<Change.Put> records, TransactionResult result) {
     if (result instanceof TransactionResult.Committed committed) {
-      listener.committed(records, committed.revision());
+      listener.cancellationsCommitted(records, committed.revision());
     }
-    settle(sent, outcome(result));
+    complete(sent, outcome(result));
   }
 
   private static Outcome outcome(TransactionResult result) {
@@ -209,27 +211,27 @@
   }
 
   /** Repeated until the transaction has an outcome, as the read may fail too. */
-  private void scheduleReadBack(InFlight sent) {
+  private void scheduleReadBack(InFlightTransaction sent) {
     scheduler.schedule(
         READ_BACK_AFTER_MS,
         () -> {
-          if (inFlight.contains(sent)) {
+          if (inFlightTransactions.contains(sent)) {
             readBarrier.accept(fresh -> handleReadBack(sent, fresh));
           }
         });
   }
 
-  private void handleReadBack(InFlight sent, boolean fresh) {
+  private void handleReadBack(InFlightTransaction sent, boolean fresh) {
     if (fresh) {
-      settle(sent, Outcome.READ_BACK);
+      complete(sent, Outcome.READ_BACK);
     } else {
       scheduleReadBack(sent);
     }
   }
 
   /** Takes effect once: of the response and the read-back, the later one is ignored. */
-  private void settle(InFlight sent, Outcome outcome) {
-    if (inFlight.remove(sent)) {
+  private void complete(InFlightTransaction sent, Outcome outcome) {
+    if (inFlightTransactions.remove(sent)) {
       for (List<Consumer<Outcome>> requests : sent.requests.values()) {
         requests.forEach(request -> request.accept(outcome));
       }
--- a/src/main/java/org/ploverspindle/api/DependencyCheck.java
+++ b/src/main/java/org/ploverspindle/api/DependencyCheck.java
@@ -18,12 +18,12 @@
  */
 final class DependencyCheck {
   /** With more unfinished dependencies the job is accepted after a read instead. */
-  private static final int MAX_GUARDS = 6;
+  private static final int MAX_GUARDED_DEPENDENCIES = 6;
 
   private final AcceptedJobIndex acceptedJobs;
   private final Pipelines pipelines;
   private final JobStatusReader statuses;
-  private final int maxGuards;
+  private final int maxGuardedDependencies;
 
   /**
    * @param maxConditions how many conditions a transaction has for one job's guards
@@ -36,14 +36,14 @@
     this.acceptedJobs = acceptedJobs;
     this.pipelines = pipelines;
     this.statuses = statuses;
-    this.maxGuards = Math.min(MAX_GUARDS, maxConditions);
+    this.maxGuardedDependencies = Math.min(MAX_GUARDED_DEPENDENCIES, maxConditions);
   }
 
   /**
    * Why the job can't depend on what it names, as a message for its user. To be called after a read
    * barrier, as the replica may not show a dependency before.
    */
-  Optional<String> invalidDependency(JobSpec spec) {
+  Optional<String> dependencyError(JobSpec spec) {
     for (String uid : spec.dependencies()) {
       Optional<AcceptedJob> dependency = acceptedJobs.get(uid);
       if (dependency.isEmpty()) {
@@ -64,8 +64,8 @@
    *     list when the replica does not show all dependencies, or they are too many for the
    *     conditions of a transaction
    */
-  Optional<List<String>> guards(JobSpec spec) {
-    if (invalidDependency(spec).isPresent()) {
+  Optional<List<String>> guardedDependencies(JobSpec spec) {
+    if (dependencyError(spec).isPresent()) {
       return Optional.empty();
     }
     Set<String> unfinished = new LinkedHashSet<>();
@@ -76,7 +76,8 @@
         return Optional.of(List.of());
       }
       if (!statuses.isDone(uid) && unfinished.add(uid)) {
-        if (unfinished.size() > maxGuards || !pipelines.graph().areDependenciesKnown(uid)) {
+        if (unfinished.size() > maxGuardedDependencies
+            || !pipelines.graph().areDependenciesKnown(uid)) {
           return Optional.empty();
         }
         unvisited.addAll(pipelines.graph().dependenciesOf(uid));
--- a/src/main/java/org/ploverspindle/api/DependencyListWriter.java
+++ b/src/main/java/org/ploverspindle/api/DependencyListWriter.java
@@ -29,14 +29,14 @@
 final class DependencyListWriter {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyListWriter.class);
   private static final int MAX_TRANSACTION_BYTES = 56 * 1024;
-  private static final int MAX_LISTS = 20;
-  private static final int TRANSACTION_FRAME_BYTES = 200;
+  private static final int MAX_PENDING_LISTS = 20;
+  private static final int TRANSACTION_OVERHEAD_BYTES = 200;
 
   /** A part's key occurs in its change and in its condition. */
-  private static final int PART_FRAME_BYTES = 250;
+  private static final int PART_OVERHEAD_BYTES = 250;
 
   /** Time after its last request in which a user may still repeat it. */
-  private static final long KEEP_AFTER_REQUEST_MS = 60_000;
+  private static final long LIST_RETENTION_MS = 60_000;
 
   private static final long RETRY_MS = 700;
 
@@ -59,19 +59,19 @@
     private final List<Condition> conditions = new ArrayList<>();
     private final List<Change> changes = new ArrayList<>();
     private final List<Integer> parts = new ArrayList<>();
-    private int bytes = TRANSACTION_FRAME_BYTES;
+    private int transactionBytes = TRANSACTION_OVERHEAD_BYTES;
 
     /** Adds the part, unless the transaction is full. A first part always fits. */
     boolean add(DependenciesRecord list, int part, int maxChanges) {
-      int size = Cbor.jsonSize(list.parts().get(part)) + PART_FRAME_BYTES;
+      int partBytes = Cbor.jsonSize(list.parts().get(part)) + PART_OVERHEAD_BYTES;
       if (changes.size() >= maxChanges
-          || !changes.isEmpty() && bytes + size > MAX_TRANSACTION_BYTES) {
+          || !changes.isEmpty() && transactionBytes + partBytes > MAX_TRANSACTION_BYTES) {
         return false;
       }
       conditions.add(new Condition(list.key(part), 0));
       changes.add(new Change.Put(list.key(part), list.parts().get(part)));
       parts.add(part);
-      bytes += size;
+      transactionBytes += partBytes;
       return true;
     }
   }
@@ -86,7 +86,7 @@
   private final Map<String, PendingList> pendingLists = new LinkedHashMap<>();
 
   /** A transaction is in flight, or the time before the next one has not passed. */
-  private boolean busy;
+  private boolean sendBlocked;
 
   /**
    * @param maxChanges changes that a transaction may hold
@@ -107,20 +107,20 @@
 
   /** Whether no further list may be written now. */
   boolean isFull() {
-    return pendingLists.size() >= MAX_LISTS;
+    return pendingLists.size() >= MAX_PENDING_LISTS;
   }
 
   /** Calls with true once every part is durable, and with false when that can't be reached. */
   void write(DependenciesRecord list, Consumer<Boolean> then) {
     PendingList pending = pendingLists.computeIfAbsent(list.name(), name -> new PendingList(list));
     pending.requests.add(then);
-    pending.expiresMs = scheduler.nowMs() + KEEP_AFTER_REQUEST_MS;
+    pending.expiresMs = scheduler.nowMs() + LIST_RETENTION_MS;
     writeNext();
   }
 
   /** The oldest list first, one transaction at a time. */
   private void writeNext() {
-    while (!busy && !pendingLists.isEmpty()) {
+    while (!sendBlocked && !pendingLists.isEmpty()) {
       PendingList pending = pendingLists.values().iterator().next();
       List<Integer> missing = missingParts(pending);
       if (missing.isEmpty()) {
@@ -155,36 +155,37 @@
         break;
       }
     }
-    busy = true;
-    long nextMs = scheduler.nowMs() + Math.round(batch.parts.size() * msPerPart);
+    sendBlocked = true;
+    long nextSendMs = scheduler.nowMs() + Math.round(batch.parts.size() * msPerPart);
     store.commit(
         new StateStore.Transaction(batch.conditions, batch.changes),
-        result -> handleResult(pending, batch.parts, nextMs, result));
+        result -> handleResult(pending, batch.parts, nextSendMs, result));
   }
 
   private void handleResult(
-      PendingList pending, List<Integer> parts, long nextMs, TransactionResult result) {
+      PendingList pending, List<Integer> parts, long nextSendMs, TransactionResult result) {
     if (result instanceof TransactionResult.Committed) {
       parts.forEach(pending.storedParts::set);
       boolean complete = missingParts(pending).isEmpty();
-      continueAfter(complete ? 0 : nextMs - scheduler.nowMs());
+      writeNextAfter(complete ? 0 : nextSendMs - scheduler.nowMs());
     } else if (result instanceof TransactionResult.Refused refused) {
       if (refused.status() == StatusCodes.BAD_REQUEST) {
         LOG.error("dependency list rejected by the state service: list={}", pending.list.name());
         finish(pending, false);
       }
-      continueAfter(RETRY_MS);
+      writeNextAfter(RETRY_MS);
     } else {
       // Some parts are stored already, or may yet become so: the replica shows which are missing.
-      replica.readBarrier(fresh -> continueAfter(fresh ? nextMs - scheduler.nowMs() : RETRY_MS));
+      replica.readBarrier(
+          fresh -> writeNextAfter(fresh ? nextSendMs - scheduler.nowMs() : RETRY_MS));
     }
   }
 
-  private void continueAfter(long delayMs) {
+  private void writeNextAfter(long delayMs) {
     if (delayMs > 0) {
-      scheduler.schedule(delayMs, () -> continueAfter(0));
+      scheduler.schedule(delayMs, () -> writeNextAfter(0));
     } else {
-      busy = false;
+      sendBlocked = false;
       writeNext();
     }
   }
--- a/src/main/java/org/ploverspindle/api/DependentSubmissions.java
+++ b/src/main/java/org/ploverspindle/api/DependentSubmissions.java
@@ -14,33 +14,33 @@
    * Age at which the user of a submission is answered although its list is not stored yet. The list
    * is still completed, for the user's repeated request.
    */
-  private static final long LIST_DEADLINE_MS = 3_500;
+  private static final long LIST_TIMEOUT_MS = 3_500;
 
   /** Least time that is left for the job itself once its list is stored. */
-  private static final long AFTER_LIST_MS = 1_000;
+  private static final long MIN_TIME_AFTER_LIST_MS = 1_000;
 
   private static final int QUEUE_FULL_RETRY_S = 3;
 
   private final Scheduler scheduler;
   private final LinearizableReads reads;
   private final JobStatusReader statuses;
-  private final DependencyCheck dependencies;
-  private final DependencyListWriter lists;
-  private final AcceptanceWriter writer;
+  private final DependencyCheck dependencyCheck;
+  private final DependencyListWriter listWriter;
+  private final AcceptanceWriter acceptanceWriter;
 
   DependentSubmissions(
       Scheduler scheduler,
       LinearizableReads reads,
       JobStatusReader statuses,
-      DependencyCheck dependencies,
-      DependencyListWriter lists,
-      AcceptanceWriter writer) {
+      DependencyCheck dependencyCheck,
+      DependencyListWriter listWriter,
+      AcceptanceWriter acceptanceWriter) {
     this.scheduler = scheduler;
     this.reads = reads;
     this.statuses = statuses;
-    this.dependencies = dependencies;
-    this.lists = lists;
-    this.writer = writer;
+    this.dependencyCheck = dependencyCheck;
+    this.listWriter = listWriter;
+    this.acceptanceWriter = acceptanceWriter;
   }
 
   /**
@@ -51,9 +51,10 @@
    * since. Either the write's conditions exclude that, or the replica is read first.
    */
   void accept(Submission submission) {
-    Optional<List<String>> guards = dependencies.guards(submission.spec());
-    if (guards.isPresent() && submission.dependencyList().isEmpty()) {
-      writer.accept(submission, guards.get());
+    Optional<List<String>> guardedDependencies =
+        dependencyCheck.guardedDependencies(submission.spec());
+    if (guardedDependencies.isPresent() && submission.dependencyList().isEmpty()) {
+      acceptanceWriter.accept(submission, guardedDependencies.get());
     } else {
       reads.readBarrier(fresh -> acceptAfterRead(submission, fresh));
     }
@@ -68,13 +69,14 @@
     Optional<ApiResponse> response =
         statuses
             .response(spec.uid())
-            .or(() -> dependencies.invalidDependency(spec).map(DependentSubmissions::refusal));
+            .or(() -> dependencyCheck.dependencyError(spec).map(DependentSubmissions::refusal));
     if (response.isPresent()) {
       submission.responder().accept(response.get());
     } else if (submission.dependencyList().isPresent()) {
       storeList(submission, submission.dependencyList().get());
     } else {
-      writer.accept(submission, dependencies.guards(spec).orElse(List.of()));
+      acceptanceWriter.accept(
+          submission, dependencyCheck.guardedDependencies(spec).orElse(List.of()));
     }
   }
 
@@ -83,7 +85,7 @@
   }
 
   private void storeList(Submission submission, DependenciesRecord list) {
-    if (lists.isFull()) {
+    if (listWriter.isFull()) {
       submission
           .responder()
           .accept(
@@ -93,10 +95,11 @@
                   QUEUE_FULL_RETRY_S));
       return;
     }
-    Consumer<Boolean> first = new SingleUse<>(stored -> acceptAfterList(submission, stored));
-    long remainingMs = submission.receivedMs() + LIST_DEADLINE_MS - scheduler.nowMs();
-    scheduler.schedule(Math.max(0, remainingMs), () -> first.accept(false));
-    lists.write(list, first);
+    Consumer<Boolean> firstResult =
+        new FirstValueConsumer<>(stored -> acceptAfterList(submission, stored));
+    long remainingMs = submission.receivedMs() + LIST_TIMEOUT_MS - scheduler.nowMs();
+    scheduler.schedule(Math.max(0, remainingMs), () -> firstResult.accept(false));
+    listWriter.write(list, firstResult);
   }
 
   private void acceptAfterList(Submission submission, boolean stored) {
@@ -109,8 +112,10 @@
       return;
     }
     // Submissions that were received before this time would be past the writer's deadline.
-    long latestMs = scheduler.nowMs() - AcceptanceWriter.WRITE_DEADLINE_MS + AFTER_LIST_MS;
-    writer.accept(
-        submission.withReceivedMs(Math.max(latestMs, submission.receivedMs())), List.of());
+    long earliestReceivedMs =
+        scheduler.nowMs() - AcceptanceWriter.MAX_AGE_AT_WRITE_MS + MIN_TIME_AFTER_LIST_MS;
+    acceptanceWriter.accept(
+        submission.withReceivedMs(Math.max(earliestReceivedMs, submission.receivedMs())),
+        List.of());
   }
 }
--- a/src/main/java/org/ploverspindle/api/Feasibility.java
+++ b/src/main/java/org/ploverspindle/api/Feasibility.java
@@ -10,7 +10,7 @@
 /** Whether a job can ever run, given the teams' limits and the machine types. */
 final class Feasibility {
   /** Amounts are sums of decimal fractions, which are not exact. */
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Settings settings;
   private final Catalogue catalogue;
@@ -21,7 +21,7 @@
   }
 
   /** Whether the machine types are known, without which nothing can be decided. */
-  boolean isDecidable() {
+  boolean areMachineTypesKnown() {
     return catalogue.isKnown();
   }
 
@@ -47,7 +47,7 @@
   }
 
   private static boolean exceeds(double limit, double amount) {
-    return limit > 0 && amount > limit + ROUNDING;
+    return limit > 0 && amount > limit + ROUNDING_TOLERANCE;
   }
 
   private static boolean fits(JobSpec spec, MachineType type) {
--- /dev/null
+++ b/src/main/java/org/ploverspindle/api/FirstValueConsumer.java
@@ -0,0 +1,24 @@
+package org.ploverspindle.api;
+
+import java.util.function.Consumer;
+
+/**
+ * Passes on the first value and ignores all others, where a result and a timeout compete. For use
+ * on the event loop alone.
+ */
+final class FirstValueConsumer<T> implements Consumer<T> {
+  private final Consumer<T> delegate;
+  private boolean received;
+
+  FirstValueConsumer(Consumer<T> delegate) {
+    this.delegate = delegate;
+  }
+
+  @Override
+  public void accept(T value) {
+    if (!received) {
+      received = true;
+      delegate.accept(value);
+    }
+  }
+}
--- a/src/main/java/org/ploverspindle/api/JobStatusReader.java
+++ b/src/main/java/org/ploverspindle/api/JobStatusReader.java
@@ -15,7 +15,7 @@
  */
 final class JobStatusReader {
   /** Field of a stored job record. */
-  private static final String STORED_TASKS = "tasks";
+  private static final String TASKS_FIELD = "tasks";
 
   private final Replica replica;
   private final AcceptedJobIndex acceptedJobs;
@@ -41,14 +41,14 @@
 
   private JobState state(String uid, AcceptedJob job) {
     if (isDone(uid)) {
-      return new JobState(uid, JobStatus.DONE, job.value().path(STORED_TASKS).asInt(), 0);
+      return new JobState(uid, JobStatus.DONE, job.value().path(TASKS_FIELD).asInt(), 0);
     }
-    ProgressCounts.Counts known = counts.of(uid);
+    ProgressCounts.Counts progress = counts.of(uid);
     if (isAborted(uid)) {
-      return new JobState(uid, JobStatus.ABORTED, known.completed(), 0);
+      return new JobState(uid, JobStatus.ABORTED, progress.completed(), 0);
     }
-    JobStatus status = known.running() > 0 ? JobStatus.RUNNING : JobStatus.QUEUED;
-    return new JobState(uid, status, known.completed(), known.running());
+    JobStatus status = progress.running() > 0 ? JobStatus.RUNNING : JobStatus.QUEUED;
+    return new JobState(uid, status, progress.completed(), progress.running());
   }
 
   /** The state as a 200 response; empty when the replica has no such job. */
--- a/src/main/java/org/ploverspindle/api/LinearizableReads.java
+++ b/src/main/java/org/ploverspindle/api/LinearizableReads.java
@@ -38,7 +38,7 @@
     readBarrier(replica::lowPriorityReadBarrier, then);
   }
 
-  private void readBarrier(Consumer<Consumer<Boolean>> read, Consumer<Boolean> then) {
+  private void readBarrier(Consumer<Consumer<Boolean>> startRead, Consumer<Boolean> then) {
     if (isStale()) {
       // The read is started all the same, for later requests.
       refresh();
@@ -48,11 +48,11 @@
     long receivedMs = scheduler.nowMs();
     // The clock is read again: when this process was suspended in between, other controllers may
     // have answered with something newer.
-    Consumer<Boolean> first =
-        new SingleUse<>(
+    Consumer<Boolean> firstResult =
+        new FirstValueConsumer<>(
             fresh -> then.accept(fresh && scheduler.nowMs() - receivedMs <= BARRIER_TIMEOUT_MS));
-    read.accept(first);
-    scheduler.schedule(BARRIER_TIMEOUT_MS, () -> first.accept(false));
+    startRead.accept(firstResult);
+    scheduler.schedule(BARRIER_TIMEOUT_MS, () -> firstResult.accept(false));
   }
 
   /** Whether the last read is so long ago that the next one will hardly be answered in time. */
--- a/src/main/java/org/ploverspindle/api/PendingAcceptance.java
+++ b/src/main/java/org/ploverspindle/api/PendingAcceptance.java
@@ -16,40 +16,42 @@
  */
 final class PendingAcceptance {
   private final Submission submission;
-  private final int bytes;
-  private final List<String> guards;
-  private final List<Consumer<ApiResponse>> requests;
-  private final List<Consumer<ApiResponse>> lateRequests;
+  private final int storedBytes;
+  private final List<String> guardedDependencies;
+  private final List<Consumer<ApiResponse>> coveredRequests;
+  private final List<Consumer<ApiResponse>> uncoveredRequests;
   private boolean sent;
 
   private PendingAcceptance(
       Submission submission,
-      int bytes,
-      List<String> guards,
-      List<Consumer<ApiResponse>> requests,
-      List<Consumer<ApiResponse>> lateRequests) {
+      int storedBytes,
+      List<String> guardedDependencies,
+      List<Consumer<ApiResponse>> coveredRequests,
+      List<Consumer<ApiResponse>> uncoveredRequests) {
     this.submission = submission;
-    this.bytes = bytes;
-    this.guards = guards;
-    this.requests = requests;
-    this.lateRequests = lateRequests;
+    this.storedBytes = storedBytes;
+    this.guardedDependencies = guardedDependencies;
+    this.coveredRequests = coveredRequests;
+    this.uncoveredRequests = uncoveredRequests;
   }
 
   /**
-   * @param guards jobs whose cancellation would abort this one, so that "queued" would be outdated
+   * @param guardedDependencies jobs whose cancellation would abort this one, so that "queued" would
+   *     be outdated
    */
-  static PendingAcceptance of(Submission submission, List<String> guards) {
+  static PendingAcceptance of(Submission submission, List<String> guardedDependencies) {
     return new PendingAcceptance(
         submission,
-        submission.bytes(),
-        guards,
+        submission.storedBytes(),
+        guardedDependencies,
         new ArrayList<>(List.of(submission.responder())),
         new ArrayList<>());
   }
 
   /** The same job and requests, to be written again under other guards. */
-  PendingAcceptance retryWith(List<String> newGuards) {
-    return new PendingAcceptance(submission, bytes, newGuards, requests, lateRequests);
+  PendingAcceptance retryWith(List<String> newGuardedDependencies) {
+    return new PendingAcceptance(
+        submission, storedBytes, newGuardedDependencies, coveredRequests, uncoveredRequests);
   }
 
   String uid() {
@@ -61,21 +63,21 @@
   }
 
   /** The job's stored form. */
-  JsonNode record() {
-    return submission.record();
+  JsonNode jobRecord() {
+    return submission.jobRecord();
   }
 
   /** What the job takes of its record's size. */
-  int bytes() {
-    return bytes;
+  int storedBytes() {
+    return storedBytes;
   }
 
   long receivedMs() {
     return submission.receivedMs();
   }
 
-  List<String> guards() {
-    return guards;
+  List<String> guardedDependencies() {
+    return guardedDependencies;
   }
 
   /** The write has been sent: requests from now on are late. */
@@ -85,30 +87,30 @@
 
   /** Adds a repeated request for the same job. */
   void addRequest(Consumer<ApiResponse> responder) {
-    (isCoveredByConditions() ? requests : lateRequests).add(responder);
+    (isCoveredByConditions() ? coveredRequests : uncoveredRequests).add(responder);
   }
 
   /** Whether the write's conditions hold for a request that arrives now. */
   private boolean isCoveredByConditions() {
-    boolean guarded = spec().dependencies().isEmpty() || !guards.isEmpty();
+    boolean guarded = spec().dependencies().isEmpty() || !guardedDependencies.isEmpty();
     return guarded && !sent;
   }
 
   /** Answers the requests that are not late. */
-  void respond(ApiResponse response) {
-    requests.forEach(request -> request.accept(response));
+  void respondToCovered(ApiResponse response) {
+    coveredRequests.forEach(request -> request.accept(response));
   }
 
-  boolean hasLateRequests() {
-    return !lateRequests.isEmpty();
+  boolean hasUncoveredRequests() {
+    return !uncoveredRequests.isEmpty();
   }
 
-  void respondToLateRequests(ApiResponse response) {
-    lateRequests.forEach(request -> request.accept(response));
+  void respondToUncovered(ApiResponse response) {
+    uncoveredRequests.forEach(request -> request.accept(response));
   }
 
   void respondToAll(ApiResponse response) {
-    respond(response);
-    respondToLateRequests(response);
+    respondToCovered(response);
+    respondToUncovered(response);
   }
 }
--- a/src/main/java/org/ploverspindle/api/QueryService.java
+++ b/src/main/java/org/ploverspindle/api/QueryService.java
@@ -23,16 +23,16 @@
   }
 
   /** Answers with the job's state, no older than what any controller answered before. */
-  void poll(String uid, Consumer<ApiResponse> then) {
+  void poll(String uid, Consumer<ApiResponse> responder) {
     if (!SubmissionCodec.isValidUid(uid)) {
-      then.accept(ApiResponse.noSuchJob());
+      responder.accept(ApiResponse.noSuchJob());
     } else if (statuses.isTerminal(uid)) {
-      then.accept(statuses.response(uid).orElseThrow());
+      responder.accept(statuses.response(uid).orElseThrow());
     } else if (!reads.isLoaded()) {
-      then.accept(ApiResponse.stateUnavailable());
+      responder.accept(ApiResponse.stateUnavailable());
     } else {
       // Every job is polled every few seconds, and no user's work waits for the response.
-      reads.lowPriorityReadBarrier(fresh -> then.accept(responseAfterRead(uid, fresh)));
+      reads.lowPriorityReadBarrier(fresh -> responder.accept(responseAfterRead(uid, fresh)));
     }
   }
 
--- a/src/main/java/org/ploverspindle/api/RequestDispatcher.java
+++ b/src/main/java/org/ploverspindle/api/RequestDispatcher.java
@@ -26,7 +26,7 @@
   /** Work for the event loop that needs the request's body. */
   @FunctionalInterface
   interface BodyHandler {
-    void accept(byte[] body, Consumer<ApiResponse> then);
+    void accept(byte[] body, Consumer<ApiResponse> responder);
   }
 
   private final EventLoop loop;
@@ -41,11 +41,12 @@
   }
 
   /** Reads the body, and then has the work done on the event loop. */
-  void dispatchBody(HttpServerExchange exchange, EventPriority priority, BodyHandler work) {
+  void dispatchBody(HttpServerExchange exchange, EventPriority priority, BodyHandler handler) {
     Receiver receiver = exchange.getRequestReceiver();
     receiver.setMaxBufferSize(MAX_BODY_BYTES);
     receiver.receiveFullBytes(
-        (received, body) -> dispatch(received, priority, then -> work.accept(body, then)),
+        (received, body) ->
+            dispatch(received, priority, responder -> handler.accept(body, responder)),
         this::refuseBody);
   }
 
@@ -64,22 +65,27 @@
 
   /** Has the work done on the event loop; it calls its argument with the response. */
   void dispatch(
-      HttpServerExchange exchange, EventPriority priority, Consumer<Consumer<ApiResponse>> work) {
+      HttpServerExchange exchange,
+      EventPriority priority,
+      Consumer<Consumer<ApiResponse>> handler) {
     long maxAgeMs =
         priority == EventPriority.HEARTBEAT ? MAX_HEARTBEAT_RESPONSE_AGE_MS : MAX_RESPONSE_AGE_MS;
-    Runnable task = () -> work.accept(response -> respond(exchange, response, maxAgeMs));
+    Runnable event = () -> handler.accept(response -> respond(exchange, response, maxAgeMs));
     if (exchange.isInIoThread()) {
-      exchange.dispatch(SameThreadExecutor.INSTANCE, () -> loop.execute(priority, task));
+      exchange.dispatch(SameThreadExecutor.INSTANCE, () -> loop.execute(priority, event));
     } else {
-      loop.execute(priority, task);
+      loop.execute(priority, event);
     }
   }
 
   private void respond(HttpServerExchange exchange, ApiResponse response, long maxAgeMs) {
-    long madeMs = loop.nowMs();
+    long createdMs = loop.nowMs();
     exchange
         .getIoThread()
-        .execute(() -> send(exchange, response.orExpired(loop.nowMs() - madeMs, maxAgeMs)));
+        .execute(
+            () ->
+                send(
+                    exchange, response.orUnavailableIfExpired(loop.nowMs() - createdMs, maxAgeMs)));
   }
 
   /** Sends the response, on the I/O thread. Does nothing if there has been one. */
--- a/src/main/java/org/ploverspindle/api/RequestRouter.java
+++ b/src/main/java/org/ploverspindle/api/RequestRouter.java
@@ -13,10 +13,10 @@
 
 /** Routes requests by path and method. Runs on the I/O thread. */
 final class RequestRouter implements HttpHandler {
-  private static final String HEARTBEATS = "/checkin";
-  private static final String READINESS = "/ready";
-  private static final String STATUS = "/status";
-  private static final String JOBS = "/submissions";
+  private static final String HEARTBEAT_PATH = "/checkin";
+  private static final String READINESS_PATH = "/ready";
+  private static final String STATUS_PATH = "/status";
+  private static final String JOBS_PATH = "/submissions";
   private static final String CANCEL_SUFFIX = "/withdraw";
   private static final String JOB_PARAMETER = "job";
 
@@ -40,13 +40,13 @@
   public void handleRequest(HttpServerExchange exchange) {
     String path = exchange.getRequestPath();
     switch (path) {
-      case HEARTBEATS -> heartbeat(exchange);
-      case READINESS -> readiness(exchange);
-      case STATUS -> status(exchange);
-      case JOBS -> submit(exchange);
+      case HEARTBEAT_PATH -> heartbeat(exchange);
+      case READINESS_PATH -> readiness(exchange);
+      case STATUS_PATH -> status(exchange);
+      case JOBS_PATH -> submit(exchange);
       default -> {
-        if (path.startsWith(JOBS + "/")) {
-          job(exchange, path.substring(JOBS.length() + 1));
+        if (path.startsWith(JOBS_PATH + "/")) {
+          routeJob(exchange, path.substring(JOBS_PATH.length() + 1));
         } else {
           notFound(exchange);
         }
@@ -79,8 +79,9 @@
     dispatcher.dispatch(
         exchange,
         EventPriority.SUBMISSION,
-        then ->
-            job.ifPresentOrElse(uid -> handler.explainJob(uid, then), () -> handler.status(then)));
+        responder ->
+            job.ifPresentOrElse(
+                uid -> handler.explainJob(uid, responder), () -> handler.status(responder)));
   }
 
   private void submit(HttpServerExchange exchange) {
@@ -90,14 +91,14 @@
   }
 
   /**
-   * @param rest the path after that of all jobs: an id, and for a cancellation its suffix
+   * @param subpath the path after that of all jobs: an id, and for a cancellation its suffix
    */
-  private void job(HttpServerExchange exchange, String rest) {
-    int slash = rest.indexOf('/');
+  private void routeJob(HttpServerExchange exchange, String subpath) {
+    int slash = subpath.indexOf('/');
     if (slash < 0) {
-      poll(exchange, rest);
-    } else if (rest.substring(slash).equals(CANCEL_SUFFIX)) {
-      cancel(exchange, rest.substring(0, slash));
+      poll(exchange, subpath);
+    } else if (subpath.substring(slash).equals(CANCEL_SUFFIX)) {
+      cancel(exchange, subpath.substring(0, slash));
     } else {
       notFound(exchange);
     }
@@ -105,14 +106,14 @@
 
   private void poll(HttpServerExchange exchange, String uid) {
     if (allows(exchange, Methods.GET) && admission.admit(exchange, EventPriority.QUERY)) {
-      dispatcher.dispatch(exchange, EventPriority.QUERY, then -> handler.poll(uid, then));
+      dispatcher.dispatch(exchange, EventPriority.QUERY, responder -> handler.poll(uid, responder));
     }
   }
 
   private void cancel(HttpServerExchange exchange, String uid) {
     if (allows(exchange, Methods.POST) && admission.admit(exchange, EventPriority.SUBMISSION)) {
       dispatcher.dispatchBody(
-          exchange, EventPriority.SUBMISSION, (body, then) -> handler.cancel(uid, then));
+          exchange, EventPriority.SUBMISSION, (body, responder) -> handler.cancel(uid, responder));
     }
   }
 
--- a/src/main/java/org/ploverspindle/api/ResponseCodec.java
+++ b/src/main/java/org/ploverspindle/api/ResponseCodec.java
@@ -33,8 +33,8 @@
   }
 
   /** The controller that leads. */
-  static byte[] encodeLeader(String member) {
-    return Cbor.write(Cbor.map().put(LEADER, member));
+  static byte[] encodeLeader(String leader) {
+    return Cbor.write(Cbor.map().put(LEADER, leader));
   }
 
   /** A line for operators. */
--- a/src/main/java/org/ploverspindle/api/Submission.java
+++ b/src/main/java/org/ploverspindle/api/Submission.java
@@ -10,26 +10,26 @@
 /**
  * A job that a user submits, checked as far as that can be done without the replica.
  *
- * @param record the job's stored form
+ * @param jobRecord the job's stored form
  * @param dependencyList its dependencies, if they are too many for that record
  * @param receivedMs from when on its user waits
  * @param responder is called once with the response
  */
 record Submission(
     JobSpec spec,
-    JsonNode record,
+    JsonNode jobRecord,
     Optional<DependenciesRecord> dependencyList,
     long receivedMs,
     Consumer<ApiResponse> responder) {
   /** Quotes, colon and comma around the name of a value. */
-  private static final int NAME_FRAME_BYTES = 4;
+  private static final int NAME_OVERHEAD_BYTES = 4;
 
   /** What the record and its name take of a value's size. */
-  int bytes() {
-    return Cbor.jsonSize(record) + spec.uid().length() + NAME_FRAME_BYTES;
+  int storedBytes() {
+    return Cbor.jsonSize(jobRecord) + spec.uid().length() + NAME_OVERHEAD_BYTES;
   }
 
   Submission withReceivedMs(long newReceivedMs) {
-    return new Submission(spec, record, dependencyList, newReceivedMs, responder);
+    return new Submission(spec, jobRecord, dependencyList, newReceivedMs, responder);
   }
 }
--- a/src/main/java/org/ploverspindle/api/SubmissionEncoder.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionEncoder.java
@@ -11,7 +11,7 @@
 /** Brings jobs into their stored form, within the largest value of the state service. */
 final class SubmissionEncoder {
   /** What a value holds beside its only job. */
-  private static final int FRAME_BYTES = 50;
+  private static final int VALUE_OVERHEAD_BYTES = 50;
 
   private final Scheduler scheduler;
   private final Feasibility feasibility;
@@ -32,22 +32,23 @@
 
   /** The job as received now; check {@link #fits} before it is written. */
   Submission encode(JobSpec spec, Consumer<ApiResponse> responder) {
-    Submission complete = encodeAsIs(spec, responder);
-    if (fits(complete) || spec.types().isEmpty()) {
-      return complete;
+    Submission submission = encodeUnfiltered(spec, responder);
+    if (fits(submission) || spec.types().isEmpty()) {
+      return submission;
     }
     // No task can be placed on a type that the cloud does not have, so that such names may be left
     // out of the record: a long list of them is no reason to refuse the job.
     List<String> knownTypes = spec.types().get().stream().filter(feasibility::isKnownType).toList();
-    return encodeAsIs(spec.withTypes(knownTypes), responder);
+    return encodeUnfiltered(spec.withTypes(knownTypes), responder);
   }
 
-  private Submission encodeAsIs(JobSpec spec, Consumer<ApiResponse> responder) {
+  private Submission encodeUnfiltered(JobSpec spec, Consumer<ApiResponse> responder) {
     long nowMs = scheduler.nowMs();
     JobRecord record = new JobRecord(spec, scheduler.wallMs(), shardSize);
-    Submission complete = new Submission(spec, record.encode(), Optional.empty(), nowMs, responder);
-    if (spec.dependencies().isEmpty() || fits(complete)) {
-      return complete;
+    Submission submission =
+        new Submission(spec, record.encode(), Optional.empty(), nowMs, responder);
+    if (spec.dependencies().isEmpty() || fits(submission)) {
+      return submission;
     }
     DependenciesRecord list =
         DependenciesRecord.split(spec.uid(), spec.dependencies(), maxValueBytes);
@@ -56,6 +57,6 @@
 
   /** Whether the record fits into a value. */
   boolean fits(Submission submission) {
-    return submission.bytes() <= maxValueBytes - FRAME_BYTES;
+    return submission.storedBytes() <= maxValueBytes - VALUE_OVERHEAD_BYTES;
   }
 }
--- a/src/main/java/org/ploverspindle/api/SubmissionService.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionService.java
@@ -14,13 +14,13 @@
 final class SubmissionService {
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionService.class);
 
-  private static final String MALFORMED = "missing or invalid: ";
+  private static final String MALFORMED_PREFIX = "missing or invalid: ";
 
   private final LinearizableReads reads;
   private final JobStatusReader statuses;
   private final Feasibility feasibility;
   private final SubmissionEncoder encoder;
-  private final AcceptanceWriter writer;
+  private final AcceptanceWriter acceptanceWriter;
   private final DependentSubmissions dependentSubmissions;
 
   SubmissionService(
@@ -28,65 +28,65 @@
       JobStatusReader statuses,
       Feasibility feasibility,
       SubmissionEncoder encoder,
-      AcceptanceWriter writer,
+      AcceptanceWriter acceptanceWriter,
       DependentSubmissions dependentSubmissions) {
     this.reads = reads;
     this.statuses = statuses;
     this.feasibility = feasibility;
     this.encoder = encoder;
-    this.writer = writer;
+    this.acceptanceWriter = acceptanceWriter;
     this.dependentSubmissions = dependentSubmissions;
   }
 
   /** Answers a submission, at the latest when its user is about to give up. */
-  void submit(byte[] bytes, Consumer<ApiResponse> then) {
+  void submit(byte[] bytes, Consumer<ApiResponse> responder) {
     Optional<ObjectNode> body = Cbor.readMap(bytes);
     if (body.isEmpty()) {
-      then.accept(ApiResponse.error(StatusCodes.BAD_REQUEST, "the body must be a CBOR map"));
+      responder.accept(ApiResponse.error(StatusCodes.BAD_REQUEST, "the body must be a CBOR map"));
       return;
     }
     Optional<String> uid = SubmissionCodec.uid(body.get());
     if (uid.isEmpty()) {
-      then.accept(ApiResponse.error(StatusCodes.BAD_REQUEST, MALFORMED + "uid"));
+      responder.accept(ApiResponse.error(StatusCodes.BAD_REQUEST, MALFORMED_PREFIX + "uid"));
     } else if (!reads.isLoaded() || reads.isStale()) {
       reads.refresh();
-      then.accept(ApiResponse.stateUnavailable());
+      responder.accept(ApiResponse.stateUnavailable());
     } else if (statuses.isKnown(uid.get())) {
-      answerRepeat(uid.get(), then);
+      respondToRepeat(uid.get(), responder);
     } else {
-      submitNew(uid.get(), body.get(), then);
+      submitNew(uid.get(), body.get(), responder);
     }
   }
 
-  private void answerRepeat(String uid, Consumer<ApiResponse> then) {
+  private void respondToRepeat(String uid, Consumer<ApiResponse> responder) {
     if (statuses.isTerminal(uid)) {
-      then.accept(statuses.response(uid).orElseThrow());
+      responder.accept(statuses.response(uid).orElseThrow());
     } else {
-      reads.readBarrier(fresh -> then.accept(statuses.responseAfterRead(uid, fresh)));
+      reads.readBarrier(fresh -> responder.accept(statuses.responseAfterRead(uid, fresh)));
     }
   }
 
-  private void submitNew(String uid, ObjectNode body, Consumer<ApiResponse> then) {
+  private void submitNew(String uid, ObjectNode body, Consumer<ApiResponse> responder) {
     JobSpec spec;
     try {
       spec = SubmissionCodec.decode(body);
     } catch (MalformedSubmissionException e) {
       LOG.info("submission malformed: job={} field={}", uid, e.getMessage());
-      refuseUnlessKnown(uid, StatusCodes.BAD_REQUEST, MALFORMED + e.getMessage(), then);
+      refuseUnlessKnown(uid, StatusCodes.BAD_REQUEST, MALFORMED_PREFIX + e.getMessage(), responder);
       return;
     }
-    if (!feasibility.isDecidable()) {
-      then.accept(
+    if (!feasibility.areMachineTypesKnown()) {
+      responder.accept(
           ApiResponse.retryLater(
               StatusCodes.SERVICE_UNAVAILABLE, "the machine types are not known yet", 2));
       return;
     }
-    Submission submission = encoder.encode(spec, then);
+    Submission submission = encoder.encode(spec, responder);
     Optional<String> refusal = reasonToRefuse(submission, spec);
     if (refusal.isPresent()) {
-      refuseUnlessKnown(uid, StatusCodes.UNPROCESSABLE_ENTITY, refusal.get(), then);
+      refuseUnlessKnown(uid, StatusCodes.UNPROCESSABLE_ENTITY, refusal.get(), responder);
     } else if (spec.dependencies().isEmpty()) {
-      writer.accept(submission, List.of());
+      acceptanceWriter.accept(submission, List.of());
     } else {
       dependentSubmissions.accept(submission);
     }
@@ -105,11 +105,11 @@
    * invalid.
    */
   private void refuseUnlessKnown(
-      String uid, int status, String reason, Consumer<ApiResponse> then) {
+      String uid, int status, String reason, Consumer<ApiResponse> responder) {
     ApiResponse refusal = ApiResponse.error(status, reason);
     reads.readBarrier(
         fresh ->
-            then.accept(
+            responder.accept(
                 fresh ? statuses.response(uid).orElse(refusal) : ApiResponse.stateUnavailable()));
   }
 }
--- a/src/main/java/org/ploverspindle/api/UserAdmission.java
+++ b/src/main/java/org/ploverspindle/api/UserAdmission.java
@@ -12,7 +12,7 @@
  */
 final class UserAdmission {
   private final EventLoop loop;
-  private final int maxWithUsers;
+  private final int maxConnectionsForUsers;
   private final int maxUserBacklog;
   private final LongSupplier activeConnections;
   private final RequestDispatcher dispatcher;
@@ -23,7 +23,7 @@
       LongSupplier activeConnections,
       RequestDispatcher dispatcher) {
     this.loop = loop;
-    this.maxWithUsers = limits.maxWithUsers();
+    this.maxConnectionsForUsers = limits.maxConnectionsForUsers();
     this.maxUserBacklog = limits.maxUserBacklog();
     this.activeConnections = activeConnections;
     this.dispatcher = dispatcher;
@@ -31,7 +31,7 @@
 
   /** Whether a user's request may be handled; if not, it is answered here. */
   boolean admit(HttpServerExchange exchange, EventPriority priority) {
-    if (activeConnections.getAsLong() > maxWithUsers) {
+    if (activeConnections.getAsLong() > maxConnectionsForUsers) {
       // The remaining sockets are for workers: one that can't send heartbeats loses its tasks.
       exchange.setPersistent(false);
       dispatcher.send(
--- a/src/main/java/org/ploverspindle/api/UserApi.java
+++ b/src/main/java/org/ploverspindle/api/UserApi.java
@@ -20,7 +20,7 @@
    * Least number of connections that may wait to be accepted: after a failover the whole fleet
    * connects at once.
    */
-  private static final int LEAST_ACCEPT_BACKLOG = 1_000;
+  private static final int MIN_ACCEPT_BACKLOG = 1_000;
 
   private static final int BUFFER_BYTES = 4_096;
   private static final int REQUEST_PARSE_TIMEOUT_MS = 5_000;
@@ -28,22 +28,22 @@
   /** Handles requests, on the event loop. Each calls {@code then} once with the response. */
   public interface RequestHandler {
     /** Accepts a job. */
-    void submit(byte[] body, Consumer<ApiResponse> then);
+    void submit(byte[] body, Consumer<ApiResponse> responder);
 
     /** Answers with a job's state. */
-    void poll(String uid, Consumer<ApiResponse> then);
+    void poll(String uid, Consumer<ApiResponse> responder);
 
     /** Cancels a job. */
-    void cancel(String uid, Consumer<ApiResponse> then);
+    void cancel(String uid, Consumer<ApiResponse> responder);
 
     /** Handles a worker's heartbeat. */
-    void heartbeat(byte[] body, Consumer<ApiResponse> then);
+    void heartbeat(byte[] body, Consumer<ApiResponse> responder);
 
     /** Answers with this controller's status, for operators. */
-    void status(Consumer<ApiResponse> then);
+    void status(Consumer<ApiResponse> responder);
 
     /** Answers with what is known of one job and of its dependencies, for operators. */
-    void explainJob(String uid, Consumer<ApiResponse> then);
+    void explainJob(String uid, Consumer<ApiResponse> responder);
   }
 
   private final Undertow server;
@@ -66,21 +66,22 @@
 
   private static Undertow server(
       XnioWorker worker, Address address, ConnectionLimits limits, HttpHandler router) {
-    int maxAccepted = limits.maxAccepted();
+    int maxAcceptedConnections = limits.maxAcceptedConnections();
     return Undertow.builder()
         .setWorker(worker)
         .addHttpListener(address.port(), address.host())
         .setBufferSize(BUFFER_BYTES)
         .setDirectBuffers(true)
-        .setSocketOption(Options.BACKLOG, Math.max(LEAST_ACCEPT_BACKLOG, maxAccepted))
+        .setSocketOption(Options.BACKLOG, Math.max(MIN_ACCEPT_BACKLOG, maxAcceptedConnections))
         .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) RequestDispatcher.MAX_BODY_BYTES)
         .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_PARSE_TIMEOUT_MS)
-        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleMs())
+        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleTimeoutMs())
         .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
         .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
         .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
         .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
-        .setHandler(Handlers.requestLimitingHandler(maxAccepted, maxAccepted, router))
+        .setHandler(
+            Handlers.requestLimitingHandler(maxAcceptedConnections, maxAcceptedConnections, router))
         .build();
   }
 
--- a/src/main/java/org/ploverspindle/api/UserRequests.java
+++ b/src/main/java/org/ploverspindle/api/UserRequests.java
@@ -55,26 +55,26 @@
       Feasibility feasibility,
       Settings.StateLimits limits) {
     int maxValueBytes = Math.min(limits.maxValueBytes(), MAX_VALUE_BYTES);
-    DependencyCheck dependencies =
+    DependencyCheck dependencyCheck =
         new DependencyCheck(
             views.acceptedJobs(),
             views.pipelines(),
             statuses,
-            AcceptanceBatch.maxGuards(limits.maxChangesPerTransaction()));
-    DependencyListWriter lists =
+            AcceptanceBatch.maxGuardedDependencies(limits.maxChangesPerTransaction()));
+    DependencyListWriter listWriter =
         new DependencyListWriter(
             scheduler,
             writes.store(),
             views.replica(),
             limits.maxChangesPerTransaction(),
             limits.changesPerS());
-    AcceptanceWriter writer =
+    AcceptanceWriter acceptanceWriter =
         new AcceptanceWriter(
             scheduler,
             writes,
             reads,
             statuses,
-            dependencies,
+            dependencyCheck,
             new AcceptanceBatch.Limits(maxValueBytes, limits.maxChangesPerTransaction()));
     SubmissionEncoder encoder =
         new SubmissionEncoder(
@@ -87,23 +87,24 @@
         statuses,
         feasibility,
         encoder,
-        writer,
-        new DependentSubmissions(scheduler, reads, statuses, dependencies, lists, writer));
+        acceptanceWriter,
+        new DependentSubmissions(
+            scheduler, reads, statuses, dependencyCheck, listWriter, acceptanceWriter));
   }
 
   /** Accepts a job, or answers why it is not accepted. */
-  public void submit(byte[] body, Consumer<ApiResponse> then) {
-    submissions.submit(body, then);
+  public void submit(byte[] body, Consumer<ApiResponse> responder) {
+    submissions.submit(body, responder);
   }
 
   /** Answers with a job's state. */
-  public void poll(String uid, Consumer<ApiResponse> then) {
-    queries.poll(uid, then);
+  public void poll(String uid, Consumer<ApiResponse> responder) {
+    queries.poll(uid, responder);
   }
 
   /** Cancels a job, and confirms it once that is durable. */
-  public void cancel(String uid, Consumer<ApiResponse> then) {
-    cancellations.cancel(uid, then);
+  public void cancel(String uid, Consumer<ApiResponse> responder) {
+    cancellations.cancel(uid, responder);
   }
 
   /** For operators: the job's state by the replica, and its unfinished dependencies. */
--- a/src/test/java/org/ploverspindle/api/AcceptanceBudgetTest.java
+++ b/src/test/java/org/ploverspindle/api/AcceptanceBudgetTest.java
@@ -16,12 +16,12 @@
   private final TokenBucket share = new TokenBucket(clock, 0, 3);
   private final AcceptanceBudget budget = new AcceptanceBudget(clock, share);
 
-  private void useUpTheShare() {
+  private void exhaustShare() {
     budget.recordWrite(budget.grant(MAX_RECORDS), 3);
   }
 
   @Test
-  void withinTheShareAsManyAreGrantedAsAreLeftAndFitATransaction() {
+  void grantWithinShareIsBoundedByShareLeftAndMaxRecords() {
     assertEquals(new Grant(2, true), budget.grant(2));
     assertEquals(new Grant(3, true), budget.grant(MAX_RECORDS));
     budget.recordWrite(budget.grant(MAX_RECORDS), 2);
@@ -29,10 +29,10 @@
   }
 
   @Test
-  void beyondTheShareOneIsGrantedAtATimeAndNotCharged() {
-    useUpTheShare();
+  void beyondShareOneRecordPerIntervalIsGrantedAndNotCharged() {
+    exhaustShare();
     assertEquals(NONE, budget.grant(MAX_RECORDS), "too soon after the last write");
-    clock.run(60);
+    clock.runFor(60);
     assertEquals(BEYOND_SHARE, budget.grant(MAX_RECORDS));
     budget.recordWrite(BEYOND_SHARE, 1);
     assertEquals(0, share.available());
@@ -40,13 +40,13 @@
   }
 
   @Test
-  void afterARefusalNothingBeyondTheShareIsGrantedForAWhile() {
-    useUpTheShare();
+  void nothingBeyondShareIsGrantedForFiveSecondsAfterRefusal() {
+    exhaustShare();
     budget.recordRefusal();
     assertEquals(-2, share.available(), "a refusal is charged");
-    clock.run(4_999);
+    clock.runFor(4_999);
     assertEquals(NONE, budget.grant(MAX_RECORDS));
-    clock.run(1);
+    clock.runFor(1);
     assertEquals(BEYOND_SHARE, budget.grant(MAX_RECORDS));
   }
 }
--- a/src/test/java/org/ploverspindle/api/CancellationWriterTest.java
+++ b/src/test/java/org/ploverspindle/api/CancellationWriterTest.java
@@ -25,62 +25,62 @@
   private static final int MAX_CHANGES = 5;
 
   private final ManualStateStore store = new ManualStateStore();
-  private final TokenBucket writes = new TokenBucket(store, 0, 100);
-  private final List<Consumer<Boolean>> reads = new ArrayList<>();
-  private final CancellationWriter cancellations =
+  private final TokenBucket writeBudget = new TokenBucket(store, 0, 100);
+  private final List<Consumer<Boolean>> readBarriers = new ArrayList<>();
+  private final CancellationWriter cancellationWriter =
       new CancellationWriter(
-          store, store, writes, MAX_CHANGES, reads::add, new RecordingListener());
+          store, store, writeBudget, MAX_CHANGES, readBarriers::add, new RecordingListener());
   private final Map<String, List<Outcome>> outcomes = new TreeMap<>();
 
   private final List<String> events = new ArrayList<>();
 
   private final class RecordingListener implements CancellationWriter.Listener {
     @Override
-    public void sent() {
-      events.add("sent with " + store.inFlight() + " in flight");
+    public void transactionSent() {
+      events.add("sent with " + store.inFlightCount() + " in flight");
     }
 
     @Override
-    public void committed(List<Change.Put> changes, long revision) {
+    public void cancellationsCommitted(List<Change.Put> changes, long revision) {
       events.add("committed " + changes.size() + " while " + outcomes);
     }
   }
 
   private void cancel(String uid) {
-    outcomes.computeIfAbsent(uid, u -> new ArrayList<>());
-    cancellations.write(uid, outcomes.get(uid)::add);
+    outcomes.computeIfAbsent(uid, key -> new ArrayList<>());
+    cancellationWriter.write(uid, outcomes.get(uid)::add);
   }
 
-  private List<String> cancelledByOldestTransaction() {
+  private List<String> uidsInOldestTransaction() {
     return store.oldestTransaction().changes().stream()
-        .map(c -> c.key().substring(Keys.CANCELLATIONS.length()))
+        .map(change -> change.key().substring(Keys.CANCELLATIONS.length()))
         .toList();
   }
 
   @Test
-  void requestsWhileOneIsInFlightShareTheNextUpToTheLimit() {
+  void requestsDuringTransactionShareNextTransactionUpToMaxChanges() {
     cancel("run-0");
-    store.run(10);
+    store.runFor(10);
     IntStream.rangeClosed(1, MAX_CHANGES + 2).forEach(i -> cancel("run-" + i));
-    store.run(80);
-    assertEquals(1, store.inFlight(), "one at a time while answers are prompt");
-    assertEquals(List.of("run-0"), cancelledByOldestTransaction());
+    store.runFor(80);
+    assertEquals(1, store.inFlightCount(), "one at a time while answers are prompt");
+    assertEquals(List.of("run-0"), uidsInOldestTransaction());
     store.commitAndRespond();
-    store.run(10);
+    store.runFor(10);
     assertEquals(
         List.of("run-1", "run-2", "run-3", "run-4", "run-5"),
-        cancelledByOldestTransaction(),
+        uidsInOldestTransaction(),
         "the oldest");
     store.commitAndRespond();
-    store.run(10);
-    assertEquals(List.of("run-6", "run-7"), cancelledByOldestTransaction());
+    store.runFor(10);
+    assertEquals(List.of("run-6", "run-7"), uidsInOldestTransaction());
     store.commitAndRespond();
     assertEquals(
         MAX_CHANGES + 3,
         outcomes.values().stream().filter(List.of(Outcome.DURABLE)::equals).count());
-    store.run(10);
-    assertEquals(0, store.inFlight());
-    assertEquals(100 - MAX_CHANGES - 3, writes.available(), "each change is paid for");
+    store.runFor(10);
+    assertEquals(0, store.inFlightCount());
+    assertEquals(100 - MAX_CHANGES - 3, writeBudget.available(), "each change is paid for");
   }
 
   @Test
@@ -89,52 +89,56 @@
     cancel("run-0");
     cancel("run-1");
     cancel("run-0");
-    store.run(10);
-    assertEquals(List.of("run-0", "run-1"), cancelledByOldestTransaction());
+    store.runFor(10);
+    assertEquals(List.of("run-0", "run-1"), uidsInOldestTransaction());
     store.commitAndRespond();
     assertEquals(List.of(Outcome.DURABLE, Outcome.DURABLE, Outcome.DURABLE), outcomes.get("run-0"));
     assertEquals(List.of(Outcome.DURABLE), outcomes.get("run-1"));
   }
 
   @Test
-  void nothingIsAcknowledgedBeforeTheRecordIsDurable() {
+  void cancellationIsAcknowledgedOnlyOnceDurable() {
     cancel("run-0");
-    store.run(60_000);
+    store.runFor(60_000);
     assertTrue(outcomes.get("run-0").isEmpty());
     assertFalse(store.contains(Keys.cancellation("run-0")));
     store.respondWithoutCommit(new TransactionResult.Unknown());
     assertEquals(List.of(Outcome.UNCERTAIN), outcomes.get("run-0"));
     cancel("run-1");
-    store.run(10);
+    store.runFor(10);
     store.respondWithoutCommit(new TransactionResult.Refused(429));
     assertEquals(List.of(Outcome.REFUSED), outcomes.get("run-1"));
     cancel("run-2");
-    store.run(10);
+    store.runFor(10);
     store.commitAndRespond();
     assertEquals(List.of(Outcome.DURABLE), outcomes.get("run-2"));
     assertTrue(store.contains(Keys.cancellation("run-2")));
   }
 
   @Test
-  void neitherACompletionNorAnEarlierRecordIsOverwritten() {
+  void transactionRequiresAbsentCompletionAndCancellation() {
     cancel("run-0");
-    store.run(10);
+    store.runFor(10);
     List<Condition> conditions = store.oldestTransaction().conditions();
     assertTrue(conditions.contains(new Condition(Keys.completion("run-0"), 0)));
     assertTrue(conditions.contains(new Condition(Keys.cancellation("run-0"), 0)));
   }
 
   @Test
-  void oneThatConflictsDoesNotFailTheOthersFinally() {
-    store.writeByOthers(Keys.completion("run-1"), Cbor.map());
+  void conflictOfOneJobLeavesOthersRetryable() {
+    store.writeFromAnotherProcess(Keys.completion("run-1"), Cbor.map());
     IntStream.range(0, 3).forEach(i -> cancel("run-" + i));
-    store.run(10);
+    store.runFor(10);
     store.commitAndRespond();
-    outcomes.values().forEach(h -> assertEquals(List.of(Outcome.UNCERTAIN), h, "to be read back"));
+    outcomes
+        .values()
+        .forEach(
+            jobOutcomes ->
+                assertEquals(List.of(Outcome.UNCERTAIN), jobOutcomes, "to be read back"));
     // Whoever reads back finds the end, and the others are asked for again.
     cancel("run-0");
     cancel("run-2");
-    store.run(10);
+    store.runFor(10);
     store.commitAndRespond();
     assertEquals(List.of(Outcome.UNCERTAIN, Outcome.DURABLE), outcomes.get("run-0"));
     assertEquals(List.of(Outcome.UNCERTAIN, Outcome.DURABLE), outcomes.get("run-2"));
@@ -142,88 +146,95 @@
   }
 
   @Test
-  void aRepeatWhileTheRecordIsInFlightDoesNotDelayTheOthersOfTheNext() {
+  void repeatedRequestDuringTransactionDoesNotDelayNextTransaction() {
     cancel("run-0");
-    store.run(10);
+    store.runFor(10);
     cancel("run-0");
     cancel("run-1");
     store.commitAndRespond();
-    store.run(10);
+    store.runFor(10);
     store.commitAndRespond();
     assertEquals(List.of(Outcome.DURABLE, Outcome.DURABLE), outcomes.get("run-0"));
     assertEquals(List.of(Outcome.DURABLE), outcomes.get("run-1"));
   }
 
   @Test
-  void aLateResponseDelaysNoOtherCancellation() {
+  void lateResponseDoesNotDelayOtherCancellations() {
     cancel("run-0");
-    store.run(10);
+    store.runFor(10);
     store.delayCommit();
     cancel("run-1");
-    store.run(CancellationWriter.NEXT_AFTER_MS);
-    assertEquals(List.of("run-1"), cancelledByOldestTransaction());
+    store.runFor(CancellationWriter.LATE_RESPONSE_AFTER_MS);
+    assertEquals(List.of("run-1"), uidsInOldestTransaction());
     store.commitAndRespond();
     assertEquals(List.of(Outcome.DURABLE), outcomes.get("run-1"));
     assertEquals(List.of(), outcomes.get("run-0"));
   }
 
   @Test
-  void transactionsInFlightAreBoundedAndSpaced() {
+  void inFlightTransactionsAreLimitedInNumberAndRate() {
     for (int i = 0; i < 100; i++) {
       cancel("run-" + i);
-      store.run(10);
-      assertTrue(store.inFlight() <= 1 + store.nowMs() / CancellationWriter.NEXT_AFTER_MS);
+      store.runFor(10);
+      assertTrue(
+          store.inFlightCount() <= 1 + store.nowMs() / CancellationWriter.LATE_RESPONSE_AFTER_MS);
     }
-    assertEquals(CancellationWriter.MAX_IN_FLIGHT, store.inFlight());
-    store.run(60_000);
-    assertEquals(CancellationWriter.MAX_IN_FLIGHT, store.inFlight(), "none while no read succeeds");
+    assertEquals(CancellationWriter.MAX_IN_FLIGHT_TRANSACTIONS, store.inFlightCount());
+    store.runFor(60_000);
+    assertEquals(
+        CancellationWriter.MAX_IN_FLIGHT_TRANSACTIONS,
+        store.inFlightCount(),
+        "none while no read succeeds");
     store.respondWithoutCommit(new TransactionResult.Unknown());
-    store.run(CancellationWriter.NEXT_AFTER_MS);
-    assertEquals(CancellationWriter.MAX_IN_FLIGHT, store.inFlight(), "the next one goes out");
+    store.runFor(CancellationWriter.LATE_RESPONSE_AFTER_MS);
+    assertEquals(
+        CancellationWriter.MAX_IN_FLIGHT_TRANSACTIONS,
+        store.inFlightCount(),
+        "the next one goes out");
   }
 
   @Test
-  void oneWithoutAResponseIsReadBackLongBeforeItsTimeout() {
+  void transactionWithoutResponseIsReadBackBeforeItsTimeout() {
     cancel("run-0");
-    store.run(10);
-    Runnable answer = store.commitAndDelayResponse();
-    store.run(CancellationWriter.READ_BACK_AFTER_MS);
-    assertEquals(1, reads.size());
+    store.runFor(10);
+    Runnable respond = store.commitAndDelayResponse();
+    store.runFor(CancellationWriter.READ_BACK_AFTER_MS);
+    assertEquals(1, readBarriers.size());
     assertEquals(List.of(), outcomes.get("run-0"), "not before the replica was read");
-    reads.get(0).accept(true);
+    readBarriers.get(0).accept(true);
     assertEquals(List.of(Outcome.READ_BACK), outcomes.get("run-0"));
-    answer.run();
+    respond.run();
     assertEquals(List.of(Outcome.READ_BACK), outcomes.get("run-0"), "told once");
   }
 
   @Test
-  void aFailedReadBackIsRetriedAndAnEarlierResponseCounts() {
+  void failedReadBackIsRetriedAndResponseBeforeItDecides() {
     cancel("run-0");
-    store.run(10);
-    Runnable answer = store.commitAndDelayResponse();
-    store.run(CancellationWriter.READ_BACK_AFTER_MS);
-    reads.get(0).accept(false);
+    store.runFor(10);
+    Runnable respond = store.commitAndDelayResponse();
+    store.runFor(CancellationWriter.READ_BACK_AFTER_MS);
+    readBarriers.get(0).accept(false);
     assertEquals(List.of(), outcomes.get("run-0"));
-    store.run(CancellationWriter.READ_BACK_AFTER_MS);
-    assertEquals(2, reads.size());
-    answer.run();
-    reads.get(1).accept(true);
+    store.runFor(CancellationWriter.READ_BACK_AFTER_MS);
+    assertEquals(2, readBarriers.size());
+    respond.run();
+    readBarriers.get(1).accept(true);
     assertEquals(List.of(Outcome.DURABLE), outcomes.get("run-0"));
-    store.run(10_000);
-    assertEquals(2, reads.size(), "none for one that is answered");
+    store.runFor(10_000);
+    assertEquals(2, readBarriers.size(), "none for one that is answered");
   }
 
   @Test
-  void repeatsShareTheOutcomeOfAnyTransactionInFlight() {
+  void repeatedRequestSharesOutcomeOfItsInFlightTransaction() {
     cancel("run-0");
-    store.run(10);
+    store.runFor(10);
     cancel("run-1");
-    store.run(CancellationWriter.NEXT_AFTER_MS);
-    assertEquals(2, store.inFlight());
+    store.runFor(CancellationWriter.LATE_RESPONSE_AFTER_MS);
+    assertEquals(2, store.inFlightCount());
     cancel("run-0");
     cancel("run-1");
-    store.run(CancellationWriter.NEXT_AFTER_MS);
-    assertEquals(2, store.inFlight(), "no record of their own");
+    store.runFor(CancellationWriter.LATE_RESPONSE_AFTER_MS);
+    assertEquals(2, store.inFlightCount(), "no record of their own");
     store.commitAndRespond();
     store.commitAndRespond();
     assertEquals(List.of(Outcome.DURABLE, Outcome.DURABLE), outcomes.get("run-0"));
@@ -233,40 +244,40 @@
   /** Held up on its way, written again by a second one, and carried out after that, or before. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aLateTransactionAndItsRepeatCreateTheRecordOnce(boolean lateOneFirst) {
+  void delayedTransactionAndItsRetryCreateRecordOnce(boolean delayedCommitsFirst) {
     cancel("run-0");
-    store.run(10);
-    Runnable late = store.delayCommit();
-    store.run(CancellationWriter.READ_BACK_AFTER_MS);
-    reads.get(0).accept(true);
+    store.runFor(10);
+    Runnable commitDelayed = store.delayCommit();
+    store.runFor(CancellationWriter.READ_BACK_AFTER_MS);
+    readBarriers.get(0).accept(true);
     cancel("run-0");
-    store.run(10);
-    if (lateOneFirst) {
-      late.run();
+    store.runFor(10);
+    if (delayedCommitsFirst) {
+      commitDelayed.run();
     }
     store.commitAndRespond();
-    late.run();
+    commitDelayed.run();
     assertEquals(
-        List.of(Outcome.READ_BACK, lateOneFirst ? Outcome.UNCERTAIN : Outcome.DURABLE),
+        List.of(Outcome.READ_BACK, delayedCommitsFirst ? Outcome.UNCERTAIN : Outcome.DURABLE),
         outcomes.get("run-0"));
     assertEquals(1, store.timesWritten(Keys.cancellation("run-0")));
   }
 
   @Test
-  void aLateTransactionDoesNotCancelAJobThatIsDone() {
+  void delayedTransactionDoesNotCancelDoneJob() {
     cancel("run-0");
-    store.run(10);
-    Runnable late = store.delayCommit();
-    store.writeByOthers(Keys.completion("run-0"), Cbor.map());
-    late.run();
+    store.runFor(10);
+    Runnable commitDelayed = store.delayCommit();
+    store.writeFromAnotherProcess(Keys.completion("run-0"), Cbor.map());
+    commitDelayed.run();
     assertFalse(store.contains(Keys.cancellation("run-0")));
   }
 
   @Test
-  void theListenerIsNotifiedWhenItIsSentAndBeforeTheUserGetsAResponse() {
+  void listenerIsNotifiedAfterSendAndBeforeUserResponse() {
     cancel("run-0");
     assertEquals(List.of(), events);
-    store.run(10);
+    store.runFor(10);
     assertEquals(List.of("sent with 1 in flight"), events, "after the write itself");
     store.commitAndRespond();
     assertEquals("committed 1 while {run-0=[]}", events.get(1));
@@ -274,13 +285,13 @@
   }
 
   @Test
-  void aResponseAfterTheReadBackStillNotifiesThatItIsDurable() {
+  void commitResponseAfterReadBackStillNotifiesListener() {
     cancel("run-0");
-    store.run(10);
-    Runnable answer = store.commitAndDelayResponse();
-    store.run(CancellationWriter.READ_BACK_AFTER_MS);
-    reads.get(0).accept(true);
-    answer.run();
+    store.runFor(10);
+    Runnable respond = store.commitAndDelayResponse();
+    store.runFor(CancellationWriter.READ_BACK_AFTER_MS);
+    readBarriers.get(0).accept(true);
+    respond.run();
     assertEquals("committed 1 while {run-0=[READ_BACK]}", events.get(1));
   }
 }
--- a/src/test/java/org/ploverspindle/api/ManualStateStore.java
+++ b/src/test/java/org/ploverspindle/api/ManualStateStore.java
@@ -33,13 +33,13 @@
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final Map<String, Long> modRevisions = new HashMap<>();
   private final List<ChangedEntry> history = new ArrayList<>();
-  private final Deque<PendingTransaction> sent = new ArrayDeque<>();
+  private final Deque<PendingTransaction> pendingTransactions = new ArrayDeque<>();
   private long nowMs;
-  private long order;
+  private long nextTimerOrder;
   private long revision = 1;
 
-  void run(long forMs) {
-    long endMs = nowMs + forMs;
+  void runFor(long durationMs) {
+    long endMs = nowMs + durationMs;
     while (!timers.isEmpty() && timers.peek().atMs() <= endMs) {
       Timer timer = timers.poll();
       nowMs = timer.atMs();
@@ -48,18 +48,18 @@
     nowMs = endMs;
   }
 
-  int inFlight() {
-    return sent.size();
+  int inFlightCount() {
+    return pendingTransactions.size();
   }
 
   /** The oldest transaction without a response. */
   Transaction oldestTransaction() {
-    return sent.element().transaction();
+    return pendingTransactions.element().transaction();
   }
 
   /** Executes the oldest transaction and delivers its response. */
   TransactionResult commitAndRespond() {
-    PendingTransaction oldest = sent.remove();
+    PendingTransaction oldest = pendingTransactions.remove();
     TransactionResult result = execute(oldest.transaction());
     oldest.then().accept(result);
     return result;
@@ -67,24 +67,24 @@
 
   /** Executes the oldest transaction; the result delivers its response. */
   Runnable commitAndDelayResponse() {
-    PendingTransaction oldest = sent.remove();
+    PendingTransaction oldest = pendingTransactions.remove();
     TransactionResult result = execute(oldest.transaction());
     return () -> oldest.then().accept(result);
   }
 
   /** Delays the oldest transaction; the result executes it, without a response. */
   Runnable delayCommit() {
-    PendingTransaction oldest = sent.remove();
+    PendingTransaction oldest = pendingTransactions.remove();
     return () -> execute(oldest.transaction());
   }
 
   /** Delivers this response to the oldest transaction, which is not executed. */
   void respondWithoutCommit(TransactionResult result) {
-    sent.remove().then().accept(result);
+    pendingTransactions.remove().then().accept(result);
   }
 
   /** Another process writes this. */
-  void writeByOthers(String key, JsonNode value) {
+  void writeFromAnotherProcess(String key, JsonNode value) {
     execute(new Transaction(List.of(), List.of(new Change.Put(key, value))));
   }
 
@@ -93,13 +93,15 @@
   }
 
   long timesWritten(String key) {
-    return history.stream().filter(c -> c.key().equals(key)).count();
+    return history.stream().filter(change -> change.key().equals(key)).count();
   }
 
   private TransactionResult execute(Transaction transaction) {
     List<String> failed =
         transaction.conditions().stream()
-            .filter(change -> modRevisions.getOrDefault(change.key(), 0L) != change.modRevision())
+            .filter(
+                condition ->
+                    modRevisions.getOrDefault(condition.key(), 0L) != condition.modRevision())
             .map(Condition::key)
             .toList();
     if (!failed.isEmpty()) {
@@ -116,7 +118,7 @@
 
   @Override
   public void commit(Transaction transaction, Consumer<TransactionResult> then) {
-    sent.add(new PendingTransaction(transaction, then));
+    pendingTransactions.add(new PendingTransaction(transaction, then));
   }
 
   @Override
@@ -128,7 +130,7 @@
   public void readChanges(String prefix, long after, Consumer<ChangesResult> then) {
     ChangesResult changes =
         new ChangesResult.Changes(
-            revision, history.stream().filter(c -> c.modRevision() > after).toList());
+            revision, history.stream().filter(change -> change.modRevision() > after).toList());
     schedule(1, () -> then.accept(changes));
   }
 
@@ -168,7 +170,7 @@
     timers.add(
         new Timer(
             nowMs + Math.max(0, delayMs),
-            order++,
+            nextTimerOrder++,
             () -> {
               if (!cancelled[0]) {
                 work.run();
--- a/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
+++ b/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
@@ -17,7 +17,7 @@
 import org.ploverspindle.state.JobRecord;
 
 class SubmissionCodecTest {
-  private static final String GOOD =
+  private static final String VALID_BODY =
       """
       {"uid":"run-000412","jobclass":"train","owner":"vision","shape":"batch","urgency":"high",
        "pieces":16,"cores":8.0,"accelerators":1.0,"mem_gb":64.0,"bundle":"img-07","image_gb":6.2,
@@ -25,13 +25,13 @@
        "expected_s":240.0,"save_every_s":30.0,"save_cost_s":4.0,"due_s":900.0}
       """;
 
-  private static ObjectNode good() throws Exception {
-    return (ObjectNode) new ObjectMapper().readTree(GOOD);
+  private static ObjectNode validBody() throws Exception {
+    return (ObjectNode) new ObjectMapper().readTree(VALID_BODY);
   }
 
   @Test
-  void readsTheProtocolsExampleAndItsRecordKeepsAll() throws Exception {
-    JobSpec spec = SubmissionCodec.decode(good());
+  void exampleSubmissionIsDecodedAndItsRecordRoundTrips() throws Exception {
+    JobSpec spec = SubmissionCodec.decode(validBody());
     assertEquals(16, spec.tasks());
     assertEquals(JobKind.BATCH, spec.kind());
     assertEquals(Optional.empty(), spec.zone());
@@ -41,7 +41,7 @@
 
   @Test
   void optionalFieldsMayBeNullOrAbsent() throws Exception {
-    ObjectNode body = good();
+    ObjectNode body = validBody();
     body.remove("site");
     body.remove("due_s");
     body.remove("flavours");
@@ -87,8 +87,8 @@
         "bundle|null",
         "bundle|\"\""
       })
-  void refusesInvalidFields(String field, String value) throws Exception {
-    ObjectNode body = good();
+  void invalidFieldIsRejected(String field, String value) throws Exception {
+    ObjectNode body = validBody();
     JsonNode node =
         value.equals("1e999")
             ? Cbor.map().numberNode(Double.POSITIVE_INFINITY)
@@ -98,14 +98,15 @@
   }
 
   @Test
-  void dependenciesCountOnceAndAbsentNullAndEmptyAreNone() throws Exception {
-    ObjectNode body = good();
-    JsonNode plain = new JobRecord(SubmissionCodec.decode(body), 77, 80).encode();
+  void repeatedDependencyCountsOnceAndAbsentNullOrEmptyMeansNone() throws Exception {
+    ObjectNode body = validBody();
+    JsonNode withoutDependencies = new JobRecord(SubmissionCodec.decode(body), 77, 80).encode();
     for (String none : new String[] {"null", "[]"}) {
       body.set("awaits", new ObjectMapper().readTree(none));
       JobSpec spec = SubmissionCodec.decode(body);
       assertEquals(List.of(), spec.dependencies());
-      assertEquals(plain, new JobRecord(spec, 77, 80).encode(), "stored as it always was");
+      assertEquals(
+          withoutDependencies, new JobRecord(spec, 77, 80).encode(), "stored as it always was");
     }
     body.set("awaits", new ObjectMapper().readTree("[\"run-2\",\"run-1\",\"run-2\"]"));
     JobSpec spec = SubmissionCodec.decode(body);
@@ -115,8 +116,8 @@
   }
 
   @Test
-  void nanIsNoAmount() throws Exception {
-    ObjectNode body = good().put("cores", Double.NaN);
+  void nanAmountIsRejected() throws Exception {
+    ObjectNode body = validBody().put("cores", Double.NaN);
     assertThrows(MalformedSubmissionException.class, () -> SubmissionCodec.decode(body));
   }
 }
--- a/src/test/java/org/ploverspindle/api/UserApiTest.java
+++ b/src/test/java/org/ploverspindle/api/UserApiTest.java
@@ -30,35 +30,35 @@
 
 /** The user API over real sockets on loopback, with an echo as its request handler. */
 class UserApiTest {
-  private static final class Echo implements UserApi.RequestHandler {
+  private static final class EchoHandler implements UserApi.RequestHandler {
     @Override
-    public void submit(byte[] body, Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.of(201, Cbor.write(Cbor.map().put("size", body.length))));
+    public void submit(byte[] body, Consumer<ApiResponse> responder) {
+      responder.accept(ApiResponse.of(201, Cbor.write(Cbor.map().put("size", body.length))));
     }
 
     @Override
-    public void poll(String uid, Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.of(200, Cbor.write(Cbor.map().put("uid", uid))));
+    public void poll(String uid, Consumer<ApiResponse> responder) {
+      responder.accept(ApiResponse.of(200, Cbor.write(Cbor.map().put("uid", uid))));
     }
 
     @Override
-    public void cancel(String uid, Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.retryLater(503, "later", 3));
+    public void cancel(String uid, Consumer<ApiResponse> responder) {
+      responder.accept(ApiResponse.retryLater(503, "later", 3));
     }
 
     @Override
-    public void heartbeat(byte[] body, Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.redirectToLeader("n2"));
+    public void heartbeat(byte[] body, Consumer<ApiResponse> responder) {
+      responder.accept(ApiResponse.redirectToLeader("n2"));
     }
 
     @Override
-    public void status(Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.text("fine"));
+    public void status(Consumer<ApiResponse> responder) {
+      responder.accept(ApiResponse.text("fine"));
     }
 
     @Override
-    public void explainJob(String uid, Consumer<ApiResponse> then) {
-      then.accept(ApiResponse.text(uid + " waits"));
+    public void explainJob(String uid, Consumer<ApiResponse> responder) {
+      responder.accept(ApiResponse.text(uid + " waits"));
     }
   }
 
@@ -82,7 +82,7 @@
             worker,
             new Address("127.0.0.1", port),
             new ConnectionLimits(24, 4, 10_000),
-            new Echo(),
+            new EchoHandler(),
             () -> ready);
     userApi.open();
   }
@@ -94,7 +94,7 @@
     worker.shutdownNow();
   }
 
-  private HttpURLConnection ask(String method, String path, byte[] body) throws Exception {
+  private HttpURLConnection request(String method, String path, byte[] body) throws Exception {
     HttpURLConnection connection =
         (HttpURLConnection) URI.create("http://127.0.0.1:" + port + path).toURL().openConnection();
     connection.setRequestMethod(method);
@@ -110,26 +110,26 @@
   }
 
   private int status(String method, String path) throws Exception {
-    return ask(method, path, new byte[0]).getResponseCode();
+    return request(method, path, new byte[0]).getResponseCode();
   }
 
-  private String statusLine(String path) throws Exception {
-    try (InputStream in = ask("GET", path, new byte[0]).getInputStream()) {
+  private String statusText(String path) throws Exception {
+    try (InputStream in = request("GET", path, new byte[0]).getInputStream()) {
       return Cbor.readMap(in.readAllBytes()).orElseThrow().path("status").asText();
     }
   }
 
   @Test
-  void routesByPathAndMethod() throws Exception {
+  void requestsAreRoutedByPathAndMethod() throws Exception {
     assertEquals(200, status("GET", "/submissions/run-1"));
     assertEquals(200, status("GET", "/status"));
-    assertEquals("fine", statusLine("/status"));
-    assertEquals("run-7 waits", statusLine("/status?job=run-7"));
+    assertEquals("fine", statusText("/status"));
+    assertEquals("run-7 waits", statusText("/status?job=run-7"));
     assertEquals(404, status("GET", "/nothing"));
     assertEquals(404, status("GET", "/submissions/run-1/other"));
     assertEquals(405, status("DELETE", "/submissions/run-1"));
     assertEquals(405, status("GET", "/checkin"));
-    HttpURLConnection submitted = ask("POST", "/submissions", new byte[60_000]);
+    HttpURLConnection submitted = request("POST", "/submissions", new byte[60_000]);
     assertEquals(201, submitted.getResponseCode());
     try (InputStream in = submitted.getInputStream()) {
       ObjectNode body = Cbor.readMap(in.readAllBytes()).orElseThrow();
@@ -138,22 +138,22 @@
   }
 
   @Test
-  void refusalsNameWhenToRetry() throws Exception {
-    HttpURLConnection response = ask("POST", "/submissions/run-1/withdraw", new byte[] {1});
+  void unavailableResponseHasRetryAfterHeader() throws Exception {
+    HttpURLConnection response = request("POST", "/submissions/run-1/withdraw", new byte[] {1});
     assertEquals(503, response.getResponseCode());
     assertEquals("3", response.getHeaderField("Retry-After"));
-    assertEquals(421, ask("POST", "/checkin", new byte[] {1}).getResponseCode());
+    assertEquals(421, request("POST", "/checkin", new byte[] {1}).getResponseCode());
   }
 
   @Test
-  void readinessIsReported() throws Exception {
+  void readyPathReportsReadiness() throws Exception {
     assertEquals(200, status("GET", "/ready"));
     ready = false;
     assertEquals(503, status("GET", "/ready"));
   }
 
   @Test
-  void aBodyThatIsTooLargeIsRefusedBeforeItIsRead() throws Exception {
+  void tooLargeBodyIsRefusedBeforeItIsRead() throws Exception {
     try (Socket socket = new Socket("127.0.0.1", port)) {
       socket.setSoTimeout(20_000);
       socket
@@ -168,7 +168,7 @@
   }
 
   @Test
-  void aRequestThatIsHalfSentDoesNotDelayOthers() throws Exception {
+  void partlySentRequestDoesNotDelayOthers() throws Exception {
     try (Socket socket = new Socket("127.0.0.1", port)) {
       socket
           .getOutputStream()
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void withFewSocketsLeftUsersAreRefusedAndWorkersServed() throws Exception {
+  void usersAreRefusedAndWorkersServedWhenFewConnectionsAreLeft() throws Exception {
     List<Socket> open = new ArrayList<>();
     try {
       // Each sends a request, so that it is known to be accepted.
@@ -191,16 +191,17 @@
         Socket socket = new Socket("127.0.0.1", port);
         socket.setSoTimeout(5_000);
         open.add(socket);
-        assertEquals(421, ask(socket, "POST", "/checkin"), "connection " + i);
+        assertEquals(421, request(socket, "POST", "/checkin"), "connection " + i);
       }
-      assertEquals(503, ask(open.get(0), "GET", "/submissions/run-1"));
+      assertEquals(503, request(open.get(0), "GET", "/submissions/run-1"));
       assertEquals(-1, open.get(0).getInputStream().read(), "its socket is free again");
       open.get(0).close();
-      assertEquals(421, ask(open.get(1), "POST", "/checkin"));
+      assertEquals(421, request(open.get(1), "POST", "/checkin"));
       Socket next = new Socket("127.0.0.1", port);
       next.setSoTimeout(5_000);
       open.add(next);
-      assertEquals(421, ask(next, "POST", "/checkin"), "the freed socket serves another worker");
+      assertEquals(
+          421, request(next, "POST", "/checkin"), "the freed socket serves another worker");
       open.remove(19).close();
       open.remove(18).close();
       // The server notices that the two are closed at some later time.
@@ -208,7 +209,7 @@
       for (int tries = 0; status == 503 && tries < 500; tries++) {
         try (Socket user = new Socket("127.0.0.1", port)) {
           user.setSoTimeout(5_000);
-          status = ask(user, "GET", "/submissions/run-1");
+          status = request(user, "GET", "/submissions/run-1");
         }
         Thread.sleep(10);
       }
@@ -221,20 +222,20 @@
   }
 
   /** The status of one request on a connection that stays open. */
-  private static int ask(Socket on, String method, String path) throws IOException {
+  private static int request(Socket socket, String method, String path) throws IOException {
     String head = method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
-    on.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
-    InputStream in = on.getInputStream();
-    StringBuilder answer = new StringBuilder();
-    while (answer.indexOf("\r\n\r\n") < 0) {
-      int connection = in.read();
-      if (connection < 0) {
-        throw new IOException("ended after " + answer);
+    socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
+    InputStream in = socket.getInputStream();
+    StringBuilder response = new StringBuilder();
+    while (response.indexOf("\r\n\r\n") < 0) {
+      int next = in.read();
+      if (next < 0) {
+        throw new IOException("ended after " + response);
       }
-      answer.append((char) connection);
+      response.append((char) next);
     }
-    Matcher length = Pattern.compile("(?i)content-length: (\\d+)").matcher(answer);
+    Matcher length = Pattern.compile("(?i)content-length: (\\d+)").matcher(response);
     in.readNBytes(length.find() ? Integer.parseInt(length.group(1)) : 0);
-    return Integer.parseInt(answer.substring(9, 12));
+    return Integer.parseInt(response.substring(9, 12));
   }
 }
--- a/src/test/java/org/ploverspindle/api/UserRequestsTest.java
+++ b/src/test/java/org/ploverspindle/api/UserRequestsTest.java
@@ -53,7 +53,7 @@
   void open() {
     Settings settings = settings();
     Replica replica = new Replica(store, store, Keys.PREFIX, 700);
-    AcceptedJobIndex specs = new AcceptedJobIndex(replica);
+    AcceptedJobIndex acceptedJobs = new AcceptedJobIndex(replica);
     ProgressCounts counts = new ProgressCounts(replica);
     Catalogue catalogue = new Catalogue(settings.zones());
     catalogue.update(
@@ -63,13 +63,14 @@
     requests =
         new UserRequests(
             store,
-            new JobViews(replica, specs, new Pipelines(store, replica, specs), counts),
+            new JobViews(
+                replica, acceptedJobs, new Pipelines(store, replica, acceptedJobs), counts),
             new StateWrites(
                 store, new TokenBucket(store, 100, 100), "n0-1", new NoOpLeaderNotifier()),
             catalogue,
             settings);
     replica.start();
-    store.run(1_000);
+    store.runFor(1_000);
   }
 
   private List<Integer> submit(String uid) {
@@ -78,19 +79,19 @@
     return statuses;
   }
 
-  private void submit(String uid, Consumer<ApiResponse> then) {
+  private void submit(String uid, Consumer<ApiResponse> responder) {
     ObjectNode body = Cbor.map().put("uid", uid).put("jobclass", "c").put("owner", "red");
     body.put("shape", "batch").put("urgency", "normal").put("pieces", 1).put("cores", 1.0);
     body.put("accelerators", 0.0).put("mem_gb", 1.0).put("bundle", "i").put("image_gb", 1.0);
     body.put("one_zone", false).put("apart", false).put("loaners", true).put("expected_s", 5.0);
     body.put("save_every_s", 0.0).put("save_cost_s", 0.0);
-    requests.submit(Cbor.write(body), then);
+    requests.submit(Cbor.write(body), responder);
   }
 
-  private List<String> statusesAndStates(String uid) {
-    List<String> words = new ArrayList<>();
-    submit(uid, a -> words.add(a.status() + " " + state(a)));
-    return words;
+  private List<String> submitForStatusAndState(String uid) {
+    List<String> responses = new ArrayList<>();
+    submit(uid, response -> responses.add(response.status() + " " + state(response)));
+    return responses;
   }
 
   private static String state(ApiResponse response) {
@@ -98,19 +99,20 @@
   }
 
   @Test
-  void aSubmissionIsNotForgottenBehindOneThatIsTerminalAlready() {
-    List<Integer> over = submit("run-0");
-    store.run(10);
+  void queuedSubmissionIsWrittenAfterConflictWithTerminalJob() {
+    List<Integer> terminal = submit("run-0");
+    store.runFor(10);
     // Another controller accepted it meanwhile, and its user cancelled it.
-    store.writeByOthers(Keys.jobBatch("n1-1"), Cbor.map().set("run-0", Cbor.map().put("tasks", 1)));
-    store.writeByOthers(Keys.cancellation("run-0"), Cbor.map());
-    List<Integer> behind = submit("run-1");
+    store.writeFromAnotherProcess(
+        Keys.jobBatch("n1-1"), Cbor.map().set("run-0", Cbor.map().put("tasks", 1)));
+    store.writeFromAnotherProcess(Keys.cancellation("run-0"), Cbor.map());
+    List<Integer> queued = submit("run-1");
     assertEquals(TransactionResult.Conflict.class, store.commitAndRespond().getClass());
-    store.run(1_000);
-    assertEquals(List.of(200), over);
-    assertEquals(1, store.inFlight(), "the next one goes out by itself");
+    store.runFor(1_000);
+    assertEquals(List.of(200), terminal);
+    assertEquals(1, store.inFlightCount(), "the next one goes out by itself");
     store.commitAndRespond();
-    assertEquals(List.of(201), behind);
+    assertEquals(List.of(201), queued);
   }
 
   /**
@@ -118,15 +120,15 @@
    * repeat arrives.
    */
   @Test
-  void aRepeatIsNotAnsweredByAnOlderWrite() {
-    List<String> first = statusesAndStates("run-0");
-    store.run(10);
+  void repeatedSubmissionIsNotAnsweredByEarlierWrite() {
+    List<String> first = submitForStatusAndState("run-0");
+    store.runFor(10);
     Change.Put written = (Change.Put) store.oldestTransaction().changes().get(0);
-    store.writeByOthers(written.key(), written.value());
-    store.writeByOthers(Keys.cancellation("run-0"), Cbor.map());
-    List<String> repeat = statusesAndStates("run-0");
+    store.writeFromAnotherProcess(written.key(), written.value());
+    store.writeFromAnotherProcess(Keys.cancellation("run-0"), Cbor.map());
+    List<String> repeat = submitForStatusAndState("run-0");
     store.respondWithoutCommit(new TransactionResult.Committed(2));
-    store.run(1_000);
+    store.runFor(1_000);
     assertEquals(List.of("201 queued"), first);
     assertEquals(List.of("200 aborted"), repeat);
   }
@@ -137,14 +139,14 @@
    * earlier time than that.
    */
   @Test
-  void aRepeatAfterTheWriteWasSentIsAnsweredByALaterRead() {
-    List<String> first = statusesAndStates("run-0");
-    store.run(10);
-    Runnable answer = store.commitAndDelayResponse();
-    store.writeByOthers(Keys.cancellation("run-0"), Cbor.map());
-    List<String> repeat = statusesAndStates("run-0");
-    answer.run();
-    store.run(1_000);
+  void repeatedSubmissionAfterSendIsAnsweredByLaterRead() {
+    List<String> first = submitForStatusAndState("run-0");
+    store.runFor(10);
+    Runnable respond = store.commitAndDelayResponse();
+    store.writeFromAnotherProcess(Keys.cancellation("run-0"), Cbor.map());
+    List<String> repeat = submitForStatusAndState("run-0");
+    respond.run();
+    store.runFor(1_000);
     assertEquals(List.of("201 queued"), first, "it was requested before");
     assertEquals(List.of("200 aborted"), repeat);
   }
