--- a/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceBatch.java
@@ -12,13 +12,19 @@
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 
-/** One transaction that stores several accepted jobs, as many as fit into each record. */
+/**
+ * A transaction that stores accepted jobs. Each record that it creates holds as many jobs as fit
+ * into one value of the state service.
+ *
+ * <p>A dependency of a job is guarded if the transaction requires that it is not cancelled; see
+ * {@link DependencyCheck#guardedDependencies}.
+ */
 final class AcceptanceBatch {
   /**
-   * What the state service allows.
+   * Limits of the state service.
    *
-   * @param maxValueBytes size of a record's value
-   * @param maxChanges changes of a transaction
+   * @param maxValueBytes largest size of a record's value in bytes
+   * @param maxChanges largest number of changes in a transaction
    */
   record Limits(int maxValueBytes, int maxChanges) {
     private int maxConditions() {
@@ -30,16 +36,30 @@
     }
   }
 
+  /**
+   * Upper bound of the size of a transaction: a record is added only while a value of the largest
+   * size would still fit.
+   */
   private static final int MAX_TRANSACTION_BYTES = 56 * 1024;
+
+  /** A transaction may have this many times as many conditions as changes. */
   private static final int CONDITIONS_PER_CHANGE = 4;
 
-  /** Two for the job itself, and one for the record that it is stored in. */
+  /**
+   * Upper bound of the conditions that a job adds regardless of its dependencies: two on the job
+   * itself, and one on the record that stores it.
+   */
   private static final int BASE_CONDITIONS_PER_JOB = 3;
 
-  /** Upper bound of what a transaction, a record or a job's own conditions add in size. */
+  /**
+   * Upper bound of the bytes that a transaction, each of its records, and each job's own conditions
+   * add to the size of the transaction.
+   */
   private static final int OVERHEAD_BYTES = 200;
 
+  /** Upper bound of the bytes of the condition on one guarded dependency. */
   private static final int BYTES_PER_GUARDED_DEPENDENCY = 100;
+
   private static final int EMPTY_MAP_BYTES = 2;
 
   private final Limits limits;
@@ -52,16 +72,19 @@
     this.limits = limits;
   }
 
-  /** How many guards one job may have, so that its conditions fit into a transaction. */
+  /**
+   * Returns how many guarded dependencies a job may have so that all its conditions fit into one
+   * transaction.
+   */
   static int maxGuardedDependencies(int maxChanges) {
     return Limits.maxConditions(maxChanges) - BASE_CONDITIONS_PER_JOB;
   }
 
   /**
-   * Moves jobs from the head of the queue into this batch, as many as fit.
+   * Moves jobs from the head of the queue into this batch, as many as fit into the transaction.
    *
-   * @param maxRecords how many records the batch may have
-   * @param nextKey names each record
+   * @param maxRecords largest number of records in the batch
+   * @param nextKey supplies the key of each record
    */
   void fill(Deque<PendingAcceptance> queue, int maxRecords, Supplier<String> nextKey) {
     while (changes.size() < maxRecords
@@ -88,9 +111,10 @@
   }
 
   /**
-   * The job may have been accepted at another controller before, which this replica may not show
-   * yet. Without these conditions a job that was reported as done or aborted would be reported as
-   * queued again.
+   * Adds the conditions that the job is neither cancelled nor done and that none of its guarded
+   * dependencies is cancelled. Another controller may have accepted the job earlier, and the
+   * replica of this controller may not show that yet. Without these conditions a job that was
+   * reported as done or aborted would be reported as queued again.
    */
   private void addConditions(PendingAcceptance acceptance) {
     conditions.add(new Condition(Keys.cancellation(acceptance.uid()), 0));
@@ -112,7 +136,6 @@
     return Collections.unmodifiableList(acceptances);
   }
 
-  /** How many changes the transaction has. */
   int changeCount() {
     return changes.size();
   }
--- a/src/main/java/org/ploverspindle/api/AcceptanceBudget.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceBudget.java
@@ -5,24 +5,29 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * How many records of accepted jobs may be written: this controller's share of the state service's
- * changes, and a little beyond it while the state service refuses no write.
+ * Limits how many records of accepted jobs are written. A controller may use its share of the state
+ * service's changes, and may also write single records beyond its share at intervals, as long as
+ * the state service refuses no write.
  */
 final class AcceptanceBudget {
-  /** After a refused write each controller keeps to its share for this long. */
+  /** Time after a refused write during which a controller does not write beyond its share. */
   private static final long SHARE_ONLY_AFTER_REFUSAL_MS = 5_000;
 
-  /** Least time between a write and one beyond the share. */
+  /** Minimum time between any write and a subsequent write beyond the share. */
   private static final long MIN_INTERVAL_BEYOND_SHARE_MS = 60;
 
-  /** Changes that a refusal costs, so that the leader's writes get ahead of acceptances. */
+  /**
+   * Number of changes that are charged to the share for a refused write, so that the leader's
+   * writes take precedence over acceptances.
+   */
   private static final double REFUSAL_COST = 2;
 
   /**
    * Permission for one write.
    *
-   * @param records how many it may have; 0: no write now
-   * @param withinShare whether it is charged to this controller's share
+   * @param maxRecords largest number of records in the write; 0 means that nothing may be written
+   *     now
+   * @param withinShare whether the records are charged to this controller's share
    */
   record Grant(int maxRecords, boolean withinShare) {}
 
@@ -39,7 +44,7 @@
     this.share = share;
   }
 
-  /** What may be written now. */
+  /** Returns the permission for a write at this time, with at most {@code maxRecords} records. */
   Grant grant(int maxRecords) {
     int withinShare = (int) Math.min(maxRecords, Math.floor(share.available()));
     if (withinShare >= 1) {
@@ -55,7 +60,7 @@
     return eventMs.isPresent() && scheduler.nowMs() - eventMs.getAsLong() < periodMs;
   }
 
-  /** A write of so many records is sent by that grant. */
+  /** Notes that a write with this number of records was sent under the grant. */
   void recordWrite(Grant grant, int records) {
     lastWriteMs = OptionalLong.of(scheduler.nowMs());
     if (grant.withinShare()) {
@@ -63,7 +68,10 @@
     }
   }
 
-  /** The state service refused a write: all controllers together ask for more than it serves. */
+  /**
+   * Notes that the state service refused a write, because all controllers together exceed its
+   * limits.
+   */
   void recordRefusal() {
     share.take(REFUSAL_COST);
     lastRefusalMs = OptionalLong.of(scheduler.nowMs());
--- a/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
@@ -15,20 +15,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores accepted jobs, many in one transaction, and answers their users once they are durable. One
- * transaction is in flight at a time.
+ * Stores accepted jobs, many in one transaction, and responds to their users once the jobs are
+ * durable. At most one transaction is in flight at a time.
  */
 final class AcceptanceWriter {
   private static final Logger LOG = LoggerFactory.getLogger(AcceptanceWriter.class);
 
-  /** Age from which a submission is not written any more, as its user is about to give up. */
+  /** Age above which a submission is no longer written, as its user is about to give up. */
   static final long MAX_AGE_AT_WRITE_MS = 2_500;
 
   private static final int MAX_QUEUED = 200;
 
-  /** Jobs that arrive within this time share a transaction. */
+  /**
+   * Delay before a transaction is sent, so that jobs that arrive during it share the transaction.
+   */
   private static final long BATCH_WINDOW_MS = 4;
 
+  /** Delay after which a write is tried again when the budget permits none. */
   private static final long NO_BUDGET_RETRY_MS = 20;
 
   private final Scheduler scheduler;
@@ -41,10 +44,13 @@
   private final LeaderNotifier leaderNotifier;
   private final AcceptanceBatch.Limits limits;
 
-  /** Jobs whose write is not sent yet, the oldest first. */
+  /** Jobs whose write has not been sent, oldest first. */
   private final Deque<PendingAcceptance> queue = new ArrayDeque<>();
 
-  /** All that are not answered yet, by job. */
+  /**
+   * Jobs that are queued, in flight, or being read back after a conflict, by uid. A repeated
+   * submission is added to the entry of its job.
+   */
   private final Map<String, PendingAcceptance> pendingByUid = new HashMap<>();
 
   private long recordCount;
@@ -70,10 +76,11 @@
   }
 
   /**
-   * Stores the job and answers its user, or answers at once that the user is to ask again.
+   * Stores the job and responds to its user once it is durable, or responds at once that the user
+   * must retry because too many jobs are queued.
    *
-   * @param guardedDependencies jobs that the write requires not to be cancelled; see {@link
-   *     DependencyCheck}
+   * @param guardedDependencies dependencies that must not be cancelled for the write to be
+   *     executed; see {@link DependencyCheck#guardedDependencies}
    */
   void accept(Submission submission, List<String> guardedDependencies) {
     String uid = submission.spec().uid();
@@ -157,8 +164,8 @@
     transactionInFlight = false;
     if (result instanceof TransactionResult.Conflict) {
       reads.readBarrier(fresh -> batch.forEach(acceptance -> handleConflict(acceptance, fresh)));
-      // Jobs that arrived meanwhile don't wait for that read: it may show that the whole batch is
-      // terminal, and then nothing else would start their write.
+      // Jobs that arrived meanwhile are written without waiting for that read: if it shows that
+      // every job of the batch is accepted already, nothing else would start their write.
       scheduleFlushOfRemaining();
       return;
     }
@@ -168,7 +175,8 @@
     } else if (result instanceof TransactionResult.Refused refused) {
       handleRefused(batch, refused);
     } else {
-      // The write may have been executed, or may yet be: only what is read back is reported.
+      // The write may have been executed or may still be executed, so the response is the state
+      // that a later read shows.
       reads.readBarrier(
           fresh ->
               batch.forEach(
@@ -210,7 +218,11 @@
         acceptance -> acceptance.respondToAll(unavailable("the state service refuses", 1)));
   }
 
-  /** Jobs of the batch that are known by now are answered so; the others are written again. */
+  /**
+   * Handles one job of a transaction whose conditions failed. If a fresh replica does not show the
+   * job as accepted, the job is written again; otherwise its users get the state that the replica
+   * shows, or an error if the replica could not be read.
+   */
   private void handleConflict(PendingAcceptance acceptance, boolean fresh) {
     String uid = acceptance.uid();
     if (fresh && !statuses.isKnown(uid)) {
@@ -225,14 +237,20 @@
     }
   }
 
-  /** Computed anew: a dependency may have been cancelled or done since. */
+  /**
+   * Returns the guarded dependencies for a further write of the job. They are computed anew, as a
+   * dependency may have been cancelled or done since the previous write.
+   */
   private List<String> currentGuardedDependencies(PendingAcceptance acceptance) {
     return acceptance.guardedDependencies().isEmpty()
         ? List.of()
         : dependencyCheck.guardedDependencies(acceptance.spec()).orElse(List.of());
   }
 
-  /** By a read of their own, as some of them may have arrived after the last one was sent. */
+  /**
+   * Responds to the uncovered requests after a separate read, as some of them may have arrived
+   * after the previous read was sent.
+   */
   private void respondToUncoveredRequests(PendingAcceptance acceptance) {
     if (acceptance.hasUncoveredRequests()) {
       reads.readBarrier(
--- a/src/main/java/org/ploverspindle/api/ApiResponse.java
+++ b/src/main/java/org/ploverspindle/api/ApiResponse.java
@@ -3,16 +3,16 @@
 import io.undertow.util.StatusCodes;
 
 /**
- * A response to a request of a user or a worker.
+ * An HTTP response to a request of a user or a worker.
  *
  * @param status the HTTP status
- * @param body a CBOR map
+ * @param body an encoded CBOR map
  * @param retryAfterS seconds for the {@code Retry-After} header; 0 leaves the header out
  */
 public record ApiResponse(int status, byte[] body, int retryAfterS) {
   private static final int MISDIRECTED_REQUEST = 421;
 
-  /** Statuses from here on are not successes. */
+  /** HTTP statuses from this one on do not report success. */
   private static final int FIRST_NON_SUCCESS_STATUS = 300;
 
   static ApiResponse of(int status, byte[] body) {
@@ -23,38 +23,47 @@
     return of(status, ResponseCodec.encodeError(message));
   }
 
-  /** 421: another controller leads, and is the one to ask. */
+  /** Returns a 421: another controller leads, and the client must send its request to that one. */
   public static ApiResponse redirectToLeader(String leader) {
     return of(MISDIRECTED_REQUEST, ResponseCodec.encodeLeader(leader));
   }
 
-  /** 200 with a line for operators. */
+  /** Returns a 200 with a line of text for operators. */
   public static ApiResponse text(String line) {
     return of(StatusCodes.OK, ResponseCodec.encodeText(line));
   }
 
-  /** A failure that is reported at once, with the time after which to ask again. */
+  /**
+   * Returns an error after which the client may retry, with the time in seconds to wait before
+   * that.
+   */
   public static ApiResponse retryLater(int status, String message, int retryAfterS) {
     return new ApiResponse(status, ResponseCodec.encodeError(message), retryAfterS);
   }
 
-  /** 404: the replica, read after the request was received, has no such job. */
+  /**
+   * Returns a 404: the uid is invalid, or the replica, read after the request was received, has no
+   * such job.
+   */
   static ApiResponse noSuchJob() {
     return error(StatusCodes.NOT_FOUND, "no such job");
   }
 
-  /** 503: the replica can't be brought up to date in the user's time. */
+  /**
+   * Returns a 503: the state service can't be read or written within the time that the user waits.
+   */
   static ApiResponse stateUnavailable() {
     return retryLater(StatusCodes.SERVICE_UNAVAILABLE, "the state can't be read now", 1);
   }
 
   /**
-   * This response, or a 503 in its place when it asserts a state and has become too old to be sent.
-   * A process that was suspended in between must not assert what other controllers may have
-   * contradicted meanwhile.
+   * Returns this response, or a 503 instead of it if it asserts a state and is too old to be sent.
+   * If this process was suspended after it created the response, another controller may have
+   * contradicted the response meanwhile.
    *
-   * @param ageMs time since this response was made
-   * @param maxAgeMs age up to which it may be sent
+   * @param ageMs milliseconds since this response was created
+   * @param maxAgeMs largest age in milliseconds at which a response that asserts a state may be
+   *     sent
    */
   ApiResponse orUnavailableIfExpired(long ageMs, long maxAgeMs) {
     boolean assertsState = status < FIRST_NON_SUCCESS_STATUS || status == StatusCodes.NOT_FOUND;
--- a/src/main/java/org/ploverspindle/api/CancellationService.java
+++ b/src/main/java/org/ploverspindle/api/CancellationService.java
@@ -6,9 +6,9 @@
 import org.ploverspindle.eventloop.Scheduler;
 import org.ploverspindle.state.StateStore.Change;
 
-/** Cancels jobs, and confirms that once it is durable. */
+/** Cancels jobs and confirms each cancellation once it is durable. */
 final class CancellationService {
-  /** Age from which an undecided request is no longer retried, as its user is about to give up. */
+  /** Age above which an undecided request is no longer retried, as its user is about to give up. */
   private static final long MAX_AGE_AT_RETRY_MS = 2_000;
 
   private final Scheduler scheduler;
@@ -17,7 +17,7 @@
   private final CancellationWriter writer;
 
   /**
-   * @param maxChanges changes that a transaction may hold
+   * @param maxChanges largest number of changes in a transaction
    */
   CancellationService(
       Scheduler scheduler,
@@ -39,9 +39,10 @@
   }
 
   /**
-   * The leader is notified when a cancellation is sent, so that it has read it by the time at which
-   * it is confirmed, and again when it is durable, as that read may have been too early. On the
-   * leader itself the replica shows the cancellation before any user gets a response.
+   * Notifies the leader when a cancellation is sent, so that the leader has read it by the time the
+   * user gets the confirmation, and again when the cancellation is durable, as the first read may
+   * have been too early. If this controller leads, its own replica shows the cancellation before
+   * any user gets a response.
    */
   private record LeaderNotifyingListener(LeaderNotifier leaderNotifier)
       implements CancellationWriter.Listener {
@@ -56,7 +57,7 @@
     }
   }
 
-  /** Cancels the job, unless it is terminal. Answers with its status. */
+  /** Cancels the job unless it is done or aborted, and responds with its status. */
   void cancel(String uid, Consumer<ApiResponse> responder) {
     if (!SubmissionCodec.isValidUid(uid)) {
       responder.accept(ApiResponse.noSuchJob());
--- a/src/main/java/org/ploverspindle/api/CancellationWriter.java
+++ b/src/main/java/org/ploverspindle/api/CancellationWriter.java
@@ -17,18 +17,20 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * Writes cancellations to the state service. While it answers promptly, one transaction is in
- * flight and all cancellations that are requested meanwhile share the next, since under many small
- * jobs requests are scarcer than changes. Once a response is late, others are sent in transactions
- * of their own, a bounded number of them. Nothing is acknowledged before the record is durable.
+ * Writes cancellations to the state service. While the state service responds promptly, one
+ * transaction is in flight, and all cancellations that are requested meanwhile share the next one:
+ * with many small jobs the limit on requests is reached before the limit on changes. Once a
+ * response is late, further cancellations are sent in additional transactions, up to a fixed number
+ * in flight. A cancellation is acknowledged only once its record is durable.
  *
- * <p>A transaction without a response is read back early: a read barrier is reached after it was
- * sent, and each of its requests is decided by the replica, which may lead to the same record being
- * written again. The first transaction may still be executed afterwards. That is harmless: each has
- * the absence of the job's completion and of its cancellation as conditions and only creates the
- * cancellation. So of all transactions for a job, in whatever order they are executed, at most one
- * takes effect, and none does once the job is done. If a late one takes effect after its user was
- * asked to retry, the job is cancelled as that user requested, and no response contradicts it.
+ * <p>A transaction without a response is read back early: a read barrier is requested after the
+ * transaction was sent, and once it is reached, each request of the transaction is decided by the
+ * replica. The same record may then be written again, and the first transaction may still be
+ * executed afterwards. That is harmless: each transaction only creates cancellations, on the
+ * conditions that the job's completion and its cancellation are absent. So of all transactions that
+ * cancel a job, in whatever order they are executed, at most one takes effect, and none does once
+ * the job is done. If a delayed transaction takes effect after its user was asked to retry, the job
+ * is cancelled as that user requested, and no response contradicts it.
  */
 final class CancellationWriter {
   /** The outcome of writing one cancellation. */
@@ -37,48 +39,59 @@
     DURABLE,
     /** The state service refused the transaction; nothing was written. */
     REFUSED,
-    /** A condition failed, or there was no response: read the replica to find out. */
+    /**
+     * A condition failed, or it is unknown whether the transaction was executed: the replica must
+     * be read to decide the request.
+     */
     UNCERTAIN,
     /**
-     * There was no response, and the replica has been read since: it shows the job as terminal, or
-     * the cancellation is to be written again.
+     * There was no response in time, and the replica has been read since. If it does not show the
+     * job as done or aborted, the cancellation must be written again.
      */
     READ_BACK
   }
 
-  /** Is notified of the transactions, before the requests that wait for them are answered. */
+  /**
+   * Receives notifications of transactions, before the requests that wait for them get an outcome.
+   */
   interface Listener {
-    /** A transaction has just been sent. */
+    /** Called when a transaction has just been sent. */
     void transactionSent();
 
-    /** These cancellations are durable, as of that revision. */
+    /** Called when these cancellations are durable, as of the given revision. */
     void cancellationsCommitted(List<Change.Put> cancellations, long revision);
   }
 
   /**
-   * With this many transactions unanswered the state service is taken to be unavailable, and
-   * sending more would not help.
+   * With this many transactions without an outcome the state service is considered unavailable, and
+   * sending further ones would not help.
    */
   static final int MAX_IN_FLIGHT_TRANSACTIONS = 4;
 
   /**
-   * A response that takes longer is late, and the next transaction does not wait for it. Also
-   * bounds the rate of requests of a controller whose responses are all lost.
+   * A response that takes longer is late, and the next transaction is sent without waiting for it.
+   * This also limits the rate of transactions of a controller whose responses are all lost.
    */
   static final long LATE_RESPONSE_AFTER_MS = 100;
 
-  /** Far above the usual time of a response, so that few are read back needlessly. */
+  /**
+   * Time without a response after which a transaction is read back. Far above the usual response
+   * time, so that few transactions are read back needlessly.
+   */
   static final long READ_BACK_AFTER_MS = 300;
 
-  /** Requests that arrive in one turn of the event loop go into one transaction. */
+  /**
+   * Delay before a transaction is sent, so that requests that arrive in one turn of the event loop
+   * share it.
+   */
   private static final long BATCH_WINDOW_MS = 1;
 
-  /** Field of a stored cancellation: the wall clock in milliseconds. */
+  /** Field of a stored cancellation: the wall clock time of its creation in milliseconds. */
   private static final String CANCELLED_AT_FIELD = "at";
 
   /**
-   * A transaction without an outcome, with the requests that wait for its records by job. A class,
-   * not a record: two transactions for the same jobs must not be equal.
+   * A transaction without an outcome, with the requests that wait for it by the uid of their job.
+   * This is not a Java record, as two transactions for the same jobs must not be equal.
    */
   private static final class InFlightTransaction {
     private final Map<String, List<Consumer<Outcome>>> requests;
@@ -95,21 +108,27 @@
   private final Consumer<Consumer<Boolean>> readBarrier;
   private final Listener listener;
 
-  /** By job, so that repeated requests share one record. */
+  /**
+   * Requests whose transaction has not been sent, by the uid of their job, so that repeated
+   * requests share one record.
+   */
   private Map<String, List<Consumer<Outcome>>> pendingRequests = new LinkedHashMap<>();
 
-  /** A repeated request for a job of one of these shares its outcome. */
+  /**
+   * Transactions without an outcome. A repeated request for a job of one of them shares its
+   * outcome.
+   */
   private final List<InFlightTransaction> inFlightTransactions = new ArrayList<>();
 
   private Optional<Cancellable> scheduledSend = Optional.empty();
 
-  /** Meaningful while a transaction is in flight. */
+  /** Time at which the last transaction was sent; used only while a transaction is in flight. */
   private long lastSentMs;
 
   /**
-   * @param maxChanges changes that a transaction may hold
-   * @param readBarrier reads the replica: calls with true once it is as new as the call, with false
-   *     when that fails
+   * @param maxChanges largest number of changes in a transaction
+   * @param readBarrier reads the replica: passes true to its argument once the replica holds
+   *     everything that was committed before the call, or false if the read failed
    */
   CancellationWriter(
       Scheduler scheduler,
@@ -126,7 +145,10 @@
     this.listener = listener;
   }
 
-  /** Writes the cancellation of a job that is not terminal by the replica. Calls once. */
+  /**
+   * Writes the cancellation of a job that the replica does not show as done or aborted. Calls
+   * {@code then} once with the outcome.
+   */
   void write(String uid, Consumer<Outcome> then) {
     Map<String, List<Consumer<Outcome>>> requestsByUid =
         inFlightTransactions.stream()
@@ -185,7 +207,10 @@
     return records;
   }
 
-  /** Done and cancelled exclude each other: each is written only if the other is absent. */
+  /**
+   * Returns the conditions of the transaction. A job's completion and its cancellation exclude each
+   * other: each is written only if the other is absent.
+   */
   private static List<Condition> conditions(InFlightTransaction sent) {
     List<Condition> conditions = new ArrayList<>();
     for (String uid : sent.requests.keySet()) {
@@ -210,7 +235,10 @@
     return result instanceof TransactionResult.Refused ? Outcome.REFUSED : Outcome.UNCERTAIN;
   }
 
-  /** Repeated until the transaction has an outcome, as the read may fail too. */
+  /**
+   * Schedules a read-back of the transaction. It is repeated until the transaction has an outcome,
+   * as the read may fail too.
+   */
   private void scheduleReadBack(InFlightTransaction sent) {
     scheduler.schedule(
         READ_BACK_AFTER_MS,
@@ -229,7 +257,10 @@
     }
   }
 
-  /** Takes effect once: of the response and the read-back, the later one is ignored. */
+  /**
+   * Passes the outcome to the requests of the transaction, once: of the response and the read-back,
+   * the later one is ignored.
+   */
   private void complete(InFlightTransaction sent, Outcome outcome) {
     if (inFlightTransactions.remove(sent)) {
       for (List<Consumer<Outcome>> requests : sent.requests.values()) {
--- a/src/main/java/org/ploverspindle/api/DependencyCheck.java
+++ b/src/main/java/org/ploverspindle/api/DependencyCheck.java
@@ -13,11 +13,14 @@
 import org.ploverspindle.state.JobRecord;
 
 /**
- * Checks the dependencies of a job that is to be accepted, and finds the jobs whose cancellation
- * would abort it while it is stored.
+ * Checks the dependencies of a submitted job, and finds the jobs whose cancellation would abort it
+ * while it is being stored.
  */
 final class DependencyCheck {
-  /** With more unfinished dependencies the job is accepted after a read instead. */
+  /**
+   * A job with more unfinished dependencies than this is accepted after a read barrier, without
+   * guarded dependencies.
+   */
   private static final int MAX_GUARDED_DEPENDENCIES = 6;
 
   private final AcceptedJobIndex acceptedJobs;
@@ -26,7 +29,8 @@
   private final int maxGuardedDependencies;
 
   /**
-   * @param maxConditions how many conditions a transaction has for one job's guards
+   * @param maxConditions largest number of conditions that a transaction can have on the guarded
+   *     dependencies of one job
    */
   DependencyCheck(
       AcceptedJobIndex acceptedJobs,
@@ -40,8 +44,9 @@
   }
 
   /**
-   * Why the job can't depend on what it names, as a message for its user. To be called after a read
-   * barrier, as the replica may not show a dependency before.
+   * Returns why the job can't have the dependencies that it names, as a message for its user; empty
+   * if it can. Only a result after a read barrier may be reported, as before that the replica may
+   * not show a dependency that was accepted.
    */
   Optional<String> dependencyError(JobSpec spec) {
     for (String uid : spec.dependencies()) {
@@ -57,12 +62,12 @@
   }
 
   /**
-   * The guards of a job: all its direct and indirect dependencies that are not done, so that it is
-   * aborted exactly if one of them is cancelled.
+   * Returns the guarded dependencies of a job: all its direct and indirect dependencies that are
+   * not done. The job is aborted exactly if one of them is cancelled.
    *
-   * @return an empty list if the replica shows that the job is aborted already, which is final; no
-   *     list when the replica does not show all dependencies, or they are too many for the
-   *     conditions of a transaction
+   * @return an empty list if all dependencies are done, or if the replica shows that the job is
+   *     already aborted, which is final; an empty value if a dependency is invalid, if the replica
+   *     does not show all dependencies, or if they are too many for the conditions of a transaction
    */
   Optional<List<String>> guardedDependencies(JobSpec spec) {
     if (dependencyError(spec).isPresent()) {
--- a/src/main/java/org/ploverspindle/api/DependencyListWriter.java
+++ b/src/main/java/org/ploverspindle/api/DependencyListWriter.java
@@ -19,12 +19,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores long lists of dependencies, part by part, before the jobs that they belong to.
+ * Stores lists of dependencies that don't fit into the record of their job, in parts, before the
+ * job itself is stored.
  *
- * <p>Writing is idempotent: parts are named by the whole list's content and written only if absent.
- * So a stored part is the right one whoever wrote it, even late, and a list that was begun is
- * completed: here after its user got a response, and elsewhere when the user repeats the request
- * there.
+ * <p>Writing is idempotent: parts are named by the content of the whole list and written only if
+ * absent. So a stored part is correct whichever controller wrote it, even if it was written late. A
+ * list that is partly stored is completed: this controller continues after the user got a response,
+ * until the retention time has passed, and another controller continues when the user repeats the
+ * request there.
  */
 final class DependencyListWriter {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyListWriter.class);
@@ -32,15 +34,25 @@
   private static final int MAX_PENDING_LISTS = 20;
   private static final int TRANSACTION_OVERHEAD_BYTES = 200;
 
-  /** A part's key occurs in its change and in its condition. */
+  /**
+   * Upper bound of the bytes that a part adds to a transaction beside its value: its key occurs in
+   * its change and in its condition.
+   */
   private static final int PART_OVERHEAD_BYTES = 250;
 
-  /** Time after its last request in which a user may still repeat it. */
+  /**
+   * Time since the last request for a list after which its writing is given up. Until then the user
+   * may repeat the request.
+   */
   private static final long LIST_RETENTION_MS = 60_000;
 
+  /** Delay after a refused transaction or a failed read. */
   private static final long RETRY_MS = 700;
 
-  /** Share of the state service's changes; the rest is left to the leader. */
+  /**
+   * Share of the state service's limit on changes per second that lists use; the rest is left to
+   * the leader.
+   */
   private static final double SHARE_OF_CHANGES = 0.4;
 
   private static final class PendingList {
@@ -54,14 +66,17 @@
     }
   }
 
-  /** The parts of one transaction, as many as fit. */
+  /** The parts that one transaction stores. */
   private static final class PartBatch {
     private final List<Condition> conditions = new ArrayList<>();
     private final List<Change> changes = new ArrayList<>();
     private final List<Integer> parts = new ArrayList<>();
     private int transactionBytes = TRANSACTION_OVERHEAD_BYTES;
 
-    /** Adds the part, unless the transaction is full. A first part always fits. */
+    /**
+     * Adds the part and returns true, or returns false if the transaction is full. The first part
+     * always fits.
+     */
     boolean add(DependenciesRecord list, int part, int maxChanges) {
       int partBytes = Cbor.jsonSize(list.parts().get(part)) + PART_OVERHEAD_BYTES;
       if (changes.size() >= maxChanges
@@ -82,15 +97,16 @@
   private final int maxChanges;
   private final double msPerPart;
 
-  /** By the list's name, the oldest first. */
+  /** The lists that are not completely stored, by name, oldest first. */
   private final Map<String, PendingList> pendingLists = new LinkedHashMap<>();
 
-  /** A transaction is in flight, or the time before the next one has not passed. */
+  /** Whether a transaction is in flight or the delay before the next one has not passed. */
   private boolean sendBlocked;
 
   /**
-   * @param maxChanges changes that a transaction may hold
-   * @param changesPerSecond what the state service allows all controllers together
+   * @param maxChanges largest number of changes in a transaction
+   * @param changesPerSecond limit of the state service on the changes per second of all controllers
+   *     together
    */
   DependencyListWriter(
       Scheduler scheduler,
@@ -105,12 +121,15 @@
     this.msPerPart = 1000 / (changesPerSecond * SHARE_OF_CHANGES);
   }
 
-  /** Whether no further list may be written now. */
+  /** Whether as many lists as allowed are being written, so that no further one may be added. */
   boolean isFull() {
     return pendingLists.size() >= MAX_PENDING_LISTS;
   }
 
-  /** Calls with true once every part is durable, and with false when that can't be reached. */
+  /**
+   * Writes the list. Calls {@code then} with true once every part is durable, or with false if the
+   * list is rejected or is not complete within the retention time.
+   */
   void write(DependenciesRecord list, Consumer<Boolean> then) {
     PendingList pending = pendingLists.computeIfAbsent(list.name(), name -> new PendingList(list));
     pending.requests.add(then);
@@ -118,7 +137,7 @@
     writeNext();
   }
 
-  /** The oldest list first, one transaction at a time. */
+  /** Sends the next transaction of the oldest list, unless one is in flight or still delayed. */
   private void writeNext() {
     while (!sendBlocked && !pendingLists.isEmpty()) {
       PendingList pending = pendingLists.values().iterator().next();
@@ -175,7 +194,7 @@
       }
       writeNextAfter(RETRY_MS);
     } else {
-      // Some parts are stored already, or may yet become so: the replica shows which are missing.
+      // Some parts are stored already or may still become so: the replica shows which are missing.
       replica.readBarrier(
           fresh -> writeNextAfter(fresh ? nextSendMs - scheduler.nowMs() : RETRY_MS));
     }
--- a/src/main/java/org/ploverspindle/api/DependentSubmissions.java
+++ b/src/main/java/org/ploverspindle/api/DependentSubmissions.java
@@ -8,15 +8,18 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.state.DependenciesRecord;
 
-/** Accepts jobs that depend on others: checks what they name, and stores long lists first. */
+/**
+ * Accepts jobs with dependencies: checks the dependencies, and stores a list that doesn't fit into
+ * the job's record before the job.
+ */
 final class DependentSubmissions {
   /**
-   * Age at which the user of a submission is answered although its list is not stored yet. The list
-   * is still completed, for the user's repeated request.
+   * Age at which a submission gets a response even if its list of dependencies is not stored yet.
+   * The list is still completed, for the user's repeated request.
    */
   private static final long LIST_TIMEOUT_MS = 3_500;
 
-  /** Least time that is left for the job itself once its list is stored. */
+  /** Minimum time that is left to write the job itself once its list is stored. */
   private static final long MIN_TIME_AFTER_LIST_MS = 1_000;
 
   private static final int QUEUE_FULL_RETRY_S = 3;
@@ -44,11 +47,12 @@
   }
 
   /**
-   * Accepts the job or answers why not.
+   * Accepts the job, or responds with the reason why it is not accepted.
    *
-   * <p>A dependency that was accepted stays so, hence the replica need not be new to check it. What
-   * the replica may not show is that this very job was accepted elsewhere and reported as aborted
-   * since. Either the write's conditions exclude that, or the replica is read first.
+   * <p>An accepted job stays accepted, so an outdated replica suffices to check that a dependency
+   * exists. But an outdated replica may not show that another controller accepted this same job and
+   * has since reported it as aborted. Either the conditions of the write exclude that, or the
+   * replica is read first.
    */
   void accept(Submission submission) {
     Optional<List<String>> guardedDependencies =
@@ -111,7 +115,8 @@
                   StatusCodes.SERVICE_UNAVAILABLE, "the list of jobs is not stored yet", 1));
       return;
     }
-    // Submissions that were received before this time would be past the writer's deadline.
+    // A submission that was received before this time would have less than MIN_TIME_AFTER_LIST_MS
+    // left until the writer drops it as too old.
     long earliestReceivedMs =
         scheduler.nowMs() - AcceptanceWriter.MAX_AGE_AT_WRITE_MS + MIN_TIME_AFTER_LIST_MS;
     acceptanceWriter.accept(
--- a/src/main/java/org/ploverspindle/api/Feasibility.java
+++ b/src/main/java/org/ploverspindle/api/Feasibility.java
@@ -7,9 +7,9 @@
 import org.ploverspindle.model.MachineType;
 import org.ploverspindle.settings.Settings;
 
-/** Whether a job can ever run, given the teams' limits and the machine types. */
+/** Decides whether a job can ever run, given the teams' limits and the machine types. */
 final class Feasibility {
-  /** Amounts are sums of decimal fractions, which are not exact. */
+  /** Tolerance for comparisons, as amounts are sums of decimal fractions, which are not exact. */
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Settings settings;
@@ -20,18 +20,20 @@
     this.catalogue = catalogue;
   }
 
-  /** Whether the machine types are known, without which nothing can be decided. */
+  /**
+   * Whether the machine types are known; before that, it can't be decided whether a job can run.
+   */
   boolean areMachineTypesKnown() {
     return catalogue.isKnown();
   }
 
-  /** Why the job can never run, as a message for its user; empty if it can. */
+  /** Returns why the job can never run, as a message for its user; empty if it can run. */
   Optional<String> reasonNeverRuns(JobSpec spec) {
     Optional<Settings.Team> team = settings.team(spec.team());
     if (team.isEmpty()) {
       return Optional.of("unknown team");
     }
-    // A batch job can run one task at a time; the others need all of theirs at once.
+    // A batch job can run one task at a time; jobs of other kinds need all their tasks at once.
     int simultaneousTasks = spec.kind() == JobKind.BATCH ? 1 : spec.tasks();
     if (exceeds(team.get().maxCores(), spec.cores() * simultaneousTasks)
         || exceeds(team.get().maxAccelerators(), spec.accelerators() * simultaneousTasks)) {
@@ -41,7 +43,7 @@
     return fits ? Optional.empty() : Optional.of("a task fits no allowed machine type");
   }
 
-  /** Whether the cloud has a machine type of that name. */
+  /** Whether the cloud offers a machine type of that name. */
   boolean isKnownType(String name) {
     return catalogue.typeIndex(name).isPresent();
   }
--- a/src/main/java/org/ploverspindle/api/FirstValueConsumer.java
+++ b/src/main/java/org/ploverspindle/api/FirstValueConsumer.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * Passes on the first value and ignores all others, where a result and a timeout compete. For use
- * on the event loop alone.
+ * Passes on the first value and ignores all later ones, for cases where a result and a timeout
+ * compete. Must be used on the event loop only.
  */
 final class FirstValueConsumer<T> implements Consumer<T> {
   private final Consumer<T> delegate;
--- a/src/main/java/org/ploverspindle/api/JobState.java
+++ b/src/main/java/org/ploverspindle/api/JobState.java
@@ -1,9 +1,9 @@
 package org.ploverspindle.api;
 
 /**
- * A job as the replica shows it.
+ * A job's status and its numbers of tasks as the replica shows them.
  *
- * @param completedTasks of which that is durable
- * @param runningTasks 0 once the job is done or aborted
+ * @param completedTasks number of tasks whose completion is durable
+ * @param runningTasks number of running tasks; 0 once the job is done or aborted
  */
 record JobState(String uid, JobStatus status, int completedTasks, int runningTasks) {}
--- a/src/main/java/org/ploverspindle/api/JobStatus.java
+++ b/src/main/java/org/ploverspindle/api/JobStatus.java
@@ -2,13 +2,13 @@
 
 /** A job's status as users see it. */
 enum JobStatus {
-  /** Accepted, and none of its tasks runs. */
+  /** The job is accepted, and none of its tasks is running. */
   QUEUED("queued"),
-  /** At least one of its tasks runs. */
+  /** At least one task of the job is running. */
   RUNNING("running"),
-  /** All its tasks are completed. Final. */
+  /** All tasks of the job are completed. This status is final. */
   DONE("done"),
-  /** Cancelled, or a dependency is aborted. Final. */
+  /** The job is cancelled, or one of its dependencies is aborted. This status is final. */
   ABORTED("aborted");
 
   private final String wireName;
@@ -17,7 +17,7 @@
     this.wireName = wireName;
   }
 
-  /** The name that users see, in response bodies and in explanations. */
+  /** Returns the name that users see in response bodies and operators see in explanations. */
   String wireName() {
     return wireName;
   }
--- a/src/main/java/org/ploverspindle/api/JobStatusReader.java
+++ b/src/main/java/org/ploverspindle/api/JobStatusReader.java
@@ -10,11 +10,11 @@
 import org.ploverspindle.state.Replica;
 
 /**
- * The state of jobs as the replica shows it. Whether the replica is new enough to answer by is up
- * to the caller; see {@link LinearizableReads}.
+ * Reads the state of jobs from the replica. The caller must ensure that the replica is recent
+ * enough for its response; see {@link LinearizableReads}.
  */
 final class JobStatusReader {
-  /** Field of a stored job record. */
+  /** Field of a stored job record: the number of the job's tasks. */
   private static final String TASKS_FIELD = "tasks";
 
   private final Replica replica;
@@ -34,7 +34,7 @@
     return acceptedJobs.get(uid).isPresent();
   }
 
-  /** The job's state; empty when the replica has no such job. */
+  /** Returns the job's state; empty if the replica has no such job. */
   Optional<JobState> state(String uid) {
     return acceptedJobs.get(uid).map(job -> state(uid, job));
   }
@@ -51,17 +51,17 @@
     return new JobState(uid, status, progress.completed(), progress.running());
   }
 
-  /** The state as a 200 response; empty when the replica has no such job. */
+  /** Returns a 200 response with the job's state; empty if the replica has no such job. */
   Optional<ApiResponse> response(String uid) {
     return state(uid).map(job -> ApiResponse.of(StatusCodes.OK, ResponseCodec.encodeState(job)));
   }
 
   /**
-   * The state of a job that was written before the read barrier.
+   * Returns the response with the state of a job whose record was written before the read barrier.
    *
    * @param fresh whether the read barrier was reached
-   * @return a 503 if it was not, or if the replica does not have the job, as the write may still be
-   *     executed
+   * @return a 503 if the read barrier was not reached, or if the replica does not have the job, as
+   *     its write may still be executed
    */
   ApiResponse responseAfterRead(String uid, boolean fresh) {
     return fresh
@@ -74,15 +74,19 @@
     return replica.get(Keys.completion(uid)).isPresent();
   }
 
-  /** Done or aborted: it stays so, hence a response needs no newer read. */
+  /**
+   * Whether the job is done or aborted. Both are final, so a response with such a status needs no
+   * newer read.
+   */
   boolean isTerminal(String uid) {
     return isKnown(uid) && (isDone(uid) || isAborted(uid));
   }
 
   /**
-   * Aborted by its own cancellation, or by that of a direct or indirect dependency. The replica
-   * shows all of them as of one revision, so this is as new as the replica. Dependencies count only
-   * once the replica is loaded: before that, which of two records of a job is valid may be unknown.
+   * Whether the job is aborted by its own cancellation, or by that of a direct or indirect
+   * dependency. The replica shows all cancellations as of one revision, so the result is as recent
+   * as the replica. Dependencies are considered only once the replica is loaded: before that, it
+   * may be unknown which of two records of a job is valid.
    */
   boolean isAborted(String uid) {
     return replica.get(Keys.cancellation(uid)).isPresent()
--- a/src/main/java/org/ploverspindle/api/JobViews.java
+++ b/src/main/java/org/ploverspindle/api/JobViews.java
@@ -5,6 +5,9 @@
 import org.ploverspindle.state.ProgressCounts;
 import org.ploverspindle.state.Replica;
 
-/** What this controller knows of jobs: its replica, and the indexes that follow the replica. */
+/**
+ * The sources of what this controller knows about jobs: its replica of the state service, and the
+ * indexes that are derived from the replica.
+ */
 public record JobViews(
     Replica replica, AcceptedJobIndex acceptedJobs, Pipelines pipelines, ProgressCounts counts) {}
--- a/src/main/java/org/ploverspindle/api/LeaderNotifier.java
+++ b/src/main/java/org/ploverspindle/api/LeaderNotifier.java
@@ -4,16 +4,22 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /**
- * Notifies the leader, wherever it is, that there is something to read in the state service. A
- * notification may be lost; the leader then learns of it by its next read.
+ * Notifies the leader, on this or another controller, of writes to the state service that it should
+ * read. A notification may be lost; the leader then learns of the write by its next read.
  */
 public interface LeaderNotifier {
-  /** A cancellation was just sent to the state service, and may become durable any time. */
+  /**
+   * Called when a cancellation was just sent to the state service, and may become durable at any
+   * time.
+   */
   void cancellationSent();
 
-  /** These cancellations are durable, as of that revision; no user has got a response yet. */
+  /**
+   * Called when these cancellations are durable, as of the given revision, and before any user gets
+   * a response.
+   */
   void cancellationsCommitted(List<Change.Put> cancellations, long revision);
 
-  /** Jobs that this controller accepted are durable. */
+  /** Called when jobs that this controller accepted are durable. */
   void jobsAccepted();
 }
--- a/src/main/java/org/ploverspindle/api/LinearizableReads.java
+++ b/src/main/java/org/ploverspindle/api/LinearizableReads.java
@@ -5,15 +5,17 @@
 import org.ploverspindle.state.Replica;
 
 /**
- * Linearizable reads for users: waits until the replica is as new as a request, for as long as its
- * user waits.
+ * Provides linearizable reads for users: waits until the replica is as recent as a request, but no
+ * longer than its user waits.
  */
 final class LinearizableReads {
+  /** Longest time that a request waits for a read barrier. */
   private static final long BARRIER_TIMEOUT_MS = 1_400;
 
   /**
-   * Far above the replica's read interval. At such an age the state service can't be reached, and
-   * waiting for the next read would only use up the user's time.
+   * Age above which the replica is stale, far above its read interval. A replica of such an age
+   * means that the state service can't be reached, and waiting for the next read would only use up
+   * the user's time.
    */
   private static final long STALE_AFTER_MS = 4_000;
 
@@ -26,28 +28,32 @@
   }
 
   /**
-   * Calls once: with true when the replica is as new as this call, with false when that takes
-   * longer than the user waits.
+   * Calls {@code then} once: with true when the replica holds everything that was committed before
+   * this call, or with false if the state service can't be read within the time that the user
+   * waits.
    */
   void readBarrier(Consumer<Boolean> then) {
     readBarrier(replica::readBarrier, then);
   }
 
-  /** The same for a request that may wait for reads that others need anyway. */
+  /**
+   * Like {@link #readBarrier(Consumer)}, for a request that may wait for reads that other requests
+   * cause.
+   */
   void lowPriorityReadBarrier(Consumer<Boolean> then) {
     readBarrier(replica::lowPriorityReadBarrier, then);
   }
 
   private void readBarrier(Consumer<Consumer<Boolean>> startRead, Consumer<Boolean> then) {
     if (isStale()) {
-      // The read is started all the same, for later requests.
+      // A read is started nevertheless, for later requests.
       refresh();
       then.accept(false);
       return;
     }
     long receivedMs = scheduler.nowMs();
-    // The clock is read again: when this process was suspended in between, other controllers may
-    // have answered with something newer.
+    // The time is checked when the read is complete: if this process was suspended meanwhile, other
+    // controllers may have sent responses with a newer state.
     Consumer<Boolean> firstResult =
         new FirstValueConsumer<>(
             fresh -> then.accept(fresh && scheduler.nowMs() - receivedMs <= BARRIER_TIMEOUT_MS));
@@ -55,7 +61,7 @@
     scheduler.schedule(BARRIER_TIMEOUT_MS, () -> firstResult.accept(false));
   }
 
-  /** Whether the last read is so long ago that the next one will hardly be answered in time. */
+  /** Whether the last read is so long ago that the next one is unlikely to complete in time. */
   boolean isStale() {
     return scheduler.nowMs() - replica.freshAsOfMs() > STALE_AFTER_MS;
   }
@@ -65,7 +71,7 @@
     return replica.isLoaded();
   }
 
-  /** Starts a read of the replica, for later requests. */
+  /** Starts a read barrier for later requests, without waiting for it. */
   void refresh() {
     replica.readBarrier(fresh -> {});
   }
--- a/src/main/java/org/ploverspindle/api/MalformedSubmissionException.java
+++ b/src/main/java/org/ploverspindle/api/MalformedSubmissionException.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.api;
 
-/** A submission with a field that is missing or invalid. */
+/** Thrown for a submission with a field that is missing or invalid. */
 final class MalformedSubmissionException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -13,7 +13,7 @@
 
   /**
    * @param field the field's wire name
-   * @param value a value that the protocol does not have
+   * @param value the received value, which the protocol does not define
    */
   MalformedSubmissionException(String field, String value) {
     super(field + ": " + value);
--- a/src/main/java/org/ploverspindle/api/PendingAcceptance.java
+++ b/src/main/java/org/ploverspindle/api/PendingAcceptance.java
@@ -7,12 +7,13 @@
 import org.ploverspindle.model.JobSpec;
 
 /**
- * A job whose acceptance is not durable yet, with all requests that wait for it here.
+ * A job whose acceptance is not durable yet, with all requests on this controller that wait for it.
  *
- * <p>Requests that arrived before the write was sent are answered by its result. The write's
- * conditions don't cover the time after it was sent: the job may have been accepted and reported as
- * aborted elsewhere before a later request arrived. Such a late request is answered by a read after
- * the write.
+ * <p>Requests that the conditions of the write cover are answered with its result. The conditions
+ * don't cover the time after the write was sent: another controller may have accepted the job and
+ * reported it as aborted before a later request arrived. They also don't cover a repeated request
+ * for a job with dependencies of which none is guarded. Uncovered requests are answered by a read
+ * after the write.
  */
 final class PendingAcceptance {
   private final Submission submission;
@@ -36,8 +37,8 @@
   }
 
   /**
-   * @param guardedDependencies jobs whose cancellation would abort this one, so that "queued" would
-   *     be outdated
+   * @param guardedDependencies dependencies whose cancellation would abort this job, so that a
+   *     response "queued" would be outdated
    */
   static PendingAcceptance of(Submission submission, List<String> guardedDependencies) {
     return new PendingAcceptance(
@@ -48,7 +49,10 @@
         new ArrayList<>());
   }
 
-  /** The same job and requests, to be written again under other guards. */
+  /**
+   * Returns the same job with the same requests, to be written again with other guarded
+   * dependencies.
+   */
   PendingAcceptance retryWith(List<String> newGuardedDependencies) {
     return new PendingAcceptance(
         submission, storedBytes, newGuardedDependencies, coveredRequests, uncoveredRequests);
@@ -62,12 +66,12 @@
     return submission.spec();
   }
 
-  /** The job's stored form. */
+  /** Returns the job's stored form. */
   JsonNode jobRecord() {
     return submission.jobRecord();
   }
 
-  /** What the job takes of its record's size. */
+  /** Returns the bytes that the job adds to the value of the record that stores it. */
   int storedBytes() {
     return storedBytes;
   }
@@ -80,7 +84,7 @@
     return guardedDependencies;
   }
 
-  /** The write has been sent: requests from now on are late. */
+  /** Notes that the write has been sent: requests that arrive from now on are uncovered. */
   void markSent() {
     sent = true;
   }
@@ -90,13 +94,12 @@
     (isCoveredByConditions() ? coveredRequests : uncoveredRequests).add(responder);
   }
 
-  /** Whether the write's conditions hold for a request that arrives now. */
+  /** Whether the conditions of the write cover a request that arrives now. */
   private boolean isCoveredByConditions() {
     boolean guarded = spec().dependencies().isEmpty() || !guardedDependencies.isEmpty();
     return guarded && !sent;
   }
 
-  /** Answers the requests that are not late. */
   void respondToCovered(ApiResponse response) {
     coveredRequests.forEach(request -> request.accept(response));
   }
--- a/src/main/java/org/ploverspindle/api/QueryService.java
+++ b/src/main/java/org/ploverspindle/api/QueryService.java
@@ -22,7 +22,10 @@
     this.pipelines = pipelines;
   }
 
-  /** Answers with the job's state, no older than what any controller answered before. */
+  /**
+   * Responds with the job's state, which is at least as recent as the responses that any controller
+   * sent before the request.
+   */
   void poll(String uid, Consumer<ApiResponse> responder) {
     if (!SubmissionCodec.isValidUid(uid)) {
       responder.accept(ApiResponse.noSuchJob());
@@ -31,7 +34,7 @@
     } else if (!reads.isLoaded()) {
       responder.accept(ApiResponse.stateUnavailable());
     } else {
-      // Every job is polled every few seconds, and no user's work waits for the response.
+      // Every job is polled every few seconds, and no user's work depends on a prompt response.
       reads.lowPriorityReadBarrier(fresh -> responder.accept(responseAfterRead(uid, fresh)));
     }
   }
@@ -42,7 +45,10 @@
         : ApiResponse.stateUnavailable();
   }
 
-  /** For operators: the job's state by the replica, and its unfinished dependencies. */
+  /**
+   * Describes to operators the job's state as the replica shows it, and its unfinished
+   * dependencies.
+   */
   String explain(String uid) {
     Optional<JobState> job = statuses.state(uid);
     if (job.isEmpty()) {
--- a/src/main/java/org/ploverspindle/api/RequestDispatcher.java
+++ b/src/main/java/org/ploverspindle/api/RequestDispatcher.java
@@ -11,19 +11,25 @@
 import org.ploverspindle.eventloop.EventLoop;
 import org.ploverspindle.eventloop.EventPriority;
 
-/** Takes requests from the I/O thread to the event loop, and responses back. */
+/** Passes requests from the I/O thread to the event loop, and responses back. */
 final class RequestDispatcher {
   static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Age at which a response is not sent any more: users give up after two seconds. */
+  /**
+   * Largest age at which a response that asserts a state is sent to a user; users give up after two
+   * seconds.
+   */
   private static final long MAX_RESPONSE_AGE_MS = 1_000;
 
-  /** The same for heartbeats: workers give up after four seconds. */
+  /**
+   * Largest age at which a response that asserts a state is sent to a worker; workers give up after
+   * four seconds.
+   */
   private static final long MAX_HEARTBEAT_RESPONSE_AGE_MS = 2_500;
 
   private static final String CONTENT_TYPE = "application/cbor";
 
-  /** Work for the event loop that needs the request's body. */
+  /** Handles a request with its body on the event loop. */
   @FunctionalInterface
   interface BodyHandler {
     void accept(byte[] body, Consumer<ApiResponse> responder);
@@ -33,14 +39,14 @@
   private final BooleanSupplier ready;
 
   /**
-   * @param ready whether this controller is the one to ask
+   * @param ready whether users should be sent to this controller; is called on the I/O thread
    */
   RequestDispatcher(EventLoop loop, BooleanSupplier ready) {
     this.loop = loop;
     this.ready = ready;
   }
 
-  /** Reads the body, and then has the work done on the event loop. */
+  /** Reads the body, and then runs the handler on the event loop. */
   void dispatchBody(HttpServerExchange exchange, EventPriority priority, BodyHandler handler) {
     Receiver receiver = exchange.getRequestReceiver();
     receiver.setMaxBufferSize(MAX_BODY_BYTES);
@@ -51,7 +57,7 @@
   }
 
   private void refuseBody(HttpServerExchange exchange, Exception cause) {
-    // What remains of the body would be taken for the next request.
+    // On a persistent connection the rest of the body would be read as the next request.
     exchange.setPersistent(false);
     boolean tooLarge =
         cause instanceof Receiver.RequestToLargeException
@@ -63,7 +69,7 @@
             : ApiResponse.error(StatusCodes.BAD_REQUEST, "the body could not be read"));
   }
 
-  /** Has the work done on the event loop; it calls its argument with the response. */
+  /** Runs the handler on the event loop. The handler passes the response to its argument. */
   void dispatch(
       HttpServerExchange exchange,
       EventPriority priority,
@@ -88,14 +94,17 @@
                     exchange, response.orUnavailableIfExpired(loop.nowMs() - createdMs, maxAgeMs)));
   }
 
-  /** Sends the response, on the I/O thread. Does nothing if there has been one. */
+  /**
+   * Sends the response. Must be called on the I/O thread. Does nothing if a response has already
+   * been started.
+   */
   void send(HttpServerExchange exchange, ApiResponse response) {
     if (exchange.isResponseStarted()) {
       return;
     }
     if (response.status() == StatusCodes.SERVICE_UNAVAILABLE && !ready.getAsBoolean()) {
-      // Through a new connection the load balancer can choose a controller that is ready; on this
-      // one the client would ask here again.
+      // For a new connection the load balancer can choose a controller that is ready; on this
+      // connection the client would reach this controller again.
       exchange.setPersistent(false);
     }
     exchange.setStatusCode(response.status());
--- a/src/main/java/org/ploverspindle/api/RequestRouter.java
+++ b/src/main/java/org/ploverspindle/api/RequestRouter.java
@@ -91,7 +91,8 @@
   }
 
   /**
-   * @param subpath the path after that of all jobs: an id, and for a cancellation its suffix
+   * @param subpath the path without that of all jobs: a uid, followed by the cancellation suffix
+   *     for a cancellation
    */
   private void routeJob(HttpServerExchange exchange, String subpath) {
     int slash = subpath.indexOf('/');
@@ -121,7 +122,7 @@
     dispatcher.send(exchange, ApiResponse.error(StatusCodes.NOT_FOUND, "no such path"));
   }
 
-  /** Whether the request has the path's only method; if not, it is answered here. */
+  /** Whether the request has the only method that its path allows; if not, sends a 405. */
   private boolean allows(HttpServerExchange exchange, HttpString method) {
     if (exchange.getRequestMethod().equals(method)) {
       return true;
--- a/src/main/java/org/ploverspindle/api/ResponseCodec.java
+++ b/src/main/java/org/ploverspindle/api/ResponseCodec.java
@@ -14,12 +14,15 @@
 
   private ResponseCodec() {}
 
-  /** A job's status alone, as submissions and cancellations are answered. */
+  /** Encodes a job's status alone, for responses to submissions and cancellations. */
   static byte[] encodeStatus(String uid, JobStatus status) {
     return Cbor.write(jobStatus(uid, status));
   }
 
-  /** A job's status and its counts of tasks, as queries and repeated submissions are answered. */
+  /**
+   * Encodes a job's status and its numbers of tasks, for responses to queries and repeated
+   * submissions.
+   */
   static byte[] encodeState(JobState job) {
     return Cbor.write(
         jobStatus(job.uid(), job.status())
@@ -27,17 +30,17 @@
             .put(RUNNING_TASKS, job.runningTasks()));
   }
 
-  /** Why a request failed. */
+  /** Encodes the reason why a request failed. */
   static byte[] encodeError(String message) {
     return Cbor.write(Cbor.map().put(ERROR, message));
   }
 
-  /** The controller that leads. */
+  /** Encodes the name of the controller that leads. */
   static byte[] encodeLeader(String leader) {
     return Cbor.write(Cbor.map().put(LEADER, leader));
   }
 
-  /** A line for operators. */
+  /** Encodes a line of text for operators. */
   static byte[] encodeText(String line) {
     return Cbor.write(Cbor.map().put(STATUS, line));
   }
--- a/src/main/java/org/ploverspindle/api/Submission.java
+++ b/src/main/java/org/ploverspindle/api/Submission.java
@@ -8,11 +8,13 @@
 import org.ploverspindle.state.DependenciesRecord;
 
 /**
- * A job that a user submits, checked as far as that can be done without the replica.
+ * A job that a user submitted, checked as far as is possible without the replica.
  *
  * @param jobRecord the job's stored form
- * @param dependencyList its dependencies, if they are too many for that record
- * @param receivedMs from when on its user waits
+ * @param dependencyList the job's dependencies, if they are too many for its record; they are then
+ *     stored separately
+ * @param receivedMs time on the clock of the scheduler from which the age of the submission is
+ *     counted
  * @param responder is called once with the response
  */
 record Submission(
@@ -21,10 +23,12 @@
     Optional<DependenciesRecord> dependencyList,
     long receivedMs,
     Consumer<ApiResponse> responder) {
-  /** Quotes, colon and comma around the name of a value. */
+  /** Two quotes, colon and comma around a field name in JSON. */
   private static final int NAME_OVERHEAD_BYTES = 4;
 
-  /** What the record and its name take of a value's size. */
+  /**
+   * Returns the bytes that the record and its name, the uid, add to the value that stores the job.
+   */
   int storedBytes() {
     return Cbor.jsonSize(jobRecord) + spec.uid().length() + NAME_OVERHEAD_BYTES;
   }
--- a/src/main/java/org/ploverspindle/api/SubmissionCodec.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionCodec.java
@@ -13,14 +13,17 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 
-/** The wire form of submissions, checked field by field. The wire's names occur here alone. */
+/**
+ * Decodes submissions from their wire form and checks each field. The wire names of a submission's
+ * fields occur only in this class.
+ */
 final class SubmissionCodec {
-  /** The form of the protocol's ids: a word, a dash, a number. */
+  /** The form of a uid in the protocol: a word, a dash and a number. */
   private static final Pattern UID = Pattern.compile("[a-z][a-z0-9]{0,31}-[0-9]{1,18}");
 
   private static final int MAX_TEXT_LENGTH = 200;
 
-  /** A larger amount is taken for a mistake. */
+  /** A larger amount is considered a mistake and is rejected. */
   private static final double MAX_AMOUNT = 1e12;
 
   private final ObjectNode body;
@@ -33,7 +36,10 @@
     return UID.matcher(uid).matches();
   }
 
-  /** The id alone, if it is valid: a repeated request is answered by it, whatever else is wrong. */
+  /**
+   * Returns the uid alone, if it is valid. A repeated submission is answered by its uid, even if
+   * its other fields are invalid.
+   */
   static Optional<String> uid(ObjectNode body) {
     return Optional.of(body.path("uid"))
         .filter(JsonNode::isTextual)
@@ -41,7 +47,7 @@
         .filter(SubmissionCodec::isValidUid);
   }
 
-  /** The job. The exception names the first field that is missing or invalid. */
+  /** Decodes the job. The exception names the first field that was found missing or invalid. */
   static JobSpec decode(ObjectNode body) throws MalformedSubmissionException {
     return new SubmissionCodec(body).decode();
   }
@@ -93,7 +99,8 @@
     String name = text(field);
     return switch (name) {
       case "batch" -> JobKind.BATCH;
-      // Not in the protocol's table, but sent by the bench's trial with real processes.
+      // The protocol's table does not list this value, but the bench's trial with real processes
+      // sends it.
       case "group" -> JobKind.GANG;
       case "daemon" -> JobKind.SERVICE;
       default -> throw new MalformedSubmissionException(field, name);
@@ -148,7 +155,10 @@
     return node.asBoolean();
   }
 
-  /** Ids of jobs, each once however often it is named; none if the field is absent. */
+  /**
+   * Returns the uids of jobs in the field, without repetitions; an empty list if the field is
+   * absent.
+   */
   private List<String> uids(String field) throws MalformedSubmissionException {
     if (isAbsent(field)) {
       return List.of();
--- a/src/main/java/org/ploverspindle/api/SubmissionEncoder.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionEncoder.java
@@ -8,9 +8,9 @@
 import org.ploverspindle.state.DependenciesRecord;
 import org.ploverspindle.state.JobRecord;
 
-/** Brings jobs into their stored form, within the largest value of the state service. */
+/** Encodes jobs for storage, within the size limit of a value. */
 final class SubmissionEncoder {
-  /** What a value holds beside its only job. */
+  /** Upper bound of the bytes that a value holds in addition to its only job. */
   private static final int VALUE_OVERHEAD_BYTES = 50;
 
   private final Scheduler scheduler;
@@ -19,8 +19,8 @@
   private final int shardSize;
 
   /**
-   * @param maxValueBytes the largest value that a record may have
-   * @param shardSize how many tasks a snapshot record of the job holds; stored with the job
+   * @param maxValueBytes largest size of a record's value in bytes
+   * @param shardSize number of tasks in a shard of the job's snapshots; stored with the job
    */
   SubmissionEncoder(
       Scheduler scheduler, Feasibility feasibility, int maxValueBytes, int shardSize) {
@@ -30,14 +30,17 @@
     this.shardSize = shardSize;
   }
 
-  /** The job as received now; check {@link #fits} before it is written. */
+  /**
+   * Encodes a job that is received now. The caller must check with {@link #fits} that it can be
+   * stored.
+   */
   Submission encode(JobSpec spec, Consumer<ApiResponse> responder) {
     Submission submission = encodeUnfiltered(spec, responder);
     if (fits(submission) || spec.types().isEmpty()) {
       return submission;
     }
-    // No task can be placed on a type that the cloud does not have, so that such names may be left
-    // out of the record: a long list of them is no reason to refuse the job.
+    // No task can be placed on a machine type that the cloud does not have, so the names of such
+    // types may be left out of the record: a long list of them is no reason to refuse the job.
     List<String> knownTypes = spec.types().get().stream().filter(feasibility::isKnownType).toList();
     return encodeUnfiltered(spec.withTypes(knownTypes), responder);
   }
@@ -55,7 +58,7 @@
     return new Submission(spec, record.encode(list), Optional.of(list), nowMs, responder);
   }
 
-  /** Whether the record fits into a value. */
+  /** Whether the job's record fits into a value. */
   boolean fits(Submission submission) {
     return submission.storedBytes() <= maxValueBytes - VALUE_OVERHEAD_BYTES;
   }
--- a/src/main/java/org/ploverspindle/api/SubmissionService.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionService.java
@@ -10,7 +10,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers submissions: what can be accepted is stored first, all else is answered at once. */
+/**
+ * Handles submissions. A job that can be accepted is stored before the response; a repeated
+ * submission gets the job's state; any other submission is refused with the reason.
+ */
 final class SubmissionService {
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionService.class);
 
@@ -38,7 +41,7 @@
     this.dependentSubmissions = dependentSubmissions;
   }
 
-  /** Answers a submission, at the latest when its user is about to give up. */
+  /** Responds to a submission, at the latest when its user is about to give up. */
   void submit(byte[] bytes, Consumer<ApiResponse> responder) {
     Optional<ObjectNode> body = Cbor.readMap(bytes);
     if (body.isEmpty()) {
@@ -101,8 +104,8 @@
   }
 
   /**
-   * A job that any controller accepted is never refused, even if the repeated request's body is
-   * invalid.
+   * Refuses a submission unless its job is already accepted. A job that any controller accepted is
+   * never refused, even if the body of a repeated request is invalid, so the replica is read first.
    */
   private void refuseUnlessKnown(
       String uid, int status, String reason, Consumer<ApiResponse> responder) {
--- a/src/main/java/org/ploverspindle/api/UserAdmission.java
+++ b/src/main/java/org/ploverspindle/api/UserAdmission.java
@@ -7,8 +7,8 @@
 import org.ploverspindle.eventloop.EventPriority;
 
 /**
- * Load shedding: under overload users' requests are refused at once, so that workers and decisions
- * go first.
+ * Sheds load: under overload users' requests are refused at once, so that workers' requests and
+ * scheduling decisions take precedence.
  */
 final class UserAdmission {
   private final EventLoop loop;
@@ -29,10 +29,10 @@
     this.dispatcher = dispatcher;
   }
 
-  /** Whether a user's request may be handled; if not, it is answered here. */
+  /** Whether a user's request may be handled; if not, sends the response that refuses it. */
   boolean admit(HttpServerExchange exchange, EventPriority priority) {
     if (activeConnections.getAsLong() > maxConnectionsForUsers) {
-      // The remaining sockets are for workers: one that can't send heartbeats loses its tasks.
+      // The remaining sockets are for workers: a worker that can't send heartbeats loses its tasks.
       exchange.setPersistent(false);
       dispatcher.send(
           exchange,
--- a/src/main/java/org/ploverspindle/api/UserApi.java
+++ b/src/main/java/org/ploverspindle/api/UserApi.java
@@ -12,25 +12,27 @@
 import org.xnio.XnioWorker;
 
 /**
- * The HTTP server for users and workers. The I/O thread only reads and writes; requests are handled
- * on the event loop, heartbeats first.
+ * The HTTP server for users and workers. The I/O thread only reads requests and writes responses;
+ * requests are handled on the event loop, heartbeats before all others.
  */
 public final class UserApi {
   /**
-   * Least number of connections that may wait to be accepted: after a failover the whole fleet
-   * connects at once.
+   * Minimum number of connections that may wait to be accepted: after a failover all workers
+   * connect at once.
    */
   private static final int MIN_ACCEPT_BACKLOG = 1_000;
 
   private static final int BUFFER_BYTES = 4_096;
   private static final int REQUEST_PARSE_TIMEOUT_MS = 5_000;
 
-  /** Handles requests, on the event loop. Each calls {@code then} once with the response. */
+  /**
+   * Handles requests on the event loop. Each method calls {@code responder} once with the response.
+   */
   public interface RequestHandler {
-    /** Accepts a job. */
+    /** Handles the submission of a job. */
     void submit(byte[] body, Consumer<ApiResponse> responder);
 
-    /** Answers with a job's state. */
+    /** Responds with a job's state. */
     void poll(String uid, Consumer<ApiResponse> responder);
 
     /** Cancels a job. */
@@ -39,17 +41,20 @@
     /** Handles a worker's heartbeat. */
     void heartbeat(byte[] body, Consumer<ApiResponse> responder);
 
-    /** Answers with this controller's status, for operators. */
+    /** Responds with this controller's status, for operators. */
     void status(Consumer<ApiResponse> responder);
 
-    /** Answers with what is known of one job and of its dependencies, for operators. */
+    /**
+     * Responds with what this controller knows about one job and its dependencies, for operators.
+     */
     void explainJob(String uid, Consumer<ApiResponse> responder);
   }
 
   private final Undertow server;
 
   /**
-   * @param ready whether this controller is the one to ask; may be called on any thread
+   * @param ready whether users should be sent to this controller; must be safe to call on any
+   *     thread
    */
   public UserApi(
       EventLoop loop,
@@ -89,7 +94,7 @@
     return server.getListenerInfo().get(0).getConnectorStatistics().getActiveConnections();
   }
 
-  /** Starts to accept connections. */
+  /** Starts accepting connections. */
   public void open() {
     server.start();
   }
--- a/src/main/java/org/ploverspindle/api/UserRequests.java
+++ b/src/main/java/org/ploverspindle/api/UserRequests.java
@@ -7,12 +7,15 @@
 import org.ploverspindle.state.SnapshotRecord;
 
 /**
- * Answers users' requests on any controller. Nothing is acknowledged before it is durable, and
- * nothing is answered from the replica before that is as new as the request. Connects the services
- * that do so.
+ * Handles users' requests on any controller, by the services of this package, which it connects.
+ * Nothing is acknowledged before it is durable, and no state that may still change is reported from
+ * the replica before the replica is as recent as the request.
  */
 public final class UserRequests {
-  /** Lower than what the state service allows, so that several records fit into a transaction. */
+  /**
+   * Limit on the size of values, below that of the state service, so that several records fit into
+   * a transaction.
+   */
   private static final int MAX_VALUE_BYTES = 16 * 1024;
 
   private final SubmissionService submissions;
@@ -92,22 +95,25 @@
             scheduler, reads, statuses, dependencyCheck, listWriter, acceptanceWriter));
   }
 
-  /** Accepts a job, or answers why it is not accepted. */
+  /** Accepts a job, or responds with the reason why it is not accepted. */
   public void submit(byte[] body, Consumer<ApiResponse> responder) {
     submissions.submit(body, responder);
   }
 
-  /** Answers with a job's state. */
+  /** Responds with a job's state. */
   public void poll(String uid, Consumer<ApiResponse> responder) {
     queries.poll(uid, responder);
   }
 
-  /** Cancels a job, and confirms it once that is durable. */
+  /** Cancels a job, and confirms the cancellation once it is durable. */
   public void cancel(String uid, Consumer<ApiResponse> responder) {
     cancellations.cancel(uid, responder);
   }
 
-  /** For operators: the job's state by the replica, and its unfinished dependencies. */
+  /**
+   * Describes to operators the job's state as the replica shows it, and its unfinished
+   * dependencies.
+   */
   public String explain(String uid) {
     return queries.explain(uid);
   }
