--- a/src/test/java/org/ploverspindle/api/AcceptanceBudgetTest.java
+++ b/src/test/java/org/ploverspindle/api/AcceptanceBudgetTest.java
@@ -6,7 +6,11 @@
 import org.ploverspindle.api.AcceptanceBudget.Grant;
 import org.ploverspindle.state.TokenBucket;
 
-/** A share of three changes that is not refilled, so that each step's reason is visible. */
+/**
+ * Guards against a controller that writes more records of accepted jobs than it may, or none
+ * although it may: within its share, beyond it, and after a refused write. The share is three
+ * changes and is never refilled, so that the reason for each grant is visible.
+ */
 class AcceptanceBudgetTest {
   private static final int MAX_RECORDS = 12;
   private static final Grant NONE = new Grant(0, false);
@@ -31,7 +35,7 @@
   @Test
   void beyondShareOneRecordPerIntervalIsGrantedAndNotCharged() {
     exhaustShare();
-    assertEquals(NONE, budget.grant(MAX_RECORDS), "too soon after the last write");
+    assertEquals(NONE, budget.grant(MAX_RECORDS), "less than 60 ms after the last write");
     clock.runFor(60);
     assertEquals(BEYOND_SHARE, budget.grant(MAX_RECORDS));
     budget.recordWrite(BEYOND_SHARE, 1);
@@ -43,7 +47,7 @@
   void nothingBeyondShareIsGrantedForFiveSecondsAfterRefusal() {
     exhaustShare();
     budget.recordRefusal();
-    assertEquals(-2, share.available(), "a refusal is charged");
+    assertEquals(-2, share.available(), "a refusal is charged as two changes");
     clock.runFor(4_999);
     assertEquals(NONE, budget.grant(MAX_RECORDS));
     clock.runFor(1);
--- a/src/test/java/org/ploverspindle/api/CancellationWriterTest.java
+++ b/src/test/java/org/ploverspindle/api/CancellationWriterTest.java
@@ -21,6 +21,11 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 
+/**
+ * Guards against cancellations that are lost, delayed, acknowledged too early or written twice when
+ * responses of the state service are late, lost or negative, or when transactions are executed
+ * late.
+ */
 class CancellationWriterTest {
   private static final int MAX_CHANGES = 5;
 
@@ -63,14 +68,14 @@
     store.runFor(10);
     IntStream.rangeClosed(1, MAX_CHANGES + 2).forEach(i -> cancel("run-" + i));
     store.runFor(80);
-    assertEquals(1, store.inFlightCount(), "one at a time while answers are prompt");
+    assertEquals(1, store.inFlightCount(), "one transaction at a time while responses are prompt");
     assertEquals(List.of("run-0"), uidsInOldestTransaction());
     store.commitAndRespond();
     store.runFor(10);
     assertEquals(
         List.of("run-1", "run-2", "run-3", "run-4", "run-5"),
         uidsInOldestTransaction(),
-        "the oldest");
+        "the oldest requests first");
     store.commitAndRespond();
     store.runFor(10);
     assertEquals(List.of("run-6", "run-7"), uidsInOldestTransaction());
@@ -80,7 +85,8 @@
         outcomes.values().stream().filter(List.of(Outcome.DURABLE)::equals).count());
     store.runFor(10);
     assertEquals(0, store.inFlightCount());
-    assertEquals(100 - MAX_CHANGES - 3, writeBudget.available(), "each change is paid for");
+    assertEquals(
+        100 - MAX_CHANGES - 3, writeBudget.available(), "each change is charged to the budget");
   }
 
   @Test
@@ -134,8 +140,8 @@
         .values()
         .forEach(
             jobOutcomes ->
-                assertEquals(List.of(Outcome.UNCERTAIN), jobOutcomes, "to be read back"));
-    // Whoever reads back finds the end, and the others are asked for again.
+                assertEquals(List.of(Outcome.UNCERTAIN), jobOutcomes, "must be read back"));
+    // After the read, run-1 is known to be done, and the other cancellations are requested again.
     cancel("run-0");
     cancel("run-2");
     store.runFor(10);
@@ -184,13 +190,13 @@
     assertEquals(
         CancellationWriter.MAX_IN_FLIGHT_TRANSACTIONS,
         store.inFlightCount(),
-        "none while no read succeeds");
+        "no further transaction while no read succeeds");
     store.respondWithoutCommit(new TransactionResult.Unknown());
     store.runFor(CancellationWriter.LATE_RESPONSE_AFTER_MS);
     assertEquals(
         CancellationWriter.MAX_IN_FLIGHT_TRANSACTIONS,
         store.inFlightCount(),
-        "the next one goes out");
+        "the next transaction is sent");
   }
 
   @Test
@@ -200,11 +206,12 @@
     Runnable respond = store.commitAndDelayResponse();
     store.runFor(CancellationWriter.READ_BACK_AFTER_MS);
     assertEquals(1, readBarriers.size());
-    assertEquals(List.of(), outcomes.get("run-0"), "not before the replica was read");
+    assertEquals(List.of(), outcomes.get("run-0"), "no outcome before the replica is read");
     readBarriers.get(0).accept(true);
     assertEquals(List.of(Outcome.READ_BACK), outcomes.get("run-0"));
     respond.run();
-    assertEquals(List.of(Outcome.READ_BACK), outcomes.get("run-0"), "told once");
+    assertEquals(
+        List.of(Outcome.READ_BACK), outcomes.get("run-0"), "the outcome is delivered once");
   }
 
   @Test
@@ -221,7 +228,7 @@
     readBarriers.get(1).accept(true);
     assertEquals(List.of(Outcome.DURABLE), outcomes.get("run-0"));
     store.runFor(10_000);
-    assertEquals(2, readBarriers.size(), "none for one that is answered");
+    assertEquals(2, readBarriers.size(), "no read-back of a transaction with an outcome");
   }
 
   @Test
@@ -234,14 +241,18 @@
     cancel("run-0");
     cancel("run-1");
     store.runFor(CancellationWriter.LATE_RESPONSE_AFTER_MS);
-    assertEquals(2, store.inFlightCount(), "no record of their own");
+    assertEquals(2, store.inFlightCount(), "no transaction for the repeated requests");
     store.commitAndRespond();
     store.commitAndRespond();
     assertEquals(List.of(Outcome.DURABLE, Outcome.DURABLE), outcomes.get("run-0"));
     assertEquals(List.of(Outcome.DURABLE, Outcome.DURABLE), outcomes.get("run-1"));
   }
 
-  /** Held up on its way, written again by a second one, and carried out after that, or before. */
+  /**
+   * A transaction is delayed on its way to the state service, its cancellation is written again by
+   * a second transaction, and the first one is executed after the second one, or both before and
+   * after it.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void delayedTransactionAndItsRetryCreateRecordOnce(boolean delayedCommitsFirst) {
@@ -278,7 +289,8 @@
     cancel("run-0");
     assertEquals(List.of(), events);
     store.runFor(10);
-    assertEquals(List.of("sent with 1 in flight"), events, "after the write itself");
+    assertEquals(
+        List.of("sent with 1 in flight"), events, "notified after the transaction was sent");
     store.commitAndRespond();
     assertEquals("committed 1 while {run-0=[]}", events.get(1));
     assertEquals(List.of(Outcome.DURABLE), outcomes.get("run-0"));
--- a/src/test/java/org/ploverspindle/api/ManualStateStore.java
+++ b/src/test/java/org/ploverspindle/api/ManualStateStore.java
@@ -16,8 +16,9 @@
 import org.ploverspindle.state.StateStore;
 
 /**
- * A state service with a simulated clock. Its transactions wait until the test has them answered,
- * so that requests can arrive while one is in flight. Reads are answered at once.
+ * A simulated state service and clock. A transaction stays in flight until the test executes it or
+ * delivers its response, so that requests can arrive meanwhile. Reads get their response after 1
+ * ms.
  */
 final class ManualStateStore implements StateStore, Scheduler {
   private record Timer(long atMs, long order, Runnable work) implements Comparable<Timer> {
@@ -27,7 +28,7 @@
     }
   }
 
-  /** A transaction without a response. */
+  /** A transaction that has not been executed and has no response. */
   record PendingTransaction(Transaction transaction, Consumer<TransactionResult> then) {}
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
@@ -38,6 +39,7 @@
   private long nextTimerOrder;
   private long revision = 1;
 
+  /** Advances the clock by this time and runs the work that becomes due. */
   void runFor(long durationMs) {
     long endMs = nowMs + durationMs;
     while (!timers.isEmpty() && timers.peek().atMs() <= endMs) {
@@ -52,7 +54,7 @@
     return pendingTransactions.size();
   }
 
-  /** The oldest transaction without a response. */
+  /** Returns the oldest transaction in flight. */
   Transaction oldestTransaction() {
     return pendingTransactions.element().transaction();
   }
@@ -65,25 +67,27 @@
     return result;
   }
 
-  /** Executes the oldest transaction; the result delivers its response. */
+  /** Executes the oldest transaction; the returned action delivers its response. */
   Runnable commitAndDelayResponse() {
     PendingTransaction oldest = pendingTransactions.remove();
     TransactionResult result = execute(oldest.transaction());
     return () -> oldest.then().accept(result);
   }
 
-  /** Delays the oldest transaction; the result executes it, without a response. */
+  /**
+   * Takes the oldest transaction out of flight; the returned action executes it without a response.
+   */
   Runnable delayCommit() {
     PendingTransaction oldest = pendingTransactions.remove();
     return () -> execute(oldest.transaction());
   }
 
-  /** Delivers this response to the oldest transaction, which is not executed. */
+  /** Delivers this response for the oldest transaction, which is not executed. */
   void respondWithoutCommit(TransactionResult result) {
     pendingTransactions.remove().then().accept(result);
   }
 
-  /** Another process writes this. */
+  /** Writes the value unconditionally, as another process does. */
   void writeFromAnotherProcess(String key, JsonNode value) {
     execute(new Transaction(List.of(), List.of(new Change.Put(key, value))));
   }
--- a/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
+++ b/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
@@ -16,6 +16,10 @@
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.state.JobRecord;
 
+/**
+ * Guards against submissions that lose a field on the way to their stored record, and against
+ * invalid fields that are accepted.
+ */
 class SubmissionCodecTest {
   private static final String VALID_BODY =
       """
@@ -106,7 +110,7 @@
       JobSpec spec = SubmissionCodec.decode(body);
       assertEquals(List.of(), spec.dependencies());
       assertEquals(
-          withoutDependencies, new JobRecord(spec, 77, 80).encode(), "stored as it always was");
+          withoutDependencies, new JobRecord(spec, 77, 80).encode(), "stored as without the field");
     }
     body.set("awaits", new ObjectMapper().readTree("[\"run-2\",\"run-1\",\"run-2\"]"));
     JobSpec spec = SubmissionCodec.decode(body);
--- a/src/test/java/org/ploverspindle/api/UserApiTest.java
+++ b/src/test/java/org/ploverspindle/api/UserApiTest.java
@@ -28,7 +28,11 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The user API over real sockets on loopback, with an echo as its request handler. */
+/**
+ * Guards against faults of the HTTP server that show only on real sockets: routing, statuses and
+ * headers, bodies that are too large or incomplete, and the connections kept for workers. Runs on
+ * loopback with a request handler that responds at once.
+ */
 class UserApiTest {
   private static final class EchoHandler implements UserApi.RequestHandler {
     @Override
@@ -186,7 +190,7 @@
   void usersAreRefusedAndWorkersServedWhenFewConnectionsAreLeft() throws Exception {
     List<Socket> open = new ArrayList<>();
     try {
-      // Each sends a request, so that it is known to be accepted.
+      // Each connection sends a request, so that it is known to be accepted.
       for (int i = 0; i < 20; i++) {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setSoTimeout(5_000);
@@ -194,17 +198,19 @@
         assertEquals(421, request(socket, "POST", "/checkin"), "connection " + i);
       }
       assertEquals(503, request(open.get(0), "GET", "/submissions/run-1"));
-      assertEquals(-1, open.get(0).getInputStream().read(), "its socket is free again");
+      assertEquals(
+          -1,
+          open.get(0).getInputStream().read(),
+          "the server closes the connection of the refused user");
       open.get(0).close();
       assertEquals(421, request(open.get(1), "POST", "/checkin"));
       Socket next = new Socket("127.0.0.1", port);
       next.setSoTimeout(5_000);
       open.add(next);
-      assertEquals(
-          421, request(next, "POST", "/checkin"), "the freed socket serves another worker");
+      assertEquals(421, request(next, "POST", "/checkin"), "a worker can use the freed socket");
       open.remove(19).close();
       open.remove(18).close();
-      // The server notices that the two are closed at some later time.
+      // The server notices only later that these two connections are closed.
       int status = 503;
       for (int tries = 0; status == 503 && tries < 500; tries++) {
         try (Socket user = new Socket("127.0.0.1", port)) {
@@ -221,7 +227,7 @@
     }
   }
 
-  /** The status of one request on a connection that stays open. */
+  /** Sends a request on a connection that stays open, and returns the status of the response. */
   private static int request(Socket socket, String method, String path) throws IOException {
     String head = method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
     socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
@@ -230,7 +236,7 @@
     while (response.indexOf("\r\n\r\n") < 0) {
       int next = in.read();
       if (next < 0) {
-        throw new IOException("ended after " + response);
+        throw new IOException("connection closed after partial response: " + response);
       }
       response.append((char) next);
     }
--- a/src/test/java/org/ploverspindle/api/UserRequestsTest.java
+++ b/src/test/java/org/ploverspindle/api/UserRequestsTest.java
@@ -24,7 +24,10 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 
-/** Users' requests that arrive while a write of earlier ones is in flight. */
+/**
+ * Guards against missing or outdated responses to submissions that arrive while the write of an
+ * earlier submission is in flight.
+ */
 class UserRequestsTest {
   private final ManualStateStore store = new ManualStateStore();
   private UserRequests requests;
@@ -102,7 +105,7 @@
   void queuedSubmissionIsWrittenAfterConflictWithTerminalJob() {
     List<Integer> terminal = submit("run-0");
     store.runFor(10);
-    // Another controller accepted it meanwhile, and its user cancelled it.
+    // Meanwhile another controller accepted the job, and its user cancelled it.
     store.writeFromAnotherProcess(
         Keys.jobBatch("n1-1"), Cbor.map().set("run-0", Cbor.map().put("tasks", 1)));
     store.writeFromAnotherProcess(Keys.cancellation("run-0"), Cbor.map());
@@ -110,14 +113,15 @@
     assertEquals(TransactionResult.Conflict.class, store.commitAndRespond().getClass());
     store.runFor(1_000);
     assertEquals(List.of(200), terminal);
-    assertEquals(1, store.inFlightCount(), "the next one goes out by itself");
+    assertEquals(1, store.inFlightCount(), "the next write is sent without a further submission");
     store.commitAndRespond();
     assertEquals(List.of(201), queued);
   }
 
   /**
-   * The first request's write is durable, and another controller reported "aborted" before the
-   * repeat arrives.
+   * The write of the first request is durable but its response is delayed. Another controller
+   * reports the job as aborted before the user repeats the request here. The response to the
+   * repeated request must not be the "queued" of the earlier write.
    */
   @Test
   void repeatedSubmissionIsNotAnsweredByEarlierWrite() {
@@ -134,9 +138,9 @@
   }
 
   /**
-   * The write is durable and its response is delayed; another controller reads the job, cancels it
-   * and reports that; and the user repeats the request here. The write's conditions hold for an
-   * earlier time than that.
+   * The write is durable and its response is delayed. Another controller reads the job, cancels it
+   * and reports that, and then the user repeats the request here. The conditions of the write hold
+   * only for the time of the write, which is earlier than that of the repeated request.
    */
   @Test
   void repeatedSubmissionAfterSendIsAnsweredByLaterRead() {
@@ -147,7 +151,7 @@
     List<String> repeat = submitForStatusAndState("run-0");
     respond.run();
     store.runFor(1_000);
-    assertEquals(List.of("201 queued"), first, "it was requested before");
+    assertEquals(List.of("201 queued"), first, "the first request arrived before the cancellation");
     assertEquals(List.of("200 aborted"), repeat);
   }
 }
