--- a/src/main/java/org/ploverspindle/api/PendingAcceptance.java
+++ b/src/main/java/org/ploverspindle/api/PendingAcceptance.java
@@ -7,49 +7,55 @@
 import org.ploverspindle.model.JobSpec;
 
 /**
- * A job whose acceptance is not durable yet, with all requests that wait for it here.
+ * A job whose acceptance is not durable yet, with all requests on this controller that wait for it.
  *
- * <p>Requests that arrived before the write was sent are answered by its result. The write's
- * conditions don't cover the time after it was sent: the job may have been accepted and reported as
- * aborted elsewhere before a later request arrived. Such a late request is answered by a read after
- * the write.
+ * <p>Requests that the conditions of the write cover are answered with its result. The conditions
+ * don't cover the time after the write was sent: another controller may have accepted the job and
+ * reported it as aborted before a later request arrived. They also don't cover a repeated request
+ * for a job with dependencies of which none is guarded. Uncovered requests are answered by a read
+ * after the write.
  */
 final class PendingAcceptance {
   private final Submission submission;
-  private final int bytes;
-  private final List<String> guards;
-  private final List<Consumer<ApiResponse>> requests;
-  private final List<Consumer<ApiResponse>> lateRequests;
+  private final int storedBytes;
+  private final List<String> guardedDependencies;
+  private final List<Consumer<ApiResponse>> coveredRequests;
+  private final List<Consumer<ApiResponse>> uncoveredRequests;
   private boolean sent;
 
   private PendingAcceptance(
       Submission submission,
-      int bytes,
-      List<String> guards,
-      List<Consumer<ApiResponse>> requests,
-      List<Consumer<ApiResponse>> lateRequests) {
+      int storedBytes,
+      List<String> guardedDependencies,
+      List<Consumer<ApiResponse>> coveredRequests,
+      List<Consumer<ApiResponse>> uncoveredRequests) {
     this.submission = submission;
-    this.bytes = bytes;
-    this.guards = guards;
-    this.requests = requests;
-    this.lateRequests = lateRequests;
+    this.storedBytes = storedBytes;
+    this.guardedDependencies = guardedDependencies;
+    this.coveredRequests = coveredRequests;
+    this.uncoveredRequests = uncoveredRequests;
   }
 
   /**
-   * @param guards jobs whose cancellation would abort this one, so that "queued" would be outdated
+   * @param guardedDependencies dependencies whose cancellation would abort this job, so that a
+   *     response "queued" would be outdated
    */
-  static PendingAcceptance of(Submission submission, List<String> guards) {
+  static PendingAcceptance of(Submission submission, List<String> guardedDependencies) {
     return new PendingAcceptance(
         submission,
-        submission.bytes(),
-        guards,
+        submission.storedBytes(),
+        guardedDependencies,
         new ArrayList<>(List.of(submission.responder())),
         new ArrayList<>());
   }
 
-  /** The same job and requests, to be written again under other guards. */
-  PendingAcceptance retryWith(List<String> newGuards) {
-    return new PendingAcceptance(submission, bytes, newGuards, requests, lateRequests);
+  /**
+   * Returns the same job with the same requests, to be written again with other guarded
+   * dependencies.
+   */
+  PendingAcceptance retryWith(List<String> newGuardedDependencies) {
+    return new PendingAcceptance(
+        submission, storedBytes, newGuardedDependencies, coveredRequests, uncoveredRequests);
   }
 
   String uid() {
@@ -60,55 +66,54 @@
     return submission.spec();
   }
 
-  /** The job's stored form. */
-  JsonNode record() {
-    return submission.record();
+  /** Returns the job's stored form. */
+  JsonNode jobRecord() {
+    return submission.jobRecord();
   }
 
-  /** What the job takes of its record's size. */
-  int bytes() {
-    return bytes;
+  /** Returns the bytes that the job adds to the value of the record that stores it. */
+  int storedBytes() {
+    return storedBytes;
   }
 
   long receivedMs() {
     return submission.receivedMs();
   }
 
-  List<String> guards() {
-    return guards;
+  List<String> guardedDependencies() {
+    return guardedDependencies;
   }
 
-  /** The write has been sent: requests from now on are late. */
+  /** Notes that the write has been sent: requests that arrive from now on are uncovered. */
   void markSent() {
     sent = true;
   }
 
   /** Adds a repeated request for the same job. */
   void addRequest(Consumer<ApiResponse> responder) {
-    (isCoveredByConditions() ? requests : lateRequests).add(responder);
+    (isCoveredByConditions() ? coveredRequests : uncoveredRequests).add(responder);
   }
 
-  /** Whether the write's conditions hold for a request that arrives now. */
+  /** Whether the conditions of the write cover a request that arrives now. */
   private boolean isCoveredByConditions() {
-    boolean guarded = spec().dependencies().isEmpty() || !guards.isEmpty();
+    boolean guarded = spec().dependencies().isEmpty() || !guardedDependencies.isEmpty();
     return guarded && !sent;
   }
 
-  /** Answers the requests that are not late. */
-  void respond(ApiResponse response) {
-    requests.forEach(request -> request.accept(response));
+  void respondToCovered(ApiResponse response) {
+    coveredRequests.forEach(request -> request.accept(response));
   }
 
-  boolean hasLateRequests() {
-    return !lateRequests.isEmpty();
+  boolean hasUncoveredRequests() {
+    return !uncoveredRequests.isEmpty();
   }
 
-  void respondToLateRequests(ApiResponse response) {
-    lateRequests.forEach(request -> request.accept(response));
+  void respondToUncovered(ApiResponse response) {
+    uncoveredRequests.forEach(request -> request.accept(response));
   }
 
   void respondToAll(ApiResponse response) {
-    respond(response);
-    respondToLateRequests(response);
+    respondToCovered(response);
+    respondToUncovered(response);
   }
 }
--- a/src/main/java/org/ploverspindle/api/QueryService.java
+++ b/src/main/java/org/ploverspindle/api/QueryService.java
@@ -22,17 +22,20 @@
     this.pipelines = pipelines;
   }
 
-  /** Answers with the job's state, no older than what any controller answered before. */
-  void poll(String uid, Consumer<ApiResponse> then) {
+  /**
+   * Responds with the job's state, which is at least as recent as the responses that any controller
+   * sent before the request.
+   */
+  void poll(String uid, Consumer<ApiResponse> responder) {
     if (!SubmissionCodec.isValidUid(uid)) {
-      then.accept(ApiResponse.noSuchJob());
+      responder.accept(ApiResponse.noSuchJob());
     } else if (statuses.isTerminal(uid)) {
-      then.accept(statuses.response(uid).orElseThrow());
+      responder.accept(statuses.response(uid).orElseThrow());
     } else if (!reads.isLoaded()) {
-      then.accept(ApiResponse.stateUnavailable());
+      responder.accept(ApiResponse.stateUnavailable());
     } else {
-      // Every job is polled every few seconds, and no user's work waits for the response.
-      reads.lowPriorityReadBarrier(fresh -> then.accept(responseAfterRead(uid, fresh)));
+      // Every job is polled every few seconds, and no user's work depends on a prompt response.
+      reads.lowPriorityReadBarrier(fresh -> responder.accept(responseAfterRead(uid, fresh)));
     }
   }
 
@@ -42,7 +45,10 @@
         : ApiResponse.stateUnavailable();
   }
 
-  /** For operators: the job's state by the replica, and its unfinished dependencies. */
+  /**
+   * Describes to operators the job's state as the replica shows it, and its unfinished
+   * dependencies.
+   */
   String explain(String uid) {
     Optional<JobState> job = statuses.state(uid);
     if (job.isEmpty()) {
--- a/src/main/java/org/ploverspindle/api/UserAdmission.java
+++ b/src/main/java/org/ploverspindle/api/UserAdmission.java
@@ -7,12 +7,12 @@
 import org.ploverspindle.eventloop.EventPriority;
 
 /**
- * Load shedding: under overload users' requests are refused at once, so that workers and decisions
- * go first.
+ * Sheds load: under overload users' requests are refused at once, so that workers' requests and
+ * scheduling decisions take precedence.
  */
 final class UserAdmission {
   private final EventLoop loop;
-  private final int maxWithUsers;
+  private final int maxConnectionsForUsers;
   private final int maxUserBacklog;
   private final LongSupplier activeConnections;
   private final RequestDispatcher dispatcher;
@@ -23,16 +23,16 @@
       LongSupplier activeConnections,
       RequestDispatcher dispatcher) {
     this.loop = loop;
-    this.maxWithUsers = limits.maxWithUsers();
+    this.maxConnectionsForUsers = limits.maxConnectionsForUsers();
     this.maxUserBacklog = limits.maxUserBacklog();
     this.activeConnections = activeConnections;
     this.dispatcher = dispatcher;
   }
 
-  /** Whether a user's request may be handled; if not, it is answered here. */
+  /** Whether a user's request may be handled; if not, sends the response that refuses it. */
   boolean admit(HttpServerExchange exchange, EventPriority priority) {
-    if (activeConnections.getAsLong() > maxWithUsers) {
-      // The remaining sockets are for workers: one that can't send heartbeats loses its tasks.
+    if (activeConnections.getAsLong() > maxConnectionsForUsers) {
+      // The remaining sockets are for workers: a worker that can't send heartbeats loses its tasks.
       exchange.setPersistent(false);
       dispatcher.send(
           exchange,
--- a/src/main/java/org/ploverspindle/api/UserApi.java
+++ b/src/main/java/org/ploverspindle/api/UserApi.java
@@ -12,44 +12,49 @@
 import org.xnio.XnioWorker;
 
 /**
- * The HTTP server for users and workers. The I/O thread only reads and writes; requests are handled
- * on the event loop, heartbeats first.
+ * The HTTP server for users and workers. The I/O thread only reads requests and writes responses;
+ * requests are handled on the event loop, heartbeats before all others.
  */
 public final class UserApi {
   /**
-   * Least number of connections that may wait to be accepted: after a failover the whole fleet
-   * connects at once.
+   * Minimum number of connections that may wait to be accepted: after a failover all workers
+   * connect at once.
    */
-  private static final int LEAST_ACCEPT_BACKLOG = 1_000;
+  private static final int MIN_ACCEPT_BACKLOG = 1_000;
 
   private static final int BUFFER_BYTES = 4_096;
   private static final int REQUEST_PARSE_TIMEOUT_MS = 5_000;
 
-  /** Handles requests, on the event loop. Each calls {@code then} once with the response. */
+  /**
+   * Handles requests on the event loop. Each method calls {@code responder} once with the response.
+   */
   public interface RequestHandler {
-    /** Accepts a job. */
-    void submit(byte[] body, Consumer<ApiResponse> then);
+    /** Handles the submission of a job. */
+    void submit(byte[] body, Consumer<ApiResponse> responder);
 
-    /** Answers with a job's state. */
-    void poll(String uid, Consumer<ApiResponse> then);
+    /** Responds with a job's state. */
+    void poll(String uid, Consumer<ApiResponse> responder);
 
     /** Cancels a job. */
-    void cancel(String uid, Consumer<ApiResponse> then);
+    void cancel(String uid, Consumer<ApiResponse> responder);
 
     /** Handles a worker's heartbeat. */
-    void heartbeat(byte[] body, Consumer<ApiResponse> then);
+    void heartbeat(byte[] body, Consumer<ApiResponse> responder);
 
-    /** Answers with this controller's status, for operators. */
-    void status(Consumer<ApiResponse> then);
+    /** Responds with this controller's status, for operators. */
+    void status(Consumer<ApiResponse> responder);
 
-    /** Answers with what is known of one job and of its dependencies, for operators. */
-    void explainJob(String uid, Consumer<ApiResponse> then);
+    /**
+     * Responds with what this controller knows about one job and its dependencies, for operators.
+     */
+    void explainJob(String uid, Consumer<ApiResponse> responder);
   }
 
   private final Undertow server;
 
   /**
-   * @param ready whether this controller is the one to ask; may be called on any thread
+   * @param ready whether users should be sent to this controller; must be safe to call on any
+   *     thread
    */
   public UserApi(
       EventLoop loop,
@@ -66,21 +71,22 @@
 
   private static Undertow server(
       XnioWorker worker, Address address, ConnectionLimits limits, HttpHandler router) {
-    int maxAccepted = limits.maxAccepted();
+    int maxAcceptedConnections = limits.maxAcceptedConnections();
     return Undertow.builder()
         .setWorker(worker)
         .addHttpListener(address.port(), address.host())
         .setBufferSize(BUFFER_BYTES)
         .setDirectBuffers(true)
-        .setSocketOption(Options.BACKLOG, Math.max(LEAST_ACCEPT_BACKLOG, maxAccepted))
+        .setSocketOption(Options.BACKLOG, Math.max(MIN_ACCEPT_BACKLOG, maxAcceptedConnections))
         .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) RequestDispatcher.MAX_BODY_BYTES)
         .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_PARSE_TIMEOUT_MS)
-        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleMs())
+        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleTimeoutMs())
         .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
         .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
         .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
         .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
-        .setHandler(Handlers.requestLimitingHandler(maxAccepted, maxAccepted, router))
+        .setHandler(
+            Handlers.requestLimitingHandler(maxAcceptedConnections, maxAcceptedConnections, router))
         .build();
   }
 
@@ -88,7 +94,7 @@
     return server.getListenerInfo().get(0).getConnectorStatistics().getActiveConnections();
   }
 
-  /** Starts to accept connections. */
+  /** Starts accepting connections. */
   public void open() {
     server.start();
   }
--- a/src/main/java/org/ploverspindle/api/UserRequests.java
+++ b/src/main/java/org/ploverspindle/api/UserRequests.java
@@ -7,12 +7,15 @@
 import org.ploverspindle.state.SnapshotRecord;
 
 /**
- * Answers users' requests on any controller. Nothing is acknowledged before it is durable, and
- * nothing is answered from the replica before that is as new as the request. Connects the services
- * that do so.
+ * Handles users' requests on any controller, by the services of this package, which it connects.
+ * Nothing is acknowledged before it is durable, and no state that may still change is reported from
+ * the replica before the replica is as recent as the request.
  */
 public final class UserRequests {
-  /** Lower than what the state service allows, so that several records fit into a transaction. */
+  /**
+   * Limit on the size of values, below that of the state service, so that several records fit into
+   * a transaction.
+   */
   private static final int MAX_VALUE_BYTES = 16 * 1024;
 
   private final SubmissionService submissions;
@@ -55,26 +58,26 @@
       Feasibility feasibility,
       Settings.StateLimits limits) {
     int maxValueBytes = Math.min(limits.maxValueBytes(), MAX_VALUE_BYTES);
-    DependencyCheck dependencies =
+    DependencyCheck dependencyCheck =
         new DependencyCheck(
             views.acceptedJobs(),
             views.pipelines(),
             statuses,
-            AcceptanceBatch.maxGuards(limits.maxChangesPerTransaction()));
-    DependencyListWriter lists =
+            AcceptanceBatch.maxGuardedDependencies(limits.maxChangesPerTransaction()));
+    DependencyListWriter listWriter =
         new DependencyListWriter(
             scheduler,
             writes.store(),
             views.replica(),
             limits.maxChangesPerTransaction(),
             limits.changesPerS());
-    AcceptanceWriter writer =
+    AcceptanceWriter acceptanceWriter =
         new AcceptanceWriter(
             scheduler,
             writes,
             reads,
             statuses,
-            dependencies,
+            dependencyCheck,
             new AcceptanceBatch.Limits(maxValueBytes, limits.maxChangesPerTransaction()));
     SubmissionEncoder encoder =
         new SubmissionEncoder(
@@ -87,26 +90,30 @@
         statuses,
         feasibility,
         encoder,
-        writer,
-        new DependentSubmissions(scheduler, reads, statuses, dependencies, lists, writer));
+        acceptanceWriter,
+        new DependentSubmissions(
+            scheduler, reads, statuses, dependencyCheck, listWriter, acceptanceWriter));
   }
 
-  /** Accepts a job, or answers why it is not accepted. */
-  public void submit(byte[] body, Consumer<ApiResponse> then) {
-    submissions.submit(body, then);
+  /** Accepts a job, or responds with the reason why it is not accepted. */
+  public void submit(byte[] body, Consumer<ApiResponse> responder) {
+    submissions.submit(body, responder);
   }
 
-  /** Answers with a job's state. */
-  public void poll(String uid, Consumer<ApiResponse> then) {
-    queries.poll(uid, then);
+  /** Responds with a job's state. */
+  public void poll(String uid, Consumer<ApiResponse> responder) {
+    queries.poll(uid, responder);
   }
 
-  /** Cancels a job, and confirms it once that is durable. */
-  public void cancel(String uid, Consumer<ApiResponse> then) {
-    cancellations.cancel(uid, then);
+  /** Cancels a job, and confirms the cancellation once it is durable. */
+  public void cancel(String uid, Consumer<ApiResponse> responder) {
+    cancellations.cancel(uid, responder);
   }
 
-  /** For operators: the job's state by the replica, and its unfinished dependencies. */
+  /**
+   * Describes to operators the job's state as the replica shows it, and its unfinished
+   * dependencies.
+   */
   public String explain(String uid) {
     return queries.explain(uid);
   }
--- a/src/test/java/org/ploverspindle/api/AcceptanceBudgetTest.java
+++ b/src/test/java/org/ploverspindle/api/AcceptanceBudgetTest.java
@@ -6,7 +6,11 @@
 import org.ploverspindle.api.AcceptanceBudget.Grant;
 import org.ploverspindle.state.TokenBucket;
 
-/** A share of three changes that is not refilled, so that each step's reason is visible. */
+/**
+ * Guards against a controller that writes more records of accepted jobs than it may, or none
+ * although it may: within its share, beyond it, and after a refused write. The share is three
+ * changes and is never refilled, so that the reason for each grant is visible.
+ */
 class AcceptanceBudgetTest {
   private static final int MAX_RECORDS = 12;
   private static final Grant NONE = new Grant(0, false);
@@ -16,12 +20,12 @@
   private final TokenBucket share = new TokenBucket(clock, 0, 3);
   private final AcceptanceBudget budget = new AcceptanceBudget(clock, share);
 
-  private void useUpTheShare() {
+  private void exhaustShare() {
     budget.recordWrite(budget.grant(MAX_RECORDS), 3);
   }
 
   @Test
-  void withinTheShareAsManyAreGrantedAsAreLeftAndFitATransaction() {
+  void grantWithinShareIsBoundedByShareLeftAndMaxRecords() {
     assertEquals(new Grant(2, true), budget.grant(2));
     assertEquals(new Grant(3, true), budget.grant(MAX_RECORDS));
     budget.recordWrite(budget.grant(MAX_RECORDS), 2);
@@ -29,10 +33,10 @@
   }
 
   @Test
-  void beyondTheShareOneIsGrantedAtATimeAndNotCharged() {
-    useUpTheShare();
-    assertEquals(NONE, budget.grant(MAX_RECORDS), "too soon after the last write");
-    clock.run(60);
+  void beyondShareOneRecordPerIntervalIsGrantedAndNotCharged() {
+    exhaustShare();
+    assertEquals(NONE, budget.grant(MAX_RECORDS), "less than 60 ms after the last write");
+    clock.runFor(60);
     assertEquals(BEYOND_SHARE, budget.grant(MAX_RECORDS));
     budget.recordWrite(BEYOND_SHARE, 1);
     assertEquals(0, share.available());
@@ -40,13 +44,13 @@
   }
 
   @Test
-  void afterARefusalNothingBeyondTheShareIsGrantedForAWhile() {
-    useUpTheShare();
+  void nothingBeyondShareIsGrantedForFiveSecondsAfterRefusal() {
+    exhaustShare();
     budget.recordRefusal();
-    assertEquals(-2, share.available(), "a refusal is charged");
-    clock.run(4_999);
+    assertEquals(-2, share.available(), "a refusal is charged as two changes");
+    clock.runFor(4_999);
     assertEquals(NONE, budget.grant(MAX_RECORDS));
-    clock.run(1);
+    clock.runFor(1);
     assertEquals(BEYOND_SHARE, budget.grant(MAX_RECORDS));
   }
 }
--- a/src/test/java/org/ploverspindle/api/ManualStateStore.java
+++ b/src/test/java/org/ploverspindle/api/ManualStateStore.java
@@ -16,8 +16,9 @@
 import org.ploverspindle.state.StateStore;
 
 /**
- * A state service with a simulated clock. Its transactions wait until the test has them answered,
- * so that requests can arrive while one is in flight. Reads are answered at once.
+ * A simulated state service and clock. A transaction stays in flight until the test executes it or
+ * delivers its response, so that requests can arrive meanwhile. Reads get their response after 1
+ * ms.
  */
 final class ManualStateStore implements StateStore, Scheduler {
   private record Timer(long atMs, long order, Runnable work) implements Comparable<Timer> {
@@ -27,19 +28,20 @@
     }
   }
 
-  /** A transaction without a response. */
+  /** A transaction that has not been executed and has no response. */
   record PendingTransaction(Transaction transaction, Consumer<TransactionResult> then) {}
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final Map<String, Long> modRevisions = new HashMap<>();
   private final List<ChangedEntry> history = new ArrayList<>();
-  private final Deque<PendingTransaction> sent = new ArrayDeque<>();
+  private final Deque<PendingTransaction> pendingTransactions = new ArrayDeque<>();
   private long nowMs;
-  private long order;
+  private long nextTimerOrder;
   private long revision = 1;
 
-  void run(long forMs) {
-    long endMs = nowMs + forMs;
+  /** Advances the clock by this time and runs the work that becomes due. */
+  void runFor(long durationMs) {
+    long endMs = nowMs + durationMs;
     while (!timers.isEmpty() && timers.peek().atMs() <= endMs) {
       Timer timer = timers.poll();
       nowMs = timer.atMs();
@@ -48,43 +50,45 @@
     nowMs = endMs;
   }
 
-  int inFlight() {
-    return sent.size();
+  int inFlightCount() {
+    return pendingTransactions.size();
   }
 
-  /** The oldest transaction without a response. */
+  /** Returns the oldest transaction in flight. */
   Transaction oldestTransaction() {
-    return sent.element().transaction();
+    return pendingTransactions.element().transaction();
   }
 
   /** Executes the oldest transaction and delivers its response. */
   TransactionResult commitAndRespond() {
-    PendingTransaction oldest = sent.remove();
+    PendingTransaction oldest = pendingTransactions.remove();
     TransactionResult result = execute(oldest.transaction());
     oldest.then().accept(result);
     return result;
   }
 
-  /** Executes the oldest transaction; the result delivers its response. */
+  /** Executes the oldest transaction; the returned action delivers its response. */
   Runnable commitAndDelayResponse() {
-    PendingTransaction oldest = sent.remove();
+    PendingTransaction oldest = pendingTransactions.remove();
     TransactionResult result = execute(oldest.transaction());
     return () -> oldest.then().accept(result);
   }
 
-  /** Delays the oldest transaction; the result executes it, without a response. */
+  /**
+   * Takes the oldest transaction out of flight; the returned action executes it without a response.
+   */
   Runnable delayCommit() {
-    PendingTransaction oldest = sent.remove();
+    PendingTransaction oldest = pendingTransactions.remove();
     return () -> execute(oldest.transaction());
   }
 
-  /** Delivers this response to the oldest transaction, which is not executed. */
+  /** Delivers this response for the oldest transaction, which is not executed. */
   void respondWithoutCommit(TransactionResult result) {
-    sent.remove().then().accept(result);
+    pendingTransactions.remove().then().accept(result);
   }
 
-  /** Another process writes this. */
-  void writeByOthers(String key, JsonNode value) {
+  /** Writes the value unconditionally, as another process does. */
+  void writeFromAnotherProcess(String key, JsonNode value) {
     execute(new Transaction(List.of(), List.of(new Change.Put(key, value))));
   }
 
@@ -93,13 +97,15 @@
   }
 
   long timesWritten(String key) {
-    return history.stream().filter(c -> c.key().equals(key)).count();
+    return history.stream().filter(change -> change.key().equals(key)).count();
   }
 
   private TransactionResult execute(Transaction transaction) {
     List<String> failed =
         transaction.conditions().stream()
-            .filter(change -> modRevisions.getOrDefault(change.key(), 0L) != change.modRevision())
+            .filter(
+                condition ->
+                    modRevisions.getOrDefault(condition.key(), 0L) != condition.modRevision())
             .map(Condition::key)
             .toList();
     if (!failed.isEmpty()) {
@@ -116,7 +122,7 @@
 
   @Override
   public void commit(Transaction transaction, Consumer<TransactionResult> then) {
-    sent.add(new PendingTransaction(transaction, then));
+    pendingTransactions.add(new PendingTransaction(transaction, then));
   }
 
   @Override
@@ -128,7 +134,7 @@
   public void readChanges(String prefix, long after, Consumer<ChangesResult> then) {
     ChangesResult changes =
         new ChangesResult.Changes(
-            revision, history.stream().filter(c -> c.modRevision() > after).toList());
+            revision, history.stream().filter(change -> change.modRevision() > after).toList());
     schedule(1, () -> then.accept(changes));
   }
 
@@ -168,7 +174,7 @@
     timers.add(
         new Timer(
             nowMs + Math.max(0, delayMs),
-            order++,
+            nextTimerOrder++,
             () -> {
               if (!cancelled[0]) {
                 work.run();
