--- a/src/main/java/org/ploverspindle/model/Catalogue.java
+++ b/src/main/java/org/ploverspindle/model/Catalogue.java
@@ -27,15 +27,15 @@
   }
 
   /** Adds the types that the cloud lists now, and replaces the details of those already known. */
-  public void update(List<MachineType> listed) {
-    for (MachineType type : listed) {
+  public void update(List<MachineType> listedTypes) {
+    for (MachineType type : listedTypes) {
       type.zones().forEach(this::zone);
-      Integer known = typeIndex.get(type.name());
-      if (known == null) {
+      Integer existingIndex = typeIndex.get(type.name());
+      if (existingIndex == null) {
         typeIndex.put(type.name(), types.size());
         types.add(type);
       } else {
-        types.set(known, type);
+        types.set(existingIndex, type);
       }
     }
   }
--- a/src/main/java/org/ploverspindle/model/JobSpec.java
+++ b/src/main/java/org/ploverspindle/model/JobSpec.java
@@ -61,7 +61,7 @@
   }
 
   /** The same job, restricted to these machine types. */
-  public JobSpec withTypes(List<String> allowed) {
+  public JobSpec withTypes(List<String> allowedTypes) {
     return new JobSpec(
         uid,
         jobClass,
@@ -72,7 +72,7 @@
         cores,
         accelerators,
         memoryGb,
-        Optional.of(allowed),
+        Optional.of(allowedTypes),
         zone,
         oneZone,
         spreadOverZones,
--- a/src/main/java/org/ploverspindle/model/Resources.java
+++ b/src/main/java/org/ploverspindle/model/Resources.java
@@ -13,19 +13,19 @@
 
   /** What a task occupies: rounded up, so that it is never assumed to be smaller than it is. */
   public static Resources needed(double cores, double accelerators, double memoryGb) {
-    return new Resources(up(cores), up(accelerators), up(memoryGb));
+    return new Resources(roundUp(cores), roundUp(accelerators), roundUp(memoryGb));
   }
 
   /** What a machine offers: rounded down, so that it is never assumed to be larger than it is. */
   public static Resources offered(double cores, double accelerators, double memoryGb) {
-    return new Resources(down(cores), down(accelerators), down(memoryGb));
+    return new Resources(roundDown(cores), roundDown(accelerators), roundDown(memoryGb));
   }
 
-  private static long up(double amount) {
+  private static long roundUp(double amount) {
     return (long) Math.ceil(amount * 1000 - ROUNDING_TOLERANCE);
   }
 
-  private static long down(double amount) {
+  private static long roundDown(double amount) {
     return (long) Math.floor(amount * 1000 + ROUNDING_TOLERANCE);
   }
 
--- a/src/main/java/org/ploverspindle/model/SafetyTiming.java
+++ b/src/main/java/org/ploverspindle/model/SafetyTiming.java
@@ -16,7 +16,7 @@
    * Bound on the ratio of two clocks' rates. Clocks may drift apart by 0.05 %; this allows for four
    * times as much.
    */
-  private static final double MAX_CLOCK_DRIFT = 1.002;
+  private static final double MAX_CLOCK_RATE_RATIO = 1.002;
 
   /** Seconds for late timers, and for a start or stop that is under way inside a machine. */
   private static final double CANCEL_MARGIN_S = 2.5;
@@ -30,7 +30,7 @@
   private static final long MAX_STATE_LEASE_MS = 5_000;
 
   /** Added to the lease per core; a fraction of a core pauses for correspondingly longer. */
-  private static final double STATE_LEASE_PER_CORE_MS = 250;
+  private static final double STATE_LEASE_ONE_CORE_ADDITION_MS = 250;
 
   /** A lease in the state service is assumed to expire this much early. */
   private static final long STATE_LEASE_MARGIN_MS = 50;
@@ -44,24 +44,26 @@
    *
    * @param cores processor cores that this controller has, possibly a fraction of one
    */
-  public static SafetyTiming of(Settings.WorkerLimits workers, double cores) {
-    double agentLeaseS = workers.leaseS() * MAX_CLOCK_DRIFT + AGENT_LEASE_MARGIN_S;
+  public static SafetyTiming of(Settings.WorkerLimits workerLimits, double cores) {
+    double agentLeaseS = workerLimits.leaseS() * MAX_CLOCK_RATE_RATIO + AGENT_LEASE_MARGIN_S;
     // A cancellation that is accepted right after the leader's last read of the state is unknown to
     // the leader, whose last answer renews a worker's lease once more. Grace and lease together
     // must
     // end before cancel_s is over.
     double graceS =
-        Math.max(0, (workers.cancelS() - CANCEL_MARGIN_S) / MAX_CLOCK_DRIFT - agentLeaseS);
+        Math.max(
+            0, (workerLimits.cancelS() - CANCEL_MARGIN_S) / MAX_CLOCK_RATE_RATIO - agentLeaseS);
     long stateLeaseMs =
         Math.min(
-            MAX_STATE_LEASE_MS, MIN_STATE_LEASE_MS + Math.round(STATE_LEASE_PER_CORE_MS / cores));
+            MAX_STATE_LEASE_MS,
+            MIN_STATE_LEASE_MS + Math.round(STATE_LEASE_ONE_CORE_ADDITION_MS / cores));
     return new SafetyTiming(
         stateLeaseMs, Math.round(graceS * 1000), Math.round(agentLeaseS * 1000));
   }
 
   /** How long a lease is certainly valid, counted from the send of its last answered renewal. */
   public long stateLeaseValidMs() {
-    return Math.round(stateLeaseMs / MAX_CLOCK_DRIFT) - STATE_LEASE_MARGIN_MS;
+    return Math.round(stateLeaseMs / MAX_CLOCK_RATE_RATIO) - STATE_LEASE_MARGIN_MS;
   }
 
   /**
@@ -69,6 +71,7 @@
    * keep workers' leases alive.
    */
   public long takeoverSilenceMs() {
-    return Math.round((heartbeatGraceMs + agentLeaseMs) * MAX_CLOCK_DRIFT) + TAKEOVER_MARGIN_MS;
+    return Math.round((heartbeatGraceMs + agentLeaseMs) * MAX_CLOCK_RATE_RATIO)
+        + TAKEOVER_MARGIN_MS;
   }
 }
--- a/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
+++ b/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
@@ -35,79 +35,80 @@
   public record EffectiveValues(OptionalLong latestFinishMs, Priority priority) {}
 
   /** The latest finish of a job that neither it nor a dependent sets. */
-  private static final double NEVER = Double.POSITIVE_INFINITY;
+  private static final double NO_LATEST_FINISH = Double.POSITIVE_INFINITY;
 
   private static final double MS_PER_S = 1_000;
 
-  private static final OwnValues UNKNOWN =
+  private static final OwnValues NO_OWN_VALUES =
       new OwnValues(OptionalLong.empty(), Priority.BEST_EFFORT, 0);
 
-  private final Function<String, Optional<OwnValues>> jobs;
-  private final Map<String, EffectiveValues> effective = new HashMap<>();
+  private final Function<String, Optional<OwnValues>> ownValuesOf;
+  private final Map<String, EffectiveValues> effectiveValues = new HashMap<>();
 
   /** How many unfinished dependents of each vertex have no values yet. */
-  private final int[] dependentsLeft;
+  private final int[] uncomputedDependents;
 
   private final double[] latestStartMs;
 
-  private CriticalPath(int vertices, Function<String, Optional<OwnValues>> jobs) {
-    this.jobs = jobs;
-    this.dependentsLeft = new int[vertices];
+  private CriticalPath(int vertices, Function<String, Optional<OwnValues>> ownValuesOf) {
+    this.ownValuesOf = ownValuesOf;
+    this.uncomputedDependents = new int[vertices];
     this.latestStartMs = new double[vertices];
   }
 
   /**
    * The effective values of every job of the graph that is neither done nor aborted.
    *
-   * @param jobs the job's own values; empty when its record can't be read: such a job passes on its
-   *     dependents' values unchanged
+   * @param ownValuesOf the job's own values; empty when its record can't be read: such a job passes
+   *     on its dependents' values unchanged
    */
   public static Map<String, EffectiveValues> of(
-      DependencyGraph graph, Function<String, Optional<OwnValues>> jobs) {
+      DependencyGraph graph, Function<String, Optional<OwnValues>> ownValuesOf) {
     List<Vertex> vertices = graph.vertices();
-    return new CriticalPath(vertices.size(), jobs).compute(vertices);
+    return new CriticalPath(vertices.size(), ownValuesOf).computeAll(vertices);
   }
 
-  private Map<String, EffectiveValues> compute(List<Vertex> vertices) {
+  private Map<String, EffectiveValues> computeAll(List<Vertex> vertices) {
     Deque<Vertex> ready = new ArrayDeque<>();
     for (Vertex vertex : vertices) {
       if (isUnfinished(vertex)) {
         for (Vertex dependent : vertex.dependents) {
-          dependentsLeft[vertex.index] += isUnfinished(dependent) ? 1 : 0;
+          uncomputedDependents[vertex.index] += isUnfinished(dependent) ? 1 : 0;
         }
-        if (dependentsLeft[vertex.index] == 0) {
+        if (uncomputedDependents[vertex.index] == 0) {
           ready.add(vertex);
         }
       }
     }
     while (!ready.isEmpty()) {
       Vertex vertex = ready.poll();
-      visit(vertex);
+      computeVertex(vertex);
       for (Vertex dependency : vertex.dependencies) {
-        if (isUnfinished(dependency) && --dependentsLeft[dependency.index] == 0) {
+        if (isUnfinished(dependency) && --uncomputedDependents[dependency.index] == 0) {
           ready.add(dependency);
         }
       }
     }
-    return effective;
+    return effectiveValues;
   }
 
   /** Computes a job's values from its own and those of its dependents, which are known. */
-  private void visit(Vertex vertex) {
-    OwnValues own = jobs.apply(vertex.uid).orElse(UNKNOWN);
-    double latestMs = own.latestFinishMs().isPresent() ? own.latestFinishMs().getAsLong() : NEVER;
+  private void computeVertex(Vertex vertex) {
+    OwnValues own = ownValuesOf.apply(vertex.uid).orElse(NO_OWN_VALUES);
+    double latestMs =
+        own.latestFinishMs().isPresent() ? own.latestFinishMs().getAsLong() : NO_LATEST_FINISH;
     Priority priority = own.priority();
     for (Vertex dependent : vertex.dependents) {
       if (isUnfinished(dependent)) {
         latestMs = Math.min(latestMs, latestStartMs[dependent.index]);
-        Priority theirs = effective.get(dependent.uid).priority();
-        priority = theirs.compareTo(priority) < 0 ? theirs : priority;
+        Priority dependentPriority = effectiveValues.get(dependent.uid).priority();
+        priority = dependentPriority.compareTo(priority) < 0 ? dependentPriority : priority;
       }
     }
     latestStartMs[vertex.index] = latestMs - MS_PER_S * own.runS();
     OptionalLong latestFinishMs =
-        latestMs == NEVER ? OptionalLong.empty() : OptionalLong.of(Math.round(latestMs));
-    effective.put(vertex.uid, new EffectiveValues(latestFinishMs, priority));
+        latestMs == NO_LATEST_FINISH ? OptionalLong.empty() : OptionalLong.of(Math.round(latestMs));
+    effectiveValues.put(vertex.uid, new EffectiveValues(latestFinishMs, priority));
   }
 
   private static boolean isUnfinished(Vertex vertex) {
--- a/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
+++ b/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
@@ -67,11 +67,11 @@
 
   private final Predicate<String> isDone;
   private final Predicate<String> isCancelled;
-  private final Map<String, Vertex> byUid = new HashMap<>();
+  private final Map<String, Vertex> verticesByUid = new HashMap<>();
   private final List<Vertex> vertices = new ArrayList<>();
 
   /** Jobs with dependencies, in the order in which they were added. */
-  private final LinkedHashSet<String> withDependencies = new LinkedHashSet<>();
+  private final LinkedHashSet<String> uidsWithDependencies = new LinkedHashSet<>();
 
   private final List<Listener> listeners = new ArrayList<>();
 
@@ -82,7 +82,7 @@
   private List<Vertex> newlyAborted = new ArrayList<>();
 
   private List<Vertex> newlyReady = new ArrayList<>();
-  private long visits;
+  private long edgeVisits;
 
   /**
    * A graph without jobs.
@@ -102,72 +102,72 @@
   }
 
   /** Adds a job whose dependencies are not known yet: it is not ready until they are put. */
-  public void expect(String uid) {
-    Vertex vertex = vertex(uid);
+  public void addWithUnknownDependencies(String uid) {
+    Vertex vertex = getOrAddVertex(uid);
     if (!vertex.hasDependencies) {
       vertex.hasDependencies = true;
-      withDependencies.add(uid);
+      uidsWithDependencies.add(uid);
     }
-    finish();
+    propagateAndNotify();
   }
 
   /** Adds a job with its dependencies. A later list replaces an earlier one. */
   public void put(String uid, List<String> dependencies) {
     Collection<String> distinct = new LinkedHashSet<>(dependencies);
-    Vertex vertex = vertex(uid);
+    Vertex vertex = getOrAddVertex(uid);
     if (!vertex.dependenciesKnown) {
-      connect(vertex, distinct);
+      addDependencies(vertex, distinct);
     } else if (!distinct.equals(new LinkedHashSet<>(uidsOf(vertex.dependencies)))) {
-      replace(vertex, distinct);
+      replaceDependencies(vertex, distinct);
     }
-    finish();
+    propagateAndNotify();
   }
 
   /** Marks a job that is durably done. */
   public void done(String uid) {
-    Vertex vertex = byUid.get(uid);
+    Vertex vertex = verticesByUid.get(uid);
     if (vertex != null) {
       markDone(vertex);
-      finish();
+      propagateAndNotify();
     }
   }
 
   /** Marks a job that was itself cancelled. */
   public void cancelled(String uid) {
-    Vertex vertex = byUid.get(uid);
+    Vertex vertex = verticesByUid.get(uid);
     if (vertex != null) {
       vertex.cancelled = true;
       markAborted(vertex);
-      finish();
+      propagateAndNotify();
     }
   }
 
   /** True when all dependencies are done, also of a job without any. */
   public boolean isReady(String uid) {
-    Vertex vertex = byUid.get(uid);
+    Vertex vertex = verticesByUid.get(uid);
     return vertex == null || vertex.isReady();
   }
 
   /** True when the job, or any job that it depends on directly or through others, is cancelled. */
   public boolean isAborted(String uid) {
-    Vertex vertex = byUid.get(uid);
+    Vertex vertex = verticesByUid.get(uid);
     return vertex == null ? isCancelled.test(uid) : vertex.aborted;
   }
 
   /** False while the job's dependencies are not known. */
   public boolean areDependenciesKnown(String uid) {
-    Vertex vertex = byUid.get(uid);
+    Vertex vertex = verticesByUid.get(uid);
     return vertex == null || !vertex.hasDependencies || vertex.dependenciesKnown;
   }
 
   /** True when the job has dependencies. */
   public boolean hasDependencies(String uid) {
-    return withDependencies.contains(uid);
+    return uidsWithDependencies.contains(uid);
   }
 
   /** The direct dependencies that are not done yet, for display. */
   public List<String> unfinishedDependenciesOf(String uid) {
-    Vertex vertex = byUid.get(uid);
+    Vertex vertex = verticesByUid.get(uid);
     return vertex == null
         ? List.of()
         : vertex.dependencies.stream()
@@ -178,19 +178,19 @@
 
   /** The direct dependencies. */
   public List<String> dependenciesOf(String uid) {
-    Vertex vertex = byUid.get(uid);
+    Vertex vertex = verticesByUid.get(uid);
     return vertex == null ? List.of() : uidsOf(vertex.dependencies);
   }
 
   /** The direct dependents. */
   public List<String> dependentsOf(String uid) {
-    Vertex vertex = byUid.get(uid);
+    Vertex vertex = verticesByUid.get(uid);
     return vertex == null ? List.of() : uidsOf(vertex.dependents);
   }
 
   /** Jobs with dependencies, in the order in which they were added. */
-  public Collection<String> uids() {
-    return Collections.unmodifiableCollection(withDependencies);
+  public Collection<String> uidsWithDependencies() {
+    return Collections.unmodifiableCollection(uidsWithDependencies);
   }
 
   /** All jobs with dependencies or dependents; the position of each is its index. */
@@ -199,21 +199,21 @@
   }
 
   /** How many edges were visited so far, by which tests bound the work. */
-  long visits() {
-    return visits;
+  long edgeVisits() {
+    return edgeVisits;
   }
 
   private static List<String> uidsOf(List<Vertex> vertices) {
     return vertices.stream().map(vertex -> vertex.uid).toList();
   }
 
-  private Vertex vertex(String uid) {
-    Vertex known = byUid.get(uid);
-    if (known != null) {
-      return known;
+  private Vertex getOrAddVertex(String uid) {
+    Vertex existing = verticesByUid.get(uid);
+    if (existing != null) {
+      return existing;
     }
     Vertex vertex = new Vertex(uid, vertices.size());
-    byUid.put(uid, vertex);
+    verticesByUid.put(uid, vertex);
     vertices.add(vertex);
     vertex.done = isDone.test(uid);
     vertex.cancelled = isCancelled.test(uid);
@@ -221,13 +221,13 @@
     return vertex;
   }
 
-  private void connect(Vertex vertex, Collection<String> dependencies) {
+  private void addDependencies(Vertex vertex, Collection<String> dependencies) {
     vertex.hasDependencies = true;
     vertex.dependenciesKnown = true;
-    withDependencies.add(vertex.uid);
+    uidsWithDependencies.add(vertex.uid);
     for (String uid : dependencies) {
-      Vertex dependency = vertex(uid);
-      visits++;
+      Vertex dependency = getOrAddVertex(uid);
+      edgeVisits++;
       vertex.dependencies.add(dependency);
       dependency.dependents.add(vertex);
       vertex.unfinishedDependencies += dependency.done ? 0 : 1;
@@ -248,11 +248,12 @@
    * Replaces a job's dependencies, by building all edges anew. Needed when two controllers accepted
    * one id with different lists, and the valid record, the one written first, was read second.
    */
-  private void replace(Vertex changed, Collection<String> dependencies) {
+  private void replaceDependencies(Vertex changedVertex, Collection<String> dependencies) {
     Map<Vertex, Collection<String>> dependenciesOf = new LinkedHashMap<>();
     for (Vertex vertex : vertices) {
       if (vertex.dependenciesKnown) {
-        dependenciesOf.put(vertex, vertex == changed ? dependencies : uidsOf(vertex.dependencies));
+        dependenciesOf.put(
+            vertex, vertex == changedVertex ? dependencies : uidsOf(vertex.dependencies));
       }
     }
     for (Vertex vertex : vertices) {
@@ -261,7 +262,7 @@
       vertex.unfinishedDependencies = 0;
       vertex.aborted = vertex.cancelled;
     }
-    dependenciesOf.forEach(this::connect);
+    dependenciesOf.forEach(this::addDependencies);
   }
 
   private void markDone(Vertex vertex) {
@@ -270,7 +271,7 @@
     }
     vertex.done = true;
     for (Vertex dependent : vertex.dependents) {
-      visits++;
+      edgeVisits++;
       dependent.unfinishedDependencies--;
       if (dependent.unfinishedDependencies == 0) {
         newlyReady.add(dependent);
@@ -286,7 +287,7 @@
   }
 
   /** Propagates all marks and only then notifies, so that listeners see a consistent graph. */
-  private void finish() {
+  private void propagateAndNotify() {
     propagateAborts();
     List<Vertex> aborted = newlyAborted;
     List<Vertex> ready = newlyReady;
@@ -301,7 +302,7 @@
       Vertex vertex = abortsToPropagate.poll();
       newlyAborted.add(vertex);
       for (Vertex dependent : vertex.dependents) {
-        visits++;
+        edgeVisits++;
         markAborted(dependent);
       }
     }
--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -23,7 +23,8 @@
   private final Map<String, Long> readyWallMs = new HashMap<>();
 
   /** Jobs whose dependencies are stored separately and not completely read yet, by record name. */
-  private final Map<String, AcceptedJobIndex.AcceptedJob> incomplete = new HashMap<>();
+  private final Map<String, AcceptedJobIndex.AcceptedJob> incompleteJobsByRecordName =
+      new HashMap<>();
 
   public Pipelines(Scheduler scheduler, Replica replica, AcceptedJobIndex acceptedJobs) {
     this.replica = replica;
@@ -45,16 +46,18 @@
         new AcceptedJobIndex.Listener() {
           @Override
           public void accepted(AcceptedJobIndex.AcceptedJob job) {
-            put(job);
+            updateDependencies(job);
           }
 
           @Override
           public void corrected(AcceptedJobIndex.AcceptedJob job) {
-            incomplete.values().removeIf(incompleteJob -> incompleteJob.uid().equals(job.uid()));
-            put(job);
+            incompleteJobsByRecordName
+                .values()
+                .removeIf(incompleteJob -> incompleteJob.uid().equals(job.uid()));
+            updateDependencies(job);
           }
         });
-    replica.addListener(this::changed);
+    replica.addListener(this::recordChanged);
   }
 
   /** The graph, which changes with the replica. */
@@ -82,10 +85,10 @@
 
   /** How many jobs are blocked on dependencies. */
   public long blockedJobs() {
-    return graph.uids().stream().filter(this::isBlocked).count();
+    return graph.uidsWithDependencies().stream().filter(this::isBlocked).count();
   }
 
-  private void put(AcceptedJobIndex.AcceptedJob job) {
+  private void updateDependencies(AcceptedJobIndex.AcceptedJob job) {
     JobRecord.StoredDependencies stored = JobRecord.storedDependencies(job.value());
     if (stored instanceof JobRecord.StoredDependencies.Inline inline) {
       if (!inline.uids().isEmpty() || graph.hasDependencies(job.uid())) {
@@ -94,16 +97,16 @@
     } else if (stored instanceof JobRecord.StoredDependencies.Separate separate) {
       Optional<List<String>> uids = DependenciesRecord.read(replica, separate);
       if (uids.isPresent()) {
-        incomplete.remove(separate.name());
+        incompleteJobsByRecordName.remove(separate.name());
         graph.put(job.uid(), uids.get());
       } else {
-        incomplete.put(separate.name(), job);
-        graph.expect(job.uid());
+        incompleteJobsByRecordName.put(separate.name(), job);
+        graph.addWithUnknownDependencies(job.uid());
       }
     }
   }
 
-  private void changed(String key, Optional<Entry> entry) {
+  private void recordChanged(String key, Optional<Entry> entry) {
     if (entry.isEmpty()) {
       return;
     }
@@ -111,11 +114,12 @@
       graph.done(key.substring(Keys.COMPLETIONS.length()));
     } else if (key.startsWith(Keys.CANCELLATIONS)) {
       graph.cancelled(key.substring(Keys.CANCELLATIONS.length()));
-    } else if (key.startsWith(Keys.DEPENDENCIES) && !incomplete.isEmpty()) {
+    } else if (key.startsWith(Keys.DEPENDENCIES) && !incompleteJobsByRecordName.isEmpty()) {
       AcceptedJobIndex.AcceptedJob job =
-          incomplete.get(key.substring(Keys.DEPENDENCIES.length(), key.lastIndexOf('/')));
+          incompleteJobsByRecordName.get(
+              key.substring(Keys.DEPENDENCIES.length(), key.lastIndexOf('/')));
       if (job != null) {
-        put(job);
+        updateDependencies(job);
       }
     }
   }
--- a/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
+++ b/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
@@ -26,18 +26,18 @@
     final Set<String> done = new HashSet<>();
     final Set<String> cancelled = new HashSet<>();
 
-    boolean ready(String uid) {
+    boolean isReady(String uid) {
       return done.containsAll(dependencies.getOrDefault(uid, List.of()));
     }
 
-    Set<String> aborted() {
+    Set<String> abortedUids() {
       Set<String> aborted = new HashSet<>(cancelled);
-      boolean more = true;
-      while (more) {
-        more = false;
+      boolean changed = true;
+      while (changed) {
+        changed = false;
         for (Map.Entry<String, List<String>> entry : dependencies.entrySet()) {
           if (!Collections.disjoint(entry.getValue(), aborted)) {
-            more |= aborted.add(entry.getKey());
+            changed |= aborted.add(entry.getKey());
           }
         }
       }
@@ -45,24 +45,28 @@
     }
 
     /** The latest finish by trying every way forward from the job. */
-    long latest(String uid, Map<String, CriticalPath.OwnValues> own, Set<String> aborted) {
-      long latest = own.get(uid).latestFinishMs().orElse(Long.MAX_VALUE);
+    long latestFinishMs(
+        String uid, Map<String, CriticalPath.OwnValues> ownValues, Set<String> aborted) {
+      long latestMs = ownValues.get(uid).latestFinishMs().orElse(Long.MAX_VALUE);
       for (String dependent : unfinishedDependents(uid, aborted)) {
-        long theirs = latest(dependent, own, aborted);
-        if (theirs != Long.MAX_VALUE) {
-          latest = Math.min(latest, theirs - Math.round(1000 * own.get(dependent).runS()));
+        long dependentLatestMs = latestFinishMs(dependent, ownValues, aborted);
+        if (dependentLatestMs != Long.MAX_VALUE) {
+          latestMs =
+              Math.min(
+                  latestMs, dependentLatestMs - Math.round(1000 * ownValues.get(dependent).runS()));
         }
       }
-      return latest;
+      return latestMs;
     }
 
-    Priority urgency(String uid, Map<String, CriticalPath.OwnValues> own, Set<String> aborted) {
-      Priority most = own.get(uid).priority();
+    Priority highestPriority(
+        String uid, Map<String, CriticalPath.OwnValues> ownValues, Set<String> aborted) {
+      Priority highest = ownValues.get(uid).priority();
       for (String dependent : unfinishedDependents(uid, aborted)) {
-        Priority theirs = urgency(dependent, own, aborted);
-        most = theirs.ordinal() < most.ordinal() ? theirs : most;
+        Priority dependentPriority = highestPriority(dependent, ownValues, aborted);
+        highest = dependentPriority.ordinal() < highest.ordinal() ? dependentPriority : highest;
       }
-      return most;
+      return highest;
     }
 
     private List<String> unfinishedDependents(String uid, Set<String> aborted) {
@@ -102,42 +106,42 @@
   }
 
   /** A random pipeline, as events that may arrive in any order. */
-  private static List<Runnable> events(
+  private static List<Runnable> randomEvents(
       Random random, int jobs, ReferenceModel model, DependencyGraph graph) {
     List<Runnable> events = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
       String uid = uid(i);
-      List<String> list = new ArrayList<>();
-      for (int k = random.nextInt(4); k > 0 && i > 0; k--) {
-        list.add(uid(random.nextInt(i)));
+      List<String> dependencies = new ArrayList<>();
+      for (int count = random.nextInt(4); count > 0 && i > 0; count--) {
+        dependencies.add(uid(random.nextInt(i)));
       }
-      if (!list.isEmpty()) {
-        boolean late = random.nextInt(8) == 0;
-        events.add(() -> accepted(uid, list, late, model, graph));
+      if (!dependencies.isEmpty()) {
+        boolean readLater = random.nextInt(8) == 0;
+        events.add(() -> acceptJob(uid, dependencies, readLater, model, graph));
       }
-      int fate = random.nextInt(5);
-      if (fate < 2) {
-        events.add(() -> done(uid, model, graph));
-      } else if (fate == 2 && random.nextBoolean()) {
-        events.add(() -> cancelled(uid, model, graph));
+      int outcome = random.nextInt(5);
+      if (outcome < 2) {
+        events.add(() -> finishJob(uid, model, graph));
+      } else if (outcome == 2 && random.nextBoolean()) {
+        events.add(() -> cancelJob(uid, model, graph));
       }
-      if (!list.isEmpty() && random.nextInt(10) == 0) {
+      if (!dependencies.isEmpty() && random.nextInt(10) == 0) {
         // The valid record may come after another one.
-        List<String> other = i > 1 ? List.of(uid(i - 1)) : list;
-        events.add(() -> accepted(uid, other, false, model, graph));
+        List<String> otherDependencies = i > 1 ? List.of(uid(i - 1)) : dependencies;
+        events.add(() -> acceptJob(uid, otherDependencies, false, model, graph));
       }
     }
     return events;
   }
 
-  private static void accepted(
+  private static void acceptJob(
       String uid,
       List<String> dependencies,
-      boolean readLate,
+      boolean readLater,
       ReferenceModel model,
       DependencyGraph graph) {
-    if (readLate && !model.dependencies.containsKey(uid)) {
-      graph.expect(uid);
+    if (readLater && !model.dependencies.containsKey(uid)) {
+      graph.addWithUnknownDependencies(uid);
       assertTrue(graph.hasDependencies(uid));
       assertFalse(graph.isReady(uid), "its dependencies are not known yet");
     }
@@ -145,96 +149,98 @@
     graph.put(uid, dependencies);
   }
 
-  private static void done(String uid, ReferenceModel model, DependencyGraph graph) {
+  private static void finishJob(String uid, ReferenceModel model, DependencyGraph graph) {
     model.done.add(uid);
     graph.done(uid);
   }
 
-  private static void cancelled(String uid, ReferenceModel model, DependencyGraph graph) {
+  private static void cancelJob(String uid, ReferenceModel model, DependencyGraph graph) {
     model.cancelled.add(uid);
     graph.cancelled(uid);
   }
 
   @Test
-  void agreesWithTheReferenceModelInAnyOrderOfArrival() {
+  void eventsInAnyOrderGiveTheStateOfTheReferenceModel() {
     for (int seed = 0; seed < 600; seed++) {
       Random random = new Random(seed);
       int jobs = 2 + random.nextInt(14);
       ReferenceModel model = new ReferenceModel();
       DependencyGraph graph = new DependencyGraph(model.done::contains, model.cancelled::contains);
       RecordingListener notified = new RecordingListener(graph);
-      List<Runnable> events = events(random, jobs, model, graph);
+      List<Runnable> events = randomEvents(random, jobs, model, graph);
       Collections.shuffle(events, random);
-      List<Runnable> again = new ArrayList<>(events.subList(0, events.size() / 3));
+      List<Runnable> repeatedEvents = new ArrayList<>(events.subList(0, events.size() / 3));
       for (Runnable event : events) {
         event.run();
-        compare(seed, jobs, model, graph);
+        assertMatchesReferenceModel(seed, jobs, model, graph);
       }
-      again.stream().filter(event -> random.nextBoolean()).forEach(Runnable::run);
-      compare(seed, jobs, model, graph);
-      compareNotifications(seed, model, notified);
+      repeatedEvents.stream().filter(event -> random.nextBoolean()).forEach(Runnable::run);
+      assertMatchesReferenceModel(seed, jobs, model, graph);
+      assertNotificationsMatchReferenceModel(seed, model, notified);
     }
   }
 
-  private static void compareNotifications(
+  private static void assertNotificationsMatchReferenceModel(
       int seed, ReferenceModel model, RecordingListener notified) {
     assertEquals(notified.ready.size(), Set.copyOf(notified.ready).size(), "notified once");
     assertEquals(notified.aborted.size(), Set.copyOf(notified.aborted).size(), "notified once");
     assertTrue(
         notified.aborted.containsAll(
-            model.aborted().stream().filter(model.dependencies::containsKey).toList()),
+            model.abortedUids().stream().filter(model.dependencies::containsKey).toList()),
         "seed " + seed);
     for (String uid : model.dependencies.keySet()) {
-      boolean expected = model.ready(uid) && !model.aborted().contains(uid);
+      boolean expected = model.isReady(uid) && !model.abortedUids().contains(uid);
       assertTrue(!expected || notified.ready.contains(uid), "seed " + seed + " " + uid);
     }
   }
 
-  private static void compare(int seed, int jobs, ReferenceModel model, DependencyGraph graph) {
-    Set<String> aborted = model.aborted();
+  private static void assertMatchesReferenceModel(
+      int seed, int jobs, ReferenceModel model, DependencyGraph graph) {
+    Set<String> aborted = model.abortedUids();
     for (int i = 0; i < jobs; i++) {
       String uid = uid(i);
-      String where = "seed " + seed + " " + uid;
-      assertEquals(model.ready(uid), graph.isReady(uid), where);
-      assertEquals(aborted.contains(uid), graph.isAborted(uid), where);
-      assertEquals(model.dependencies.containsKey(uid), graph.hasDependencies(uid), where);
+      String context = "seed " + seed + " " + uid;
+      assertEquals(model.isReady(uid), graph.isReady(uid), context);
+      assertEquals(aborted.contains(uid), graph.isAborted(uid), context);
+      assertEquals(model.dependencies.containsKey(uid), graph.hasDependencies(uid), context);
       assertEquals(
           model.dependencies.getOrDefault(uid, List.of()).stream()
               .distinct()
               .filter(dependency -> !model.done.contains(dependency))
               .toList(),
           graph.unfinishedDependenciesOf(uid),
-          where);
+          context);
     }
-    compareCriticalPath(seed, jobs, model, graph);
+    assertCriticalPathMatchesReferenceModel(seed, jobs, model, graph);
   }
 
-  private static void compareCriticalPath(
+  private static void assertCriticalPathMatchesReferenceModel(
       int seed, int jobs, ReferenceModel model, DependencyGraph graph) {
-    Set<String> aborted = model.aborted();
-    Map<String, CriticalPath.OwnValues> own = ownValues(new Random(seed), jobs);
-    Map<String, CriticalPath.EffectiveValues> effective =
-        CriticalPath.of(graph, uid -> Optional.of(own.get(uid)));
+    Set<String> aborted = model.abortedUids();
+    Map<String, CriticalPath.OwnValues> ownValues = randomOwnValues(new Random(seed), jobs);
+    Map<String, CriticalPath.EffectiveValues> effectiveValues =
+        CriticalPath.of(graph, uid -> Optional.of(ownValues.get(uid)));
     for (int i = 0; i < jobs; i++) {
       String uid = uid(i);
       boolean inGraph = graph.hasDependencies(uid) || !graph.dependentsOf(uid).isEmpty();
       if (model.done.contains(uid) || aborted.contains(uid)) {
-        assertFalse(effective.containsKey(uid));
+        assertFalse(effectiveValues.containsKey(uid));
       } else if (inGraph) {
-        long latest = model.latest(uid, own, aborted);
+        long latestMs = model.latestFinishMs(uid, ownValues, aborted);
         assertEquals(
-            latest == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(latest),
-            effective.get(uid).latestFinishMs(),
+            latestMs == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(latestMs),
+            effectiveValues.get(uid).latestFinishMs(),
             "seed " + seed + " " + uid);
-        assertEquals(model.urgency(uid, own, aborted), effective.get(uid).priority());
+        assertEquals(
+            model.highestPriority(uid, ownValues, aborted), effectiveValues.get(uid).priority());
       }
     }
   }
 
-  private static Map<String, CriticalPath.OwnValues> ownValues(Random random, int jobs) {
-    Map<String, CriticalPath.OwnValues> own = new HashMap<>();
+  private static Map<String, CriticalPath.OwnValues> randomOwnValues(Random random, int jobs) {
+    Map<String, CriticalPath.OwnValues> ownValues = new HashMap<>();
     for (int i = 0; i < jobs; i++) {
-      own.put(
+      ownValues.put(
           uid(i),
           new CriticalPath.OwnValues(
               random.nextInt(3) == 0
@@ -243,74 +249,77 @@
               Priority.values()[random.nextInt(4)],
               random.nextInt(200)));
     }
-    return own;
+    return ownValues;
   }
 
-  private static DependencyGraph empty() {
+  private static DependencyGraph emptyGraph() {
     return new DependencyGraph(uid -> false, uid -> false);
   }
 
-  private static final Function<String, Optional<CriticalPath.OwnValues>> BARE =
+  private static final Function<String, Optional<CriticalPath.OwnValues>> WITHOUT_DEADLINE =
       uid ->
           Optional.of(new CriticalPath.OwnValues(OptionalLong.empty(), Priority.BEST_EFFORT, 10));
 
   @Test
-  void aDeepPipelineIsVisitedOnceAndWithoutRecursion() {
+  void deepPipelineVisitsEachEdgeAtMostTwiceWithoutRecursion() {
     int depth = 20_000;
-    DependencyGraph graph = empty();
+    DependencyGraph graph = emptyGraph();
     RecordingListener notified = new RecordingListener(graph);
     // The last first: each is named before it is put.
     for (int i = depth; i > 0; i--) {
       graph.put(uid(i), List.of(uid(i - 1)));
     }
-    Function<String, Optional<CriticalPath.OwnValues>> last =
+    Function<String, Optional<CriticalPath.OwnValues>> ownValuesOf =
         uid ->
             uid.equals(uid(depth))
                 ? Optional.of(
                     new CriticalPath.OwnValues(OptionalLong.of(1_000_000_000L), Priority.HIGH, 10))
-                : BARE.apply(uid);
-    CriticalPath.EffectiveValues first = CriticalPath.of(graph, last).get(uid(0));
+                : WITHOUT_DEADLINE.apply(uid);
+    CriticalPath.EffectiveValues first = CriticalPath.of(graph, ownValuesOf).get(uid(0));
     assertEquals(OptionalLong.of(1_000_000_000L - 10_000L * depth), first.latestFinishMs());
     assertEquals(Priority.HIGH, first.priority());
     graph.cancelled(uid(depth));
-    assertEquals(OptionalLong.empty(), CriticalPath.of(graph, last).get(uid(0)).latestFinishMs());
+    assertEquals(
+        OptionalLong.empty(), CriticalPath.of(graph, ownValuesOf).get(uid(0)).latestFinishMs());
     graph.cancelled(uid(0));
     assertEquals(depth, notified.aborted.size());
-    assertTrue(graph.visits() <= 2L * depth, "edges were visited " + graph.visits() + " times");
+    assertTrue(
+        graph.edgeVisits() <= 2L * depth, "edges were visited " + graph.edgeVisits() + " times");
     graph.cancelled(uid(0));
     graph.cancelled(uid(1));
-    assertTrue(graph.visits() <= 2L * depth, "a repeat visits nothing again");
+    assertTrue(graph.edgeVisits() <= 2L * depth, "a repeat visits nothing again");
   }
 
   @Test
-  void widePipelinesWithDiamondsAreVisitedOnce() {
+  void widePipelineWithDiamondsVisitsEachEdgeAtMostTwice() {
     int width = 1_000;
-    DependencyGraph graph = empty();
+    DependencyGraph graph = emptyGraph();
     RecordingListener notified = new RecordingListener(graph);
-    List<String> middle = new ArrayList<>();
+    List<String> middleUids = new ArrayList<>();
     for (int i = 1; i <= width; i++) {
-      middle.add(uid(i));
+      middleUids.add(uid(i));
       graph.put(uid(i), List.of(uid(0)));
     }
     for (int i = 1; i <= 50; i++) {
-      graph.put(uid(width + i), middle);
+      graph.put(uid(width + i), middleUids);
     }
     long edges = width + 50L * width;
     graph.done(uid(0));
-    assertEquals(middle, notified.ready);
-    middle.subList(1, width).forEach(graph::done);
-    assertEquals(List.of(middle.get(0)), graph.unfinishedDependenciesOf(uid(width + 50)));
-    graph.cancelled(middle.get(0));
+    assertEquals(middleUids, notified.ready);
+    middleUids.subList(1, width).forEach(graph::done);
+    assertEquals(List.of(middleUids.get(0)), graph.unfinishedDependenciesOf(uid(width + 50)));
+    graph.cancelled(middleUids.get(0));
     assertEquals(51, notified.aborted.size());
     assertEquals(width, notified.ready.size());
-    assertTrue(graph.visits() <= 2 * edges, "edges were visited " + graph.visits() + " times");
+    assertTrue(
+        graph.edgeVisits() <= 2 * edges, "edges were visited " + graph.edgeVisits() + " times");
   }
 
   @Test
-  void aCancelledListenerIsNotNotifiedAndAListenerSeesAConsistentGraph() {
-    DependencyGraph graph = empty();
-    List<String> seen = new ArrayList<>();
-    var listening =
+  void listenerSeesAConsistentGraphAndNoEventAfterItsRemoval() {
+    DependencyGraph graph = emptyGraph();
+    List<String> observations = new ArrayList<>();
+    var registration =
         graph.addListener(
             new DependencyGraph.Listener() {
               @Override
@@ -318,7 +327,7 @@
 
               @Override
               public void aborted(String uid) {
-                seen.add(uid + (graph.isAborted(uid(3)) ? " consistent" : " inconsistent"));
+                observations.add(uid + (graph.isAborted(uid(3)) ? " consistent" : " inconsistent"));
               }
             });
     graph.put(uid(1), List.of(uid(0)));
@@ -326,10 +335,11 @@
     graph.put(uid(3), List.of(uid(2)));
     graph.cancelled(uid(0));
     assertEquals(
-        List.of(uid(1) + " consistent", uid(2) + " consistent", uid(3) + " consistent"), seen);
-    listening.cancel();
+        List.of(uid(1) + " consistent", uid(2) + " consistent", uid(3) + " consistent"),
+        observations);
+    registration.cancel();
     graph.put(uid(4), List.of(uid(3)));
-    assertEquals(3, seen.size());
+    assertEquals(3, observations.size());
     assertTrue(graph.isAborted(uid(4)));
   }
 }
