--- a/src/main/java/org/ploverspindle/model/Catalogue.java
+++ b/src/main/java/org/ploverspindle/model/Catalogue.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 
 /**
- * Machine types and zones under dense indices. An index, once assigned, keeps its name for the life
- * of the process. Types that the cloud no longer lists stay in the catalogue, since machines of
- * them may still be running.
+ * Assigns consecutive indices, starting at 0, to machine types and to zones. An index refers to the
+ * same name for the life of the process. Machine types that the cloud no longer lists stay in the
+ * catalogue, because machines of these types may still be running.
  */
 public final class Catalogue {
   private final List<MachineType> types = new ArrayList<>();
@@ -20,13 +20,19 @@
   private final Map<String, Integer> zoneIndex = new HashMap<>();
 
   /**
-   * @param zonesInOrder the configured zones; they get the first indices, in this order
+   * Creates a catalogue without machine types.
+   *
+   * @param zonesInOrder the names of the configured zones, which get the first indices in this
+   *     order
    */
   public Catalogue(List<String> zonesInOrder) {
     zonesInOrder.forEach(this::zone);
   }
 
-  /** Adds the types that the cloud lists now, and replaces the details of those already known. */
+  /**
+   * Adds the machine types that are not in the catalogue yet, and replaces the details of those
+   * that are. Zones of the types that are not in the catalogue yet are added too.
+   */
   public void update(List<MachineType> listedTypes) {
     for (MachineType type : listedTypes) {
       type.zones().forEach(this::zone);
@@ -40,12 +46,14 @@
     }
   }
 
-  /** False until the first machine types are known; until then no placement can be decided. */
+  /**
+   * Whether at least one machine type is in the catalogue. Until then no placement can be decided.
+   */
   public boolean isKnown() {
     return !types.isEmpty();
   }
 
-  /** All types ever listed, by index; an unmodifiable view. */
+  /** All machine types ever added, ordered by index; an unmodifiable live view. */
   public List<MachineType> types() {
     return typesView;
   }
@@ -54,12 +62,12 @@
     return types.get(index);
   }
 
-  /** The index of a machine type; empty if the cloud never listed it. */
+  /** The index of the machine type with this name; empty if the type was never added. */
   public Optional<Integer> typeIndex(String name) {
     return Optional.ofNullable(typeIndex.get(name));
   }
 
-  /** The index of the zone; an unknown zone is added. */
+  /** The index of the zone with this name. A zone that is not in the catalogue yet is added. */
   public int zone(String name) {
     return zoneIndex.computeIfAbsent(
         name,
@@ -69,7 +77,7 @@
         });
   }
 
-  /** The index of the zone; empty if it is unknown. */
+  /** The index of the zone with this name; empty if the zone was never added. */
   public Optional<Integer> zoneIndex(String name) {
     return Optional.ofNullable(zoneIndex.get(name));
   }
--- a/src/main/java/org/ploverspindle/model/Priority.java
+++ b/src/main/java/org/ploverspindle/model/Priority.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.model;
 
-/** Priorities of jobs, the highest first: the order of the constants is the order of priority. */
+/** The priority of a job. The constants are declared in order of priority, the highest first. */
 public enum Priority {
   CRITICAL,
   HIGH,
--- a/src/main/java/org/ploverspindle/model/Resources.java
+++ b/src/main/java/org/ploverspindle/model/Resources.java
@@ -1,22 +1,35 @@
 package org.ploverspindle.model;
 
 /**
- * Amounts of cores, accelerators and memory in thousandths (memory: of a GB). Integers, so that
- * sums neither drift nor depend on the order of addition.
+ * Amounts of cores, accelerators and memory. The amounts are integers, so that sums have no
+ * rounding errors and do not depend on the order of addition.
+ *
+ * @param cores processor cores, in thousandths of a core
+ * @param accelerators accelerators, in thousandths of an accelerator
+ * @param memory memory, in thousandths of a GB
  */
 public record Resources(long cores, long accelerators, long memory) {
-  /** No resources at all. */
+  /** Zero of each resource. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
-  /** Absorbs the rounding error of a decimal amount that is a whole number of thousandths. */
+  /**
+   * Tolerance in thousandths. A decimal amount that is a whole number of thousandths may differ
+   * from it by a floating-point error, and must not be rounded to the next number because of it.
+   */
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
-  /** What a task occupies: rounded up, so that it is never assumed to be smaller than it is. */
+  /**
+   * The resources that a task needs, from amounts in cores, accelerators and GB. Amounts are
+   * rounded up, so that a task is never assumed to need less than it does.
+   */
   public static Resources needed(double cores, double accelerators, double memoryGb) {
     return new Resources(roundUp(cores), roundUp(accelerators), roundUp(memoryGb));
   }
 
-  /** What a machine offers: rounded down, so that it is never assumed to be larger than it is. */
+  /**
+   * The resources that a machine offers, from amounts in cores, accelerators and GB. Amounts are
+   * rounded down, so that a machine is never assumed to offer more than it does.
+   */
   public static Resources offered(double cores, double accelerators, double memoryGb) {
     return new Resources(roundDown(cores), roundDown(accelerators), roundDown(memoryGb));
   }
@@ -29,26 +42,26 @@
     return (long) Math.floor(amount * 1000 + ROUNDING_TOLERANCE);
   }
 
-  /** The sum. */
+  /** The sum of these and the other resources. */
   public Resources plus(Resources other) {
     return new Resources(
         cores + other.cores, accelerators + other.accelerators, memory + other.memory);
   }
 
-  /** The difference; its amounts may be negative. */
+  /** These resources less the other ones. The amounts of the result may be negative. */
   public Resources minus(Resources other) {
     return new Resources(
         cores - other.cores, accelerators - other.accelerators, memory - other.memory);
   }
 
-  /** Whether each of the amounts is at most the free one. */
+  /** Whether no amount exceeds the corresponding amount of {@code free}. */
   public boolean fitsIn(Resources free) {
     return cores <= free.cores && accelerators <= free.accelerators && memory <= free.memory;
   }
 
   /**
-   * How many tasks of this size fit into these resources; {@link Integer#MAX_VALUE} for a size of
-   * {@link #NONE}.
+   * How many tasks of this size fit into these resources together. The result is at least 0, and is
+   * {@link Integer#MAX_VALUE} if the size is {@link #NONE}.
    */
   public int capacityFor(Resources taskSize) {
     long count = Integer.MAX_VALUE;
--- a/src/main/java/org/ploverspindle/model/SafetyTiming.java
+++ b/src/main/java/org/ploverspindle/model/SafetyTiming.java
@@ -3,53 +3,66 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * The times that the safety argument rests on (docs/safety.md), all on this process's steady clock.
+ * The durations on which the safety argument in docs/safety.md rests. All components are in
+ * milliseconds, and are measured by this process's steady clock unless stated otherwise.
  *
- * @param stateLeaseMs time to live of a lease in the state service that is not renewed
- * @param heartbeatGraceMs how long after its last successful read of the state a leader may go on
- *     answering heartbeats, each of which renews a worker's lease
- * @param agentLeaseMs a worker that was not answered for this long has certainly lost its lease,
- *     and has ended its tasks
+ * @param stateLeaseMs time to live of a lease in the state service that is not renewed, as the
+ *     state service measures it
+ * @param heartbeatGraceMs how long a leader may respond to heartbeats after it last confirmed its
+ *     leadership and read the state; each response renews a worker lease
+ * @param agentLeaseMs the time without a response after which a worker's lease has certainly
+ *     expired and the worker has stopped its tasks
  */
 public record SafetyTiming(long stateLeaseMs, long heartbeatGraceMs, long agentLeaseMs) {
   /**
-   * Bound on the ratio of two clocks' rates. Clocks may drift apart by 0.05 %; this allows for four
-   * times as much.
+   * Upper bound of the ratio of the rates of two clocks. The rates may differ by 0.05 %; the bound
+   * allows for four times as much.
    */
   private static final double MAX_CLOCK_RATE_RATIO = 1.002;
 
-  /** Seconds for late timers, and for a start or stop that is under way inside a machine. */
+  /**
+   * Part of cancel_s, in seconds, that is reserved for timers that fire late and for the start or
+   * stop of a task that is already in progress on a machine.
+   */
   private static final double CANCEL_MARGIN_S = 2.5;
 
-  /** Seconds that a worker's lease is assumed to last beyond what it was granted. */
+  /** Time in seconds by which a worker lease is assumed to outlast its configured duration. */
   private static final double AGENT_LEASE_MARGIN_S = 0.3;
 
-  /** A controller that pauses for less than this keeps its lease, and so its leadership. */
+  /**
+   * Lower bound of the time to live of a lease in the state service. A leader loses its leadership
+   * if it pauses for longer than the rest of its lease, so this bounds the pauses that it survives.
+   */
   private static final long MIN_STATE_LEASE_MS = 2_500;
 
   private static final long MAX_STATE_LEASE_MS = 5_000;
 
-  /** Added to the lease per core; a fraction of a core pauses for correspondingly longer. */
+  /**
+   * Time added to {@link #MIN_STATE_LEASE_MS} for a controller with one core. The addition is
+   * inversely proportional to the number of cores, because a process that has only a fraction of a
+   * core pauses for correspondingly longer.
+   */
   private static final double STATE_LEASE_ONE_CORE_ADDITION_MS = 250;
 
-  /** A lease in the state service is assumed to expire this much early. */
+  /** A lease in the state service is assumed to expire earlier than granted by this time. */
   private static final long STATE_LEASE_MARGIN_MS = 50;
 
   private static final long TAKEOVER_MARGIN_MS = 300;
 
   /**
-   * The times for these limits of the workers. The lease in the state service is as short as the
-   * processor allows, since nothing starts until a dead leader's lease expires; but the pauses of a
-   * slow processor must not cost a healthy leader its lease.
+   * Computes the durations for these limits of the workers.
+   *
+   * <p>The lease in the state service is as short as the number of cores allows, because no task
+   * starts after the failure of a leader until its lease has expired. It must be long enough that a
+   * healthy leader does not lose it by the pauses of a slow processor.
    *
-   * @param cores processor cores that this controller has, possibly a fraction of one
+   * @param cores the number of processor cores of this controller, possibly less than one
    */
   public static SafetyTiming of(Settings.WorkerLimits workerLimits, double cores) {
     double agentLeaseS = workerLimits.leaseS() * MAX_CLOCK_RATE_RATIO + AGENT_LEASE_MARGIN_S;
-    // A cancellation that is accepted right after the leader's last read of the state is unknown to
-    // the leader, whose last answer renews a worker's lease once more. Grace and lease together
-    // must
-    // end before cancel_s is over.
+    // A leader does not know of a cancellation that is accepted right after it last read the state.
+    // Until the grace ends, its responses renew worker leases. Grace and worker lease together must
+    // therefore end within cancel_s after the cancellation.
     double graceS =
         Math.max(
             0, (workerLimits.cancelS() - CANCEL_MARGIN_S) / MAX_CLOCK_RATE_RATIO - agentLeaseS);
@@ -61,14 +74,17 @@
         stateLeaseMs, Math.round(graceS * 1000), Math.round(agentLeaseS * 1000));
   }
 
-  /** How long a lease is certainly valid, counted from the send of its last answered renewal. */
+  /**
+   * How long a lease in the state service is certainly valid, in milliseconds by this process's
+   * steady clock, counted from the sending of its last renewal that was answered.
+   */
   public long stateLeaseValidMs() {
     return Math.round(stateLeaseMs / MAX_CLOCK_RATE_RATIO) - STATE_LEASE_MARGIN_MS;
   }
 
   /**
-   * How long after the begin of its term a leader must assume that answers of an earlier leader
-   * keep workers' leases alive.
+   * How long after the start of its term a leader must assume that worker leases which an earlier
+   * leader renewed are still valid, in milliseconds.
    */
   public long takeoverSilenceMs() {
     return Math.round((heartbeatGraceMs + agentLeaseMs) * MAX_CLOCK_RATE_RATIO)
--- a/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
+++ b/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
@@ -12,42 +12,57 @@
 import org.ploverspindle.pipelines.DependencyGraph.Vertex;
 
 /**
- * The backward pass of the critical path method: users give only the last job of a pipeline its
- * deadline and priority, and from these follow the latest finish and the priority of each job
- * before it. Computed from the whole graph each time: a dependent that is accepted later is
- * included, and one that is aborted no longer is.
+ * The backward pass of the critical path method. Users typically give a deadline and a priority to
+ * the last job of a pipeline only. The backward pass derives from them the latest finish and the
+ * priority of each job that the last job depends on, directly or through other jobs.
+ *
+ * <p>Each call computes the values from the whole graph, so that they include dependents accepted
+ * since the previous call and leave out dependents that are done or aborted.
  */
 public final class CriticalPath {
   /**
-   * A job's own values.
+   * The values of a job without regard to its dependents.
    *
-   * @param latestFinishMs time of day in milliseconds
-   * @param runS estimate of its run time in seconds
+   * @param latestFinishMs wall-clock time in milliseconds by which the job must finish because of
+   *     its own deadline; empty if it has none
+   * @param priority the priority with which the job was submitted
+   * @param runS estimated run time of the job in seconds
    */
   public record OwnValues(OptionalLong latestFinishMs, Priority priority, double runS) {}
 
   /**
-   * A job's effective values: the earliest latest finish and the highest priority that follow from
-   * its own values and its dependents'.
+   * The values of a job that follow from its own values and from those of its unfinished direct and
+   * indirect dependents.
    *
-   * @param latestFinishMs time of day in milliseconds
+   * @param latestFinishMs wall-clock time in milliseconds by which the job must finish, so that
+   *     neither its own deadline nor that of a dependent is missed; empty if none of these jobs has
+   *     a deadline
+   * @param priority the highest priority of these jobs
    */
   public record EffectiveValues(OptionalLong latestFinishMs, Priority priority) {}
 
-  /** The latest finish of a job that neither it nor a dependent sets. */
+  /** The latest finish of a job if neither the job nor any of its dependents has a deadline. */
   private static final double NO_LATEST_FINISH = Double.POSITIVE_INFINITY;
 
   private static final double MS_PER_S = 1_000;
 
+  /** Stands for the own values of a job whose record can't be read. */
   private static final OwnValues NO_OWN_VALUES =
       new OwnValues(OptionalLong.empty(), Priority.BEST_EFFORT, 0);
 
   private final Function<String, Optional<OwnValues>> ownValuesOf;
   private final Map<String, EffectiveValues> effectiveValues = new HashMap<>();
 
-  /** How many unfinished dependents of each vertex have no values yet. */
+  /**
+   * For each vertex, by its index, the number of unfinished direct dependents whose effective
+   * values are not computed yet.
+   */
   private final int[] uncomputedDependents;
 
+  /**
+   * For each vertex, by its index, the wall-clock time in milliseconds by which the job must start;
+   * infinite if the job has no latest finish.
+   */
   private final double[] latestStartMs;
 
   private CriticalPath(int vertices, Function<String, Optional<OwnValues>> ownValuesOf) {
@@ -57,10 +72,10 @@
   }
 
   /**
-   * The effective values of every job of the graph that is neither done nor aborted.
+   * Returns the effective values of each job in the graph that is neither done nor aborted, by uid.
    *
-   * @param ownValuesOf the job's own values; empty when its record can't be read: such a job passes
-   *     on its dependents' values unchanged
+   * @param ownValuesOf returns the own values of the job with the given uid, or empty if the job's
+   *     record can't be read. Such a job passes its dependents' values on unchanged.
    */
   public static Map<String, EffectiveValues> of(
       DependencyGraph graph, Function<String, Optional<OwnValues>> ownValuesOf) {
@@ -92,7 +107,10 @@
     return effectiveValues;
   }
 
-  /** Computes a job's values from its own and those of its dependents, which are known. */
+  /**
+   * Computes the effective values of a job. The effective values of its unfinished dependents must
+   * have been computed before.
+   */
   private void computeVertex(Vertex vertex) {
     OwnValues own = ownValuesOf.apply(vertex.uid).orElse(NO_OWN_VALUES);
     double latestMs =
--- a/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
+++ b/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
@@ -15,39 +15,47 @@
 
 /**
  * The graph of jobs and their dependencies. A job is ready once all its dependencies are done, and
- * aborted once it is cancelled or any dependency is aborted. Both are derived from facts that never
- * become false again, so the result does not depend on the order in which the facts arrive and is
- * the same on every controller.
+ * aborted once it is cancelled or any of its dependencies is aborted. Completions and cancellations
+ * are never revoked, and at most one list of dependencies is valid for each job. The resulting
+ * state therefore does not depend on the order in which these facts arrive, and is the same on
+ * every controller.
  *
- * <p>Only jobs with dependencies, and the jobs that these name, are kept. Each job is marked at
- * most once as done and once as aborted. Abortion propagates by a work list instead of recursion,
- * so that all consequences of an event hold when the call returns, whatever the pipeline's depth,
- * and all calls together take time linear in the number of edges.
+ * <p>The graph contains only jobs with dependencies and the jobs that they depend on.
+ *
+ * <p>Abortion propagates by a work list instead of recursion, so that a pipeline of any depth is
+ * fully updated when a call returns. Each job is marked at most once as done and at most once as
+ * aborted, so all calls together take time linear in the number of edges. The exception is a call
+ * that replaces the dependencies of a job: it rebuilds all edges and marks.
  */
 public final class DependencyGraph {
   /**
-   * Notified about jobs with dependencies: about each at most once that it is ready, and at most
-   * once that it is aborted; never about an aborted one that it is ready.
+   * Is notified when jobs with dependencies become ready or aborted. For each job, each method is
+   * called at most once. {@link #ready} is never called for a job that is aborted at that time.
    */
   public interface Listener {
-    /** All dependencies of the job are done. */
+    /** Called when all dependencies of the job are done. */
     void ready(String uid);
 
-    /** The job or one of its dependencies is aborted. */
+    /** Called when the job or any of its direct or indirect dependencies is cancelled. */
     void aborted(String uid);
   }
 
-  /** A job with its edges. Its index is its place in arrays over all jobs. */
+  /** A job with its edges. */
   static final class Vertex {
     final String uid;
+
+    /** Position of this vertex in {@link #vertices()} and in arrays with an element per vertex. */
     final int index;
+
     final List<Vertex> dependencies = new ArrayList<>();
     final List<Vertex> dependents = new ArrayList<>();
     boolean done;
     boolean aborted;
+
+    /** True if the job was cancelled itself, as opposed to aborted by a dependency. */
     private boolean cancelled;
 
-    /** It has dependencies, though they may not be known yet. */
+    /** True if the job has dependencies, even if they are not known yet. */
     private boolean hasDependencies;
 
     private boolean dependenciesKnown;
@@ -70,38 +78,46 @@
   private final Map<String, Vertex> verticesByUid = new HashMap<>();
   private final List<Vertex> vertices = new ArrayList<>();
 
-  /** Jobs with dependencies, in the order in which they were added. */
+  /** The uids of all jobs with dependencies, in the order in which they were added. */
   private final LinkedHashSet<String> uidsWithDependencies = new LinkedHashSet<>();
 
   private final List<Listener> listeners = new ArrayList<>();
 
-  /** Jobs marked aborted whose dependents are not marked yet. */
+  /** Jobs that are marked as aborted and whose dependents are not marked yet. */
   private final Deque<Vertex> abortsToPropagate = new ArrayDeque<>();
 
-  /** Not notified about yet. */
+  /** Jobs that were found aborted since the listeners were last notified. */
   private List<Vertex> newlyAborted = new ArrayList<>();
 
+  /** Jobs whose dependencies were found done since the listeners were last notified. */
   private List<Vertex> newlyReady = new ArrayList<>();
+
   private long edgeVisits;
 
   /**
-   * A graph without jobs.
+   * Creates a graph without jobs.
    *
-   * @param isDone asked once for each job, when it is named first
-   * @param isCancelled asked once for each job, when it is named first
+   * @param isDone whether the job with the given uid is durably done; called once for each job,
+   *     when it is added to the graph, either itself or as a dependency of another job
+   * @param isCancelled whether the job with the given uid was itself cancelled; called once for
+   *     each job, when it is added to the graph, and by {@link #isAborted} for a job that is not in
+   *     the graph
    */
   public DependencyGraph(Predicate<String> isDone, Predicate<String> isCancelled) {
     this.isDone = isDone;
     this.isCancelled = isCancelled;
   }
 
-  /** Adds a listener; cancel the result to remove it. */
+  /** Adds a listener. Cancelling the returned registration removes it. */
   public Cancellable addListener(Listener listener) {
     listeners.add(listener);
     return () -> listeners.remove(listener);
   }
 
-  /** Adds a job whose dependencies are not known yet: it is not ready until they are put. */
+  /**
+   * Adds a job that has dependencies which are not known yet. The job is not ready until its
+   * dependencies are set by {@link #put} and are done.
+   */
   public void addWithUnknownDependencies(String uid) {
     Vertex vertex = getOrAddVertex(uid);
     if (!vertex.hasDependencies) {
@@ -111,7 +127,10 @@
     propagateAndNotify();
   }
 
-  /** Adds a job with its dependencies. A later list replaces an earlier one. */
+  /**
+   * Sets the dependencies of a job, and adds the job if it is not in the graph. Dependencies that
+   * were set before are replaced. Duplicates in the list are ignored.
+   */
   public void put(String uid, List<String> dependencies) {
     Collection<String> distinct = new LinkedHashSet<>(dependencies);
     Vertex vertex = getOrAddVertex(uid);
@@ -123,7 +142,10 @@
     propagateAndNotify();
   }
 
-  /** Marks a job that is durably done. */
+  /**
+   * Marks a job as durably done. Has no effect if the job is not in the graph: whether it is done
+   * is determined when it is added.
+   */
   public void done(String uid) {
     Vertex vertex = verticesByUid.get(uid);
     if (vertex != null) {
@@ -132,7 +154,11 @@
     }
   }
 
-  /** Marks a job that was itself cancelled. */
+  /**
+   * Marks a job as cancelled, and the job and all its dependents, direct and indirect, as aborted.
+   * Has no effect if the job is not in the graph: whether it is cancelled is determined when it is
+   * added.
+   */
   public void cancelled(String uid) {
     Vertex vertex = verticesByUid.get(uid);
     if (vertex != null) {
@@ -142,30 +168,42 @@
     }
   }
 
-  /** True when all dependencies are done, also of a job without any. */
+  /**
+   * Whether all dependencies of the job are known and done. True for a job without dependencies and
+   * for a job that is not in the graph.
+   */
   public boolean isReady(String uid) {
     Vertex vertex = verticesByUid.get(uid);
     return vertex == null || vertex.isReady();
   }
 
-  /** True when the job, or any job that it depends on directly or through others, is cancelled. */
+  /** Whether the job or any of its direct or indirect dependencies is cancelled. */
   public boolean isAborted(String uid) {
     Vertex vertex = verticesByUid.get(uid);
     return vertex == null ? isCancelled.test(uid) : vertex.aborted;
   }
 
-  /** False while the job's dependencies are not known. */
+  /**
+   * Whether the dependencies of the job are known. True for a job without dependencies and for a
+   * job that is not in the graph.
+   */
   public boolean areDependenciesKnown(String uid) {
     Vertex vertex = verticesByUid.get(uid);
     return vertex == null || !vertex.hasDependencies || vertex.dependenciesKnown;
   }
 
-  /** True when the job has dependencies. */
+  /**
+   * Whether the job was added as a job with dependencies, even if they are not known yet or were
+   * replaced by an empty list.
+   */
   public boolean hasDependencies(String uid) {
     return uidsWithDependencies.contains(uid);
   }
 
-  /** The direct dependencies that are not done yet, for display. */
+  /**
+   * The direct dependencies that are not done yet; empty if the dependencies are not known or the
+   * job is not in the graph.
+   */
   public List<String> unfinishedDependenciesOf(String uid) {
     Vertex vertex = verticesByUid.get(uid);
     return vertex == null
@@ -176,29 +214,35 @@
             .toList();
   }
 
-  /** The direct dependencies. */
+  /** The direct dependencies; empty if they are not known or the job is not in the graph. */
   public List<String> dependenciesOf(String uid) {
     Vertex vertex = verticesByUid.get(uid);
     return vertex == null ? List.of() : uidsOf(vertex.dependencies);
   }
 
-  /** The direct dependents. */
+  /** The direct dependents; empty if the job is not in the graph. */
   public List<String> dependentsOf(String uid) {
     Vertex vertex = verticesByUid.get(uid);
     return vertex == null ? List.of() : uidsOf(vertex.dependents);
   }
 
-  /** Jobs with dependencies, in the order in which they were added. */
+  /**
+   * The uids of all jobs with dependencies, in the order in which they were added; an unmodifiable
+   * live view.
+   */
   public Collection<String> uidsWithDependencies() {
     return Collections.unmodifiableCollection(uidsWithDependencies);
   }
 
-  /** All jobs with dependencies or dependents; the position of each is its index. */
+  /** All jobs in the graph, ordered by {@link Vertex#index}; an unmodifiable live view. */
   List<Vertex> vertices() {
     return Collections.unmodifiableList(vertices);
   }
 
-  /** How many edges were visited so far, by which tests bound the work. */
+  /**
+   * How many times an edge was added or followed since this graph was created. Tests check that
+   * this number is linear in the number of edges.
+   */
   long edgeVisits() {
     return edgeVisits;
   }
@@ -236,7 +280,8 @@
       }
     }
     if (vertex.aborted) {
-      // It may have been named and cancelled before it was put: listeners are notified only now.
+      // The job may have been added as a dependency, and aborted, before its own dependencies were
+      // set. Listeners are notified of jobs with dependencies only, so they are notified now.
       newlyAborted.add(vertex);
     }
     if (vertex.unfinishedDependencies == 0) {
@@ -245,8 +290,9 @@
   }
 
   /**
-   * Replaces a job's dependencies, by building all edges anew. Needed when two controllers accepted
-   * one id with different lists, and the valid record, the one written first, was read second.
+   * Replaces the dependencies of a job and rebuilds all edges. This is needed if two controllers
+   * accepted jobs with the same uid and different dependencies, and this controller read the valid
+   * record, which is the one that was written first, after the other record.
    */
   private void replaceDependencies(Vertex changedVertex, Collection<String> dependencies) {
     Map<Vertex, Collection<String>> dependenciesOf = new LinkedHashMap<>();
@@ -286,7 +332,10 @@
     }
   }
 
-  /** Propagates all marks and only then notifies, so that listeners see a consistent graph. */
+  /**
+   * Propagates abortions to all dependents, and then notifies the listeners. Listeners are notified
+   * last, so that they never see a partly updated graph.
+   */
   private void propagateAndNotify() {
     propagateAborts();
     List<Vertex> aborted = newlyAborted;
--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -14,15 +14,23 @@
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
- * Keeps the dependency graph up to date with this controller's replica. Every controller has one,
- * as responses to users need it too.
+ * Keeps the dependency graph up to date with this controller's replica. Every controller has an
+ * instance, not only the leader, because responses to users depend on the graph.
  */
 public final class Pipelines {
   private final Replica replica;
   private final DependencyGraph graph;
+
+  /**
+   * Wall-clock time in milliseconds at which this process first found the job ready, by uid. Only
+   * jobs with dependencies have an entry.
+   */
   private final Map<String, Long> readyWallMs = new HashMap<>();
 
-  /** Jobs whose dependencies are stored separately and not completely read yet, by record name. */
+  /**
+   * Jobs whose dependencies are stored in a separate record of which the replica does not have all
+   * parts yet, by the name of that record.
+   */
   private final Map<String, AcceptedJobIndex.AcceptedJob> incompleteJobsByRecordName =
       new HashMap<>();
 
@@ -60,14 +68,14 @@
     replica.addListener(this::recordChanged);
   }
 
-  /** The graph, which changes with the replica. */
+  /** The dependency graph, which is updated whenever the replica changes. */
   public DependencyGraph graph() {
     return graph;
   }
 
   /**
-   * When this process first saw the job ready, by the time of day; empty for a job that is not
-   * ready or has no dependencies.
+   * The wall-clock time in milliseconds at which this process first found the job ready; empty if
+   * it has not found the job ready or the job has no dependencies.
    */
   public OptionalLong readyWallMs(String uid) {
     Long wallMs = readyWallMs.get(uid);
@@ -75,7 +83,8 @@
   }
 
   /**
-   * True when the job is neither terminal nor ready. Such a job counts for no limit and no demand.
+   * Whether the job waits for dependencies: it is neither terminal nor ready. A blocked job does
+   * not count against any limit and adds nothing to the demand for machines.
    */
   public boolean isBlocked(String uid) {
     return !graph.isReady(uid)
@@ -83,7 +92,7 @@
         && replica.get(Keys.completion(uid)).isEmpty();
   }
 
-  /** How many jobs are blocked on dependencies. */
+  /** The number of jobs that are blocked on dependencies. */
   public long blockedJobs() {
     return graph.uidsWithDependencies().stream().filter(this::isBlocked).count();
   }
--- a/src/main/java/org/ploverspindle/pipelines/package-info.java
+++ b/src/main/java/org/ploverspindle/pipelines/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Jobs that depend on other jobs.
+ * Dependencies between jobs.
  *
- * <p>Duty: derives readiness and abortion of each job from the durable records, and computes
- * inherited deadlines and priorities along the critical path. Owns: the dependency graph, which
- * every controller keeps because responses to users need it. Nothing that is derived here is
- * stored.
+ * <p>Duty: derives from the durable records whether each job is ready or aborted, and computes the
+ * deadlines and priorities that jobs inherit from their dependents along the critical path. Owns:
+ * the dependency graph, which every controller keeps because responses to users depend on it. No
+ * derived value is stored in the state service.
  *
  * <p>May depend on: {@code state}, {@code eventloop}, and {@code model}.
  */
--- a/src/test/java/org/ploverspindle/model/TermTest.java
+++ b/src/test/java/org/ploverspindle/model/TermTest.java
@@ -12,8 +12,9 @@
   private final Term term = new Term(FIRST_TOKEN, 40, 0);
 
   /**
-   * A parameter that hid the field of the same name compared the token with itself: every token
-   * counted as the term's own, and no later term was ever recognised.
+   * Guards against a parameter that hides the field {@code fencingToken}. The token was then
+   * compared with itself, so every token counted as one of the term, and no later term was
+   * recognised.
    */
   @Test
   void termOwnsExactlyTheTokensOfItsRange() {
--- a/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
+++ b/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
@@ -20,7 +20,11 @@
 import org.ploverspindle.model.Priority;
 
 class DependencyGraphTest {
-  /** The expected state, computed slowly from all facts by fixpoints over sets. */
+  /**
+   * Computes the expected state from all facts: abortion by iteration until nothing changes, and
+   * the values of the critical path by recursion. It is slow, and shares no code with the classes
+   * under test.
+   */
   private static final class ReferenceModel {
     final Map<String, List<String>> dependencies = new LinkedHashMap<>();
     final Set<String> done = new HashSet<>();
@@ -44,7 +48,10 @@
       return aborted;
     }
 
-    /** The latest finish by trying every way forward from the job. */
+    /**
+     * The latest finish in wall-clock milliseconds, found by following every path from the job to
+     * its dependents; {@link Long#MAX_VALUE} if no job on these paths has a deadline.
+     */
     long latestFinishMs(
         String uid, Map<String, CriticalPath.OwnValues> ownValues, Set<String> aborted) {
       long latestMs = ownValues.get(uid).latestFinishMs().orElse(Long.MAX_VALUE);
@@ -78,6 +85,7 @@
     }
   }
 
+  /** Records notifications, and checks that the graph agrees with each of them. */
   private static final class RecordingListener implements DependencyGraph.Listener {
     private final DependencyGraph graph;
     final List<String> ready = new ArrayList<>();
@@ -90,13 +98,15 @@
 
     @Override
     public void ready(String uid) {
-      assertTrue(graph.isReady(uid) && !graph.isAborted(uid), uid + " notified as ready");
+      assertTrue(
+          graph.isReady(uid) && !graph.isAborted(uid),
+          uid + " notified as ready while it is not ready or is aborted");
       ready.add(uid);
     }
 
     @Override
     public void aborted(String uid) {
-      assertTrue(graph.isAborted(uid), uid + " notified as aborted");
+      assertTrue(graph.isAborted(uid), uid + " notified as aborted while it is not aborted");
       aborted.add(uid);
     }
   }
@@ -105,7 +115,10 @@
     return "run-" + i;
   }
 
-  /** A random pipeline, as events that may arrive in any order. */
+  /**
+   * Returns the acceptances, completions and cancellations of a random pipeline, as events that may
+   * run in any order.
+   */
   private static List<Runnable> randomEvents(
       Random random, int jobs, ReferenceModel model, DependencyGraph graph) {
     List<Runnable> events = new ArrayList<>();
@@ -126,7 +139,7 @@
         events.add(() -> cancelJob(uid, model, graph));
       }
       if (!dependencies.isEmpty() && random.nextInt(10) == 0) {
-        // The valid record may come after another one.
+        // A job may have two records with different lists: the one that is put last is valid.
         List<String> otherDependencies = i > 1 ? List.of(uid(i - 1)) : dependencies;
         events.add(() -> acceptJob(uid, otherDependencies, false, model, graph));
       }
@@ -134,6 +147,11 @@
     return events;
   }
 
+  /**
+   * Sets the dependencies of a job in the reference model and in the graph.
+   *
+   * @param readLater whether the job is added before its dependencies are known
+   */
   private static void acceptJob(
       String uid,
       List<String> dependencies,
@@ -143,7 +161,7 @@
     if (readLater && !model.dependencies.containsKey(uid)) {
       graph.addWithUnknownDependencies(uid);
       assertTrue(graph.hasDependencies(uid));
-      assertFalse(graph.isReady(uid), "its dependencies are not known yet");
+      assertFalse(graph.isReady(uid), "ready although its dependencies are not known yet");
     }
     model.dependencies.put(uid, dependencies);
     graph.put(uid, dependencies);
@@ -159,6 +177,12 @@
     graph.cancelled(uid);
   }
 
+  /**
+   * Guards against a state that depends on the order in which records are read, which differs
+   * between controllers. After each event, the graph and the critical path of 600 random pipelines
+   * are compared with the reference model. About one in six events is then repeated, and the result
+   * is compared again.
+   */
   @Test
   void eventsInAnyOrderGiveTheStateOfTheReferenceModel() {
     for (int seed = 0; seed < 600; seed++) {
@@ -182,8 +206,14 @@
 
   private static void assertNotificationsMatchReferenceModel(
       int seed, ReferenceModel model, RecordingListener notified) {
-    assertEquals(notified.ready.size(), Set.copyOf(notified.ready).size(), "notified once");
-    assertEquals(notified.aborted.size(), Set.copyOf(notified.aborted).size(), "notified once");
+    assertEquals(
+        notified.ready.size(),
+        Set.copyOf(notified.ready).size(),
+        "a job was notified as ready more than once");
+    assertEquals(
+        notified.aborted.size(),
+        Set.copyOf(notified.aborted).size(),
+        "a job was notified as aborted more than once");
     assertTrue(
         notified.aborted.containsAll(
             model.abortedUids().stream().filter(model.dependencies::containsKey).toList()),
@@ -260,12 +290,16 @@
       uid ->
           Optional.of(new CriticalPath.OwnValues(OptionalLong.empty(), Priority.BEST_EFFORT, 10));
 
+  /**
+   * Guards against a stack overflow by recursion along a chain of 20,000 dependencies, and against
+   * work that grows faster than the number of edges.
+   */
   @Test
   void deepPipelineVisitsEachEdgeAtMostTwiceWithoutRecursion() {
     int depth = 20_000;
     DependencyGraph graph = emptyGraph();
     RecordingListener notified = new RecordingListener(graph);
-    // The last first: each is named before it is put.
+    // Jobs are put from the last to the first: each is in the graph as a dependency when it is put.
     for (int i = depth; i > 0; i--) {
       graph.put(uid(i), List.of(uid(i - 1)));
     }
@@ -287,9 +321,15 @@
         graph.edgeVisits() <= 2L * depth, "edges were visited " + graph.edgeVisits() + " times");
     graph.cancelled(uid(0));
     graph.cancelled(uid(1));
-    assertTrue(graph.edgeVisits() <= 2L * depth, "a repeat visits nothing again");
+    assertTrue(
+        graph.edgeVisits() <= 2L * depth, "edges were visited again by a repeated cancellation");
   }
 
+  /**
+   * Guards against work that grows faster than the number of edges when the paths through a
+   * pipeline meet again: 1,000 jobs depend on the first job, and each of the 50 last jobs on all
+   * 1,000.
+   */
   @Test
   void widePipelineWithDiamondsVisitsEachEdgeAtMostTwice() {
     int width = 1_000;
@@ -315,6 +355,10 @@
         graph.edgeVisits() <= 2 * edges, "edges were visited " + graph.edgeVisits() + " times");
   }
 
+  /**
+   * Guards against notifications before an abortion has reached all dependents, and against
+   * notifications to a listener that was removed.
+   */
   @Test
   void listenerSeesAConsistentGraphAndNoEventAfterItsRemoval() {
     DependencyGraph graph = emptyGraph();
