--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -14,16 +14,25 @@
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
- * Keeps the dependency graph up to date with this controller's replica. Every controller has one,
- * as responses to users need it too.
+ * Keeps the dependency graph up to date with this controller's replica. Every controller has an
+ * instance, not only the leader, because responses to users depend on the graph.
  */
 public final class Pipelines {
   private final Replica replica;
   private final DependencyGraph graph;
+
+  /**
+   * Wall-clock time in milliseconds at which this process first found the job ready, by uid. Only
+   * jobs with dependencies have an entry.
+   */
   private final Map<String, Long> readyWallMs = new HashMap<>();
 
-  /** Jobs whose dependencies are stored separately and not completely read yet, by record name. */
-  private final Map<String, AcceptedJobIndex.AcceptedJob> incomplete = new HashMap<>();
+  /**
+   * Jobs whose dependencies are stored in a separate record of which the replica does not have all
+   * parts yet, by the name of that record.
+   */
+  private final Map<String, AcceptedJobIndex.AcceptedJob> incompleteJobsByRecordName =
+      new HashMap<>();
 
   public Pipelines(Scheduler scheduler, Replica replica, AcceptedJobIndex acceptedJobs) {
     this.replica = replica;
@@ -45,26 +54,28 @@
         new AcceptedJobIndex.Listener() {
           @Override
           public void accepted(AcceptedJobIndex.AcceptedJob job) {
-            put(job);
+            updateDependencies(job);
           }
 
           @Override
           public void corrected(AcceptedJobIndex.AcceptedJob job) {
-            incomplete.values().removeIf(incompleteJob -> incompleteJob.uid().equals(job.uid()));
-            put(job);
+            incompleteJobsByRecordName
+                .values()
+                .removeIf(incompleteJob -> incompleteJob.uid().equals(job.uid()));
+            updateDependencies(job);
           }
         });
-    replica.addListener(this::changed);
+    replica.addListener(this::recordChanged);
   }
 
-  /** The graph, which changes with the replica. */
+  /** The dependency graph, which is updated whenever the replica changes. */
   public DependencyGraph graph() {
     return graph;
   }
 
   /**
-   * When this process first saw the job ready, by the time of day; empty for a job that is not
-   * ready or has no dependencies.
+   * The wall-clock time in milliseconds at which this process first found the job ready; empty if
+   * it has not found the job ready or the job has no dependencies.
    */
   public OptionalLong readyWallMs(String uid) {
     Long wallMs = readyWallMs.get(uid);
@@ -72,7 +83,8 @@
   }
 
   /**
-   * True when the job is neither terminal nor ready. Such a job counts for no limit and no demand.
+   * Whether the job waits for dependencies: it is neither terminal nor ready. A blocked job does
+   * not count against any limit and adds nothing to the demand for machines.
    */
   public boolean isBlocked(String uid) {
     return !graph.isReady(uid)
@@ -80,12 +92,12 @@
         && replica.get(Keys.completion(uid)).isEmpty();
   }
 
-  /** How many jobs are blocked on dependencies. */
+  /** The number of jobs that are blocked on dependencies. */
   public long blockedJobs() {
-    return graph.uids().stream().filter(this::isBlocked).count();
+    return graph.uidsWithDependencies().stream().filter(this::isBlocked).count();
   }
 
-  private void put(AcceptedJobIndex.AcceptedJob job) {
+  private void updateDependencies(AcceptedJobIndex.AcceptedJob job) {
     JobRecord.StoredDependencies stored = JobRecord.storedDependencies(job.value());
     if (stored instanceof JobRecord.StoredDependencies.Inline inline) {
       if (!inline.uids().isEmpty() || graph.hasDependencies(job.uid())) {
@@ -94,16 +106,16 @@
     } else if (stored instanceof JobRecord.StoredDependencies.Separate separate) {
       Optional<List<String>> uids = DependenciesRecord.read(replica, separate);
       if (uids.isPresent()) {
-        incomplete.remove(separate.name());
+        incompleteJobsByRecordName.remove(separate.name());
         graph.put(job.uid(), uids.get());
       } else {
-        incomplete.put(separate.name(), job);
-        graph.expect(job.uid());
+        incompleteJobsByRecordName.put(separate.name(), job);
+        graph.addWithUnknownDependencies(job.uid());
       }
     }
   }
 
-  private void changed(String key, Optional<Entry> entry) {
+  private void recordChanged(String key, Optional<Entry> entry) {
     if (entry.isEmpty()) {
       return;
     }
@@ -111,11 +123,12 @@
       graph.done(key.substring(Keys.COMPLETIONS.length()));
     } else if (key.startsWith(Keys.CANCELLATIONS)) {
       graph.cancelled(key.substring(Keys.CANCELLATIONS.length()));
-    } else if (key.startsWith(Keys.DEPENDENCIES) && !incomplete.isEmpty()) {
+    } else if (key.startsWith(Keys.DEPENDENCIES) && !incompleteJobsByRecordName.isEmpty()) {
       AcceptedJobIndex.AcceptedJob job =
-          incomplete.get(key.substring(Keys.DEPENDENCIES.length(), key.lastIndexOf('/')));
+          incompleteJobsByRecordName.get(
+              key.substring(Keys.DEPENDENCIES.length(), key.lastIndexOf('/')));
       if (job != null) {
-        put(job);
+        updateDependencies(job);
       }
     }
   }
