--- a/src/main/java/org/ploverspindle/controller/Controller.java
+++ b/src/main/java/org/ploverspindle/controller/Controller.java
@@ -37,23 +37,23 @@
  * {@link #isReady}.
  */
 public final class Controller implements UserApi.RequestHandler {
-  private static final long REPLICA_IDLE_READ_MS = 700;
+  private static final long REPLICA_IDLE_READ_INTERVAL_MS = 700;
   private static final long READINESS_INTERVAL_MS = 500;
-  private static final long MISDIRECTED_REPORT_INTERVAL_MS = 1_000;
+  private static final long MISDIRECTED_COUNT_INTERVAL_MS = 1_000;
 
   private final Scheduler scheduler;
   private final Settings settings;
   private final String member;
   private final Peers peers;
-  private final RequestRates rates;
+  private final RequestRates requestRates;
   private final Replica replica;
   private final Catalogue catalogue;
   private final Election election;
   private final AcceptedJobIndex acceptedJobs;
   private final Pipelines pipelines;
-  private final UserRequests requests;
+  private final UserRequests userRequests;
   private final LeaderContext leaderContext;
-  private final HeartbeatAdmission heartbeats;
+  private final HeartbeatAdmission heartbeatAdmission;
   private final PeerMessageHandler peerMessages;
   private final MachineTypeLoader machineTypes;
   private final Readiness readiness;
@@ -76,8 +76,8 @@
     this.settings = settings;
     this.member = settings.member();
     this.peers = services.peers();
-    this.rates = new RequestRates(settings);
-    this.replica = new Replica(scheduler, store, Keys.PREFIX, REPLICA_IDLE_READ_MS);
+    this.requestRates = new RequestRates(settings);
+    this.replica = new Replica(scheduler, store, Keys.PREFIX, REPLICA_IDLE_READ_INTERVAL_MS);
     StateReachability stateReachability =
         new StateReachability(scheduler, replica, store, peers, member);
     this.catalogue = new Catalogue(settings.zones());
@@ -86,7 +86,7 @@
         new Election(scheduler, store, replica, random, timing, member, new TermEvents());
     this.acceptedJobs = new AcceptedJobIndex(replica);
     this.pipelines = new Pipelines(scheduler, replica, acceptedJobs);
-    this.requests = newRequests(store, random);
+    this.userRequests = newUserRequests(store, random);
     FencingRejections rejections = new FencingRejections();
     this.leaderContext =
         new LeaderContext(
@@ -96,7 +96,7 @@
             new LeaderContext.ExternalServices(services.cloud(), services.workers()),
             new LeaderContext.Configuration(settings, policy, timing, catalogue),
             rejections);
-    this.heartbeats =
+    this.heartbeatAdmission =
         new HeartbeatAdmission(scheduler, timing, election, peers, member, () -> leader);
     this.peerMessages = new PeerMessageHandler(replica, election, stateReachability, () -> leader);
     this.machineTypes = new MachineTypeLoader(scheduler, services.cloud(), replica, catalogue);
@@ -104,21 +104,23 @@
     this.statusPage = new StatusPage(member, election, pipelines, rejections);
   }
 
-  private UserRequests newRequests(StateStore store, RandomGenerator random) {
+  private UserRequests newUserRequests(StateStore store, RandomGenerator random) {
     ProgressCounts counts = new ProgressCounts(replica);
     String nonce = member + "-" + Long.toString(random.nextLong() >>> 1, Character.MAX_RADIX);
-    LeaderHints hints = new LeaderHints(replica, election, peers, member, () -> leader);
+    RoutingLeaderNotifier leaderNotifier =
+        new RoutingLeaderNotifier(replica, election, peers, member, () -> leader);
     return new UserRequests(
         scheduler,
         new JobViews(replica, acceptedJobs, pipelines, counts),
-        new StateWrites(store, rates.acceptanceWrites(scheduler), nonce, hints),
+        new StateWrites(
+            store, requestRates.acceptanceWriteBudget(scheduler), nonce, leaderNotifier),
         catalogue,
         settings);
   }
 
   private LeaderContext.StateAccess newStateAccess(StateStore fencedStore) {
     return new LeaderContext.StateAccess(
-        fencedStore, replica, acceptedJobs, pipelines, rates.leaderWrites(scheduler));
+        fencedStore, replica, acceptedJobs, pipelines, requestRates.leaderWriteBudget(scheduler));
   }
 
   private Readiness newReadiness(StateReachability stateReachability) {
@@ -135,12 +137,12 @@
 
   /** Begins to read the state service; the election follows once the replica is loaded. */
   public void start() {
-    replica.setReadInterval(rates.followerReadIntervalMs());
+    replica.setReadInterval(requestRates.followerReadIntervalMs());
     periodicTasks.add(replica.start());
     periodicTasks.add(scheduler.scheduleWithFixedDelay(READINESS_INTERVAL_MS, readiness::update));
     periodicTasks.add(
         scheduler.scheduleWithFixedDelay(
-            MISDIRECTED_REPORT_INTERVAL_MS, heartbeats::reportMisdirected));
+            MISDIRECTED_COUNT_INTERVAL_MS, heartbeatAdmission::sendMisdirectedCount));
     machineTypes.loadFromCloud(readiness::update);
   }
 
@@ -170,7 +172,7 @@
   private final class TermEvents implements Election.Listener {
     @Override
     public void elected(Term term) {
-      replica.setReadInterval(rates.leaderReadIntervalMs());
+      replica.setReadInterval(requestRates.leaderReadIntervalMs());
       Leader elected = new Leader(leaderContext, term, election);
       leader = Optional.of(elected);
       elected.start();
@@ -179,7 +181,7 @@
 
     @Override
     public void ended(Term term, String cause) {
-      replica.setReadInterval(rates.followerReadIntervalMs());
+      replica.setReadInterval(requestRates.followerReadIntervalMs());
       leader.ifPresent(Leader::close);
       leader = Optional.empty();
       peers.broadcast(new PeerMessage.Resigned(member, term.fencingToken()));
@@ -190,22 +192,22 @@
 
   @Override
   public void submit(byte[] body, Consumer<ApiResponse> responder) {
-    requests.submit(body, responder);
+    userRequests.submit(body, responder);
   }
 
   @Override
   public void poll(String uid, Consumer<ApiResponse> responder) {
-    requests.poll(uid, responder);
+    userRequests.poll(uid, responder);
   }
 
   @Override
   public void cancel(String uid, Consumer<ApiResponse> responder) {
-    requests.cancel(uid, responder);
+    userRequests.cancel(uid, responder);
   }
 
   @Override
   public void heartbeat(byte[] body, Consumer<ApiResponse> responder) {
-    heartbeats.accept(body, responder);
+    heartbeatAdmission.accept(body, responder);
   }
 
   @Override
@@ -215,6 +217,6 @@
 
   @Override
   public void explainJob(String uid, Consumer<ApiResponse> responder) {
-    responder.accept(ApiResponse.text(requests.explain(uid)));
+    responder.accept(ApiResponse.text(userRequests.explain(uid)));
   }
 }
--- a/src/main/java/org/ploverspindle/controller/HeartbeatAdmission.java
+++ b/src/main/java/org/ploverspindle/controller/HeartbeatAdmission.java
@@ -33,7 +33,7 @@
   private final Peers peers;
   private final String member;
   private final Supplier<Optional<Leader>> localLeader;
-  private int misdirected;
+  private int misdirectedCount;
 
   /**
    * @param member the name of this controller
@@ -77,7 +77,7 @@
     } else if (term.get().isBefore(heartbeat.fencingToken())) {
       election.deposed("a worker has seen a higher token");
       responder.accept(redirect(heartbeat));
-    } else if (isStateTooOld()) {
+    } else if (isConfirmationTooOld()) {
       responder.accept(ApiResponse.retryLater(HTTP_UNAVAILABLE, "the state is not known", 1));
     } else {
       leader.get().handleHeartbeat(heartbeat, response -> responder.accept(encode(response)));
@@ -88,7 +88,7 @@
    * A response renews the worker's lease. If a leader with an older replica responded, a worker
    * could go on for too long with tasks whose cancellation this leader can't know of.
    */
-  private boolean isStateTooOld() {
+  private boolean isConfirmationTooOld() {
     return scheduler.nowMs() > election.lastConfirmedMs() + timing.heartbeatGraceMs();
   }
 
@@ -104,9 +104,9 @@
    */
   private ApiResponse redirect(Heartbeat heartbeat) {
     Optional<String> otherLeader = election.leaderName().filter(name -> !name.equals(member));
-    boolean hadItsResponse =
+    boolean hadLeaderResponse =
         election.leaderToken().map(token -> heartbeat.fencingToken() >= token).orElse(false);
-    misdirected += otherLeader.isPresent() && hadItsResponse ? 1 : 0;
+    misdirectedCount += otherLeader.isPresent() && hadLeaderResponse ? 1 : 0;
     return otherLeader
         .map(ApiResponse::redirectToLeader)
         .orElseGet(() -> ApiResponse.retryLater(HTTP_UNAVAILABLE, "no leader is known", 1));
@@ -115,12 +115,12 @@
   /**
    * Sends the leader the number of misdirected heartbeats since the last call, if there are any.
    */
-  void reportMisdirected() {
-    if (misdirected == 0) {
+  void sendMisdirectedCount() {
+    if (misdirectedCount == 0) {
       return;
     }
-    PeerMessage message = new PeerMessage.MisdirectedHeartbeats(member, misdirected);
+    PeerMessage message = new PeerMessage.MisdirectedHeartbeats(member, misdirectedCount);
     election.leaderName().ifPresent(leader -> peers.send(leader, message));
-    misdirected = 0;
+    misdirectedCount = 0;
   }
 }
--- a/src/main/java/org/ploverspindle/controller/PeerMessageHandler.java
+++ b/src/main/java/org/ploverspindle/controller/PeerMessageHandler.java
@@ -43,7 +43,7 @@
     } else if (message instanceof PeerMessage.ReachabilityProbe probe) {
       stateReachability.replyToProbe(probe.member());
     } else if (message instanceof PeerMessage.ReachabilityReply) {
-      stateReachability.replyReceived();
+      stateReachability.handleReply();
     } else {
       // A leader resigned: its record may be gone already.
       replica.readBarrier(isRead -> {});
--- a/src/main/java/org/ploverspindle/controller/Readiness.java
+++ b/src/main/java/org/ploverspindle/controller/Readiness.java
@@ -19,7 +19,7 @@
   private final StateReachability stateReachability;
   private final BooleanSupplier isFailingToWrite;
   private final Runnable startElection;
-  private boolean started;
+  private boolean electionStarted;
   private volatile boolean ready;
 
   /**
@@ -55,26 +55,26 @@
     machineTypes.loadFromReplica();
     boolean writesFail = isFailingToWrite.getAsBoolean();
     stateReachability.probeIfStale(writesFail);
-    if (!started && replica.isLoaded() && machineTypes.isLoaded()) {
-      started = true;
+    if (!electionStarted && replica.isLoaded() && machineTypes.isLoaded()) {
+      electionStarted = true;
       startElection.run();
     }
-    setReady(started && !stateReachability.isUnreachableHereOnly());
-    resignIfOfNoUse(writesFail);
+    setReady(electionStarted && !stateReachability.isUnreachableHereOnly());
+    resignIfIneffective(writesFail);
   }
 
-  private void setReady(boolean isReady) {
-    if (isReady != ready) {
+  private void setReady(boolean newReady) {
+    if (newReady != ready) {
       LOG.info(
-          isReady
+          newReady
               ? "controller ready"
               : "controller not ready: only this controller can't reach the state service");
-      ready = isReady;
+      ready = newReady;
     }
   }
 
   /** A leader whose lease is renewed, but whose other requests fail, would lead to no effect. */
-  private void resignIfOfNoUse(boolean writesFail) {
+  private void resignIfIneffective(boolean writesFail) {
     boolean readsFail = election.isAuthoritative() && stateReachability.isUnreachableHereOnly();
     if (stateReachability.isReachableByPeers() && (writesFail || readsFail)) {
       election.resignWithBackoff("the state service serves others, and refuses this leader");
--- a/src/main/java/org/ploverspindle/controller/RequestRates.java
+++ b/src/main/java/org/ploverspindle/controller/RequestRates.java
@@ -47,7 +47,7 @@
   }
 
   /** The budget of a leader's own writes. */
-  TokenBucket leaderWrites(Scheduler scheduler) {
+  TokenBucket leaderWriteBudget(Scheduler scheduler) {
     double writesPerS = settings.effectiveStateLimits().changesPerS();
     return new TokenBucket(
         scheduler,
@@ -61,7 +61,7 @@
    * One write takes many submissions, so shares are seldom used up, and are not divided by the
    * number of controllers.
    */
-  TokenBucket acceptanceWrites(Scheduler scheduler) {
+  TokenBucket acceptanceWriteBudget(Scheduler scheduler) {
     double writesPerS = settings.effectiveStateLimits().changesPerS() * ACCEPTANCE_WRITE_SHARE;
     return new TokenBucket(
         scheduler,
--- a/src/main/java/org/ploverspindle/controller/LeaderHints.java
+++ b/src/main/java/org/ploverspindle/controller/RoutingLeaderNotifier.java
@@ -12,7 +12,7 @@
 import org.ploverspindle.state.StateStore.Change;
 
 /** Notifies the leader, here or on another controller, of what this controller wrote for users. */
-final class LeaderHints implements LeaderNotifier {
+final class RoutingLeaderNotifier implements LeaderNotifier {
   private final Replica replica;
   private final Election election;
   private final Peers peers;
@@ -23,7 +23,7 @@
    * @param member the name of this controller
    * @param localLeader the leader while this controller leads
    */
-  LeaderHints(
+  RoutingLeaderNotifier(
       Replica replica,
       Election election,
       Peers peers,
@@ -40,7 +40,7 @@
   public void cancellationSent() {
     // A leader on this controller sees its cancellations in the replica without a read.
     if (localLeader.get().isEmpty()) {
-      hintToOtherLeader();
+      notifyRemoteLeader();
     }
   }
 
@@ -50,7 +50,7 @@
       // Applied before the user is answered, so that the leader launches nothing of the job after.
       cancellations.forEach(put -> replica.applyCreated(put, revision));
     } else {
-      hintToOtherLeader();
+      notifyRemoteLeader();
     }
   }
 
@@ -59,11 +59,11 @@
     if (localLeader.get().isPresent()) {
       replica.readBarrier(isRead -> {});
     } else {
-      hintToOtherLeader();
+      notifyRemoteLeader();
     }
   }
 
-  private void hintToOtherLeader() {
+  private void notifyRemoteLeader() {
     election
         .leaderName()
         .ifPresent(leader -> peers.send(leader, new PeerMessage.StateChanged(member)));
--- a/src/main/java/org/ploverspindle/controller/StateReachability.java
+++ b/src/main/java/org/ploverspindle/controller/StateReachability.java
@@ -55,7 +55,7 @@
     this.member = member;
   }
 
-  private long staleMs() {
+  private long stalenessMs() {
     return scheduler.nowMs() - replica.freshAsOfMs();
   }
 
@@ -67,7 +67,7 @@
   void probeIfStale(boolean isFailingToWrite) {
     long nowMs = scheduler.nowMs();
     boolean isDue = lastProbeMs.isEmpty() || nowMs - lastProbeMs.getAsLong() >= PROBE_INTERVAL_MS;
-    if ((isFailingToWrite || staleMs() > PROBE_AFTER_STALE_MS) && isDue) {
+    if ((isFailingToWrite || stalenessMs() > PROBE_AFTER_STALE_MS) && isDue) {
       lastProbeMs = OptionalLong.of(nowMs);
       peers.broadcast(new PeerMessage.ReachabilityProbe(member));
     }
@@ -78,7 +78,7 @@
    * One transaction serves all probes that arrive meanwhile.
    */
   void replyToProbe(String probingMember) {
-    if (staleMs() > MAX_STALENESS_TO_REPLY_MS) {
+    if (stalenessMs() > MAX_STALENESS_TO_REPLY_MS) {
       return;
     }
     probingMembers.add(probingMember);
@@ -93,19 +93,19 @@
           replyPending = false;
           if (result instanceof TransactionResult.Committed
               || result instanceof TransactionResult.Conflict) {
-            replyToAll();
+            replyToProbingMembers();
           }
           probingMembers.clear();
         });
   }
 
-  private void replyToAll() {
+  private void replyToProbingMembers() {
     PeerMessage reply = new PeerMessage.ReachabilityReply(member);
     probingMembers.forEach(probing -> peers.send(probing, reply));
   }
 
   /** Another controller replied that it reads and writes the state service. */
-  void replyReceived() {
+  void handleReply() {
     lastReplyMs = OptionalLong.of(scheduler.nowMs());
   }
 
@@ -116,6 +116,6 @@
 
   /** Other controllers reach the state service and this one does not: they serve users better. */
   boolean isUnreachableHereOnly() {
-    return staleMs() > UNREACHABLE_AFTER_STALE_MS && isReachableByPeers();
+    return stalenessMs() > UNREACHABLE_AFTER_STALE_MS && isReachableByPeers();
   }
 }
--- a/src/main/java/org/ploverspindle/controller/StatusPage.java
+++ b/src/main/java/org/ploverspindle/controller/StatusPage.java
@@ -32,14 +32,14 @@
         + election.leaderName().orElse("none")
         + " waiting="
         + pipelines.blockedJobs()
-        + localLeader.map(StatusPage::leaderPart).orElse("")
+        + localLeader.map(StatusPage::leaderFields).orElse("")
         + "\n"
         + election.summary()
         + " "
         + rejections.summary();
   }
 
-  private static String leaderPart(Leader leader) {
+  private static String leaderFields(Leader leader) {
     return " token=" + leader.term().fencingToken() + " " + leader.summary();
   }
 }
--- a/src/main/java/org/ploverspindle/eventloop/EventLoop.java
+++ b/src/main/java/org/ploverspindle/eventloop/EventLoop.java
@@ -23,26 +23,26 @@
   private static final long NANOS_PER_MS = 1_000_000;
 
   /**
-   * @param order of two timers that are due at the same time, the one that was scheduled first runs
-   *     first
+   * @param sequence of two timers that are due at the same time, the one that was scheduled first
+   *     runs first
    */
-  private record Timer(long dueMs, long order, Runnable work) implements Comparable<Timer> {
+  private record Timer(long dueMs, long sequence, Runnable work) implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
       return dueMs != other.dueMs
           ? Long.compare(dueMs, other.dueMs)
-          : Long.compare(order, other.order);
+          : Long.compare(sequence, other.sequence);
     }
   }
 
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition changed = lock.newCondition();
+  private final Condition stateChanged = lock.newCondition();
   private final Map<EventPriority, Queue<Runnable>> queues = new EnumMap<>(EventPriority.class);
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final Thread thread;
-  private long nextTimerOrder;
+  private long nextTimerSequence;
   private boolean closed;
-  private boolean waiting;
+  private boolean threadWaiting;
 
   public EventLoop() {
     for (EventPriority priority : EventPriority.values()) {
@@ -91,7 +91,7 @@
   public Cancellable schedule(long delayMs, Runnable work) {
     lock.lock();
     try {
-      Timer timer = new Timer(nowMs() + Math.max(0, delayMs), nextTimerOrder++, work);
+      Timer timer = new Timer(nowMs() + Math.max(0, delayMs), nextTimerSequence++, work);
       timers.add(timer);
       wakeUp();
       return () -> remove(timer);
@@ -110,8 +110,8 @@
   }
 
   private void wakeUp() {
-    if (waiting) {
-      changed.signal();
+    if (threadWaiting) {
+      stateChanged.signal();
     }
   }
 
@@ -147,16 +147,16 @@
 
   /** Waits until work is added, a timer is due or the loop is closed. */
   private void awaitChange() throws InterruptedException {
-    waiting = true;
+    threadWaiting = true;
     try {
       Timer first = timers.peek();
       if (first == null) {
-        changed.await();
+        stateChanged.await();
       } else {
-        changed.await(Math.max(1, first.dueMs() - nowMs()), TimeUnit.MILLISECONDS);
+        stateChanged.await(Math.max(1, first.dueMs() - nowMs()), TimeUnit.MILLISECONDS);
       }
     } finally {
-      waiting = false;
+      threadWaiting = false;
     }
   }
 
@@ -184,7 +184,7 @@
     lock.lock();
     try {
       closed = true;
-      changed.signal();
+      stateChanged.signal();
     } finally {
       lock.unlock();
     }
--- a/src/main/java/org/ploverspindle/eventloop/PeriodicTask.java
+++ b/src/main/java/org/ploverspindle/eventloop/PeriodicWork.java
@@ -1,21 +1,21 @@
 package org.ploverspindle.eventloop;
 
 /** Periodic work: runs again a period after each run ended, until it is cancelled. */
-final class PeriodicTask implements Cancellable {
+final class PeriodicWork implements Cancellable {
   private final Scheduler scheduler;
-  private final long periodMs;
+  private final long delayMs;
   private final Runnable work;
   private boolean cancelled;
 
-  PeriodicTask(Scheduler scheduler, long periodMs, Runnable work) {
+  PeriodicWork(Scheduler scheduler, long delayMs, Runnable work) {
     this.scheduler = scheduler;
-    this.periodMs = periodMs;
+    this.delayMs = delayMs;
     this.work = work;
   }
 
   /** Schedules the first run, a period from now. */
-  PeriodicTask start() {
-    scheduler.schedule(periodMs, this::run);
+  PeriodicWork start() {
+    scheduler.schedule(delayMs, this::run);
     return this;
   }
 
@@ -28,7 +28,7 @@
     } finally {
       // Also after a run that threw: one unreadable record must not end the periodic work.
       if (!cancelled) {
-        scheduler.schedule(periodMs, this::run);
+        scheduler.schedule(delayMs, this::run);
       }
     }
   }
--- a/src/main/java/org/ploverspindle/eventloop/Scheduler.java
+++ b/src/main/java/org/ploverspindle/eventloop/Scheduler.java
@@ -27,7 +27,7 @@
    * Runs the work periodically on the event loop until it is cancelled: first a period from now,
    * then a period after each run ended.
    */
-  default Cancellable scheduleWithFixedDelay(long periodMs, Runnable work) {
-    return new PeriodicTask(this, periodMs, work).start();
+  default Cancellable scheduleWithFixedDelay(long delayMs, Runnable work) {
+    return new PeriodicWork(this, delayMs, work).start();
   }
 }
--- a/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
+++ b/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
@@ -18,27 +18,27 @@
   private final Map<String, Timing> timings = new TreeMap<>();
 
   /** Runs the work and records its time under the task's name, also if it throws. */
-  public void run(String task, Runnable work) {
+  public void run(String workName, Runnable work) {
     long startNanos = System.nanoTime();
     try {
       work.run();
     } finally {
-      record(task, System.nanoTime() - startNanos);
+      record(workName, System.nanoTime() - startNanos);
     }
   }
 
   /** The same for work with a result. */
-  public <T> T call(String task, Supplier<T> work) {
+  public <T> T call(String workName, Supplier<T> work) {
     long startNanos = System.nanoTime();
     try {
       return work.get();
     } finally {
-      record(task, System.nanoTime() - startNanos);
+      record(workName, System.nanoTime() - startNanos);
     }
   }
 
-  private void record(String task, long nanos) {
-    Timing timing = timings.computeIfAbsent(task, name -> new Timing());
+  private void record(String workName, long nanos) {
+    Timing timing = timings.computeIfAbsent(workName, name -> new Timing());
     timing.totalNanos += nanos;
     timing.longestNanos = Math.max(timing.longestNanos, nanos);
     timing.runs++;
@@ -49,11 +49,12 @@
    * runs, and the milliseconds of its longest run.
    */
   public String drainSummary() {
-    StringBuilder line = new StringBuilder();
+    StringBuilder summary = new StringBuilder();
     timings.forEach(
-        (task, timing) ->
-            line.append(line.isEmpty() ? "" : ", ")
-                .append(task)
+        (workName, timing) ->
+            summary
+                .append(summary.isEmpty() ? "" : ", ")
+                .append(workName)
                 .append(' ')
                 .append(timing.totalNanos / NANOS_PER_MS)
                 .append(" ms in ")
@@ -62,6 +63,6 @@
                 .append(timing.longestNanos / NANOS_PER_MS)
                 .append(')'));
     timings.clear();
-    return line.toString();
+    return summary.toString();
   }
 }
--- a/src/main/java/org/ploverspindle/net/ConnectionPool.java
+++ b/src/main/java/org/ploverspindle/net/ConnectionPool.java
@@ -16,28 +16,32 @@
  * The connections to one target, and the calls that wait for one. For use on the I/O thread alone.
  */
 final class ConnectionPool {
-  private static final int MAX_QUEUED = 200;
+  private static final int MAX_WAITING_CALLS = 200;
 
-  private final XnioIoThread io;
+  private final XnioIoThread ioThread;
   private final ByteBufferPool buffers;
   private final URI target;
   private final int maxConnections;
   private final boolean persistent;
 
   /** The most recently used last, which is the least likely to have been closed by the target. */
-  private final Deque<ClientConnection> idle = new ArrayDeque<>();
+  private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
 
-  private final Deque<HttpCall> queue = new ArrayDeque<>();
+  private final Deque<HttpCall> waitingCalls = new ArrayDeque<>();
 
   /** Connections that are open or being opened. */
-  private int open;
+  private int connectionCount;
 
   /**
    * @param persistent whether a connection is kept after its call
    */
   ConnectionPool(
-      XnioIoThread io, ByteBufferPool buffers, URI target, int maxConnections, boolean persistent) {
-    this.io = io;
+      XnioIoThread ioThread,
+      ByteBufferPool buffers,
+      URI target,
+      int maxConnections,
+      boolean persistent) {
+    this.ioThread = ioThread;
     this.buffers = buffers;
     this.target = target;
     this.maxConnections = maxConnections;
@@ -46,47 +50,47 @@
 
   /** Whether no further call may wait. */
   boolean isQueueFull() {
-    return queue.size() >= MAX_QUEUED;
+    return waitingCalls.size() >= MAX_WAITING_CALLS;
   }
 
   /** Starts the call as soon as there is a connection for it. */
   void enqueue(HttpCall call) {
-    queue.add(call);
-    assign();
+    waitingCalls.add(call);
+    assignConnections();
   }
 
   /** The call is not started any more, if it still waits. */
   void dequeue(HttpCall call) {
-    queue.remove(call);
+    waitingCalls.remove(call);
   }
 
-  private void assign() {
-    while (!queue.isEmpty()) {
-      ClientConnection connection = idle.pollLast();
+  private void assignConnections() {
+    while (!waitingCalls.isEmpty()) {
+      ClientConnection connection = idleConnections.pollLast();
       if (connection != null) {
         if (connection.isOpen()) {
-          queue.poll().start(connection);
+          waitingCalls.poll().start(connection);
         }
         continue;
       }
-      if (open >= maxConnections) {
+      if (connectionCount >= maxConnections) {
         return;
       }
-      connect(queue.poll());
+      connect(waitingCalls.poll());
     }
   }
 
   private void connect(HttpCall call) {
-    open++;
+    connectionCount++;
     UndertowClient.getInstance()
-        .connect(new Connecting(call), target, io, buffers, OptionMap.EMPTY);
+        .connect(new ConnectCallback(call), target, ioThread, buffers, OptionMap.EMPTY);
   }
 
-  private final class Connecting implements ClientCallback<ClientConnection> {
+  private final class ConnectCallback implements ClientCallback<ClientConnection> {
     private final HttpCall call;
     private boolean ended;
 
-    Connecting(HttpCall call) {
+    ConnectCallback(HttpCall call) {
       this.call = call;
     }
 
@@ -98,8 +102,8 @@
         call.start(connection);
       } else if (persistent) {
         // The call timed out while connecting; the connection can serve others.
-        idle.add(connection);
-        assign();
+        idleConnections.add(connection);
+        assignConnections();
       } else {
         IoUtils.safeClose(connection);
       }
@@ -109,16 +113,16 @@
     public void failed(IOException cause) {
       if (!ended) {
         ended = true;
-        open--;
+        connectionCount--;
       }
       call.fail(cause);
     }
   }
 
   private void handleClosed(ClientConnection connection) {
-    open--;
-    idle.remove(connection);
-    assign();
+    connectionCount--;
+    idleConnections.remove(connection);
+    assignConnections();
   }
 
   /**
@@ -132,23 +136,23 @@
       return;
     }
     // On the next turn of the I/O thread: the exchange ends only after its listener has returned.
-    io.execute(
+    ioThread.execute(
         () -> {
           if (connection.isOpen()) {
-            idle.add(connection);
+            idleConnections.add(connection);
           }
-          assign();
+          assignConnections();
         });
   }
 
   /** A call ended that had no connection yet. */
-  void releaseNone() {
-    assign();
+  void handleUnsentCallEnded() {
+    assignConnections();
   }
 
   /** A call on this connection failed, which leaves it in an unknown state. */
   void discard(ClientConnection connection) {
     IoUtils.safeClose(connection);
-    assign();
+    assignConnections();
   }
 }
--- a/src/main/java/org/ploverspindle/net/HttpCall.java
+++ b/src/main/java/org/ploverspindle/net/HttpCall.java
@@ -53,10 +53,10 @@
   }
 
   private final Scheduler scheduler;
-  private final XnioIoThread io;
-  private final ConnectionPool connections;
+  private final XnioIoThread ioThread;
+  private final ConnectionPool connectionPool;
   private final Request request;
-  private final Consumer<HttpResult> then;
+  private final Consumer<HttpResult> callback;
   private final ResponseBody responseBody = new ResponseBody();
   private Optional<XnioExecutor.Key> timeout = Optional.empty();
 
@@ -67,25 +67,26 @@
 
   HttpCall(
       Scheduler scheduler,
-      XnioIoThread io,
-      ConnectionPool connections,
+      XnioIoThread ioThread,
+      ConnectionPool connectionPool,
       Request request,
-      Consumer<HttpResult> then) {
+      Consumer<HttpResult> callback) {
     this.scheduler = scheduler;
-    this.io = io;
-    this.connections = connections;
+    this.ioThread = ioThread;
+    this.connectionPool = connectionPool;
     this.request = request;
-    this.then = then;
+    this.callback = callback;
   }
 
   /** Starts the time limit and waits for a connection. */
   void submit(long timeoutMs) {
-    if (connections.isQueueFull()) {
+    if (connectionPool.isQueueFull()) {
       finish(new HttpResult.NotSent("too many calls wait for " + request.target()));
       return;
     }
-    timeout = Optional.of(io.executeAfter(() -> fail("timeout"), timeoutMs, TimeUnit.MILLISECONDS));
-    connections.enqueue(this);
+    timeout =
+        Optional.of(ioThread.executeAfter(() -> fail("timeout"), timeoutMs, TimeUnit.MILLISECONDS));
+    connectionPool.enqueue(this);
   }
 
   boolean isFinished() {
@@ -133,7 +134,8 @@
       switch (responseBody.readFrom(channel)) {
         case INCOMPLETE -> channel.resumeReads();
         case COMPLETE -> succeed(exchange);
-        case TOO_LARGE -> abandon(new HttpResult.TooLarge(ResponseBody.MAX_BYTES));
+        case TOO_LARGE ->
+            finishAndDiscardConnection(new HttpResult.TooLarge(ResponseBody.MAX_BYTES));
       }
     } catch (IOException e) {
       fail(e);
@@ -145,7 +147,7 @@
     String connectionHeader =
         exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION);
     finish(new HttpResult.Response(status, responseBody.toByteArray()));
-    connections.release(
+    connectionPool.release(
         connection.orElseThrow(), !CONNECTION_CLOSE.equalsIgnoreCase(connectionHeader));
   }
 
@@ -158,16 +160,16 @@
     if (finished) {
       return;
     }
-    connections.dequeue(this);
-    abandon(
+    connectionPool.dequeue(this);
+    finishAndDiscardConnection(
         connection.isPresent()
             ? new HttpResult.NoResponse(reason)
             : new HttpResult.NotSent(reason));
   }
 
-  private void abandon(HttpResult result) {
+  private void finishAndDiscardConnection(HttpResult result) {
     finish(result);
-    connection.ifPresentOrElse(connections::discard, connections::releaseNone);
+    connection.ifPresentOrElse(connectionPool::discard, connectionPool::handleUnsentCallEnded);
   }
 
   private void finish(HttpResult result) {
@@ -176,6 +178,6 @@
     }
     finished = true;
     timeout.ifPresent(XnioExecutor.Key::remove);
-    scheduler.execute(EventPriority.DECISION, () -> then.accept(result));
+    scheduler.execute(EventPriority.DECISION, () -> callback.accept(result));
   }
 }
--- a/src/main/java/org/ploverspindle/net/HttpClient.java
+++ b/src/main/java/org/ploverspindle/net/HttpClient.java
@@ -11,5 +11,5 @@
    * @param timeoutMs covers waiting for a connection, connecting, sending and reading
    * @param then is called exactly once with the outcome
    */
-  void send(String method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> then);
+  void send(String method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> callback);
 }
--- a/src/main/java/org/ploverspindle/net/ResponseBody.java
+++ b/src/main/java/org/ploverspindle/net/ResponseBody.java
@@ -10,8 +10,8 @@
   /** Larger responses count as failed, so that a faulty target can't fill the heap. */
   static final int MAX_BYTES = 8 << 20;
 
-  private static final int INITIAL_BYTES = 256;
-  private static final int READ_BYTES = 4_096;
+  private static final int INITIAL_CAPACITY_BYTES = 256;
+  private static final int READ_BUFFER_BYTES = 4_096;
 
   /** What a read led to. */
   enum Progress {
@@ -21,11 +21,11 @@
     TOO_LARGE
   }
 
-  private final ByteArrayOutputStream received = new ByteArrayOutputStream(INITIAL_BYTES);
+  private final ByteArrayOutputStream received = new ByteArrayOutputStream(INITIAL_CAPACITY_BYTES);
 
   /** Reads all that can be read without waiting. */
   Progress readFrom(StreamSourceChannel channel) throws IOException {
-    ByteBuffer buffer = ByteBuffer.allocate(READ_BYTES);
+    ByteBuffer buffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
     while (received.size() <= MAX_BYTES) {
       buffer.clear();
       int count = channel.read(buffer);
--- a/src/main/java/org/ploverspindle/net/UndertowHttpClient.java
+++ b/src/main/java/org/ploverspindle/net/UndertowHttpClient.java
@@ -13,16 +13,16 @@
  */
 public final class UndertowHttpClient implements HttpClient {
   private final Scheduler scheduler;
-  private final XnioIoThread io;
-  private final URI target;
-  private final ConnectionPool connections;
+  private final XnioIoThread ioThread;
+  private final URI targetUri;
+  private final ConnectionPool connectionPool;
 
   private UndertowHttpClient(
-      Scheduler scheduler, XnioIoThread io, URI target, ConnectionPool connections) {
+      Scheduler scheduler, XnioIoThread ioThread, URI targetUri, ConnectionPool connectionPool) {
     this.scheduler = scheduler;
-    this.io = io;
-    this.target = target;
-    this.connections = connections;
+    this.ioThread = ioThread;
+    this.targetUri = targetUri;
+    this.connectionPool = connectionPool;
   }
 
   /**
@@ -33,13 +33,16 @@
    */
   public static UndertowHttpClient persistent(
       Scheduler scheduler,
-      XnioIoThread io,
+      XnioIoThread ioThread,
       ByteBufferPool buffers,
       String address,
       int maxConnections) {
-    URI target = target(address);
+    URI target = targetUri(address);
     return new UndertowHttpClient(
-        scheduler, io, target, new ConnectionPool(io, buffers, target, maxConnections, true));
+        scheduler,
+        ioThread,
+        target,
+        new ConnectionPool(ioThread, buffers, target, maxConnections, true));
   }
 
   /**
@@ -47,20 +50,22 @@
    * too many to keep a connection to each.
    */
   public static UndertowHttpClient once(
-      Scheduler scheduler, XnioIoThread io, ByteBufferPool buffers, String address) {
-    URI target = target(address);
+      Scheduler scheduler, XnioIoThread ioThread, ByteBufferPool buffers, String address) {
+    URI target = targetUri(address);
     return new UndertowHttpClient(
-        scheduler, io, target, new ConnectionPool(io, buffers, target, 1, false));
+        scheduler, ioThread, target, new ConnectionPool(ioThread, buffers, target, 1, false));
   }
 
-  private static URI target(String address) {
+  private static URI targetUri(String address) {
     return URI.create("http://" + address);
   }
 
   @Override
   public void send(
-      String method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> then) {
-    HttpCall.Request request = new HttpCall.Request(target, method, path, body);
-    io.execute(() -> new HttpCall(scheduler, io, connections, request, then).submit(timeoutMs));
+      String method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> callback) {
+    HttpCall.Request request = new HttpCall.Request(targetUri, method, path, body);
+    ioThread.execute(
+        () ->
+            new HttpCall(scheduler, ioThread, connectionPool, request, callback).submit(timeoutMs));
   }
 }
--- a/src/main/java/org/ploverspindle/peers/PeerClient.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -27,29 +27,29 @@
 final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
   private static final int MAX_QUEUED_FRAMES = 16;
-  private static final long RECONNECT_PAUSE_MS = 1_500;
+  private static final long RECONNECT_BACKOFF_MS = 1_500;
   private static final long CONNECT_TIMEOUT_MS = 1_000;
   private static final int READ_BUFFER_BYTES = 64;
 
-  private final XnioIoThread io;
+  private final XnioIoThread ioThread;
   private final InetSocketAddress address;
-  private final Deque<ByteBuffer> queue = new ArrayDeque<>();
+  private final Deque<ByteBuffer> queuedFrames = new ArrayDeque<>();
   private Optional<StreamConnection> connection = Optional.empty();
   private boolean connecting;
-  private long nextConnectNanos = System.nanoTime();
+  private long earliestConnectNanos = System.nanoTime();
 
-  PeerClient(XnioIoThread io, Address address) {
-    this.io = io;
+  PeerClient(XnioIoThread ioThread, Address address) {
+    this.ioThread = ioThread;
     this.address = new InetSocketAddress(address.host(), address.port());
   }
 
   /** Sends a frame, or queues it while the connection is being opened or is busy. */
   void send(byte[] frame) {
-    if (queue.size() >= MAX_QUEUED_FRAMES) {
+    if (queuedFrames.size() >= MAX_QUEUED_FRAMES) {
       // The peer does not read. The queue must not grow, and older hints are worth no more.
-      dropQueue("the peer does not read");
+      disconnect("the peer does not read");
     }
-    queue.add(ByteBuffer.wrap(frame));
+    queuedFrames.add(ByteBuffer.wrap(frame));
     if (connection.isPresent()) {
       writeQueue();
     } else {
@@ -61,48 +61,50 @@
     if (connecting) {
       return;
     }
-    if (System.nanoTime() - nextConnectNanos < 0) {
-      queue.clear();
+    if (System.nanoTime() - earliestConnectNanos < 0) {
+      queuedFrames.clear();
       return;
     }
     connecting = true;
     OptionMap options = OptionMap.create(Options.TCP_NODELAY, true);
-    IoFuture<StreamConnection> future =
-        io.openStreamConnection(address, this::connected, null, options);
-    future.addNotifier(
+    IoFuture<StreamConnection> pendingConnection =
+        ioThread.openStreamConnection(address, this::handleConnected, null, options);
+    pendingConnection.addNotifier(
         (finished, attachment) -> {
           if (finished.getStatus() != IoFuture.Status.DONE) {
-            io.execute(() -> dropQueue("no connection"));
+            ioThread.execute(() -> disconnect("no connection"));
           }
         },
         null);
-    io.executeAfter(() -> cancelIfPending(future), CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    ioThread.executeAfter(
+        () -> cancelIfPending(pendingConnection), CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void cancelIfPending(IoFuture<StreamConnection> future) {
-    if (connecting && future.getStatus() == IoFuture.Status.WAITING) {
-      future.cancel();
+  private void cancelIfPending(IoFuture<StreamConnection> pendingConnection) {
+    if (connecting && pendingConnection.getStatus() == IoFuture.Status.WAITING) {
+      pendingConnection.cancel();
     }
   }
 
-  private void connected(StreamConnection opened) {
+  private void handleConnected(StreamConnection opened) {
     connecting = false;
     connection = Optional.of(opened);
     opened.getSinkChannel().setWriteListener(sink -> writeQueue());
-    opened.setCloseListener(closed -> forget(opened));
+    opened.setCloseListener(closed -> handleClosed(opened));
     // Peers send nothing on this connection; reading notices when they close it.
-    opened.getSourceChannel().setReadListener(source -> closeAtEnd(opened, source));
+    opened.getSourceChannel().setReadListener(source -> closeAtEndOfStream(opened, source));
     opened.getSourceChannel().resumeReads();
     writeQueue();
   }
 
-  private void forget(StreamConnection closed) {
+  private void handleClosed(StreamConnection closed) {
     if (connection.filter(current -> current == closed).isPresent()) {
       connection = Optional.empty();
     }
   }
 
-  private static void closeAtEnd(StreamConnection opened, ConduitStreamSourceChannel source) {
+  private static void closeAtEndOfStream(
+      StreamConnection opened, ConduitStreamSourceChannel source) {
     try {
       if (source.read(ByteBuffer.allocate(READ_BUFFER_BYTES)) < 0) {
         IoUtils.safeClose(opened);
@@ -118,28 +120,28 @@
     }
     ConduitStreamSinkChannel sink = connection.get().getSinkChannel();
     try {
-      while (!queue.isEmpty()) {
-        ByteBuffer frame = queue.peek();
+      while (!queuedFrames.isEmpty()) {
+        ByteBuffer frame = queuedFrames.peek();
         while (frame.hasRemaining()) {
           if (sink.write(frame) == 0) {
             sink.resumeWrites();
             return;
           }
         }
-        queue.poll();
+        queuedFrames.poll();
       }
       sink.flush();
       sink.suspendWrites();
     } catch (IOException exception) {
-      dropQueue(String.valueOf(exception.getMessage()));
+      disconnect(String.valueOf(exception.getMessage()));
     }
   }
 
-  private void dropQueue(String reason) {
+  private void disconnect(String reason) {
     LOG.debug("messages to peer dropped: address={} reason=\"{}\"", address, reason);
     connecting = false;
-    queue.clear();
-    nextConnectNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RECONNECT_PAUSE_MS);
+    queuedFrames.clear();
+    earliestConnectNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RECONNECT_BACKOFF_MS);
     connection.ifPresent(IoUtils::safeClose);
     connection = Optional.empty();
   }
--- a/src/main/java/org/ploverspindle/peers/PeerCodec.java
+++ b/src/main/java/org/ploverspindle/peers/PeerCodec.java
@@ -17,12 +17,12 @@
  */
 public final class PeerCodec {
   /** The longest body, in bytes. */
-  public static final int MAX_LENGTH = 1024;
+  public static final int MAX_BODY_BYTES = 1024;
 
   /** A format version and a kind. */
-  private static final int MIN_LENGTH = 2;
+  private static final int MIN_BODY_BYTES = 2;
 
-  /** What {@link #wholeFrame} returns while a frame is incomplete. */
+  /** What {@link #nextBodyLength} returns while a frame is incomplete. */
   private static final int INCOMPLETE = -1;
 
   private static final int FORMAT_VERSION = 1;
@@ -97,28 +97,28 @@
    *
    * @throws MalformedFrameException if no frame has this length
    */
-  static int wholeFrame(ByteBuffer received) throws MalformedFrameException {
+  static int nextBodyLength(ByteBuffer received) throws MalformedFrameException {
     if (received.remaining() < Integer.BYTES) {
       return INCOMPLETE;
     }
-    int length = received.getInt(received.position());
-    if (length < MIN_LENGTH || length > MAX_LENGTH) {
-      throw new MalformedFrameException("a frame of " + length + " bytes");
+    int bodyLength = received.getInt(received.position());
+    if (bodyLength < MIN_BODY_BYTES || bodyLength > MAX_BODY_BYTES) {
+      throw new MalformedFrameException("a frame of " + bodyLength + " bytes");
     }
-    return received.remaining() < Integer.BYTES + length ? INCOMPLETE : length;
+    return received.remaining() < Integer.BYTES + bodyLength ? INCOMPLETE : bodyLength;
   }
 
   /**
    * Takes a whole frame from the buffer and decodes it; empty for an unknown format version or
    * kind.
    *
-   * @param length of the body, as {@link #wholeFrame} returned it
+   * @param bodyLength the length of the body in bytes, as {@link #nextBodyLength} returned it
    * @throws MalformedFrameException if the body is shorter than its fields
    */
-  static Optional<PeerMessage> take(ByteBuffer received, int length)
+  static Optional<PeerMessage> decodeNext(ByteBuffer received, int bodyLength)
       throws MalformedFrameException {
     received.getInt();
-    byte[] body = new byte[length];
+    byte[] body = new byte[bodyLength];
     received.get(body);
     try {
       DataInputStream in = new DataInputStream(new ByteArrayInputStream(body));
--- a/src/main/java/org/ploverspindle/peers/PeerServer.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -35,12 +35,12 @@
 
   private final Scheduler scheduler;
   private final XnioWorker worker;
-  private final XnioIoThread io;
+  private final XnioIoThread ioThread;
   private final Address listenAddress;
   private final int maxConnections;
   private final Consumer<PeerMessage> listener;
   private final Map<String, PeerClient> clients = new LinkedHashMap<>();
-  private final Set<StreamConnection> openConnections = new HashSet<>();
+  private final Set<StreamConnection> acceptedConnections = new HashSet<>();
   private Optional<AcceptingChannel<StreamConnection>> listeningChannel = Optional.empty();
 
   /**
@@ -54,13 +54,14 @@
       Consumer<PeerMessage> listener) {
     this.scheduler = scheduler;
     this.worker = worker;
-    this.io = worker.getIoThread();
+    this.ioThread = worker.getIoThread();
     this.listenAddress = listenAddress;
     // Each peer has one connection to here, and a second one until the loss of the first is
     // noticed.
     this.maxConnections = 2 * members.size() + 2;
     this.listener = listener;
-    members.forEach(member -> clients.put(member.name(), new PeerClient(io, member.address())));
+    members.forEach(
+        member -> clients.put(member.name(), new PeerClient(ioThread, member.address())));
   }
 
   /**
@@ -89,10 +90,10 @@
   /** Stops listening and closes all connections. */
   public void close() {
     listeningChannel.ifPresent(IoUtils::safeClose);
-    io.execute(
+    ioThread.execute(
         () -> {
           clients.values().forEach(PeerClient::close);
-          List.copyOf(openConnections).forEach(IoUtils::safeClose);
+          List.copyOf(acceptedConnections).forEach(IoUtils::safeClose);
         });
   }
 
@@ -101,14 +102,14 @@
     byte[] frame = PeerCodec.encode(message);
     PeerClient client = clients.get(member);
     if (client != null) {
-      io.execute(() -> client.send(frame));
+      ioThread.execute(() -> client.send(frame));
     }
   }
 
   @Override
   public void broadcast(PeerMessage message) {
     byte[] frame = PeerCodec.encode(message);
-    io.execute(() -> clients.values().forEach(client -> client.send(frame)));
+    ioThread.execute(() -> clients.values().forEach(client -> client.send(frame)));
   }
 
   private void accept(AcceptingChannel<StreamConnection> channel) {
@@ -117,13 +118,13 @@
       if (connection == null) {
         return;
       }
-      if (openConnections.size() >= maxConnections) {
+      if (acceptedConnections.size() >= maxConnections) {
         IoUtils.safeClose(connection);
         return;
       }
-      openConnections.add(connection);
-      connection.setCloseListener(closed -> openConnections.remove(connection));
-      ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_LENGTH);
+      acceptedConnections.add(connection);
+      connection.setCloseListener(closed -> acceptedConnections.remove(connection));
+      ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_BODY_BYTES);
       connection.getSourceChannel().setReadListener(source -> read(connection, source, received));
       connection.getSourceChannel().resumeReads();
     } catch (IOException exception) {
@@ -154,14 +155,14 @@
   }
 
   private void handleFrames(ByteBuffer received) throws PeerCodec.MalformedFrameException {
-    int length = PeerCodec.wholeFrame(received);
-    while (length >= 0) {
-      PeerCodec.take(received, length).ifPresent(this::handOver);
-      length = PeerCodec.wholeFrame(received);
+    int bodyLength = PeerCodec.nextBodyLength(received);
+    while (bodyLength >= 0) {
+      PeerCodec.decodeNext(received, bodyLength).ifPresent(this::deliver);
+      bodyLength = PeerCodec.nextBodyLength(received);
     }
   }
 
-  private void handOver(PeerMessage message) {
+  private void deliver(PeerMessage message) {
     scheduler.execute(EventPriority.DECISION, () -> listener.accept(message));
   }
 }
--- a/src/test/java/org/ploverspindle/eventloop/EventLoopTest.java
+++ b/src/test/java/org/ploverspindle/eventloop/EventLoopTest.java
@@ -13,9 +13,9 @@
 class EventLoopTest {
   /** Work that waits is run by priority, as the order in which it is done shows. */
   @Test
-  void heartbeatsRunFirstThenDecisionsThenSubmissionsAndQueriesLast() throws InterruptedException {
-    List<EventPriority> done = new ArrayList<>();
-    CountDownLatch all = new CountDownLatch(400);
+  void waitingWorkRunsInOrderOfPriority() throws InterruptedException {
+    List<EventPriority> executed = new ArrayList<>();
+    CountDownLatch allExecuted = new CountDownLatch(400);
     Random random = new Random(1);
     try (EventLoop loop = new EventLoop()) {
       for (int i = 0; i < 400; i++) {
@@ -24,15 +24,15 @@
         loop.execute(
             priority,
             () -> {
-              done.add(priority);
-              all.countDown();
+              executed.add(priority);
+              allExecuted.countDown();
             });
       }
       loop.start();
-      assertTrue(all.await(30, TimeUnit.SECONDS));
+      assertTrue(allExecuted.await(30, TimeUnit.SECONDS));
     }
-    List<EventPriority> sorted = new ArrayList<>(done);
+    List<EventPriority> sorted = new ArrayList<>(executed);
     sorted.sort(null);
-    assertEquals(sorted, done);
+    assertEquals(sorted, executed);
   }
 }
--- a/src/test/java/org/ploverspindle/net/UndertowHttpClientTest.java
+++ b/src/test/java/org/ploverspindle/net/UndertowHttpClientTest.java
@@ -30,10 +30,10 @@
 
 /** Calls over real sockets on loopback, to a target that answers as each test says. */
 class UndertowHttpClientTest {
-  private static final long LONG_MS = 20_000;
-  private static final long SHORT_MS = 200;
-  private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-  private static final String OK_CLOSE =
+  private static final long LONG_TIMEOUT_MS = 20_000;
+  private static final long SHORT_TIMEOUT_MS = 200;
+  private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+  private static final String OK_RESPONSE_THEN_CLOSE =
       "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok";
 
   /** In place of a response: the connection is closed once the request has arrived. */
@@ -41,22 +41,22 @@
 
   /** Answers each request with the same text, or not at all if that is empty. */
   private final class Target implements AutoCloseable {
-    final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     final List<Socket> accepted = new CopyOnWriteArrayList<>();
     final List<byte[]> bodies = new CopyOnWriteArrayList<>();
     private final String response;
 
     Target(String response) throws IOException {
       this.response = response;
-      daemon(this::accept);
+      startDaemon(this::accept);
     }
 
     private void accept() {
       try {
         while (true) {
-          Socket socket = listening.accept();
+          Socket socket = serverSocket.accept();
           accepted.add(socket);
-          daemon(() -> serve(socket));
+          startDaemon(() -> serve(socket));
         }
       } catch (IOException e) {
         // The test has ended.
@@ -67,7 +67,7 @@
       // Closes its side when the client does, as HTTP servers do.
       try (socket) {
         while (true) {
-          bodies.add(body(socket.getInputStream()));
+          bodies.add(readBody(socket.getInputStream()));
           if (response.equals(CLOSED_WITHOUT_RESPONSE)) {
             return;
           }
@@ -78,7 +78,7 @@
       }
     }
 
-    private static byte[] body(InputStream in) throws IOException {
+    private static byte[] readBody(InputStream in) throws IOException {
       ByteArrayOutputStream head = new ByteArrayOutputStream();
       while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
         int next = in.read();
@@ -97,42 +97,46 @@
 
     @Override
     public void close() throws IOException {
-      listening.close();
+      serverSocket.close();
       for (Socket socket : accepted) {
         socket.close();
       }
     }
   }
 
-  private EventLoop loop;
+  private EventLoop eventLoop;
   private XnioWorker worker;
 
   @BeforeEach
   void open() throws IOException {
-    loop = new EventLoop();
-    loop.start();
+    eventLoop = new EventLoop();
+    eventLoop.start();
     worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
   }
 
   @AfterEach
   void close() {
-    loop.close();
+    eventLoop.close();
     worker.shutdownNow();
   }
 
-  private static void daemon(Runnable work) {
+  private static void startDaemon(Runnable work) {
     Thread thread = new Thread(work);
     thread.setDaemon(true);
     thread.start();
   }
 
   private HttpClient client(Target target, int connections) {
-    return client("127.0.0.1:" + target.listening.getLocalPort(), connections);
+    return client("127.0.0.1:" + target.serverSocket.getLocalPort(), connections);
   }
 
   private HttpClient client(String address, int connections) {
     return UndertowHttpClient.persistent(
-        loop, worker.getIoThread(), new DefaultByteBufferPool(true, 4_096), address, connections);
+        eventLoop,
+        worker.getIoThread(),
+        new DefaultByteBufferPool(true, 4_096),
+        address,
+        connections);
   }
 
   private static CompletableFuture<HttpResult> send(
@@ -143,7 +147,7 @@
   }
 
   private static HttpResult outcome(CompletableFuture<HttpResult> call) throws Exception {
-    return call.get(LONG_MS, TimeUnit.MILLISECONDS);
+    return call.get(LONG_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   private static void assertOk(HttpResult result) {
@@ -153,14 +157,15 @@
   }
 
   @Test
-  void callsShareAPersistentConnectionAndLargeBodiesArriveWhole() throws Exception {
+  void callsShareOnePersistentConnectionAndLargeBodiesArriveWhole() throws Exception {
     byte[] large = new byte[3_000_000];
     large[2_999_999] = 7;
-    try (Target target = new Target(OK)) {
+    try (Target target = new Target(OK_RESPONSE)) {
       HttpClient client = client(target, 1);
-      assertOk(outcome(send(client, new byte[0], LONG_MS)));
+      assertOk(outcome(send(client, new byte[0], LONG_TIMEOUT_MS)));
       List<CompletableFuture<HttpResult>> calls =
-          List.of(send(client, large, LONG_MS), send(client, new byte[] {1}, LONG_MS));
+          List.of(
+              send(client, large, LONG_TIMEOUT_MS), send(client, new byte[] {1}, LONG_TIMEOUT_MS));
       for (CompletableFuture<HttpResult> call : calls) {
         assertOk(outcome(call));
       }
@@ -171,57 +176,58 @@
   }
 
   @Test
-  void aConnectionThatTheTargetClosesIsNotUsedAgain() throws Exception {
-    try (Target target = new Target(OK_CLOSE)) {
+  void connectionClosedByTheTargetIsNotReused() throws Exception {
+    try (Target target = new Target(OK_RESPONSE_THEN_CLOSE)) {
       HttpClient client = client(target, 1);
-      assertOk(outcome(send(client, new byte[0], LONG_MS)));
-      assertOk(outcome(send(client, new byte[0], LONG_MS)));
+      assertOk(outcome(send(client, new byte[0], LONG_TIMEOUT_MS)));
+      assertOk(outcome(send(client, new byte[0], LONG_TIMEOUT_MS)));
       assertEquals(2, target.accepted.size());
     }
   }
 
   @Test
-  void aRequestThatWaitedForAConnectionIsKnownNotToHaveBeenSent() throws Exception {
+  void callThatTimesOutWaitingForAConnectionIsReportedAsNotSent() throws Exception {
     try (Target silent = new Target("")) {
       HttpClient client = client(silent, 1);
-      CompletableFuture<HttpResult> sent = send(client, new byte[0], LONG_MS);
-      CompletableFuture<HttpResult> waiting = send(client, new byte[0], SHORT_MS);
+      CompletableFuture<HttpResult> sent = send(client, new byte[0], LONG_TIMEOUT_MS);
+      CompletableFuture<HttpResult> waiting = send(client, new byte[0], SHORT_TIMEOUT_MS);
       assertEquals(new HttpResult.NotSent("timeout"), outcome(waiting));
       assertFalse(sent.isDone());
     }
   }
 
   @Test
-  void withoutAResponseTheRequestMayHaveBeenExecuted() throws Exception {
+  void connectionClosedBeforeTheResponseIsReportedAsNoResponse() throws Exception {
     try (Target target = new Target(CLOSED_WITHOUT_RESPONSE)) {
-      HttpResult result = outcome(send(client(target, 1), new byte[0], LONG_MS));
+      HttpResult result = outcome(send(client(target, 1), new byte[0], LONG_TIMEOUT_MS));
       assertInstanceOf(HttpResult.NoResponse.class, result);
       assertEquals(1, target.bodies.size());
     }
   }
 
   @Test
-  void aTargetThatDoesNotListenIsReportedAsNotSent() throws Exception {
+  void refusedConnectionIsReportedAsNotSent() throws Exception {
     int port;
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
     HttpClient client = client("127.0.0.1:" + port, 1);
     for (int i = 0; i < 3; i++) {
-      HttpResult result = outcome(send(client, new byte[0], LONG_MS));
+      HttpResult result = outcome(send(client, new byte[0], LONG_TIMEOUT_MS));
       assertInstanceOf(HttpResult.NotSent.class, result);
     }
   }
 
   @Test
-  void theQueueIsBounded() throws Exception {
+  void callBeyondTheQueueLimitIsNotSent() throws Exception {
     try (Target silent = new Target("")) {
       HttpClient client = client(silent, 1);
       for (int i = 0; i < 201; i++) {
-        send(client, new byte[0], LONG_MS);
+        send(client, new byte[0], LONG_TIMEOUT_MS);
       }
       HttpResult.NotSent refused =
-          assertInstanceOf(HttpResult.NotSent.class, outcome(send(client, new byte[0], LONG_MS)));
+          assertInstanceOf(
+              HttpResult.NotSent.class, outcome(send(client, new byte[0], LONG_TIMEOUT_MS)));
       assertTrue(refused.reason().startsWith("too many calls wait for "));
     }
   }
--- a/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class PeerCodecTest {
-  private static final List<PeerMessage> ALL =
+  private static final List<PeerMessage> ALL_KINDS =
       List.of(
           new PeerMessage.Leading("n-1", 1L << 40),
           new PeerMessage.Resigned("n-2", 7),
@@ -23,13 +23,13 @@
 
   /** TCP delivers frames in pieces of any size. */
   @Test
-  void messagesSurviveAnySplitOfTheStream() throws PeerCodec.MalformedFrameException {
+  void messagesSplitAtAnyByteAreDecodedInOrder() throws PeerCodec.MalformedFrameException {
     Random random = new Random(1);
     List<PeerMessage> sent = new ArrayList<>();
     List<PeerMessage> decoded = new ArrayList<>();
-    ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_LENGTH);
+    ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_BODY_BYTES);
     for (int i = 0; i < 500; i++) {
-      PeerMessage message = ALL.get(random.nextInt(ALL.size()));
+      PeerMessage message = ALL_KINDS.get(random.nextInt(ALL_KINDS.size()));
       sent.add(message);
       byte[] frame = PeerCodec.encode(message);
       for (int from = 0; from < frame.length; ) {
@@ -37,10 +37,10 @@
         received.put(frame, from, count);
         from += count;
         received.flip();
-        for (int length = PeerCodec.wholeFrame(received);
+        for (int length = PeerCodec.nextBodyLength(received);
             length >= 0;
-            length = PeerCodec.wholeFrame(received)) {
-          PeerCodec.take(received, length).ifPresent(decoded::add);
+            length = PeerCodec.nextBodyLength(received)) {
+          PeerCodec.decodeNext(received, length).ifPresent(decoded::add);
         }
         received.compact();
       }
@@ -49,30 +49,33 @@
   }
 
   @Test
-  void anUnknownVersionOrKindIsSkipped() throws PeerCodec.MalformedFrameException {
-    byte[] frame = PeerCodec.encode(ALL.get(0));
+  void unknownVersionOrKindIsSkipped() throws PeerCodec.MalformedFrameException {
+    byte[] frame = PeerCodec.encode(ALL_KINDS.get(0));
     frame[4] = 99;
     ByteBuffer received = ByteBuffer.wrap(frame);
     assertEquals(
-        Optional.empty(), PeerCodec.take(received, PeerCodec.wholeFrame(received)), "version");
-    frame = PeerCodec.encode(ALL.get(0));
+        Optional.empty(),
+        PeerCodec.decodeNext(received, PeerCodec.nextBodyLength(received)),
+        "version");
+    frame = PeerCodec.encode(ALL_KINDS.get(0));
     frame[5] = 99;
     ByteBuffer kind = ByteBuffer.wrap(frame);
-    assertEquals(Optional.empty(), PeerCodec.take(kind, PeerCodec.wholeFrame(kind)), "kind");
+    assertEquals(
+        Optional.empty(), PeerCodec.decodeNext(kind, PeerCodec.nextBodyLength(kind)), "kind");
     assertTrue(!kind.hasRemaining());
   }
 
   @Test
-  void malformedBytesAreRejected() {
+  void invalidLengthOrTruncatedBodyIsRejected() {
     ByteBuffer http = ByteBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes());
-    assertThrows(PeerCodec.MalformedFrameException.class, () -> PeerCodec.wholeFrame(http));
-    byte[] frame = PeerCodec.encode(ALL.get(0));
+    assertThrows(PeerCodec.MalformedFrameException.class, () -> PeerCodec.nextBodyLength(http));
+    byte[] frame = PeerCodec.encode(ALL_KINDS.get(0));
     frame[7] = (byte) 200;
     assertThrows(
         PeerCodec.MalformedFrameException.class,
         () -> {
           ByteBuffer received = ByteBuffer.wrap(frame);
-          PeerCodec.take(received, PeerCodec.wholeFrame(received));
+          PeerCodec.decodeNext(received, PeerCodec.nextBodyLength(received));
         });
   }
 }
--- a/src/test/java/org/ploverspindle/peers/PeerServerTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerServerTest.java
@@ -21,7 +21,7 @@
 
 /** Peer servers over real sockets on loopback. */
 class PeerServerTest {
-  private final EventLoop loop = new EventLoop();
+  private final EventLoop eventLoop = new EventLoop();
   private final BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
   private XnioWorker worker;
   private PeerServer receiver;
@@ -30,26 +30,27 @@
   @BeforeEach
   void open() throws Exception {
     worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-    loop.start();
-    Address any = new Address("127.0.0.1", 0);
-    receiver = new PeerServer(loop, worker, any, List.of(), received::add);
+    eventLoop.start();
+    Address anyPort = new Address("127.0.0.1", 0);
+    receiver = new PeerServer(eventLoop, worker, anyPort, List.of(), received::add);
     receiver.open();
     Settings.Member listening =
         new Settings.Member("n1", "a", new Address("127.0.0.1", receiver.port()));
     Settings.Member refusing = new Settings.Member("n2", "a", new Address("127.0.0.1", 1));
-    sender = new PeerServer(loop, worker, any, List.of(listening, refusing), message -> {});
+    sender =
+        new PeerServer(eventLoop, worker, anyPort, List.of(listening, refusing), message -> {});
   }
 
   @AfterEach
   void close() {
     sender.close();
     receiver.close();
-    loop.close();
+    eventLoop.close();
     worker.shutdownNow();
   }
 
   @Test
-  void messagesArriveInOrderAlthoughAnotherPeerRefuses() throws Exception {
+  void messagesArriveInOrderWhileAnotherPeerRefusesConnections() throws Exception {
     PeerMessage first = new PeerMessage.Leading("n0", 5);
     PeerMessage second = new PeerMessage.StateChanged("n0");
     sender.broadcast(first);
@@ -60,7 +61,7 @@
   }
 
   @Test
-  void aMalformedConnectionIsClosedAndOthersGoOn() throws Exception {
+  void connectionWithMalformedBytesIsClosedAndOthersStillDeliver() throws Exception {
     try (Socket socket = new Socket("127.0.0.1", receiver.port())) {
       OutputStream out = socket.getOutputStream();
       out.write("GET / HTTP/1.1\r\n\r\n".getBytes());
--- a/src/test/java/org/ploverspindle/peers/PipelineVersionPeerMessagesTest.java
+++ b/src/test/java/org/ploverspindle/peers/PipelineVersionPeerMessagesTest.java
@@ -26,7 +26,7 @@
           new PeerMessage.ReachabilityProbe("n-5"),
           new PeerMessage.ReachabilityReply("n-6"));
 
-  private static JsonNode encodedByHead() throws IOException {
+  private static JsonNode encodedByPipelineVersion() throws IOException {
     try (var in =
         PipelineVersionPeerMessagesTest.class.getResourceAsStream("/head-f659783-records.json")) {
       return new ObjectMapper().readTree(in).path("peers");
@@ -34,28 +34,28 @@
   }
 
   @Test
-  void everyKindIsInTheFixture() throws Exception {
+  void fixtureHoldsEveryKind() throws Exception {
     assertEquals(PeerMessage.class.getPermittedSubclasses().length, EVERY_KIND.size());
-    assertEquals(EVERY_KIND.size(), encodedByHead().size());
+    assertEquals(EVERY_KIND.size(), encodedByPipelineVersion().size());
   }
 
   @Test
-  void theyAreEncodedInTheSameBytes() throws Exception {
-    for (PeerMessage record : EVERY_KIND) {
+  void messagesAreEncodedInTheSameBytesAsByThatVersion() throws Exception {
+    for (PeerMessage message : EVERY_KIND) {
       assertEquals(
-          encodedByHead().path(record.member()).asText(),
-          HexFormat.of().formatHex(PeerCodec.encode(record)),
-          record.toString());
+          encodedByPipelineVersion().path(message.member()).asText(),
+          HexFormat.of().formatHex(PeerCodec.encode(message)),
+          message.toString());
     }
   }
 
   @Test
-  void theyAreReadAsTheSame() throws Exception {
-    for (PeerMessage record : EVERY_KIND) {
-      String hex = encodedByHead().path(record.member()).asText();
+  void messagesEncodedByThatVersionAreDecodedWithAllFields() throws Exception {
+    for (PeerMessage message : EVERY_KIND) {
+      String hex = encodedByPipelineVersion().path(message.member()).asText();
       ByteBuffer received = ByteBuffer.wrap(HexFormat.of().parseHex(hex));
-      int length = PeerCodec.wholeFrame(received);
-      assertEquals(Optional.of(record), PeerCodec.take(received, length));
+      int length = PeerCodec.nextBodyLength(received);
+      assertEquals(Optional.of(message), PeerCodec.decodeNext(received, length));
     }
   }
 }
