--- a/src/main/java/org/ploverspindle/controller/Controller.java
+++ b/src/main/java/org/ploverspindle/controller/Controller.java
@@ -32,9 +32,9 @@
 import org.ploverspindle.state.StateStore;
 
 /**
- * One controller without its sockets: wires the replica, the election, users' requests and, while
- * this controller leads, the leader of the term. Everything here runs on the event loop, except for
- * {@link #isReady}.
+ * One controller without its sockets. It wires the replica, the election, the handling of users'
+ * requests and, while this controller leads, the leader of the term. All methods must be called on
+ * the event loop, except for {@link #isReady}.
  */
 public final class Controller implements UserApi.RequestHandler {
   private static final long REPLICA_IDLE_READ_INTERVAL_MS = 700;
@@ -61,10 +61,10 @@
   private final CancellableGroup periodicTasks = new CancellableGroup();
   private Optional<Leader> leader = Optional.empty();
 
-  /** What the controller reaches over the network. */
+  /** The clients of the services and processes that the controller reaches over the network. */
   public record Services(StateStore store, CloudClient cloud, WorkerClient workers, Peers peers) {}
 
-  /** A controller that does nothing before it is started. */
+  /** Creates a controller that does nothing before {@link #start} is called. */
   public Controller(
       Scheduler scheduler,
       Services services,
@@ -133,9 +133,12 @@
         () -> periodicTasks.add(election.start()));
   }
 
-  // ---- the controller's life
+  // ---- lifecycle
 
-  /** Begins to read the state service; the election follows once the replica is loaded. */
+  /**
+   * Begins to read the state service. The election starts once the replica is loaded and the
+   * machine types are known.
+   */
   public void start() {
     replica.setReadInterval(requestRates.followerReadIntervalMs());
     periodicTasks.add(replica.start());
@@ -146,29 +149,35 @@
     machineTypes.loadFromCloud(readiness::update);
   }
 
-  /** Ends all work, and resigns so that others need not wait for the lease to expire. */
+  /**
+   * Stops all periodic work and closes the leader, then resigns so that other controllers need not
+   * wait for the lease to expire.
+   */
   public void stop() {
     periodicTasks.cancel();
     leader.ifPresent(Leader::close);
     election.resign();
   }
 
-  /** Does this controller lead, as far as it knows? */
+  /** Returns whether this controller leads, as far as it knows. */
   public boolean isLeading() {
     return leader.isPresent();
   }
 
-  /** Should users be sent to this controller? May be called from any thread. */
+  /** Returns whether users should be sent to this controller. May be called on any thread. */
   public boolean isReady() {
     return readiness.isReady();
   }
 
-  /** Handles a message of another controller. */
+  /** Handles a message from another controller. */
   public void handlePeerMessage(PeerMessage message) {
     peerMessages.handle(message);
   }
 
-  /** Creates a leader for each term of this controller, and closes it with the term. */
+  /**
+   * Creates a leader for each term of this controller, closes it when the term ends, and announces
+   * both to the other controllers.
+   */
   private final class TermEvents implements Election.Listener {
     @Override
     public void elected(Term term) {
@@ -188,7 +197,7 @@
     }
   }
 
-  // ---- requests of users, workers and operators
+  // ---- requests from users, workers and operators
 
   @Override
   public void submit(byte[] body, Consumer<ApiResponse> responder) {
--- a/src/main/java/org/ploverspindle/controller/HeartbeatAdmission.java
+++ b/src/main/java/org/ploverspindle/controller/HeartbeatAdmission.java
@@ -18,8 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Passes heartbeats to the leader on this controller, and redirects them to another one. Rejects
- * what is malformed, and what can't be answered safely.
+ * Passes heartbeats to the leader if it runs on this controller, and otherwise redirects the
+ * workers to the controller that leads. Rejects malformed heartbeats, and heartbeats that can't be
+ * answered safely.
  */
 final class HeartbeatAdmission {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatAdmission.class);
@@ -37,7 +38,7 @@
 
   /**
    * @param member the name of this controller
-   * @param localLeader the leader while this controller leads
+   * @param localLeader supplies the leader while this controller leads, and empty otherwise
    */
   HeartbeatAdmission(
       Scheduler scheduler,
@@ -57,7 +58,7 @@
   /**
    * Responds to an encoded heartbeat.
    *
-   * @param responder is called once, at once or after a short delay
+   * @param responder is called exactly once, immediately or after a short delay
    */
   void accept(byte[] body, Consumer<ApiResponse> responder) {
     Optional<Heartbeat> heartbeat = HeartbeatCodec.decode(body);
@@ -85,8 +86,10 @@
   }
 
   /**
-   * A response renews the worker's lease. If a leader with an older replica responded, a worker
-   * could go on for too long with tasks whose cancellation this leader can't know of.
+   * Returns whether the leadership of this controller was last confirmed longer ago than the
+   * heartbeat grace. A response renews the worker lease: if a leader responded without a recent
+   * read of the state service, the worker could run tasks for too long whose cancellation this
+   * leader can't know of.
    */
   private boolean isConfirmationTooOld() {
     return scheduler.nowMs() > election.lastConfirmedMs() + timing.heartbeatGraceMs();
@@ -98,9 +101,11 @@
   }
 
   /**
-   * Redirects the machine to the leader. A machine that has had a response of that leader and turns
-   * to this controller all the same is a sign that the leader's responses are lost, so it is
-   * counted; one that has just booted, or had another leader, is not.
+   * Returns a response that redirects the worker to the leader, or that asks it to retry if no
+   * other controller is known to lead. Counts the heartbeat as misdirected if the worker has
+   * already had a response from that leader: a worker that then turns to this controller is a sign
+   * that the leader's responses are lost. The heartbeat of a worker that has just started, or that
+   * has had responses from earlier leaders only, is not counted.
    */
   private ApiResponse redirect(Heartbeat heartbeat) {
     Optional<String> otherLeader = election.leaderName().filter(name -> !name.equals(member));
@@ -113,7 +118,8 @@
   }
 
   /**
-   * Sends the leader the number of misdirected heartbeats since the last call, if there are any.
+   * Sends the leader the number of misdirected heartbeats since the last call, unless it is 0. The
+   * count restarts at 0 even if no leader is known.
    */
   void sendMisdirectedCount() {
     if (misdirectedCount == 0) {
--- a/src/main/java/org/ploverspindle/controller/MachineTypeLoader.java
+++ b/src/main/java/org/ploverspindle/controller/MachineTypeLoader.java
@@ -6,7 +6,9 @@
 import org.ploverspindle.state.MachineTypesRecord;
 import org.ploverspindle.state.Replica;
 
-/** Fills the catalogue of machine types, without which no stored record can be understood. */
+/**
+ * Loads the machine types into the catalogue. Without them the stored records can't be interpreted.
+ */
 final class MachineTypeLoader {
   private static final long RETRY_DELAY_MS = 1_500;
 
@@ -26,7 +28,9 @@
     return catalogue.isKnown();
   }
 
-  /** Takes the types from the record of an earlier leader, unless they are known. */
+  /**
+   * Loads the types from the record that an earlier leader stored, unless they are known already.
+   */
   void loadFromReplica() {
     if (!catalogue.isKnown()) {
       MachineTypesRecord.read(replica).ifPresent(catalogue::update);
@@ -34,9 +38,11 @@
   }
 
   /**
-   * Asks the cloud until the types are known.
+   * Requests the types from the cloud, and retries until they are known from the cloud or from the
+   * replica.
    *
-   * @param onLoaded called once the cloud or the replica has shown them
+   * @param onLoaded is called once, after the first request to the cloud that ends with the types
+   *     known
    */
   void loadFromCloud(Runnable onLoaded) {
     cloud.listMachineTypes(
--- a/src/main/java/org/ploverspindle/controller/PeerMessageHandler.java
+++ b/src/main/java/org/ploverspindle/controller/PeerMessageHandler.java
@@ -8,8 +8,9 @@
 import org.ploverspindle.state.Replica;
 
 /**
- * Handles messages of other controllers. They are hints: all that they can do is to have the state
- * service read sooner, or to have a leader resign that others replace without harm.
+ * Handles messages from other controllers. Messages are hints: they cause an earlier read of the
+ * state service, a reply to a probe, or a change of this controller's readiness, or they end its
+ * leadership, which is safe since another controller can take over.
  */
 final class PeerMessageHandler {
   private final Replica replica;
@@ -18,7 +19,7 @@
   private final Supplier<Optional<Leader>> localLeader;
 
   /**
-   * @param localLeader the leader while this controller leads
+   * @param localLeader supplies the leader while this controller leads, and empty otherwise
    */
   PeerMessageHandler(
       Replica replica,
@@ -45,7 +46,7 @@
     } else if (message instanceof PeerMessage.ReachabilityReply) {
       stateReachability.handleReply();
     } else {
-      // A leader resigned: its record may be gone already.
+      // The message is Resigned. The leader key may already be free, which a read shows.
       replica.readBarrier(isRead -> {});
     }
   }
--- a/src/main/java/org/ploverspindle/controller/Readiness.java
+++ b/src/main/java/org/ploverspindle/controller/Readiness.java
@@ -8,7 +8,7 @@
 
 /**
  * Decides when this controller joins the election, whether users should be sent to it, and when it
- * resigns because only this controller lacks the state service.
+ * resigns because only this controller can't use the state service.
  */
 final class Readiness {
   private static final Logger LOG = LoggerFactory.getLogger(Readiness.class);
@@ -24,7 +24,7 @@
 
   /**
    * @param isFailingToWrite whether this controller leads and none of its writes is executed
-   * @param startElection has this controller take part in the election; called once
+   * @param startElection makes this controller take part in the election; is called once
    */
   Readiness(
       Replica replica,
@@ -41,15 +41,16 @@
     this.startElection = startElection;
   }
 
-  /** Should users be sent to this controller? May be called from any thread. */
+  /** Returns whether users should be sent to this controller. May be called on any thread. */
   boolean isReady() {
     return ready;
   }
 
   /**
-   * To be called regularly. A controller takes part in the election only when it knows the machine
-   * types: without them it can't understand the records. It accepts users only while it can answer
-   * them, unless no controller can.
+   * Updates the decisions; must be called at regular intervals. This controller takes part in the
+   * election once its replica is loaded and the machine types are known, since it can't interpret
+   * the stored records without them. From then on it is ready for users, except while it can't
+   * reach the state service and other controllers can. If no controller can, it stays ready.
    */
   void update() {
     machineTypes.loadFromReplica();
@@ -73,7 +74,11 @@
     }
   }
 
-  /** A leader whose lease is renewed, but whose other requests fail, would lead to no effect. */
+  /**
+   * Resigns if this controller leads, its reads or all of its writes fail, and other controllers
+   * reach the state service. Such a leader could renew its lease and keep leading without any
+   * effect.
+   */
   private void resignIfIneffective(boolean writesFail) {
     boolean readsFail = election.isAuthoritative() && stateReachability.isUnreachableHereOnly();
     if (stateReachability.isReachableByPeers() && (writesFail || readsFail)) {
--- a/src/main/java/org/ploverspindle/controller/RoutingLeaderNotifier.java
+++ b/src/main/java/org/ploverspindle/controller/RoutingLeaderNotifier.java
@@ -11,7 +11,10 @@
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.StateStore.Change;
 
-/** Notifies the leader, here or on another controller, of what this controller wrote for users. */
+/**
+ * Notifies the leader of what this controller wrote for users. A leader on this controller is
+ * notified through the replica, and a leader on another controller by a peer message.
+ */
 final class RoutingLeaderNotifier implements LeaderNotifier {
   private final Replica replica;
   private final Election election;
@@ -21,7 +24,7 @@
 
   /**
    * @param member the name of this controller
-   * @param localLeader the leader while this controller leads
+   * @param localLeader supplies the leader while this controller leads, and empty otherwise
    */
   RoutingLeaderNotifier(
       Replica replica,
@@ -38,7 +41,8 @@
 
   @Override
   public void cancellationSent() {
-    // A leader on this controller sees its cancellations in the replica without a read.
+    // A leader on this controller finds the cancellation in the replica once it is committed.
+    // Only a leader on another controller has to read the state service.
     if (localLeader.get().isEmpty()) {
       notifyRemoteLeader();
     }
@@ -47,7 +51,8 @@
   @Override
   public void cancellationsCommitted(List<Change.Put> cancellations, long revision) {
     if (localLeader.get().isPresent()) {
-      // Applied before the user is answered, so that the leader launches nothing of the job after.
+      // The replica is changed before the user gets a response, so that the leader launches no task
+      // of a cancelled job after that response.
       cancellations.forEach(put -> replica.applyCreated(put, revision));
     } else {
       notifyRemoteLeader();
--- a/src/main/java/org/ploverspindle/controller/StateReachability.java
+++ b/src/main/java/org/ploverspindle/controller/StateReachability.java
@@ -16,19 +16,21 @@
 
 /**
  * Finds out whether only this controller can't reach the state service. A controller can't tell an
- * outage of the service from requests that fail for itself alone, so it probes the others. Their
- * replies are hints: they send users elsewhere and end a leadership that is of no use, and nothing
- * else is decided by them.
+ * outage of the service from requests that fail for itself alone, so it probes the other
+ * controllers. Their replies are hints: they decide only whether users are sent to other
+ * controllers and whether a leader resigns that can't use the state service.
  */
 final class StateReachability {
   private static final long PROBE_INTERVAL_MS = 1_000;
 
-  /** Above several intervals of reading the replica: one lost answer is no reason to probe. */
+  /**
+   * Longer than several read intervals of the replica: one lost response must not cause a probe.
+   */
   private static final long PROBE_AFTER_STALE_MS = 2_500;
 
   private static final long UNREACHABLE_AFTER_STALE_MS = 4_000;
 
-  /** A controller replies to probes only if it has just read the state service itself. */
+  /** A controller replies to probes only if its last answered read is not older than this. */
   private static final long MAX_STALENESS_TO_REPLY_MS = 1_500;
 
   private static final long REPLY_VALID_MS = 3_000;
@@ -55,12 +57,14 @@
     this.member = member;
   }
 
+  /** Returns how long ago the last answered read of the replica was sent, in milliseconds. */
   private long stalenessMs() {
     return scheduler.nowMs() - replica.freshAsOfMs();
   }
 
   /**
-   * Probes the other controllers if this one seems to lack the state service.
+   * Probes the other controllers if this one seems unable to reach the state service, at most once
+   * per probe interval.
    *
    * @param isFailingToWrite whether this controller leads and none of its writes is executed
    */
@@ -74,8 +78,10 @@
   }
 
   /**
-   * Replies to another controller's probe if the state service executes a transaction for this one.
-   * One transaction serves all probes that arrive meanwhile.
+   * Replies to another controller's probe once the state service has processed a transaction of
+   * this controller, whether it committed or its condition did not hold. Probes that arrive while
+   * the transaction is in flight are answered by its result. Sends no reply if this controller has
+   * not read the state service recently.
    */
   void replyToProbe(String probingMember) {
     if (stalenessMs() > MAX_STALENESS_TO_REPLY_MS) {
@@ -104,17 +110,20 @@
     probingMembers.forEach(probing -> peers.send(probing, reply));
   }
 
-  /** Another controller replied that it reads and writes the state service. */
+  /** Records that another controller replied that it reads and writes the state service. */
   void handleReply() {
     lastReplyMs = OptionalLong.of(scheduler.nowMs());
   }
 
-  /** Did another controller show lately that it reaches the state service? */
+  /** Returns whether another controller has replied recently that it reaches the state service. */
   boolean isReachableByPeers() {
     return lastReplyMs.isPresent() && scheduler.nowMs() - lastReplyMs.getAsLong() < REPLY_VALID_MS;
   }
 
-  /** Other controllers reach the state service and this one does not: they serve users better. */
+  /**
+   * Returns whether other controllers reach the state service and this one does not. Users are then
+   * served better by the other controllers.
+   */
   boolean isUnreachableHereOnly() {
     return stalenessMs() > UNREACHABLE_AFTER_STALE_MS && isReachableByPeers();
   }
--- a/src/main/java/org/ploverspindle/controller/StatusPage.java
+++ b/src/main/java/org/ploverspindle/controller/StatusPage.java
@@ -6,7 +6,7 @@
 import org.ploverspindle.leases.FencingRejections;
 import org.ploverspindle.pipelines.Pipelines;
 
-/** The text of the status page. Its keys are an interface: operators' tools read them. */
+/** Renders the status page as text. Its keys are an interface: tools of operators read them. */
 final class StatusPage {
   private final String member;
   private final Election election;
@@ -21,7 +21,10 @@
   }
 
   /**
-   * @param localLeader the leader if this controller leads
+   * Returns the text of the page.
+   *
+   * @param ready whether users should be sent to this controller
+   * @param localLeader the leader if this controller leads, and empty otherwise
    */
   String render(boolean ready, Optional<Leader> localLeader) {
     return "member="
--- a/src/main/java/org/ploverspindle/eventloop/Cancellable.java
+++ b/src/main/java/org/ploverspindle/eventloop/Cancellable.java
@@ -3,6 +3,6 @@
 /** Work that can be stopped before its next run. */
 @FunctionalInterface
 public interface Cancellable {
-  /** Stops further runs. Cancelling twice is allowed. */
+  /** Prevents further runs. A second call has no effect. */
   void cancel();
 }
--- a/src/main/java/org/ploverspindle/eventloop/CancellableGroup.java
+++ b/src/main/java/org/ploverspindle/eventloop/CancellableGroup.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A group of cancellable work: cancelling it cancels all, the last added first. */
+/** Work that is cancelled together, in the reverse order in which it was added. */
 public final class CancellableGroup implements Cancellable {
   private final List<Cancellable> cancellables = new ArrayList<>();
 
-  /** Adds work that is cancelled with this group. */
+  /** Adds work that the next {@link #cancel} of this group cancels. */
   public void add(Cancellable cancellable) {
     cancellables.add(cancellable);
   }
--- a/src/main/java/org/ploverspindle/eventloop/EventLoop.java
+++ b/src/main/java/org/ploverspindle/eventloop/EventLoop.java
@@ -12,19 +12,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The scheduler of a running service: one thread that runs heartbeats first, then due timers, then
- * the other priorities of work in their order.
+ * The scheduler of a running controller: one thread that runs heartbeats first, then due timers,
+ * then the other work in the order of its priority.
  *
- * <p>Work that throws is logged, and the loop goes on. Work that is still waiting when the loop is
- * closed is not run.
+ * <p>If work throws a runtime exception, the exception is logged and the loop continues. Work that
+ * is still waiting when the loop is closed is not run.
  */
 public final class EventLoop implements Scheduler, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
   private static final long NANOS_PER_MS = 1_000_000;
 
   /**
-   * @param sequence of two timers that are due at the same time, the one that was scheduled first
-   *     runs first
+   * @param dueMs the time from which the work may run, on the monotonic clock
+   * @param sequence the order of scheduling: of two timers that are due at the same time, the one
+   *     that was scheduled first runs first
    */
   private record Timer(long dueMs, long sequence, Runnable work) implements Comparable<Timer> {
     @Override
@@ -51,7 +52,7 @@
     thread = new Thread(this::run, "decisions");
   }
 
-  /** Starts the thread. */
+  /** Starts the thread of the event loop. */
   public void start() {
     thread.start();
   }
@@ -66,7 +67,10 @@
     return System.currentTimeMillis();
   }
 
-  /** How much work of this priority is waiting. The user API sheds load by it. */
+  /**
+   * Returns how many pieces of work of this priority are waiting. The user API rejects requests
+   * when it is too high. May be called on any thread.
+   */
   public int backlog(EventPriority priority) {
     lock.lock();
     try {
@@ -125,7 +129,10 @@
     }
   }
 
-  /** The next work to run; null once the loop is closed. */
+  /**
+   * Waits for the next work to run and returns it, or null once the loop is closed or its thread is
+   * interrupted.
+   */
   private Runnable awaitNext() {
     lock.lock();
     try {
@@ -145,7 +152,7 @@
     }
   }
 
-  /** Waits until work is added, a timer is due or the loop is closed. */
+  /** Waits until work or a timer is added, a timer is due or the loop is closed. */
   private void awaitChange() throws InterruptedException {
     threadWaiting = true;
     try {
@@ -160,7 +167,7 @@
     }
   }
 
-  /** The work of the highest priority that can run now; null if there is none. */
+  /** Removes and returns the work that runs next, or returns null if none can run now. */
   private Runnable pollNext() {
     Runnable heartbeat = queues.get(EventPriority.HEARTBEAT).poll();
     if (heartbeat != null) {
@@ -178,7 +185,7 @@
     return submission != null ? submission : queues.get(EventPriority.QUERY).poll();
   }
 
-  /** Ends the thread after the work that is running. */
+  /** Makes the thread end after the work that is running, without waiting for it. */
   @Override
   public void close() {
     lock.lock();
--- a/src/main/java/org/ploverspindle/eventloop/EventPriority.java
+++ b/src/main/java/org/ploverspindle/eventloop/EventPriority.java
@@ -1,13 +1,13 @@
 package org.ploverspindle.eventloop;
 
-/** Priorities of waiting work, the highest first. */
+/** The priorities of work that waits on the event loop, the highest first. */
 public enum EventPriority {
-  /** Workers' heartbeats. A late response lets leases expire, which ends running tasks. */
+  /** Heartbeats of workers. A late response lets worker leases expire, which ends running tasks. */
   HEARTBEAT,
-  /** Decisions, and responses of the state service, the cloud and workers. */
+  /** Decisions, responses of the state service, the cloud and workers, and peer messages. */
   DECISION,
-  /** Users' submissions and cancellations. */
+  /** Submissions and cancellations of users. */
   SUBMISSION,
-  /** Users' queries. However many there are, they delay no submission. */
+  /** Queries of users. They have the lowest priority, so that they never delay submissions. */
   QUERY
 }
--- a/src/main/java/org/ploverspindle/eventloop/PeriodicWork.java
+++ b/src/main/java/org/ploverspindle/eventloop/PeriodicWork.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.eventloop;
 
-/** Periodic work: runs again a period after each run ended, until it is cancelled. */
+/** Work that runs again a fixed delay after the end of each run, until it is cancelled. */
 final class PeriodicWork implements Cancellable {
   private final Scheduler scheduler;
   private final long delayMs;
@@ -13,7 +13,7 @@
     this.work = work;
   }
 
-  /** Schedules the first run, a period from now. */
+  /** Schedules the first run, which starts one delay from now. */
   PeriodicWork start() {
     scheduler.schedule(delayMs, this::run);
     return this;
@@ -26,7 +26,8 @@
     try {
       work.run();
     } finally {
-      // Also after a run that threw: one unreadable record must not end the periodic work.
+      // The next run is scheduled even if this one threw: a single unreadable record must not end
+      // the periodic work.
       if (!cancelled) {
         scheduler.schedule(delayMs, this::run);
       }
--- a/src/main/java/org/ploverspindle/eventloop/RetryDelay.java
+++ b/src/main/java/org/ploverspindle/eventloop/RetryDelay.java
@@ -2,14 +2,16 @@
 
 import java.util.random.RandomGenerator;
 
-/** How long to wait before a request is repeated: a least delay plus a random jitter. */
+/** The delay before a request is retried: a minimum plus a random jitter, in milliseconds. */
 public final class RetryDelay {
   private final RandomGenerator random;
   private final int minMs;
   private final int jitterMs;
 
   /**
-   * @param jitterMs exclusive bound of the jitter, above 0, so that repeats are spread
+   * @param minMs the shortest delay in milliseconds
+   * @param jitterMs exclusive upper bound of the jitter in milliseconds; must be above 0, so that
+   *     retries are spread
    */
   public RetryDelay(RandomGenerator random, int minMs, int jitterMs) {
     this.random = random;
@@ -17,7 +19,7 @@
     this.jitterMs = jitterMs;
   }
 
-  /** The next delay in milliseconds; draws one random number. */
+  /** Returns the next delay in milliseconds. Draws one random number. */
   public long nextMs() {
     return minMs + random.nextInt(jitterMs);
   }
--- a/src/main/java/org/ploverspindle/eventloop/Scheduler.java
+++ b/src/main/java/org/ploverspindle/eventloop/Scheduler.java
@@ -1,31 +1,36 @@
 package org.ploverspindle.eventloop;
 
 /**
- * The event loop and its clocks: a single thread that owns all state on which decisions rest. Tests
- * replace it by a simulated one, so that runs are repeatable.
+ * The event loop and its clocks: a single thread that owns all state on which decisions are based.
+ * Tests replace it by a simulated scheduler, so that runs are reproducible.
  */
 public interface Scheduler {
-  /** Monotonic clock in milliseconds. Only differences are meaningful. */
+  /** Returns the time of the monotonic clock in milliseconds. Only differences are meaningful. */
   long nowMs();
 
-  /** Wall clock in milliseconds. For ordering and display only; no safety argument may use it. */
+  /**
+   * Returns the time of the wall clock in milliseconds since the epoch. It is for ordering and
+   * display only; no safety argument may use it.
+   */
   long wallMs();
 
   /**
-   * Runs the work once on the event loop: work of a higher priority first, and within a priority in
-   * the order of the calls. May be called on any thread.
+   * Runs the work once on the event loop. Waiting work of a higher priority runs first; work of the
+   * same priority runs in the order of the calls. May be called on any thread.
    */
   void execute(EventPriority priority, Runnable work);
 
   /**
-   * Runs the work once on the event loop, not before the delay has passed. Cancelling after it ran
-   * has no effect.
+   * Runs the work once on the event loop, not before the delay has passed. Cancelling it after it
+   * ran has no effect.
    */
   Cancellable schedule(long delayMs, Runnable work);
 
   /**
-   * Runs the work periodically on the event loop until it is cancelled: first a period from now,
-   * then a period after each run ended.
+   * Runs the work repeatedly on the event loop until it is cancelled. The first run starts one
+   * delay from now, and each further run starts one delay after the end of the run before it.
+   *
+   * @param delayMs the delay in milliseconds
    */
   default Cancellable scheduleWithFixedDelay(long delayMs, Runnable work) {
     return new PeriodicWork(this, delayMs, work).start();
--- a/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
+++ b/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** How long the event loop was busy with each kind of task, for operators. */
+/** Measures how long the event loop was busy with each kind of work, for operators. */
 public final class TaskTimings {
   private static final long NANOS_PER_MS = 1_000_000;
 
@@ -14,10 +14,10 @@
     private long runs;
   }
 
-  /** By the task's name. */
+  /** What was recorded since the last summary, by the name of the work. */
   private final Map<String, Timing> timings = new TreeMap<>();
 
-  /** Runs the work and records its time under the task's name, also if it throws. */
+  /** Runs the work and records its duration under the given name, even if the work throws. */
   public void run(String workName, Runnable work) {
     long startNanos = System.nanoTime();
     try {
@@ -27,7 +27,10 @@
     }
   }
 
-  /** The same for work with a result. */
+  /**
+   * Runs the work, records its duration under the given name, even if the work throws, and returns
+   * its result.
+   */
   public <T> T call(String workName, Supplier<T> work) {
     long startNanos = System.nanoTime();
     try {
@@ -45,8 +48,9 @@
   }
 
   /**
-   * What was recorded since the last call, in one line: for each task its total milliseconds, its
-   * runs, and the milliseconds of its longest run.
+   * Returns a summary of what was recorded since the last call, in one line, and clears it. For
+   * each kind of work it names the total duration in milliseconds, the number of runs, and the
+   * duration of the longest run in milliseconds.
    */
   public String drainSummary() {
     StringBuilder summary = new StringBuilder();
--- a/src/main/java/org/ploverspindle/eventloop/package-info.java
+++ b/src/main/java/org/ploverspindle/eventloop/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The event loop: one thread that owns all state on which decisions rest, and its clock.
+ * The event loop: one thread that owns all state on which decisions are based, and its clocks.
  *
- * <p>Duty: runs work by {@link org.ploverspindle.eventloop.EventPriority priority}, runs timers and
- * periodic tasks, and measures how long they take. Owns: the thread, the queues of waiting work,
- * the timers. Everything else in this project reads the time through {@link
+ * <p>Responsibility: runs work by {@link org.ploverspindle.eventloop.EventPriority priority}, runs
+ * timers and periodic work, and measures how long work takes. Owns: the thread, the queues of
+ * waiting work, and the timers. All decisions read the time through {@link
  * org.ploverspindle.eventloop.Scheduler Scheduler}, so that tests can replace it by a simulated
  * clock.
  *
--- a/src/main/java/org/ploverspindle/net/Cbor.java
+++ b/src/main/java/org/ploverspindle/net/Cbor.java
@@ -9,13 +9,13 @@
 import java.io.IOException;
 import java.util.Optional;
 
-/** CBOR bodies as Jackson trees. */
+/** Reads and writes CBOR bodies as Jackson trees. */
 public final class Cbor {
   private static final ObjectMapper MAPPER = new ObjectMapper(new CBORFactory());
 
   private Cbor() {}
 
-  /** The body as a map; empty when it is broken, truncated or anything but a map. */
+  /** Decodes a body that is a map. The result is empty if it is malformed, truncated or no map. */
   public static Optional<ObjectNode> readMap(byte[] body) {
     try {
       JsonNode node = MAPPER.readTree(body);
@@ -25,7 +25,7 @@
     }
   }
 
-  /** The tree as a CBOR body. */
+  /** Encodes the tree as a CBOR body. */
   public static byte[] write(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -34,12 +34,16 @@
     }
   }
 
-  /** A new, empty map. */
+  /** Creates an empty map. */
   public static ObjectNode map() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** Upper bound of the size in JSON form, the one that limits are counted in. */
+  /**
+   * Returns the length of the tree as JSON text, in characters. It stands for the size in JSON form
+   * in which the limits of the state service are counted, and is an upper bound of that size while
+   * the text is ASCII.
+   */
   public static int jsonSize(JsonNode node) {
     return node.toString().length();
   }
--- a/src/main/java/org/ploverspindle/net/ConnectionPool.java
+++ b/src/main/java/org/ploverspindle/net/ConnectionPool.java
@@ -13,7 +13,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The connections to one target, and the calls that wait for one. For use on the I/O thread alone.
+ * The connections to one target, and the calls that wait for a connection. Must be used on the I/O
+ * thread only.
  */
 final class ConnectionPool {
   private static final int MAX_WAITING_CALLS = 200;
@@ -24,16 +25,19 @@
   private final int maxConnections;
   private final boolean persistent;
 
-  /** The most recently used last, which is the least likely to have been closed by the target. */
+  /**
+   * Open connections without a call. The most recently used one is last and is taken first, as the
+   * target is least likely to have closed it.
+   */
   private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
 
   private final Deque<HttpCall> waitingCalls = new ArrayDeque<>();
 
-  /** Connections that are open or being opened. */
+  /** The number of connections that are open or being opened. */
   private int connectionCount;
 
   /**
-   * @param persistent whether a connection is kept after its call
+   * @param persistent whether a connection is kept open for further calls
    */
   ConnectionPool(
       XnioIoThread ioThread,
@@ -48,18 +52,18 @@
     this.persistent = persistent;
   }
 
-  /** Whether no further call may wait. */
+  /** Returns whether the number of waiting calls has reached its limit. */
   boolean isQueueFull() {
     return waitingCalls.size() >= MAX_WAITING_CALLS;
   }
 
-  /** Starts the call as soon as there is a connection for it. */
+  /** Starts the call as soon as a connection is available for it. */
   void enqueue(HttpCall call) {
     waitingCalls.add(call);
     assignConnections();
   }
 
-  /** The call is not started any more, if it still waits. */
+  /** Removes the call from the queue if it still waits for a connection. */
   void dequeue(HttpCall call) {
     waitingCalls.remove(call);
   }
@@ -101,7 +105,7 @@
       if (!call.isFinished()) {
         call.start(connection);
       } else if (persistent) {
-        // The call timed out while connecting; the connection can serve others.
+        // The call ended while the connection was being opened. Other calls can use the connection.
         idleConnections.add(connection);
         assignConnections();
       } else {
@@ -126,7 +130,7 @@
   }
 
   /**
-   * A call on this connection got its response.
+   * Takes back the connection of a call that got its response.
    *
    * @param reusable whether the target keeps the connection open
    */
@@ -135,7 +139,8 @@
       IoUtils.safeClose(connection);
       return;
     }
-    // On the next turn of the I/O thread: the exchange ends only after its listener has returned.
+    // The exchange on the connection ends only after its listener has returned, so the connection
+    // is reused in a later run of the I/O thread.
     ioThread.execute(
         () -> {
           if (connection.isOpen()) {
@@ -145,12 +150,12 @@
         });
   }
 
-  /** A call ended that had no connection yet. */
+  /** Assigns connections again after a call has ended to which none had been assigned. */
   void handleUnsentCallEnded() {
     assignConnections();
   }
 
-  /** A call on this connection failed, which leaves it in an unknown state. */
+  /** Closes the connection of a failed call, since its state is unknown. */
   void discard(ClientConnection connection) {
     IoUtils.safeClose(connection);
     assignConnections();
--- a/src/main/java/org/ploverspindle/net/HttpCall.java
+++ b/src/main/java/org/ploverspindle/net/HttpCall.java
@@ -19,18 +19,18 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One request and its response, within a time limit. Has exactly one outcome, which is delivered on
- * the event loop. For use on the I/O thread alone.
+ * One request and its response, within a time limit. A call has exactly one outcome, which is
+ * delivered on the event loop. Must be used on the I/O thread only.
  */
 final class HttpCall {
   private static final String CONTENT_TYPE = "application/cbor";
   private static final String CONNECTION_CLOSE = "close";
 
   /**
-   * What is sent.
+   * A request to a target.
    *
-   * @param target scheme, host and port
-   * @param body may be empty: then none is sent
+   * @param target the scheme, host and port of the target
+   * @param body the body; if it is empty, the request is sent without a body
    */
   record Request(URI target, String method, String path, byte[] body) {
     boolean hasBody() {
@@ -60,7 +60,10 @@
   private final ResponseBody responseBody = new ResponseBody();
   private Optional<XnioExecutor.Key> timeout = Optional.empty();
 
-  /** Present once the request may have left this process. */
+  /**
+   * The connection that was assigned to the call. While it is empty, the request has not left this
+   * process; once it is present, the request may have.
+   */
   private Optional<ClientConnection> connection = Optional.empty();
 
   private boolean finished;
@@ -78,7 +81,10 @@
     this.callback = callback;
   }
 
-  /** Starts the time limit and waits for a connection. */
+  /**
+   * Starts the time limit and waits for a connection. If too many calls wait already, the call ends
+   * at once without being sent.
+   */
   void submit(long timeoutMs) {
     if (connectionPool.isQueueFull()) {
       finish(new HttpResult.NotSent("too many calls wait for " + request.target()));
@@ -93,7 +99,7 @@
     return finished;
   }
 
-  /** Sends the request on this connection. */
+  /** Sends the request on the assigned connection. */
   void start(ClientConnection assigned) {
     connection = Optional.of(assigned);
     assigned.sendRequest(request.toClientRequest(), onSuccess(this::handleSent));
@@ -151,7 +157,7 @@
         connection.orElseThrow(), !CONNECTION_CLOSE.equalsIgnoreCase(connectionHeader));
   }
 
-  /** Ends the call without a response, unless it has ended. */
+  /** Ends the call without a response, unless it has ended already. */
   void fail(IOException cause) {
     fail("failed: " + cause.getMessage());
   }
--- a/src/main/java/org/ploverspindle/net/HttpClient.java
+++ b/src/main/java/org/ploverspindle/net/HttpClient.java
@@ -7,9 +7,10 @@
   /**
    * Sends one request.
    *
-   * @param body may be empty: then none is sent
-   * @param timeoutMs covers waiting for a connection, connecting, sending and reading
-   * @param then is called exactly once with the outcome
+   * @param body the body; if it is empty, the request is sent without a body
+   * @param timeoutMs time limit in milliseconds for waiting for a connection, connecting, sending
+   *     and reading together
+   * @param callback is called exactly once with the outcome, on the event loop
    */
   void send(String method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> callback);
 }
--- a/src/main/java/org/ploverspindle/net/RequestBodyWriter.java
+++ b/src/main/java/org/ploverspindle/net/RequestBodyWriter.java
@@ -6,7 +6,7 @@
 import org.xnio.ChannelListeners;
 import org.xnio.channels.StreamSinkChannel;
 
-/** Writes a request's body, as fast as the target takes it. */
+/** Writes the body of a request as fast as the target reads it, without blocking the I/O thread. */
 final class RequestBodyWriter {
   private final ByteBuffer remaining;
   private final Consumer<IOException> onFailure;
@@ -16,7 +16,7 @@
     this.onFailure = onFailure;
   }
 
-  /** Writes what can be written without waiting, and the rest when the channel is writable. */
+  /** Writes what can be written without blocking, and the rest whenever the channel is writable. */
   void writeTo(StreamSinkChannel channel) {
     channel.getWriteSetter().set(this::write);
     write(channel);
--- a/src/main/java/org/ploverspindle/net/ResponseBody.java
+++ b/src/main/java/org/ploverspindle/net/ResponseBody.java
@@ -5,25 +5,29 @@
 import java.nio.ByteBuffer;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Collects a response's body as it arrives, up to a limit. */
+/** Collects the body of a response as it arrives, up to a limit. */
 final class ResponseBody {
-  /** Larger responses count as failed, so that a faulty target can't fill the heap. */
+  /**
+   * Limit of a body in bytes. Larger ones count as failed: a faulty target must not fill the heap.
+   */
   static final int MAX_BYTES = 8 << 20;
 
   private static final int INITIAL_CAPACITY_BYTES = 256;
   private static final int READ_BUFFER_BYTES = 4_096;
 
-  /** What a read led to. */
+  /** How far the body has been received. */
   enum Progress {
-    /** Nothing more can be read now. */
+    /** All bytes that have arrived were read, and more will follow. */
     INCOMPLETE,
+    /** The whole body was read. */
     COMPLETE,
+    /** The body is larger than {@link #MAX_BYTES}; the rest is not read. */
     TOO_LARGE
   }
 
   private final ByteArrayOutputStream received = new ByteArrayOutputStream(INITIAL_CAPACITY_BYTES);
 
-  /** Reads all that can be read without waiting. */
+  /** Reads all bytes that have arrived, without blocking. */
   Progress readFrom(StreamSourceChannel channel) throws IOException {
     ByteBuffer buffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
     while (received.size() <= MAX_BYTES) {
--- a/src/main/java/org/ploverspindle/net/UndertowHttpClient.java
+++ b/src/main/java/org/ploverspindle/net/UndertowHttpClient.java
@@ -7,9 +7,9 @@
 import org.xnio.XnioIoThread;
 
 /**
- * An HTTP client for one target, on Undertow's client. Adds what that leaves to its users: a
- * bounded {@link ConnectionPool pool} of persistent connections with a bounded queue, and a time
- * limit for each {@link HttpCall call} as a whole. All state is confined to one I/O thread.
+ * An HTTP client for one target, based on Undertow's client. It adds what Undertow's client does
+ * not provide: a bounded {@link ConnectionPool pool} of connections with a bounded queue, and a
+ * time limit for each {@link HttpCall call} as a whole. All state is confined to one I/O thread.
  */
 public final class UndertowHttpClient implements HttpClient {
   private final Scheduler scheduler;
@@ -26,10 +26,11 @@
   }
 
   /**
-   * A client with persistent connections.
+   * Creates a client that keeps its connections open for further calls.
    *
    * @param address the target's host and port, as in {@code 10.0.0.1:8080}
-   * @param maxConnections how many calls may be in flight; others wait
+   * @param maxConnections the largest number of connections, and so of calls in flight; further
+   *     calls wait for a connection
    */
   public static UndertowHttpClient persistent(
       Scheduler scheduler,
@@ -46,8 +47,8 @@
   }
 
   /**
-   * A client for a single call: its connection is closed afterwards. For targets of which there are
-   * too many to keep a connection to each.
+   * Creates a client for a single call, after which its connection is closed. It is meant for
+   * targets that are too many to keep a connection open to each.
    */
   public static UndertowHttpClient once(
       Scheduler scheduler, XnioIoThread ioThread, ByteBufferPool buffers, String address) {
--- a/src/main/java/org/ploverspindle/net/package-info.java
+++ b/src/main/java/org/ploverspindle/net/package-info.java
@@ -1,10 +1,10 @@
 /**
  * Outgoing HTTP requests and CBOR bodies.
  *
- * <p>Duty: sends a request to one target within a time limit and reports whether it was answered,
- * possibly executed without a response, or never sent; reads and writes CBOR trees. Owns: the
- * connections to each target and the bounded queue of requests that wait for one. Does not know
- * what the requests mean.
+ * <p>Responsibility: sends a request to one target within a time limit, and tells whether the
+ * request was answered, was possibly executed without a usable response, or was never sent. Reads
+ * and writes CBOR trees. Owns: the connections to each target, and the bounded queue of requests
+ * that wait for a connection. Does not interpret the requests.
  *
  * <p>May depend on: {@code eventloop}, on which outcomes are delivered.
  */
--- a/src/main/java/org/ploverspindle/peers/PeerClient.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -20,9 +20,10 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * The outgoing connection to one other controller, for sending only. All state is confined to the
- * I/O thread. After a peer has refused a connection or stopped reading, a new connection is tried
- * only after a pause, and frames are dropped meanwhile.
+ * The outgoing connection to one other controller, used only for sending. All state is confined to
+ * the I/O thread. After a connection could not be opened, a write has failed or the peer has
+ * stopped reading, a new connection is opened only after a backoff, and frames are dropped until
+ * then.
  */
 final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
@@ -43,10 +44,14 @@
     this.address = new InetSocketAddress(address.host(), address.port());
   }
 
-  /** Sends a frame, or queues it while the connection is being opened or is busy. */
+  /**
+   * Sends a frame. Queues it while the connection is being opened or the peer is slow to read, and
+   * drops it during the backoff.
+   */
   void send(byte[] frame) {
     if (queuedFrames.size() >= MAX_QUEUED_FRAMES) {
-      // The peer does not read. The queue must not grow, and older hints are worth no more.
+      // The peer does not read. The queue must stay bounded, and the queued hints are worth no more
+      // than the new one, so they are dropped.
       disconnect("the peer does not read");
     }
     queuedFrames.add(ByteBuffer.wrap(frame));
@@ -91,7 +96,7 @@
     connection = Optional.of(opened);
     opened.getSinkChannel().setWriteListener(sink -> writeQueue());
     opened.setCloseListener(closed -> handleClosed(opened));
-    // Peers send nothing on this connection; reading notices when they close it.
+    // Peers send nothing on this connection. It is read only to notice that the peer closed it.
     opened.getSourceChannel().setReadListener(source -> closeAtEndOfStream(opened, source));
     opened.getSourceChannel().resumeReads();
     writeQueue();
@@ -137,6 +142,7 @@
     }
   }
 
+  /** Drops the queued frames, closes the connection and starts the backoff. */
   private void disconnect(String reason) {
     LOG.debug("messages to peer dropped: address={} reason=\"{}\"", address, reason);
     connecting = false;
@@ -146,7 +152,7 @@
     connection = Optional.empty();
   }
 
-  /** Closes the connection; queued frames are not sent. */
+  /** Closes the connection without sending the queued frames. */
   void close() {
     connection.ifPresent(IoUtils::safeClose);
     connection = Optional.empty();
--- a/src/main/java/org/ploverspindle/peers/PeerCodec.java
+++ b/src/main/java/org/ploverspindle/peers/PeerCodec.java
@@ -10,25 +10,26 @@
 import java.util.Optional;
 
 /**
- * Encodes messages between controllers as frames: the length of the body, then in the body a format
- * version, the kind of the message, and its fields. A body of another format version or an unknown
- * kind is skipped, so that versions can be mixed while controllers are upgraded one after the
- * other. A malformed frame ends the connection, as nothing after it can be trusted.
+ * Encodes and decodes messages between controllers. A frame is the length of its body in bytes,
+ * followed by the body: a format version, the kind of the message, and its fields. A body of
+ * another format version or an unknown kind is skipped, so that controllers of different versions
+ * can run together while they are upgraded one after the other. A malformed frame ends the
+ * connection, since the bytes after it can't be split into frames reliably.
  */
 public final class PeerCodec {
-  /** The longest body, in bytes. */
+  /** The longest body of a frame, in bytes. */
   public static final int MAX_BODY_BYTES = 1024;
 
-  /** A format version and a kind. */
+  /** The shortest body of a frame, in bytes: a format version and a kind. */
   private static final int MIN_BODY_BYTES = 2;
 
-  /** What {@link #nextBodyLength} returns while a frame is incomplete. */
+  /** The result of {@link #nextBodyLength} while the next frame is incomplete. */
   private static final int INCOMPLETE = -1;
 
   private static final int FORMAT_VERSION = 1;
   private static final int INITIAL_BUFFER_BYTES = 64;
 
-  /** The kinds as they are on the wire: a number is never changed or used again. */
+  /** The kinds of messages on the wire. The number of a kind is never changed or reused. */
   private static final int LEADING = 1;
 
   private static final int RESIGNED = 2;
@@ -39,7 +40,7 @@
 
   private PeerCodec() {}
 
-  /** The bytes on a connection are no frames of this format. */
+  /** Signals that the bytes on a connection are not frames of this format. */
   public static final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -92,10 +93,10 @@
   }
 
   /**
-   * The length of the next frame's body, in bytes, or -1 while the frame is incomplete. Takes no
-   * bytes from the buffer.
+   * Returns the length of the next frame's body in bytes, or -1 while the frame is incomplete.
+   * Leaves the buffer unchanged.
    *
-   * @throws MalformedFrameException if no frame has this length
+   * @throws MalformedFrameException if the length is outside the limits of a body
    */
   static int nextBodyLength(ByteBuffer received) throws MalformedFrameException {
     if (received.remaining() < Integer.BYTES) {
@@ -109,11 +110,12 @@
   }
 
   /**
-   * Takes a whole frame from the buffer and decodes it; empty for an unknown format version or
-   * kind.
+   * Removes the next frame from the buffer and decodes it. The result is empty for an unknown
+   * format version or kind.
    *
    * @param bodyLength the length of the body in bytes, as {@link #nextBodyLength} returned it
-   * @throws MalformedFrameException if the body is shorter than its fields
+   * @throws MalformedFrameException if the body is shorter than its fields, or a text in it is not
+   *     validly encoded
    */
   static Optional<PeerMessage> decodeNext(ByteBuffer received, int bodyLength)
       throws MalformedFrameException {
--- a/src/main/java/org/ploverspindle/peers/PeerMessage.java
+++ b/src/main/java/org/ploverspindle/peers/PeerMessage.java
@@ -1,32 +1,40 @@
 package org.ploverspindle.peers;
 
 /**
- * A message between controllers. All messages are hints to read the state service: losing any of
- * them costs time, and never correctness.
+ * A message between controllers. All messages are hints: the loss of a message can delay a
+ * reaction, but never makes a decision incorrect.
  */
 public sealed interface PeerMessage {
-  /** The name of the sending controller. */
+  /** Returns the name of the controller that sends the message. */
   String member();
 
-  /** The member leads under this fencing token. */
+  /** The sender leads under this fencing token. */
   record Leading(String member, long token) implements PeerMessage {}
 
-  /** The member has resigned: nobody need wait for its lease in the state service to expire. */
+  /**
+   * The sender no longer leads: no controller need wait for its lease in the state service to
+   * expire.
+   */
   record Resigned(String member, long token) implements PeerMessage {}
 
-  /** The member wrote something that the leader should read soon: a job or a cancellation. */
+  /** The sender wrote a job or a cancellation that the leader should read soon. */
   record StateChanged(String member) implements PeerMessage {}
 
   /**
-   * So many heartbeats reached the member in the last second from machines that had responses of
-   * the leader before. A worker that gets no responses from its leader tries other controllers, so
-   * this is a sign that the leader can't be reached, or its responses are lost.
+   * Heartbeats reached the sender in the last second from workers that have had responses of the
+   * leader. A worker that gets no responses from the leader tries other controllers, so this is a
+   * sign that the leader can't be reached, or that its responses are lost.
+   *
+   * @param count the number of these heartbeats
    */
   record MisdirectedHeartbeats(String member, int count) implements PeerMessage {}
 
-  /** The member can't reach the state service and asks whether others can. */
+  /** The sender can't use the state service and asks the other controllers whether they can. */
   record ReachabilityProbe(String member) implements PeerMessage {}
 
-  /** The member has just read the state service, and had a conditional transaction executed. */
+  /**
+   * The sender has recently read the state service, which has also processed a conditional
+   * transaction of the sender.
+   */
   record ReachabilityReply(String member) implements PeerMessage {}
 }
--- a/src/main/java/org/ploverspindle/peers/PeerServer.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -27,8 +27,9 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Accepts connections of the other controllers, and sends to each of them over one connection of
- * its own. Sockets are confined to one I/O thread; received messages are handed to the event loop.
+ * Accepts connections from the other controllers, and sends to each of them over one outgoing
+ * connection. Sockets are confined to one I/O thread; received messages are delivered on the event
+ * loop.
  */
 public final class PeerServer implements Peers {
   private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
@@ -44,7 +45,7 @@
   private Optional<AcceptingChannel<StreamConnection>> listeningChannel = Optional.empty();
 
   /**
-   * @param listener is called on the event loop
+   * @param listener receives each message, on the event loop
    */
   public PeerServer(
       Scheduler scheduler,
@@ -56,8 +57,8 @@
     this.worker = worker;
     this.ioThread = worker.getIoThread();
     this.listenAddress = listenAddress;
-    // Each peer has one connection to here, and a second one until the loss of the first is
-    // noticed.
+    // Each peer has one connection to this server, and a second one while the loss of the first has
+    // not been noticed. Two more are spare.
     this.maxConnections = 2 * members.size() + 2;
     this.listener = listener;
     members.forEach(
@@ -65,7 +66,7 @@
   }
 
   /**
-   * Starts to listen.
+   * Starts to listen on the address.
    *
    * @throws IOException if the address can't be bound
    */
@@ -80,7 +81,10 @@
     listeningChannel = Optional.of(channel);
   }
 
-  /** The port that an open server listens on, also if it was opened at port 0. */
+  /**
+   * Returns the port that an open server listens on; if it was opened at port 0, the port that the
+   * system chose.
+   */
   public int port() {
     return listeningChannel
         .map(channel -> channel.getLocalAddress(InetSocketAddress.class).getPort())
--- a/src/main/java/org/ploverspindle/peers/Peers.java
+++ b/src/main/java/org/ploverspindle/peers/Peers.java
@@ -1,13 +1,13 @@
 package org.ploverspindle.peers;
 
 /**
- * Sends messages to the other controllers. Delivery is not guaranteed: while a controller can't be
- * reached, messages to it are dropped.
+ * Sends messages to the other controllers. Delivery is not guaranteed: messages to a controller
+ * that can't be reached are dropped.
  */
 public interface Peers {
-  /** Sends to one controller; an unknown name is ignored. */
+  /** Sends a message to one controller. A message to an unknown name is dropped. */
   void send(String member, PeerMessage message);
 
-  /** Sends to all other controllers. */
+  /** Sends a message to all other controllers. */
   void broadcast(PeerMessage message);
 }
--- a/src/test/java/org/ploverspindle/eventloop/EventLoopTest.java
+++ b/src/test/java/org/ploverspindle/eventloop/EventLoopTest.java
@@ -11,7 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 class EventLoopTest {
-  /** Work that waits is run by priority, as the order in which it is done shows. */
+  /**
+   * Guards against heartbeats that wait behind other work, which would let worker leases expire,
+   * and against submissions that wait behind queries. The work is queued in random order before the
+   * loop starts.
+   */
   @Test
   void waitingWorkRunsInOrderOfPriority() throws InterruptedException {
     List<EventPriority> executed = new ArrayList<>();
--- a/src/test/java/org/ploverspindle/net/UndertowHttpClientTest.java
+++ b/src/test/java/org/ploverspindle/net/UndertowHttpClientTest.java
@@ -28,7 +28,11 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Calls over real sockets on loopback, to a target that answers as each test says. */
+/**
+ * Calls over real sockets on loopback. Each test chooses how the target responds. Guards against
+ * calls without an outcome, requests that are reported as not sent although they may have been
+ * executed, the reuse of closed connections, and an unbounded queue.
+ */
 class UndertowHttpClientTest {
   private static final long LONG_TIMEOUT_MS = 20_000;
   private static final long SHORT_TIMEOUT_MS = 200;
@@ -36,10 +40,10 @@
   private static final String OK_RESPONSE_THEN_CLOSE =
       "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok";
 
-  /** In place of a response: the connection is closed once the request has arrived. */
+  /** A target with this text as its response closes the connection once a request has arrived. */
   private static final String CLOSED_WITHOUT_RESPONSE = "close";
 
-  /** Answers each request with the same text, or not at all if that is empty. */
+  /** A target that sends the same text in response to each request, or nothing if it is empty. */
   private final class Target implements AutoCloseable {
     final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     final List<Socket> accepted = new CopyOnWriteArrayList<>();
@@ -59,12 +63,12 @@
           startDaemon(() -> serve(socket));
         }
       } catch (IOException e) {
-        // The test has ended.
+        // The listening socket was closed at the end of the test.
       }
     }
 
     private void serve(Socket socket) {
-      // Closes its side when the client does, as HTTP servers do.
+      // The socket is closed when the client closes its side, as HTTP servers do.
       try (socket) {
         while (true) {
           bodies.add(readBody(socket.getInputStream()));
@@ -74,7 +78,7 @@
           socket.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
         }
       } catch (IOException e) {
-        // The client has closed the connection, or the test has ended.
+        // The client closed the connection, or it was closed at the end of the test.
       }
     }
 
--- a/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerCodecTest.java
@@ -11,6 +11,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against messages that are lost, reordered or misread when TCP splits frames, when
+ * controllers of different versions exchange messages, and when bytes arrive that are not frames.
+ */
 class PeerCodecTest {
   private static final List<PeerMessage> ALL_KINDS =
       List.of(
@@ -21,7 +25,9 @@
           new PeerMessage.ReachabilityProbe("n-4"),
           new PeerMessage.ReachabilityReply("n-5"));
 
-  /** TCP delivers frames in pieces of any size. */
+  /**
+   * TCP may deliver a frame in several segments of any size, which must not change the messages.
+   */
   @Test
   void messagesSplitAtAnyByteAreDecodedInOrder() throws PeerCodec.MalformedFrameException {
     Random random = new Random(1);
--- a/src/test/java/org/ploverspindle/peers/PeerServerTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerServerTest.java
@@ -19,7 +19,10 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Peer servers over real sockets on loopback. */
+/**
+ * Peer servers over real sockets on loopback. Guards against a peer that refuses connections, or
+ * sends malformed bytes, disturbing the messages between the other controllers.
+ */
 class PeerServerTest {
   private final EventLoop eventLoop = new EventLoop();
   private final BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
--- a/src/test/java/org/ploverspindle/peers/PipelineVersionPeerMessagesTest.java
+++ b/src/test/java/org/ploverspindle/peers/PipelineVersionPeerMessagesTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Peer records as commit f659783 (the first version with pipelines) encodes them: controllers of
- * both versions talk to each other while an upgrade is under way, and a rename in the code must not
- * change a kind's number or a field.
+ * Compares peer messages with their encoding by commit f659783, the first version with pipelines.
+ * Controllers of both versions exchange messages during an upgrade. Guards against a change of the
+ * number of a kind, or of the encoding of a field, for example by a rename in the code.
  */
 class PipelineVersionPeerMessagesTest {
   private static final List<PeerMessage> EVERY_KIND =
