--- a/src/main/java/org/ploverspindle/net/Cbor.java
+++ b/src/main/java/org/ploverspindle/net/Cbor.java
@@ -30,7 +30,7 @@
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree could not be written as CBOR", e);
+      throw new IllegalStateException("JSON tree could not be encoded as CBOR", e);
     }
   }
 
--- a/src/main/java/org/ploverspindle/net/ConnectionPool.java
+++ b/src/main/java/org/ploverspindle/net/ConnectionPool.java
@@ -17,7 +17,8 @@
  * thread only.
  */
 final class ConnectionPool {
-  private static final int MAX_WAITING_CALLS = 200;
+  /** The largest number of calls that may wait for a connection to the target. */
+  static final int MAX_WAITING_CALLS = 200;
 
   private final XnioIoThread ioThread;
   private final ByteBufferPool buffers;
--- a/src/main/java/org/ploverspindle/peers/PeerClient.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -52,7 +52,7 @@
     if (queuedFrames.size() >= MAX_QUEUED_FRAMES) {
       // The peer does not read. The queue must stay bounded, and the queued hints are worth no more
       // than the new one, so they are dropped.
-      disconnect("the peer does not read");
+      disconnect("peer does not read, " + MAX_QUEUED_FRAMES + " frames are queued");
     }
     queuedFrames.add(ByteBuffer.wrap(frame));
     if (connection.isPresent()) {
@@ -77,7 +77,7 @@
     pendingConnection.addNotifier(
         (finished, attachment) -> {
           if (finished.getStatus() != IoFuture.Status.DONE) {
-            ioThread.execute(() -> disconnect("no connection"));
+            ioThread.execute(() -> disconnect("connection could not be opened"));
           }
         },
         null);
--- a/src/main/java/org/ploverspindle/peers/PeerCodec.java
+++ b/src/main/java/org/ploverspindle/peers/PeerCodec.java
@@ -59,7 +59,7 @@
       body.writeTo(frame);
       return frame.toByteArray();
     } catch (IOException exception) {
-      throw new UncheckedIOException("writing to memory failed", exception);
+      throw new UncheckedIOException("peer message could not be encoded", exception);
     }
   }
 
@@ -104,7 +104,14 @@
     }
     int bodyLength = received.getInt(received.position());
     if (bodyLength < MIN_BODY_BYTES || bodyLength > MAX_BODY_BYTES) {
-      throw new MalformedFrameException("a frame of " + bodyLength + " bytes");
+      throw new MalformedFrameException(
+          "peer frame body must have "
+              + MIN_BODY_BYTES
+              + " to "
+              + MAX_BODY_BYTES
+              + " bytes, got "
+              + bodyLength
+              + " bytes");
     }
     return received.remaining() < Integer.BYTES + bodyLength ? INCOMPLETE : bodyLength;
   }
@@ -139,7 +146,8 @@
         default -> Optional.empty();
       };
     } catch (IOException exception) {
-      throw new MalformedFrameException("a message that ends too early");
+      throw new MalformedFrameException(
+          "peer message body is truncated or has an invalid text field");
     }
   }
 }
