--- a/src/main/java/org/ploverspindle/controller/RequestRates.java
+++ b/src/main/java/org/ploverspindle/controller/RequestRates.java
@@ -43,7 +43,10 @@
     this.settings = settings;
   }
 
-  /** Returns the average time between two reads that the leader's share allows, in milliseconds. */
+  /**
+   * Returns the average time between two reads that the leader's share allows, in milliseconds, but
+   * not less than {@link #MIN_LEADER_READ_INTERVAL_MS}.
+   */
   long leaderReadIntervalMs() {
     double perSecond = settings.effectiveStateLimits().requestsPerS() * LEADER_READ_SHARE;
     return Math.max(MIN_LEADER_READ_INTERVAL_MS, Math.round(MS_PER_S / perSecond));
@@ -51,7 +54,7 @@
 
   /**
    * Returns the average time between two reads that the share of each other controller allows, in
-   * milliseconds.
+   * milliseconds, but not less than {@link #MIN_FOLLOWER_READ_INTERVAL_MS}.
    */
   long followerReadIntervalMs() {
     int followers = Math.max(1, settings.controllerCount() - 1);
--- a/src/main/java/org/ploverspindle/controller/StateReachability.java
+++ b/src/main/java/org/ploverspindle/controller/StateReachability.java
@@ -28,11 +28,13 @@
    */
   private static final long PROBE_AFTER_STALE_MS = 2_500;
 
+  /** The state service counts as unreachable once the replica is staler than this. */
   private static final long UNREACHABLE_AFTER_STALE_MS = 4_000;
 
   /** A controller replies to probes only if its last answered read is not older than this. */
   private static final long MAX_STALENESS_TO_REPLY_MS = 1_500;
 
+  /** How long a reply shows that another controller reaches the state service. */
   private static final long REPLY_VALID_MS = 3_000;
 
   private final Scheduler scheduler;
--- a/src/main/java/org/ploverspindle/net/ConnectionPool.java
+++ b/src/main/java/org/ploverspindle/net/ConnectionPool.java
@@ -27,8 +27,8 @@
   private final boolean persistent;
 
   /**
-   * Open connections without a call. The most recently used one is last and is taken first, as the
-   * target is least likely to have closed it.
+   * Connections that serve no call. The most recently used one is last and is assigned first, as
+   * the target is least likely to have closed it.
    */
   private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
 
--- a/src/main/java/org/ploverspindle/net/HttpCall.java
+++ b/src/main/java/org/ploverspindle/net/HttpCall.java
@@ -110,6 +110,7 @@
     assigned.sendRequest(request.toClientRequest(), onSuccess(this::handleSent));
   }
 
+  /** Returns a callback that runs the next step, or ends the call if the step before failed. */
   private ClientCallback<ClientExchange> onSuccess(Consumer<ClientExchange> next) {
     return new ClientCallback<>() {
       @Override
@@ -178,6 +179,7 @@
             : new HttpResult.NotSent(reason));
   }
 
+  /** Ends the call with this result, and closes its connection if one was assigned. */
   private void finishAndDiscardConnection(HttpResult result) {
     finish(result);
     connection.ifPresentOrElse(connectionPool::discard, connectionPool::handleUnsentCallEnded);
