--- a/src/main/java/org/ploverspindle/peers/PeerClient.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -50,8 +50,8 @@
    */
   void send(byte[] frame) {
     if (queuedFrames.size() >= MAX_QUEUED_FRAMES) {
-      // The peer does not read. The queue must stay bounded, and the queued hints are worth no more
-      // than the new one, so they are dropped.
+      // The peer does not read. The queue must stay bounded, and older hints are worth no more than
+      // newer ones, so the queue is dropped. The backoff that starts here drops the new frame too.
       disconnect("peer does not read, " + MAX_QUEUED_FRAMES + " frames are queued");
     }
     queuedFrames.add(ByteBuffer.wrap(frame));
