--- a/src/main/java/org/ploverspindle/controller/LeaderHints.java
+++ b/src/main/java/org/ploverspindle/controller/RoutingLeaderNotifier.java
@@ -11,8 +11,11 @@
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.StateStore.Change;
 
-/** Notifies the leader, here or on another controller, of what this controller wrote for users. */
-final class LeaderHints implements LeaderNotifier {
+/**
+ * Notifies the leader of what this controller wrote for users. A leader on this controller is
+ * notified through the replica, and a leader on another controller by a peer message.
+ */
+final class RoutingLeaderNotifier implements LeaderNotifier {
   private final Replica replica;
   private final Election election;
   private final Peers peers;
@@ -21,9 +24,9 @@
 
   /**
    * @param member the name of this controller
-   * @param localLeader the leader while this controller leads
+   * @param localLeader supplies the leader while this controller leads, and empty otherwise
    */
-  LeaderHints(
+  RoutingLeaderNotifier(
       Replica replica,
       Election election,
       Peers peers,
@@ -38,19 +41,21 @@
 
   @Override
   public void cancellationSent() {
-    // A leader on this controller sees its cancellations in the replica without a read.
+    // A leader on this controller finds the cancellation in the replica once it is committed.
+    // Only a leader on another controller has to read the state service.
     if (localLeader.get().isEmpty()) {
-      hintToOtherLeader();
+      notifyRemoteLeader();
     }
   }
 
   @Override
   public void cancellationsCommitted(List<Change.Put> cancellations, long revision) {
     if (localLeader.get().isPresent()) {
-      // Applied before the user is answered, so that the leader launches nothing of the job after.
+      // The replica is changed before the user gets a response, so that the leader launches no task
+      // of a cancelled job after that response.
       cancellations.forEach(put -> replica.applyCreated(put, revision));
     } else {
-      hintToOtherLeader();
+      notifyRemoteLeader();
     }
   }
 
@@ -59,11 +64,11 @@
     if (localLeader.get().isPresent()) {
       replica.readBarrier(isRead -> {});
     } else {
-      hintToOtherLeader();
+      notifyRemoteLeader();
     }
   }
 
-  private void hintToOtherLeader() {
+  private void notifyRemoteLeader() {
     election
         .leaderName()
         .ifPresent(leader -> peers.send(leader, new PeerMessage.StateChanged(member)));
--- a/src/main/java/org/ploverspindle/controller/StateReachability.java
+++ b/src/main/java/org/ploverspindle/controller/StateReachability.java
@@ -16,21 +16,25 @@
 
 /**
  * Finds out whether only this controller can't reach the state service. A controller can't tell an
- * outage of the service from requests that fail for itself alone, so it probes the others. Their
- * replies are hints: they send users elsewhere and end a leadership that is of no use, and nothing
- * else is decided by them.
+ * outage of the service from requests that fail for itself alone, so it probes the other
+ * controllers. Their replies are hints: they decide only whether users are sent to other
+ * controllers and whether a leader resigns that can't use the state service.
  */
 final class StateReachability {
   private static final long PROBE_INTERVAL_MS = 1_000;
 
-  /** Above several intervals of reading the replica: one lost answer is no reason to probe. */
+  /**
+   * Longer than several read intervals of the replica: one lost response must not cause a probe.
+   */
   private static final long PROBE_AFTER_STALE_MS = 2_500;
 
+  /** The state service counts as unreachable once the replica is staler than this. */
   private static final long UNREACHABLE_AFTER_STALE_MS = 4_000;
 
-  /** A controller replies to probes only if it has just read the state service itself. */
+  /** A controller replies to probes only if its last answered read is not older than this. */
   private static final long MAX_STALENESS_TO_REPLY_MS = 1_500;
 
+  /** How long a reply shows that another controller reaches the state service. */
   private static final long REPLY_VALID_MS = 3_000;
 
   private final Scheduler scheduler;
@@ -55,30 +59,34 @@
     this.member = member;
   }
 
-  private long staleMs() {
+  /** Returns how long ago the last answered read of the replica was sent, in milliseconds. */
+  private long stalenessMs() {
     return scheduler.nowMs() - replica.freshAsOfMs();
   }
 
   /**
-   * Probes the other controllers if this one seems to lack the state service.
+   * Probes the other controllers if this one seems unable to reach the state service, at most once
+   * per probe interval.
    *
    * @param isFailingToWrite whether this controller leads and none of its writes is executed
    */
   void probeIfStale(boolean isFailingToWrite) {
     long nowMs = scheduler.nowMs();
     boolean isDue = lastProbeMs.isEmpty() || nowMs - lastProbeMs.getAsLong() >= PROBE_INTERVAL_MS;
-    if ((isFailingToWrite || staleMs() > PROBE_AFTER_STALE_MS) && isDue) {
+    if ((isFailingToWrite || stalenessMs() > PROBE_AFTER_STALE_MS) && isDue) {
       lastProbeMs = OptionalLong.of(nowMs);
       peers.broadcast(new PeerMessage.ReachabilityProbe(member));
     }
   }
 
   /**
-   * Replies to another controller's probe if the state service executes a transaction for this one.
-   * One transaction serves all probes that arrive meanwhile.
+   * Replies to another controller's probe once the state service has processed a transaction of
+   * this controller, whether it committed or its condition did not hold. Probes that arrive while
+   * the transaction is in flight are answered by its result. Sends no reply if this controller has
+   * not read the state service recently.
    */
   void replyToProbe(String probingMember) {
-    if (staleMs() > MAX_STALENESS_TO_REPLY_MS) {
+    if (stalenessMs() > MAX_STALENESS_TO_REPLY_MS) {
       return;
     }
     probingMembers.add(probingMember);
@@ -93,29 +101,32 @@
           replyPending = false;
           if (result instanceof TransactionResult.Committed
               || result instanceof TransactionResult.Conflict) {
-            replyToAll();
+            replyToProbingMembers();
           }
           probingMembers.clear();
         });
   }
 
-  private void replyToAll() {
+  private void replyToProbingMembers() {
     PeerMessage reply = new PeerMessage.ReachabilityReply(member);
     probingMembers.forEach(probing -> peers.send(probing, reply));
   }
 
-  /** Another controller replied that it reads and writes the state service. */
-  void replyReceived() {
+  /** Records that another controller replied that it reads and writes the state service. */
+  void handleReply() {
     lastReplyMs = OptionalLong.of(scheduler.nowMs());
   }
 
-  /** Did another controller show lately that it reaches the state service? */
+  /** Returns whether another controller has replied recently that it reaches the state service. */
   boolean isReachableByPeers() {
     return lastReplyMs.isPresent() && scheduler.nowMs() - lastReplyMs.getAsLong() < REPLY_VALID_MS;
   }
 
-  /** Other controllers reach the state service and this one does not: they serve users better. */
+  /**
+   * Returns whether other controllers reach the state service and this one does not. Users are then
+   * served better by the other controllers.
+   */
   boolean isUnreachableHereOnly() {
-    return staleMs() > UNREACHABLE_AFTER_STALE_MS && isReachableByPeers();
+    return stalenessMs() > UNREACHABLE_AFTER_STALE_MS && isReachableByPeers();
   }
 }
--- a/src/main/java/org/ploverspindle/eventloop/EventLoop.java
+++ b/src/main/java/org/ploverspindle/eventloop/EventLoop.java
@@ -12,37 +12,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The scheduler of a running service: one thread that runs heartbeats first, then due timers, then
- * the other priorities of work in their order.
+ * The scheduler of a running controller: one thread that runs heartbeats first, then due timers,
+ * then the other work in the order of its priority.
  *
- * <p>Work that throws is logged, and the loop goes on. Work that is still waiting when the loop is
- * closed is not run.
+ * <p>If work throws a runtime exception, the exception is logged and the loop continues. Work that
+ * is still waiting when the loop is closed is not run.
  */
 public final class EventLoop implements Scheduler, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
   private static final long NANOS_PER_MS = 1_000_000;
 
   /**
-   * @param order of two timers that are due at the same time, the one that was scheduled first runs
-   *     first
+   * @param dueMs the time from which the work may run, on the monotonic clock
+   * @param sequence the order of scheduling: of two timers that are due at the same time, the one
+   *     that was scheduled first runs first
    */
-  private record Timer(long dueMs, long order, Runnable work) implements Comparable<Timer> {
+  private record Timer(long dueMs, long sequence, Runnable work) implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
       return dueMs != other.dueMs
           ? Long.compare(dueMs, other.dueMs)
-          : Long.compare(order, other.order);
+          : Long.compare(sequence, other.sequence);
     }
   }
 
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition changed = lock.newCondition();
+  private final Condition stateChanged = lock.newCondition();
   private final Map<EventPriority, Queue<Runnable>> queues = new EnumMap<>(EventPriority.class);
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final Thread thread;
-  private long nextTimerOrder;
+  private long nextTimerSequence;
   private boolean closed;
-  private boolean waiting;
+  private boolean threadWaiting;
 
   public EventLoop() {
     for (EventPriority priority : EventPriority.values()) {
@@ -51,7 +52,7 @@
     thread = new Thread(this::run, "decisions");
   }
 
-  /** Starts the thread. */
+  /** Starts the thread of the event loop. */
   public void start() {
     thread.start();
   }
@@ -66,7 +67,10 @@
     return System.currentTimeMillis();
   }
 
-  /** How much work of this priority is waiting. The user API sheds load by it. */
+  /**
+   * Returns how many pieces of work of this priority are waiting. The user API rejects requests
+   * when it is too high. May be called on any thread.
+   */
   public int backlog(EventPriority priority) {
     lock.lock();
     try {
@@ -91,7 +95,7 @@
   public Cancellable schedule(long delayMs, Runnable work) {
     lock.lock();
     try {
-      Timer timer = new Timer(nowMs() + Math.max(0, delayMs), nextTimerOrder++, work);
+      Timer timer = new Timer(nowMs() + Math.max(0, delayMs), nextTimerSequence++, work);
       timers.add(timer);
       wakeUp();
       return () -> remove(timer);
@@ -110,8 +114,8 @@
   }
 
   private void wakeUp() {
-    if (waiting) {
-      changed.signal();
+    if (threadWaiting) {
+      stateChanged.signal();
     }
   }
 
@@ -125,7 +129,10 @@
     }
   }
 
-  /** The next work to run; null once the loop is closed. */
+  /**
+   * Waits for the next work to run and returns it, or null once the loop is closed or its thread is
+   * interrupted.
+   */
   private Runnable awaitNext() {
     lock.lock();
     try {
@@ -145,22 +152,22 @@
     }
   }
 
-  /** Waits until work is added, a timer is due or the loop is closed. */
+  /** Waits until work or a timer is added, a timer is due or the loop is closed. */
   private void awaitChange() throws InterruptedException {
-    waiting = true;
+    threadWaiting = true;
     try {
       Timer first = timers.peek();
       if (first == null) {
-        changed.await();
+        stateChanged.await();
       } else {
-        changed.await(Math.max(1, first.dueMs() - nowMs()), TimeUnit.MILLISECONDS);
+        stateChanged.await(Math.max(1, first.dueMs() - nowMs()), TimeUnit.MILLISECONDS);
       }
     } finally {
-      waiting = false;
+      threadWaiting = false;
     }
   }
 
-  /** The work of the highest priority that can run now; null if there is none. */
+  /** Removes and returns the work that runs next, or returns null if none can run now. */
   private Runnable pollNext() {
     Runnable heartbeat = queues.get(EventPriority.HEARTBEAT).poll();
     if (heartbeat != null) {
@@ -178,13 +185,13 @@
     return submission != null ? submission : queues.get(EventPriority.QUERY).poll();
   }
 
-  /** Ends the thread after the work that is running. */
+  /** Makes the thread end after the work that is running, without waiting for it. */
   @Override
   public void close() {
     lock.lock();
     try {
       closed = true;
-      changed.signal();
+      stateChanged.signal();
     } finally {
       lock.unlock();
     }
--- a/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
+++ b/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** How long the event loop was busy with each kind of task, for operators. */
+/** Measures how long the event loop was busy with each kind of work, for operators. */
 public final class TaskTimings {
   private static final long NANOS_PER_MS = 1_000_000;
 
@@ -14,46 +14,51 @@
     private long runs;
   }
 
-  /** By the task's name. */
+  /** What was recorded since the last summary, by the name of the work. */
   private final Map<String, Timing> timings = new TreeMap<>();
 
-  /** Runs the work and records its time under the task's name, also if it throws. */
-  public void run(String task, Runnable work) {
+  /** Runs the work and records its duration under the given name, even if the work throws. */
+  public void run(String workName, Runnable work) {
     long startNanos = System.nanoTime();
     try {
       work.run();
     } finally {
-      record(task, System.nanoTime() - startNanos);
+      record(workName, System.nanoTime() - startNanos);
     }
   }
 
-  /** The same for work with a result. */
-  public <T> T call(String task, Supplier<T> work) {
+  /**
+   * Runs the work, records its duration under the given name, even if the work throws, and returns
+   * its result.
+   */
+  public <T> T call(String workName, Supplier<T> work) {
     long startNanos = System.nanoTime();
     try {
       return work.get();
     } finally {
-      record(task, System.nanoTime() - startNanos);
+      record(workName, System.nanoTime() - startNanos);
     }
   }
 
-  private void record(String task, long nanos) {
-    Timing timing = timings.computeIfAbsent(task, name -> new Timing());
+  private void record(String workName, long nanos) {
+    Timing timing = timings.computeIfAbsent(workName, name -> new Timing());
     timing.totalNanos += nanos;
     timing.longestNanos = Math.max(timing.longestNanos, nanos);
     timing.runs++;
   }
 
   /**
-   * What was recorded since the last call, in one line: for each task its total milliseconds, its
-   * runs, and the milliseconds of its longest run.
+   * Returns a summary of what was recorded since the last call, in one line, and clears it. For
+   * each kind of work it names the total duration in milliseconds, the number of runs, and the
+   * duration of the longest run in milliseconds.
    */
   public String drainSummary() {
-    StringBuilder line = new StringBuilder();
+    StringBuilder summary = new StringBuilder();
     timings.forEach(
-        (task, timing) ->
-            line.append(line.isEmpty() ? "" : ", ")
-                .append(task)
+        (workName, timing) ->
+            summary
+                .append(summary.isEmpty() ? "" : ", ")
+                .append(workName)
                 .append(' ')
                 .append(timing.totalNanos / NANOS_PER_MS)
                 .append(" ms in ")
@@ -62,6 +67,6 @@
                 .append(timing.longestNanos / NANOS_PER_MS)
                 .append(')'));
     timings.clear();
-    return line.toString();
+    return summary.toString();
   }
 }
--- a/src/main/java/org/ploverspindle/net/ConnectionPool.java
+++ b/src/main/java/org/ploverspindle/net/ConnectionPool.java
@@ -13,80 +13,89 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The connections to one target, and the calls that wait for one. For use on the I/O thread alone.
+ * The connections to one target, and the calls that wait for a connection. Must be used on the I/O
+ * thread only.
  */
 final class ConnectionPool {
-  private static final int MAX_QUEUED = 200;
+  /** The largest number of calls that may wait for a connection to the target. */
+  static final int MAX_WAITING_CALLS = 200;
 
-  private final XnioIoThread io;
+  private final XnioIoThread ioThread;
   private final ByteBufferPool buffers;
   private final URI target;
   private final int maxConnections;
   private final boolean persistent;
 
-  /** The most recently used last, which is the least likely to have been closed by the target. */
-  private final Deque<ClientConnection> idle = new ArrayDeque<>();
+  /**
+   * Connections that serve no call. The most recently used one is last and is assigned first, as
+   * the target is least likely to have closed it.
+   */
+  private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
 
-  private final Deque<HttpCall> queue = new ArrayDeque<>();
+  private final Deque<HttpCall> waitingCalls = new ArrayDeque<>();
 
-  /** Connections that are open or being opened. */
-  private int open;
+  /** The number of connections that are open or being opened. */
+  private int connectionCount;
 
   /**
-   * @param persistent whether a connection is kept after its call
+   * @param persistent whether a connection is kept open for further calls
    */
   ConnectionPool(
-      XnioIoThread io, ByteBufferPool buffers, URI target, int maxConnections, boolean persistent) {
-    this.io = io;
+      XnioIoThread ioThread,
+      ByteBufferPool buffers,
+      URI target,
+      int maxConnections,
+      boolean persistent) {
+    this.ioThread = ioThread;
     this.buffers = buffers;
     this.target = target;
     this.maxConnections = maxConnections;
     this.persistent = persistent;
   }
 
-  /** Whether no further call may wait. */
+  /** Returns whether the number of waiting calls has reached its limit. */
   boolean isQueueFull() {
-    return queue.size() >= MAX_QUEUED;
+    return waitingCalls.size() >= MAX_WAITING_CALLS;
   }
 
-  /** Starts the call as soon as there is a connection for it. */
+  /** Starts the call as soon as a connection is available for it. */
   void enqueue(HttpCall call) {
-    queue.add(call);
-    assign();
+    waitingCalls.add(call);
+    assignConnections();
   }
 
-  /** The call is not started any more, if it still waits. */
+  /** Removes the call from the queue if it still waits for a connection. */
   void dequeue(HttpCall call) {
-    queue.remove(call);
+    waitingCalls.remove(call);
   }
 
-  private void assign() {
-    while (!queue.isEmpty()) {
-      ClientConnection connection = idle.pollLast();
+  private void assignConnections() {
+    while (!waitingCalls.isEmpty()) {
+      ClientConnection connection = idleConnections.pollLast();
       if (connection != null) {
         if (connection.isOpen()) {
-          queue.poll().start(connection);
+          waitingCalls.poll().start(connection);
         }
         continue;
       }
-      if (open >= maxConnections) {
+      if (connectionCount >= maxConnections) {
         return;
       }
-      connect(queue.poll());
+      connect(waitingCalls.poll());
     }
   }
 
   private void connect(HttpCall call) {
-    open++;
+    connectionCount++;
     UndertowClient.getInstance()
-        .connect(new Connecting(call), target, io, buffers, OptionMap.EMPTY);
+        .connect(new ConnectCallback(call), target, ioThread, buffers, OptionMap.EMPTY);
   }
 
-  private final class Connecting implements ClientCallback<ClientConnection> {
+  private final class ConnectCallback implements ClientCallback<ClientConnection> {
     private final HttpCall call;
     private boolean ended;
 
-    Connecting(HttpCall call) {
+    ConnectCallback(HttpCall call) {
       this.call = call;
     }
 
@@ -97,9 +106,9 @@
       if (!call.isFinished()) {
         call.start(connection);
       } else if (persistent) {
-        // The call timed out while connecting; the connection can serve others.
-        idle.add(connection);
-        assign();
+        // The call ended while the connection was being opened. Other calls can use the connection.
+        idleConnections.add(connection);
+        assignConnections();
       } else {
         IoUtils.safeClose(connection);
       }
@@ -109,20 +118,20 @@
     public void failed(IOException cause) {
       if (!ended) {
         ended = true;
-        open--;
+        connectionCount--;
       }
       call.fail(cause);
     }
   }
 
   private void handleClosed(ClientConnection connection) {
-    open--;
-    idle.remove(connection);
-    assign();
+    connectionCount--;
+    idleConnections.remove(connection);
+    assignConnections();
   }
 
   /**
-   * A call on this connection got its response.
+   * Takes back the connection of a call that got its response.
    *
    * @param reusable whether the target keeps the connection open
    */
@@ -131,24 +140,25 @@
       IoUtils.safeClose(connection);
       return;
     }
-    // On the next turn of the I/O thread: the exchange ends only after its listener has returned.
-    io.execute(
+    // The exchange on the connection ends only after its listener has returned, so the connection
+    // is reused in a later run of the I/O thread.
+    ioThread.execute(
         () -> {
           if (connection.isOpen()) {
-            idle.add(connection);
+            idleConnections.add(connection);
           }
-          assign();
+          assignConnections();
         });
   }
 
-  /** A call ended that had no connection yet. */
-  void releaseNone() {
-    assign();
+  /** Assigns connections again after a call has ended to which none had been assigned. */
+  void handleUnsentCallEnded() {
+    assignConnections();
   }
 
-  /** A call on this connection failed, which leaves it in an unknown state. */
+  /** Closes the connection of a failed call, since its state is unknown. */
   void discard(ClientConnection connection) {
     IoUtils.safeClose(connection);
-    assign();
+    assignConnections();
   }
 }
--- a/src/main/java/org/ploverspindle/net/HttpCall.java
+++ b/src/main/java/org/ploverspindle/net/HttpCall.java
@@ -19,18 +19,18 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One request and its response, within a time limit. Has exactly one outcome, which is delivered on
- * the event loop. For use on the I/O thread alone.
+ * One request and its response, within a time limit. A call has exactly one outcome, which is
+ * delivered on the event loop. Must be used on the I/O thread only.
  */
 final class HttpCall {
   private static final String CONTENT_TYPE = "application/cbor";
   private static final String CONNECTION_CLOSE = "close";
 
   /**
-   * What is sent.
+   * A request to a target.
    *
-   * @param target scheme, host and port
-   * @param body may be empty: then none is sent
+   * @param target the scheme, host and port of the target
+   * @param body the body; if it is empty, the request is sent without a body
    */
   record Request(URI target, String method, String path, byte[] body) {
     boolean hasBody() {
@@ -53,51 +53,64 @@
   }
 
   private final Scheduler scheduler;
-  private final XnioIoThread io;
-  private final ConnectionPool connections;
+  private final XnioIoThread ioThread;
+  private final ConnectionPool connectionPool;
   private final Request request;
-  private final Consumer<HttpResult> then;
+  private final Consumer<HttpResult> callback;
   private final ResponseBody responseBody = new ResponseBody();
   private Optional<XnioExecutor.Key> timeout = Optional.empty();
 
-  /** Present once the request may have left this process. */
+  /**
+   * The connection that was assigned to the call. While it is empty, the request has not left this
+   * process; once it is present, the request may have.
+   */
   private Optional<ClientConnection> connection = Optional.empty();
 
   private boolean finished;
 
   HttpCall(
       Scheduler scheduler,
-      XnioIoThread io,
-      ConnectionPool connections,
+      XnioIoThread ioThread,
+      ConnectionPool connectionPool,
       Request request,
-      Consumer<HttpResult> then) {
+      Consumer<HttpResult> callback) {
     this.scheduler = scheduler;
-    this.io = io;
-    this.connections = connections;
+    this.ioThread = ioThread;
+    this.connectionPool = connectionPool;
     this.request = request;
-    this.then = then;
+    this.callback = callback;
   }
 
-  /** Starts the time limit and waits for a connection. */
+  /**
+   * Starts the time limit and waits for a connection. If too many calls wait already, the call ends
+   * at once without being sent.
+   */
   void submit(long timeoutMs) {
-    if (connections.isQueueFull()) {
-      finish(new HttpResult.NotSent("too many calls wait for " + request.target()));
+    if (connectionPool.isQueueFull()) {
+      finish(
+          new HttpResult.NotSent(
+              "queue is full, "
+                  + ConnectionPool.MAX_WAITING_CALLS
+                  + " calls wait for a connection to "
+                  + request.target()));
       return;
     }
-    timeout = Optional.of(io.executeAfter(() -> fail("timeout"), timeoutMs, TimeUnit.MILLISECONDS));
-    connections.enqueue(this);
+    timeout =
+        Optional.of(ioThread.executeAfter(() -> fail("timeout"), timeoutMs, TimeUnit.MILLISECONDS));
+    connectionPool.enqueue(this);
   }
 
   boolean isFinished() {
     return finished;
   }
 
-  /** Sends the request on this connection. */
+  /** Sends the request on the assigned connection. */
   void start(ClientConnection assigned) {
     connection = Optional.of(assigned);
     assigned.sendRequest(request.toClientRequest(), onSuccess(this::handleSent));
   }
 
+  /** Returns a callback that runs the next step, or ends the call if the step before failed. */
   private ClientCallback<ClientExchange> onSuccess(Consumer<ClientExchange> next) {
     return new ClientCallback<>() {
       @Override
@@ -133,7 +146,8 @@
       switch (responseBody.readFrom(channel)) {
         case INCOMPLETE -> channel.resumeReads();
         case COMPLETE -> succeed(exchange);
-        case TOO_LARGE -> abandon(new HttpResult.TooLarge(ResponseBody.MAX_BYTES));
+        case TOO_LARGE ->
+            finishAndDiscardConnection(new HttpResult.TooLarge(ResponseBody.MAX_BYTES));
       }
     } catch (IOException e) {
       fail(e);
@@ -145,29 +159,30 @@
     String connectionHeader =
         exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION);
     finish(new HttpResult.Response(status, responseBody.toByteArray()));
-    connections.release(
+    connectionPool.release(
         connection.orElseThrow(), !CONNECTION_CLOSE.equalsIgnoreCase(connectionHeader));
   }
 
-  /** Ends the call without a response, unless it has ended. */
+  /** Ends the call without a response, unless it has ended already. */
   void fail(IOException cause) {
-    fail("failed: " + cause.getMessage());
+    fail("I/O error: " + cause.getMessage());
   }
 
   private void fail(String reason) {
     if (finished) {
       return;
     }
-    connections.dequeue(this);
-    abandon(
+    connectionPool.dequeue(this);
+    finishAndDiscardConnection(
         connection.isPresent()
             ? new HttpResult.NoResponse(reason)
             : new HttpResult.NotSent(reason));
   }
 
-  private void abandon(HttpResult result) {
+  /** Ends the call with this result, and closes its connection if one was assigned. */
+  private void finishAndDiscardConnection(HttpResult result) {
     finish(result);
-    connection.ifPresentOrElse(connections::discard, connections::releaseNone);
+    connection.ifPresentOrElse(connectionPool::discard, connectionPool::handleUnsentCallEnded);
   }
 
   private void finish(HttpResult result) {
@@ -176,6 +191,6 @@
     }
     finished = true;
     timeout.ifPresent(XnioExecutor.Key::remove);
-    scheduler.execute(EventPriority.DECISION, () -> then.accept(result));
+    scheduler.execute(EventPriority.DECISION, () -> callback.accept(result));
   }
 }
--- a/src/main/java/org/ploverspindle/peers/PeerClient.java
+++ b/src/main/java/org/ploverspindle/peers/PeerClient.java
@@ -20,36 +20,41 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * The outgoing connection to one other controller, for sending only. All state is confined to the
- * I/O thread. After a peer has refused a connection or stopped reading, a new connection is tried
- * only after a pause, and frames are dropped meanwhile.
+ * The outgoing connection to one other controller, used only for sending. All state is confined to
+ * the I/O thread. After a connection could not be opened, a write has failed or the peer has
+ * stopped reading, a new connection is opened only after a backoff, and frames are dropped until
+ * then.
  */
 final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
   private static final int MAX_QUEUED_FRAMES = 16;
-  private static final long RECONNECT_PAUSE_MS = 1_500;
+  private static final long RECONNECT_BACKOFF_MS = 1_500;
   private static final long CONNECT_TIMEOUT_MS = 1_000;
   private static final int READ_BUFFER_BYTES = 64;
 
-  private final XnioIoThread io;
+  private final XnioIoThread ioThread;
   private final InetSocketAddress address;
-  private final Deque<ByteBuffer> queue = new ArrayDeque<>();
+  private final Deque<ByteBuffer> queuedFrames = new ArrayDeque<>();
   private Optional<StreamConnection> connection = Optional.empty();
   private boolean connecting;
-  private long nextConnectNanos = System.nanoTime();
+  private long earliestConnectNanos = System.nanoTime();
 
-  PeerClient(XnioIoThread io, Address address) {
-    this.io = io;
+  PeerClient(XnioIoThread ioThread, Address address) {
+    this.ioThread = ioThread;
     this.address = new InetSocketAddress(address.host(), address.port());
   }
 
-  /** Sends a frame, or queues it while the connection is being opened or is busy. */
+  /**
+   * Sends a frame. Queues it while the connection is being opened or the peer is slow to read, and
+   * drops it during the backoff.
+   */
   void send(byte[] frame) {
-    if (queue.size() >= MAX_QUEUED_FRAMES) {
-      // The peer does not read. The queue must not grow, and older hints are worth no more.
-      dropQueue("the peer does not read");
+    if (queuedFrames.size() >= MAX_QUEUED_FRAMES) {
+      // The peer does not read. The queue must stay bounded, and older hints are worth no more than
+      // newer ones, so the queue is dropped. The backoff that starts here drops the new frame too.
+      disconnect("peer does not read, " + MAX_QUEUED_FRAMES + " frames are queued");
     }
-    queue.add(ByteBuffer.wrap(frame));
+    queuedFrames.add(ByteBuffer.wrap(frame));
     if (connection.isPresent()) {
       writeQueue();
     } else {
@@ -61,48 +66,50 @@
     if (connecting) {
       return;
     }
-    if (System.nanoTime() - nextConnectNanos < 0) {
-      queue.clear();
+    if (System.nanoTime() - earliestConnectNanos < 0) {
+      queuedFrames.clear();
       return;
     }
     connecting = true;
     OptionMap options = OptionMap.create(Options.TCP_NODELAY, true);
-    IoFuture<StreamConnection> future =
-        io.openStreamConnection(address, this::connected, null, options);
-    future.addNotifier(
+    IoFuture<StreamConnection> pendingConnection =
+        ioThread.openStreamConnection(address, this::handleConnected, null, options);
+    pendingConnection.addNotifier(
         (finished, attachment) -> {
           if (finished.getStatus() != IoFuture.Status.DONE) {
-            io.execute(() -> dropQueue("no connection"));
+            ioThread.execute(() -> disconnect("connection could not be opened"));
           }
         },
         null);
-    io.executeAfter(() -> cancelIfPending(future), CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    ioThread.executeAfter(
+        () -> cancelIfPending(pendingConnection), CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void cancelIfPending(IoFuture<StreamConnection> future) {
-    if (connecting && future.getStatus() == IoFuture.Status.WAITING) {
-      future.cancel();
+  private void cancelIfPending(IoFuture<StreamConnection> pendingConnection) {
+    if (connecting && pendingConnection.getStatus() == IoFuture.Status.WAITING) {
+      pendingConnection.cancel();
     }
   }
 
-  private void connected(StreamConnection opened) {
+  private void handleConnected(StreamConnection opened) {
     connecting = false;
     connection = Optional.of(opened);
     opened.getSinkChannel().setWriteListener(sink -> writeQueue());
-    opened.setCloseListener(closed -> forget(opened));
-    // Peers send nothing on this connection; reading notices when they close it.
-    opened.getSourceChannel().setReadListener(source -> closeAtEnd(opened, source));
+    opened.setCloseListener(closed -> handleClosed(opened));
+    // Peers send nothing on this connection. It is read only to notice that the peer closed it.
+    opened.getSourceChannel().setReadListener(source -> closeAtEndOfStream(opened, source));
     opened.getSourceChannel().resumeReads();
     writeQueue();
   }
 
-  private void forget(StreamConnection closed) {
+  private void handleClosed(StreamConnection closed) {
     if (connection.filter(current -> current == closed).isPresent()) {
       connection = Optional.empty();
     }
   }
 
-  private static void closeAtEnd(StreamConnection opened, ConduitStreamSourceChannel source) {
+  private static void closeAtEndOfStream(
+      StreamConnection opened, ConduitStreamSourceChannel source) {
     try {
       if (source.read(ByteBuffer.allocate(READ_BUFFER_BYTES)) < 0) {
         IoUtils.safeClose(opened);
@@ -118,33 +125,34 @@
     }
     ConduitStreamSinkChannel sink = connection.get().getSinkChannel();
     try {
-      while (!queue.isEmpty()) {
-        ByteBuffer frame = queue.peek();
+      while (!queuedFrames.isEmpty()) {
+        ByteBuffer frame = queuedFrames.peek();
         while (frame.hasRemaining()) {
           if (sink.write(frame) == 0) {
             sink.resumeWrites();
             return;
           }
         }
-        queue.poll();
+        queuedFrames.poll();
       }
       sink.flush();
       sink.suspendWrites();
     } catch (IOException exception) {
-      dropQueue(String.valueOf(exception.getMessage()));
+      disconnect(String.valueOf(exception.getMessage()));
     }
   }
 
-  private void dropQueue(String reason) {
+  /** Drops the queued frames, closes the connection and starts the backoff. */
+  private void disconnect(String reason) {
     LOG.debug("messages to peer dropped: address={} reason=\"{}\"", address, reason);
     connecting = false;
-    queue.clear();
-    nextConnectNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RECONNECT_PAUSE_MS);
+    queuedFrames.clear();
+    earliestConnectNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RECONNECT_BACKOFF_MS);
     connection.ifPresent(IoUtils::safeClose);
     connection = Optional.empty();
   }
 
-  /** Closes the connection; queued frames are not sent. */
+  /** Closes the connection without sending the queued frames. */
   void close() {
     connection.ifPresent(IoUtils::safeClose);
     connection = Optional.empty();
--- a/src/main/java/org/ploverspindle/peers/PeerServer.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -27,24 +27,25 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Accepts connections of the other controllers, and sends to each of them over one connection of
- * its own. Sockets are confined to one I/O thread; received messages are handed to the event loop.
+ * Accepts connections from the other controllers, and sends to each of them over one outgoing
+ * connection. Sockets are confined to one I/O thread; received messages are delivered on the event
+ * loop.
  */
 public final class PeerServer implements Peers {
   private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
 
   private final Scheduler scheduler;
   private final XnioWorker worker;
-  private final XnioIoThread io;
+  private final XnioIoThread ioThread;
   private final Address listenAddress;
   private final int maxConnections;
   private final Consumer<PeerMessage> listener;
   private final Map<String, PeerClient> clients = new LinkedHashMap<>();
-  private final Set<StreamConnection> openConnections = new HashSet<>();
+  private final Set<StreamConnection> acceptedConnections = new HashSet<>();
   private Optional<AcceptingChannel<StreamConnection>> listeningChannel = Optional.empty();
 
   /**
-   * @param listener is called on the event loop
+   * @param listener receives each message, on the event loop
    */
   public PeerServer(
       Scheduler scheduler,
@@ -54,17 +55,18 @@
       Consumer<PeerMessage> listener) {
     this.scheduler = scheduler;
     this.worker = worker;
-    this.io = worker.getIoThread();
+    this.ioThread = worker.getIoThread();
     this.listenAddress = listenAddress;
-    // Each peer has one connection to here, and a second one until the loss of the first is
-    // noticed.
+    // Each peer has one connection to this server, and a second one while the loss of the first has
+    // not been noticed. Two more are spare.
     this.maxConnections = 2 * members.size() + 2;
     this.listener = listener;
-    members.forEach(member -> clients.put(member.name(), new PeerClient(io, member.address())));
+    members.forEach(
+        member -> clients.put(member.name(), new PeerClient(ioThread, member.address())));
   }
 
   /**
-   * Starts to listen.
+   * Starts to listen on the address.
    *
    * @throws IOException if the address can't be bound
    */
@@ -79,7 +81,10 @@
     listeningChannel = Optional.of(channel);
   }
 
-  /** The port that an open server listens on, also if it was opened at port 0. */
+  /**
+   * Returns the port that an open server listens on; if it was opened at port 0, the port that the
+   * system chose.
+   */
   public int port() {
     return listeningChannel
         .map(channel -> channel.getLocalAddress(InetSocketAddress.class).getPort())
@@ -89,10 +94,10 @@
   /** Stops listening and closes all connections. */
   public void close() {
     listeningChannel.ifPresent(IoUtils::safeClose);
-    io.execute(
+    ioThread.execute(
         () -> {
           clients.values().forEach(PeerClient::close);
-          List.copyOf(openConnections).forEach(IoUtils::safeClose);
+          List.copyOf(acceptedConnections).forEach(IoUtils::safeClose);
         });
   }
 
@@ -101,14 +106,14 @@
     byte[] frame = PeerCodec.encode(message);
     PeerClient client = clients.get(member);
     if (client != null) {
-      io.execute(() -> client.send(frame));
+      ioThread.execute(() -> client.send(frame));
     }
   }
 
   @Override
   public void broadcast(PeerMessage message) {
     byte[] frame = PeerCodec.encode(message);
-    io.execute(() -> clients.values().forEach(client -> client.send(frame)));
+    ioThread.execute(() -> clients.values().forEach(client -> client.send(frame)));
   }
 
   private void accept(AcceptingChannel<StreamConnection> channel) {
@@ -117,13 +122,13 @@
       if (connection == null) {
         return;
       }
-      if (openConnections.size() >= maxConnections) {
+      if (acceptedConnections.size() >= maxConnections) {
         IoUtils.safeClose(connection);
         return;
       }
-      openConnections.add(connection);
-      connection.setCloseListener(closed -> openConnections.remove(connection));
-      ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_LENGTH);
+      acceptedConnections.add(connection);
+      connection.setCloseListener(closed -> acceptedConnections.remove(connection));
+      ByteBuffer received = ByteBuffer.allocate(2 * PeerCodec.MAX_BODY_BYTES);
       connection.getSourceChannel().setReadListener(source -> read(connection, source, received));
       connection.getSourceChannel().resumeReads();
     } catch (IOException exception) {
@@ -154,14 +159,14 @@
   }
 
   private void handleFrames(ByteBuffer received) throws PeerCodec.MalformedFrameException {
-    int length = PeerCodec.wholeFrame(received);
-    while (length >= 0) {
-      PeerCodec.take(received, length).ifPresent(this::handOver);
-      length = PeerCodec.wholeFrame(received);
+    int bodyLength = PeerCodec.nextBodyLength(received);
+    while (bodyLength >= 0) {
+      PeerCodec.decodeNext(received, bodyLength).ifPresent(this::deliver);
+      bodyLength = PeerCodec.nextBodyLength(received);
     }
   }
 
-  private void handOver(PeerMessage message) {
+  private void deliver(PeerMessage message) {
     scheduler.execute(EventPriority.DECISION, () -> listener.accept(message));
   }
 }
--- a/src/test/java/org/ploverspindle/peers/PipelineVersionPeerMessagesTest.java
+++ b/src/test/java/org/ploverspindle/peers/PipelineVersionPeerMessagesTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Peer records as commit f659783 (the first version with pipelines) encodes them: controllers of
- * both versions talk to each other while an upgrade is under way, and a rename in the code must not
- * change a kind's number or a field.
+ * Compares peer messages with their encoding by commit f659783, the first version with pipelines.
+ * Controllers of both versions exchange messages during an upgrade. Guards against a change of the
+ * number of a kind, or of the encoding of a field, for example by a rename in the code.
  */
 class PipelineVersionPeerMessagesTest {
   private static final List<PeerMessage> EVERY_KIND =
@@ -26,7 +26,7 @@
           new PeerMessage.ReachabilityProbe("n-5"),
           new PeerMessage.ReachabilityReply("n-6"));
 
-  private static JsonNode encodedByHead() throws IOException {
+  private static JsonNode encodedByPipelineVersion() throws IOException {
     try (var in =
         PipelineVersionPeerMessagesTest.class.getResourceAsStream("/head-f659783-records.json")) {
       return new ObjectMapper().readTree(in).path("peers");
@@ -34,28 +34,28 @@
   }
 
   @Test
-  void everyKindIsInTheFixture() throws Exception {
+  void fixtureHoldsEveryKind() throws Exception {
     assertEquals(PeerMessage.class.getPermittedSubclasses().length, EVERY_KIND.size());
-    assertEquals(EVERY_KIND.size(), encodedByHead().size());
+    assertEquals(EVERY_KIND.size(), encodedByPipelineVersion().size());
   }
 
   @Test
-  void theyAreEncodedInTheSameBytes() throws Exception {
-    for (PeerMessage record : EVERY_KIND) {
+  void messagesAreEncodedInTheSameBytesAsByThatVersion() throws Exception {
+    for (PeerMessage message : EVERY_KIND) {
       assertEquals(
-          encodedByHead().path(record.member()).asText(),
-          HexFormat.of().formatHex(PeerCodec.encode(record)),
-          record.toString());
+          encodedByPipelineVersion().path(message.member()).asText(),
+          HexFormat.of().formatHex(PeerCodec.encode(message)),
+          message.toString());
     }
   }
 
   @Test
-  void theyAreReadAsTheSame() throws Exception {
-    for (PeerMessage record : EVERY_KIND) {
-      String hex = encodedByHead().path(record.member()).asText();
+  void messagesEncodedByThatVersionAreDecodedWithAllFields() throws Exception {
+    for (PeerMessage message : EVERY_KIND) {
+      String hex = encodedByPipelineVersion().path(message.member()).asText();
       ByteBuffer received = ByteBuffer.wrap(HexFormat.of().parseHex(hex));
-      int length = PeerCodec.wholeFrame(received);
-      assertEquals(Optional.of(record), PeerCodec.take(received, length));
+      int length = PeerCodec.nextBodyLength(received);
+      assertEquals(Optional.of(message), PeerCodec.decodeNext(received, length));
     }
   }
 }
