--- a/src/main/java/org/ploverspindle/cli/CheckCommand.java
+++ b/src/main/java/org/ploverspindle/cli/CheckCommand.java
@@ -42,14 +42,14 @@
   public Integer call() {
     try {
       Settings settings = SettingsFile.load(config);
-      Policy checked = Main.policy(policy, settings);
+      Policy checked = Main.policyOrDefault(policy, settings);
       printWarnings(LimitChecks.warnings(settings));
       machines.ifPresent(planned -> printShortages(settings, planned));
       printSummary(settings, checked);
       return Main.OK;
     } catch (InvalidSettingsException e) {
       e.problems().forEach(spec.commandLine().getErr()::println);
-      return Main.INVALID;
+      return Main.INVALID_INPUT;
     }
   }
 
--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -31,23 +31,27 @@
   private static final int POOLED_BUFFERS = 64;
   private static final int BUFFERS_PER_THREAD = 2;
 
-  private final EventLoop loop = new EventLoop();
-  private final XnioWorker worker;
+  private final EventLoop eventLoop = new EventLoop();
+  private final XnioWorker xnioWorker;
   private final Controller controller;
   private final UserApi userApi;
-  private final PeerServer peers;
+  private final PeerServer peerServer;
 
   ControllerProcess(Settings settings, Policy policy, RandomGenerator random) throws IOException {
-    worker = ioWorker();
+    xnioWorker = createXnioWorker();
     SocketBudget sockets = SocketBudget.of(settings);
     ByteBufferPool buffers =
         new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, BUFFERS_PER_THREAD);
-    peers =
+    peerServer =
         new PeerServer(
-            loop, worker, settings.peerAddress(), settings.members(), this::handlePeerMessage);
+            eventLoop,
+            xnioWorker,
+            settings.peerAddress(),
+            settings.members(),
+            this::handlePeerMessage);
     controller =
         new Controller(
-            loop,
+            eventLoop,
             new Controller.Services(
                 new HttpStateStore(
                     httpClient(buffers, settings.state().toString(), sockets.state())),
@@ -55,15 +59,16 @@
                     httpClient(buffers, settings.cloud().toString(), sockets.cloud())),
                 new HttpWorkerClient(
                     address ->
-                        UndertowHttpClient.once(loop, worker.getIoThread(), buffers, address)),
-                peers),
+                        UndertowHttpClient.once(
+                            eventLoop, xnioWorker.getIoThread(), buffers, address)),
+                peerServer),
             settings,
             policy,
             random);
     userApi =
         new UserApi(
-            loop,
-            worker,
+            eventLoop,
+            xnioWorker,
             settings.userAddress(),
             ConnectionLimits.of(
                 settings.quota().maxConnections(),
@@ -74,7 +79,7 @@
   }
 
   /** Has one I/O thread, which owns all sockets. */
-  private static XnioWorker ioWorker() throws IOException {
+  private static XnioWorker createXnioWorker() throws IOException {
     return Xnio.getInstance()
         .createWorker(
             OptionMap.builder()
@@ -87,7 +92,8 @@
   }
 
   private UndertowHttpClient httpClient(ByteBufferPool buffers, String address, int connections) {
-    return UndertowHttpClient.persistent(loop, worker.getIoThread(), buffers, address, connections);
+    return UndertowHttpClient.persistent(
+        eventLoop, xnioWorker.getIoThread(), buffers, address, connections);
   }
 
   /** A method, as the peers' server is made before the controller, which needs it. */
@@ -97,18 +103,18 @@
 
   /** Starts the threads, opens the sockets and starts the controller. */
   void start() throws IOException {
-    loop.start();
+    eventLoop.start();
     userApi.open();
-    peers.open();
-    loop.execute(EventPriority.DECISION, controller::start);
+    peerServer.open();
+    eventLoop.execute(EventPriority.DECISION, controller::start);
   }
 
   /** Stops the controller and closes all sockets and threads. */
   void stop() {
-    loop.execute(EventPriority.DECISION, controller::stop);
+    eventLoop.execute(EventPriority.DECISION, controller::stop);
     userApi.close();
-    peers.close();
-    loop.close();
-    worker.shutdownNow();
+    peerServer.close();
+    eventLoop.close();
+    xnioWorker.shutdownNow();
   }
 }
--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -45,10 +45,10 @@
   static final int OK = 0;
 
   /** Exit code of what could not be done. */
-  static final int FAILED = 1;
+  static final int OPERATION_FAILED = 1;
 
   /** Exit code of an invalid command line, settings or policy. */
-  static final int INVALID = 2;
+  static final int INVALID_INPUT = 2;
 
   /** Not an exit code: the process goes on, kept alive by the threads of the service. */
   private static final int RUNNING = -1;
@@ -65,7 +65,7 @@
       names = "--policy",
       paramLabel = "FILE",
       description = "Operators' own settings; see docs/operations.md.")
-  private Optional<Path> policy = Optional.empty();
+  private Optional<Path> policyOrDefault = Optional.empty();
 
   private Main() {}
 
@@ -73,8 +73,8 @@
   public static void main(String[] args) {
     setUpLogging();
     if (args.length == 2 && args[0].equals("--config")) {
-      if (!startAtOnce(Path.of(args[1]))) {
-        System.exit(INVALID);
+      if (!startWithoutPicocli(Path.of(args[1]))) {
+        System.exit(INVALID_INPUT);
       }
       return;
     }
@@ -88,7 +88,7 @@
    * The platform's start, {@code --config FILE} and no more, without picocli: a class-data archive
    * can't hold its classes, and reading them from the jar would slow down the start.
    */
-  private static boolean startAtOnce(Path config) {
+  private static boolean startWithoutPicocli(Path config) {
     try {
       Settings settings = SettingsFile.load(config);
       run(settings, Policy.DEFAULT);
@@ -114,7 +114,7 @@
             (e, line, parsed) -> {
               line.getErr()
                   .println(e instanceof InvalidSettingsException ? e.getMessage() : "failed: " + e);
-              return e instanceof InvalidSettingsException ? INVALID : FAILED;
+              return e instanceof InvalidSettingsException ? INVALID_INPUT : OPERATION_FAILED;
             });
   }
 
@@ -130,7 +130,8 @@
   }
 
   /** The policy of the file, or the defaults. */
-  static Policy policy(Optional<Path> file, Settings settings) throws InvalidSettingsException {
+  static Policy policyOrDefault(Optional<Path> file, Settings settings)
+      throws InvalidSettingsException {
     return file.isPresent() ? PolicyFile.load(file.get(), settings) : Policy.DEFAULT;
   }
 
@@ -140,10 +141,10 @@
       PrintWriter err = spec.commandLine().getErr();
       err.println("--config FILE or a command is needed");
       spec.commandLine().usage(err);
-      return INVALID;
+      return INVALID_INPUT;
     }
     Settings settings = SettingsFile.load(config.get());
-    run(settings, policy(policy, settings));
+    run(settings, policyOrDefault(policyOrDefault, settings));
     return RUNNING;
   }
 }
--- a/src/main/java/org/ploverspindle/cli/RehearseCommand.java
+++ b/src/main/java/org/ploverspindle/cli/RehearseCommand.java
@@ -28,7 +28,7 @@
  */
 @Command(name = "rehearse", hidden = true, description = "Used by the build.")
 final class RehearseCommand implements Callable<Integer> {
-  private static final String OWN = "org/ploverspindle/";
+  private static final String OWN_CLASSES_PREFIX = "org/ploverspindle/";
   private static final String CLASS_SUFFIX = ".class";
   private static final String SAMPLE_UID = "run-1";
   private static final String SAMPLE_PATH = "/submissions/" + SAMPLE_UID;
@@ -38,33 +38,33 @@
 
   private static final int NEGATIVE = -7;
   private static final long LARGE = 1L << 60;
-  private static final double FRACTION = 1.5;
+  private static final double FLOATING_POINT = 1.5;
   private static final int ROUNDS = 3;
-  private static final long PAUSE_MS = 400;
+  private static final long ROUND_INTERVAL_MS = 400;
   private static final int READ_TIMEOUT_MS = 5_000;
 
   @Override
   public Integer call() throws Exception {
     byte[] sample = RehearseCommand.class.getResourceAsStream("/rehearsal.toml").readAllBytes();
-    String front = "127.0.0.1:" + freePort();
+    String userAddress = "127.0.0.1:" + freePort();
     Settings settings =
         SettingsFile.parse(
             "rehearsal.toml",
             new String(sample, StandardCharsets.UTF_8)
-                .replace("front = \"127.0.0.1:0\"", "front = \"" + front + "\"")
-                .replace("\"127.0.0.1:1\"", "\"" + front + "\""));
+                .replace("front = \"127.0.0.1:0\"", "front = \"" + userAddress + "\"")
+                .replace("\"127.0.0.1:1\"", "\"" + userAddress + "\""));
     ControllerProcess process =
         new ControllerProcess(settings, Policy.DEFAULT, new SplittableRandom());
     process.start();
     loadOwnClasses();
     for (int round = 0; round < ROUNDS; round++) {
-      Thread.sleep(PAUSE_MS);
-      ask("GET", front, "/ready", new byte[0]);
-      ask("GET", front, SAMPLE_PATH, new byte[0]);
-      ask("POST", front, "/submissions", sampleBody());
-      ask("POST", front, SAMPLE_PATH + "/withdraw", sampleBody());
-      ask("POST", front, "/checkin", sampleBody());
-      ask("GET", front, "/status", new byte[0]);
+      Thread.sleep(ROUND_INTERVAL_MS);
+      sendRequest("GET", userAddress, "/ready", new byte[0]);
+      sendRequest("GET", userAddress, SAMPLE_PATH, new byte[0]);
+      sendRequest("POST", userAddress, "/submissions", sampleBody());
+      sendRequest("POST", userAddress, SAMPLE_PATH + "/withdraw", sampleBody());
+      sendRequest("POST", userAddress, "/checkin", sampleBody());
+      sendRequest("GET", userAddress, "/status", new byte[0]);
     }
     process.stop();
     return 0;
@@ -78,7 +78,10 @@
 
   private static byte[] sampleBody() {
     ObjectNode body = Cbor.map();
-    body.put("uid", SAMPLE_UID).put("pieces", SMALL).put("cores", FRACTION).put("one_zone", true);
+    body.put("uid", SAMPLE_UID)
+        .put("pieces", SMALL)
+        .put("cores", FLOATING_POINT)
+        .put("one_zone", true);
     body.put("large", LARGE).putNull("site");
     body.putArray("flavours").add("a").addObject().put("b", NEGATIVE);
     byte[] bytes = Cbor.write(body);
@@ -99,7 +102,7 @@
       List<String> names =
           jar.stream()
               .map(JarEntry::getName)
-              .filter(name -> name.startsWith(OWN) && name.endsWith(CLASS_SUFFIX))
+              .filter(name -> name.startsWith(OWN_CLASSES_PREFIX) && name.endsWith(CLASS_SUFFIX))
               .toList();
       for (String name : names) {
         Class.forName(name.substring(0, name.length() - CLASS_SUFFIX.length()).replace('/', '.'));
@@ -107,10 +110,10 @@
     }
   }
 
-  private static void ask(String method, String front, String path, byte[] body)
+  private static void sendRequest(String method, String userAddress, String path, byte[] body)
       throws IOException {
     HttpURLConnection connection =
-        (HttpURLConnection) URI.create("http://" + front + path).toURL().openConnection();
+        (HttpURLConnection) URI.create("http://" + userAddress + path).toURL().openConnection();
     connection.setRequestMethod(method);
     connection.setReadTimeout(READ_TIMEOUT_MS);
     if (body.length > 0) {
--- a/src/main/java/org/ploverspindle/cli/StatusCommand.java
+++ b/src/main/java/org/ploverspindle/cli/StatusCommand.java
@@ -37,15 +37,15 @@
   @Override
   public Integer call() {
     try {
-      spec.commandLine().getOut().println(readStatus());
+      spec.commandLine().getOut().println(requestStatus());
       return Main.OK;
     } catch (IOException | IllegalArgumentException e) {
       spec.commandLine().getErr().println(address + " could not be asked: " + e.getMessage());
-      return Main.FAILED;
+      return Main.OPERATION_FAILED;
     }
   }
 
-  private String readStatus() throws IOException {
+  private String requestStatus() throws IOException {
     String query =
         job.map(uid -> "?job=" + URLEncoder.encode(uid, StandardCharsets.UTF_8)).orElse("");
     HttpURLConnection connection =
--- a/src/main/java/org/ploverspindle/policy/Evaluator.java
+++ b/src/main/java/org/ploverspindle/policy/Evaluator.java
@@ -5,66 +5,66 @@
 
 /** Evaluates expressions over named amounts. An expression that is wrong raises an exception. */
 final class Evaluator {
-  private final Map<String, Double> names;
+  private final Map<String, Double> valuesByName;
 
   /**
-   * @param names the amounts that an expression may use
+   * @param valuesByName the amounts that an expression may use
    */
-  Evaluator(Map<String, Double> names) {
-    this.names = names;
+  Evaluator(Map<String, Double> valuesByName) {
+    this.valuesByName = valuesByName;
   }
 
   /** The value of an expression that must be an amount. */
-  double amount(Expression expression) throws PolicyException {
-    if (isCondition(expression)) {
+  double numericValue(Expression expression) throws PolicyException {
+    if (isComparison(expression)) {
       throw new PolicyException(expression.column(), "a comparison is no amount");
     }
     if (expression instanceof Expression.If choice) {
-      return choice(choice);
+      return evaluateIf(choice);
     }
-    if (expression instanceof Expression.Num number) {
+    if (expression instanceof Expression.NumberLiteral number) {
       return number.value();
     }
     if (expression instanceof Expression.Name name) {
-      return valueOf(name);
+      return evaluateName(name);
     }
-    if (expression instanceof Expression.Negate negation) {
-      return -amount(negation.of());
+    if (expression instanceof Expression.Negation negation) {
+      return -numericValue(negation.operand());
     }
     if (expression instanceof Expression.Call call) {
-      return call(call);
+      return evaluateCall(call);
     }
-    return arithmetic((Expression.Binary) expression);
+    return evaluateArithmetic((Expression.Binary) expression);
   }
 
   /** Both branches are evaluated, so that one that is not taken at present is checked as well. */
-  private double choice(Expression.If choice) throws PolicyException {
-    double then = amount(choice.then());
-    double otherwise = amount(choice.otherwise());
-    return condition(choice.condition()) ? then : otherwise;
+  private double evaluateIf(Expression.If choice) throws PolicyException {
+    double then = numericValue(choice.then());
+    double otherwise = numericValue(choice.otherwise());
+    return evaluateComparison(choice.condition()) ? then : otherwise;
   }
 
-  private double valueOf(Expression.Name name) throws PolicyException {
-    Double value = names.get(name.name());
+  private double evaluateName(Expression.Name name) throws PolicyException {
+    Double value = valuesByName.get(name.name());
     if (value == null) {
-      String known = names.keySet().stream().sorted().collect(Collectors.joining(", "));
+      String known = valuesByName.keySet().stream().sorted().collect(Collectors.joining(", "));
       throw new PolicyException(
           name.column(), "unknown name \"" + name.name() + "\"; known are " + known);
     }
     return value;
   }
 
-  private static boolean isCondition(Expression expression) {
+  private static boolean isComparison(Expression expression) {
     return expression instanceof Expression.Binary binary
         && "< <= > >= ==".contains(binary.operator());
   }
 
-  private boolean condition(Expression expression) throws PolicyException {
-    if (!(expression instanceof Expression.Binary comparison) || !isCondition(expression)) {
+  private boolean evaluateComparison(Expression expression) throws PolicyException {
+    if (!(expression instanceof Expression.Binary comparison) || !isComparison(expression)) {
       throw new PolicyException(expression.column(), "a comparison is needed here");
     }
-    double left = amount(comparison.left());
-    double right = amount(comparison.right());
+    double left = numericValue(comparison.left());
+    double right = numericValue(comparison.right());
     return switch (comparison.operator()) {
       case "<" -> left < right;
       case "<=" -> left <= right;
@@ -74,9 +74,9 @@
     };
   }
 
-  private double arithmetic(Expression.Binary binary) throws PolicyException {
-    double left = amount(binary.left());
-    double right = amount(binary.right());
+  private double evaluateArithmetic(Expression.Binary binary) throws PolicyException {
+    double left = numericValue(binary.left());
+    double right = numericValue(binary.right());
     if (binary.operator().equals("/") && right == 0) {
       throw new PolicyException(binary.column(), "division by zero");
     }
@@ -88,15 +88,15 @@
     };
   }
 
-  private double call(Expression.Call call) throws PolicyException {
+  private double evaluateCall(Expression.Call call) throws PolicyException {
     boolean max = call.function().equals("max");
     if (!max && !call.function().equals("min")) {
       throw new PolicyException(
           call.column(), "unknown function \"" + call.function() + "\"; known are max, min");
     }
-    double result = amount(call.arguments().get(0));
+    double result = numericValue(call.arguments().get(0));
     for (Expression argument : call.arguments()) {
-      double value = amount(argument);
+      double value = numericValue(argument);
       result = max ? Math.max(result, value) : Math.min(result, value);
     }
     return result;
--- a/src/main/java/org/ploverspindle/policy/Expression.java
+++ b/src/main/java/org/ploverspindle/policy/Expression.java
@@ -8,13 +8,13 @@
   int column();
 
   /** A literal number. */
-  record Num(double value, int column) implements Expression {}
+  record NumberLiteral(double value, int column) implements Expression {}
 
   /** A named amount of the settings. */
   record Name(String name, int column) implements Expression {}
 
   /** The negative of an amount. */
-  record Negate(Expression of, int column) implements Expression {}
+  record Negation(Expression operand, int column) implements Expression {}
 
   /** An arithmetic operation or a comparison. */
   record Binary(String operator, Expression left, Expression right, int column)
--- a/src/main/java/org/ploverspindle/policy/Parser.java
+++ b/src/main/java/org/ploverspindle/policy/Parser.java
@@ -33,32 +33,33 @@
     NUMBER,
     WORD,
     QUOTED,
-    SIGN,
+    SYMBOL,
     END
   }
 
   private record Token(Kind kind, String text, int column) {}
 
   private final List<Token> tokens;
-  private int next;
+  private int nextIndex;
   private int depth;
 
   Parser(String line) throws PolicyException {
-    tokens = scan(line);
+    tokens = tokenize(line);
   }
 
-  private static List<Token> scan(String line) throws PolicyException {
+  private static List<Token> tokenize(String line) throws PolicyException {
     List<Token> tokens = new ArrayList<>();
     Matcher matcher = TOKEN.matcher(line);
-    int at = 0;
-    while (at < line.length() && !line.substring(at).isBlank()) {
-      if (!matcher.find(at) || matcher.start() != at) {
-        throw new PolicyException(at + 1, "unexpected \"" + line.substring(at).strip() + "\"");
+    int position = 0;
+    while (position < line.length() && !line.substring(position).isBlank()) {
+      if (!matcher.find(position) || matcher.start() != position) {
+        throw new PolicyException(
+            position + 1, "unexpected \"" + line.substring(position).strip() + "\"");
       }
       Kind kind = kind(matcher);
       int group = kind.ordinal() + 1;
       tokens.add(new Token(kind, matcher.group(group), matcher.start(group) + 1));
-      at = matcher.end();
+      position = matcher.end();
     }
     tokens.add(new Token(Kind.END, "the end of the line", line.length() + 1));
     return tokens;
@@ -71,32 +72,32 @@
     if (matcher.group(WORD_GROUP) != null) {
       return Kind.WORD;
     }
-    return matcher.group(QUOTED_GROUP) != null ? Kind.QUOTED : Kind.SIGN;
+    return matcher.group(QUOTED_GROUP) != null ? Kind.QUOTED : Kind.SYMBOL;
   }
 
   private Token peek() {
-    return tokens.get(next);
+    return tokens.get(nextIndex);
   }
 
-  private Token take() {
+  private Token advance() {
     Token token = peek();
     if (token.kind() != Kind.END) {
-      next++;
+      nextIndex++;
     }
     return token;
   }
 
-  private boolean takeIf(String text) {
+  private boolean accept(String text) {
     Token token = peek();
-    if ((token.kind() == Kind.SIGN || token.kind() == Kind.WORD) && token.text().equals(text)) {
-      next++;
+    if ((token.kind() == Kind.SYMBOL || token.kind() == Kind.WORD) && token.text().equals(text)) {
+      nextIndex++;
       return true;
     }
     return false;
   }
 
   private void expect(String text) throws PolicyException {
-    if (!takeIf(text)) {
+    if (!accept(text)) {
       throw new PolicyException(
           peek().column(), "expected \"" + text + "\" and found " + peek().text());
     }
@@ -106,15 +107,15 @@
    * Parses the left side, a setting's name or {@code pool "TYPE" min}, and the equals sign. Returns
    * the name, or {@code pool/TYPE/min}.
    */
-  String target() throws PolicyException {
-    Token token = take();
+  String parseTarget() throws PolicyException {
+    Token token = advance();
     if (token.kind() != Kind.WORD) {
       throw new PolicyException(token.column(), "a line must begin with a setting's name");
     }
     String target = token.text();
     if (target.equals("pool")) {
-      Token type = take();
-      Token bound = take();
+      Token type = advance();
+      Token bound = advance();
       if (type.kind() != Kind.QUOTED
           || !bound.text().equals("min") && !bound.text().equals("max")) {
         throw new PolicyException(token.column(), "expected: pool \"TYPE\" min or max");
@@ -126,31 +127,31 @@
   }
 
   /** Parses the rest of the line. */
-  Expression expression() throws PolicyException {
-    Expression expression = choiceOrComparison();
+  Expression parseExpression() throws PolicyException {
+    Expression expression = parseIfOrComparison();
     if (peek().kind() != Kind.END) {
       throw new PolicyException(peek().column(), "unexpected " + peek().text());
     }
     return expression;
   }
 
-  private Expression choiceOrComparison() throws PolicyException {
+  private Expression parseIfOrComparison() throws PolicyException {
     if (++depth > MAX_DEPTH) {
       throw new PolicyException(peek().column(), "nested too deeply");
     }
     try {
       int column = peek().column();
-      if (takeIf("if")) {
-        Expression condition = choiceOrComparison();
+      if (accept("if")) {
+        Expression condition = parseIfOrComparison();
         expect("then");
-        Expression then = choiceOrComparison();
+        Expression then = parseIfOrComparison();
         expect("else");
-        return new Expression.If(condition, then, choiceOrComparison(), column);
+        return new Expression.If(condition, then, parseIfOrComparison(), column);
       }
-      Expression left = sum();
+      Expression left = parseSum();
       for (String operator : List.of("<=", ">=", "==", "<", ">")) {
-        if (takeIf(operator)) {
-          return new Expression.Binary(operator, left, sum(), column);
+        if (accept(operator)) {
+          return new Expression.Binary(operator, left, parseSum(), column);
         }
       }
       return left;
@@ -159,68 +160,68 @@
     }
   }
 
-  private Expression sum() throws PolicyException {
-    Expression left = product();
+  private Expression parseSum() throws PolicyException {
+    Expression left = parseProduct();
     while (true) {
       int column = peek().column();
-      if (takeIf("+")) {
-        left = new Expression.Binary("+", left, product(), column);
-      } else if (takeIf("-")) {
-        left = new Expression.Binary("-", left, product(), column);
+      if (accept("+")) {
+        left = new Expression.Binary("+", left, parseProduct(), column);
+      } else if (accept("-")) {
+        left = new Expression.Binary("-", left, parseProduct(), column);
       } else {
         return left;
       }
     }
   }
 
-  private Expression product() throws PolicyException {
-    Expression left = unary();
+  private Expression parseProduct() throws PolicyException {
+    Expression left = parseUnary();
     while (true) {
       int column = peek().column();
-      if (takeIf("*")) {
-        left = new Expression.Binary("*", left, unary(), column);
-      } else if (takeIf("/")) {
-        left = new Expression.Binary("/", left, unary(), column);
+      if (accept("*")) {
+        left = new Expression.Binary("*", left, parseUnary(), column);
+      } else if (accept("/")) {
+        left = new Expression.Binary("/", left, parseUnary(), column);
       } else {
         return left;
       }
     }
   }
 
-  private Expression unary() throws PolicyException {
-    Token token = take();
+  private Expression parseUnary() throws PolicyException {
+    Token token = advance();
     if (token.kind() == Kind.NUMBER) {
-      return new Expression.Num(Double.parseDouble(token.text()), token.column());
+      return new Expression.NumberLiteral(Double.parseDouble(token.text()), token.column());
     }
-    if (token.kind() == Kind.SIGN && token.text().equals("-")) {
-      return negation(token);
+    if (token.kind() == Kind.SYMBOL && token.text().equals("-")) {
+      return parseNegation(token);
     }
-    if (token.kind() == Kind.SIGN && token.text().equals("(")) {
-      Expression inner = choiceOrComparison();
+    if (token.kind() == Kind.SYMBOL && token.text().equals("(")) {
+      Expression inner = parseIfOrComparison();
       expect(")");
       return inner;
     }
     if (token.kind() != Kind.WORD) {
       throw new PolicyException(token.column(), "expected a value and found " + token.text());
     }
-    return takeIf("(") ? call(token) : new Expression.Name(token.text(), token.column());
+    return accept("(") ? parseCall(token) : new Expression.Name(token.text(), token.column());
   }
 
-  private Expression negation(Token sign) throws PolicyException {
+  private Expression parseNegation(Token sign) throws PolicyException {
     if (++depth > MAX_DEPTH) {
       throw new PolicyException(sign.column(), "nested too deeply");
     }
-    Expression of = unary();
+    Expression operand = parseUnary();
     depth--;
-    return new Expression.Negate(of, sign.column());
+    return new Expression.Negation(operand, sign.column());
   }
 
   /** The call of a function, whose name and opening parenthesis are taken. */
-  private Expression call(Token function) throws PolicyException {
+  private Expression parseCall(Token function) throws PolicyException {
     List<Expression> arguments = new ArrayList<>();
     do {
-      arguments.add(choiceOrComparison());
-    } while (takeIf(","));
+      arguments.add(parseIfOrComparison());
+    } while (accept(","));
     expect(")");
     return new Expression.Call(function.text(), arguments, function.column());
   }
--- a/src/main/java/org/ploverspindle/policy/PolicyFile.java
+++ b/src/main/java/org/ploverspindle/policy/PolicyFile.java
@@ -26,7 +26,7 @@
     }
   }
 
-  private static final Map<String, Range> KNOWN =
+  private static final Map<String, Range> RANGES =
       Map.of(
           "scan_s", new Range(0.5, 600, false),
           "backoff_s", new Range(1, 3_600, false),
@@ -40,27 +40,27 @@
   private final String file;
   private final Evaluator evaluator;
   private final Map<String, Double> values = new LinkedHashMap<>();
-  private final Set<String> seen = new HashSet<>();
+  private final Set<String> assignedTargets = new HashSet<>();
   private final List<SettingsProblem> problems = new ArrayList<>();
 
   private PolicyFile(String file, Settings settings) {
     this.file = file;
-    this.evaluator = new Evaluator(names(settings));
+    this.evaluator = new Evaluator(valuesByName(settings));
   }
 
-  private static Map<String, Double> names(Settings settings) {
-    Map<String, Double> names = new HashMap<>();
-    names.put("nodes", (double) settings.controllerCount());
-    names.put("zones", (double) settings.zones().size());
-    names.put("teams", (double) settings.teams().size());
-    names.put("report_s", settings.workers().heartbeatIntervalS());
-    names.put("lease_s", settings.workers().leaseS());
-    names.put("cancel_s", settings.workers().cancelS());
-    names.put("state_rps", settings.effectiveStateLimits().requestsPerS());
-    names.put("state_write_rps", settings.effectiveStateLimits().changesPerS());
-    names.put("cloud_rps", settings.cloudLimits().requestsPerS());
-    names.put("list_lag_s", settings.cloudLimits().maxListLagS());
-    return names;
+  private static Map<String, Double> valuesByName(Settings settings) {
+    Map<String, Double> values = new HashMap<>();
+    values.put("nodes", (double) settings.controllerCount());
+    values.put("zones", (double) settings.zones().size());
+    values.put("teams", (double) settings.teams().size());
+    values.put("report_s", settings.workers().heartbeatIntervalS());
+    values.put("lease_s", settings.workers().leaseS());
+    values.put("cancel_s", settings.workers().cancelS());
+    values.put("state_rps", settings.effectiveStateLimits().requestsPerS());
+    values.put("state_write_rps", settings.effectiveStateLimits().changesPerS());
+    values.put("cloud_rps", settings.cloudLimits().requestsPerS());
+    values.put("list_lag_s", settings.cloudLimits().maxListLagS());
+    return values;
   }
 
   /**
@@ -91,16 +91,16 @@
     PolicyFile reader = new PolicyFile(file, settings);
     List<String> lines = text.lines().toList();
     for (int i = 0; i < lines.size(); i++) {
-      reader.line(i + 1, lines.get(i));
+      reader.readLine(i + 1, lines.get(i));
     }
-    Policy policy = reader.policy();
+    Policy policy = reader.buildPolicy();
     if (!reader.problems.isEmpty()) {
       throw new InvalidSettingsException(reader.problems);
     }
     return policy;
   }
 
-  private void line(int number, String line) {
+  private void readLine(int number, String line) {
     int comment = line.indexOf('#');
     String code = comment < 0 ? line : line.substring(0, comment);
     if (code.isBlank()) {
@@ -109,13 +109,13 @@
     String target = "";
     try {
       Parser parser = new Parser(code);
-      target = parser.target();
-      Range range = range(target);
-      Expression expression = parser.expression();
-      if (!seen.add(target)) {
+      target = parser.parseTarget();
+      Range range = rangeOf(target);
+      Expression expression = parser.parseExpression();
+      if (!assignedTargets.add(target)) {
         throw new PolicyException(1, "stands twice");
       }
-      double value = evaluator.amount(expression);
+      double value = evaluator.numericValue(expression);
       if (range.excludes(value)) {
         throw outOfRange(expression, value, range);
       }
@@ -132,19 +132,19 @@
         "is " + value + " and must be " + kind + "from " + range.min() + " to " + range.max());
   }
 
-  private static Range range(String target) throws PolicyException {
+  private static Range rangeOf(String target) throws PolicyException {
     String name = target.startsWith(POOL_PREFIX) ? "pool_max" : target;
-    Range range = KNOWN.get(name);
+    Range range = RANGES.get(name);
     if (range == null) {
       throw new PolicyException(
           1,
           "unknown setting; known are "
-              + String.join(", ", KNOWN.keySet().stream().sorted().toList()));
+              + String.join(", ", RANGES.keySet().stream().sorted().toList()));
     }
     return range;
   }
 
-  private Policy policy() {
+  private Policy buildPolicy() {
     Policy defaults = Policy.DEFAULT;
     int min = values.getOrDefault("pool_min", (double) defaults.poolMin()).intValue();
     int max = values.getOrDefault("pool_max", (double) defaults.poolMax()).intValue();
--- a/src/main/java/org/ploverspindle/settings/FleetRequirements.java
+++ b/src/main/java/org/ploverspindle/settings/FleetRequirements.java
@@ -19,13 +19,13 @@
 public record FleetRequirements(
     int machines, int sockets, double ramMb, double cores, double heartbeatsPerS) {
   /** Machines for each half-open connection that a network cut left behind. */
-  private static final int MACHINES_PER_HALF_OPEN = 8;
+  private static final int MACHINES_PER_HALF_OPEN_CONNECTION = 8;
 
   /** Users, health checks and the load balancer. */
-  private static final int USER_SOCKETS = 32;
+  private static final int NON_WORKER_CONNECTIONS = 32;
 
   /** Upper end of the search; above any fleet. */
-  private static final int LARGEST_FLEET = 10_000_000;
+  private static final int SEARCH_LIMIT_MACHINES = 10_000_000;
 
   private static final double BASE_RAM_MB = 50;
   private static final double RAM_MB_PER_MACHINE = 0.021;
@@ -38,7 +38,8 @@
     return new FleetRequirements(
         machines,
         SocketBudget.neededFor(
-            settings, machines + machines / MACHINES_PER_HALF_OPEN + USER_SOCKETS),
+            settings,
+            machines + machines / MACHINES_PER_HALF_OPEN_CONNECTION + NON_WORKER_CONNECTIONS),
         BASE_RAM_MB + RAM_MB_PER_MACHINE * machines,
         BASE_CORES + CORES_PER_HEARTBEAT_PER_S * heartbeatsPerS,
         heartbeatsPerS);
@@ -47,7 +48,7 @@
   /** The largest fleet that the settings' sockets, memory and processor share can carry. */
   public static int maxMachines(Settings settings) {
     int low = 0;
-    int high = LARGEST_FLEET;
+    int high = SEARCH_LIMIT_MACHINES;
     while (low < high) {
       int middle = low + (high - low + 1) / 2;
       if (of(settings, middle).shortages(settings).isEmpty()) {
@@ -75,13 +76,14 @@
     return shortages;
   }
 
-  private LimitChecks.Warning shortage(String field, String amount, Object given, Object needed) {
+  private LimitChecks.Warning shortage(
+      String field, String amountFormat, Object available, Object needed) {
     return new LimitChecks.Warning(
         "params.quota." + field,
         String.format(
             Locale.ROOT,
-            amount + " can't carry a fleet of %d machines, which needs " + amount,
-            given,
+            amountFormat + " can't carry a fleet of %d machines, which needs " + amountFormat,
+            available,
             machines,
             needed));
   }
--- a/src/main/java/org/ploverspindle/settings/LimitChecks.java
+++ b/src/main/java/org/ploverspindle/settings/LimitChecks.java
@@ -11,16 +11,16 @@
  */
 public final class LimitChecks {
   /** Least requests a second of a leader: its renewals, its reads, and as many writes. */
-  private static final double LEADER_RPS = 8;
+  private static final double MIN_LEADER_RPS = 8;
 
   /** Requests a second of a follower that nobody asks anything. */
-  private static final double FOLLOWER_RPS = 1.5;
+  private static final double IDLE_FOLLOWER_RPS = 1.5;
 
-  private static final double LEAST_WRITE_RPS = 4;
-  private static final int LEAST_VALUE_BYTES = 1_500;
+  private static final double MIN_WRITE_RPS = 4;
+  private static final int MIN_VALUE_BYTES = 1_500;
 
   /** Lower rates are reported as this one. */
-  private static final double LEAST_REPORTED_RATE = 0.01;
+  private static final double MIN_RATE_FOR_WAIT = 0.01;
 
   /** Part of the time to cancel that commands and clock drift take; see model.SafetyTiming. */
   private static final double CANCEL_MARGIN_S = 2.5;
@@ -47,7 +47,7 @@
 
   private static Optional<Warning> requestsWarning(Settings settings) {
     double rps = settings.effectiveStateLimits().requestsPerS();
-    double needed = LEADER_RPS + FOLLOWER_RPS * (settings.controllerCount() - 1);
+    double needed = MIN_LEADER_RPS + IDLE_FOLLOWER_RPS * (settings.controllerCount() - 1);
     return warningIf(
         rps < needed,
         stateField("rps", settings.stateLimits().requestsPerS(), rps),
@@ -61,17 +61,17 @@
   private static Optional<Warning> writesWarning(Settings settings) {
     double writeRps = settings.effectiveStateLimits().changesPerS();
     return warningIf(
-        writeRps < LEAST_WRITE_RPS,
+        writeRps < MIN_WRITE_RPS,
         stateField("write_rps", settings.stateLimits().changesPerS(), writeRps),
         "%.1f changes a second: each start waits for its record for up to %.1f s",
         writeRps,
-        2 / Math.max(LEAST_REPORTED_RATE, writeRps));
+        2 / Math.max(MIN_RATE_FOR_WAIT, writeRps));
   }
 
   private static Optional<Warning> valueWarning(Settings settings) {
     Settings.StateLimits limits = settings.effectiveStateLimits();
     return warningIf(
-        limits.maxValueBytes() < LEAST_VALUE_BYTES,
+        limits.maxValueBytes() < MIN_VALUE_BYTES,
         stateField("value_kb", settings.stateLimits().maxValueKib(), limits.maxValueKib()),
         "%d bytes hold no record for certain: jobs with longer descriptions are refused"
             + " with 422, and tasks may not start",
@@ -101,7 +101,7 @@
   }
 
   /** The field that has the smaller one of two limits. */
-  private static String stateField(String name, double now, double lowest) {
-    return (lowest < now ? "params.state.next." : "params.state.") + name;
+  private static String stateField(String name, double current, double effective) {
+    return (effective < current ? "params.state.next." : "params.state.") + name;
   }
 }
--- a/src/main/java/org/ploverspindle/settings/Settings.java
+++ b/src/main/java/org/ploverspindle/settings/Settings.java
@@ -13,7 +13,7 @@
  * @param members the other controllers
  * @param cloud address of the cloud's API
  * @param state address of the state service
- * @param skewMs upper bound of the difference between the wall clocks of two machines
+ * @param maxClockSkewMs upper bound of the difference between the wall clocks of two machines
  */
 public record Settings(
     String member,
@@ -24,7 +24,7 @@
     Address cloud,
     Address state,
     List<String> zones,
-    double skewMs,
+    double maxClockSkewMs,
     List<Team> teams,
     List<Objective> objectives,
     WorkerLimits workers,
@@ -32,7 +32,7 @@
     CloudLimits cloudLimits,
     Quota quota) {
 
-  private static final int BYTES_PER_KB = 1024;
+  private static final int BYTES_PER_KIB = 1024;
 
   /** Another controller. */
   public record Member(String name, String location, Address address) {}
@@ -96,7 +96,7 @@
 
     /** The largest value that the service takes. */
     public int maxValueBytes() {
-      return (int) (maxValueKib * BYTES_PER_KB);
+      return (int) (maxValueKib * BYTES_PER_KIB);
     }
 
     /** Limits that hold now as well as later: the smaller of both, one by one. */
--- a/src/main/java/org/ploverspindle/settings/SettingsProblems.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsProblems.java
@@ -29,14 +29,14 @@
    * @param field the field's name with those of the tables around it
    */
   void report(String field, String message) {
-    problems.add(new SettingsProblem(file, line(field), field, message));
+    problems.add(new SettingsProblem(file, lineOf(field), field, message));
   }
 
   /** The first line that sets the field below its table's header; else the line of the table. */
-  private int line(String field) {
-    String table = parent(field);
+  private int lineOf(String field) {
+    String table = parentTable(field);
     Pattern header = Pattern.compile("\\s*\\[\\[?\\s*" + Pattern.quote(table) + "\\s*]]?.*");
-    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(last(field)) + "\\s*=.*");
+    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(lastName(field)) + "\\s*=.*");
     int headerLine = 0;
     boolean inTable = table.isEmpty();
     for (int i = 0; i < lines.size(); i++) {
@@ -48,16 +48,16 @@
         return i + 1;
       }
     }
-    return headerLine == 0 ? inlineLine(table) : headerLine;
+    return headerLine == 0 ? lineOfInlineTable(table) : headerLine;
   }
 
   /** The line that sets a table without a header of its own, inline or by dotted keys; else 0. */
-  private int inlineLine(String table) {
+  private int lineOfInlineTable(String table) {
     if (table.isEmpty()) {
       return 0;
     }
-    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(last(table)) + "\\s*[.=].*");
-    String parent = parent(table);
+    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(lastName(table)) + "\\s*[.=].*");
+    String parent = parentTable(table);
     String current = "";
     for (int i = 0; i < lines.size(); i++) {
       String line = lines.get(i).strip();
@@ -71,11 +71,11 @@
   }
 
   /** The table that a field is in; empty at the top of the file. */
-  private static String parent(String field) {
+  private static String parentTable(String field) {
     return field.contains(".") ? field.substring(0, field.lastIndexOf('.')) : "";
   }
 
-  private static String last(String field) {
+  private static String lastName(String field) {
     return field.substring(field.lastIndexOf('.') + 1);
   }
 }
--- a/src/main/java/org/ploverspindle/settings/SettingsReader.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsReader.java
@@ -9,12 +9,12 @@
  * whatever is wrong in one, so that every problem is reported.
  */
 final class SettingsReader {
-  private static final double LEAST_REPORT_S = 0.01;
-  private static final double LEAST_LEASE_S = 0.1;
-  private static final double LEAST_CLOUD_RPS = 0.1;
-  private static final double LEAST_CORES = 0.001;
-  private static final int LEAST_CONNECTIONS = 16;
-  private static final int LEAST_TXN_OPS = 4;
+  private static final double MIN_HEARTBEAT_INTERVAL_S = 0.01;
+  private static final double MIN_WORKER_LEASE_S = 0.1;
+  private static final double MIN_CLOUD_RPS = 0.1;
+  private static final double MIN_CORES = 0.001;
+  private static final int MIN_CONNECTIONS = 16;
+  private static final int MIN_CHANGES_PER_TRANSACTION = 4;
 
   private SettingsReader() {}
 
@@ -23,22 +23,22 @@
    * of no use.
    */
   static Settings read(TomlSection root) {
-    TomlSection params = root.table("params");
-    TomlSection workers = params.table("workers");
-    TomlSection state = params.table("state");
-    TomlSection cloud = params.table("cloud");
-    TomlSection quota = params.table("quota");
-    TomlSection outside = root.table("outside");
+    TomlSection params = root.requiredTable("params");
+    TomlSection workers = params.requiredTable("workers");
+    TomlSection state = params.requiredTable("state");
+    TomlSection cloud = params.requiredTable("cloud");
+    TomlSection quota = params.requiredTable("quota");
+    TomlSection outside = root.requiredTable("outside");
     return new Settings(
-        root.text("member"),
-        root.text("location"),
-        root.address("front"),
-        root.address("back"),
+        root.requiredString("member"),
+        root.requiredString("location"),
+        root.requiredAddress("front"),
+        root.requiredAddress("back"),
         members(root),
-        outside.address("cloud"),
-        outside.address("state"),
+        outside.requiredAddress("cloud"),
+        outside.requiredAddress("state"),
         zones(params),
-        params.amount("skew_ms", 0),
+        params.requiredNumber("skew_ms", 0),
         teams(params),
         objectives(params),
         workerLimits(workers),
@@ -49,29 +49,31 @@
 
   private static List<Settings.Member> members(TomlSection root) {
     List<Settings.Member> members = new ArrayList<>();
-    for (TomlSection member : root.tables("members")) {
+    for (TomlSection member : root.optionalTableList("members")) {
       members.add(
           new Settings.Member(
-              member.text("member"), member.text("location"), member.address("address")));
+              member.requiredString("member"),
+              member.requiredString("location"),
+              member.requiredAddress("address")));
     }
     return members;
   }
 
   private static List<String> zones(TomlSection params) {
-    return params.texts(
+    return params.requiredStrings(
         "zones", "a list of at least one zone is needed", "every zone must be a name");
   }
 
   private static List<Settings.Team> teams(TomlSection params) {
     List<Settings.Team> teams = new ArrayList<>();
-    for (TomlSection team : params.tables("teams")) {
+    for (TomlSection team : params.optionalTableList("teams")) {
       teams.add(
           new Settings.Team(
-              team.text("name"),
-              team.amount("cpus", 0),
-              team.amount("cpus_max", 0),
-              team.amount("gpus", 0),
-              team.amount("gpus_max", 0)));
+              team.requiredString("name"),
+              team.requiredNumber("cpus", 0),
+              team.requiredNumber("cpus_max", 0),
+              team.requiredNumber("gpus", 0),
+              team.requiredNumber("gpus_max", 0)));
     }
     if (teams.isEmpty()) {
       params.report("teams", "at least one team is needed");
@@ -82,66 +84,69 @@
   /** Objectives are hints: only the kind is required, and the fields of other kinds are absent. */
   private static List<Settings.Objective> objectives(TomlSection params) {
     List<Settings.Objective> objectives = new ArrayList<>();
-    for (TomlSection objective : params.tables("objectives")) {
+    for (TomlSection objective : params.optionalTableList("objectives")) {
       objectives.add(
           new Settings.Objective(
-              objective.text("kind"),
-              objective.textOr("class", ""),
-              objective.numberOr("share", 0),
-              objective.numberOr("times", 1),
-              objective.numberOr("within_s", 0)));
+              objective.requiredString("kind"),
+              objective.uncheckedString("class", ""),
+              objective.uncheckedNumber("share", 0),
+              objective.uncheckedNumber("times", 1),
+              objective.uncheckedNumber("within_s", 0)));
     }
     return objectives;
   }
 
   private static Settings.WorkerLimits workerLimits(TomlSection workers) {
     return new Settings.WorkerLimits(
-        workers.amount("report_s", LEAST_REPORT_S),
-        workers.amount("lease_s", LEAST_LEASE_S),
-        workers.amount("cancel_s", LEAST_LEASE_S));
+        workers.requiredNumber("report_s", MIN_HEARTBEAT_INTERVAL_S),
+        workers.requiredNumber("lease_s", MIN_WORKER_LEASE_S),
+        workers.requiredNumber("cancel_s", MIN_WORKER_LEASE_S));
   }
 
   private static Settings.StateLimits stateLimits(TomlSection state) {
-    Settings.StateLimits now =
+    Settings.StateLimits current =
         new Settings.StateLimits(
-            state.amount("rps", 1),
-            state.amount("write_rps", 1),
-            state.amount("value_kb", 1),
-            (int) state.amount("txn_ops", LEAST_TXN_OPS));
+            state.requiredNumber("rps", 1),
+            state.requiredNumber("write_rps", 1),
+            state.requiredNumber("value_kb", 1),
+            (int) state.requiredNumber("txn_ops", MIN_CHANGES_PER_TRANSACTION));
     return state
         .optionalTable("next")
-        .map(next -> withNext(now, nextStateLimits(next, now)))
-        .orElse(now);
+        .map(next -> withNext(current, nextStateLimits(next, current)))
+        .orElse(current);
   }
 
   /** A limit that the section does not name stays as it is now. */
-  private static Settings.StateLimits nextStateLimits(TomlSection next, Settings.StateLimits now) {
+  private static Settings.StateLimits nextStateLimits(
+      TomlSection next, Settings.StateLimits current) {
     return new Settings.StateLimits(
-        next.amountOr("rps", 1, now.requestsPerS()),
-        next.amountOr("write_rps", 1, now.changesPerS()),
-        next.amountOr("value_kb", 1, now.maxValueKib()),
-        (int) next.amountOr("txn_ops", LEAST_TXN_OPS, now.maxChangesPerTransaction()));
+        next.optionalNumber("rps", 1, current.requestsPerS()),
+        next.optionalNumber("write_rps", 1, current.changesPerS()),
+        next.optionalNumber("value_kb", 1, current.maxValueKib()),
+        (int)
+            next.optionalNumber(
+                "txn_ops", MIN_CHANGES_PER_TRANSACTION, current.maxChangesPerTransaction()));
   }
 
   private static Settings.StateLimits withNext(
-      Settings.StateLimits now, Settings.StateLimits next) {
+      Settings.StateLimits current, Settings.StateLimits next) {
     return new Settings.StateLimits(
-        now.requestsPerS(),
-        now.changesPerS(),
-        now.maxValueKib(),
-        now.maxChangesPerTransaction(),
+        current.requestsPerS(),
+        current.changesPerS(),
+        current.maxValueKib(),
+        current.maxChangesPerTransaction(),
         Optional.of(next));
   }
 
   private static Settings.CloudLimits cloudLimits(TomlSection cloud) {
     return new Settings.CloudLimits(
-        cloud.amount("rps", LEAST_CLOUD_RPS), cloud.amount("list_lag_s", 0));
+        cloud.requiredNumber("rps", MIN_CLOUD_RPS), cloud.requiredNumber("list_lag_s", 0));
   }
 
   private static Settings.Quota quota(TomlSection quota) {
     return new Settings.Quota(
-        quota.amount("cores", LEAST_CORES),
-        quota.amount("ram_mb", 1),
-        (int) quota.amount("max_connections", LEAST_CONNECTIONS));
+        quota.requiredNumber("cores", MIN_CORES),
+        quota.requiredNumber("ram_mb", 1),
+        (int) quota.requiredNumber("max_connections", MIN_CONNECTIONS));
   }
 }
--- a/src/main/java/org/ploverspindle/settings/SocketBudget.java
+++ b/src/main/java/org/ploverspindle/settings/SocketBudget.java
@@ -18,13 +18,13 @@
    */
   private static final int CONNECTIONS_PER_CONTROLLER = 3;
 
-  private static final int LEAST_DIRECT_COMMANDS = 48;
+  private static final int MIN_DIRECT_COMMAND_SOCKETS = 48;
 
   /** The budget for direct commands grows with the process's sockets, hence with its fleet. */
   private static final int SOCKETS_PER_DIRECT_COMMAND = 64;
 
   /** Listening sockets, and those that are being closed. */
-  private static final int SPARE = 10;
+  private static final int SPARE_SOCKETS = 10;
 
   /** The budget of a process with these settings. */
   public static SocketBudget of(Settings settings) {
@@ -35,7 +35,7 @@
     return new SocketBudget(
         STATE_CONNECTIONS,
         CLOUD_CONNECTIONS,
-        Math.max(LEAST_DIRECT_COMMANDS, maxConnections / SOCKETS_PER_DIRECT_COMMAND),
+        Math.max(MIN_DIRECT_COMMAND_SOCKETS, maxConnections / SOCKETS_PER_DIRECT_COMMAND),
         CONNECTIONS_PER_CONTROLLER * settings.controllerCount());
   }
 
@@ -50,6 +50,6 @@
 
   /** All sockets of this budget together. */
   public int total() {
-    return state + cloud + directCommands + peers + SPARE;
+    return state + cloud + directCommands + peers + SPARE_SOCKETS;
   }
 }
--- a/src/main/java/org/ploverspindle/settings/TomlSection.java
+++ b/src/main/java/org/ploverspindle/settings/TomlSection.java
@@ -46,27 +46,27 @@
     problems.report(pathOf(field), message);
   }
 
-  private TomlSection inner(String field, JsonNode inner) {
-    return new TomlSection(inner, pathOf(field), problems);
+  private TomlSection subsection(String field, JsonNode value) {
+    return new TomlSection(value, pathOf(field), problems);
   }
 
   /** A table that is required. */
-  TomlSection table(String field) {
+  TomlSection requiredTable(String field) {
     JsonNode table = node.path(field);
     if (table.isObject()) {
-      return inner(field, table);
+      return subsection(field, table);
     }
     if (!node.isMissingNode()) {
       report(field, "this table is missing");
     }
-    return inner(field, MissingNode.getInstance());
+    return subsection(field, MissingNode.getInstance());
   }
 
   /** A table that may be absent; also empty when it is something else, which is reported. */
   Optional<TomlSection> optionalTable(String field) {
     JsonNode table = node.path(field);
     if (table.isObject()) {
-      return Optional.of(inner(field, table));
+      return Optional.of(subsection(field, table));
     }
     if (!table.isMissingNode()) {
       report(field, "must be a table");
@@ -75,14 +75,14 @@
   }
 
   /** The tables of a list, which may be absent. */
-  List<TomlSection> tables(String field) {
+  List<TomlSection> optionalTableList(String field) {
     JsonNode list = node.path(field);
     if (!list.isMissingNode() && !list.isArray()) {
       report(field, "must be a list of tables");
     }
     List<TomlSection> tables = new ArrayList<>();
     if (list.isArray()) {
-      list.forEach(table -> tables.add(inner(field, table)));
+      list.forEach(table -> tables.add(subsection(field, table)));
     }
     return tables;
   }
@@ -93,67 +93,67 @@
    * @param ifEmpty message if there is no list, or none of its elements
    * @param ifInvalid message for each element that is not a text, or is blank
    */
-  List<String> texts(String field, String ifEmpty, String ifInvalid) {
-    List<String> texts = new ArrayList<>();
+  List<String> requiredStrings(String field, String ifEmpty, String ifInvalid) {
+    List<String> strings = new ArrayList<>();
     JsonNode list = node.path(field);
     if (!list.isArray() || list.isEmpty()) {
       report(field, ifEmpty);
-      return texts;
+      return strings;
     }
     for (JsonNode element : list) {
       if (!element.isTextual() || element.asText().isBlank()) {
         report(field, ifInvalid);
       } else {
-        texts.add(element.asText());
+        strings.add(element.asText());
       }
     }
-    return texts;
+    return strings;
   }
 
   /** A text that is required; empty if it has a problem. */
-  String text(String field) {
+  String requiredString(String field) {
     if (node.isMissingNode()) {
       return "";
     }
-    JsonNode text = node.path(field);
-    if (!text.isTextual() || text.asText().isBlank()) {
-      report(field, text.isMissingNode() ? MISSING : "must be a text that is not empty");
+    JsonNode value = node.path(field);
+    if (!value.isTextual() || value.asText().isBlank()) {
+      report(field, value.isMissingNode() ? MISSING : "must be a text that is not empty");
       return "";
     }
-    return text.asText();
+    return value.asText();
   }
 
   /** A text that is optional and not checked. */
-  String textOr(String field, String absent) {
-    return node.path(field).asText(absent);
+  String uncheckedString(String field, String defaultValue) {
+    return node.path(field).asText(defaultValue);
   }
 
   /** A number that is optional and not checked. */
-  double numberOr(String field, double absent) {
-    return node.path(field).asDouble(absent);
+  double uncheckedNumber(String field, double defaultValue) {
+    return node.path(field).asDouble(defaultValue);
   }
 
   /** A number that is required, and not below the least; the least if it has a problem. */
-  double amount(String field, double least) {
+  double requiredNumber(String field, double min) {
     if (node.isMissingNode()) {
-      return least;
+      return min;
     }
-    JsonNode amount = node.path(field);
-    if (!amount.isNumber() || !Double.isFinite(amount.asDouble()) || amount.asDouble() < least) {
-      report(field, amount.isMissingNode() ? MISSING : "must be a number, " + least + " or more");
-      return least;
+    JsonNode value = node.path(field);
+    if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < min) {
+      report(field, value.isMissingNode() ? MISSING : "must be a number, " + min + " or more");
+      return min;
     }
-    return amount.asDouble();
+    return value.asDouble();
   }
 
   /** The same for a number that is optional. */
-  double amountOr(String field, double least, double absent) {
-    return node.path(field).isMissingNode() ? absent : amount(field, least);
+  double optionalNumber(String field, double min, double defaultValue) {
+    return node.path(field).isMissingNode() ? defaultValue : requiredNumber(field, min);
   }
 
   /** An address that is required. */
-  Address address(String field) {
-    String text = text(field);
+  Address requiredAddress(String field) {
+    String text = requiredString(field);
     if (text.isEmpty()) {
       return NO_ADDRESS;
     }
--- a/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
+++ b/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
@@ -43,7 +43,7 @@
    */
   public static List<Bounds> bounds(int poolMin, int poolMax, List<Group> groups) {
     int zones = groups.size();
-    int heldInAll = groups.stream().mapToInt(Group::held).sum();
+    int totalHeld = groups.stream().mapToInt(Group::held).sum();
     int healthyCount = 0;
     int backedOffMinSum = 0;
     for (int zone = 0; zone < zones; zone++) {
@@ -57,7 +57,7 @@
     int healthyIndex = 0;
     for (int zone = 0; zone < zones; zone++) {
       Group group = groups.get(zone);
-      int max = Math.max(0, poolMax - (heldInAll - group.held()));
+      int max = Math.max(0, poolMax - (totalHeld - group.held()));
       int min = 0;
       if (!group.backedOff()) {
         int takenOver = distribute(healthyIndex, backedOffMinSum, healthyCount);
--- a/src/test/java/org/ploverspindle/cli/CheckCommandTest.java
+++ b/src/test/java/org/ploverspindle/cli/CheckCommandTest.java
@@ -18,7 +18,7 @@
 /** What {@code check} prints about the fleet that the settings can carry. */
 class CheckCommandTest {
   private static final int OK = 0;
-  private static final int INVALID = 2;
+  private static final int INVALID_INPUT = 2;
 
   @TempDir private Path folder;
   private final StringWriter out = new StringWriter();
@@ -34,11 +34,11 @@
     }
   }
 
-  private int check(String... more) {
-    String[] arguments = new String[more.length + 2];
+  private int runCheck(String... moreArguments) {
+    String[] arguments = new String[moreArguments.length + 2];
     arguments[0] = "--config";
     arguments[1] = settings.toString();
-    System.arraycopy(more, 0, arguments, 2, more.length);
+    System.arraycopy(moreArguments, 0, arguments, 2, moreArguments.length);
     return new CommandLine(new CheckCommand())
         .setOut(new PrintWriter(out, true))
         .setErr(new PrintWriter(err, true))
@@ -46,8 +46,8 @@
   }
 
   @Test
-  void namesTheQuotaThatCantCarryThePlannedFleetAndTheFigureThatWould() {
-    assertEquals(OK, check("--machines", "4000"), err.toString());
+  void plannedFleetBeyondTheQuotasIsReportedWithTheRequiredQuotas() {
+    assertEquals(OK, runCheck("--machines", "4000"), err.toString());
     String[] lines = err.toString().split("\n");
     assertEquals(2, lines.length, err.toString());
     assertTrue(
@@ -59,21 +59,21 @@
   }
 
   @Test
-  void printsTheLargestFleetWhichIsThenCarried() {
-    assertEquals(OK, check());
+  void printedLargestFleetGivesNoWarningAndOneMachineMoreDoes() {
+    assertEquals(OK, runCheck());
     String line =
         out.toString().lines().filter(l -> l.startsWith("fleet: up to ")).findFirst().orElseThrow();
     String machines = line.split(" ")[3];
     assertTrue(Integer.parseInt(machines) > 200, line);
-    assertEquals(OK, check("--machines", machines));
+    assertEquals(OK, runCheck("--machines", machines));
     assertEquals("", err.toString());
-    assertEquals(OK, check("--machines", Integer.toString(Integer.parseInt(machines) + 1)));
+    assertEquals(OK, runCheck("--machines", Integer.toString(Integer.parseInt(machines) + 1)));
     assertFalse(err.toString().isEmpty(), "one more is not carried");
   }
 
   @Test
-  void aFleetOfNoMachinesIsRefused() {
-    assertEquals(INVALID, check("--machines", "0"));
+  void plannedFleetOfNoMachinesIsRejected() {
+    assertEquals(INVALID_INPUT, runCheck("--machines", "0"));
     assertTrue(err.toString().startsWith("--machines must be at least 1, and is 0"));
   }
 }
--- a/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
+++ b/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
@@ -33,7 +33,7 @@
         "if report_s <= 1 then 5 else 6 | 5",
         "if nodes > 1 then 5 else if zones == 1 then 8 else 9 | 8",
       })
-  void evaluates(String expression, double value) throws Exception {
+  void expressionHasTheExpectedValue(String expression, double value) throws Exception {
     assertEquals(value, PolicyFile.parse("p", "idle_s = " + expression, settings()).idleS());
   }
 
@@ -55,44 +55,44 @@
         "idle_s = 3 $| unexpected \"$\"",
         "pool \"x\" middle = 3| expected: pool",
       })
-  void refuses(String line, String message) throws Exception {
+  void invalidLineIsRejectedWithAMessage(String line, String message) throws Exception {
     Settings settings = settings();
-    InvalidSettingsException refusal =
+    InvalidSettingsException exception =
         assertThrows(InvalidSettingsException.class, () -> PolicyFile.parse("p", line, settings));
-    assertTrue(refusal.getMessage().contains(message), refusal.getMessage());
+    assertTrue(exception.getMessage().contains(message), exception.getMessage());
   }
 
   @Test
-  void aMinimumAboveTheMaximumIsRefused() throws Exception {
+  void poolMinimumAboveItsMaximumIsRejected() throws Exception {
     Settings settings = settings();
-    InvalidSettingsException refusal =
+    InvalidSettingsException exception =
         assertThrows(
             InvalidSettingsException.class,
             () -> PolicyFile.parse("p", "pool_max = 3\npool \"x\" min = 4", settings));
-    assertTrue(refusal.getMessage().contains("above the maximum"), refusal.getMessage());
+    assertTrue(exception.getMessage().contains("above the maximum"), exception.getMessage());
   }
 
   @Test
-  void everyProblemIsReportedWithItsLine() throws Exception {
+  void everyInvalidLineIsReportedWithItsNumber() throws Exception {
     Settings settings = settings();
-    InvalidSettingsException refusal =
+    InvalidSettingsException exception =
         assertThrows(
             InvalidSettingsException.class,
             () -> PolicyFile.parse("p", "# a\nscan_s = x\nidle_s = 5\nidle_s = 6\n", settings));
-    assertEquals(2, refusal.problems().size());
-    assertEquals(2, refusal.problems().get(0).line());
-    assertEquals(4, refusal.problems().get(1).line());
+    assertEquals(2, exception.problems().size());
+    assertEquals(2, exception.problems().get(0).line());
+    assertEquals(4, exception.problems().get(1).line());
   }
 
   @Test
-  void deepNestingIsRefusedAndNotFollowed() throws Exception {
+  void tooDeeplyNestedExpressionIsRejected() throws Exception {
     Settings settings = settings();
     String deep = "idle_s = " + "(".repeat(5_000) + "1" + ")".repeat(5_000);
     assertThrows(InvalidSettingsException.class, () -> PolicyFile.parse("p", deep, settings));
   }
 
   @Test
-  void aPoolHasItsOwnBoundsOrTheCommonOnes() throws Exception {
+  void poolHasItsOwnBoundsOrTheCommonOnes() throws Exception {
     Policy policy = PolicyFile.parse("p", "pool_max = 9\npool \"a-1\" min = 2", settings());
     assertEquals(new Policy.PoolBounds(2, 9), policy.pool("a-1"));
     assertEquals(new Policy.PoolBounds(0, 9), policy.pool("b"));
--- a/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
+++ b/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
@@ -9,45 +9,54 @@
 
 /** A limit that can't carry a fleet is named with one that can, and that one is enough. */
 class FleetRequirementsTest {
-  private static final int LARGE = 6_000;
+  private static final int LARGE_FLEET_MACHINES = 6_000;
 
   private static Settings settings(double cores, double ramMb, int sockets) throws Exception {
     return SettingsFile.parse(
         "s.toml",
-        SettingsFileTest.sample()
+        SettingsFileTest.sampleText()
             .replace("report_s = 1.0", "report_s = 5.0")
             .replace("cores = 1.0", "cores = " + cores)
             .replace("ram_mb = 256.0", "ram_mb = " + ramMb)
             .replace("max_connections = 100", "max_connections = " + sockets));
   }
 
-  private static List<String> tooSmall(Settings settings) {
-    return FleetRequirements.of(settings, LARGE).shortages(settings).stream()
+  private static List<String> fieldsTooSmallForLargeFleet(Settings settings) {
+    return FleetRequirements.of(settings, LARGE_FLEET_MACHINES).shortages(settings).stream()
         .map(LimitChecks.Warning::field)
         .toList();
   }
 
   @Test
-  void eachQuotaThatIsTooSmallIsNamed() throws Exception {
-    assertEquals(List.of(), tooSmall(settings(1, 1_000, 9_000)));
-    assertEquals(List.of("params.quota.max_connections"), tooSmall(settings(1, 1_000, 5_000)));
-    assertEquals(List.of("params.quota.ram_mb"), tooSmall(settings(1, 100, 9_000)));
-    assertEquals(List.of("params.quota.cores"), tooSmall(settings(0.05, 1_000, 9_000)));
+  void quotaTooSmallForTheFleetIsReportedByItsField() throws Exception {
+    assertEquals(List.of(), fieldsTooSmallForLargeFleet(settings(1, 1_000, 9_000)));
+    assertEquals(
+        List.of("params.quota.max_connections"),
+        fieldsTooSmallForLargeFleet(settings(1, 1_000, 5_000)));
+    assertEquals(
+        List.of("params.quota.ram_mb"), fieldsTooSmallForLargeFleet(settings(1, 100, 9_000)));
+    assertEquals(
+        List.of("params.quota.cores"), fieldsTooSmallForLargeFleet(settings(0.05, 1_000, 9_000)));
   }
 
   @Test
-  void theFigureThatIsNamedIsEnoughAndOneLessIsNot() throws Exception {
-    FleetRequirements needs = FleetRequirements.of(settings(1, 1_000, 9_000), LARGE);
-    assertEquals(List.of(), tooSmall(settings(needs.cores(), needs.ramMb(), needs.sockets())));
-    assertFalse(tooSmall(settings(1, 1_000, needs.sockets() - 1)).isEmpty());
+  void requiredQuotaIsEnoughAndOneSocketFewerIsNot() throws Exception {
+    FleetRequirements requirements =
+        FleetRequirements.of(settings(1, 1_000, 9_000), LARGE_FLEET_MACHINES);
+    assertEquals(
+        List.of(),
+        fieldsTooSmallForLargeFleet(
+            settings(requirements.cores(), requirements.ramMb(), requirements.sockets())));
+    assertFalse(
+        fieldsTooSmallForLargeFleet(settings(1, 1_000, requirements.sockets() - 1)).isEmpty());
   }
 
   @Test
-  void theLargestFleetIsTheLastOneThatIsCarried() throws Exception {
+  void largestFleetHasNoShortagesAndOneMachineMoreHasSome() throws Exception {
     Settings settings = settings(1, 1_000, 3_000);
-    int most = FleetRequirements.maxMachines(settings);
-    assertTrue(most > 2_000 && most < 3_000, "3,000 sockets carry " + most);
-    assertEquals(List.of(), FleetRequirements.of(settings, most).shortages(settings));
-    assertFalse(FleetRequirements.of(settings, most + 1).shortages(settings).isEmpty());
+    int maxMachines = FleetRequirements.maxMachines(settings);
+    assertTrue(maxMachines > 2_000 && maxMachines < 3_000, "3,000 sockets carry " + maxMachines);
+    assertEquals(List.of(), FleetRequirements.of(settings, maxMachines).shortages(settings));
+    assertFalse(FleetRequirements.of(settings, maxMachines + 1).shortages(settings).isEmpty());
   }
 }
--- a/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
+++ b/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
@@ -10,21 +10,21 @@
 import org.junit.jupiter.api.Test;
 
 class SettingsFileTest {
-  public static String sample() throws IOException {
+  public static String sampleText() throws IOException {
     try (var in = SettingsFileTest.class.getResourceAsStream("/rehearsal.toml")) {
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
   }
 
-  private static List<String> problems(String text) {
+  private static List<String> problemsOf(String text) {
     InvalidSettingsException invalid =
         assertThrows(InvalidSettingsException.class, () -> SettingsFile.parse("s.toml", text));
     return invalid.problems().stream().map(SettingsProblem::toString).toList();
   }
 
   @Test
-  void readsThePlatformsFileAndIgnoresUnknownFields() throws Exception {
-    Settings settings = SettingsFile.parse("s.toml", "novelty = 3\n" + sample());
+  void validFileIsReadAndUnknownFieldsAreIgnored() throws Exception {
+    Settings settings = SettingsFile.parse("s.toml", "novelty = 3\n" + sampleText());
     assertEquals("rehearsal", settings.member());
     assertEquals(10.0, settings.workers().leaseS());
     assertEquals(1, settings.controllerCount());
@@ -32,13 +32,13 @@
   }
 
   @Test
-  void namesEveryProblemWithItsLine() throws Exception {
-    String bad =
-        sample()
+  void everyInvalidFieldIsReportedWithItsLine() throws Exception {
+    String invalid =
+        sampleText()
             .replace("report_s = 1.0", "report_s = -1.0")
             .replace("list_lag_s = 1.0", "")
             .replace("front = \"127.0.0.1:0\"", "front = \"localhost:80\"");
-    List<String> problems = problems(bad);
+    List<String> problems = problemsOf(invalid);
     assertEquals(3, problems.size(), problems.toString());
     assertTrue(problems.get(0).startsWith("s.toml:4: front: "), problems.get(0));
     assertTrue(problems.get(1).contains("params.workers.report_s: must be a number"));
@@ -46,28 +46,29 @@
   }
 
   @Test
-  void aMissingTableIsNamedOnce() throws Exception {
-    List<String> problems = problems(sample().replace("[params.state]", "[params.other]"));
+  void missingTableIsReportedOnceAndNotForEachOfItsFields() throws Exception {
+    List<String> problems = problemsOf(sampleText().replace("[params.state]", "[params.other]"));
     assertEquals(List.of("s.toml:11: params.state: this table is missing"), problems);
   }
 
   @Test
-  void textThatIsNotTomlIsRefusedWithItsLine() {
-    assertTrue(problems("a = 1\nb = = 2\n").get(0).startsWith("s.toml:2: "));
+  void invalidTomlIsRejectedWithItsLine() {
+    assertTrue(problemsOf("a = 1\nb = = 2\n").get(0).startsWith("s.toml:2: "));
   }
 
   @Test
-  void aLeaseThatOutlivesACancellationIsRefused() throws Exception {
-    List<String> problems = problems(sample().replace("cancel_s = 40.0", "cancel_s = 9.0"));
+  void workerLeaseLongerThanCancellationTimeIsRejected() throws Exception {
+    List<String> problems = problemsOf(sampleText().replace("cancel_s = 40.0", "cancel_s = 9.0"));
     assertTrue(problems.get(0).contains("params.workers.cancel_s"), problems.toString());
   }
 
   @Test
-  void limitsThatAreTooSmallAreNamedAndAccepted() throws Exception {
-    assertEquals(List.of(), LimitChecks.warnings(SettingsFile.parse("s.toml", sample())));
+  void limitsTooSmallForTheDeploymentAreAcceptedWithAWarning() throws Exception {
+    assertEquals(List.of(), LimitChecks.warnings(SettingsFile.parse("s.toml", sampleText())));
     for (String[] small :
         new String[][] {{"rps", "3.0"}, {"write_rps", "1.0"}, {"value_kb", "1.0"}}) {
-      String text = sample().replaceAll("(?m)^" + small[0] + " = .*$", small[0] + " = " + small[1]);
+      String text =
+          sampleText().replaceAll("(?m)^" + small[0] + " = .*$", small[0] + " = " + small[1]);
       List<LimitChecks.Warning> warnings = LimitChecks.warnings(SettingsFile.parse("s.toml", text));
       assertEquals(1, warnings.size(), small[0] + ": " + warnings);
       assertEquals("params.state." + small[0], warnings.get(0).field());
@@ -75,10 +76,10 @@
   }
 
   @Test
-  void lowerLimitsThatWillHoldLaterAreReadAndTheSmallerOfBothIsUsed() throws Exception {
-    Settings settings = SettingsFile.parse("s.toml", sample());
+  void smallerOfCurrentAndNextStateLimitsIsEffective() throws Exception {
+    Settings settings = SettingsFile.parse("s.toml", sampleText());
     assertEquals(settings.stateLimits(), settings.effectiveStateLimits());
-    String next = sample() + "\n[params.state.next]\nvalue_kb = 2.5\ntxn_ops = 4000\n";
+    String next = sampleText() + "\n[params.state.next]\nvalue_kb = 2.5\ntxn_ops = 4000\n";
     settings = SettingsFile.parse("s.toml", next);
     assertEquals(2560, settings.effectiveStateLimits().maxValueBytes());
     assertEquals(
@@ -90,25 +91,28 @@
   }
 
   @Test
-  void wrongLowerLimitsAreRefusedWithTheirPlace() throws Exception {
-    int lines = sample().split("\n", -1).length;
-    String bad = sample() + "\n[params.state.next]\nvalue_kb = 2.5\ntxn_ops = 3\n";
+  void invalidNextStateLimitsAreRejectedWithFieldAndLine() throws Exception {
+    int lines = sampleText().split("\n", -1).length;
+    String tooSmall = sampleText() + "\n[params.state.next]\nvalue_kb = 2.5\ntxn_ops = 3\n";
     assertEquals(
         List.of(
             "s.toml:" + (lines + 3) + ": params.state.next.txn_ops: must be a number, 4.0 or more"),
-        problems(bad));
-    String inline = sample().replace("[params.state]", "[params.state]\nnext = { rps = \"no\" }");
+        problemsOf(tooSmall));
+    String inlineTable =
+        sampleText().replace("[params.state]", "[params.state]\nnext = { rps = \"no\" }");
     assertTrue(
-        problems(inline).get(0).startsWith("s.toml:28: params.state.next.rps: must be a number"),
-        problems(inline).toString());
-    String table = sample().replace("[params.state]", "[params.state]\nnext = 3");
-    assertEquals(List.of("s.toml:28: params.state.next: must be a table"), problems(table));
+        problemsOf(inlineTable)
+            .get(0)
+            .startsWith("s.toml:28: params.state.next.rps: must be a number"),
+        problemsOf(inlineTable).toString());
+    String notATable = sampleText().replace("[params.state]", "[params.state]\nnext = 3");
+    assertEquals(List.of("s.toml:28: params.state.next: must be a table"), problemsOf(notATable));
   }
 
   @Test
-  void lowerLimitsThatAreTooSmallAreNamed() throws Exception {
+  void nextStateLimitsTooSmallForTheDeploymentGiveWarningsOfTheirFields() throws Exception {
     String small =
-        sample() + "\n[params.state.next]\nrps = 3\nwrite_rps = 1\nvalue_kb = 1\ntxn_ops = 4\n";
+        sampleText() + "\n[params.state.next]\nrps = 3\nwrite_rps = 1\nvalue_kb = 1\ntxn_ops = 4\n";
     assertEquals(
         List.of(
             "params.state.next.rps", "params.state.next.write_rps", "params.state.next.value_kb"),
--- a/src/test/java/org/ploverspindle/sizing/AdaptiveSizingTest.java
+++ b/src/test/java/org/ploverspindle/sizing/AdaptiveSizingTest.java
@@ -21,7 +21,7 @@
     return AdaptiveSizing.bounds(poolMin, poolMax, groups);
   }
 
-  private static String show(List<Bounds> bounds) {
+  private static String format(List<Bounds> bounds) {
     StringBuilder text = new StringBuilder();
     bounds.forEach(
         zone ->
@@ -47,27 +47,27 @@
     "backoff 3, 0 2 1, b.., 0:1 2:3 1:2",
     "backoff 4, 0 2 2, b.., 0:0 2:2 1:2",
   })
-  void followsThePublishedTables(String name, String held, String backoff, String expected) {
-    assertEquals(expected, show(bounds(3, 4, held, backoff)));
+  void boundsFollowThePublishedTables(String name, String held, String backoff, String expected) {
+    assertEquals(expected, format(bounds(3, 4, held, backoff)));
   }
 
   @Test
-  void earlierZonesTakeTheRemainder() {
-    assertEquals("2:5 1:5", show(bounds(3, 5, "0 0", "..")));
+  void remainderOfTheMinimumGoesToEarlierZones() {
+    assertEquals("2:5 1:5", format(bounds(3, 5, "0 0", "..")));
   }
 
   @Test
-  void withAllZonesInBackoffEveryMinimumIsZero() {
-    assertEquals("0:4 0:4 0:4", show(bounds(3, 4, "0 0 0", "bbb")));
+  void everyMinimumIsZeroWithAllZonesInBackoff() {
+    assertEquals("0:4 0:4 0:4", format(bounds(3, 4, "0 0 0", "bbb")));
   }
 
   @Test
-  void aPoolAboveItsMaximumMayNotGrow() {
-    assertEquals("1:0 1:0", show(bounds(2, 2, "3 2", "..")));
+  void groupsOfAPoolAboveItsMaximumHaveAMaximumOfZero() {
+    assertEquals("1:0 1:0", format(bounds(2, 2, "3 2", "..")));
   }
 
   @Test
-  void agreesWithTheReferenceModel() {
+  void randomBoundsAgreeWithTheReferenceModel() {
     Random random = new Random(5);
     for (int round = 0; round < 500; round++) {
       int zones = 1 + random.nextInt(5);
@@ -77,38 +77,38 @@
       for (int i = 0; i < zones; i++) {
         groups.add(new Group(random.nextInt(4), random.nextInt(3) == 0));
       }
-      assertEquals(reference(min, max, groups), AdaptiveSizing.bounds(min, max, groups));
+      assertEquals(referenceBounds(min, max, groups), AdaptiveSizing.bounds(min, max, groups));
     }
   }
 
   /**
    * Deals the minimum out one machine at a time, then the backed-off zones' shares the same way.
    */
-  private static List<Bounds> reference(int min, int max, List<Group> groups) {
+  private static List<Bounds> referenceBounds(int min, int max, List<Group> groups) {
     int[] mins = new int[groups.size()];
-    for (int dealt = 0; dealt < min; dealt++) {
-      mins[dealt % groups.size()]++;
+    for (int assigned = 0; assigned < min; assigned++) {
+      mins[assigned % groups.size()]++;
     }
-    List<Integer> good = new ArrayList<>();
-    int owed = 0;
+    List<Integer> healthyZones = new ArrayList<>();
+    int machinesToTakeOver = 0;
     for (int i = 0; i < groups.size(); i++) {
       if (groups.get(i).backedOff()) {
-        owed += mins[i];
+        machinesToTakeOver += mins[i];
         mins[i] = 0;
       } else {
-        good.add(i);
+        healthyZones.add(i);
       }
     }
-    for (int dealt = 0; dealt < owed && !good.isEmpty(); dealt++) {
-      mins[good.get(dealt % good.size())]++;
+    for (int assigned = 0; assigned < machinesToTakeOver && !healthyZones.isEmpty(); assigned++) {
+      mins[healthyZones.get(assigned % healthyZones.size())]++;
     }
     List<Bounds> result = new ArrayList<>();
     for (int i = 0; i < groups.size(); i++) {
-      int others = 0;
+      int heldByOtherZones = 0;
       for (int j = 0; j < groups.size(); j++) {
-        others += j == i ? 0 : groups.get(j).held();
+        heldByOtherZones += j == i ? 0 : groups.get(j).held();
       }
-      result.add(new Bounds(mins[i], Math.max(0, max - others)));
+      result.add(new Bounds(mins[i], Math.max(0, max - heldByOtherZones)));
     }
     return result;
   }
