--- a/src/main/java/org/ploverspindle/cli/BoundsCommand.java
+++ b/src/main/java/org/ploverspindle/cli/BoundsCommand.java
@@ -10,7 +10,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Prints the bounds that a sizing scan computes, for operators who choose a pool's bounds. */
+/**
+ * Prints the bounds that Adaptive Sizing computes for the group of each zone, for operators who
+ * choose the bounds of a pool.
+ */
 @Command(
     name = "bounds",
     mixinStandardHelpOptions = true,
--- a/src/main/java/org/ploverspindle/cli/CheckCommand.java
+++ b/src/main/java/org/ploverspindle/cli/CheckCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Checks settings and policy without starting anything. */
+/** Checks settings and policy without starting a controller. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -24,7 +24,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * A controller with its threads and sockets: the event loop, and one I/O thread for all sockets.
+ * A controller with its threads and sockets. One thread runs the event loop, and one I/O thread
+ * serves all sockets.
  */
 final class ControllerProcess {
   private static final int BUFFER_BYTES = 4_096;
@@ -78,7 +79,7 @@
             controller::isReady);
   }
 
-  /** Has one I/O thread, which owns all sockets. */
+  /** Creates the XNIO worker, whose only I/O thread owns all sockets. */
   private static XnioWorker createXnioWorker() throws IOException {
     return Xnio.getInstance()
         .createWorker(
@@ -96,12 +97,15 @@
         eventLoop, xnioWorker.getIoThread(), buffers, address, connections);
   }
 
-  /** A method, as the peers' server is made before the controller, which needs it. */
+  /**
+   * Passes a message of another controller to this one. The peer server gets this method and not
+   * the controller's, because it is created first: the controller's constructor needs it.
+   */
   private void handlePeerMessage(PeerMessage message) {
     controller.handlePeerMessage(message);
   }
 
-  /** Starts the threads, opens the sockets and starts the controller. */
+  /** Starts the event loop, opens the listening sockets and starts the controller. */
   void start() throws IOException {
     eventLoop.start();
     userApi.open();
@@ -109,7 +113,7 @@
     eventLoop.execute(EventPriority.DECISION, controller::start);
   }
 
-  /** Stops the controller and closes all sockets and threads. */
+  /** Stops the controller, closes all sockets and ends the threads. */
   void stop() {
     eventLoop.execute(EventPriority.DECISION, controller::stop);
     userApi.close();
--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command line. */
+/** The entry point of the program and its top-level command, which runs a controller. */
 @Command(
     name = "ploverspindle",
     mixinStandardHelpOptions = true,
@@ -41,16 +41,19 @@
       CommandLine.HelpCommand.class
     })
 public final class Main implements Callable<Integer> {
-  /** Exit code of success. */
+  /** Exit code of a command that succeeded. */
   static final int OK = 0;
 
-  /** Exit code of what could not be done. */
+  /** Exit code of a command that was valid but failed. */
   static final int OPERATION_FAILED = 1;
 
-  /** Exit code of an invalid command line, settings or policy. */
+  /** Exit code if the command line, the settings or the policy are invalid. */
   static final int INVALID_INPUT = 2;
 
-  /** Not an exit code: the process goes on, kept alive by the threads of the service. */
+  /**
+   * Returned in place of an exit code after the controller has started: the process must not exit,
+   * and the controller's threads keep it alive.
+   */
   private static final int RUNNING = -1;
 
   @Spec private CommandSpec spec;
@@ -69,7 +72,7 @@
 
   private Main() {}
 
-  /** The entry point of the program; see the class for the exit codes. */
+  /** Runs the command line; the exit codes are listed in the annotation of this class. */
   public static void main(String[] args) {
     setUpLogging();
     if (args.length == 2 && args[0].equals("--config")) {
@@ -85,8 +88,9 @@
   }
 
   /**
-   * The platform's start, {@code --config FILE} and no more, without picocli: a class-data archive
-   * can't hold its classes, and reading them from the jar would slow down the start.
+   * Starts the controller for the command line that the platform uses, {@code --config FILE}
+   * without other arguments. It avoids picocli, whose classes a class-data archive can't hold: to
+   * load them from the jar would slow down the start. Returns whether the controller was started.
    */
   private static boolean startWithoutPicocli(Path config) {
     try {
@@ -129,7 +133,7 @@
     System.setProperty("org.jboss.logging.provider", "slf4j");
   }
 
-  /** The policy of the file, or the defaults. */
+  /** The policy in the file, or the default policy if no file is given. */
   static Policy policyOrDefault(Optional<Path> file, Settings settings)
       throws InvalidSettingsException {
     return file.isPresent() ? PolicyFile.load(file.get(), settings) : Policy.DEFAULT;
--- a/src/main/java/org/ploverspindle/cli/RehearseCommand.java
+++ b/src/main/java/org/ploverspindle/cli/RehearseCommand.java
@@ -21,10 +21,10 @@
 import picocli.CommandLine.Command;
 
 /**
- * Starts a controller on loopback, with its own address as that of the state service and of the
- * cloud, sends it a few requests, and stops it. The build makes the class-data archive of the
- * classes that are loaded meanwhile. A class that is missing there is later loaded from the jar,
- * which is slow on a small machine.
+ * Starts a controller on the loopback interface, sends it a few requests, and stops it. The
+ * controller's own address is configured as that of the state service and of the cloud. The build
+ * creates the class-data archive from the classes that are loaded during the run. A class that is
+ * missing from the archive is later loaded from the jar, which is slow on a small machine.
  */
 @Command(name = "rehearse", hidden = true, description = "Used by the build.")
 final class RehearseCommand implements Callable<Integer> {
@@ -33,7 +33,9 @@
   private static final String SAMPLE_UID = "run-1";
   private static final String SAMPLE_PATH = "/submissions/" + SAMPLE_UID;
 
-  /** Numbers of each kind that a body may hold: small, negative, 64 bits, floating point. */
+  /**
+   * Samples of each kind of number that a body may hold: small, negative, 64-bit, floating point.
+   */
   private static final int SMALL = 3;
 
   private static final int NEGATIVE = -7;
@@ -91,7 +93,10 @@
     return bytes;
   }
 
-  /** Loads the program's own classes from its jar; from a folder of classes there is no archive. */
+  /**
+   * Loads all of the program's own classes from its jar. Does nothing if the program runs from a
+   * directory of classes, for which the build creates no archive.
+   */
   private static void loadOwnClasses() throws Exception {
     Path self =
         Path.of(RehearseCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
--- a/src/main/java/org/ploverspindle/cli/StatusCommand.java
+++ b/src/main/java/org/ploverspindle/cli/StatusCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints the status of a running controller, or of one job. */
+/** Requests the status of a controller or of one job over HTTP and prints it. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
--- a/src/main/java/org/ploverspindle/cli/package-info.java
+++ b/src/main/java/org/ploverspindle/cli/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The command line and the assembly of a running service.
+ * The command line and the assembly of a running controller.
  *
- * <p>Duty: the commands and their exit codes, the start with the platform's settings, and the
- * creation of threads and sockets around {@code controller.Controller}. Owns: the process.
+ * <p>Responsibility: the commands and their exit codes, the start with the platform's settings, and
+ * the creation of threads and sockets for {@code controller.Controller}. Owns: the process.
  *
  * <p>May depend on: everything. Nothing may depend on it.
  */
--- a/src/main/java/org/ploverspindle/policy/Evaluator.java
+++ b/src/main/java/org/ploverspindle/policy/Evaluator.java
@@ -3,18 +3,22 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Evaluates expressions over named amounts. An expression that is wrong raises an exception. */
+/** Evaluates expressions over named numbers. Throws an exception if an expression is invalid. */
 final class Evaluator {
   private final Map<String, Double> valuesByName;
 
   /**
-   * @param valuesByName the amounts that an expression may use
+   * @param valuesByName the numbers that an expression may refer to by name
    */
   Evaluator(Map<String, Double> valuesByName) {
     this.valuesByName = valuesByName;
   }
 
-  /** The value of an expression that must be an amount. */
+  /**
+   * Evaluates an expression that must give a number.
+   *
+   * @throws PolicyException if the expression is a comparison or a part of it is invalid
+   */
   double numericValue(Expression expression) throws PolicyException {
     if (isComparison(expression)) {
       throw new PolicyException(expression.column(), "a comparison is no amount");
@@ -37,7 +41,7 @@
     return evaluateArithmetic((Expression.Binary) expression);
   }
 
-  /** Both branches are evaluated, so that one that is not taken at present is checked as well. */
+  /** Evaluates both branches, so that errors in the one that is not selected are found as well. */
   private double evaluateIf(Expression.If choice) throws PolicyException {
     double then = numericValue(choice.then());
     double otherwise = numericValue(choice.otherwise());
--- a/src/main/java/org/ploverspindle/policy/Parser.java
+++ b/src/main/java/org/ploverspindle/policy/Parser.java
@@ -20,13 +20,13 @@
       Pattern.compile(
           "\\s*(?:(\\d+(?:\\.\\d+)?)|([A-Za-z_][A-Za-z0-9_]*)|\"([^\"]*)\"|(<=|>=|==|[-+*/()<>,=]))");
 
-  /** Groups of the pattern above; each is the ordinal of its {@link Kind} and one. */
+  /** Groups of the token pattern; a group's number is the ordinal of its {@link Kind} plus 1. */
   private static final int NUMBER_GROUP = 1;
 
   private static final int WORD_GROUP = 2;
   private static final int QUOTED_GROUP = 3;
 
-  /** Bounds the recursion: a line of ten thousand parentheses must not overflow the stack. */
+  /** Limits the recursion, since a line of 10,000 parentheses must not overflow the stack. */
   private static final int MAX_DEPTH = 50;
 
   private enum Kind {
@@ -104,8 +104,9 @@
   }
 
   /**
-   * Parses the left side, a setting's name or {@code pool "TYPE" min}, and the equals sign. Returns
-   * the name, or {@code pool/TYPE/min}.
+   * Parses the left side and the equals sign. The left side is a setting's name, {@code pool "TYPE"
+   * min} or {@code pool "TYPE" max}. Returns the name, {@code pool/TYPE/min} or {@code
+   * pool/TYPE/max}.
    */
   String parseTarget() throws PolicyException {
     Token token = advance();
@@ -126,7 +127,7 @@
     return target;
   }
 
-  /** Parses the rest of the line. */
+  /** Parses the rest of the line as one expression. */
   Expression parseExpression() throws PolicyException {
     Expression expression = parseIfOrComparison();
     if (peek().kind() != Kind.END) {
@@ -216,7 +217,7 @@
     return new Expression.Negation(operand, sign.column());
   }
 
-  /** The call of a function, whose name and opening parenthesis are taken. */
+  /** Parses a function call whose name and opening parenthesis have been consumed. */
   private Expression parseCall(Token function) throws PolicyException {
     List<Expression> arguments = new ArrayList<>();
     do {
--- a/src/main/java/org/ploverspindle/policy/PolicyFile.java
+++ b/src/main/java/org/ploverspindle/policy/PolicyFile.java
@@ -16,8 +16,9 @@
 import org.ploverspindle.settings.SettingsProblem;
 
 /**
- * Reads a policy: a line a setting, {@code NAME = EXPRESSION} or {@code pool "TYPE" min =
- * EXPRESSION}; {@code #} begins a comment. Expressions may use amounts of the platform's settings.
+ * Reads a policy. Each line gives one setting, as {@code NAME = EXPRESSION}, {@code pool "TYPE" min
+ * = EXPRESSION} or {@code pool "TYPE" max = EXPRESSION}; {@code #} begins a comment. Expressions
+ * may refer to numbers of the platform's settings by name.
  */
 public final class PolicyFile {
   private record Range(double min, double max, boolean whole) {
@@ -81,9 +82,9 @@
   }
 
   /**
-   * Reads a text.
+   * Reads a policy from a string.
    *
-   * @param file the name that problems are reported under
+   * @param file the file name that is shown with each problem
    * @throws InvalidSettingsException with every problem that was found
    */
   public static Policy parse(String file, String text, Settings settings)
--- a/src/main/java/org/ploverspindle/policy/package-info.java
+++ b/src/main/java/org/ploverspindle/policy/package-info.java
@@ -1,10 +1,11 @@
 /**
  * The operators' policy file: a small expression language for the scheduler's tunable values.
  *
- * <p>Duty: parses and evaluates the file into the immutable {@link org.ploverspindle.policy.Policy
- * Policy}, and reports every problem with line and column. Owns: the language's grammar, the names
- * of the tunable values, their ranges and defaults.
+ * <p>Responsibility: parses and evaluates the file into the immutable {@link
+ * org.ploverspindle.policy.Policy Policy}, and reports every problem, with line and column where it
+ * concerns one line. Owns: the language's grammar, the names of the tunable values, their ranges
+ * and defaults.
  *
- * <p>May depend on: {@code settings}, whose amounts an expression may use.
+ * <p>May depend on: {@code settings}, whose values an expression may refer to.
  */
 package org.ploverspindle.policy;
--- a/src/main/java/org/ploverspindle/settings/Address.java
+++ b/src/main/java/org/ploverspindle/settings/Address.java
@@ -1,9 +1,9 @@
 package org.ploverspindle.settings;
 
 /**
- * A network address, such as {@code 10.0.0.1:8080}.
+ * An IPv4 address and a port, written as in {@code 10.0.0.1:8080}.
  *
- * @param host an IP number
+ * @param host the IPv4 address in dotted decimal notation; no host name
  */
 public record Address(String host, int port) {
   @Override
--- a/src/main/java/org/ploverspindle/settings/FleetRequirements.java
+++ b/src/main/java/org/ploverspindle/settings/FleetRequirements.java
@@ -5,26 +5,27 @@
 import java.util.Locale;
 
 /**
- * What a controller needs to lead a fleet of a given size.
+ * The resources that a controller needs to lead a fleet of a given number of machines.
  *
- * <p>Sockets are counted: each machine keeps a connection to the leader, and some have a second one
- * for a while after a network cut. Memory and processor time are estimates, from measurements that
- * docs/operations.md names.
+ * <p>The number of sockets is computed: the worker on each machine keeps one connection to the
+ * leader, and some workers have a second one for a while after a network partition. Memory and
+ * processor time are estimated from the measurements listed in docs/operations.md.
  *
- * @param sockets all connections, including those that the controller opens
+ * @param sockets all sockets of the process, including those of connections that it opens itself
  * @param ramMb memory of the process in MB
- * @param cores mean share of a core while it leads
- * @param heartbeatsPerS heartbeats that arrive when nothing changes
+ * @param cores mean number of processor cores used while the controller leads
+ * @param heartbeatsPerS heartbeats per second from all workers; each sends one per heartbeat
+ *     interval while nothing changes
  */
 public record FleetRequirements(
     int machines, int sockets, double ramMb, double cores, double heartbeatsPerS) {
-  /** Machines for each half-open connection that a network cut left behind. */
+  /** Machines per half-open connection that a network partition is assumed to leave behind. */
   private static final int MACHINES_PER_HALF_OPEN_CONNECTION = 8;
 
-  /** Users, health checks and the load balancer. */
+  /** Connections of users, health checks and the load balancer. */
   private static final int NON_WORKER_CONNECTIONS = 32;
 
-  /** Upper end of the search; above any fleet. */
+  /** Upper end of the search for the largest fleet; larger than any real fleet. */
   private static final int SEARCH_LIMIT_MACHINES = 10_000_000;
 
   private static final double BASE_RAM_MB = 50;
@@ -32,7 +33,7 @@
   private static final double BASE_CORES = 0.01;
   private static final double CORES_PER_HEARTBEAT_PER_S = 0.0003;
 
-  /** What a fleet of this size needs under these settings. */
+  /** The resources that a fleet of this many machines needs under these settings. */
   public static FleetRequirements of(Settings settings, int machines) {
     double heartbeatsPerS = machines / settings.workers().heartbeatIntervalS();
     return new FleetRequirements(
@@ -45,7 +46,7 @@
         heartbeatsPerS);
   }
 
-  /** The largest fleet that the settings' sockets, memory and processor share can carry. */
+  /** The largest number of machines for which the quota of sockets, memory and cores suffices. */
   public static int maxMachines(Settings settings) {
     int low = 0;
     int high = SEARCH_LIMIT_MACHINES;
@@ -60,7 +61,7 @@
     return low;
   }
 
-  /** Settings that can't carry the fleet, each with the figure that would. */
+  /** One warning for each quota that is too small for this fleet; it states the required value. */
   public List<LimitChecks.Warning> shortages(Settings settings) {
     Settings.Quota quota = settings.quota();
     List<LimitChecks.Warning> shortages = new ArrayList<>();
--- a/src/main/java/org/ploverspindle/settings/InvalidSettingsException.java
+++ b/src/main/java/org/ploverspindle/settings/InvalidSettingsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings that cannot be used, with every problem found in them. */
+/** Signals that settings or a policy are invalid, and holds every problem found in them. */
 public final class InvalidSettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
     this.problems = List.copyOf(problems);
   }
 
-  /** All problems, in the order of the check. */
+  /** All problems, in the order in which they were found. */
   public List<SettingsProblem> problems() {
     return problems;
   }
--- a/src/main/java/org/ploverspindle/settings/LimitChecks.java
+++ b/src/main/java/org/ploverspindle/settings/LimitChecks.java
@@ -6,28 +6,40 @@
 import java.util.Optional;
 
 /**
- * Limits that are valid but too small for the deployment's size. The service starts with them and
- * keeps the rules; the operator is warned of what users will notice.
+ * Finds limits that are valid but too small for the size of the deployment. The service starts with
+ * such limits and stays within them; a warning tells the operator the effect that users will
+ * notice.
  */
 public final class LimitChecks {
-  /** Least requests a second of a leader: its renewals, its reads, and as many writes. */
+  /**
+   * Requests per second to the state service that a leader needs at least: lease renewals and
+   * reads, and as many writes as these two together.
+   */
   private static final double MIN_LEADER_RPS = 8;
 
-  /** Requests a second of a follower that nobody asks anything. */
+  /** Requests per second to the state service of a follower that receives no requests. */
   private static final double IDLE_FOLLOWER_RPS = 1.5;
 
   private static final double MIN_WRITE_RPS = 4;
   private static final int MIN_VALUE_BYTES = 1_500;
 
-  /** Lower rates are reported as this one. */
+  /** A smaller rate counts as this one when a warning states a wait, so that it stays finite. */
   private static final double MIN_RATE_FOR_WAIT = 0.01;
 
-  /** Part of the time to cancel that commands and clock drift take; see model.SafetyTiming. */
+  /**
+   * Part of {@code cancel_s} that is reserved for late timers, commands in progress and clock
+   * drift; the same value as in model.SafetyTiming.
+   */
   private static final double CANCEL_MARGIN_S = 2.5;
 
   private LimitChecks() {}
 
-  /** A field, and what follows from its value. */
+  /**
+   * A warning about one limit.
+   *
+   * @param field the setting's name with those of the tables around it
+   * @param consequence why the value is too small, and the effect
+   */
   public record Warning(String field, String consequence) {
     @Override
     public String toString() {
@@ -35,7 +47,7 @@
     }
   }
 
-  /** All limits that are too small, with what follows from each. */
+  /** One warning for each limit that is too small; empty if there is none. */
   public static List<Warning> warnings(Settings settings) {
     List<Warning> warnings = new ArrayList<>();
     requestsWarning(settings).ifPresent(warnings::add);
@@ -79,7 +91,8 @@
   }
 
   /**
-   * For how long a leader without the state service may respond to heartbeats; see
+   * Warns if a leader that can't reach the state service may respond to heartbeats for less than
+   * one worker lease. The exact time, which also allows for clock drift, is that of
    * model.SafetyTiming.
    */
   private static Optional<Warning> graceWarning(Settings settings) {
@@ -100,7 +113,12 @@
         : Optional.empty();
   }
 
-  /** The field that has the smaller one of two limits. */
+  /**
+   * The full name of the field that holds the effective limit.
+   *
+   * @param current the limit of params.state
+   * @param effective the smaller of the limits of params.state and params.state.next
+   */
   private static String stateField(String name, double current, double effective) {
     return (effective < current ? "params.state.next." : "params.state.") + name;
   }
--- a/src/main/java/org/ploverspindle/settings/Settings.java
+++ b/src/main/java/org/ploverspindle/settings/Settings.java
@@ -4,16 +4,19 @@
 import java.util.Optional;
 
 /**
- * The platform's settings of this controller, checked when they are read; see {@link SettingsFile}.
+ * The platform's settings of this controller. They are checked when {@link SettingsFile} reads
+ * them.
  *
  * @param member this controller's name
- * @param location where it runs
- * @param userAddress address where users and workers connect
- * @param peerAddress address where the other controllers connect
+ * @param location where this controller runs
+ * @param userAddress address that users and workers connect to
+ * @param peerAddress address that the other controllers connect to
  * @param members the other controllers
  * @param cloud address of the cloud's API
  * @param state address of the state service
- * @param maxClockSkewMs upper bound of the difference between the wall clocks of two machines
+ * @param zones names of the zones that machines may be provisioned in
+ * @param maxClockSkewMs upper bound of the difference between the wall clocks of two machines, in
+ *     milliseconds
  */
 public record Settings(
     String member,
@@ -38,12 +41,12 @@
   public record Member(String name, String location, Address address) {}
 
   /**
-   * A team's guarantee and limit; an amount of 0 means none.
+   * A team's guarantee and limit. A guarantee or limit of 0 means that there is none.
    *
-   * @param guaranteedCores guaranteed cores
-   * @param maxCores limit of cores
-   * @param guaranteedAccelerators guaranteed accelerators
-   * @param maxAccelerators limit of accelerators
+   * @param guaranteedCores guaranteed number of processor cores
+   * @param maxCores limit of the number of processor cores
+   * @param guaranteedAccelerators guaranteed number of accelerators
+   * @param maxAccelerators limit of the number of accelerators
    */
   public record Team(
       String name,
@@ -53,13 +56,14 @@
       double maxAccelerators) {}
 
   /**
-   * A service level objective. It affects the order of placement and is not guaranteed.
+   * A service level objective. It affects the order of placement; meeting it is not guaranteed.
    *
-   * @param kind {@code deadline}, {@code wait} or {@code finished}; others are ignored
-   * @param jobClass the job class that it is for
-   * @param share share of the class's jobs that is to meet it
-   * @param deadlineMultiple of a {@code deadline}: multiple of a job's own deadline
-   * @param withinS of the others: seconds within which a job is to start or be done
+   * @param kind {@code deadline}, {@code wait} or {@code finished}; other kinds are ignored
+   * @param jobClass the job class that the objective applies to
+   * @param share fraction of the class's jobs that should meet the objective
+   * @param deadlineMultiple for the kind {@code deadline}: factor applied to a job's own deadline
+   * @param withinS for the kinds {@code wait} and {@code finished}: seconds within which a job
+   *     should start or be done
    */
   public record Objective(
       String kind, String jobClass, double share, double deadlineMultiple, double withinS) {}
@@ -67,21 +71,22 @@
   /**
    * Limits of the workers, in seconds.
    *
-   * @param heartbeatIntervalS interval of a worker's heartbeats
-   * @param leaseS after how long without a response a worker stops all its tasks
-   * @param cancelS within which time a cancelled job must be gone
+   * @param heartbeatIntervalS time between two heartbeats of a worker
+   * @param leaseS duration of the worker lease: a worker that gets no response for this long stops
+   *     all its tasks
+   * @param cancelS time within which all tasks of a cancelled job must have stopped
    */
   public record WorkerLimits(double heartbeatIntervalS, double leaseS, double cancelS) {}
 
   /**
    * Limits of the state service.
    *
-   * @param requestsPerS requests a second
-   * @param changesPerS changes a second
-   * @param maxValueKib size of a value in KiB
-   * @param maxChangesPerTransaction changes of a transaction
-   * @param next lower limits that the service will have from some unannounced time on; a limit that
-   *     is not named there stays as it is
+   * @param requestsPerS requests per second
+   * @param changesPerS changes per second
+   * @param maxValueKib maximum size of a value in KiB
+   * @param maxChangesPerTransaction maximum number of changes in one transaction
+   * @param next limits that the service will apply from a time that is not announced; a limit that
+   *     the settings don't give there equals the current one
    */
   public record StateLimits(
       double requestsPerS,
@@ -94,12 +99,12 @@
       this(requestsPerS, changesPerS, maxValueKib, maxChangesPerTransaction, Optional.empty());
     }
 
-    /** The largest value that the service takes. */
+    /** The maximum size of a value in bytes. */
     public int maxValueBytes() {
       return (int) (maxValueKib * BYTES_PER_KIB);
     }
 
-    /** Limits that hold now as well as later: the smaller of both, one by one. */
+    /** Limits that hold both now and later: each is the smaller of the current and the next one. */
     public StateLimits lowest() {
       return next.map(
               later ->
@@ -115,28 +120,34 @@
   /**
    * Limits of the cloud.
    *
-   * @param requestsPerS requests a second
-   * @param maxListLagS by how many seconds its list of machines may be out of date
+   * @param requestsPerS requests per second
+   * @param maxListLagS maximum age in seconds of the state that the cloud's list of machines shows
    */
   public record CloudLimits(double requestsPerS, double maxListLagS) {}
 
-  /** What one controller may use of its own machine. */
+  /**
+   * The resources that one controller may use on its own machine.
+   *
+   * @param cores processor cores, possibly a fraction of one
+   * @param ramMb memory in MB
+   * @param maxConnections sockets that may be open at the same time
+   */
   public record Quota(double cores, double ramMb, int maxConnections) {}
 
   /**
-   * The limits that every write and every rate keeps to from the start, as the time from which the
-   * lower ones hold is not announced.
+   * The limits that all requests to the state service stay within. They include the next limits
+   * from the start, because the time from which those apply is not announced.
    */
   public StateLimits effectiveStateLimits() {
     return stateLimits.lowest();
   }
 
-  /** The team of that name, if it is known. */
+  /** The team with this name; empty if the settings have none. */
   public Optional<Team> team(String name) {
     return teams.stream().filter(team -> team.name().equals(name)).findFirst();
   }
 
-  /** How many controllers there are, this one included. */
+  /** The number of controllers, including this one. */
   public int controllerCount() {
     return members.size() + 1;
   }
--- a/src/main/java/org/ploverspindle/settings/SettingsFile.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsFile.java
@@ -12,13 +12,17 @@
 import java.util.List;
 
 /**
- * Reads the platform's TOML. Unknown fields are ignored; every missing or invalid one is reported
- * by name, all of them at once, so that an operator corrects a file in one go.
+ * Reads the platform's settings from TOML. Unknown fields are ignored. Every missing or invalid
+ * field is reported by name in one exception, so that an operator can correct all of them at once.
  */
 public final class SettingsFile {
   private SettingsFile() {}
 
-  /** Reads a file. The exception names every problem that was found. */
+  /**
+   * Reads a file.
+   *
+   * @throws InvalidSettingsException with every problem that was found
+   */
   public static Settings load(Path path) throws InvalidSettingsException {
     try {
       return parse(path.toString(), Files.readString(path));
@@ -29,7 +33,12 @@
     }
   }
 
-  /** Reads a text; {@code file} is the name that problems are reported under. */
+  /**
+   * Reads settings from a string.
+   *
+   * @param file the file name that is shown with each problem
+   * @throws InvalidSettingsException with every problem that was found
+   */
   public static Settings parse(String file, String text) throws InvalidSettingsException {
     JsonNode root = readTree(file, text);
     SettingsProblems problems = new SettingsProblems(file, text);
--- a/src/main/java/org/ploverspindle/settings/SettingsProblem.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsProblem.java
@@ -1,11 +1,12 @@
 package org.ploverspindle.settings;
 
 /**
- * Something wrong in a file of settings.
+ * An error in a settings or policy file.
  *
- * @param line the line that it is most likely about, from 1; 0 if unknown
- * @param field the field's name with those of the tables around it; empty for the file as a whole
- * @param message what is expected
+ * @param line number of the line that most likely has the error, counted from 1; 0 if unknown
+ * @param field the field's name with those of the tables around it; empty if the error concerns the
+ *     file as a whole
+ * @param message what is wrong and what is expected
  */
 public record SettingsProblem(String file, int line, String field, String message) {
   @Override
--- a/src/main/java/org/ploverspindle/settings/SettingsProblems.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsProblems.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Collects the problems of a settings file, each with the line that it is most likely about. */
+/** Collects the problems of a settings file, each with the line that most likely has the error. */
 final class SettingsProblems {
   private final String file;
   private final List<String> lines;
@@ -20,19 +20,25 @@
     return problems.isEmpty();
   }
 
-  /** In the order in which they were reported. */
+  /** All problems, in the order in which they were reported. */
   List<SettingsProblem> list() {
     return Collections.unmodifiableList(problems);
   }
 
   /**
+   * Adds a problem.
+   *
    * @param field the field's name with those of the tables around it
    */
   void report(String field, String message) {
     problems.add(new SettingsProblem(file, lineOf(field), field, message));
   }
 
-  /** The first line that sets the field below its table's header; else the line of the table. */
+  /**
+   * The number of the first line that sets the field below a header of its table. If there is none,
+   * the line of the table's first header, or of the assignment that defines the table; 0 if there
+   * is none either.
+   */
   private int lineOf(String field) {
     String table = parentTable(field);
     Pattern header = Pattern.compile("\\s*\\[\\[?\\s*" + Pattern.quote(table) + "\\s*]]?.*");
@@ -51,7 +57,7 @@
     return headerLine == 0 ? lineOfInlineTable(table) : headerLine;
   }
 
-  /** The line that sets a table without a header of its own, inline or by dotted keys; else 0. */
+  /** The first line that defines a table by an inline table or by dotted keys; 0 if none does. */
   private int lineOfInlineTable(String table) {
     if (table.isEmpty()) {
       return 0;
@@ -70,7 +76,7 @@
     return 0;
   }
 
-  /** The table that a field is in; empty at the top of the file. */
+  /** The name of the table that a field is in; empty for a field of the root table. */
   private static String parentTable(String field) {
     return field.contains(".") ? field.substring(0, field.lastIndexOf('.')) : "";
   }
--- a/src/main/java/org/ploverspindle/settings/SettingsReader.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsReader.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * The sections of the settings file and the least values of their fields. Reads all of them
- * whatever is wrong in one, so that every problem is reported.
+ * Reads the sections of the settings file and holds the minimum values of their fields. All
+ * sections are read even if one is invalid, so that every problem is reported.
  */
 final class SettingsReader {
   private static final double MIN_HEARTBEAT_INTERVAL_S = 0.01;
@@ -19,8 +19,8 @@
   private SettingsReader() {}
 
   /**
-   * The settings. Where a field has a problem, which is reported, they hold a replacement and are
-   * of no use.
+   * Reads all settings. A field that is missing or invalid is reported as a problem and replaced by
+   * a placeholder; the result must not be used if any problem was reported.
    */
   static Settings read(TomlSection root) {
     TomlSection params = root.requiredTable("params");
@@ -81,7 +81,10 @@
     return teams;
   }
 
-  /** Objectives are hints: only the kind is required, and the fields of other kinds are absent. */
+  /**
+   * Reads the service level objectives. Only the kind is required. The other fields are not
+   * checked, since each kind uses only some of them and no objective is guaranteed.
+   */
   private static List<Settings.Objective> objectives(TomlSection params) {
     List<Settings.Objective> objectives = new ArrayList<>();
     for (TomlSection objective : params.optionalTableList("objectives")) {
@@ -116,7 +119,7 @@
         .orElse(current);
   }
 
-  /** A limit that the section does not name stays as it is now. */
+  /** Reads the next limits; a limit that the section doesn't give equals the current one. */
   private static Settings.StateLimits nextStateLimits(
       TomlSection next, Settings.StateLimits current) {
     return new Settings.StateLimits(
--- a/src/main/java/org/ploverspindle/settings/SettingsRules.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsRules.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** What must hold between fields of the settings that are valid by themselves. */
+/** Checks rules that relate several fields of the settings, each of which is valid on its own. */
 final class SettingsRules {
   private SettingsRules() {}
 
-  /** Reports every rule that does not hold. */
+  /** Reports every rule that the settings violate. */
   static void check(Settings settings, SettingsProblems problems) {
     checkMembers(settings, problems);
     checkTeams(settings.teams(), problems);
@@ -42,7 +42,7 @@
     }
   }
 
-  /** A limit of 0 is none. */
+  /** Whether there is a limit and it is below the guarantee; a limit of 0 means none. */
   private static boolean isBelow(double limit, double guarantee) {
     return limit > 0 && limit < guarantee;
   }
--- a/src/main/java/org/ploverspindle/settings/SocketBudget.java
+++ b/src/main/java/org/ploverspindle/settings/SocketBudget.java
@@ -1,11 +1,12 @@
 package org.ploverspindle.settings;
 
 /**
- * The sockets that a controller opens or keeps for itself; all others are for workers and users.
+ * The sockets that a controller reserves for its own connections. All other sockets of its quota
+ * are for connections of workers and users.
  *
  * @param state connections to the state service
  * @param cloud connections to the cloud
- * @param directCommands connections to workers, one for each direct command in flight
+ * @param directCommands connections to workers, one for each direct command in progress
  * @param peers connections to and from other controllers
  */
 public record SocketBudget(int state, int cloud, int directCommands, int peers) {
@@ -13,20 +14,21 @@
   private static final int CLOUD_CONNECTIONS = 3;
 
   /**
-   * One connection to each other controller, one from it, and a second one from it while the loss
-   * of the first is not detected yet.
+   * For each other controller: one connection to it, one from it, and a second one from it while
+   * the loss of the first is not detected yet. {@link #of} reserves as many for this controller
+   * too.
    */
   private static final int CONNECTIONS_PER_CONTROLLER = 3;
 
   private static final int MIN_DIRECT_COMMAND_SOCKETS = 48;
 
-  /** The budget for direct commands grows with the process's sockets, hence with its fleet. */
+  /** The budget of direct commands is proportional to the sockets, so it grows with the fleet. */
   private static final int SOCKETS_PER_DIRECT_COMMAND = 64;
 
-  /** Listening sockets, and those that are being closed. */
+  /** Listening sockets, and sockets of connections that are being closed. */
   private static final int SPARE_SOCKETS = 10;
 
-  /** The budget of a process with these settings. */
+  /** The budget of a controller with these settings. */
   public static SocketBudget of(Settings settings) {
     return of(settings, settings.quota().maxConnections());
   }
@@ -39,7 +41,7 @@
         CONNECTIONS_PER_CONTROLLER * settings.controllerCount());
   }
 
-  /** How many sockets a process needs for so many connections of workers and users. */
+  /** The number of sockets that suffices for this many connections of workers and users. */
   static int neededFor(Settings settings, int connections) {
     int needed = connections;
     while (needed < connections + of(settings, needed).total()) {
@@ -48,7 +50,7 @@
     return needed;
   }
 
-  /** All sockets of this budget together. */
+  /** The total number of sockets of this budget, including the spare ones. */
   public int total() {
     return state + cloud + directCommands + peers + SPARE_SOCKETS;
   }
--- a/src/main/java/org/ploverspindle/settings/TomlSection.java
+++ b/src/main/java/org/ploverspindle/settings/TomlSection.java
@@ -9,9 +9,9 @@
 import java.util.regex.Pattern;
 
 /**
- * A table of the settings file, with its place in it. Fields that are missing or invalid are
- * reported, and read as a replacement. In a table that is missing, which is reported once, no field
- * is reported.
+ * A table of the settings file, together with its path. A field that is missing or invalid is
+ * reported as a problem, and a placeholder is returned for it. A required table that is missing is
+ * reported once; its strings, numbers, addresses and tables are not reported.
  */
 final class TomlSection {
   private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}):(\\d{1,5})");
@@ -21,7 +21,7 @@
 
   private final JsonNode node;
 
-  /** The table's name with those of the tables around it; empty for the whole file. */
+  /** The table's name with those of the tables around it; empty for the root table. */
   private final String path;
 
   private final SettingsProblems problems;
@@ -32,7 +32,7 @@
     this.problems = problems;
   }
 
-  /** The whole file. */
+  /** The root table of the file. */
   static TomlSection root(JsonNode node, SettingsProblems problems) {
     return new TomlSection(node, "", problems);
   }
@@ -41,7 +41,7 @@
     return path.isEmpty() ? field : path + "." + field;
   }
 
-  /** Reports a problem of a field of this table. */
+  /** Reports a problem with a field of this table. */
   void report(String field, String message) {
     problems.report(pathOf(field), message);
   }
@@ -50,7 +50,10 @@
     return new TomlSection(value, pathOf(field), problems);
   }
 
-  /** A table that is required. */
+  /**
+   * Reads a required table. Reports a problem if it is missing or not a table, unless this table is
+   * itself missing.
+   */
   TomlSection requiredTable(String field) {
     JsonNode table = node.path(field);
     if (table.isObject()) {
@@ -62,7 +65,7 @@
     return subsection(field, MissingNode.getInstance());
   }
 
-  /** A table that may be absent; also empty when it is something else, which is reported. */
+  /** Reads an optional table. A value that is not a table is reported, and the result is empty. */
   Optional<TomlSection> optionalTable(String field) {
     JsonNode table = node.path(field);
     if (table.isObject()) {
@@ -74,7 +77,7 @@
     return Optional.empty();
   }
 
-  /** The tables of a list, which may be absent. */
+  /** Reads an optional list of tables. A value that is not a list is reported and read as empty. */
   List<TomlSection> optionalTableList(String field) {
     JsonNode list = node.path(field);
     if (!list.isMissingNode() && !list.isArray()) {
@@ -88,10 +91,10 @@
   }
 
   /**
-   * The texts of a list.
+   * Reads a required list of strings.
    *
-   * @param ifEmpty message if there is no list, or none of its elements
-   * @param ifInvalid message for each element that is not a text, or is blank
+   * @param ifEmpty message if the value is not a list, or the list is missing or empty
+   * @param ifInvalid message for each element that is not a string or is blank
    */
   List<String> requiredStrings(String field, String ifEmpty, String ifInvalid) {
     List<String> strings = new ArrayList<>();
@@ -110,7 +113,7 @@
     return strings;
   }
 
-  /** A text that is required; empty if it has a problem. */
+  /** Reads a required string that is not blank; returns an empty one if it is invalid. */
   String requiredString(String field) {
     if (node.isMissingNode()) {
       return "";
@@ -123,17 +126,17 @@
     return value.asText();
   }
 
-  /** A text that is optional and not checked. */
+  /** Reads an optional value as a string, without a check. */
   String uncheckedString(String field, String defaultValue) {
     return node.path(field).asText(defaultValue);
   }
 
-  /** A number that is optional and not checked. */
+  /** Reads an optional value as a number, without a check. */
   double uncheckedNumber(String field, double defaultValue) {
     return node.path(field).asDouble(defaultValue);
   }
 
-  /** A number that is required, and not below the least; the least if it has a problem. */
+  /** Reads a required finite number of at least {@code min}; returns the minimum if invalid. */
   double requiredNumber(String field, double min) {
     if (node.isMissingNode()) {
       return min;
@@ -146,12 +149,15 @@
     return value.asDouble();
   }
 
-  /** The same for a number that is optional. */
+  /**
+   * Reads an optional finite number of at least {@code min}. Returns the default value if it is
+   * missing, and the minimum if it is invalid.
+   */
   double optionalNumber(String field, double min, double defaultValue) {
     return node.path(field).isMissingNode() ? defaultValue : requiredNumber(field, min);
   }
 
-  /** An address that is required. */
+  /** Reads a required IPv4 address with a port; returns 0.0.0.0:0 if it is invalid. */
   Address requiredAddress(String field) {
     String text = requiredString(field);
     if (text.isEmpty()) {
--- a/src/main/java/org/ploverspindle/settings/package-info.java
+++ b/src/main/java/org/ploverspindle/settings/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The platform's settings file (TOML), read and checked once at the start.
+ * The platform's settings file (TOML), which is read and checked once at startup.
  *
- * <p>Duty: turns the file into the immutable {@link org.ploverspindle.settings.Settings Settings},
- * and reports every problem with its line at once; names limits that are valid but too small for
- * the deployment. Owns: the names of the file's fields and their allowed ranges.
+ * <p>Responsibility: turns the file into the immutable {@link org.ploverspindle.settings.Settings
+ * Settings}; reports all problems together, each with its line; warns of limits that are valid but
+ * too small for the deployment. Owns: the names of the file's fields and their allowed ranges.
  *
  * <p>May depend on: nothing of this project.
  */
--- a/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
+++ b/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
@@ -4,42 +4,49 @@
 import java.util.List;
 
 /**
- * Adaptive Sizing of GEP-24 (section 3.1) for one pool, that is, one machine type: how many
- * machines each zone's group must and may hold. The functions are pure, so any leader computes the
- * same bounds from the same state.
+ * Adaptive Sizing of GEP-24 (section 3.1) for one pool, which is all machines of one machine type.
+ * Computes how many machines the group of each zone must have at least and may have at most. The
+ * functions are pure, so that any leader computes the same bounds from the same state.
  */
 public final class AdaptiveSizing {
 
   /**
-   * A zone's group.
+   * The machines of the pool in one zone.
    *
-   * @param held machines that it holds, requested ones included
-   * @param backedOff whether requests for it fail at present
+   * @param held number of machines in the group, including requested ones
+   * @param backedOff whether the group is in backoff, since provisioning requests for it have
+   *     failed
    */
   public record Group(int held, boolean backedOff) {}
 
-  /** How many machines a group must hold at least and may hold at most. */
+  /** The number of machines that a group must have at least and may have at most. */
   public record Bounds(int min, int max) {}
 
   private AdaptiveSizing() {}
 
   /**
-   * The share of one zone when a number is distributed over all, GEP-24's DistributeOverZones:
-   * earlier zones take the remainder.
+   * The share of one zone when a number is distributed evenly over all zones (DistributeOverZones
+   * in GEP-24). Each of the first zones gets one more until the remainder is used up.
+   *
+   * @param zone index of the zone, counted from 0
+   * @param number the number to distribute
+   * @param zones how many zones there are
    */
   public static int distribute(int zone, int number, int zones) {
     return number / zones + (zone < number % zones ? 1 : 0);
   }
 
   /**
-   * Bounds of every group, in the order of the zones.
+   * The bounds of every group, in the order of the zones.
    *
-   * <p>With all groups backed off every minimum is 0, as no group is left to take them over. A
-   * maximum is never below 0, also when more is held than the pool may have. Where a maximum is
-   * below the minimum, callers must respect the maximum.
+   * <p>The minimums of groups in backoff are distributed over the other groups. If all groups are
+   * in backoff, every minimum is 0, since no group is left to take them over. A maximum is never
+   * below 0, even if the pool has more machines than its maximum. Where a group's maximum is below
+   * its minimum, callers must respect the maximum.
    *
-   * @param poolMin machines that the pool must hold
-   * @param poolMax machines that the pool may hold
+   * @param poolMin number of machines that the pool must have at least
+   * @param poolMax number of machines that the pool may have at most
+   * @param groups the groups of the pool, in the order of the zones
    */
   public static List<Bounds> bounds(int poolMin, int poolMax, List<Group> groups) {
     int zones = groups.size();
--- a/src/test/java/org/ploverspindle/cli/CheckCommandTest.java
+++ b/src/test/java/org/ploverspindle/cli/CheckCommandTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** What {@code check} prints about the fleet that the settings can carry. */
+/**
+ * Guards against a {@code check} command that doesn't report a quota too small for the planned
+ * fleet, or that prints a largest fleet for which the settings don't suffice.
+ */
 class CheckCommandTest {
   private static final int OK = 0;
   private static final int INVALID_INPUT = 2;
--- a/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
+++ b/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
@@ -13,6 +13,11 @@
 import org.ploverspindle.settings.Settings;
 import org.ploverspindle.settings.SettingsFile;
 
+/**
+ * Guards against wrong operator precedence in policy expressions, and against invalid lines that
+ * are accepted or reported without a helpful message. An error must be found in the branch of an
+ * "if" that is not selected, too, and a deeply nested expression must not overflow the stack.
+ */
 class PolicyFileTest {
   private static Settings settings() throws Exception {
     try (InputStream in = PolicyFileTest.class.getResourceAsStream("/rehearsal.toml")) {
--- a/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
+++ b/src/test/java/org/ploverspindle/settings/FleetRequirementsTest.java
@@ -7,7 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A limit that can't carry a fleet is named with one that can, and that one is enough. */
+/**
+ * Guards against wrong sizing advice. Each quota that is too small for a fleet must be reported,
+ * the value reported as required must suffice, and the largest fleet must be exact: one machine
+ * more no longer fits.
+ */
 class FleetRequirementsTest {
   private static final int LARGE_FLEET_MACHINES = 6_000;
 
--- a/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
+++ b/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
@@ -9,6 +9,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against settings that are accepted though invalid, and against problems that are reported
+ * without their field and line, or one at a time. Also covers the warnings about limits that are
+ * too small, and the choice of the smaller one of the current and the next limits.
+ */
 class SettingsFileTest {
   public static String sampleText() throws IOException {
     try (var in = SettingsFileTest.class.getResourceAsStream("/rehearsal.toml")) {
--- a/src/test/java/org/ploverspindle/sizing/AdaptiveSizingTest.java
+++ b/src/test/java/org/ploverspindle/sizing/AdaptiveSizingTest.java
@@ -11,6 +11,10 @@
 import org.ploverspindle.sizing.AdaptiveSizing.Bounds;
 import org.ploverspindle.sizing.AdaptiveSizing.Group;
 
+/**
+ * Guards against bounds that deviate from GEP-24. Expected values come from its published tables,
+ * and, for random pools (seed 5), from a reference model that assigns machines one at a time.
+ */
 class AdaptiveSizingTest {
   private static List<Bounds> bounds(int poolMin, int poolMax, String held, String backoff) {
     List<Group> groups = new ArrayList<>();
@@ -33,8 +37,10 @@
   }
 
   /**
-   * GEP-24 3.1, pool 3:4 over three zones. Scan 4 of the backoff follows the formula, not the
-   * table.
+   * Cases of GEP-24, section 3.1: a pool with minimum 3 and maximum 4 over three zones. Columns:
+   * name of the scan, machines in each zone, zones in backoff ("b"), expected minimum:maximum of
+   * each zone. For scan 4 of the backoff the expected values follow the formula of GEP-24, which
+   * differs from its table.
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
@@ -82,7 +88,8 @@
   }
 
   /**
-   * Deals the minimum out one machine at a time, then the backed-off zones' shares the same way.
+   * Assigns the pool's minimum to the zones one machine at a time in turn, then the shares of the
+   * zones in backoff to the other zones in the same way.
    */
   private static List<Bounds> referenceBounds(int min, int max, List<Group> groups) {
     int[] mins = new int[groups.size()];
