--- a/src/main/java/org/ploverspindle/cli/BoundsCommand.java
+++ b/src/main/java/org/ploverspindle/cli/BoundsCommand.java
@@ -17,23 +17,39 @@
 @Command(
     name = "bounds",
     mixinStandardHelpOptions = true,
-    description = "Prints the bounds that a scan gives each zone of a pool.")
+    description = "Prints the bounds that Adaptive Sizing gives a pool in each zone.")
 final class BoundsCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
-  @Option(names = "--min", required = true, description = "The pool's minimum.")
+  @Option(
+      names = "--min",
+      required = true,
+      description = "Minimum number of machines in the pool, 0 or more.")
   private int min;
 
-  @Option(names = "--max", required = true, description = "The pool's maximum.")
+  @Option(
+      names = "--max",
+      required = true,
+      description = "Maximum number of machines in the pool, not below --min.")
   private int max;
 
-  @Option(names = "--zones", split = ",", required = true, description = "Zones, in order.")
+  @Option(
+      names = "--zones",
+      split = ",",
+      required = true,
+      description = "Names of the zones, separated by commas; earlier ones get the remainder.")
   private List<String> zones;
 
-  @Option(names = "--held", split = ",", description = "Machines held in each zone; default 0.")
+  @Option(
+      names = "--held",
+      split = ",",
+      description = "Number of machines in each zone, in the order of --zones; default: all 0.")
   private List<Integer> held = List.of();
 
-  @Option(names = "--backed-off", split = ",", description = "Zones whose rentals failed.")
+  @Option(
+      names = "--backed-off",
+      split = ",",
+      description = "Zones in backoff, since provisioning requests for them failed; default: none.")
   private List<String> backedOff = List.of();
 
   @Override
@@ -62,15 +78,24 @@
 
   private void check() {
     if (min < 0 || max < min) {
-      throw invalid("--min must be 0 or more and --max not below it");
+      throw invalid(
+          "--min must be at least 0 and --max at least --min; --min is "
+              + min
+              + " and --max is "
+              + max);
     }
     if (!held.isEmpty()
         && (held.size() != zones.size() || held.stream().anyMatch(count -> count < 0))) {
-      throw invalid("--held needs a count of 0 or more for each zone");
+      throw invalid(
+          "--held must give a number of at least 0 for each of the "
+              + zones.size()
+              + " zones, and is "
+              + held);
     }
     for (String zone : backedOff) {
       if (!zones.contains(zone)) {
-        throw invalid("--backed-off names " + zone + ", which is not among the zones");
+        throw invalid(
+            "--backed-off has the zone \"" + zone + "\", which is not one of --zones " + zones);
       }
     }
   }
--- a/src/main/java/org/ploverspindle/cli/CheckCommand.java
+++ b/src/main/java/org/ploverspindle/cli/CheckCommand.java
@@ -22,20 +22,28 @@
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
-    description = "Checks settings and policy; prints every problem. Exit code 2 on any.")
+    description = "Checks settings and policy and prints all errors; exit code 2 if there is any.")
 final class CheckCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
-  @Option(names = "--config", paramLabel = "FILE", required = true, description = "The settings.")
+  @Option(
+      names = "--config",
+      paramLabel = "FILE",
+      required = true,
+      description = "The platform's settings file (TOML).")
   private Path config;
 
-  @Option(names = "--policy", paramLabel = "FILE", description = "The policy, if any.")
+  @Option(
+      names = "--policy",
+      paramLabel = "FILE",
+      description = "The operators' policy file; default values apply without it.")
   private Optional<Path> policy = Optional.empty();
 
   @Option(
       names = "--machines",
       paramLabel = "N",
-      description = "The largest fleet that is planned: names what can't carry it.")
+      description =
+          "Planned number of machines, 1 or more: warns of each quota that is too small for it.")
   private Optional<Integer> machines = Optional.empty();
 
   @Override
@@ -59,15 +67,15 @@
     out.println("valid: " + settings.member() + ", " + checked);
     out.printf(
         Locale.ROOT,
-        "state service: %s requests/s, %s changes/s, %s KiB a value, %d changes a transaction"
-            + " are kept to%n",
+        "state service: limits in effect are %s requests/s, %s changes/s, %s KiB per value,"
+            + " %d changes per transaction%n",
         state.requestsPerS(),
         state.changesPerS(),
         state.maxValueKib(),
         state.maxChangesPerTransaction());
     out.printf(
         Locale.ROOT,
-        "fleet: up to %d machines, by sockets, memory and processor share%n",
+        "fleet: up to %d machines with this quota of sockets, memory and processor cores%n",
         FleetRequirements.maxMachines(settings));
   }
 
--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -29,9 +29,9 @@
     description = "Runs a controller of the cluster scheduler.",
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
-      "0:all is well",
-      "1:it could not be done, as the message says",
-      "2:the command line, the settings or the policy are invalid"
+      "0:success",
+      "1:the command failed; the error message says why",
+      "2:the command line, the settings or the policy is invalid"
     },
     subcommands = {
       CheckCommand.class,
@@ -61,13 +61,13 @@
   @Option(
       names = "--config",
       paramLabel = "FILE",
-      description = "The platform's settings (TOML); runs the service.")
+      description = "The platform's settings file (TOML); runs a controller with these settings.")
   private Optional<Path> config = Optional.empty();
 
   @Option(
       names = "--policy",
       paramLabel = "FILE",
-      description = "Operators' own settings; see docs/operations.md.")
+      description = "The operators' policy file; see docs/operations.md.")
   private Optional<Path> policyOrDefault = Optional.empty();
 
   private Main() {}
@@ -100,7 +100,7 @@
     } catch (InvalidSettingsException e) {
       System.err.println(e.getMessage());
     } catch (IOException e) {
-      System.err.println("failed: " + e);
+      System.err.println("controller could not be started: " + e);
     }
     return false;
   }
@@ -117,7 +117,10 @@
         .setExecutionExceptionHandler(
             (e, line, parsed) -> {
               line.getErr()
-                  .println(e instanceof InvalidSettingsException ? e.getMessage() : "failed: " + e);
+                  .println(
+                      e instanceof InvalidSettingsException
+                          ? e.getMessage()
+                          : "command failed: " + e);
               return e instanceof InvalidSettingsException ? INVALID_INPUT : OPERATION_FAILED;
             });
   }
@@ -143,7 +146,7 @@
   public Integer call() throws Exception {
     if (config.isEmpty()) {
       PrintWriter err = spec.commandLine().getErr();
-      err.println("--config FILE or a command is needed");
+      err.println("either --config FILE or a command must be given");
       spec.commandLine().usage(err);
       return INVALID_INPUT;
     }
--- a/src/main/java/org/ploverspindle/cli/RehearseCommand.java
+++ b/src/main/java/org/ploverspindle/cli/RehearseCommand.java
@@ -26,7 +26,10 @@
  * creates the class-data archive from the classes that are loaded during the run. A class that is
  * missing from the archive is later loaded from the jar, which is slow on a small machine.
  */
-@Command(name = "rehearse", hidden = true, description = "Used by the build.")
+@Command(
+    name = "rehearse",
+    hidden = true,
+    description = "Loads the classes for the build's class-data archive.")
 final class RehearseCommand implements Callable<Integer> {
   private static final String OWN_CLASSES_PREFIX = "org/ploverspindle/";
   private static final String CLASS_SUFFIX = ".class";
@@ -88,7 +91,8 @@
     body.putArray("flavours").add("a").addObject().put("b", NEGATIVE);
     byte[] bytes = Cbor.write(body);
     if (!Cbor.readMap(bytes).equals(Optional.of(body))) {
-      throw new IllegalStateException("CBOR that was written is not what was read");
+      throw new IllegalStateException(
+          "sample body differs after it was encoded as CBOR and decoded: " + body);
     }
     return bytes;
   }
--- a/src/main/java/org/ploverspindle/cli/StatusCommand.java
+++ b/src/main/java/org/ploverspindle/cli/StatusCommand.java
@@ -19,19 +19,21 @@
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
-    description = "Asks a controller and prints what it says.")
+    description = "Prints the status of a controller or of one job.")
 final class StatusCommand implements Callable<Integer> {
   private static final int TIMEOUT_MS = 3_000;
 
   @Spec private CommandSpec spec;
 
-  @Parameters(paramLabel = "ADDRESS", description = "Its front address, as in 10.0.0.1:8080.")
+  @Parameters(
+      paramLabel = "ADDRESS",
+      description = "The controller's user address (front in its settings), as in 10.0.0.1:8080.")
   private String address;
 
   @Option(
       names = "--job",
       paramLabel = "UID",
-      description = "Asks about one job instead: how it is, and what it awaits.")
+      description = "Prints the status of this job instead, and the jobs that it depends on.")
   private Optional<String> job = Optional.empty();
 
   @Override
--- a/src/main/java/org/ploverspindle/policy/Evaluator.java
+++ b/src/main/java/org/ploverspindle/policy/Evaluator.java
@@ -21,7 +21,9 @@
    */
   double numericValue(Expression expression) throws PolicyException {
     if (isComparison(expression)) {
-      throw new PolicyException(expression.column(), "a comparison is no amount");
+      throw new PolicyException(
+          expression.column(),
+          "expected a number but found a comparison, which may only stand between if and then");
     }
     if (expression instanceof Expression.If choice) {
       return evaluateIf(choice);
@@ -53,7 +55,7 @@
     if (value == null) {
       String known = valuesByName.keySet().stream().sorted().collect(Collectors.joining(", "));
       throw new PolicyException(
-          name.column(), "unknown name \"" + name.name() + "\"; known are " + known);
+          name.column(), "unknown name \"" + name.name() + "\"; known names are " + known);
     }
     return value;
   }
@@ -65,7 +67,9 @@
 
   private boolean evaluateComparison(Expression expression) throws PolicyException {
     if (!(expression instanceof Expression.Binary comparison) || !isComparison(expression)) {
-      throw new PolicyException(expression.column(), "a comparison is needed here");
+      throw new PolicyException(
+          expression.column(),
+          "expected a comparison between if and then, as in: if nodes > 1 then 5 else 6");
     }
     double left = numericValue(comparison.left());
     double right = numericValue(comparison.right());
@@ -82,7 +86,7 @@
     double left = numericValue(binary.left());
     double right = numericValue(binary.right());
     if (binary.operator().equals("/") && right == 0) {
-      throw new PolicyException(binary.column(), "division by zero");
+      throw new PolicyException(binary.column(), "division by zero: the value after / is 0");
     }
     return switch (binary.operator()) {
       case "+" -> left + right;
@@ -96,7 +100,8 @@
     boolean max = call.function().equals("max");
     if (!max && !call.function().equals("min")) {
       throw new PolicyException(
-          call.column(), "unknown function \"" + call.function() + "\"; known are max, min");
+          call.column(),
+          "unknown function \"" + call.function() + "\"; known functions are max and min");
     }
     double result = numericValue(call.arguments().get(0));
     for (Expression argument : call.arguments()) {
--- a/src/main/java/org/ploverspindle/policy/Parser.java
+++ b/src/main/java/org/ploverspindle/policy/Parser.java
@@ -54,7 +54,7 @@
     while (position < line.length() && !line.substring(position).isBlank()) {
       if (!matcher.find(position) || matcher.start() != position) {
         throw new PolicyException(
-            position + 1, "unexpected \"" + line.substring(position).strip() + "\"");
+            position + 1, "unexpected text \"" + line.substring(position).strip() + "\"");
       }
       Kind kind = kind(matcher);
       int group = kind.ordinal() + 1;
@@ -99,7 +99,7 @@
   private void expect(String text) throws PolicyException {
     if (!accept(text)) {
       throw new PolicyException(
-          peek().column(), "expected \"" + text + "\" and found " + peek().text());
+          peek().column(), "expected \"" + text + "\" but found " + peek().text());
     }
   }
 
@@ -111,7 +111,8 @@
   String parseTarget() throws PolicyException {
     Token token = advance();
     if (token.kind() != Kind.WORD) {
-      throw new PolicyException(token.column(), "a line must begin with a setting's name");
+      throw new PolicyException(
+          token.column(), "expected a setting's name but found " + token.text());
     }
     String target = token.text();
     if (target.equals("pool")) {
@@ -119,7 +120,8 @@
       Token bound = advance();
       if (type.kind() != Kind.QUOTED
           || !bound.text().equals("min") && !bound.text().equals("max")) {
-        throw new PolicyException(token.column(), "expected: pool \"TYPE\" min or max");
+        throw new PolicyException(
+            token.column(), "expected: pool \"TYPE\" min = VALUE or pool \"TYPE\" max = VALUE");
       }
       target = "pool/" + type.text() + "/" + bound.text();
     }
@@ -131,14 +133,16 @@
   Expression parseExpression() throws PolicyException {
     Expression expression = parseIfOrComparison();
     if (peek().kind() != Kind.END) {
-      throw new PolicyException(peek().column(), "unexpected " + peek().text());
+      throw new PolicyException(
+          peek().column(), "unexpected " + peek().text() + " after the end of the expression");
     }
     return expression;
   }
 
   private Expression parseIfOrComparison() throws PolicyException {
     if (++depth > MAX_DEPTH) {
-      throw new PolicyException(peek().column(), "nested too deeply");
+      throw new PolicyException(
+          peek().column(), "expression nested too deeply, more than " + MAX_DEPTH + " levels");
     }
     try {
       int column = peek().column();
@@ -203,14 +207,17 @@
       return inner;
     }
     if (token.kind() != Kind.WORD) {
-      throw new PolicyException(token.column(), "expected a value and found " + token.text());
+      throw new PolicyException(
+          token.column(),
+          "expected a number, a name, a function call, \"-\" or \"(\" but found " + token.text());
     }
     return accept("(") ? parseCall(token) : new Expression.Name(token.text(), token.column());
   }
 
   private Expression parseNegation(Token sign) throws PolicyException {
     if (++depth > MAX_DEPTH) {
-      throw new PolicyException(sign.column(), "nested too deeply");
+      throw new PolicyException(
+          sign.column(), "expression nested too deeply, more than " + MAX_DEPTH + " levels");
     }
     Expression operand = parseUnary();
     depth--;
--- a/src/main/java/org/ploverspindle/policy/PolicyFile.java
+++ b/src/main/java/org/ploverspindle/policy/PolicyFile.java
@@ -74,10 +74,12 @@
       return parse(path.toString(), Files.readString(path), settings);
     } catch (NoSuchFileException e) {
       throw new InvalidSettingsException(
-          List.of(new SettingsProblem(path.toString(), 0, "", "there is no such file")));
+          List.of(new SettingsProblem(path.toString(), 0, "", "file not found")));
     } catch (IOException e) {
       throw new InvalidSettingsException(
-          List.of(new SettingsProblem(path.toString(), 0, "", "can't be read: " + e.getMessage())));
+          List.of(
+              new SettingsProblem(
+                  path.toString(), 0, "", "the file can't be read: " + e.getMessage())));
     }
   }
 
@@ -114,7 +116,7 @@
       Range range = rangeOf(target);
       Expression expression = parser.parseExpression();
       if (!assignedTargets.add(target)) {
-        throw new PolicyException(1, "stands twice");
+        throw new PolicyException(1, "this setting is set more than once");
       }
       double value = evaluator.numericValue(expression);
       if (range.excludes(value)) {
@@ -130,7 +132,14 @@
     String kind = range.whole() ? "a whole number " : "";
     return new PolicyException(
         expression.column(),
-        "is " + value + " and must be " + kind + "from " + range.min() + " to " + range.max());
+        "the value is "
+            + value
+            + " and must be "
+            + kind
+            + "from "
+            + range.min()
+            + " to "
+            + range.max());
   }
 
   private static Range rangeOf(String target) throws PolicyException {
@@ -139,8 +148,9 @@
     if (range == null) {
       throw new PolicyException(
           1,
-          "unknown setting; known are "
-              + String.join(", ", RANGES.keySet().stream().sorted().toList()));
+          "unknown setting; known settings are "
+              + String.join(", ", RANGES.keySet().stream().sorted().toList())
+              + ", pool \"TYPE\" min and pool \"TYPE\" max");
     }
     return range;
   }
--- a/src/main/java/org/ploverspindle/settings/LimitChecks.java
+++ b/src/main/java/org/ploverspindle/settings/LimitChecks.java
@@ -63,8 +63,9 @@
     return warningIf(
         rps < needed,
         stateField("rps", settings.stateLimits().requestsPerS(), rps),
-        "%.1f requests a second are fewer than the %.1f that %d controllers need with"
-            + " nothing to do: answers will be late and the lead may change hands",
+        "%.1f requests per second are fewer than the %.1f that a deployment of %d controllers needs"
+            + " without any load: responses will be late, and leadership may pass to another"
+            + " controller",
         rps,
         needed,
         settings.controllerCount());
@@ -75,8 +76,10 @@
     return warningIf(
         writeRps < MIN_WRITE_RPS,
         stateField("write_rps", settings.stateLimits().changesPerS(), writeRps),
-        "%.1f changes a second: each start waits for its record for up to %.1f s",
+        "%.1f changes per second are fewer than the recommended %.1f: each start of a task"
+            + " waits up to %.1f s until its record is written",
         writeRps,
+        MIN_WRITE_RPS,
         2 / Math.max(MIN_RATE_FOR_WAIT, writeRps));
   }
 
@@ -85,9 +88,10 @@
     return warningIf(
         limits.maxValueBytes() < MIN_VALUE_BYTES,
         stateField("value_kb", settings.stateLimits().maxValueKib(), limits.maxValueKib()),
-        "%d bytes hold no record for certain: jobs with longer descriptions are refused"
-            + " with 422, and tasks may not start",
-        limits.maxValueBytes());
+        "a maximum value size of %d bytes is below the recommended %d: jobs whose description"
+            + " does not fit are refused with status 422, and tasks may not start",
+        limits.maxValueBytes(),
+        MIN_VALUE_BYTES);
   }
 
   /**
@@ -101,9 +105,10 @@
     return warningIf(
         graceS < workers.leaseS(),
         "params.workers.cancel_s",
-        "only %.1f s above the lease: a state service that is away for longer costs the"
-            + " running tasks",
-        Math.max(0, graceS));
+        "a leader can respond to heartbeats for only about %.1f s without the state service,"
+            + " and %.1f s (lease_s) are recommended: a longer outage of it ends the running tasks",
+        Math.max(0, graceS),
+        workers.leaseS());
   }
 
   private static Optional<Warning> warningIf(
--- a/src/main/java/org/ploverspindle/settings/SettingsFile.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsFile.java
@@ -27,9 +27,9 @@
     try {
       return parse(path.toString(), Files.readString(path));
     } catch (NoSuchFileException e) {
-      throw invalid(path.toString(), 0, "there is no such file");
+      throw invalid(path.toString(), 0, "file not found");
     } catch (IOException e) {
-      throw invalid(path.toString(), 0, "can't be read: " + e.getMessage());
+      throw invalid(path.toString(), 0, "the file can't be read: " + e.getMessage());
     }
   }
 
@@ -56,7 +56,7 @@
     } catch (JsonProcessingException e) {
       JsonLocation location = e.getLocation();
       int line = location == null ? 0 : location.getLineNr();
-      throw invalid(file, line, "not TOML: " + e.getOriginalMessage());
+      throw invalid(file, line, "invalid TOML: " + e.getOriginalMessage());
     }
   }
 
--- a/src/main/java/org/ploverspindle/settings/SettingsReader.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsReader.java
@@ -61,7 +61,9 @@
 
   private static List<String> zones(TomlSection params) {
     return params.requiredStrings(
-        "zones", "a list of at least one zone is needed", "every zone must be a name");
+        "zones",
+        "must be a list of at least one zone name",
+        "every zone name must be a string that is not blank");
   }
 
   private static List<Settings.Team> teams(TomlSection params) {
@@ -76,7 +78,7 @@
               team.requiredNumber("gpus_max", 0)));
     }
     if (teams.isEmpty()) {
-      params.report("teams", "at least one team is needed");
+      params.report("teams", "at least one [[params.teams]] table is required");
     }
     return teams;
   }
--- a/src/main/java/org/ploverspindle/settings/SettingsRules.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsRules.java
@@ -15,7 +15,12 @@
     if (settings.workers().leaseS() >= settings.workers().cancelS()) {
       problems.report(
           "params.workers.cancel_s",
-          "must be longer than lease_s: a machine that is cut off stops only when its lease ends");
+          "must be greater than lease_s, and is "
+              + settings.workers().cancelS()
+              + " with lease_s = "
+              + settings.workers().leaseS()
+              + ": a machine without a connection stops its tasks only when its worker lease"
+              + " expires");
     }
   }
 
@@ -23,7 +28,9 @@
     Set<String> names = new HashSet<>(Set.of(settings.member()));
     for (Settings.Member member : settings.members()) {
       if (!names.add(member.name())) {
-        problems.report("members.member", "\"" + member.name() + "\" stands twice");
+        problems.report(
+            "members.member",
+            "the name \"" + member.name() + "\" is used more than once; it must be unique");
       }
     }
   }
@@ -32,12 +39,25 @@
     Set<String> names = new HashSet<>();
     for (Settings.Team team : teams) {
       if (!names.add(team.name())) {
-        problems.report("params.teams.name", "\"" + team.name() + "\" stands twice");
+        problems.report(
+            "params.teams.name",
+            "the name \"" + team.name() + "\" is used more than once; it must be unique");
       }
       if (isBelow(team.maxCores(), team.guaranteedCores())
           || isBelow(team.maxAccelerators(), team.guaranteedAccelerators())) {
         problems.report(
-            "params.teams.cpus_max", "the limit of \"" + team.name() + "\" is below its guarantee");
+            "params.teams.cpus_max",
+            "team \""
+                + team.name()
+                + "\" has a limit below its guarantee: cpus_max = "
+                + team.maxCores()
+                + " with cpus = "
+                + team.guaranteedCores()
+                + ", gpus_max = "
+                + team.maxAccelerators()
+                + " with gpus = "
+                + team.guaranteedAccelerators()
+                + "; a limit must be 0 (none) or at least the guarantee");
       }
     }
   }
--- a/src/main/java/org/ploverspindle/settings/TomlSection.java
+++ b/src/main/java/org/ploverspindle/settings/TomlSection.java
@@ -17,7 +17,7 @@
   private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}):(\\d{1,5})");
   private static final int MAX_PORT = 65_535;
   private static final Address NO_ADDRESS = new Address("0.0.0.0", 0);
-  private static final String MISSING = "is missing";
+  private static final String MISSING = "this required field is missing";
 
   private final JsonNode node;
 
@@ -60,7 +60,7 @@
       return subsection(field, table);
     }
     if (!node.isMissingNode()) {
-      report(field, "this table is missing");
+      report(field, "this required table is missing or not a table");
     }
     return subsection(field, MissingNode.getInstance());
   }
@@ -72,7 +72,7 @@
       return Optional.of(subsection(field, table));
     }
     if (!table.isMissingNode()) {
-      report(field, "must be a table");
+      report(field, "must be a table, and is " + table);
     }
     return Optional.empty();
   }
@@ -81,7 +81,7 @@
   List<TomlSection> optionalTableList(String field) {
     JsonNode list = node.path(field);
     if (!list.isMissingNode() && !list.isArray()) {
-      report(field, "must be a list of tables");
+      report(field, "must be a list of tables, and is " + list);
     }
     List<TomlSection> tables = new ArrayList<>();
     if (list.isArray()) {
@@ -94,7 +94,8 @@
    * Reads a required list of strings.
    *
    * @param ifEmpty message if the value is not a list, or the list is missing or empty
-   * @param ifInvalid message for each element that is not a string or is blank
+   * @param ifInvalid message for each element that is not a string or is blank; the element's value
+   *     is appended to it
    */
   List<String> requiredStrings(String field, String ifEmpty, String ifInvalid) {
     List<String> strings = new ArrayList<>();
@@ -105,7 +106,7 @@
     }
     for (JsonNode element : list) {
       if (!element.isTextual() || element.asText().isBlank()) {
-        report(field, ifInvalid);
+        report(field, ifInvalid + ", and one is " + element);
       } else {
         strings.add(element.asText());
       }
@@ -120,7 +121,9 @@
     }
     JsonNode value = node.path(field);
     if (!value.isTextual() || value.asText().isBlank()) {
-      report(field, value.isMissingNode() ? MISSING : "must be a text that is not empty");
+      report(
+          field,
+          value.isMissingNode() ? MISSING : "must be a string that is not blank, and is " + value);
       return "";
     }
     return value.asText();
@@ -143,7 +146,11 @@
     }
     JsonNode value = node.path(field);
     if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < min) {
-      report(field, value.isMissingNode() ? MISSING : "must be a number, " + min + " or more");
+      report(
+          field,
+          value.isMissingNode()
+              ? MISSING
+              : "must be a finite number of at least " + min + ", and is " + value);
       return min;
     }
     return value.asDouble();
@@ -165,7 +172,13 @@
     }
     Matcher matcher = ADDRESS.matcher(text);
     if (!matcher.matches() || Integer.parseInt(matcher.group(2)) > MAX_PORT) {
-      report(field, "must be an IP number and a port, as in 10.0.0.1:8080");
+      report(
+          field,
+          "must be an IPv4 address and a port of at most "
+              + MAX_PORT
+              + ", as in 10.0.0.1:8080, and is \""
+              + text
+              + "\"");
       return NO_ADDRESS;
     }
     return new Address(matcher.group(1), Integer.parseInt(matcher.group(2)));
--- a/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
+++ b/src/test/java/org/ploverspindle/policy/PolicyFileTest.java
@@ -46,19 +46,20 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "idle_s = 1 +| expected a value",
+        "idle_s = 1 +| expected a number, a name, a function call, \"-\" or \"(\" but found the end of"
+            + " the line (column 13)",
         "idle_s = lease_z| unknown name \"lease_z\"",
-        "idle_s = lease_s / 0| division by zero",
-        "idle_s = 1 < 2| a comparison is no amount",
-        "idle_s = if 1 then 2 else 3| a comparison is needed",
+        "idle_s = lease_s / 0| division by zero: the value after / is 0",
+        "idle_s = 1 < 2| expected a number but found a comparison",
+        "idle_s = if 1 then 2 else 3| expected a comparison between if and then",
         "idle_s = if 1 < 2 then 3 else nope| unknown name \"nope\"",
-        "idle_s = 0| must be from 1.0",
-        "pool_min = 1.5| must be a whole number",
-        "idle_z = 3| unknown setting",
-        "idle_s = 3 4| unexpected 4",
-        "idle_s = mean(1, 2)| unknown function",
-        "idle_s = 3 $| unexpected \"$\"",
-        "pool \"x\" middle = 3| expected: pool",
+        "idle_s = 0| the value is 0.0 and must be from 1.0 to 86400.0",
+        "pool_min = 1.5| the value is 1.5 and must be a whole number from 0.0 to 100000.0",
+        "idle_z = 3| unknown setting; known settings are backoff_s, ",
+        "idle_s = 3 4| unexpected 4 after the end of the expression",
+        "idle_s = mean(1, 2)| unknown function \"mean\"; known functions are max and min",
+        "idle_s = 3 $| unexpected text \"$\"",
+        "pool \"x\" middle = 3| expected: pool \"TYPE\" min = VALUE or pool \"TYPE\" max = VALUE",
       })
   void invalidLineIsRejectedWithAMessage(String line, String message) throws Exception {
     Settings settings = settings();
--- a/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
+++ b/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
@@ -46,14 +46,21 @@
     List<String> problems = problemsOf(invalid);
     assertEquals(3, problems.size(), problems.toString());
     assertTrue(problems.get(0).startsWith("s.toml:4: front: "), problems.get(0));
-    assertTrue(problems.get(1).contains("params.workers.report_s: must be a number"));
-    assertTrue(problems.get(2).endsWith("params.cloud.list_lag_s: is missing"));
+    assertTrue(
+        problems
+            .get(1)
+            .contains(
+                "params.workers.report_s: must be a finite number of at least 0.01, and is -1"),
+        problems.get(1));
+    assertTrue(problems.get(2).endsWith("params.cloud.list_lag_s: this required field is missing"));
   }
 
   @Test
   void missingTableIsReportedOnceAndNotForEachOfItsFields() throws Exception {
     List<String> problems = problemsOf(sampleText().replace("[params.state]", "[params.other]"));
-    assertEquals(List.of("s.toml:11: params.state: this table is missing"), problems);
+    assertEquals(
+        List.of("s.toml:11: params.state: this required table is missing or not a table"),
+        problems);
   }
 
   @Test
@@ -101,17 +108,22 @@
     String tooSmall = sampleText() + "\n[params.state.next]\nvalue_kb = 2.5\ntxn_ops = 3\n";
     assertEquals(
         List.of(
-            "s.toml:" + (lines + 3) + ": params.state.next.txn_ops: must be a number, 4.0 or more"),
+            "s.toml:"
+                + (lines + 3)
+                + ": params.state.next.txn_ops: must be a finite number of at least 4.0, and is 3"),
         problemsOf(tooSmall));
     String inlineTable =
         sampleText().replace("[params.state]", "[params.state]\nnext = { rps = \"no\" }");
     assertTrue(
         problemsOf(inlineTable)
             .get(0)
-            .startsWith("s.toml:28: params.state.next.rps: must be a number"),
+            .startsWith(
+                "s.toml:28: params.state.next.rps: must be a finite number of at least 1.0,"
+                    + " and is \"no\""),
         problemsOf(inlineTable).toString());
     String notATable = sampleText().replace("[params.state]", "[params.state]\nnext = 3");
-    assertEquals(List.of("s.toml:28: params.state.next: must be a table"), problemsOf(notATable));
+    assertEquals(
+        List.of("s.toml:28: params.state.next: must be a table, and is 3"), problemsOf(notATable));
   }
 
   @Test
