--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command line. */
+/** The entry point of the program and its top-level command, which runs a controller. */
 @Command(
     name = "ploverspindle",
     mixinStandardHelpOptions = true,
@@ -29,9 +29,9 @@
     description = "Runs a controller of the cluster scheduler.",
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
-      "0:all is well",
-      "1:it could not be done, as the message says",
-      "2:the command line, the settings or the policy are invalid"
+      "0:success",
+      "1:the command failed; the error message says why",
+      "2:the command line, the settings or the policy is invalid"
     },
     subcommands = {
       CheckCommand.class,
@@ -41,16 +41,19 @@
       CommandLine.HelpCommand.class
     })
 public final class Main implements Callable<Integer> {
-  /** Exit code of success. */
+  /** Exit code of a command that succeeded. */
   static final int OK = 0;
 
-  /** Exit code of what could not be done. */
-  static final int FAILED = 1;
+  /** Exit code of a command that was valid but failed. */
+  static final int OPERATION_FAILED = 1;
 
-  /** Exit code of an invalid command line, settings or policy. */
-  static final int INVALID = 2;
+  /** Exit code if the command line, the settings or the policy are invalid. */
+  static final int INVALID_INPUT = 2;
 
-  /** Not an exit code: the process goes on, kept alive by the threads of the service. */
+  /**
+   * Returned in place of an exit code after the controller has started: the process must not exit,
+   * and the controller's threads keep it alive.
+   */
   private static final int RUNNING = -1;
 
   @Spec private CommandSpec spec;
@@ -58,23 +61,23 @@
   @Option(
       names = "--config",
       paramLabel = "FILE",
-      description = "The platform's settings (TOML); runs the service.")
+      description = "The platform's settings file (TOML); runs a controller with these settings.")
   private Optional<Path> config = Optional.empty();
 
   @Option(
       names = "--policy",
       paramLabel = "FILE",
-      description = "Operators' own settings; see docs/operations.md.")
-  private Optional<Path> policy = Optional.empty();
+      description = "The operators' policy file; see docs/operations.md.")
+  private Optional<Path> policyOrDefault = Optional.empty();
 
   private Main() {}
 
-  /** The entry point of the program; see the class for the exit codes. */
+  /** Runs the command line; the exit codes are listed in the annotation of this class. */
   public static void main(String[] args) {
     setUpLogging();
     if (args.length == 2 && args[0].equals("--config")) {
-      if (!startAtOnce(Path.of(args[1]))) {
-        System.exit(INVALID);
+      if (!startWithoutPicocli(Path.of(args[1]))) {
+        System.exit(INVALID_INPUT);
       }
       return;
     }
@@ -85,10 +88,11 @@
   }
 
   /**
-   * The platform's start, {@code --config FILE} and no more, without picocli: a class-data archive
-   * can't hold its classes, and reading them from the jar would slow down the start.
+   * Starts the controller for the command line that the platform uses, {@code --config FILE}
+   * without other arguments. It avoids picocli, whose classes a class-data archive can't hold: to
+   * load them from the jar would slow down the start. Returns whether the controller was started.
    */
-  private static boolean startAtOnce(Path config) {
+  private static boolean startWithoutPicocli(Path config) {
     try {
       Settings settings = SettingsFile.load(config);
       run(settings, Policy.DEFAULT);
@@ -96,7 +100,7 @@
     } catch (InvalidSettingsException e) {
       System.err.println(e.getMessage());
     } catch (IOException e) {
-      System.err.println("failed: " + e);
+      System.err.println("controller could not be started: " + e);
     }
     return false;
   }
@@ -113,8 +117,11 @@
         .setExecutionExceptionHandler(
             (e, line, parsed) -> {
               line.getErr()
-                  .println(e instanceof InvalidSettingsException ? e.getMessage() : "failed: " + e);
-              return e instanceof InvalidSettingsException ? INVALID : FAILED;
+                  .println(
+                      e instanceof InvalidSettingsException
+                          ? e.getMessage()
+                          : "command failed: " + e);
+              return e instanceof InvalidSettingsException ? INVALID_INPUT : OPERATION_FAILED;
             });
   }
 
@@ -129,8 +136,9 @@
     System.setProperty("org.jboss.logging.provider", "slf4j");
   }
 
-  /** The policy of the file, or the defaults. */
-  static Policy policy(Optional<Path> file, Settings settings) throws InvalidSettingsException {
+  /** The policy in the file, or the default policy if no file is given. */
+  static Policy policyOrDefault(Optional<Path> file, Settings settings)
+      throws InvalidSettingsException {
     return file.isPresent() ? PolicyFile.load(file.get(), settings) : Policy.DEFAULT;
   }
 
@@ -138,12 +146,12 @@
   public Integer call() throws Exception {
     if (config.isEmpty()) {
       PrintWriter err = spec.commandLine().getErr();
-      err.println("--config FILE or a command is needed");
+      err.println("either --config FILE or a command must be given");
       spec.commandLine().usage(err);
-      return INVALID;
+      return INVALID_INPUT;
     }
     Settings settings = SettingsFile.load(config.get());
-    run(settings, policy(policy, settings));
+    run(settings, policyOrDefault(policyOrDefault, settings));
     return RUNNING;
   }
 }
--- a/src/main/java/org/ploverspindle/policy/PolicyFile.java
+++ b/src/main/java/org/ploverspindle/policy/PolicyFile.java
@@ -16,8 +16,9 @@
 import org.ploverspindle.settings.SettingsProblem;
 
 /**
- * Reads a policy: a line a setting, {@code NAME = EXPRESSION} or {@code pool "TYPE" min =
- * EXPRESSION}; {@code #} begins a comment. Expressions may use amounts of the platform's settings.
+ * Reads a policy. Each line gives one setting, as {@code NAME = EXPRESSION}, {@code pool "TYPE" min
+ * = EXPRESSION} or {@code pool "TYPE" max = EXPRESSION}; {@code #} begins a comment. Expressions
+ * may refer to numbers of the platform's settings by name.
  */
 public final class PolicyFile {
   private record Range(double min, double max, boolean whole) {
@@ -26,7 +27,7 @@
     }
   }
 
-  private static final Map<String, Range> KNOWN =
+  private static final Map<String, Range> RANGES =
       Map.of(
           "scan_s", new Range(0.5, 600, false),
           "backoff_s", new Range(1, 3_600, false),
@@ -40,27 +41,27 @@
   private final String file;
   private final Evaluator evaluator;
   private final Map<String, Double> values = new LinkedHashMap<>();
-  private final Set<String> seen = new HashSet<>();
+  private final Set<String> assignedTargets = new HashSet<>();
   private final List<SettingsProblem> problems = new ArrayList<>();
 
   private PolicyFile(String file, Settings settings) {
     this.file = file;
-    this.evaluator = new Evaluator(names(settings));
+    this.evaluator = new Evaluator(valuesByName(settings));
   }
 
-  private static Map<String, Double> names(Settings settings) {
-    Map<String, Double> names = new HashMap<>();
-    names.put("nodes", (double) settings.controllerCount());
-    names.put("zones", (double) settings.zones().size());
-    names.put("teams", (double) settings.teams().size());
-    names.put("report_s", settings.workers().heartbeatIntervalS());
-    names.put("lease_s", settings.workers().leaseS());
-    names.put("cancel_s", settings.workers().cancelS());
-    names.put("state_rps", settings.effectiveStateLimits().requestsPerS());
-    names.put("state_write_rps", settings.effectiveStateLimits().changesPerS());
-    names.put("cloud_rps", settings.cloudLimits().requestsPerS());
-    names.put("list_lag_s", settings.cloudLimits().maxListLagS());
-    return names;
+  private static Map<String, Double> valuesByName(Settings settings) {
+    Map<String, Double> values = new HashMap<>();
+    values.put("nodes", (double) settings.controllerCount());
+    values.put("zones", (double) settings.zones().size());
+    values.put("teams", (double) settings.teams().size());
+    values.put("report_s", settings.workers().heartbeatIntervalS());
+    values.put("lease_s", settings.workers().leaseS());
+    values.put("cancel_s", settings.workers().cancelS());
+    values.put("state_rps", settings.effectiveStateLimits().requestsPerS());
+    values.put("state_write_rps", settings.effectiveStateLimits().changesPerS());
+    values.put("cloud_rps", settings.cloudLimits().requestsPerS());
+    values.put("list_lag_s", settings.cloudLimits().maxListLagS());
+    return values;
   }
 
   /**
@@ -73,17 +74,19 @@
       return parse(path.toString(), Files.readString(path), settings);
     } catch (NoSuchFileException e) {
       throw new InvalidSettingsException(
-          List.of(new SettingsProblem(path.toString(), 0, "", "there is no such file")));
+          List.of(new SettingsProblem(path.toString(), 0, "", "file not found")));
     } catch (IOException e) {
       throw new InvalidSettingsException(
-          List.of(new SettingsProblem(path.toString(), 0, "", "can't be read: " + e.getMessage())));
+          List.of(
+              new SettingsProblem(
+                  path.toString(), 0, "", "the file can't be read: " + e.getMessage())));
     }
   }
 
   /**
-   * Reads a text.
+   * Reads a policy from a string.
    *
-   * @param file the name that problems are reported under
+   * @param file the file name that is shown with each problem
    * @throws InvalidSettingsException with every problem that was found
    */
   public static Policy parse(String file, String text, Settings settings)
@@ -91,16 +94,16 @@
     PolicyFile reader = new PolicyFile(file, settings);
     List<String> lines = text.lines().toList();
     for (int i = 0; i < lines.size(); i++) {
-      reader.line(i + 1, lines.get(i));
+      reader.readLine(i + 1, lines.get(i));
     }
-    Policy policy = reader.policy();
+    Policy policy = reader.buildPolicy();
     if (!reader.problems.isEmpty()) {
       throw new InvalidSettingsException(reader.problems);
     }
     return policy;
   }
 
-  private void line(int number, String line) {
+  private void readLine(int number, String line) {
     int comment = line.indexOf('#');
     String code = comment < 0 ? line : line.substring(0, comment);
     if (code.isBlank()) {
@@ -109,13 +112,13 @@
     String target = "";
     try {
       Parser parser = new Parser(code);
-      target = parser.target();
-      Range range = range(target);
-      Expression expression = parser.expression();
-      if (!seen.add(target)) {
-        throw new PolicyException(1, "stands twice");
+      target = parser.parseTarget();
+      Range range = rangeOf(target);
+      Expression expression = parser.parseExpression();
+      if (!assignedTargets.add(target)) {
+        throw new PolicyException(1, "this setting is set more than once");
       }
-      double value = evaluator.amount(expression);
+      double value = evaluator.numericValue(expression);
       if (range.excludes(value)) {
         throw outOfRange(expression, value, range);
       }
@@ -129,22 +132,30 @@
     String kind = range.whole() ? "a whole number " : "";
     return new PolicyException(
         expression.column(),
-        "is " + value + " and must be " + kind + "from " + range.min() + " to " + range.max());
+        "the value is "
+            + value
+            + " and must be "
+            + kind
+            + "from "
+            + range.min()
+            + " to "
+            + range.max());
   }
 
-  private static Range range(String target) throws PolicyException {
+  private static Range rangeOf(String target) throws PolicyException {
     String name = target.startsWith(POOL_PREFIX) ? "pool_max" : target;
-    Range range = KNOWN.get(name);
+    Range range = RANGES.get(name);
     if (range == null) {
       throw new PolicyException(
           1,
-          "unknown setting; known are "
-              + String.join(", ", KNOWN.keySet().stream().sorted().toList()));
+          "unknown setting; known settings are "
+              + String.join(", ", RANGES.keySet().stream().sorted().toList())
+              + ", pool \"TYPE\" min and pool \"TYPE\" max");
     }
     return range;
   }
 
-  private Policy policy() {
+  private Policy buildPolicy() {
     Policy defaults = Policy.DEFAULT;
     int min = values.getOrDefault("pool_min", (double) defaults.poolMin()).intValue();
     int max = values.getOrDefault("pool_max", (double) defaults.poolMax()).intValue();
--- a/src/main/java/org/ploverspindle/settings/SettingsFile.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsFile.java
@@ -12,24 +12,33 @@
 import java.util.List;
 
 /**
- * Reads the platform's TOML. Unknown fields are ignored; every missing or invalid one is reported
- * by name, all of them at once, so that an operator corrects a file in one go.
+ * Reads the platform's settings from TOML. Unknown fields are ignored. Every missing or invalid
+ * field is reported by name in one exception, so that an operator can correct all of them at once.
  */
 public final class SettingsFile {
   private SettingsFile() {}
 
-  /** Reads a file. The exception names every problem that was found. */
+  /**
+   * Reads a file.
+   *
+   * @throws InvalidSettingsException with every problem that was found
+   */
   public static Settings load(Path path) throws InvalidSettingsException {
     try {
       return parse(path.toString(), Files.readString(path));
     } catch (NoSuchFileException e) {
-      throw invalid(path.toString(), 0, "there is no such file");
+      throw invalid(path.toString(), 0, "file not found");
     } catch (IOException e) {
-      throw invalid(path.toString(), 0, "can't be read: " + e.getMessage());
+      throw invalid(path.toString(), 0, "the file can't be read: " + e.getMessage());
     }
   }
 
-  /** Reads a text; {@code file} is the name that problems are reported under. */
+  /**
+   * Reads settings from a string.
+   *
+   * @param file the file name that is shown with each problem
+   * @throws InvalidSettingsException with every problem that was found
+   */
   public static Settings parse(String file, String text) throws InvalidSettingsException {
     JsonNode root = readTree(file, text);
     SettingsProblems problems = new SettingsProblems(file, text);
@@ -47,7 +56,7 @@
     } catch (JsonProcessingException e) {
       JsonLocation location = e.getLocation();
       int line = location == null ? 0 : location.getLineNr();
-      throw invalid(file, line, "not TOML: " + e.getOriginalMessage());
+      throw invalid(file, line, "invalid TOML: " + e.getOriginalMessage());
     }
   }
 
--- a/src/main/java/org/ploverspindle/settings/SettingsProblems.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsProblems.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Collects the problems of a settings file, each with the line that it is most likely about. */
+/** Collects the problems of a settings file, each with the line that most likely has the error. */
 final class SettingsProblems {
   private final String file;
   private final List<String> lines;
@@ -20,23 +20,29 @@
     return problems.isEmpty();
   }
 
-  /** In the order in which they were reported. */
+  /** All problems, in the order in which they were reported. */
   List<SettingsProblem> list() {
     return Collections.unmodifiableList(problems);
   }
 
   /**
+   * Adds a problem.
+   *
    * @param field the field's name with those of the tables around it
    */
   void report(String field, String message) {
-    problems.add(new SettingsProblem(file, line(field), field, message));
+    problems.add(new SettingsProblem(file, lineOf(field), field, message));
   }
 
-  /** The first line that sets the field below its table's header; else the line of the table. */
-  private int line(String field) {
-    String table = parent(field);
+  /**
+   * The number of the first line that sets the field below a header of its table. If there is none,
+   * the line of the table's first header, or of the assignment that defines the table; 0 if there
+   * is none either.
+   */
+  private int lineOf(String field) {
+    String table = parentTable(field);
     Pattern header = Pattern.compile("\\s*\\[\\[?\\s*" + Pattern.quote(table) + "\\s*]]?.*");
-    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(last(field)) + "\\s*=.*");
+    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(lastName(field)) + "\\s*=.*");
     int headerLine = 0;
     boolean inTable = table.isEmpty();
     for (int i = 0; i < lines.size(); i++) {
@@ -48,16 +54,16 @@
         return i + 1;
       }
     }
-    return headerLine == 0 ? inlineLine(table) : headerLine;
+    return headerLine == 0 ? lineOfInlineTable(table) : headerLine;
   }
 
-  /** The line that sets a table without a header of its own, inline or by dotted keys; else 0. */
-  private int inlineLine(String table) {
+  /** The first line that defines a table by an inline table or by dotted keys; 0 if none does. */
+  private int lineOfInlineTable(String table) {
     if (table.isEmpty()) {
       return 0;
     }
-    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(last(table)) + "\\s*[.=].*");
-    String parent = parent(table);
+    Pattern assignment = Pattern.compile("\\s*" + Pattern.quote(lastName(table)) + "\\s*[.=].*");
+    String parent = parentTable(table);
     String current = "";
     for (int i = 0; i < lines.size(); i++) {
       String line = lines.get(i).strip();
@@ -70,12 +76,12 @@
     return 0;
   }
 
-  /** The table that a field is in; empty at the top of the file. */
-  private static String parent(String field) {
+  /** The name of the table that a field is in; empty for a field of the root table. */
+  private static String parentTable(String field) {
     return field.contains(".") ? field.substring(0, field.lastIndexOf('.')) : "";
   }
 
-  private static String last(String field) {
+  private static String lastName(String field) {
     return field.substring(field.lastIndexOf('.') + 1);
   }
 }
--- a/src/main/java/org/ploverspindle/settings/TomlSection.java
+++ b/src/main/java/org/ploverspindle/settings/TomlSection.java
@@ -9,19 +9,19 @@
 import java.util.regex.Pattern;
 
 /**
- * A table of the settings file, with its place in it. Fields that are missing or invalid are
- * reported, and read as a replacement. In a table that is missing, which is reported once, no field
- * is reported.
+ * A table of the settings file, together with its path. A field that is missing or invalid is
+ * reported as a problem, and a placeholder is returned for it. A required table that is missing is
+ * reported once; its strings, numbers, addresses and tables are not reported.
  */
 final class TomlSection {
   private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}):(\\d{1,5})");
   private static final int MAX_PORT = 65_535;
   private static final Address NO_ADDRESS = new Address("0.0.0.0", 0);
-  private static final String MISSING = "is missing";
+  private static final String MISSING = "this required field is missing";
 
   private final JsonNode node;
 
-  /** The table's name with those of the tables around it; empty for the whole file. */
+  /** The table's name with those of the tables around it; empty for the root table. */
   private final String path;
 
   private final SettingsProblems problems;
@@ -32,7 +32,7 @@
     this.problems = problems;
   }
 
-  /** The whole file. */
+  /** The root table of the file. */
   static TomlSection root(JsonNode node, SettingsProblems problems) {
     return new TomlSection(node, "", problems);
   }
@@ -41,125 +41,144 @@
     return path.isEmpty() ? field : path + "." + field;
   }
 
-  /** Reports a problem of a field of this table. */
+  /** Reports a problem with a field of this table. */
   void report(String field, String message) {
     problems.report(pathOf(field), message);
   }
 
-  private TomlSection inner(String field, JsonNode inner) {
-    return new TomlSection(inner, pathOf(field), problems);
+  private TomlSection subsection(String field, JsonNode value) {
+    return new TomlSection(value, pathOf(field), problems);
   }
 
-  /** A table that is required. */
-  TomlSection table(String field) {
+  /**
+   * Reads a required table. Reports a problem if it is missing or not a table, unless this table is
+   * itself missing.
+   */
+  TomlSection requiredTable(String field) {
     JsonNode table = node.path(field);
     if (table.isObject()) {
-      return inner(field, table);
+      return subsection(field, table);
     }
     if (!node.isMissingNode()) {
-      report(field, "this table is missing");
+      report(field, "this required table is missing or not a table");
     }
-    return inner(field, MissingNode.getInstance());
+    return subsection(field, MissingNode.getInstance());
   }
 
-  /** A table that may be absent; also empty when it is something else, which is reported. */
+  /** Reads an optional table. A value that is not a table is reported, and the result is empty. */
   Optional<TomlSection> optionalTable(String field) {
     JsonNode table = node.path(field);
     if (table.isObject()) {
-      return Optional.of(inner(field, table));
+      return Optional.of(subsection(field, table));
     }
     if (!table.isMissingNode()) {
-      report(field, "must be a table");
+      report(field, "must be a table, and is " + table);
     }
     return Optional.empty();
   }
 
-  /** The tables of a list, which may be absent. */
-  List<TomlSection> tables(String field) {
+  /** Reads an optional list of tables. A value that is not a list is reported and read as empty. */
+  List<TomlSection> optionalTableList(String field) {
     JsonNode list = node.path(field);
     if (!list.isMissingNode() && !list.isArray()) {
-      report(field, "must be a list of tables");
+      report(field, "must be a list of tables, and is " + list);
     }
     List<TomlSection> tables = new ArrayList<>();
     if (list.isArray()) {
-      list.forEach(table -> tables.add(inner(field, table)));
+      list.forEach(table -> tables.add(subsection(field, table)));
     }
     return tables;
   }
 
   /**
-   * The texts of a list.
+   * Reads a required list of strings.
    *
-   * @param ifEmpty message if there is no list, or none of its elements
-   * @param ifInvalid message for each element that is not a text, or is blank
+   * @param ifEmpty message if the value is not a list, or the list is missing or empty
+   * @param ifInvalid message for each element that is not a string or is blank; the element's value
+   *     is appended to it
    */
-  List<String> texts(String field, String ifEmpty, String ifInvalid) {
-    List<String> texts = new ArrayList<>();
+  List<String> requiredStrings(String field, String ifEmpty, String ifInvalid) {
+    List<String> strings = new ArrayList<>();
     JsonNode list = node.path(field);
     if (!list.isArray() || list.isEmpty()) {
       report(field, ifEmpty);
-      return texts;
+      return strings;
     }
     for (JsonNode element : list) {
       if (!element.isTextual() || element.asText().isBlank()) {
-        report(field, ifInvalid);
+        report(field, ifInvalid + ", and one is " + element);
       } else {
-        texts.add(element.asText());
+        strings.add(element.asText());
       }
     }
-    return texts;
+    return strings;
   }
 
-  /** A text that is required; empty if it has a problem. */
-  String text(String field) {
+  /** Reads a required string that is not blank; returns an empty one if it is invalid. */
+  String requiredString(String field) {
     if (node.isMissingNode()) {
       return "";
     }
-    JsonNode text = node.path(field);
-    if (!text.isTextual() || text.asText().isBlank()) {
-      report(field, text.isMissingNode() ? MISSING : "must be a text that is not empty");
+    JsonNode value = node.path(field);
+    if (!value.isTextual() || value.asText().isBlank()) {
+      report(
+          field,
+          value.isMissingNode() ? MISSING : "must be a string that is not blank, and is " + value);
       return "";
     }
-    return text.asText();
+    return value.asText();
   }
 
-  /** A text that is optional and not checked. */
-  String textOr(String field, String absent) {
-    return node.path(field).asText(absent);
+  /** Reads an optional value as a string, without a check. */
+  String uncheckedString(String field, String defaultValue) {
+    return node.path(field).asText(defaultValue);
   }
 
-  /** A number that is optional and not checked. */
-  double numberOr(String field, double absent) {
-    return node.path(field).asDouble(absent);
+  /** Reads an optional value as a number, without a check. */
+  double uncheckedNumber(String field, double defaultValue) {
+    return node.path(field).asDouble(defaultValue);
   }
 
-  /** A number that is required, and not below the least; the least if it has a problem. */
-  double amount(String field, double least) {
+  /** Reads a required finite number of at least {@code min}; returns the minimum if invalid. */
+  double requiredNumber(String field, double min) {
     if (node.isMissingNode()) {
-      return least;
+      return min;
     }
-    JsonNode amount = node.path(field);
-    if (!amount.isNumber() || !Double.isFinite(amount.asDouble()) || amount.asDouble() < least) {
-      report(field, amount.isMissingNode() ? MISSING : "must be a number, " + least + " or more");
-      return least;
+    JsonNode value = node.path(field);
+    if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < min) {
+      report(
+          field,
+          value.isMissingNode()
+              ? MISSING
+              : "must be a finite number of at least " + min + ", and is " + value);
+      return min;
     }
-    return amount.asDouble();
+    return value.asDouble();
   }
 
-  /** The same for a number that is optional. */
-  double amountOr(String field, double least, double absent) {
-    return node.path(field).isMissingNode() ? absent : amount(field, least);
+  /**
+   * Reads an optional finite number of at least {@code min}. Returns the default value if it is
+   * missing, and the minimum if it is invalid.
+   */
+  double optionalNumber(String field, double min, double defaultValue) {
+    return node.path(field).isMissingNode() ? defaultValue : requiredNumber(field, min);
   }
 
-  /** An address that is required. */
-  Address address(String field) {
-    String text = text(field);
+  /** Reads a required IPv4 address with a port; returns 0.0.0.0:0 if it is invalid. */
+  Address requiredAddress(String field) {
+    String text = requiredString(field);
     if (text.isEmpty()) {
       return NO_ADDRESS;
     }
     Matcher matcher = ADDRESS.matcher(text);
     if (!matcher.matches() || Integer.parseInt(matcher.group(2)) > MAX_PORT) {
-      report(field, "must be an IP number and a port, as in 10.0.0.1:8080");
+      report(
+          field,
+          "must be an IPv4 address and a port of at most "
+              + MAX_PORT
+              + ", as in 10.0.0.1:8080, and is \""
+              + text
+              + "\"");
       return NO_ADDRESS;
     }
     return new Address(matcher.group(1), Integer.parseInt(matcher.group(2)));
