--- a/src/test/java/org/ploverspindle/JobSpecBuilder.java
+++ b/src/test/java/org/ploverspindle/JobSpecBuilder.java
@@ -140,7 +140,7 @@
     return this;
   }
 
-  public JobSpecBuilder runsForS(double value) {
+  public JobSpecBuilder expectedS(double value) {
     expectedS = value;
     return this;
   }
--- a/src/test/java/org/ploverspindle/JobSpecFixtures.java
+++ b/src/test/java/org/ploverspindle/JobSpecFixtures.java
@@ -13,31 +13,31 @@
       String uid,
       String jobClass,
       String team,
-      Priority urgency,
+      Priority priority,
       int tasks,
       double cores,
       double imageGb,
-      double runS,
-      double dueS) {
+      double expectedS,
+      double deadlineS) {
     return JobSpecBuilder.job(uid)
         .jobClass(jobClass)
         .team(team)
-        .priority(urgency)
+        .priority(priority)
         .tasks(tasks)
         .cores(cores)
         .image("image", imageGb)
-        .runsForS(runS)
-        .deadlineS(dueS)
+        .expectedS(expectedS)
+        .deadlineS(deadlineS)
         .build();
   }
 
   /** The same job, but its tasks write checkpoints. */
-  public static JobSpec saving(JobSpec s, double saveEveryS, double saveCostS) {
-    return JobSpecBuilder.from(s).checkpoints(saveEveryS, saveCostS).build();
+  public static JobSpec withCheckpoints(JobSpec spec, double intervalS, double costS) {
+    return JobSpecBuilder.from(spec).checkpoints(intervalS, costS).build();
   }
 
   /** The same job, but it depends on others. */
-  public static JobSpec after(JobSpec s, String... dependencies) {
-    return JobSpecBuilder.from(s).dependsOn(List.of(dependencies)).build();
+  public static JobSpec withDependencies(JobSpec spec, String... dependencies) {
+    return JobSpecBuilder.from(spec).dependsOn(List.of(dependencies)).build();
   }
 }
--- a/src/test/java/org/ploverspindle/NoOpHeartbeatListener.java
+++ b/src/test/java/org/ploverspindle/NoOpHeartbeatListener.java
@@ -11,9 +11,9 @@
 /** For tests that do not ask what reports show. */
 public final class NoOpHeartbeatListener implements HeartbeatHandler.Listener {
   /** Takes reports in for a leader that is sure of its lead and knows of no job. */
-  public static HeartbeatHandler reportHandler(MachineRegistry fleet, Term term) {
+  public static HeartbeatHandler heartbeatHandler(MachineRegistry registry, Term term) {
     return new HeartbeatHandler(
-        fleet,
+        registry,
         term,
         () -> true,
         uid -> Optional.empty(),
@@ -23,14 +23,15 @@
   }
 
   @Override
-  public void completed(Placement p, long nowMs) {}
+  public void completed(Placement placement, long nowMs) {}
 
   @Override
-  public void ended(Placement p, Heartbeat.ExitReason cause, boolean saved, long nowMs) {}
+  public void ended(
+      Placement placement, Heartbeat.ExitReason exitReason, boolean checkpointed, long nowMs) {}
 
   @Override
   public void completedUnrecorded(Job job, int task) {}
 
   @Override
-  public void phaseChanged(Placement p) {}
+  public void phaseChanged(Placement placement) {}
 }
--- a/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
+++ b/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
@@ -39,7 +39,7 @@
             new MachineType("t", Resources.offered(16, 0, 64), 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("red", 0, 0, 0, 0)));
     fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
-    handler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
+    handler = NoOpHeartbeatListener.heartbeatHandler(fleet, TERM);
     boots = new BootTracker(catalogue);
   }
 
--- a/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
+++ b/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
@@ -49,7 +49,7 @@
             new TeamUsage(settings.teams()),
             SafetyTiming.of(settings.workers(), 1),
             TERM);
-    heartbeatHandler = NoOpHeartbeatListener.reportHandler(machines, TERM);
+    heartbeatHandler = NoOpHeartbeatListener.heartbeatHandler(machines, TERM);
     connectivity = new LeaderConnectivity(machines, TERM, settings, () -> listRead, 0);
   }
 
--- a/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
+++ b/src/test/java/org/ploverspindle/placement/AdmissionOrderTest.java
@@ -44,7 +44,7 @@
     MachineRegistry fleet =
         new MachineRegistry(
             catalogue, TEAMS, SafetyTiming.of(new Settings.WorkerLimits(3, 14, 39), 1), TERM);
-    NoOpHeartbeatListener.reportHandler(fleet, TERM)
+    NoOpHeartbeatListener.heartbeatHandler(fleet, TERM)
         .handle(
             new Heartbeat("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
             NOW);
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -59,7 +59,7 @@
     MachineRegistry fleet =
         new MachineRegistry(
             catalogue, teams, SafetyTiming.of(new Settings.WorkerLimits(3, 14, 39), 1), term);
-    NoOpHeartbeatListener.reportHandler(fleet, term)
+    NoOpHeartbeatListener.heartbeatHandler(fleet, term)
         .handle(
             new Heartbeat("i-1", "", "t", "a", true, 1, 1, 7, OptionalDouble.empty(), List.of()),
             ACCEPTED);
--- a/src/test/java/org/ploverspindle/placement/PlacerTest.java
+++ b/src/test/java/org/ploverspindle/placement/PlacerTest.java
@@ -83,7 +83,7 @@
   private MachineRegistry fleet(Random random, int machines) {
     MachineRegistry fleet =
         new MachineRegistry(catalogue, teams, SafetyTiming.of(WORKERS, 1), TERM);
-    HeartbeatHandler handler = NoOpHeartbeatListener.reportHandler(fleet, TERM);
+    HeartbeatHandler handler = NoOpHeartbeatListener.heartbeatHandler(fleet, TERM);
     for (int i = 0; i < machines; i++) {
       String type = random.nextBoolean() ? "small" : "large";
       String zone = random.nextBoolean() ? "a" : "b";
--- a/src/test/java/org/ploverspindle/placement/PreemptionTest.java
+++ b/src/test/java/org/ploverspindle/placement/PreemptionTest.java
@@ -59,7 +59,7 @@
   }
 
   private static HeartbeatHandler heartbeatHandler(MachineRegistry fleet) {
-    return NoOpHeartbeatListener.reportHandler(fleet, TERM);
+    return NoOpHeartbeatListener.heartbeatHandler(fleet, TERM);
   }
 
   /** Fills the machine with four running tasks of the priority and asks for room for a HIGH job. */
--- a/src/test/java/org/ploverspindle/sim/BrokenJobsTest.java
+++ b/src/test/java/org/ploverspindle/sim/BrokenJobsTest.java
@@ -19,13 +19,13 @@
     List<JobSpec> broken = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       boolean mistake = i % 20 == 7;
-      w.clock.at(
+      w.clock.after(
           3_000 + i * 1_000,
           () -> {
             JobSpec spec =
                 DayEndCriteriaTest.job(
                     w,
-                    mistake ? SimWorker.BROKEN : "a",
+                    mistake ? SimWorker.FAILING_CLASS : "a",
                     mistake ? Priority.HIGH : Priority.NORMAL,
                     mistake ? 200 : 4,
                     1,
@@ -34,23 +34,24 @@
             if (mistake) {
               broken.add(spec);
             }
-            w.user(spec);
+            w.submitAndPoll(spec);
           });
     }
     List<SimWorker> sick = new ArrayList<>();
-    w.clock.at(
+    w.clock.after(
         40_000,
         () -> {
           sick.addAll(w.cloud.workers().subList(0, 2));
-          sick.forEach(x -> x.sick(true));
+          sick.forEach(x -> x.setFailing(true));
         });
     int[] launches = new int[2];
-    w.clock.at(60_000, () -> w.crash(Math.max(0, w.leader()), 500));
-    w.clock.at(115_000, () -> assertTrue(sick.stream().allMatch(SimWorker::gone), "found by now"));
-    w.clock.at(120_000, () -> launches[0] = w.checker.starts());
-    w.clock.at(180_000, () -> launches[1] = w.checker.starts());
-    w.clock.at(180_000, () -> broken.forEach(b -> w.cancel(b.uid(), 0)));
-    w.clock.at(181_000, w::troublesAreOver);
+    w.clock.after(60_000, () -> w.crash(Math.max(0, w.leader()), 500));
+    w.clock.after(
+        115_000, () -> assertTrue(sick.stream().allMatch(SimWorker::isTerminated), "found by now"));
+    w.clock.after(120_000, () -> launches[0] = w.checker.starts());
+    w.clock.after(180_000, () -> launches[1] = w.checker.starts());
+    w.clock.after(180_000, () -> broken.forEach(b -> w.cancel(b.uid(), 0)));
+    w.clock.after(181_000, w::faultsEnded);
     w.clock.runUntil(300_000);
     w.checker.endOfDay();
     assertEquals(List.of(), w.checker.broken());
--- a/src/test/java/org/ploverspindle/sim/CancellationDelayTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationDelayTest.java
@@ -49,17 +49,18 @@
   @CsvSource({"0,1", "0,2", "0,3", "0,4", "0.3,1", "0.3,2", "0.3,3", "0.3,4", "1,1", "1,2"})
   void theLeaderKnowsSoonOfWhatWasConfirmed(double lostHints, long seed) {
     w = new SimulatedCluster(seed, site());
-    w.network.lostHints(lostHints);
+    w.network.setLostPeerMessageShare(lostHints);
     List<String> uids = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
       int n = i;
-      w.clock.at(5_000 + i * 400L, () -> uids.add(submit()));
-      w.clock.at(FROM_MS + n * EVERY_MS, () -> cancel(uids.get(n), n % NODES));
+      w.clock.after(5_000 + i * 400L, () -> uids.add(submit()));
+      w.clock.after(FROM_MS + n * EVERY_MS, () -> cancel(uids.get(n), n % NODES));
     }
     double[] askedBefore = {0};
     double[] askedAfter = {0};
-    w.clock.at(FROM_MS, () -> askedBefore[0] = w.state.requests.asked());
-    w.clock.at(FROM_MS + JOBS * EVERY_MS, () -> askedAfter[0] = w.state.requests.asked());
+    w.clock.after(FROM_MS, () -> askedBefore[0] = w.state.requestLimiter.requestCount());
+    w.clock.after(
+        FROM_MS + JOBS * EVERY_MS, () -> askedAfter[0] = w.state.requestLimiter.requestCount());
     w.clock.runUntil(FROM_MS + JOBS * EVERY_MS + 30_000);
     assertEquals(List.of(), w.checker.broken());
     assertEquals(JOBS, byLeaderMs.size() + byOthersMs.size());
@@ -70,7 +71,8 @@
     assertTrue(longest(byOthersMs) <= (lostHints > 0 ? MOST_WITHOUT_HINT_MS : MOST_MS), what);
     long mostMedianMs = lostHints > 0 ? MEDIAN_WITH_LOST_HINTS_MS : MEDIAN_MS;
     assertTrue(lostHints == 1 || median(byOthersMs) <= mostMedianMs, what);
-    assertEquals(0, w.state.requests.refused(), "requests beyond the state service's rate");
+    assertEquals(
+        0, w.state.requestLimiter.refusedCount(), "requests beyond the state service's rate");
     assertTrue(perCancellation <= MOST_REQUESTS, perCancellation + " requests for a cancellation");
   }
 
@@ -82,8 +84,8 @@
     return ms.stream().sorted().toList().get(ms.size() / 2);
   }
 
-  private static SimulatedCluster.Site site() {
-    return new SimulatedCluster.Site(
+  private static SimulatedCluster.Deployment site() {
+    return new SimulatedCluster.Deployment(
         NODES,
         14,
         List.of("a"),
@@ -97,7 +99,7 @@
   private String submit() {
     JobSpec spec =
         JobSpecFixtures.batch(w.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
-    w.user(spec);
+    w.submitAndPoll(spec);
     return spec.uid();
   }
 
@@ -114,10 +116,10 @@
 
   private void awaitKnown(int leader, String uid, long confirmedMs, List<Long> delaysMs) {
     long delayMs = w.clock.nowMs() - confirmedMs;
-    if (w.knowsCancelled(leader, uid) || delayMs > GIVE_UP_MS) {
+    if (w.showsCancelled(leader, uid) || delayMs > GIVE_UP_MS) {
       delaysMs.add(delayMs);
     } else {
-      w.clock.at(1, () -> awaitKnown(leader, uid, confirmedMs, delaysMs));
+      w.clock.after(1, () -> awaitKnown(leader, uid, confirmedMs, delaysMs));
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
@@ -20,12 +20,12 @@
     for (int i = 0; i < 10; i++) {
       int tasks = 2 + i % 2;
       // A machine has room for one task, so that they run one after another.
-      cluster.clock.at(
+      cluster.clock.after(
           4_000 + i * 1_500, () -> submit("blue", Priority.NORMAL, tasks, 12, 9 + seed % 3));
     }
     Set<String> across = new HashSet<>();
     for (int at = 30_000; at <= 78_000; at += 12_000) {
-      cluster.clock.at(
+      cluster.clock.after(
           at,
           () -> {
             submitted.stream()
@@ -36,7 +36,7 @@
     }
     runAndCheckRules(100_000, 200_000);
     assertAtLeast("jobs with a task done and one to go at a change", 2, across.size());
-    assertAtLeast("terms", 4, cluster.terms());
+    assertAtLeast("terms", 4, cluster.termCount());
     assertEquals(10, cluster.checker.jobsDone());
     assertEquals(25, cluster.checker.starts(), "what was done is not done again");
   }
@@ -52,11 +52,11 @@
     jobs(4_000, 100, 700, Priority.NORMAL, 2, 9);
     int[] unrecorded = {0};
     for (int at = 30_000; at <= 72_000; at += 14_000) {
-      cluster.clock.at(at, () -> crashWithUnrecordedCompletions(unrecorded));
+      cluster.clock.after(at, () -> crashWithUnrecordedCompletions(unrecorded));
     }
     runAndCheckRules(80_000, 120_000);
     assertAtLeast("tasks completed while nothing could be recorded", 5, unrecorded[0]);
-    assertAtLeast("terms", 4, cluster.terms());
+    assertAtLeast("terms", 4, cluster.termCount());
     assertEquals(100, cluster.checker.jobsDone());
     assertEquals(200, cluster.checker.starts(), "what was done is not done again");
   }
@@ -64,13 +64,13 @@
   private void crashWithUnrecordedCompletions(int[] unrecorded) {
     int leader = Math.max(0, cluster.leader());
     int before = tasksDone();
-    cluster.refuse(leader, SimulatedCluster.Refusal.WRITES, true);
-    cluster.clock.at(
+    cluster.setRefused(leader, SimulatedCluster.RequestKind.WRITES, true);
+    cluster.clock.after(
         UNRECORDED_FOR_MS,
         () -> {
           unrecorded[0] += tasksDone() - before;
           cluster.crash(leader, 400);
-          cluster.refuse(leader, SimulatedCluster.Refusal.WRITES, false);
+          cluster.setRefused(leader, SimulatedCluster.RequestKind.WRITES, false);
         });
   }
 
@@ -83,9 +83,9 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void cancellationRacesWithTheEndOfTheLastTaskWhileTheStateServiceIsSlow(long seed) {
     startCluster(seed, 14);
-    cluster.cancelAtEnd(0.6);
-    cluster.clock.at(FROM_MS, () -> cluster.network.slow(SimulatedCluster.STATE, 300));
-    cluster.clock.at(80_000, () -> cluster.network.slow(SimulatedCluster.STATE, 0));
+    cluster.setCancelAtEndShare(0.6);
+    cluster.clock.after(FROM_MS, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 300));
+    cluster.clock.after(80_000, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 0));
     jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
     long over = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
@@ -97,8 +97,8 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void cancellationRacesWithTheEndOfTheLastTask(long seed) {
     startCluster(seed, 14);
-    cluster.cancelAtEnd(0.6);
-    cluster.closeLooks(true);
+    cluster.setCancelAtEndShare(0.6);
+    cluster.setRequestBursts(true);
     jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
     long aborted = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
@@ -116,12 +116,13 @@
       int at = 36_000 + round * 30_000;
       cancellations(at - 1_500, 12, 500);
       boolean cut = (round + seed) % 2 == 0;
-      cluster.clock.at(
+      cluster.clock.after(
           at,
           () -> {
             int leader = Math.max(0, cluster.leader());
             if (cut) {
-              cluster.nodeCut(leader, SimulatedCluster.CutMode.REFUSE, 20_000);
+              cluster.partitionController(
+                  leader, SimulatedCluster.PartitionMode.REFUSE_REQUESTS, 20_000);
             } else {
               cluster.crash(leader, 300);
             }
@@ -129,7 +130,7 @@
     }
     long cancelMs = (long) (timing(seed).cancelS() * 1_000);
     runAndCheckRules(90_000, (int) cancelMs + 20_000);
-    assertAtLeast("terms", 3, cluster.terms());
+    assertAtLeast("terms", 3, cluster.termCount());
     assertAtLeast("cancelled while on", 12, cluster.checker.cancelledWhileOn());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
@@ -54,10 +54,10 @@
     THE_LEADER_ENDS_BETWEEN_THE_PROOF_AND_THE_WRITE {
       @Override
       long play(Day d) {
-        d.w.clock.at(
+        d.w.clock.after(
             1_500,
             () -> {
-              d.terms = d.w.terms();
+              d.terms = d.w.termCount();
               d.w.crash(d.w.leader(), 2_000);
             });
         return CANCEL_MS + 12_000;
@@ -65,15 +65,15 @@
 
       @Override
       void assertCameAbout(Day d) {
-        assertTrue(d.w.terms() >= d.terms + 2, "two changes of the leader");
+        assertTrue(d.w.termCount() >= d.terms + 2, "two changes of the leader");
       }
     },
 
     WRITES_ARE_LATE_OR_THEIR_ANSWERS_LOST {
       @Override
       long play(Day d) {
-        d.w.network.lateWrites(0.5, false);
-        d.w.clock.at(30_000, () -> d.w.network.lateWrites(0, false));
+        d.w.network.setUnansweredWrites(0.5, false);
+        d.w.clock.after(30_000, () -> d.w.network.setUnansweredWrites(0, false));
         return 50_000;
       }
     },
@@ -112,7 +112,7 @@
       w =
           new SimulatedCluster(
               seed,
-              new SimulatedCluster.Site(
+              new SimulatedCluster.Deployment(
                   3,
                   14,
                   List.of("a", "b"),
@@ -132,13 +132,13 @@
             JobSpecFixtures.batch(w.newUid(), "c", team, Priority.NORMAL, 1, 4, 0.1, runS, 0)
                 .withTypes(List.of("small"));
         jobs.add(job);
-        w.user(job);
+        w.submitAndPoll(job);
       }
     }
 
     void cutOff(SimWorker x, boolean now) {
-      for (int i = 0; i < w.nodes; i++) {
-        w.network.hold("n" + i, x.host(), now);
+      for (int i = 0; i < w.controllerCount; i++) {
+        w.network.holdPackets("n" + i, x.host(), now);
       }
     }
 
@@ -162,7 +162,7 @@
   void theNextLeaderCountsNothingForWhatWasProvenGone(Trouble trouble, long seed) {
     Day d = new Day(seed);
     SimulatedCluster w = d.w;
-    w.clock.at(3_000, () -> d.submit(d.first, 400));
+    w.clock.after(3_000, () -> d.submit(d.first, 400));
     w.clock.runUntil(50_000);
     long provenMs = 50_000 + d.cancelAll(trouble);
     assertEquals(2 * LIMIT, d.coresBefore, "every team at its limit");
@@ -171,7 +171,7 @@
     d.first.forEach(j -> assertEquals(List.of(), recordedLive(w, j), j.uid()));
     d.machines.forEach(x -> d.cutOff(x, true));
     // A machine that never comes up would be waited for instead, which is not looked at here.
-    w.cloud.everyBootSucceeds();
+    w.cloud.stopBootFailures();
     w.crash(w.leader(), 2_000);
     d.submit(d.second, 10);
     w.clock.runUntil(provenMs + BEGIN_MS);
@@ -179,7 +179,7 @@
       assertTrue(w.checker.begunMs(job.uid()) >= 0, job.uid() + " waits for what is proven gone");
     }
     d.machines.forEach(x -> d.cutOff(x, false));
-    w.troublesAreOver();
+    w.faultsEnded();
     w.clock.runUntil(provenMs + 150_000);
     assertEquals(List.of(), w.checker.broken());
     trouble.assertCameAbout(d);
@@ -199,16 +199,16 @@
     SimulatedCluster w = d.w;
     Random random = new Random(5);
     int[] written = new int[2];
-    w.state.whenWritten(
+    w.state.onWrite(
         txn -> {
           written[0] += txn.changes().stream().anyMatch(CancelledLimitsTest::isProgress) ? 1 : 0;
           written[1] += isForEndsAlone(w, txn) ? 1 : 0;
         });
     for (int i = 0; i < 200; i++) {
-      w.clock.at(
+      w.clock.after(
           3_000 + i * 1_000,
           () ->
-              w.user(
+              w.submitAndPoll(
                   JobSpecFixtures.batch(
                       w.newUid(),
                       "c",
@@ -220,7 +220,7 @@
                       8 + random.nextInt(9),
                       0)));
       if (i % 3 == 2 && i > 20) {
-        w.clock.at(3_500 + i * 1_000, () -> w.cancelNow(1, 0));
+        w.clock.after(3_500 + i * 1_000, () -> w.cancelRunning(1, 0));
       }
     }
     w.clock.runUntil(203_000);
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
@@ -70,7 +70,7 @@
   int transactions;
   final List<TransactionResult> lateResults = new ArrayList<>();
 
-  final class FaultyStateClient extends ReadingStateClient {
+  final class FaultyStateClient extends StubStateStore {
     private final SimClock.Process process;
 
     FaultyStateClient(SimClock.Process process) {
@@ -89,18 +89,18 @@
       transactions++;
       switch (fate()) {
         case ANSWERED ->
-            clock.at(
+            clock.after(
                 3,
                 () -> {
-                  TransactionResult result = state.txn(transaction);
+                  TransactionResult result = state.commit(transaction);
                   process.schedule(3, () -> then.accept(result));
                 });
         case ANSWER_LOST -> {
-          clock.at(3, () -> state.txn(transaction));
+          clock.after(3, () -> state.commit(transaction));
           process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
         }
         case LATE -> {
-          clock.at(lateMs, () -> lateResults.add(state.txn(transaction)));
+          clock.after(lateMs, () -> lateResults.add(state.commit(transaction)));
           process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
         }
         case LOST -> process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
@@ -118,7 +118,7 @@
             .map(Entry::modRevision)
             .orElse(0L);
     TransactionResult result =
-        state.txn(
+        state.commit(
             new Transaction(
                 List.of(new Condition(Keys.LEADER, before)),
                 List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
--- a/src/test/java/org/ploverspindle/sim/CutControllerTest.java
+++ b/src/test/java/org/ploverspindle/sim/CutControllerTest.java
@@ -25,15 +25,15 @@
   private static SimulatedCluster busy(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     for (int i = 0; i < 120; i++) {
-      w.clock.at(
+      w.clock.after(
           3_000 + i * 1_000,
-          () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 4, 1, 5, 0)));
+          () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 4, 1, 5, 0)));
     }
     return w;
   }
 
   private static void assertServed(SimulatedCluster w) {
-    w.clock.at(135_000, w::troublesAreOver);
+    w.clock.after(135_000, w::faultsEnded);
     w.clock.runUntil(400_000);
     w.checker.endOfDay();
     assertEquals(List.of(), w.checker.broken());
@@ -46,21 +46,21 @@
   }
 
   @ParameterizedTest
-  @EnumSource(SimulatedCluster.Refusal.class)
-  void aLeaderThatTheStateServiceRefusesAloneIsReplacedSoon(SimulatedCluster.Refusal kind) {
+  @EnumSource(SimulatedCluster.RequestKind.class)
+  void aLeaderThatTheStateServiceRefusesAloneIsReplacedSoon(SimulatedCluster.RequestKind kind) {
     SimulatedCluster w = busy(3);
     int[] refused = new int[1];
-    w.clock.at(
+    w.clock.after(
         40_000,
         () -> {
           refused[0] = leaderOf(w);
-          w.refuse(refused[0], kind, true);
+          w.setRefused(refused[0], kind, true);
         });
-    w.clock.at(55_000, () -> assertNotEquals(refused[0], leaderOf(w), "another one leads"));
+    w.clock.after(55_000, () -> assertNotEquals(refused[0], leaderOf(w), "another one leads"));
     long[] terms = new long[1];
-    w.clock.at(55_000, () -> terms[0] = w.terms());
-    w.clock.at(100_000, () -> assertEquals(terms[0], w.terms(), "the lead does not wander"));
-    w.clock.at(110_000, () -> w.refuse(refused[0], kind, false));
+    w.clock.after(55_000, () -> terms[0] = w.termCount());
+    w.clock.after(100_000, () -> assertEquals(terms[0], w.termCount(), "the lead does not wander"));
+    w.clock.after(110_000, () -> w.setRefused(refused[0], kind, false));
     assertServed(w);
   }
 
@@ -68,15 +68,15 @@
   @ValueSource(ints = {0, 1, 2})
   void aControllerThatAloneCannotReadSendsItsUsersToTheOthers(int node) {
     SimulatedCluster w = busy(4);
-    w.clock.at(40_000, () -> w.refuse(node, SimulatedCluster.Refusal.READS, true));
+    w.clock.after(40_000, () -> w.setRefused(node, SimulatedCluster.RequestKind.READS, true));
     List<ApiResponse> answers = new ArrayList<>();
     long[] cameMs = new long[1];
-    w.clock.at(
+    w.clock.after(
         48_000,
         () -> {
-          assertFalse(w.ready(node), "it is taken out of the users' way");
+          assertFalse(w.isReady(node), "it is taken out of the users' way");
           long askedMs = w.clock.nowMs();
-          w.ask(
+          w.query(
               node,
               "run-000099",
               a -> {
@@ -84,8 +84,8 @@
                 cameMs[0] = w.clock.nowMs() - askedMs;
               });
         });
-    w.clock.at(60_000, () -> w.refuse(node, SimulatedCluster.Refusal.READS, false));
-    w.clock.at(64_000, () -> assertTrue(w.ready(node), "and is back"));
+    w.clock.after(60_000, () -> w.setRefused(node, SimulatedCluster.RequestKind.READS, false));
+    w.clock.after(64_000, () -> assertTrue(w.isReady(node), "and is back"));
     w.clock.runUntil(50_000);
     assertEquals(503, answers.get(0).status());
     assertTrue(answers.get(0).retryAfterS() > 0);
@@ -97,29 +97,29 @@
   @ValueSource(longs = {1, 2, 3})
   void controllersThatAreDownForAMinuteInTurnAlsoInMidElection(long seed) {
     SimulatedCluster w = busy(seed);
-    w.clock.at(
+    w.clock.after(
         30_000,
         () -> {
           int first = leaderOf(w);
           w.crash(first, 70_000);
-          w.clock.at(2_800, () -> w.crash((first + 1) % NODES, 300));
+          w.clock.after(2_800, () -> w.crash((first + 1) % NODES, 300));
         });
-    w.clock.at(105_000, () -> w.crash(leaderOf(w), 20_000));
-    w.clock.at(50_000, () -> assertTrue(w.leader() >= 0, "two are enough"));
+    w.clock.after(105_000, () -> w.crash(leaderOf(w), 20_000));
+    w.clock.after(50_000, () -> assertTrue(w.leader() >= 0, "two are enough"));
     assertServed(w);
   }
 
   @Test
   void inAnOutageOfTheStateServiceAllStayReady() {
     SimulatedCluster w = busy(5);
-    w.clock.at(40_000, () -> w.state.outage(true));
-    w.clock.at(
+    w.clock.after(40_000, () -> w.state.setOutage(true));
+    w.clock.after(
         52_000,
         () -> {
           for (int i = 0; i < NODES; i++) {
-            assertTrue(w.ready(i), "nobody would be any better");
+            assertTrue(w.isReady(i), "nobody would be any better");
           }
-          w.state.outage(false);
+          w.state.setOutage(false);
         });
     assertServed(w);
   }
@@ -134,14 +134,14 @@
     for (int t = 15_000; t < 120_000; t += 4_000 + r.nextInt(9_000)) {
       boolean leader = r.nextBoolean();
       int forMs = Math.min(pauses[r.nextInt(pauses.length)], 130_000 - t);
-      w.clock.at(t, () -> w.freeze(leader && w.leader() >= 0 ? w.leader() : 1, forMs));
+      w.clock.after(t, () -> w.freeze(leader && w.leader() >= 0 ? w.leader() : 1, forMs));
       if (r.nextInt(3) == 0) {
         int uid = r.nextInt(100);
-        w.clock.at(
+        w.clock.after(
             t + r.nextInt(3_000), () -> w.cancel(String.format(Locale.ROOT, "run-%06d", uid), 0));
       }
     }
-    w.clock.at(135_000, w::troublesAreOver);
+    w.clock.after(135_000, w::faultsEnded);
     w.clock.runUntil(400_000);
     w.checker.endOfDay();
     assertEquals(List.of(), w.checker.broken());
--- a/src/test/java/org/ploverspindle/sim/DayEndCriteriaTest.java
+++ b/src/test/java/org/ploverspindle/sim/DayEndCriteriaTest.java
@@ -43,13 +43,15 @@
   void everyJobIsKnownAndRunsAfterAllControllersRestartAtOnce(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     for (int i = 0; i < 700; i++) {
-      w.clock.at(3_000 + i * 90, () -> w.user(job(w, "small", Priority.NORMAL, 1, 0.1, 1, 0)));
+      w.clock.after(
+          3_000 + i * 90, () -> w.submitAndPoll(job(w, "small", Priority.NORMAL, 1, 0.1, 1, 0)));
     }
     for (int i = 0; i < 60; i++) {
-      w.clock.at(60_000 + i * 60, () -> w.user(job(w, "long", Priority.NORMAL, 10, 0.5, 30, 0)));
+      w.clock.after(
+          60_000 + i * 60, () -> w.submitAndPoll(job(w, "long", Priority.NORMAL, 10, 0.5, 30, 0)));
     }
-    w.clock.at(70_000, () -> IntStream.range(0, NODES).forEach(n -> w.crash(n, 50 + 900 * n)));
-    w.clock.at(72_500, w::troublesAreOver);
+    w.clock.after(70_000, () -> IntStream.range(0, NODES).forEach(n -> w.crash(n, 50 + 900 * n)));
+    w.clock.after(72_500, w::faultsEnded);
     w.clock.runUntil(300_000);
     assertRulesKept(w);
     assertTrue(w.checker.jobsDone() >= 755, w.checker.jobsDone() + " jobs done");
@@ -58,9 +60,10 @@
   @Test
   void theLargestJobBeginsAlthoughSmallOnesCouldAlwaysStillBeInTime() {
     SimulatedCluster w = new SimulatedCluster(4, NODES, 10, List.of("a"));
-    w.clock.at(3_000, () -> w.user(job(w, "array", Priority.NORMAL, 60, 4, 20, 15)));
+    w.clock.after(3_000, () -> w.submitAndPoll(job(w, "array", Priority.NORMAL, 60, 4, 20, 15)));
     for (int i = 0; i < 300; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "array", Priority.NORMAL, 3, 4, 12, 30)));
+      w.clock.after(
+          3_000 + i * 1_000, () -> w.submitAndPoll(job(w, "array", Priority.NORMAL, 3, 4, 12, 30)));
     }
     w.clock.runUntil(300_000);
     long begun = w.checker.begunMs("run-000000");
@@ -74,14 +77,15 @@
   void aLowUrgencyBeginsBelowOneThatNeverEnds() {
     SimulatedCluster w = new SimulatedCluster(5, NODES, 2, List.of("a"));
     for (int i = 0; i < 300; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "urgent", Priority.HIGH, 4, 4, 10, 60)));
+      w.clock.after(
+          3_000 + i * 1_000, () -> w.submitAndPoll(job(w, "urgent", Priority.HIGH, 4, 4, 10, 60)));
     }
     JobSpec[] low = new JobSpec[1];
-    w.clock.at(
+    w.clock.after(
         10_000,
         () -> {
           low[0] = job(w, "archive", Priority.BEST_EFFORT, 8, 4, 10, 0);
-          w.user(low[0]);
+          w.submitAndPoll(low[0]);
         });
     w.clock.runUntil(280_000);
     long begun = w.checker.begunMs(low[0].uid());
@@ -92,48 +96,50 @@
   void aMachineThatIsNotReachedDrawsNoWorkAndItsTasksRunElsewhere() {
     SimulatedCluster w = new SimulatedCluster(6, NODES, 14, List.of("a"));
     for (int i = 0; i < 120; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "a", Priority.NORMAL, 4, 1, 5, 0)));
+      w.clock.after(
+          3_000 + i * 1_000, () -> w.submitAndPoll(job(w, "a", Priority.NORMAL, 4, 1, 5, 0)));
     }
     List<SimWorker> deaf = new ArrayList<>();
-    w.clock.at(
+    w.clock.after(
         40_000,
         () -> {
           deaf.addAll(w.cloud.workers().subList(0, 2));
-          deaf.forEach(x -> w.network.deaf(x.host(), true));
+          deaf.forEach(x -> w.network.dropInbound(x.host(), true));
         });
-    w.clock.at(70_000, () -> w.network.deaf(deaf.get(0).host(), false));
-    w.clock.at(72_000, w::troublesAreOver);
+    w.clock.after(70_000, () -> w.network.dropInbound(deaf.get(0).host(), false));
+    w.clock.after(72_000, w::faultsEnded);
     w.clock.runUntil(400_000);
     assertRulesKept(w);
     assertEquals(120, w.checker.jobsDone());
     for (SimWorker x : deaf) {
-      int lost = w.reports.launchesLostTo(x.host());
+      int lost = w.heartbeatDelivery.undeliveredLaunches(x.host());
       assertTrue(lost <= 16, lost + " launches were lost to " + x.host());
     }
-    assertTrue(deaf.get(1).gone(), "a machine that never hears again is returned");
+    assertTrue(deaf.get(1).isTerminated(), "a machine that never hears again is returned");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void lateCopiesOfReportsAreNotBelieved(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
-    w.network.copyShare(0.5);
+    w.network.setDelayedCopyShare(0.5);
     for (int i = 0; i < 100; i++) {
-      w.clock.at(3_000 + i * 1_200, () -> w.user(job(w, "a", Priority.HIGH, 6, 1, 6, 0)));
+      w.clock.after(
+          3_000 + i * 1_200, () -> w.submitAndPoll(job(w, "a", Priority.HIGH, 6, 1, 6, 0)));
     }
     Random r = new Random(seed);
     for (int t = 20_000; t < 120_000; t += 12_000) {
-      w.clock.at(t, () -> w.crash(r.nextInt(NODES), 100 + r.nextInt(3_000)));
-      w.clock.at(
+      w.clock.after(t, () -> w.crash(r.nextInt(NODES), 100 + r.nextInt(3_000)));
+      w.clock.after(
           t + 5_000,
           () -> {
             List<SimWorker> all = w.cloud.workers();
             if (!all.isEmpty()) {
-              w.cloud.die(all.get(r.nextInt(all.size())).host());
+              w.cloud.fail(all.get(r.nextInt(all.size())).host());
             }
           });
     }
-    w.clock.at(130_000, w::troublesAreOver);
+    w.clock.after(130_000, w::faultsEnded);
     w.clock.runUntil(400_000);
     assertRulesKept(w);
     assertEquals(100, w.checker.jobsDone());
@@ -144,32 +150,32 @@
   void aLeaderThatOnlyItsWorkersReachDoesNotKeepACancelledJobAlive(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     JobSpec[] spec = new JobSpec[2];
-    w.clock.at(
+    w.clock.after(
         3_000,
         () -> {
           spec[0] = job(w, "a", Priority.NORMAL, 8, 1, 200, 0);
           spec[1] = job(w, "a", Priority.NORMAL, 8, 1, 60, 0);
-          w.user(spec[0]);
-          w.user(spec[1]);
+          w.submitAndPoll(spec[0]);
+          w.submitAndPoll(spec[1]);
         });
-    w.clock.at(
+    w.clock.after(
         30_000,
         () -> {
           int leader = w.leader();
           assertTrue(leader >= 0 && w.checker.begunMs(spec[0].uid()) >= 0);
-          w.network.cut("n" + leader, SimulatedCluster.STATE, true);
+          w.network.partition("n" + leader, SimulatedCluster.STATE, true);
           for (int i = 0; i < NODES; i++) {
-            w.network.cut("n" + leader, "n" + i, true);
+            w.network.partition("n" + leader, "n" + i, true);
           }
-          w.clock.at(500, () -> w.cancel(spec[0].uid(), 0));
-          w.clock.at(
+          w.clock.after(500, () -> w.cancel(spec[0].uid(), 0));
+          w.clock.after(
               60_000,
               () -> {
-                w.network.cut("n" + leader, SimulatedCluster.STATE, false);
+                w.network.partition("n" + leader, SimulatedCluster.STATE, false);
                 for (int i = 0; i < NODES; i++) {
-                  w.network.cut("n" + leader, "n" + i, false);
+                  w.network.partition("n" + leader, "n" + i, false);
                 }
-                w.troublesAreOver();
+                w.faultsEnded();
               });
         });
     w.clock.runUntil(300_000);
@@ -183,21 +189,22 @@
   void processesBackWithinAFractionOfASecondAlsoInMidElection(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
     for (int i = 0; i < 60; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "a", Priority.HIGH, 4, 1, 5, 0)));
+      w.clock.after(
+          3_000 + i * 1_000, () -> w.submitAndPoll(job(w, "a", Priority.HIGH, 4, 1, 5, 0)));
     }
     Random r = new Random(seed);
-    w.network.lateShare(0.1);
+    w.network.setLateRequestShare(0.1);
     for (int t = 15_000; t < 60_000; t += 9_000) {
-      w.clock.at(t, () -> w.crash(Math.max(0, w.leader()), 20 + r.nextInt(300)));
+      w.clock.after(t, () -> w.crash(Math.max(0, w.leader()), 20 + r.nextInt(300)));
       for (int again = 0; again < 3; again++) {
-        w.clock.at(t + r.nextInt(6_000), () -> w.crash(r.nextInt(NODES), 20 + r.nextInt(300)));
+        w.clock.after(t + r.nextInt(6_000), () -> w.crash(r.nextInt(NODES), 20 + r.nextInt(300)));
       }
     }
-    w.clock.at(
+    w.clock.after(
         65_000,
         () -> {
-          w.network.lateShare(0);
-          w.troublesAreOver();
+          w.network.setLateRequestShare(0);
+          w.faultsEnded();
         });
     w.clock.runUntil(300_000);
     assertRulesKept(w);
@@ -210,12 +217,12 @@
    */
   @Test
   void machinesGoBackOnceUsersHaveStoppedAlthoughAPipelineGoesOn() {
-    SimulatedCluster.Site small = SimulatedCluster.Site.small(NODES, 14, List.of("a"));
+    SimulatedCluster.Deployment small = SimulatedCluster.Deployment.small(NODES, 14, List.of("a"));
     SimulatedCluster w =
         new SimulatedCluster(
             8,
-            new SimulatedCluster.Site(
-                small.nodes(),
+            new SimulatedCluster.Deployment(
+                small.controllerCount(),
                 small.capacity(),
                 small.zones(),
                 small.workers(),
@@ -224,20 +231,23 @@
                 small.teams(),
                 new Policy(3, 8, 120, 0, 100, 20, Map.of())));
     for (int i = 0; i < 8; i++) {
-      w.clock.at(3_000 + i * 1_000, () -> w.user(job(w, "burst", Priority.NORMAL, 12, 1, 10, 30)));
+      w.clock.after(
+          3_000 + i * 1_000,
+          () -> w.submitAndPoll(job(w, "burst", Priority.NORMAL, 12, 1, 10, 30)));
     }
     String[] before = new String[0];
     for (int i = 0; i < 30; i++) {
-      JobSpec step = JobSpecFixtures.after(job(w, "step", Priority.NORMAL, 1, 1, 5, 0), before);
-      w.clock.at(3_000 + i * 500, () -> w.user(step));
+      JobSpec step =
+          JobSpecFixtures.withDependencies(job(w, "step", Priority.NORMAL, 1, 1, 5, 0), before);
+      w.clock.after(3_000 + i * 500, () -> w.submitAndPoll(step));
       before = new String[] {step.uid()};
     }
     int[] most = new int[1];
-    w.clock.at(45_000, () -> most[0] = w.cloud.size());
+    w.clock.after(45_000, () -> most[0] = w.cloud.machineCount());
     w.clock.runUntil(110_000);
     assertTrue(most[0] >= 4, "a fleet for the burst: " + most[0]);
     assertTrue(w.checker.jobsDone() < 38, "the pipeline goes on");
-    assertTrue(w.cloud.size() <= 2, w.cloud.size() + " machines for one core");
+    assertTrue(w.cloud.machineCount() <= 2, w.cloud.machineCount() + " machines for one core");
     w.clock.runUntil(500_000);
     assertRulesKept(w);
     assertEquals(38, w.checker.jobsDone());
--- a/src/test/java/org/ploverspindle/sim/DirectStopTest.java
+++ b/src/test/java/org/ploverspindle/sim/DirectStopTest.java
@@ -21,7 +21,7 @@
     SimulatedCluster w =
         new SimulatedCluster(
             seed,
-            new SimulatedCluster.Site(
+            new SimulatedCluster.Deployment(
                 3,
                 14,
                 List.of("a"),
@@ -33,16 +33,16 @@
                 new Policy(3, 8, 15, 0, 100, 20, Map.of())));
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      w.clock.at(
+      w.clock.after(
           3_000 + i * 500,
           () -> {
             JobSpec job = DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 2, 4, 200, 0);
             jobs.add(job);
-            w.user(job);
+            w.submitAndPoll(job);
           });
     }
     int[] machines = new int[1];
-    w.clock.at(
+    w.clock.after(
         60_000,
         () -> {
           for (JobSpec job : jobs) {
@@ -51,7 +51,7 @@
           }
         });
     // A report comes 3.75 to 6.25 s after the one before.
-    w.clock.at(
+    w.clock.after(
         61_000,
         () -> {
           List<String> on = new ArrayList<>();
--- a/src/test/java/org/ploverspindle/sim/FaultScenario.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenario.java
@@ -49,7 +49,7 @@
     this.cluster =
         new SimulatedCluster(
             seed,
-            new SimulatedCluster.Site(
+            new SimulatedCluster.Deployment(
                 NODES,
                 14,
                 List.of("a", "b"),
@@ -67,7 +67,7 @@
   }
 
   void at(long atMs, Runnable work) {
-    cluster.clock.at(atMs - cluster.clock.nowMs(), work);
+    cluster.clock.after(atMs - cluster.clock.nowMs(), work);
   }
 
   /** From then on, again and again until the other time. */
@@ -95,7 +95,7 @@
   }
 
   void leaderMustChange(long by) {
-    mustOccur("the lead changed", () -> cluster.terms() - noted("terms") >= by);
+    mustOccur("the lead changed", () -> cluster.termCount() - noted("terms") >= by);
   }
 
   JobSpec job(String team, int tasks, double cores, double runS) {
@@ -105,7 +105,7 @@
             .tasks(tasks)
             .cores(cores)
             .image("image", 0.1)
-            .runsForS(runS);
+            .expectedS(runS);
     return (cores >= 4 ? job.types("small") : job).build();
   }
 
@@ -131,7 +131,7 @@
   void jobs(long fromMs, long spacingMs, int count, int tasks, double cores, double runS) {
     for (int i = 0; i < count; i++) {
       String team = i % 2 == 0 ? "red" : "blue";
-      at(fromMs + i * spacingMs, () -> cluster.user(job(team, tasks, cores, runS)));
+      at(fromMs + i * spacingMs, () -> cluster.submitAndPoll(job(team, tasks, cores, runS)));
     }
   }
 
@@ -151,7 +151,7 @@
     for (int i = 0; i < busy.size(); i += 2) {
       SimWorker x = busy.get(i);
       partition(x, true);
-      cluster.clock.at(leaseMs, () -> partition(x, false));
+      cluster.clock.after(leaseMs, () -> partition(x, false));
     }
     crashLeader(50);
   }
@@ -167,7 +167,7 @@
   int partition(SimWorker x, boolean now) {
     int delivered = 0;
     for (int i = 0; i < NODES; i++) {
-      delivered += cluster.network.hold("n" + i, x.host(), now);
+      delivered += cluster.network.holdPackets("n" + i, x.host(), now);
     }
     return delivered;
   }
@@ -176,7 +176,7 @@
   void partitionFromAllBut(SimWorker x, int node, boolean now) {
     for (int i = 0; i < NODES; i++) {
       if (i != node) {
-        cluster.network.hold("n" + i, x.host(), now);
+        cluster.network.holdPackets("n" + i, x.host(), now);
       }
     }
   }
@@ -185,9 +185,9 @@
   void partitionOthersFrom(int node, List<SimWorker> all, long forMs) {
     List<SimWorker> others =
         cluster.cloud.workers().stream().filter(x -> !all.contains(x)).toList();
-    others.forEach(x -> cluster.network.hold("n" + node, x.host(), true));
-    cluster.clock.at(
-        forMs, () -> others.forEach(x -> cluster.network.hold("n" + node, x.host(), false)));
+    others.forEach(x -> cluster.network.holdPackets("n" + node, x.host(), true));
+    cluster.clock.after(
+        forMs, () -> others.forEach(x -> cluster.network.holdPackets("n" + node, x.host(), false)));
   }
 
   /** Running jobs with a task on one of the machines. */
@@ -231,7 +231,7 @@
     FaultScenario scenario = new FaultScenario(seed, deployment, combination.teamLimit());
     SimulatedCluster cluster = scenario.cluster;
     combination.play(scenario);
-    scenario.at(scenario.faultsEndMs, cluster::troublesAreOver);
+    scenario.at(scenario.faultsEndMs, cluster::faultsEnded);
     cluster.clock.runUntil(scenario.faultsEndMs + RECOVERY_MS);
     assertEquals(List.of(), cluster.checker.broken());
     assertEquals(0, cluster.checker.neverBegun(), "accepted jobs never began");
--- a/src/test/java/org/ploverspindle/sim/Faults.java
+++ b/src/test/java/org/ploverspindle/sim/Faults.java
@@ -14,7 +14,7 @@
   ALL_CRASH {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      for (int i = 0; i < w.nodes; i++) {
+      for (int i = 0; i < w.controllerCount; i++) {
         w.crash(i, 100 + r.nextInt((int) forMs));
       }
     }
@@ -28,32 +28,32 @@
   STATE_OUTAGE {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      w.state.outage(true);
-      w.clock.at(forMs, () -> w.state.outage(false));
+      w.state.setOutage(true);
+      w.clock.after(forMs, () -> w.state.setOutage(false));
     }
   },
   CLOUD_OUTAGE {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      w.cloud.outage(true);
-      w.clock.at(forMs, () -> w.cloud.outage(false));
+      w.cloud.setOutage(true);
+      w.clock.after(forMs, () -> w.cloud.setOutage(false));
     }
   },
   SLOW_LINKS {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      w.network.lateShare(0.05 + r.nextDouble() * 0.2);
-      w.clock.at(forMs, () -> w.network.lateShare(0));
+      w.network.setLateRequestShare(0.05 + r.nextDouble() * 0.2);
+      w.clock.after(forMs, () -> w.network.setLateRequestShare(0));
     }
   },
   MACHINES_CUT {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
       for (SimWorker x : some(w, r)) {
-        for (int i = 0; i < w.nodes; i++) {
+        for (int i = 0; i < w.controllerCount; i++) {
           String node = "n" + i;
-          w.network.hold(node, x.host(), true);
-          w.clock.at(forMs, () -> w.network.hold(node, x.host(), false));
+          w.network.holdPackets(node, x.host(), true);
+          w.clock.after(forMs, () -> w.network.holdPackets(node, x.host(), false));
         }
       }
     }
@@ -61,13 +61,13 @@
   MACHINES_DIE {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      some(w, r).forEach(x -> w.cloud.die(x.host()));
+      some(w, r).forEach(x -> w.cloud.fail(x.host()));
     }
   },
   MACHINES_RECALLED {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      some(w, r).forEach(SimWorker::recall);
+      some(w, r).forEach(SimWorker::giveSpotNotice);
     }
   },
   MACHINES_HANG {
@@ -80,8 +80,8 @@
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
       for (SimWorker x : some(w, r)) {
-        w.network.deaf(x.host(), true);
-        w.clock.at(forMs, () -> w.network.deaf(x.host(), false));
+        w.network.dropInbound(x.host(), true);
+        w.clock.after(forMs, () -> w.network.dropInbound(x.host(), false));
       }
     }
   },
@@ -89,8 +89,8 @@
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
       for (SimWorker x : some(w, r)) {
-        w.network.machineMute(x.host(), true);
-        w.clock.at(forMs, () -> w.network.machineMute(x.host(), false));
+        w.network.dropRequestsFrom(x.host(), true);
+        w.clock.after(forMs, () -> w.network.dropRequestsFrom(x.host(), false));
       }
     }
   },
@@ -117,46 +117,47 @@
     void begin(SimulatedCluster w, Random r, long forMs) {
       lateReports(w, 0.1 + r.nextDouble() * 0.5, true, forMs);
       // Without a next leader there is nothing to it.
-      w.clock.at(forMs / 2, () -> w.crash(leaderOrAny(w, r), 100 + r.nextInt(3_000)));
+      w.clock.after(forMs / 2, () -> w.crash(leaderOrAny(w, r), 100 + r.nextInt(3_000)));
     }
   },
   NODE_CUT_HOLD {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      w.nodeCut(leaderOrAny(w, r), SimulatedCluster.CutMode.HOLD, forMs);
+      w.partitionController(leaderOrAny(w, r), SimulatedCluster.PartitionMode.HOLD_PACKETS, forMs);
     }
   },
   NODE_CUT_REFUSE {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      w.nodeCut(leaderOrAny(w, r), SimulatedCluster.CutMode.REFUSE, forMs);
+      w.partitionController(
+          leaderOrAny(w, r), SimulatedCluster.PartitionMode.REFUSE_REQUESTS, forMs);
     }
   },
   CANCEL_NOW {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      w.cancelNow(1 + r.nextInt(6), r.nextBoolean() ? 0 : forMs);
+      w.cancelRunning(1 + r.nextInt(6), r.nextBoolean() ? 0 : forMs);
     }
   },
   CANCEL_AT_END {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      w.cancelAtEnd(0.5);
-      w.clock.at(forMs, () -> w.cancelAtEnd(0));
+      w.setCancelAtEndShare(0.5);
+      w.clock.after(forMs, () -> w.setCancelAtEndShare(0));
     }
   },
   ODD_REQUESTS {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      w.oddRequests(true);
-      w.clock.at(forMs, () -> w.oddRequests(false));
+      w.setInvalidRequests(true);
+      w.clock.after(forMs, () -> w.setInvalidRequests(false));
     }
   },
   CLOSE_LOOKS {
     @Override
     void begin(SimulatedCluster w, Random r, long forMs) {
-      w.closeLooks(true);
-      w.clock.at(forMs, () -> w.closeLooks(false));
+      w.setRequestBursts(true);
+      w.clock.after(forMs, () -> w.setRequestBursts(false));
     }
   };
 
@@ -166,12 +167,12 @@
   /** Mostly the leader: with another one there is little to it. */
   private static int leaderOrAny(SimulatedCluster w, Random r) {
     int leader = w.leader();
-    return leader >= 0 && r.nextInt(4) > 0 ? leader : r.nextInt(w.nodes);
+    return leader >= 0 && r.nextInt(4) > 0 ? leader : r.nextInt(w.controllerCount);
   }
 
   /** One machine, or about half of them. */
   private static List<SimWorker> some(SimulatedCluster w, Random r) {
-    List<SimWorker> all = w.cloud.workers().stream().filter(x -> !x.gone()).toList();
+    List<SimWorker> all = w.cloud.workers().stream().filter(x -> !x.isTerminated()).toList();
     if (all.isEmpty()) {
       return all;
     }
@@ -181,12 +182,12 @@
   }
 
   private static void lateWrites(SimulatedCluster w, double share, boolean atOnce, long forMs) {
-    w.network.lateWrites(share, atOnce);
-    w.clock.at(forMs, () -> w.network.lateWrites(0, false));
+    w.network.setUnansweredWrites(share, atOnce);
+    w.clock.after(forMs, () -> w.network.setUnansweredWrites(0, false));
   }
 
   private static void lateReports(SimulatedCluster w, double share, boolean forNext, long forMs) {
-    w.network.lateReports(share, forNext);
-    w.clock.at(forMs, () -> w.network.lateReports(0, false));
+    w.network.setHeartbeatReplay(share, forNext);
+    w.clock.after(forMs, () -> w.network.setHeartbeatReplay(0, false));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
+++ b/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
@@ -34,7 +34,7 @@
 
   @Test
   void countsWritesThatWereBoundToAnEarlierHoldersRecord() {
-    state.stoodBefore(Keys.LEADER, Cbor.map().put("member", "n1"));
+    state.preload(Keys.LEADER, Cbor.map().put("member", "n1"));
     SimNetwork network = new SimNetwork(clock, new Random(1));
     SimClock.Process process = clock.new Process(0, 1, 0);
     StateStore store =
--- a/src/test/java/org/ploverspindle/sim/FleetLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/FleetLimitsTest.java
@@ -20,7 +20,7 @@
   private static SimulatedCluster cluster(long seed, int machines, double cloudCallsPerS) {
     return new SimulatedCluster(
         seed,
-        new SimulatedCluster.Site(
+        new SimulatedCluster.Deployment(
             NODES,
             2 * machines,
             List.of("a"),
@@ -34,7 +34,7 @@
   /** Machines that no controller has rented: only reports and the list tell of them. */
   private static void rentedBefore(SimulatedCluster cluster, int machines) {
     for (int i = 0; i < machines / PER_CLAIM; i++) {
-      cluster.cloud.rent("earlier-" + i, "small", "a", false, PER_CLAIM);
+      cluster.cloud.provision("earlier-" + i, "small", "a", false, PER_CLAIM);
     }
   }
 
@@ -47,17 +47,18 @@
     SimulatedCluster cluster = cluster(5, 4_400, 1);
     rentedBefore(cluster, 4_400);
     // The list lags: the first leader reads an empty one. The next one meets all machines.
-    cluster.clock.at(
+    cluster.clock.after(
         15_000, () -> IntStream.range(0, NODES).forEach(node -> cluster.crash(node, 500)));
     // It fits on no machine that there is.
     var job = DayEndCriteriaTest.job(cluster, "wide", Priority.HIGH, 2, 12, 5, 0);
-    cluster.clock.at(20_000, () -> cluster.user(job));
+    cluster.clock.after(20_000, () -> cluster.submitAndPoll(job));
     // Each controller asks for the machine types at its start.
     cluster.clock.runUntil(25_000);
-    long atStart = cluster.cloud.requests.refused();
+    long atStart = cluster.cloud.requestLimiter.refusedCount();
     cluster.clock.runUntil(150_000);
     assertEquals(List.of(), cluster.checker.broken());
     assertTrue(cluster.checker.isDone(job.uid()), "a machine was rented for it");
-    assertEquals(atStart, cluster.cloud.requests.refused(), "calls beyond the cloud's rate");
+    assertEquals(
+        atStart, cluster.cloud.requestLimiter.refusedCount(), "calls beyond the cloud's rate");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
+++ b/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
@@ -22,13 +22,13 @@
   private static final Settings.WorkerLimits SLOW_REPORTS =
       new Settings.WorkerLimits(5, 26.5, 51.5);
 
-  private static SimulatedCluster.Site site(int nodes, int capacity, List<String> zones) {
+  private static SimulatedCluster.Deployment site(int nodes, int capacity, List<String> zones) {
     return site(nodes, capacity, zones, 8, 0);
   }
 
-  private static SimulatedCluster.Site site(
+  private static SimulatedCluster.Deployment site(
       int nodes, int capacity, List<String> zones, double listLagS, int poolMin) {
-    return new SimulatedCluster.Site(
+    return new SimulatedCluster.Deployment(
         nodes,
         capacity,
         zones,
@@ -42,7 +42,9 @@
   /** Three controllers, and machines that run one job's 80 tasks for 100 s. */
   private static SimulatedCluster busyFleet(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, site(3, 60, List.of("a")));
-    w.clock.at(3_000, () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 80, 4, 100, 0)));
+    w.clock.after(
+        3_000,
+        () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 80, 4, 100, 0)));
     return w;
   }
 
@@ -55,14 +57,17 @@
   @ValueSource(longs = {1, 2, 3})
   void aLeaderThatNoMachineReachesIsReplacedBeforeAnyLeaseEnds(long seed) {
     SimulatedCluster w = busyFleet(seed);
-    w.clock.at(
+    w.clock.after(
         60_000,
         () -> {
           int leader = leaderOf(w);
-          w.cloud.workers().forEach(x -> w.network.cut("n" + leader, x.host(), true));
-          w.clock.at(
+          w.cloud.workers().forEach(x -> w.network.partition("n" + leader, x.host(), true));
+          w.clock.after(
               45_000,
-              () -> w.cloud.workers().forEach(x -> w.network.cut("n" + leader, x.host(), false)));
+              () ->
+                  w.cloud
+                      .workers()
+                      .forEach(x -> w.network.partition("n" + leader, x.host(), false)));
         });
     w.clock.runUntil(400_000);
     assertEquals(List.of(), w.checker.broken());
@@ -75,16 +80,17 @@
   void aLeaderWhoseAnswersAreAllLostIsReplacedAndTheFleetKept(long seed) {
     SimulatedCluster w = busyFleet(seed);
     int[] machines = new int[1];
-    w.clock.at(
+    w.clock.after(
         60_000,
         () -> {
           machines[0] = w.cloud.workers().size();
           int leader = leaderOf(w);
-          w.network.mute("n" + leader, true);
-          w.clock.at(50_000, () -> w.network.mute("n" + leader, false));
+          w.network.dropResponsesFrom("n" + leader, true);
+          w.clock.after(50_000, () -> w.network.dropResponsesFrom("n" + leader, false));
         });
     w.clock.runUntil(100_000);
-    assertTrue(w.cloud.size() >= machines[0], "no machine was returned for what we did not hear");
+    assertTrue(
+        w.cloud.machineCount() >= machines[0], "no machine was returned for what we did not hear");
     w.clock.runUntil(400_000);
     assertEquals(List.of(), w.checker.broken());
     assertEquals(80, w.checker.starts(), "each task began once: no lease ended");
@@ -95,14 +101,15 @@
   void aLeaderThatStoodStillForLongerThanALeaseKeepsTheFleet(long seed) {
     SimulatedCluster w = busyFleet(seed);
     int[] machines = new int[1];
-    w.clock.at(
+    w.clock.after(
         60_000,
         () -> {
           machines[0] = w.cloud.workers().size();
           w.freeze(leaderOf(w), 32_500);
         });
     w.clock.runUntil(100_000);
-    assertTrue(w.cloud.size() >= machines[0], "no machine was returned on timers that came late");
+    assertTrue(
+        w.cloud.machineCount() >= machines[0], "no machine was returned on timers that came late");
     w.clock.runUntil(400_000);
     assertEquals(List.of(), w.checker.broken());
     assertEquals(80, w.checker.starts(), "each task began once: no lease ended");
@@ -113,11 +120,11 @@
   void shortPausesOfTheLeaderCostNoLeadAndNoTask(long seed) {
     SimulatedCluster w = busyFleet(seed);
     int[] first = new int[1];
-    w.clock.at(59_000, () -> first[0] = leaderOf(w));
+    w.clock.after(59_000, () -> first[0] = leaderOf(w));
     for (int t = 60_000; t < 100_000; t += 4_000) {
-      w.clock.at(t, () -> w.freeze(first[0], 1_800));
+      w.clock.after(t, () -> w.freeze(first[0], 1_800));
     }
-    w.clock.at(105_000, () -> assertEquals(first[0], leaderOf(w)));
+    w.clock.after(105_000, () -> assertEquals(first[0], leaderOf(w)));
     w.clock.runUntil(400_000);
     assertEquals(List.of(), w.checker.broken());
     assertEquals(1, w.checker.jobsDone());
@@ -129,18 +136,18 @@
   void aLeaderThatOnlyItsWorkersReachLosesThemToTheNextOneSoon(long seed) {
     SimulatedCluster w = busyFleet(seed);
     JobSpec[] next = new JobSpec[1];
-    w.clock.at(
+    w.clock.after(
         60_000,
         () -> {
           int leader = leaderOf(w);
-          w.network.cut("n" + leader, SimulatedCluster.STATE, true);
-          IntStream.range(0, 3).forEach(i -> w.network.cut("n" + leader, "n" + i, true));
+          w.network.partition("n" + leader, SimulatedCluster.STATE, true);
+          IntStream.range(0, 3).forEach(i -> w.network.partition("n" + leader, "n" + i, true));
         });
-    w.clock.at(
+    w.clock.after(
         64_000,
         () -> {
           next[0] = DayEndCriteriaTest.job(w, "b", Priority.HIGH, 4, 1, 5, 0);
-          w.user(next[0]);
+          w.submitAndPoll(next[0]);
         });
     w.clock.runUntil(300_000);
     assertEquals(List.of(), w.checker.broken());
@@ -155,16 +162,18 @@
   @ValueSource(longs = {1, 2, 3})
   void tasksOfMachinesTakenWithoutNoticeStartAgainBeforeTheLeaseWouldEnd(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, site(3, 60, List.of("a"), 3, 20));
-    w.clock.at(3_000, () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 60, 4, 200, 0)));
+    w.clock.after(
+        3_000,
+        () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 60, 4, 200, 0)));
     int[] before = new int[2];
-    w.clock.at(
+    w.clock.after(
         90_000,
         () -> {
           before[0] = w.checker.starts();
           List<SimWorker> all = List.copyOf(w.cloud.workers());
-          all.subList(0, all.size() / 2).forEach(x -> w.cloud.take(x.host()));
+          all.subList(0, all.size() / 2).forEach(x -> w.cloud.reclaim(x.host()));
         });
-    w.clock.at(108_000, () -> before[1] = w.checker.starts());
+    w.clock.after(108_000, () -> before[1] = w.checker.starts());
     w.clock.runUntil(500_000);
     assertEquals(List.of(), w.checker.broken());
     assertEquals(60, before[0]);
@@ -194,7 +203,7 @@
     SimulatedCluster w =
         new SimulatedCluster(
             17,
-            new SimulatedCluster.Site(
+            new SimulatedCluster.Deployment(
                 nodes,
                 120,
                 names,
@@ -204,11 +213,11 @@
                 teams,
                 Policy.DEFAULT));
     for (int i = 0; i < 40; i++) {
-      w.clock.at(
+      w.clock.after(
           3_000 + 1_000 * i,
-          () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 20, 1, 5, 0)));
+          () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 20, 1, 5, 0)));
     }
-    w.clock.at(60_000, () -> w.crash(leaderOf(w), 500));
+    w.clock.after(60_000, () -> w.crash(leaderOf(w), 500));
     w.clock.runUntil(300_000);
     w.checker.endOfDay();
     assertEquals(List.of(), w.checker.broken());
@@ -222,12 +231,12 @@
     Random r = new Random(11);
     for (int i = 0; i < 1_500; i++) {
       int at = i < 400 ? 3_000 : 3_000 + r.nextInt(200_000);
-      w.clock.at(
+      w.clock.after(
           at,
           () -> {
             boolean pressing = r.nextInt(3) == 0;
             int tasks = r.nextInt(50) == 0 ? 500 : 1 + r.nextInt(30);
-            w.user(
+            w.submitAndPoll(
                 DayEndCriteriaTest.job(
                     w,
                     pressing ? "urgent" : "plain",
@@ -239,7 +248,7 @@
           });
     }
     List<SimWorker> silent = new ArrayList<>();
-    w.clock.at(
+    w.clock.after(
         90_000,
         () -> {
           List<SimWorker> all = w.cloud.workers();
@@ -247,31 +256,35 @@
           silent.addAll(all.stream().filter(x -> r.nextInt(4) == 0).toList());
           cut(w, silent, nodes, true);
         });
-    w.clock.at(
+    w.clock.after(
         85_000,
         () -> {
           // Copies of reports come late, requests are executed late, their answers lost.
-          w.network.copyShare(0.05);
-          w.network.lateShare(0.02);
+          w.network.setDelayedCopyShare(0.05);
+          w.network.setLateRequestShare(0.02);
         });
-    w.clock.at(95_000, () -> w.crash(leaderOf(w), 3_000));
-    w.clock.at(130_000, () -> cut(w, silent, nodes, false));
-    w.clock.at(150_000, () -> IntStream.range(0, nodes).forEach(n -> w.crash(n, 100 + 400 * n)));
-    w.clock.at(
+    w.clock.after(95_000, () -> w.crash(leaderOf(w), 3_000));
+    w.clock.after(130_000, () -> cut(w, silent, nodes, false));
+    w.clock.after(150_000, () -> IntStream.range(0, nodes).forEach(n -> w.crash(n, 100 + 400 * n)));
+    w.clock.after(
         160_000,
         () -> {
-          w.network.copyShare(0);
-          w.network.lateShare(0);
-          w.troublesAreOver();
+          w.network.setDelayedCopyShare(0);
+          w.network.setLateRequestShare(0);
+          w.faultsEnded();
         });
     w.clock.runUntil(360_000);
     w.checker.endOfDay();
     assertEquals(List.of(), w.checker.broken());
     assertEquals(0, w.checker.neverBegun());
     assertTrue(w.checker.jobsDone() >= 1_490, w.checker.jobsDone() + " jobs done");
-    assertTrue(w.state.requests.refused() < 0.02 * w.state.requests.asked(), "state requests");
-    assertTrue(w.state.changes.refused() < 0.02 * w.state.changes.asked(), "state changes");
-    assertEquals(0, w.cloud.requests.refused(), "cloud calls stay below their rate");
+    assertTrue(
+        w.state.requestLimiter.refusedCount() < 0.02 * w.state.requestLimiter.requestCount(),
+        "state requests");
+    assertTrue(
+        w.state.changeLimiter.refusedCount() < 0.02 * w.state.changeLimiter.requestCount(),
+        "state changes");
+    assertEquals(0, w.cloud.requestLimiter.refusedCount(), "cloud calls stay below their rate");
   }
 
   @ParameterizedTest
@@ -279,25 +292,27 @@
   void aFleetThatComesUpAtOnceIsNoReasonToGiveTheLeadUp(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, site(7, 400, List.of("a"), 8, 300));
     // They ask any controller first, and most of them ask others before they find the leader.
-    w.cloud.boots("small", 0.05);
-    w.cloud.boots("large", 0.05);
-    w.clock.at(3_000, () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 200, 4, 30, 0)));
+    w.cloud.setBootTimeFactor("small", 0.05);
+    w.cloud.setBootTimeFactor("large", 0.05);
+    w.clock.after(
+        3_000,
+        () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 200, 4, 30, 0)));
     int[] first = new int[1];
-    w.clock.at(8_000, () -> first[0] = leaderOf(w));
+    w.clock.after(8_000, () -> first[0] = leaderOf(w));
     w.clock.runUntil(120_000);
     assertEquals(first[0], leaderOf(w), "the first leader leads on");
-    assertEquals(1, w.terms());
+    assertEquals(1, w.termCount());
     assertEquals(1, w.checker.jobsDone());
   }
 
   @Test
   void aTypeThatTheCloudHasGivenUpDoesNotStopOtherRentals() {
     SimulatedCluster w = new SimulatedCluster(9, site(3, 60, List.of("a")));
-    w.cloud.giveUp("large");
+    w.cloud.rejectType("large");
     for (int i = 0; i < 20; i++) {
-      w.clock.at(
+      w.clock.after(
           3_000 + i * 3_000,
-          () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 20, 2, 10, 60)));
+          () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 20, 2, 10, 60)));
     }
     w.clock.runUntil(200_000);
     assertEquals(List.of(), w.checker.broken());
@@ -309,24 +324,27 @@
   void whereMachinesOfATypeNeverComeOthersAreRentedAndThoseReturned(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, site(3, 200, List.of("a")));
     for (int i = 0; i < 60; i++) {
-      w.clock.at(
+      w.clock.after(
           3_000 + i * 4_000,
-          () -> w.user(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 20, 2, 10, 60)));
+          () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 20, 2, 10, 60)));
     }
-    w.cloud.boots("small", 0);
-    w.cloud.boots("large", 1);
-    w.clock.at(150_000, () -> w.cloud.boots("small", 1));
+    w.cloud.setBootTimeFactor("small", 0);
+    w.cloud.setBootTimeFactor("large", 1);
+    w.clock.after(150_000, () -> w.cloud.setBootTimeFactor("small", 1));
     w.clock.runUntil(400_000);
     w.checker.endOfDay();
     assertEquals(List.of(), w.checker.broken());
     assertEquals(60, w.checker.jobsDone());
-    assertTrue(w.cloud.rented() <= 160, w.cloud.rented() + " machines were rented in all");
-    assertEquals(0, w.cloud.size() - w.cloud.workers().size(), "none is left that never came");
+    assertTrue(
+        w.cloud.provisionedCount() <= 160,
+        w.cloud.provisionedCount() + " machines were rented in all");
+    assertEquals(
+        0, w.cloud.machineCount() - w.cloud.workers().size(), "none is left that never came");
   }
 
   private static void cut(SimulatedCluster w, List<SimWorker> workers, int nodes, boolean now) {
     for (SimWorker x : workers) {
-      IntStream.range(0, nodes).forEach(i -> w.network.cut("n" + i, x.host(), now));
+      IntStream.range(0, nodes).forEach(i -> w.network.partition("n" + i, x.host(), now));
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/InvalidRequests.java
+++ b/src/test/java/org/ploverspindle/sim/InvalidRequests.java
@@ -47,7 +47,7 @@
 
   void play(boolean now) {
     if (now && !on) {
-      w.clock.at(SPACING_MS, this::next);
+      w.clock.after(SPACING_MS, this::next);
     }
     on = now;
   }
@@ -57,7 +57,7 @@
       return;
     }
     one();
-    w.clock.at(random.nextInt(2 * SPACING_MS), this::next);
+    w.clock.after(random.nextInt(2 * SPACING_MS), this::next);
   }
 
   private String freshUid() {
@@ -65,7 +65,7 @@
   }
 
   private void atAllNodes(IntConsumer request) {
-    for (int i = 0; i < w.nodes; i++) {
+    for (int i = 0; i < w.controllerCount; i++) {
       request.accept(i);
     }
   }
@@ -130,7 +130,7 @@
         String uid = freshUid();
         w.checker.neverAcceptable(uid, 404, "only asked about");
         atAllNodes(i -> w.cancelAt(i, uid));
-        atAllNodes(i -> w.askAt(i, uid));
+        atAllNodes(i -> w.queryAt(i, uid));
       }
       default -> {
         String uid = freshUid();
@@ -151,6 +151,6 @@
     Mistake m = mistake(uid);
     w.checker.neverAcceptable(uid, m.status(), m.why());
     atAllNodes(i -> w.submitAt(i, uid, m.body()));
-    w.clock.at(random.nextInt(6_000), () -> atAllNodes(i -> w.askAt(i, uid)));
+    w.clock.after(random.nextInt(6_000), () -> atAllNodes(i -> w.queryAt(i, uid)));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
@@ -20,7 +20,8 @@
   private final InvariantChecker checker =
       new InvariantChecker(
           clock,
-          SimulatedCluster.settings("n0", SimulatedCluster.Site.small(3, 14, List.of("a", "b"))));
+          SimulatedCluster.settings(
+              "n0", SimulatedCluster.Deployment.small(3, 14, List.of("a", "b"))));
 
   private static JobSpec spec(String uid, double cores, boolean oneZone, boolean spread) {
     return JobSpecBuilder.job(uid)
@@ -30,7 +31,7 @@
         .oneZone(oneZone)
         .spreadOverZones(spread)
         .spot(false)
-        .runsForS(5)
+        .expectedS(5)
         .build();
   }
 
@@ -359,8 +360,8 @@
   /** The second job awaits the first. */
   private void pipeline() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.submitted(JobSpecFixtures.after(spec("run-2", 1, false, false), "run-1"));
-    checker.submitted(JobSpecFixtures.after(spec("run-3", 1, false, false), "run-2"));
+    checker.submitted(JobSpecFixtures.withDependencies(spec("run-2", 1, false, false), "run-1"));
+    checker.submitted(JobSpecFixtures.withDependencies(spec("run-3", 1, false, false), "run-2"));
     List.of("run-1", "run-2", "run-3")
         .forEach(u -> checker.told(u, 201, "queued", true, clock.nowMs()));
   }
--- a/src/test/java/org/ploverspindle/sim/InvariantsTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantsTest.java
@@ -62,12 +62,12 @@
         }
       }
       case 2 -> {
-        w.state.outage(true);
-        w.clock.at(forMs, () -> w.state.outage(false));
+        w.state.setOutage(true);
+        w.clock.after(forMs, () -> w.state.setOutage(false));
       }
       case 3 -> {
-        w.cloud.outage(true);
-        w.clock.at(forMs, () -> w.cloud.outage(false));
+        w.cloud.setOutage(true);
+        w.clock.after(forMs, () -> w.cloud.setOutage(false));
       }
       case 4 -> cutFor(w, "n" + node, SimulatedCluster.STATE, forMs);
       case 5 -> w.cloud.workers().forEach(x -> cutFor(w, "n" + node, x.host(), forMs));
@@ -89,7 +89,7 @@
       case 8 -> {
         List<SimWorker> all = w.cloud.workers();
         if (!all.isEmpty()) {
-          w.cloud.die(all.get(r.nextInt(all.size())).host());
+          w.cloud.fail(all.get(r.nextInt(all.size())).host());
         }
       }
       case 9 -> {
@@ -97,9 +97,9 @@
         if (!all.isEmpty()) {
           SimWorker x = all.get(r.nextInt(all.size()));
           if (r.nextBoolean()) {
-            x.recall();
+            x.giveSpotNotice();
           } else {
-            x.sick(true);
+            x.setFailing(true);
           }
         }
       }
@@ -107,13 +107,13 @@
         List<SimWorker> all = w.cloud.workers();
         if (!all.isEmpty()) {
           SimWorker x = all.get(r.nextInt(all.size()));
-          w.network.deaf(x.host(), true);
-          w.clock.at(forMs, () -> w.network.deaf(x.host(), false));
+          w.network.dropInbound(x.host(), true);
+          w.clock.after(forMs, () -> w.network.dropInbound(x.host(), false));
         }
       }
       case 11 -> {
-        w.network.copyShare(0.05 + r.nextDouble() * 0.3);
-        w.clock.at(forMs, () -> w.network.copyShare(0));
+        w.network.setDelayedCopyShare(0.05 + r.nextDouble() * 0.3);
+        w.clock.after(forMs, () -> w.network.setDelayedCopyShare(0));
       }
       case 12 -> {
         cutFor(w, "n" + node, SimulatedCluster.STATE, forMs);
@@ -124,7 +124,7 @@
       case 13 -> {
         // Back within a fraction of a second, and again while the others still elect.
         w.crash(node, 20 + r.nextInt(400));
-        w.clock.at(
+        w.clock.after(
             500 + r.nextInt(6_000),
             () -> {
               w.crash(r.nextInt(NODES), 20 + r.nextInt(300));
@@ -132,15 +132,15 @@
             });
       }
       default -> {
-        w.network.lateShare(0.05 + r.nextDouble() * 0.2);
-        w.clock.at(forMs, () -> w.network.lateShare(0));
+        w.network.setLateRequestShare(0.05 + r.nextDouble() * 0.2);
+        w.clock.after(forMs, () -> w.network.setLateRequestShare(0));
       }
     }
   }
 
   private static void cutFor(SimulatedCluster w, String a, String b, long forMs) {
-    w.network.cut(a, b, true);
-    w.clock.at(forMs, () -> w.network.cut(a, b, false));
+    w.network.partition(a, b, true);
+    w.clock.after(forMs, () -> w.network.partition(a, b, false));
   }
 
   static SimulatedCluster play(long seed, int troubles) {
@@ -148,7 +148,7 @@
     Random r = new Random(seed * 31 + 7);
     submitJobs(w, r);
     for (int i = 0; i < troubles; i++) {
-      w.clock.at(10_000 + r.nextInt(190_000), () -> trouble(w));
+      w.clock.after(10_000 + r.nextInt(190_000), () -> trouble(w));
     }
     return finish(w);
   }
@@ -185,27 +185,27 @@
   static void playPair(SimulatedCluster w, Random r, Faults first, Faults second, int atMs) {
     int forMs = 1_000 + r.nextInt(30_000);
     int secondForMs = 1_000 + r.nextInt(30_000);
-    w.clock.at(atMs, () -> first.begin(w, r, forMs));
-    w.clock.at(atMs + r.nextInt(Math.min(forMs, 9_000)), () -> second.begin(w, r, secondForMs));
+    w.clock.after(atMs, () -> first.begin(w, r, forMs));
+    w.clock.after(atMs + r.nextInt(Math.min(forMs, 9_000)), () -> second.begin(w, r, secondForMs));
   }
 
   private static void submitJobs(SimulatedCluster w, Random r) {
     for (int i = 0; i < 40; i++) {
-      w.clock.at(
+      w.clock.after(
           3_000 + r.nextInt(150_000),
           () -> {
             JobSpec spec = job(w.newUid(), r);
-            w.user(spec);
+            w.submitAndPoll(spec);
             if (spec.expectedS() == 0 || r.nextInt(4) == 0) {
-              w.clock.at(2_000 + r.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
+              w.clock.after(2_000 + r.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
             }
           });
     }
-    w.clock.at(20_000, () -> w.poll("run-999999"));
+    w.clock.after(20_000, () -> w.poll("run-999999"));
   }
 
   private static SimulatedCluster finish(SimulatedCluster w) {
-    w.clock.at(240_000, w::troublesAreOver);
+    w.clock.after(240_000, w::faultsEnded);
     w.clock.runUntil(420_000);
     w.checker.endOfDay();
     return w;
@@ -250,10 +250,14 @@
   void anArrayOfTheLargestSizeIsTakenAndWorkedOn() {
     SimulatedCluster w = new SimulatedCluster(5, NODES, 14, List.of("a", "b"));
     JobSpec big =
-        JobSpecBuilder.job(w.newUid()).jobClass("big").tasks(JobSpec.MAX_TASKS).runsForS(2).build();
-    w.clock.at(3_000, () -> w.user(big));
-    w.clock.at(40_000, () -> w.crash(0, 1_000));
-    w.clock.at(45_000, () -> w.crash(1, 1_000));
+        JobSpecBuilder.job(w.newUid())
+            .jobClass("big")
+            .tasks(JobSpec.MAX_TASKS)
+            .expectedS(2)
+            .build();
+    w.clock.after(3_000, () -> w.submitAndPoll(big));
+    w.clock.after(40_000, () -> w.crash(0, 1_000));
+    w.clock.after(45_000, () -> w.crash(1, 1_000));
     w.clock.runUntil(90_000);
     assertEquals(List.of(), w.checker.broken());
     assertTrue(w.checker.starts() > 500, w.checker.starts() + " starts");
--- a/src/test/java/org/ploverspindle/sim/LargeFleetDayTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeFleetDayTest.java
@@ -38,8 +38,8 @@
   private static final long DAY_ENDS_MS = 230_000;
   private static final double NANOS_PER_MS = 1e6;
 
-  private static SimulatedCluster.Site site(int machines) {
-    return new SimulatedCluster.Site(
+  private static SimulatedCluster.Deployment site(int machines) {
+    return new SimulatedCluster.Deployment(
         NODES,
         machines,
         ZONES,
@@ -56,8 +56,8 @@
     SimulatedCluster cluster = new SimulatedCluster(seed, site(machines));
     load(cluster, machines, seed);
     List<SimWorker> cutOff = new ArrayList<>();
-    cluster.clock.at(LEADER_ENDS_MS, () -> cluster.crash(cluster.leader(), 3_000));
-    cluster.clock.at(
+    cluster.clock.after(LEADER_ENDS_MS, () -> cluster.crash(cluster.leader(), 3_000));
+    cluster.clock.after(
         CUT_MS,
         () -> {
           cluster.cloud.workers().stream()
@@ -65,8 +65,8 @@
               .forEach(cutOff::add);
           cut(cluster, cutOff, true);
         });
-    cluster.clock.at(CUT_MS + CUT_FOR_MS, () -> cut(cluster, cutOff, false));
-    cluster.clock.at(CUT_MS + CUT_FOR_MS + 5_000, cluster::troublesAreOver);
+    cluster.clock.after(CUT_MS + CUT_FOR_MS, () -> cut(cluster, cutOff, false));
+    cluster.clock.after(CUT_MS + CUT_FOR_MS + 5_000, cluster::faultsEnded);
     cluster.clock.runUntil(UP_BY_MS);
     int up = cluster.cloud.workers().size();
     assertTrue(up >= machines * 9 / 10, up + " machines are up");
@@ -80,9 +80,10 @@
     assertEquals(List.of(), cluster.checker.broken());
     assertEquals(0, cluster.checker.neverBegun());
     assertTrue(cutOff.size() > machines / 8, cutOff.size() + " machines were cut off");
-    assertEquals(2, cluster.terms(), "leaders change once, for the one that ended");
-    assertEquals(0, cluster.cloud.requests.refused(), "cloud calls stay below their rate");
-    assertEquals(0, cluster.state.changes.refused(), "changes stay below their rate");
+    assertEquals(2, cluster.termCount(), "leaders change once, for the one that ended");
+    assertEquals(
+        0, cluster.cloud.requestLimiter.refusedCount(), "cloud calls stay below their rate");
+    assertEquals(0, cluster.state.changeLimiter.refusedCount(), "changes stay below their rate");
   }
 
   /** Jobs that keep most of the machines busy. */
@@ -96,22 +97,23 @@
       int tasks = 10 + random.nextInt(30);
       int cores = 4 + random.nextInt(9);
       int seconds = 20 + random.nextInt(40);
-      cluster.clock.at(
+      cluster.clock.after(
           atMs,
           () ->
-              cluster.user(
+              cluster.submitAndPoll(
                   DayEndCriteriaTest.job(cluster, "c", urgency, tasks, cores, seconds, 200)));
     }
   }
 
   private static void cut(SimulatedCluster cluster, List<SimWorker> workers, boolean now) {
     for (SimWorker worker : workers) {
-      IntStream.range(0, NODES).forEach(i -> cluster.network.cut("n" + i, worker.host(), now));
+      IntStream.range(0, NODES)
+          .forEach(i -> cluster.network.partition("n" + i, worker.host(), now));
     }
   }
 
   private static void log(int machines, SimulatedCluster cluster) {
-    Histogram reports = cluster.reports.reportNanos();
+    Histogram reports = cluster.heartbeatDelivery.handlingNanos();
     LOG.info(
         "{} machines: {} starts, {} jobs done, {} reports; a report takes {} ms (median), {} ms"
             + " (99 %); changes a second at most {}, state requests {}, cloud calls {}",
@@ -121,8 +123,8 @@
         reports.getTotalCount(),
         reports.getValueAtPercentile(50) / NANOS_PER_MS,
         reports.getValueAtPercentile(99) / NANOS_PER_MS,
-        cluster.state.changes.mostInASecond(),
-        cluster.state.requests.asked(),
-        cluster.cloud.requests.asked());
+        cluster.state.changeLimiter.peakPerSecond(),
+        cluster.state.requestLimiter.requestCount(),
+        cluster.cloud.requestLimiter.requestCount());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
@@ -56,7 +56,7 @@
     cluster =
         new SimulatedCluster(
             1,
-            new SimulatedCluster.Site(
+            new SimulatedCluster.Deployment(
                 NODES,
                 120,
                 List.of("a"),
@@ -112,13 +112,13 @@
     return new Usage(
         cluster.clock.nowMs(),
         checkpoints(),
-        state.bytesUnder(Keys.SNAPSHOTS),
-        state.keysUnder(Keys.PREFIX),
-        state.bytesUnder(Keys.PREFIX),
-        state.requests.asked(),
-        state.requests.refused(),
-        state.changes.amount(),
-        state.pages());
+        state.sizeInBytes(Keys.SNAPSHOTS),
+        state.keyCount(Keys.PREFIX),
+        state.sizeInBytes(Keys.PREFIX),
+        state.requestLimiter.requestCount(),
+        state.requestLimiter.refusedCount(),
+        state.changeLimiter.requestedAmount(),
+        state.pagesRead());
   }
 
   /** From now on another job comes every so often, until they are enough. */
@@ -129,20 +129,20 @@
     JobSpec s = DayEndCriteriaTest.job(cluster, "small", Priority.HIGH, 4, 1, 5, 60);
     small.add(s);
     unrecorded.add(s);
-    cluster.user(s);
-    cluster.clock.at(SMALL_EVERY_MS, this::smallJobs);
+    cluster.submitAndPoll(s);
+    cluster.clock.after(SMALL_EVERY_MS, this::smallJobs);
   }
 
   private void lookForEnds() {
     for (Iterator<JobSpec> it = unrecorded.iterator(); it.hasNext(); ) {
       JobSpec s = it.next();
-      if (cluster.state.holds(Keys.completion(s.uid()))) {
+      if (cluster.state.containsKey(Keys.completion(s.uid()))) {
         long endedMs = cluster.checker.doneMs(s.uid());
         endDelays.add(new long[] {endedMs, cluster.clock.nowMs() - endedMs});
         it.remove();
       }
     }
-    cluster.clock.at(LOOK_EVERY_MS, this::lookForEnds);
+    cluster.clock.after(LOOK_EVERY_MS, this::lookForEnds);
   }
 
   /** The median and the longest time until an end that came in this time was recorded. */
@@ -179,7 +179,7 @@
   }
 
   private int checkpoints() {
-    return cluster.state.keysUnder(Keys.SNAPSHOTS);
+    return cluster.state.keyCount(Keys.SNAPSHOTS);
   }
 
   private void assertWithinTheRules(long refusedAtFirst) {
@@ -187,25 +187,26 @@
     run(60_000);
     cluster.checker.endOfDay();
     assertEquals(List.of(), cluster.checker.broken());
-    assertEquals(0, cluster.state.tooLarge(), "refused for their size");
-    assertEquals(0, cluster.state.changes.refused(), "changes stay below the rate");
-    assertEquals(refusedAtFirst, cluster.state.requests.refused(), "requests below the rate");
+    assertEquals(0, cluster.state.refusedAsTooLarge(), "refused for their size");
+    assertEquals(0, cluster.state.changeLimiter.refusedCount(), "changes stay below the rate");
+    assertEquals(
+        refusedAtFirst, cluster.state.requestLimiter.refusedCount(), "requests below the rate");
     small.forEach(s -> assertTrue(cluster.checker.isDone(s.uid()), s.uid()));
   }
 
   /** All its tasks but the last ones are done, and each chunk has its checkpoint. */
   private void accepted(int toDo) {
-    cluster.state.stoodBefore(
+    cluster.state.preload(
         Keys.JOBS + large.uid(), new JobRecord(large, 1_800_000_000_000L, CHUNK).encode());
     int done = TASKS - toDo;
     for (int chunk = 0; chunk * CHUNK < done; chunk++) {
       BitSet tasks = new BitSet();
       tasks.set(chunk * CHUNK, Math.min(done, (chunk + 1) * CHUNK));
-      cluster.state.stoodBefore(
+      cluster.state.preload(
           Keys.snapshot(large.uid(), chunk),
           new SnapshotRecord(tasks, List.of(), 0, 0).encode(done, 0));
     }
-    cluster.user(large);
+    cluster.submitAndPoll(large);
     for (int task = 0; task < done; task++) {
       cluster.checker.completes(large.uid(), task);
     }
@@ -213,10 +214,10 @@
 
   @Test
   void isAcceptedRecoveredMidwayAndCancelled() {
-    cluster.clock.at(3_000, this::smallJobs);
+    cluster.clock.after(3_000, this::smallJobs);
     run(30_000);
     Usage before = usage();
-    cluster.user(large);
+    cluster.submitAndPoll(large);
     runUntil(() -> cluster.checker.isAccepted(large.uid()), 2_000);
     measured("accepted after", usage().since(before));
     runUntil(() -> !starts.isEmpty(), 20_000);
@@ -238,7 +239,7 @@
   void isRecoveredFromACheckpointOfEachChunkFinishedAndItsKeysRemoved() {
     accepted(5_000);
     Usage begin = usage();
-    cluster.clock.at(3_000, this::smallJobs);
+    cluster.clock.after(3_000, this::smallJobs);
     runUntil(() -> cluster.leader() >= 0, 20_000);
     measured("led after", usage().since(begin));
     long refused = refusedWhileAllLoad();
@@ -248,7 +249,7 @@
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= TASKS - 2_500, 60_000);
     takeOver();
     runUntil(() -> cluster.checker.isDone(large.uid()), 120_000);
-    runUntil(() -> cluster.state.holds(Keys.completion(large.uid())), 20_000);
+    runUntil(() -> cluster.state.containsKey(Keys.completion(large.uid())), 20_000);
     Usage done = usage();
     measured("done after", done.since(begin));
     removed(done);
@@ -258,7 +259,7 @@
   @Test
   void isCancelledWithACheckpointOfEachChunkBesideOtherJobs() {
     accepted(20_000);
-    cluster.clock.at(3_000, this::smallJobs);
+    cluster.clock.after(3_000, this::smallJobs);
     long refused = refusedWhileAllLoad();
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= TASKS - 15_000, 60_000);
     Usage cancel = usage();
@@ -277,15 +278,15 @@
     measured("a new leader after", leadsMs + " ms, its first start " + startsMs + " ms");
     measured("the takeover", usage().since(crash));
     assertTrue(leadsMs + startsMs < 20_000, "first start " + startsMs + " ms after the takeover");
-    int pages = cluster.state.pages() - crash.pages();
+    int pages = cluster.state.pagesRead() - crash.pages();
     assertTrue(pages <= CHUNKS / 500 + 2, pages + " pages were read by the node that came back");
   }
 
   /** All nodes begin at once and read all keys: for these seconds alone requests are refused. */
   private long refusedWhileAllLoad() {
-    runUntil(() -> IntStream.range(0, NODES).allMatch(cluster::ready), 20_000);
+    runUntil(() -> IntStream.range(0, NODES).allMatch(cluster::isReady), 20_000);
     run(LOADING_MS);
-    return cluster.state.requests.refused();
+    return cluster.state.requestLimiter.refusedCount();
   }
 
   private boolean anyOrderedAfter(int known, long orderedMs) {
--- a/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
@@ -13,7 +13,7 @@
       public void play(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         scenario.jobs(3_000, 4_000, 30, 4, 1, 25);
-        scenario.at(30_000, () -> scenario.note("terms", cluster::terms));
+        scenario.at(30_000, () -> scenario.note("terms", cluster::termCount));
         long[] seen = {0};
         scenario.every(
             30_000,
@@ -22,20 +22,21 @@
             () -> {
               boolean nearOutage =
                   cluster.clock.nowMs() >= 73_000 && cluster.clock.nowMs() < 96_000;
-              if (!nearOutage && cluster.leader() >= 0 && cluster.terms() > seen[0]) {
-                seen[0] = cluster.terms();
-                cluster.clock.at(
+              if (!nearOutage && cluster.leader() >= 0 && cluster.termCount() > seen[0]) {
+                seen[0] = cluster.termCount();
+                cluster.clock.after(
                     scenario.random.nextInt(1_500),
                     () -> scenario.crashLeader(200 + scenario.random.nextInt(3_000)));
               }
             });
-        scenario.every(33_000, 150_000, 9_000, () -> cluster.cancelNow(1, 0));
-        scenario.at(80_000, () -> cluster.state.outage(true));
+        scenario.every(33_000, 150_000, 9_000, () -> cluster.cancelRunning(1, 0));
+        scenario.at(80_000, () -> cluster.state.setOutage(true));
         // Whoever leads by then, or is back by then, ends inside the outage.
         scenario.every(81_000, 94_000, 500, () -> crashDuringOutage(scenario));
-        scenario.at(95_000, () -> cluster.state.outage(false));
+        scenario.at(95_000, () -> cluster.state.setOutage(false));
         scenario.faultsEndMs = 152_000;
-        scenario.mustOccur("ten changes", () -> cluster.terms() - scenario.noted("terms") >= 10);
+        scenario.mustOccur(
+            "ten changes", () -> cluster.termCount() - scenario.noted("terms") >= 10);
         scenario.mustOccur("one inside the outage", () -> scenario.noted("crashes in outage") >= 1);
         scenario.mustOccur("cancellations", () -> cluster.checker.cancelledWhileOn() >= 3);
       }
@@ -53,12 +54,12 @@
       public void play(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         scenario.jobs(3_000, 2_500, 30, 4, 1, 30);
-        scenario.at(29_000, () -> scenario.note("terms", cluster::terms));
+        scenario.at(29_000, () -> scenario.note("terms", cluster::termCount));
         for (int i = 0; i < 4; i++) {
           scenario.at(
               30_000 + i * 8_000, () -> scenario.crashLeader(150 + scenario.random.nextInt(700)));
         }
-        scenario.every(31_000, 90_000, 8_000, () -> cluster.cancelNow(1, 0));
+        scenario.every(31_000, 90_000, 8_000, () -> cluster.cancelRunning(1, 0));
         int first = scenario.random.nextInt(FaultScenario.NODES);
         scenario.at(
             66_000,
@@ -91,7 +92,7 @@
       private boolean aloneAlive(SimulatedCluster cluster) {
         int alive = 0;
         for (int i = 0; i < FaultScenario.NODES; i++) {
-          alive += cluster.alive(i) ? 1 : 0;
+          alive += cluster.isAlive(i) ? 1 : 0;
         }
         return alive == 1;
       }
@@ -104,8 +105,8 @@
         scenario.jobs(3_000, 1_000, 14, 3, 1, 120);
         AgentEpochs[] epochs = new AgentEpochs[1];
         long awayMs = scenario.leaseMs + 3_000 + scenario.random.nextInt(9_000);
-        scenario.at(44_000, () -> scenario.note("terms", cluster::terms));
-        scenario.at(44_000, () -> cluster.cancelNow(3, 0));
+        scenario.at(44_000, () -> scenario.note("terms", cluster::termCount));
+        scenario.at(44_000, () -> cluster.cancelRunning(3, 0));
         scenario.at(
             45_000,
             () -> {
@@ -114,7 +115,8 @@
                 cluster.crash(i, awayMs + scenario.random.nextInt(2_000));
               }
             });
-        scenario.at(45_000 + awayMs - 100, () -> scenario.note("ended", () -> epochs[0].ended()));
+        scenario.at(
+            45_000 + awayMs - 100, () -> scenario.note("ended", () -> epochs[0].expiredCount()));
         scenario.faultsEndMs = 45_000 + awayMs + 8_000;
         scenario.leaderMustChange(1);
         scenario.mustOccur("agent epochs ended", () -> scenario.noted("ended") >= 3);
@@ -127,18 +129,18 @@
       public void play(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         scenario.jobs(3_000, 1_500, 50, 3, 1, 12);
-        scenario.at(20_000, () -> cluster.network.lateWrites(0.35, false));
-        scenario.at(20_000, () -> scenario.note("terms", cluster::terms));
-        scenario.every(25_000, 80_000, 6_000, () -> cluster.cancelNow(1, 0));
+        scenario.at(20_000, () -> cluster.network.setUnansweredWrites(0.35, false));
+        scenario.at(20_000, () -> scenario.note("terms", cluster::termCount));
+        scenario.every(25_000, 80_000, 6_000, () -> cluster.cancelRunning(1, 0));
         scenario.at(
             45_000 + scenario.random.nextInt(5_000), scenario::crashLeaderAndPartitionSomeWorkers);
         scenario.at(
             65_000 + scenario.random.nextInt(5_000), scenario::crashLeaderAndPartitionSomeWorkers);
-        scenario.at(85_000, () -> cluster.network.lateWrites(0, false));
+        scenario.at(85_000, () -> cluster.network.setUnansweredWrites(0, false));
         scenario.faultsEndMs = 100_000;
         scenario.leaderMustChange(1);
         scenario.mustOccur(
-            "overtaken transactions", () -> cluster.stateAccess.overtakenWrites() >= 5);
+            "overtaken transactions", () -> cluster.stateAccess.reorderedWrites() >= 5);
       }
     },
 
@@ -146,17 +148,17 @@
       @Override
       public void play(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        cluster.cloud.boots("small", 0.2);
-        cluster.cloud.boots("large", 0.2);
-        cluster.network.lateWrites(0.45, false);
-        scenario.at(1_000, () -> scenario.note("terms", cluster::terms));
+        cluster.cloud.setBootTimeFactor("small", 0.2);
+        cluster.cloud.setBootTimeFactor("large", 0.2);
+        cluster.network.setUnansweredWrites(0.45, false);
+        scenario.at(1_000, () -> scenario.note("terms", cluster::termCount));
         for (int i = 0; i < 3; i++) {
           burst(scenario, 12_000 + i * 25_000, 8 + 20 * i);
         }
-        scenario.at(90_000, () -> cluster.network.lateWrites(0, false));
+        scenario.at(90_000, () -> cluster.network.setUnansweredWrites(0, false));
         scenario.faultsEndMs = 95_000;
         scenario.leaderMustChange(2);
-        scenario.mustOccur("writes lagged", () -> cluster.stateAccess.overtakenWrites() >= 1);
+        scenario.mustOccur("writes lagged", () -> cluster.stateAccess.reorderedWrites() >= 1);
         scenario.mustOccur("ended right after work began there", () -> scenario.noted("met") >= 2);
       }
 
@@ -167,8 +169,8 @@
             atMs,
             () -> {
               cluster.cloud.workers().forEach(x -> before.add(x.host()));
-              cluster.user(scenario.urgent(scenario.job("red", tasks / 2, 2, 30)));
-              cluster.user(scenario.urgent(scenario.job("blue", tasks, 2, 30)));
+              cluster.submitAndPoll(scenario.urgent(scenario.job("red", tasks / 2, 2, 30)));
+              cluster.submitAndPoll(scenario.urgent(scenario.job("blue", tasks, 2, 30)));
             });
         boolean[] ended = {false};
         scenario.every(
@@ -181,7 +183,7 @@
               if (!ended[0] && begun && cluster.leader() >= 0) {
                 ended[0] = true;
                 scenario.increase("met", 1);
-                cluster.clock.at(
+                cluster.clock.after(
                     scenario.random.nextInt(150), scenario::crashLeaderAndPartitionSomeWorkers);
               }
             });
--- a/src/test/java/org/ploverspindle/sim/LeadershipStatusTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeadershipStatusTest.java
@@ -45,9 +45,9 @@
   @Test
   void tellsOfReturnsAndOfWhatWasRefused() {
     SimulatedCluster cluster = new SimulatedCluster(4, 3, 4, List.of("a"));
-    cluster.cloud.everyBootSucceeds();
-    cluster.clock.at(
-        3_000, () -> cluster.user(DayEndCriteriaTest.job(cluster, "c", HIGH, 4, 4, 5, 0)));
+    cluster.cloud.stopBootFailures();
+    cluster.clock.after(
+        3_000, () -> cluster.submitAndPoll(DayEndCriteriaTest.job(cluster, "c", HIGH, 4, 4, 5, 0)));
     cluster.clock.runUntil(10 * LED_MS);
     String text = status(cluster, cluster.leader());
     assertTrue(text.contains(" refused state_writes=0 worker_commands=0"), text);
--- a/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
@@ -48,18 +48,18 @@
     Random random = new Random(seed);
     List<String> uids = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      w.clock.at(5_000 + i * 200L, () -> uids.add(submit(w)));
+      w.clock.after(5_000 + i * 200L, () -> uids.add(submit(w)));
     }
-    w.clock.at(FROM_MS, () -> w.network.lateWrites(0.25, carriedOutAtOnce));
+    w.clock.after(FROM_MS, () -> w.network.setUnansweredWrites(0.25, carriedOutAtOnce));
     for (int i = 0; i < JOBS; i++) {
       int n = i;
-      w.clock.at(
+      w.clock.after(
           FROM_MS + n * EVERY_MS,
           () -> cancel(w, uids.get(n), (Math.max(0, w.leader()) + 1 + random.nextInt(2)) % NODES));
     }
     int endMs = FROM_MS + JOBS * EVERY_MS;
-    w.clock.at(endMs, () -> w.network.lateWrites(0, true));
-    w.clock.at(endMs + 20_000, w::troublesAreOver);
+    w.clock.after(endMs, () -> w.network.setUnansweredWrites(0, true));
+    w.clock.after(endMs + 20_000, w::faultsEnded);
     w.clock.runUntil(endMs + 90_000);
     assertEquals(List.of(), w.checker.broken());
     long longestMs = tookMs.stream().mapToLong(t -> t).max().orElse(0);
@@ -74,7 +74,7 @@
   private static String submit(SimulatedCluster w) {
     JobSpec spec =
         JobSpecFixtures.batch(w.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
-    w.user(spec);
+    w.submitAndPoll(spec);
     return spec.uid();
   }
 
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
@@ -88,14 +88,14 @@
 
   static SortedMap<String, Entry> all(SimStateStore state) {
     SortedMap<String, Entry> all = new TreeMap<>();
-    ((PageResult.Page) state.page(Keys.PREFIX, "", 1_000_000))
+    ((PageResult.Page) state.readPage(Keys.PREFIX, "", 1_000_000))
         .entries()
         .forEach(e -> all.put(e.key(), e));
     return all;
   }
 
   /** Reaches the state service with faults; asserts that nothing exceeds the lower limits. */
-  final class FaultyStateClient extends ReadingStateClient {
+  final class FaultyStateClient extends StubStateStore {
     private final SimClock.Process process;
     private final boolean bounded;
     int refused;
@@ -123,14 +123,14 @@
       if (fate < faults) {
         int kind = random.nextInt(3);
         if (kind > 0) {
-          clock.at(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.txn(transaction));
+          clock.after(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.commit(transaction));
         }
         process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
       } else {
-        clock.at(
+        clock.after(
             1 + random.nextInt(10),
             () -> {
-              TransactionResult result = state.txn(transaction);
+              TransactionResult result = state.commit(transaction);
               refused += result instanceof TransactionResult.Refused r && r.status() == 400 ? 1 : 0;
               process.schedule(1 + random.nextInt(10), () -> then.accept(result));
             });
@@ -142,7 +142,7 @@
     long before =
         Optional.ofNullable(all(state).get(Keys.LEADER)).map(Entry::modRevision).orElse(0L);
     TransactionResult result =
-        state.txn(
+        state.commit(
             new Transaction(
                 List.of(new Condition(Keys.LEADER, before)),
                 List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
@@ -161,7 +161,7 @@
 
   void cancelled(Kind job) {
     jobs.get(job).terminal = true;
-    while (!(state.txn(
+    while (!(state.commit(
             new Transaction(
                 List.of(), List.of(new Change.Put(Keys.cancellation(job.uid()), Cbor.map()))))
         instanceof TransactionResult.Committed)) {
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -85,7 +85,7 @@
     machines = seed % 2 == 0 ? 40 : 700;
     for (int term = 0; term < 8; term++) {
       if (term == 5) {
-        state.limits(LOW);
+        state.setLimits(LOW);
       }
       if (term == 0 || random.nextInt(3) == 0) {
         earlierVersionLeads(150 + random.nextInt(500));
@@ -111,10 +111,10 @@
     takeOver();
   }
 
-  private static SimulatedCluster.Site siteWithLimits(Settings.StateLimits limits) {
-    SimulatedCluster.Site small = SimulatedCluster.Site.small(3, 30, List.of("a", "b"));
-    return new SimulatedCluster.Site(
-        small.nodes(),
+  private static SimulatedCluster.Deployment siteWithLimits(Settings.StateLimits limits) {
+    SimulatedCluster.Deployment small = SimulatedCluster.Deployment.small(3, 30, List.of("a", "b"));
+    return new SimulatedCluster.Deployment(
+        small.controllerCount(),
         small.capacity(),
         small.zones(),
         small.workers(),
@@ -138,24 +138,24 @@
     for (int i = 0; i < 120; i++) {
       int tasks = 1 + cluster.random.nextInt(i % 10 == 0 ? 120 : 6);
       boolean named = i % 7 == 0;
-      cluster.clock.at(
+      cluster.clock.after(
           3_000 + i * 1_000,
           () -> {
             JobSpec spec =
                 JobSpecFixtures.batch(
                     cluster.newUid(), "c", "blue", Priority.NORMAL, tasks, 0.5, 0.1, 5, 0);
-            cluster.user(named ? spec.withTypes(unknown) : spec);
+            cluster.submitAndPoll(named ? spec.withTypes(unknown) : spec);
           });
     }
-    cluster.clock.at(50_000, () -> cluster.state.limits(next));
-    cluster.clock.at(60_000, () -> cluster.crash(cluster.leader(), 1_000));
-    cluster.clock.at(90_000, () -> cluster.crash(cluster.leader(), 1_000));
-    cluster.clock.at(130_000, cluster::troublesAreOver);
+    cluster.clock.after(50_000, () -> cluster.state.setLimits(next));
+    cluster.clock.after(60_000, () -> cluster.crash(cluster.leader(), 1_000));
+    cluster.clock.after(90_000, () -> cluster.crash(cluster.leader(), 1_000));
+    cluster.clock.after(130_000, cluster::faultsEnded);
     cluster.clock.runUntil(400_000);
     cluster.checker.endOfDay();
     assertEquals(List.of(), cluster.checker.broken());
     assertEquals(120, cluster.checker.jobsDone());
-    assertEquals(0, cluster.state.tooLarge(), "refused for their size");
+    assertEquals(0, cluster.state.refusedAsTooLarge(), "refused for their size");
   }
 
   /** All slots hold records of the version in production, the oldest larger than a value may be. */
@@ -163,7 +163,7 @@
   void aRecordTooLargeToBeReplacedIsPassedOverUntilItHasMovedOn() {
     random = new Random(9);
     fillAllSlotsByEarlierVersion();
-    state.limits(LOW);
+    state.setLimits(LOW);
     for (int term = 0; term < 16; term++) {
       WritingLeader leader = new WritingLeader(LOW, true);
       // The first ones end before they have written all that it takes.
@@ -211,7 +211,7 @@
 
   @Test
   void aWriteThatIsRefusedForItsSizeIsMadeSmallerUntilOneIsTaken() {
-    state.limits(LOW);
+    state.setLimits(LOW);
     WritingLeader leader = new WritingLeader(OLD, false);
     for (int i = 0; i < 12; i++) {
       leader.add(accept(SnapshotRecord.shardSizeFor(OLD.maxValueBytes())));
--- a/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
@@ -65,7 +65,7 @@
 
   @BeforeEach
   void lead() {
-    state.stoodBefore(Keys.LEADER, Cbor.map().put("member", "n0"));
+    state.preload(Keys.LEADER, Cbor.map().put("member", "n0"));
     StateStore store =
         new SimStateAccess(clock, new Random(2), network, state, false)
             .client(0, new SimLink(clock, network, 0, process));
@@ -83,7 +83,7 @@
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("blue", 0, 0, 0, 0)));
     Settings.WorkerLimits workers = new Settings.WorkerLimits(3, 14, 39);
     fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(workers, 1), term);
-    handler = NoOpHeartbeatListener.reportHandler(fleet, term);
+    handler = NoOpHeartbeatListener.heartbeatHandler(fleet, term);
     TokenBucket plenty = new TokenBucket(process, 1_000, 1_000);
     returns =
         new MachineTerminations(
@@ -130,7 +130,7 @@
   private Placement place(Machine machine, Placement.Phase phase) {
     Job job =
         new Job(
-            JobSpecFixtures.saving(
+            JobSpecFixtures.withCheckpoints(
                 JobSpecFixtures.batch("run-1", "c", "blue", Priority.NORMAL, 1, 1, 0.1, 50, 0),
                 5,
                 2),
@@ -152,7 +152,7 @@
   private void inherit(String... hosts) {
     ObjectNode value = Cbor.map();
     List.of(hosts).forEach(value.putArray("hosts")::add);
-    state.stoodBefore(EARLIER, value);
+    state.preload(EARLIER, value);
     replica.readBarrier(read -> {});
     run(SOON_MS);
     replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inheritTermination);
@@ -170,21 +170,21 @@
     assertEquals(List.of(List.of("i-1")), requests);
     assertTrue(fleet.wasTerminated("i-1"));
     run(KEEP_MS - 2 * SOON_MS);
-    assertEquals(1, state.keysUnder(Keys.TERMINATIONS), "a list may still show the machine");
+    assertEquals(1, state.keyCount(Keys.TERMINATIONS), "a list may still show the machine");
     run(4_000);
-    assertEquals(0, state.keysUnder(Keys.TERMINATIONS));
+    assertEquals(0, state.keyCount(Keys.TERMINATIONS));
     assertEquals(1, requests.size());
   }
 
   @Test
   void aRecordWithoutAnAnswerKeepsTheMachineOutOfWorkAndTheCloudUnasked() {
     Machine machine = report("i-1", 1);
-    network.lateWrites(1, false);
+    network.setUnansweredWrites(1, false);
     returns.beginTermination(List.of(machine));
-    network.lateWrites(0, false);
+    network.setUnansweredWrites(0, false);
     mayDecide = false;
     run(20_000);
-    assertEquals(1, state.keysUnder(Keys.TERMINATIONS), "it was carried out late");
+    assertEquals(1, state.keyCount(Keys.TERMINATIONS), "it was carried out late");
     assertTrue(machine.isTerminating());
     assertEquals(List.of(), requests, "nothing is sent without a sure lead");
     mayDecide = true;
@@ -194,16 +194,16 @@
 
   @Test
   void nothingIsSentWhileItIsNotKnownWhetherTheRecordStands() {
-    network.lateWrites(1, false);
+    network.setUnansweredWrites(1, false);
     returns.beginTermination(List.of(report("i-1", 1)));
     run(1_900);
     assertEquals(List.of(), requests);
-    network.lateWrites(0, false);
-    state.outage(true);
+    network.setUnansweredWrites(0, false);
+    state.setOutage(true);
     run(60_000);
     assertEquals(List.of(), requests);
     assertTrue(returns.isStalled());
-    state.outage(false);
+    state.setOutage(false);
     run(3_000);
     assertEquals(List.of(List.of("i-1")), requests);
   }
@@ -221,7 +221,7 @@
     assertTrue(fleet.adopt("i-1", "t", "a", true, clock.nowMs()).isEmpty());
     assertTrue(fleet.adopt("i-2", "t", "a", true, clock.nowMs()).isEmpty());
     run(KEEP_MS + 3_000);
-    assertEquals(0, state.keysUnder(Keys.TERMINATIONS));
+    assertEquals(0, state.keyCount(Keys.TERMINATIONS));
   }
 
   /** It was taken for gone, and reports again between the record and the release. */
@@ -271,7 +271,7 @@
   @Test
   void aRecordThatCantBeReadKeepsMachinesOfEarlierTermsOutOfWorkForAWhile() {
     Machine before = report("i-1", 1);
-    state.stoodBefore(EARLIER, Cbor.map().put("hosts", "i-1"));
+    state.preload(EARLIER, Cbor.map().put("hosts", "i-1"));
     replica.readBarrier(read -> {});
     run(SOON_MS);
     replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inheritTermination);
@@ -283,17 +283,17 @@
     run(310_000);
     assertTrue(report("i-1", 2).isSchedulable(clock.nowMs(), 9_000));
     assertEquals(List.of(), requests);
-    assertEquals(1, state.keysUnder(Keys.TERMINATIONS));
+    assertEquals(1, state.keyCount(Keys.TERMINATIONS));
   }
 
   @Test
   void recordsBeyondLimitsThatFellAreHalvedAndEveryMachineGoesOnce() {
     List<Machine> machines =
         IntStream.range(0, 150).mapToObj(i -> report("i-" + (1_000 + i), 1)).toList();
-    state.limits(new Settings.StateLimits(1_000, 1_000, 0.25, 12));
+    state.setLimits(new Settings.StateLimits(1_000, 1_000, 0.25, 12));
     returns.beginTermination(machines);
     run(10_000);
-    assertTrue(state.tooLarge() > 0);
+    assertTrue(state.refusedAsTooLarge() > 0);
     assertEquals(150, requests.stream().mapToInt(List::size).sum());
     assertEquals(0, fleet.all().size());
   }
--- a/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
@@ -89,10 +89,10 @@
 
   /** Retries while the rate of changes is exceeded. */
   TransactionResult commit(Transaction transaction) {
-    TransactionResult result = state.txn(transaction);
+    TransactionResult result = state.commit(transaction);
     while (result instanceof TransactionResult.Refused) {
       clock.runUntil(clock.nowMs() + 50);
-      result = state.txn(transaction);
+      result = state.commit(transaction);
     }
     return result;
   }
@@ -104,7 +104,7 @@
   }
 
   /** The state service as a leader of this version reaches it: some answers are lost or late. */
-  final class FaultyStateClient extends ReadingStateClient {
+  final class FaultyStateClient extends StubStateStore {
     private final SimClock.Process process;
 
     FaultyStateClient(SimClock.Process process) {
@@ -118,15 +118,15 @@
         // Never executed, executed without an answer, or executed when the next leader may lead.
         int kind = random.nextInt(3);
         if (kind > 0) {
-          clock.at(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.txn(transaction));
+          clock.after(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.commit(transaction));
         }
         process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
         return;
       }
-      clock.at(
+      clock.after(
           3,
           () -> {
-            TransactionResult result = state.txn(transaction);
+            TransactionResult result = state.commit(transaction);
             process.schedule(3, () -> then.accept(result));
           });
     }
@@ -226,7 +226,7 @@
 
   JsonNode acceptedByThisVersion(String uid, int tasks, List<String> dependencies, boolean isLong) {
     JobSpec spec =
-        JobSpecFixtures.after(
+        JobSpecFixtures.withDependencies(
             JobSpecFixtures.batch(uid, "class-0", "blue", Priority.NORMAL, tasks, 1, 1, 5, 0),
             dependencies.toArray(String[]::new));
     JobRecord record = new JobRecord(spec, clock.nowMs(), CHUNK);
--- a/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
@@ -32,21 +32,21 @@
             cluster.cloud.workers().stream().filter(x -> x.zone().equals("b")).toList();
         AgentEpochs epochs =
             new AgentEpochs(scenario.busyWorkers().stream().filter(zone::contains).toList());
-        scenario.note("busy", epochs::workers);
+        scenario.note("busy", epochs::workerCount);
         List<String> there = scenario.jobsOn(zone);
         partitionZone(scenario, inside, zone, true);
         for (int i = 0; i < Math.min(3, there.size()); i++) {
           int n = i;
-          cluster.clock.at(
+          cluster.clock.after(
               500 + scenario.random.nextInt(6_000), () -> cluster.cancel(there.get(n), 0));
         }
-        cluster.clock.at(
+        cluster.clock.after(
             // With the leader inside, its workers keep their leases for as long as it may answer.
             (scenario.oddSeed ? scenario.cancelMs : scenario.leaseMs)
                 + 6_000
                 + scenario.random.nextInt(6_000),
             () -> {
-              scenario.note("ended", epochs::ended);
+              scenario.note("ended", epochs::expiredCount);
               partitionZone(scenario, inside, zone, false);
             });
       }
@@ -76,17 +76,17 @@
             cluster.cloud.workers().stream().filter(x -> x.zone().equals("b")).toList();
         AgentEpochs epochs =
             new AgentEpochs(scenario.busyWorkers().stream().filter(zone::contains).toList());
-        scenario.note("terms", cluster::terms);
-        scenario.note("busy", epochs::workers);
+        scenario.note("terms", cluster::termCount);
+        scenario.note("busy", epochs::workerCount);
         scenario.note("starts", cluster.checker::starts);
         partitionZone(scenario, leader, zone, true);
-        cluster.cloud.outage(true);
-        cluster.clock.at(
+        cluster.cloud.setOutage(true);
+        cluster.clock.after(
             scenario.cancelMs + 6_000 + scenario.random.nextInt(6_000),
             () -> {
-              scenario.note("ended", epochs::ended);
+              scenario.note("ended", epochs::expiredCount);
               partitionZone(scenario, leader, zone, false);
-              cluster.cloud.outage(false);
+              cluster.cloud.setOutage(false);
             });
       }
     },
@@ -107,30 +107,32 @@
         SimulatedCluster cluster = scenario.cluster;
         int old = Math.max(0, cluster.leader());
         long lasting = scenario.cancelMs + 12_000;
-        cluster.nodeCut(
+        cluster.partitionController(
             old,
-            scenario.oddSeed ? SimulatedCluster.CutMode.HOLD : SimulatedCluster.CutMode.REFUSE,
+            scenario.oddSeed
+                ? SimulatedCluster.PartitionMode.HOLD_PACKETS
+                : SimulatedCluster.PartitionMode.REFUSE_REQUESTS,
             lasting);
         // Beside, some of the machines have no way to the others: nobody tells them of a new one.
         List<SimWorker> busy = scenario.busyWorkers();
         List<SimWorker> stay = busy.subList(0, busy.size() / 2 + 1);
         stay.forEach(x -> scenario.partitionFromAllBut(x, old, true));
-        cluster.clock.at(
+        cluster.clock.after(
             lasting, () -> stay.forEach(x -> scenario.partitionFromAllBut(x, old, false)));
         scenario.partitionOthersFrom(old, stay, lasting);
         // Nor can anybody return them, or rent one that would tell the old leader of the new one.
-        cluster.cloud.outage(true);
-        cluster.clock.at(lasting, () -> cluster.cloud.outage(false));
+        cluster.cloud.setOutage(true);
+        cluster.clock.after(lasting, () -> cluster.cloud.setOutage(false));
         List<String> jobs = scenario.jobsOn(stay);
         int[] others = {-1};
         for (long t = 200; t < 15_000; t += 200) {
-          cluster.clock.at(
+          cluster.clock.after(
               t,
               () -> {
                 int next = nextLeader(cluster, old);
                 if (others[0] < 0 && next >= 0) {
                   others[0] = next;
-                  scenario.note("both", () -> cluster.leads(old) ? 1 : 0);
+                  scenario.note("both", () -> cluster.isLeading(old) ? 1 : 0);
                   cancelThrough(scenario, next, jobs);
                 }
               });
@@ -142,13 +144,13 @@
         int before = cluster.checker.cancelledWhileOn();
         jobs.forEach(
             uid ->
-                cluster.clock.at(
+                cluster.clock.after(
                     scenario.random.nextInt(1_500),
                     () -> {
                       cluster.checker.cancelAsked(uid);
                       cluster.cancelAt(node, uid);
                     }));
-        cluster.clock.at(
+        cluster.clock.after(
             3_000,
             () ->
                 scenario.note(
@@ -157,7 +159,7 @@
 
       private int nextLeader(SimulatedCluster cluster, int old) {
         for (int i = 0; i < FaultScenario.NODES; i++) {
-          if (i != old && cluster.leads(i)) {
+          if (i != old && cluster.isLeading(i)) {
             return i;
           }
         }
@@ -175,7 +177,7 @@
           scenario.at(3_000 + i * 1_000, () -> bound.add(submit(scenario, n)));
         }
         scenario.at(40_000, () -> loseMachines(scenario, bound));
-        scenario.at(40_300, () -> scenario.note("terms", cluster::terms));
+        scenario.at(40_300, () -> scenario.note("terms", cluster::termCount));
         scenario.at(40_500 + scenario.random.nextInt(2_000), () -> scenario.crashLeader(3_000));
         scenario.at(75_000, () -> loseMachines(scenario, bound));
         scenario.faultsEndMs = 95_000;
@@ -194,7 +196,7 @@
               case 2 -> scenario.bound(plain, "", true, false);
               default -> scenario.bound(plain, "", false, true);
             };
-        scenario.cluster.user(spec);
+        scenario.cluster.submitAndPoll(spec);
         return spec.uid();
       }
 
@@ -209,9 +211,9 @@
         for (int i = 0; i < theirs.size(); i += 2) {
           scenario.increase("lost", scenario.jobsOn(List.of(theirs.get(i))).size());
           if (i % 4 == 0) {
-            scenario.cluster.cloud.die(theirs.get(i).host());
+            scenario.cluster.cloud.fail(theirs.get(i).host());
           } else {
-            theirs.get(i).recall();
+            theirs.get(i).giveSpotNotice();
           }
         }
       }
@@ -237,27 +239,28 @@
         List<SimWorker> busy = scenario.busyWorkers();
         List<SimWorker> unreached = busy.subList(0, busy.size() / 2);
         List<SimWorker> deaf = busy.subList(busy.size() / 2, busy.size() * 3 / 4);
-        scenario.note("terms", cluster::terms);
+        scenario.note("terms", cluster::termCount);
         scenario.note("starts", cluster.checker::starts);
         scenario.note("unreached", unreached::size);
         scenario.note("deaf", deaf::size);
         long lasting = scenario.cancelMs + 12_000;
         if (scenario.oddSeed) {
           // The old leader goes on answering them as long as it may: none but it reaches them.
-          cluster.nodeCut(old, SimulatedCluster.CutMode.REFUSE, lasting);
+          cluster.partitionController(old, SimulatedCluster.PartitionMode.REFUSE_REQUESTS, lasting);
           unreached.forEach(x -> scenario.partitionFromAllBut(x, old, true));
           scenario.partitionOthersFrom(old, unreached, lasting);
-          cluster.clock.at(
+          cluster.clock.after(
               lasting, () -> unreached.forEach(x -> scenario.partitionFromAllBut(x, old, false)));
         } else {
           unreached.forEach(x -> scenario.partition(x, true));
-          cluster.clock.at(lasting, () -> unreached.forEach(x -> scenario.partition(x, false)));
-          cluster.clock.at(scenario.random.nextInt(1_000), () -> cluster.crash(old, 2_000));
+          cluster.clock.after(lasting, () -> unreached.forEach(x -> scenario.partition(x, false)));
+          cluster.clock.after(scenario.random.nextInt(1_000), () -> cluster.crash(old, 2_000));
         }
-        cluster.clock.at(
+        cluster.clock.after(
             scenario.random.nextInt(3_000),
-            () -> deaf.forEach(x -> cluster.network.deaf(x.host(), true)));
-        cluster.clock.at(lasting, () -> deaf.forEach(x -> cluster.network.deaf(x.host(), false)));
+            () -> deaf.forEach(x -> cluster.network.dropInbound(x.host(), true)));
+        cluster.clock.after(
+            lasting, () -> deaf.forEach(x -> cluster.network.dropInbound(x.host(), false)));
       }
     };
   }
@@ -270,16 +273,16 @@
   private static void partitionZone(
       FaultScenario scenario, int inside, List<SimWorker> zone, boolean now) {
     String node = "n" + inside;
-    scenario.cluster.network.hold(node, SimulatedCluster.STATE, now);
-    scenario.cluster.network.hold(node, SimulatedCluster.CLOUD, now);
+    scenario.cluster.network.holdPackets(node, SimulatedCluster.STATE, now);
+    scenario.cluster.network.holdPackets(node, SimulatedCluster.CLOUD, now);
     for (int i = 0; i < FaultScenario.NODES; i++) {
       if (i != inside) {
-        scenario.cluster.network.hold(node, "n" + i, now);
+        scenario.cluster.network.holdPackets(node, "n" + i, now);
       }
     }
     zone.forEach(x -> scenario.partitionFromAllBut(x, inside, now));
     scenario.cluster.cloud.workers().stream()
         .filter(x -> !zone.contains(x))
-        .forEach(x -> scenario.cluster.network.hold(node, x.host(), now));
+        .forEach(x -> scenario.cluster.network.holdPackets(node, x.host(), now));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
@@ -27,10 +27,17 @@
   private static final int NODES = 3;
   private static final Settings.StateLimits NEXT = new Settings.StateLimits(200, 15, 2, 4);
 
-  private static SimulatedCluster.Site site(Settings.StateLimits now) {
-    SimulatedCluster.Site s = SimulatedCluster.Site.small(NODES, 14, List.of("a", "b"));
-    return new SimulatedCluster.Site(
-        s.nodes(), s.capacity(), s.zones(), s.workers(), now, s.cloud(), s.teams(), s.policy());
+  private static SimulatedCluster.Deployment site(Settings.StateLimits now) {
+    SimulatedCluster.Deployment s = SimulatedCluster.Deployment.small(NODES, 14, List.of("a", "b"));
+    return new SimulatedCluster.Deployment(
+        s.controllerCount(),
+        s.capacity(),
+        s.zones(),
+        s.workers(),
+        now,
+        s.cloud(),
+        s.teams(),
+        s.policy());
   }
 
   /** A day, and what came about in it. */
@@ -50,10 +57,10 @@
               seed, site(new Settings.StateLimits(200, 60, 8, 12, Optional.of(NEXT))));
       r = new Random(seed * 31 + 7);
       for (int i = 0; i < 24; i++) {
-        w.clock.at(3_000 + r.nextInt(150_000), this::ordinary);
+        w.clock.after(3_000 + r.nextInt(150_000), this::ordinary);
       }
       for (int i = 0; i < 14; i++) {
-        w.clock.at(3_000 + r.nextInt(120_000), this::pipeline);
+        w.clock.after(3_000 + r.nextInt(120_000), this::pipeline);
       }
       Faults[] all = Faults.values();
       for (int i = 0; i < 7; i++) {
@@ -65,25 +72,25 @@
             10_000 + r.nextInt(190_000));
       }
       for (int i = 0; i < 4; i++) {
-        w.clock.at(20_000 + r.nextInt(160_000), this::outageAfterTheWord);
+        w.clock.after(20_000 + r.nextInt(160_000), this::outageAfterTheWord);
       }
-      w.clock.at(30_000 + r.nextInt(190_000), this::crashesWithinAMoment);
-      w.clock.at(
+      w.clock.after(30_000 + r.nextInt(190_000), this::crashesWithinAMoment);
+      w.clock.after(
           20_000 + r.nextInt(200_000),
           () -> {
-            w.state.limits(NEXT);
+            w.state.setLimits(NEXT);
             fell = true;
           });
-      w.clock.at(240_000, w::troublesAreOver);
+      w.clock.after(240_000, w::faultsEnded);
       w.clock.runUntil(480_000);
       w.checker.endOfDay();
     }
 
     private void ordinary() {
       JobSpec spec = InvariantsTest.job(w.newUid(), r);
-      w.user(spec);
+      w.submitAndPoll(spec);
       if (spec.expectedS() == 0 || r.nextInt(4) == 0) {
-        w.clock.at(2_000 + r.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
+        w.clock.after(2_000 + r.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
       }
     }
 
@@ -153,7 +160,7 @@
       boolean over = awaits.stream().noneMatch(u -> w.checker.finalWord(u).isEmpty());
       boolean last = i == form.size() - 1;
       if (!accepted || last && lastLate && !over) {
-        w.clock.at(300, () -> submit(form, uids, lastLate, cancelAt));
+        w.clock.after(300, () -> submit(form, uids, lastLate, cancelAt));
         return;
       }
       List<String> gone = cancelled.stream().filter(w.checker::isAccepted).sorted().toList();
@@ -164,16 +171,16 @@
       if (awaits.stream().anyMatch(cancelled::contains)) {
         naming.add(spec.uid());
       }
-      w.user(spec);
+      w.submitAndPoll(spec);
       steps.add(spec.uid());
       uids.add(spec.uid());
       if (i == cancelAt) {
-        w.clock.at(200 + r.nextInt(40_000), () -> cancel(spec.uid()));
+        w.clock.after(200 + r.nextInt(40_000), () -> cancel(spec.uid()));
       }
       if (last) {
         lasts.add(spec.uid());
       } else {
-        w.clock.at(20 + r.nextInt(400), () -> submit(form, uids, lastLate, cancelAt));
+        w.clock.after(20 + r.nextInt(400), () -> submit(form, uids, lastLate, cancelAt));
       }
     }
 
@@ -197,13 +204,13 @@
       boolean leaderCrashes = r.nextBoolean();
       int outMs = 500 + r.nextInt(9_000);
       cancel(uid);
-      w.clock.at(
+      w.clock.after(
           r.nextInt(40),
           () -> {
             JobSpec spec = step(true, List.of(uid));
             naming.add(spec.uid());
             steps.add(spec.uid());
-            w.user(spec);
+            w.submitAndPoll(spec);
           });
       awaitWord(uid, 2_000, outMs, leaderCrashes);
     }
@@ -211,13 +218,13 @@
     private void awaitWord(String uid, int tries, int outMs, boolean leaderCrashes) {
       if (w.checker.finalWord(uid).isEmpty()) {
         if (tries > 0) {
-          w.clock.at(5, () -> awaitWord(uid, tries - 1, outMs, leaderCrashes));
+          w.clock.after(5, () -> awaitWord(uid, tries - 1, outMs, leaderCrashes));
         }
         return;
       }
       outagesAfterTheWord++;
-      w.state.outage(true);
-      w.clock.at(outMs, () -> w.state.outage(false));
+      w.state.setOutage(true);
+      w.clock.after(outMs, () -> w.state.setOutage(false));
       if (leaderCrashes) {
         w.crash(Math.max(0, w.leader()), 50 + r.nextInt(2_000));
       }
@@ -225,7 +232,7 @@
 
     private void crashesWithinAMoment() {
       for (int i = 0; i < 4; i++) {
-        w.clock.at(r.nextInt(900), () -> w.crash(r.nextInt(NODES), 20 + r.nextInt(300)));
+        w.clock.after(r.nextInt(900), () -> w.crash(r.nextInt(NODES), 20 + r.nextInt(300)));
       }
     }
 
@@ -251,7 +258,7 @@
           + " starts, limits fell: "
           + fell
           + ", too large: "
-          + w.state.tooLarge()
+          + w.state.refusedAsTooLarge()
           + ", never begun: "
           + w.checker.neverBegun();
     }
@@ -268,7 +275,7 @@
     String what = "seed " + seed + ": " + day;
     assertEquals(List.of(), day.w.checker.broken(), what);
     assertEquals(0, day.w.checker.neverBegun(), what);
-    assertEquals(0, day.w.state.tooLarge(), what);
+    assertEquals(0, day.w.state.refusedAsTooLarge(), what);
     assertTrue(day.fell && day.w.checker.starts() > 80, what);
     // How many are cancelled is drawn by the seed; each of the others is done, and each has its
     // word.
@@ -289,7 +296,7 @@
     for (int i = 0; i < NODES; i++) {
       int node = i;
       for (String uid : uids) {
-        w.ask(
+        w.query(
             node,
             uid,
             a -> {
@@ -313,7 +320,7 @@
     SimulatedCluster w = new SimulatedCluster(21, site(wide));
     JobSpec first =
         JobSpecFixtures.batch(w.newUid(), "first", "blue", Priority.NORMAL, 2, 1, 0.1, 9_000, 0);
-    w.clock.at(3_000, () -> w.user(first));
+    w.clock.after(3_000, () -> w.submitAndPoll(first));
     w.clock.runUntil(6_000);
     List<String> uids = new ArrayList<>();
     while (uids.size() < 1_000) {
@@ -321,10 +328,10 @@
           form.equals("DEEP") && !uids.isEmpty() ? uids.get(uids.size() - 1) : first.uid();
       if (w.checker.isAccepted(before)) {
         JobSpec spec =
-            JobSpecFixtures.after(
+            JobSpecFixtures.withDependencies(
                 JobSpecFixtures.batch(w.newUid(), "step", "blue", Priority.HIGH, 1, 1, 0.1, 5, 0),
                 before);
-        w.user(spec);
+        w.submitAndPoll(spec);
         uids.add(spec.uid());
       }
       w.clock.runUntil(w.clock.nowMs() + 10);
@@ -340,16 +347,16 @@
       w.clock.runUntil(w.clock.nowMs() + 1);
     }
     long toldMs = w.clock.nowMs();
-    long terms = w.terms();
+    long terms = w.termCount();
     if (outAndNewLeader) {
-      w.state.outage(true);
-      w.clock.at(9_000, () -> w.state.outage(false));
+      w.state.setOutage(true);
+      w.clock.after(9_000, () -> w.state.setOutage(false));
       w.crash(w.leader(), 1_000);
     }
     w.clock.runUntil(toldMs + 19_600);
     assertAllAborted(w, uids, "within cancel_s of the word");
     w.clock.runUntil(toldMs + 60_000);
-    assertEquals(outAndNewLeader, w.terms() > terms);
+    assertEquals(outAndNewLeader, w.termCount() > terms);
     assertAllAborted(w, uids, "also later");
     assertTrue(uids.stream().allMatch(u -> w.checker.begunMs(u) < 0), "none starts");
     assertEquals(List.of(), w.checker.broken());
--- a/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
@@ -203,10 +203,10 @@
     chain(6);
     doors.withdraw(0, uid(0));
     assertHeard(200, "aborted", doors.poll(1, uid(5)));
-    doors.state.outage(true);
+    doors.state.setOutage(true);
     doors.pass(10_000);
     assertHeard(200, "aborted", doors.poll(1, uid(3)));
-    doors.state.outage(false);
+    doors.state.setOutage(false);
     doors.restart(0);
     doors.pass(3_000);
     assertHeard(200, "aborted", doors.poll(0, uid(5)));
@@ -217,13 +217,13 @@
     chain(6);
     doors.pass(1_000);
     assertHeard(200, "aborted", doors.withdraw(0, uid(0)));
-    doors.state.outage(true);
+    doors.state.setOutage(true);
     for (int i = 0; i < 12; i++) {
       assertEquals(503, doors.poll(i % 2, uid(1 + i % 5)).status());
       assertEquals(503, doors.submit(i % 2, uid(1 + i % 5), List.of(uid(0))).status());
       doors.pass(300);
     }
-    doors.state.outage(false);
+    doors.state.setOutage(false);
     doors.pass(1_000);
     for (int i = 1; i < 6; i++) {
       assertHeard(200, "aborted", doors.poll(i % 2, uid(i)));
--- a/src/test/java/org/ploverspindle/sim/PipelineTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineTest.java
@@ -35,7 +35,7 @@
       String... awaits) {
     JobSpec spec =
         JobSpecFixtures.batch(w.newUid(), "step", "blue", urgency, tasks, cores, 0.1, runS, dueS);
-    return JobSpecFixtures.after(spec, awaits);
+    return JobSpecFixtures.withDependencies(spec, awaits);
   }
 
   // ---- random pipelines under random troubles
@@ -50,7 +50,7 @@
     boolean accepted = before.stream().allMatch(w.checker::isAccepted);
     boolean over = before.stream().noneMatch(u -> w.checker.finalWord(u).isEmpty());
     if (!accepted || left == 1 && lastLate && !over) {
-      w.clock.at(500, () -> submit(w, r, before, left, lastLate));
+      w.clock.after(500, () -> submit(w, r, before, left, lastLate));
       return;
     }
     List<String> awaits = new ArrayList<>();
@@ -60,14 +60,14 @@
       }
     }
     JobSpec spec = random(w, r, awaits.isEmpty() && !before.isEmpty() ? before : awaits);
-    w.user(spec);
+    w.submitAndPoll(spec);
     if (r.nextInt(12) == 0) {
-      w.clock.at(500 + r.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
+      w.clock.after(500 + r.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
     }
     if (left > 1) {
       List<String> then = new ArrayList<>(before);
       then.add(spec.uid());
-      w.clock.at(200, () -> submit(w, r, then, left - 1, lastLate));
+      w.clock.after(200, () -> submit(w, r, then, left - 1, lastLate));
     }
   }
 
@@ -84,26 +84,26 @@
         }
       }
       case 3 -> {
-        w.state.outage(true);
-        w.clock.at(forMs, () -> w.state.outage(false));
+        w.state.setOutage(true);
+        w.clock.after(forMs, () -> w.state.setOutage(false));
       }
       case 4 -> {
-        w.network.cut("n" + node, SimulatedCluster.STATE, true);
-        w.clock.at(forMs, () -> w.network.cut("n" + node, SimulatedCluster.STATE, false));
+        w.network.partition("n" + node, SimulatedCluster.STATE, true);
+        w.clock.after(forMs, () -> w.network.partition("n" + node, SimulatedCluster.STATE, false));
       }
       case 5 -> {
         List<SimWorker> all = w.cloud.workers();
         if (!all.isEmpty()) {
-          w.cloud.die(all.get(r.nextInt(all.size())).host());
+          w.cloud.fail(all.get(r.nextInt(all.size())).host());
         }
       }
       case 6 -> {
-        w.network.copyShare(0.05 + r.nextDouble() * 0.3);
-        w.clock.at(forMs, () -> w.network.copyShare(0));
+        w.network.setDelayedCopyShare(0.05 + r.nextDouble() * 0.3);
+        w.clock.after(forMs, () -> w.network.setDelayedCopyShare(0));
       }
       default -> {
-        w.network.lateShare(0.05 + r.nextDouble() * 0.2);
-        w.clock.at(forMs, () -> w.network.lateShare(0));
+        w.network.setLateRequestShare(0.05 + r.nextDouble() * 0.2);
+        w.clock.after(forMs, () -> w.network.setLateRequestShare(0));
       }
     }
   }
@@ -114,12 +114,12 @@
     for (int i = 0; i < 14; i++) {
       int steps = 2 + r.nextInt(5);
       boolean lastLate = r.nextInt(3) == 0;
-      w.clock.at(3_000 + r.nextInt(120_000), () -> submit(w, r, List.of(), steps, lastLate));
+      w.clock.after(3_000 + r.nextInt(120_000), () -> submit(w, r, List.of(), steps, lastLate));
     }
     for (int i = 0; i < troubles; i++) {
-      w.clock.at(10_000 + r.nextInt(190_000), () -> trouble(w));
+      w.clock.after(10_000 + r.nextInt(190_000), () -> trouble(w));
     }
-    w.clock.at(240_000, w::troublesAreOver);
+    w.clock.after(240_000, w::faultsEnded);
     w.clock.runUntil(480_000);
     w.checker.endOfDay();
     return w;
@@ -140,7 +140,7 @@
   private static SimulatedCluster busy() {
     SimulatedCluster w = new SimulatedCluster(3, NODES, 2, List.of("a"));
     for (int i = 0; i < 60; i++) {
-      w.clock.at(3_000, () -> w.user(step(w, Priority.NORMAL, 4, 4, 20, 0)));
+      w.clock.after(3_000, () -> w.submitAndPoll(step(w, Priority.NORMAL, 4, 4, 20, 0)));
     }
     return w;
   }
@@ -149,15 +149,15 @@
   void aFirstStepRunsBeforeOtherWorkForTheSakeOfTheLast() {
     SimulatedCluster alone = busy();
     JobSpec index = step(alone, Priority.BEST_EFFORT, 4, 4, 10, 0);
-    alone.clock.at(60_000, () -> alone.user(index));
+    alone.clock.after(60_000, () -> alone.submitAndPoll(index));
     alone.clock.runUntil(140_000);
     assertEquals(-1, alone.checker.begunMs(index.uid()), "without a last job it waits");
 
     SimulatedCluster w = busy();
     JobSpec first = step(w, Priority.BEST_EFFORT, 4, 4, 10, 0);
     JobSpec last = step(w, Priority.HIGH, 1, 1, 5, 60, first.uid());
-    w.clock.at(60_000, () -> w.user(first));
-    w.clock.at(80_000, () -> w.user(last));
+    w.clock.after(60_000, () -> w.submitAndPoll(first));
+    w.clock.after(80_000, () -> w.submitAndPoll(last));
     w.clock.runUntil(79_000);
     assertEquals(-1, w.checker.begunMs(first.uid()));
     w.clock.runUntil(140_000);
@@ -172,9 +172,9 @@
     SimulatedCluster w = busy();
     JobSpec first = step(w, Priority.BEST_EFFORT, 80, 4, 10, 0);
     JobSpec last = step(w, Priority.HIGH, 1, 1, 5, 600, first.uid());
-    w.clock.at(60_000, () -> w.user(first));
-    w.clock.at(62_000, () -> w.user(last));
-    w.clock.at(95_000, () -> w.cancel(last.uid(), 0));
+    w.clock.after(60_000, () -> w.submitAndPoll(first));
+    w.clock.after(62_000, () -> w.submitAndPoll(last));
+    w.clock.after(95_000, () -> w.cancel(last.uid(), 0));
     w.clock.runUntil(95_000);
     int before = w.checker.tasksDone(first.uid());
     assertTrue(before >= 3, before + " tasks are done");
@@ -196,7 +196,7 @@
       String[] before = i == 0 ? new String[0] : new String[] {steps.get(i - 1).uid()};
       JobSpec s = step(w, i == 11 ? Priority.HIGH : Priority.BEST_EFFORT, 3, 1, 5, 0, before);
       steps.add(s);
-      w.clock.at(20_000 + i * 1_000, () -> w.user(s));
+      w.clock.after(20_000 + i * 1_000, () -> w.submitAndPoll(s));
     }
     w.clock.runUntil(220_000);
     assertEquals(List.of(), w.checker.broken());
@@ -212,14 +212,14 @@
     SimulatedCluster w = new SimulatedCluster(8, NODES, 14, List.of("a"));
     JobSpec first = step(w, Priority.NORMAL, 1, 1, 20, 0);
     JobSpec second = step(w, Priority.NORMAL, 1, 1, 5, 0, first.uid());
-    w.clock.at(3_000, () -> w.user(first));
-    w.clock.at(6_000, () -> w.user(second));
+    w.clock.after(3_000, () -> w.submitAndPoll(first));
+    w.clock.after(6_000, () -> w.submitAndPoll(second));
     w.clock.runUntil(10_000);
     while (w.checker.begunMs(first.uid()) < 0) {
       w.clock.runUntil(w.clock.nowMs() + 100);
     }
     w.clock.runUntil(w.checker.begunMs(first.uid()) + 19_800);
-    w.refuse(w.leader(), SimulatedCluster.Refusal.READS, true);
+    w.setRefused(w.leader(), SimulatedCluster.RequestKind.READS, true);
     w.clock.runUntil(w.clock.nowMs() + 9_000);
     long gapMs = w.checker.begunMs(second.uid()) - w.checker.doneMs(first.uid());
     assertTrue(gapMs > 0 && gapMs < REPORT_S * 1_000 + 2_200, gapMs + " ms");
@@ -234,16 +234,17 @@
     JobSpec first = step(w, Priority.NORMAL, 1, 1, 120, 0);
     // Team red may use 24 cores, and 8 are guaranteed.
     JobSpec waits =
-        JobSpecFixtures.after(
+        JobSpecFixtures.withDependencies(
             JobSpecFixtures.batch(w.newUid(), "large", "red", Priority.HIGH, 60, 4, 0.1, 10, 100),
             first.uid());
     JobSpec other =
         JobSpecFixtures.batch(w.newUid(), "o", "red", Priority.BEST_EFFORT, 6, 4, 0.1, 10, 0);
-    w.clock.at(3_000, () -> w.user(first));
-    w.clock.at(6_000, () -> w.user(waits));
-    w.clock.at(60_000, () -> w.user(other));
+    w.clock.after(3_000, () -> w.submitAndPoll(first));
+    w.clock.after(6_000, () -> w.submitAndPoll(waits));
+    w.clock.after(60_000, () -> w.submitAndPoll(other));
     w.clock.runUntil(55_000);
-    assertTrue(w.cloud.rented() <= 2, w.cloud.rented() + " machines for one task");
+    assertTrue(
+        w.cloud.provisionedCount() <= 2, w.cloud.provisionedCount() + " machines for one task");
     w.clock.runUntil(100_000);
     assertTrue(w.checker.isDone(other.uid()), "all that its team may use was free for it");
     assertEquals(-1, w.checker.begunMs(waits.uid()));
@@ -261,11 +262,11 @@
     JobSpec first = step(w, Priority.NORMAL, 2, 1, 25, 0);
     JobSpec second = step(w, Priority.NORMAL, 2, 1, 25, 0, first.uid());
     JobSpec third = step(w, Priority.HIGH, 2, 1, 5, 0, first.uid(), second.uid());
-    w.clock.at(3_000, () -> w.user(first));
-    w.clock.at(5_000, () -> w.user(second));
-    w.clock.at(7_000, () -> w.user(third));
+    w.clock.after(3_000, () -> w.submitAndPoll(first));
+    w.clock.after(5_000, () -> w.submitAndPoll(second));
+    w.clock.after(7_000, () -> w.submitAndPoll(third));
     for (int at = 12; at < 100; at += 11) {
-      w.clock.at(at * 1_000, () -> w.crash(Math.max(0, w.leader()), 2_000));
+      w.clock.after(at * 1_000, () -> w.crash(Math.max(0, w.leader()), 2_000));
     }
     w.clock.runUntil(200_000);
     assertEquals(List.of(), w.checker.broken());
@@ -278,9 +279,9 @@
     SimulatedCluster w = new SimulatedCluster(11, NODES, 14, List.of("a"));
     JobSpec first = step(w, Priority.NORMAL, 2, 1, 60, 0);
     JobSpec second = step(w, Priority.HIGH, 3, 1, 5, 0, first.uid());
-    w.clock.at(3_000, () -> w.user(first));
-    w.clock.at(5_000, () -> w.user(second));
-    w.clock.at(
+    w.clock.after(3_000, () -> w.submitAndPoll(first));
+    w.clock.after(5_000, () -> w.submitAndPoll(second));
+    w.clock.after(
         30_000,
         () -> {
           SimWorker m = w.cloud.workers().get(0);
@@ -294,7 +295,7 @@
                   1,
                   0);
           Change put = new Change.Put(Keys.snapshot(second.uid(), 0), record.encode(0, 1));
-          w.state.txn(new Transaction(List.of(), List.of(put)));
+          w.state.commit(new Transaction(List.of(), List.of(put)));
           w.crash(w.leader(), 5_000);
         });
     w.clock.runUntil(160_000);
@@ -309,19 +310,19 @@
     SimulatedCluster w = new SimulatedCluster(12, NODES, 14, List.of("a"));
     JobSpec first = step(w, Priority.NORMAL, 2, 1, 90, 0);
     JobSpec second = step(w, Priority.HIGH, 3, 1, 5, 0, first.uid());
-    w.clock.at(3_000, () -> w.user(first));
-    w.clock.at(5_000, () -> w.user(second));
-    w.clock.at(
+    w.clock.after(3_000, () -> w.submitAndPoll(first));
+    w.clock.after(5_000, () -> w.submitAndPoll(second));
+    w.clock.after(
         30_000,
         () -> {
           BitSet all = new BitSet();
           all.set(0, 3);
           SnapshotRecord record = new SnapshotRecord(all, List.of(), 0, 0);
           Change put = new Change.Put(Keys.snapshot(second.uid(), 0), record.encode(3, 0));
-          w.state.txn(new Transaction(List.of(), List.of(put)));
+          w.state.commit(new Transaction(List.of(), List.of(put)));
           w.crash(w.leader(), 5_000);
         });
-    w.clock.at(60_000, () -> w.cancel(first.uid(), 0));
+    w.clock.after(60_000, () -> w.cancel(first.uid(), 0));
     w.clock.runUntil(100_000);
     assertEquals(List.of(), w.checker.broken());
     assertEquals("aborted", w.checker.finalWord(second.uid()));
--- a/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
@@ -102,7 +102,7 @@
 
     private void submit(String uid, int tries) {
       doors.submit(node(), uid, lists.get(uid), told(uid, true));
-      doors.clock.at(
+      doors.clock.after(
           1_000 + random.nextInt(3_000),
           () -> {
             if (!acceptedMs.containsKey(uid) && tries < 15 || random.nextInt(4) == 0) {
@@ -142,12 +142,12 @@
       } else if (what < 93) {
         int cut = node();
         doors.nodes.get(cut).cut = true;
-        doors.clock.at(random.nextInt(6_000), () -> doors.nodes.get(cut).cut = false);
+        doors.clock.after(random.nextInt(6_000), () -> doors.nodes.get(cut).cut = false);
       } else if (what < 95) {
         doors.restart(node());
       } else if (what == 95) {
-        doors.state.outage(true);
-        doors.clock.at(random.nextInt(4_000), () -> doors.state.outage(false));
+        doors.state.setOutage(true);
+        doors.clock.after(random.nextInt(4_000), () -> doors.state.setOutage(false));
       } else if (what == 96) {
         doors.lossShare = 0.2 * random.nextDouble();
       }
@@ -156,7 +156,7 @@
     private void settle() {
       doors.lossShare = 0;
       doors.pass(10_000);
-      doors.state.outage(false);
+      doors.state.setOutage(false);
       doors.nodes.forEach(n -> n.cut = false);
       doors.pass(20_000);
       Set<String> cancelled = new HashSet<>();
--- a/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
@@ -390,9 +390,9 @@
           JobSpecFixtures.batch(
               cluster.newUid(), "class", "blue", Priority.NORMAL, 6, 2, 0.1, 8, 0);
       uids.add(spec.uid());
-      cluster.clock.at(3_000 + i * 1_000, () -> cluster.user(spec));
+      cluster.clock.after(3_000 + i * 1_000, () -> cluster.submitAndPoll(spec));
     }
-    cluster.clock.at(24_000, () -> cluster.cancel(uids.get(19), 0));
+    cluster.clock.after(24_000, () -> cluster.cancel(uids.get(19), 0));
     Map<String, Set<String>> now = new TreeMap<>();
     for (long t = 1_000; t < 60_000; t += 100) {
       cluster.clock.runUntil(t);
@@ -429,12 +429,12 @@
   private static final long NODES_START_MS = 5_000;
 
   private static SimulatedCluster clusterFrom(FixtureStore fixture) {
-    SimulatedCluster.Site small = SimulatedCluster.Site.small(3, 30, List.of("a", "b"));
+    SimulatedCluster.Deployment small = SimulatedCluster.Deployment.small(3, 30, List.of("a", "b"));
     SimulatedCluster cluster =
         new SimulatedCluster(
             6,
-            new SimulatedCluster.Site(
-                small.nodes(),
+            new SimulatedCluster.Deployment(
+                small.controllerCount(),
                 small.capacity(),
                 small.zones(),
                 small.workers(),
@@ -442,13 +442,14 @@
                 small.cloud(),
                 small.teams(),
                 small.policy()));
-    IntStream.range(0, small.nodes()).forEach(node -> cluster.crash(node, NODES_START_MS));
+    IntStream.range(0, small.controllerCount())
+        .forEach(node -> cluster.crash(node, NODES_START_MS));
     // The leader that wrote them is gone: its lease ends, and the key with it.
     long lease = cluster.state.openLease(2 * NODES_START_MS);
     for (Entry e : fixture.entries()) {
       Optional<Long> kept = e.key().equals(Keys.LEADER) ? Optional.of(lease) : Optional.empty();
       Change put = new Change.Put(e.key(), e.value(), kept);
-      TransactionResult result = cluster.state.txn(new Transaction(List.of(), List.of(put)));
+      TransactionResult result = cluster.state.commit(new Transaction(List.of(), List.of(put)));
       assertInstanceOf(TransactionResult.Committed.class, result);
       // Within the stand-in's rate of changes.
       cluster.clock.runUntil(cluster.clock.nowMs() + 20);
@@ -463,7 +464,8 @@
       String uid = job.getKey();
       JobSpec stored = JobRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec();
       JobSpec spec =
-          JobSpecFixtures.after(stored, dependencies(loaded, uid).toArray(String[]::new));
+          JobSpecFixtures.withDependencies(
+              stored, dependencies(loaded, uid).toArray(String[]::new));
       cluster.checker.submitted(spec);
       boolean done = job.getValue().path("status").asText().equals("done");
       BitSet tasks = new BitSet();
@@ -477,7 +479,7 @@
       if (loaded.replica.get(Keys.cancellation(uid)).isPresent()) {
         cluster.checker.cancelAsked(uid);
       }
-      cluster.clock.at(NODES_START_MS, () -> cluster.user(spec));
+      cluster.clock.after(NODES_START_MS, () -> cluster.submitAndPoll(spec));
     }
   }
 
@@ -491,7 +493,7 @@
     assertEquals(-1, cluster.checker.begunMs("mark-3"));
     assertEquals(-1, cluster.checker.begunMs("collect-7"));
     cluster.clock.runUntil(300_000);
-    cluster.troublesAreOver();
+    cluster.faultsEnded();
     cluster.clock.runUntil(360_000);
     assertEquals(List.of(), cluster.checker.broken());
     long trainedMs = cluster.checker.doneMs("train-2");
@@ -504,7 +506,8 @@
       assertEquals("aborted", cluster.checker.finalWord(aborted));
       assertEquals(-1, cluster.checker.begunMs(aborted));
     }
-    assertTrue(cluster.cloud.rented() >= 18, "what the claim asks for is learnt by its name");
+    assertTrue(
+        cluster.cloud.provisionedCount() >= 18, "what the claim asks for is learnt by its name");
     assertTrue(!LowerLimitsTest.all(cluster.state).containsKey(Keys.provisioningIntent("r-1-97")));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -185,13 +185,13 @@
     SimulatedCluster w = new SimulatedCluster(11, 3, 14, List.of("a", "b"));
     Random random = new Random(5);
     for (int i = 0; i < 250; i++) {
-      w.clock.at(
+      w.clock.after(
           3_000 + i * 700L,
           () -> {
             JobSpec s = InvariantsTest.job(w.newUid(), random);
-            w.user(s);
+            w.submitAndPoll(s);
             if (random.nextInt(6) == 0) {
-              w.clock.at(8_000, () -> w.cancel(s.uid(), 0));
+              w.clock.after(8_000, () -> w.cancel(s.uid(), 0));
             }
           });
     }
--- a/src/test/java/org/ploverspindle/sim/RandomPipelineSteps.java
+++ b/src/test/java/org/ploverspindle/sim/RandomPipelineSteps.java
@@ -29,7 +29,7 @@
         .spreadOverZones(random.nextInt(5) == 0)
         .spot(random.nextInt(4) > 0)
         .image("image-" + random.nextInt(3), 1)
-        .runsForS(1 + random.nextInt(8))
+        .expectedS(1 + random.nextInt(8))
         .checkpoints(checkpoints ? 3 : 0, checkpoints ? 1 : 0)
         .deadlineS(random.nextBoolean() ? 90 : 0)
         .dependsOn(dependencies)
--- a/src/test/java/org/ploverspindle/sim/RateLimiter.java
+++ b/src/test/java/org/ploverspindle/sim/RateLimiter.java
@@ -4,62 +4,62 @@
 final class RateLimiter {
   private final SimClock clock;
   private final double burstSeconds;
-  private double perSecond;
-  private double burst;
+  private double ratePerSecond;
+  private double maxTokens;
   private double tokens;
-  private long lastMs;
-  private long second = -1;
-  private double inSecond;
-  private double most;
-  private long asked;
-  private long refused;
-  private double amount;
+  private long refilledMs;
+  private long currentSecond = -1;
+  private double amountInSecond;
+  private double peakPerSecond;
+  private long requestCount;
+  private long refusedCount;
+  private double requestedAmount;
 
-  RateLimiter(SimClock clock, double perSecond, double burstSeconds) {
+  RateLimiter(SimClock clock, double ratePerSecond, double burstSeconds) {
     this.clock = clock;
-    this.perSecond = perSecond;
+    this.ratePerSecond = ratePerSecond;
     this.burstSeconds = burstSeconds;
-    this.burst = perSecond * burstSeconds;
-    this.tokens = burst;
+    this.maxTokens = ratePerSecond * burstSeconds;
+    this.tokens = maxTokens;
   }
 
   /** From now on it allows this. */
-  void perSecond(double now) {
-    perSecond = now;
-    burst = now * burstSeconds;
+  void setRatePerSecond(double newRate) {
+    ratePerSecond = newRate;
+    maxTokens = newRate * burstSeconds;
   }
 
-  boolean take(double n) {
-    long now = clock.nowMs();
-    tokens = Math.min(burst, tokens + (now - lastMs) * perSecond / 1000.0);
-    lastMs = now;
-    asked++;
-    amount += n;
-    inSecond = now / 1000 == second ? inSecond + n : n;
-    second = now / 1000;
-    most = Math.max(most, inSecond);
-    if (tokens < n) {
-      refused++;
+  boolean tryAcquire(double amount) {
+    long nowMs = clock.nowMs();
+    tokens = Math.min(maxTokens, tokens + (nowMs - refilledMs) * ratePerSecond / 1000.0);
+    refilledMs = nowMs;
+    requestCount++;
+    requestedAmount += amount;
+    amountInSecond = nowMs / 1000 == currentSecond ? amountInSecond + amount : amount;
+    currentSecond = nowMs / 1000;
+    peakPerSecond = Math.max(peakPerSecond, amountInSecond);
+    if (tokens < amount) {
+      refusedCount++;
       return false;
     }
-    tokens -= n;
+    tokens -= amount;
     return true;
   }
 
-  long asked() {
-    return asked;
+  long requestCount() {
+    return requestCount;
   }
 
   /** All that was asked for, refused or not. */
-  double amount() {
-    return amount;
+  double requestedAmount() {
+    return requestedAmount;
   }
 
-  long refused() {
-    return refused;
+  long refusedCount() {
+    return refusedCount;
   }
 
-  double mostInASecond() {
-    return most;
+  double peakPerSecond() {
+    return peakPerSecond;
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
@@ -170,7 +170,8 @@
         Entry e = all.get(c.key());
         conditions.add(new Condition(c.key(), e == null ? 0 : e.modRevision()));
       }
-      return store.txn(new Transaction(conditions, changes)) instanceof TransactionResult.Committed;
+      return store.commit(new Transaction(conditions, changes))
+          instanceof TransactionResult.Committed;
     }
 
     /** One record, after the checkpoints that its slot needs. False when the store refused. */
--- a/src/test/java/org/ploverspindle/sim/RoleCluster.java
+++ b/src/test/java/org/ploverspindle/sim/RoleCluster.java
@@ -53,7 +53,7 @@
     this.network = new SimNetwork(clock, random);
     this.state = new SimStateStore(clock, new Settings.StateLimits(400, 200, 8, 12));
     this.access = new SimStateAccess(clock, random, network, state, false);
-    state.whenWritten(plain::written);
+    state.onWrite(plain::written);
     for (int i = 0; i < MEMBERS; i++) {
       members.add(new Member(i));
     }
@@ -66,7 +66,9 @@
 
   /** The member that holds the duty as far as it knows; there may be more than one. */
   Optional<Member> holder() {
-    return members.stream().filter(m -> !m.process.dead() && m.duty.held().isPresent()).findFirst();
+    return members.stream()
+        .filter(m -> !m.process.isDead() && m.duty.held().isPresent())
+        .findFirst();
   }
 
   /** What members with a right clock believed and was not so. */
@@ -81,18 +83,18 @@
 
   /** Ends the member's process, unless it is away already, and starts another one. */
   void crash(int index, long backAfterMs) {
-    if (members.get(index).process.dead()) {
+    if (members.get(index).process.isDead()) {
       return;
     }
     members.get(index).process.kill();
-    clock.at(backAfterMs, () -> members.set(index, new Member(index)));
+    clock.after(backAfterMs, () -> members.set(index, new Member(index)));
   }
 
   /** Who is sure to hold the duty, by a clock that is right, does hold it in the plain model. */
   private void look() {
-    Optional<Long> epoch = state.holds(HOLDER) ? plain.epoch() : Optional.empty();
+    Optional<Long> epoch = state.containsKey(HOLDER) ? plain.epoch() : Optional.empty();
     for (Member member : members) {
-      boolean runs = !member.process.dead() && !member.process.standsStill();
+      boolean runs = !member.process.isDead() && !member.process.isFrozen();
       if (runs && !member.jumped && member.duty.isCertainlyHeld()) {
         Optional<Long> believed = member.duty.held().map(HeldRole::epoch);
         if (!believed.equals(epoch)) {
@@ -100,7 +102,7 @@
         }
       }
     }
-    clock.at(LOOK_MS, this::look);
+    clock.after(LOOK_MS, this::look);
   }
 
   /** The records of the duty that is tested. */
@@ -176,7 +178,7 @@
               store,
               replica,
               new SplittableRandom(random.nextLong()),
-              new RoleLease.Candidacy(SimLink.nodeName(index), new Records(), TIMING),
+              new RoleLease.Candidacy(SimLink.controllerName(index), new Records(), TIMING),
               this);
       process.schedule(0, replica::start);
       process.scheduleWithFixedDelay(TICK_MS, duty::tick);
@@ -186,7 +188,7 @@
     /** Its steady clock jumps: its own check is worth nothing for a while. */
     void jump(long byMs) {
       jumped = true;
-      process.jump(byMs);
+      process.jumpClock(byMs);
     }
 
     /** From now on it sends nothing. */
--- a/src/test/java/org/ploverspindle/sim/RoleLeaseTest.java
+++ b/src/test/java/org/ploverspindle/sim/RoleLeaseTest.java
@@ -45,9 +45,10 @@
   /** In each step something else goes wrong, at times two things at once. */
   private static void randomFaults(RoleCluster cluster) {
     for (int i = 0; i < RANDOM_FAULTS; i++) {
-      cluster.clock.at(i * 4_000L + cluster.random.nextInt(3_000), () -> fault(cluster));
+      cluster.clock.after(i * 4_000L + cluster.random.nextInt(3_000), () -> fault(cluster));
     }
-    cluster.clock.at(RANDOM_FAULTS * 4_000L, () -> cluster.network.lateWrites(0, false));
+    cluster.clock.after(
+        RANDOM_FAULTS * 4_000L, () -> cluster.network.setUnansweredWrites(0, false));
   }
 
   private static void fault(RoleCluster cluster) {
@@ -61,7 +62,7 @@
       case 0, 1 -> member.process.freeze(forMs);
       case 2 -> member.jump(cluster.random.nextInt(20_000) - 10_000);
       case 3 -> cluster.crash(index, 100 + cluster.random.nextInt(4_000));
-      case 4 -> cluster.network.lateWrites(0.2, cluster.random.nextBoolean());
+      case 4 -> cluster.network.setUnansweredWrites(0.2, cluster.random.nextBoolean());
       case 5 -> hold(cluster, index, forMs);
       case 6 -> outage(cluster, forMs);
       default -> member.duty.release("told to");
@@ -69,14 +70,17 @@
   }
 
   private static void hold(RoleCluster cluster, int index, long forMs) {
-    cluster.network.hold(SimLink.nodeName(index), SimStateAccess.STATE, true);
-    cluster.clock.at(
-        forMs, () -> cluster.network.hold(SimLink.nodeName(index), SimStateAccess.STATE, false));
+    cluster.network.holdPackets(SimLink.controllerName(index), SimStateAccess.STATE, true);
+    cluster.clock.after(
+        forMs,
+        () ->
+            cluster.network.holdPackets(
+                SimLink.controllerName(index), SimStateAccess.STATE, false));
   }
 
   private static void outage(RoleCluster cluster, long forMs) {
-    cluster.state.outage(true);
-    cluster.clock.at(forMs, () -> cluster.state.outage(false));
+    cluster.state.setOutage(true);
+    cluster.clock.after(forMs, () -> cluster.state.setOutage(false));
   }
 
   /** Seed 512 gives the duty up between the moment it is taken and the read that follows. */
@@ -113,7 +117,7 @@
     cluster.holder().orElseThrow().process.freeze(6_000);
     cluster.clock.runUntil(SETTLED_MS + 5_000);
     assertEquals(2, cluster.plain.holders());
-    cluster.clock.at(
+    cluster.clock.after(
         500,
         () ->
             IntStream.range(0, RoleCluster.MEMBERS)
@@ -133,7 +137,7 @@
     int index = indexOfHolder(cluster);
     RoleCluster.Member former = cluster.member(index);
     hold(cluster, index, 9_000);
-    cluster.clock.at(1_000, () -> former.jump(-60_000));
+    cluster.clock.after(1_000, () -> former.jump(-60_000));
     cluster.clock.runUntil(SETTLED_MS + 8_900);
     assertTrue(former.duty.isCertainlyHeld(), "it believes that it holds the duty");
     assertEquals(2, cluster.plain.holders());
@@ -147,10 +151,10 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void aTryThatIsCarriedOutUnderAnEarlierLeaseIsNotTakenForTheDuty(long seed) {
     RoleCluster cluster = new RoleCluster(seed, true);
-    cluster.network.lateWrites(1, false);
+    cluster.network.setUnansweredWrites(1, false);
     cluster.clock.runUntil(60_000);
     assertKept(cluster);
-    cluster.network.lateWrites(0, false);
+    cluster.network.setUnansweredWrites(0, false);
     cluster.clock.runUntil(90_000);
     assertKept(cluster);
     assertTrue(cluster.holder().isPresent());
@@ -162,7 +166,7 @@
     RoleCluster cluster = settled(11, true);
     RoleCluster.Member former = cluster.holder().orElseThrow();
     former.keepQuiet();
-    cluster.clock.at(500, () -> former.process.freeze(2 * RoleCluster.TIMING.ttlMs()));
+    cluster.clock.after(500, () -> former.process.freeze(2 * RoleCluster.TIMING.ttlMs()));
     cluster.clock.runUntil(SETTLED_MS + 4 * RoleCluster.TIMING.ttlMs());
     assertTrue(former.duty.held().isEmpty());
     assertEquals(0, cluster.refused(), "it had sent nothing");
@@ -182,10 +186,10 @@
   void renewalsWhoseAnswersAreLostAreNotCounted() {
     RoleCluster cluster = settled(5, true);
     RoleCluster.Member holder = cluster.holder().orElseThrow();
-    cluster.network.mute(SimStateAccess.STATE, true);
+    cluster.network.dropResponsesFrom(SimStateAccess.STATE, true);
     cluster.clock.runUntil(SETTLED_MS + RoleCluster.TIMING.ttlMs());
     assertFalse(holder.duty.isCertainlyHeld(), "the last answered renewal is too old");
-    cluster.network.mute(SimStateAccess.STATE, false);
+    cluster.network.dropResponsesFrom(SimStateAccess.STATE, false);
     cluster.clock.runUntil(SETTLED_MS + 15_000);
     assertKept(cluster);
     assertTrue(cluster.holder().isPresent());
@@ -228,16 +232,16 @@
   @Test
   void nobodyTakesADutyWhoseEpochsCantBeRead() {
     RoleCluster cluster = new RoleCluster(9, true);
-    cluster.state.stoodBefore(RoleCluster.EPOCHS, Cbor.map().put("last", "seven"));
+    cluster.state.preload(RoleCluster.EPOCHS, Cbor.map().put("last", "seven"));
     cluster.clock.runUntil(SETTLED_MS);
     assertTrue(cluster.holder().isEmpty());
-    assertFalse(cluster.state.holds(RoleCluster.HOLDER));
+    assertFalse(cluster.state.containsKey(RoleCluster.HOLDER));
   }
 
   @Test
   void aHolderThatCantBeReadIsNotReplacedByGuess() {
     RoleCluster cluster = new RoleCluster(10, true);
-    cluster.state.stoodBefore(RoleCluster.HOLDER, Cbor.map().put("epoch", "seven"));
+    cluster.state.preload(RoleCluster.HOLDER, Cbor.map().put("epoch", "seven"));
     cluster.clock.runUntil(SETTLED_MS);
     assertTrue(cluster.holder().isEmpty());
     assertEquals(0, cluster.plain.accepted());
--- a/src/test/java/org/ploverspindle/sim/SimAttempt.java
+++ b/src/test/java/org/ploverspindle/sim/SimAttempt.java
@@ -7,20 +7,20 @@
   final String uid;
   final int task;
   final long attempt;
-  final long orderedMs;
+  final long commandSentMs;
   Heartbeat.Phase phase = Heartbeat.Phase.FETCHING;
-  Heartbeat.ExitReason cause = Heartbeat.ExitReason.NONE;
-  boolean saved;
+  Heartbeat.ExitReason exitReason = Heartbeat.ExitReason.NONE;
+  boolean checkpointed;
 
-  SimAttempt(String uid, int task, long attempt, long orderedMs) {
-    this.orderedMs = orderedMs;
+  SimAttempt(String uid, int task, long attempt, long commandSentMs) {
+    this.commandSentMs = commandSentMs;
     this.uid = uid;
     this.task = task;
     this.attempt = attempt;
   }
 
   /** Does it take its place by the rules: from the moment that it has its image? */
-  boolean isOn() {
+  boolean isExecuting() {
     return phase == Heartbeat.Phase.RUNNING || phase == Heartbeat.Phase.CHECKPOINTING;
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimClock.java
+++ b/src/test/java/org/ploverspindle/sim/SimClock.java
@@ -7,101 +7,103 @@
 
 /** Simulated time: one queue of events for the whole world, in a fixed order. */
 final class SimClock {
-  private record Event(long atMs, long order, Runnable work) implements Comparable<Event> {
+  private record Event(long atMs, long sequence, Runnable action) implements Comparable<Event> {
     @Override
-    public int compareTo(Event o) {
-      return atMs != o.atMs ? Long.compare(atMs, o.atMs) : Long.compare(order, o.order);
+    public int compareTo(Event other) {
+      return atMs != other.atMs
+          ? Long.compare(atMs, other.atMs)
+          : Long.compare(sequence, other.sequence);
     }
   }
 
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private long order;
+  private long nextSequence;
   private long nowMs;
 
   long nowMs() {
     return nowMs;
   }
 
-  void at(long delayMs, Runnable work) {
-    events.add(new Event(nowMs + Math.max(0, delayMs), order++, work));
+  void after(long delayMs, Runnable action) {
+    events.add(new Event(nowMs + Math.max(0, delayMs), nextSequence++, action));
   }
 
   void runUntil(long endMs) {
     while (!events.isEmpty() && events.peek().atMs() <= endMs) {
-      Event e = events.poll();
-      nowMs = e.atMs();
-      e.work().run();
+      Event event = events.poll();
+      nowMs = event.atMs();
+      event.action().run();
     }
     nowMs = endMs;
   }
 
   /** One process's view: its own offset and drift, and an end after which nothing of it runs. */
   final class Process implements Scheduler {
-    private long offsetMs;
-    private final double speed;
-    private final long wallOffMs;
-    private boolean dead;
-    private long standsStillUntilMs;
-
-    Process(long offsetMs, double speed, long wallOffMs) {
-      this.offsetMs = offsetMs;
-      this.speed = speed;
-      this.wallOffMs = wallOffMs;
+    private long clockOffsetMs;
+    private final double clockRate;
+    private final long wallClockOffsetMs;
+    private boolean isDead;
+    private long frozenUntilMs;
+
+    Process(long clockOffsetMs, double clockRate, long wallClockOffsetMs) {
+      this.clockOffsetMs = clockOffsetMs;
+      this.clockRate = clockRate;
+      this.wallClockOffsetMs = wallClockOffsetMs;
     }
 
     /** Nothing of it runs for a while, and its clock runs on; then all that is due runs. */
-    void freeze(long forMs) {
-      standsStillUntilMs = nowMs + forMs;
+    void freeze(long durationMs) {
+      frozenUntilMs = nowMs + durationMs;
     }
 
     /** Its steady clock jumps by so much, also back. */
-    void jump(long byMs) {
-      offsetMs += byMs;
+    void jumpClock(long byMs) {
+      clockOffsetMs += byMs;
     }
 
-    boolean standsStill() {
-      return nowMs < standsStillUntilMs;
+    boolean isFrozen() {
+      return nowMs < frozenUntilMs;
     }
 
-    private void run(Runnable work) {
-      if (standsStill()) {
-        at(standsStillUntilMs - nowMs, () -> run(work));
-      } else if (!dead) {
-        work.run();
+    private void run(Runnable action) {
+      if (isFrozen()) {
+        after(frozenUntilMs - nowMs, () -> run(action));
+      } else if (!isDead) {
+        action.run();
       }
     }
 
     void kill() {
-      dead = true;
+      isDead = true;
     }
 
-    boolean dead() {
-      return dead;
+    boolean isDead() {
+      return isDead;
     }
 
     @Override
     public long nowMs() {
-      return offsetMs + Math.round(nowMs * speed);
+      return clockOffsetMs + Math.round(nowMs * clockRate);
     }
 
     @Override
     public long wallMs() {
-      return 1_800_000_000_000L + nowMs + wallOffMs;
+      return 1_800_000_000_000L + nowMs + wallClockOffsetMs;
     }
 
     @Override
-    public void execute(EventPriority rank, Runnable work) {
-      schedule(0, work);
+    public void execute(EventPriority priority, Runnable action) {
+      schedule(0, action);
     }
 
     @Override
-    public Cancellable schedule(long delayMs, Runnable work) {
+    public Cancellable schedule(long delayMs, Runnable action) {
       boolean[] cancelled = {false};
-      at(
-          Math.round(delayMs / speed),
+      after(
+          Math.round(delayMs / clockRate),
           () -> {
             if (!cancelled[0]) {
-              run(work);
+              run(action);
             }
           });
       return () -> cancelled[0] = true;
--- a/src/test/java/org/ploverspindle/sim/SimCloud.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloud.java
@@ -21,49 +21,49 @@
  * Stand-in for the cloud: claims that rent once, a lagging list, machines that boot or never do.
  */
 final class SimCloud {
-  private static final class Rented {
+  private static final class ProvisionedMachine {
     private final String id;
     private final String type;
     private final String zone;
     private final boolean spot;
-    private final long sinceMs;
+    private final long provisionedMs;
     private HostStatus status = HostStatus.BOOTING;
     private SimWorker worker;
 
-    Rented(String id, String type, String zone, boolean spot, long sinceMs) {
+    ProvisionedMachine(String id, String type, String zone, boolean spot, long provisionedMs) {
       this.id = id;
       this.type = type;
       this.zone = zone;
       this.spot = spot;
-      this.sinceMs = sinceMs;
+      this.provisionedMs = provisionedMs;
     }
   }
 
-  private static final int PAGE = 500;
-  private static final int MOST_RENTED = 50;
-  private static final int MOST_RELEASED = 100;
+  private static final int PAGE_SIZE = 500;
+  private static final int MAX_MACHINES_PER_PROVISIONING = 50;
+  private static final int MAX_MACHINES_PER_TERMINATION = 100;
 
   private final SimClock clock;
 
   /** One machine in so many never comes up. */
-  private static final int NEVER_BOOTS_ONE_IN = 12;
+  private static final int BOOT_FAILS_ONE_IN = 12;
 
   private final Random random;
   private final List<MachineType> types;
   private final int capacity;
-  private final long lagMs;
-  final RateLimiter requests;
-  private final Function<InvariantChecker.Place, SimWorker> boot;
-  private final TerminationHistory releases;
-  private final Map<String, Rented> machines = new LinkedHashMap<>();
-  private final Map<String, ProvisionResult.Provisioned> claims = new HashMap<>();
-  private final List<Map.Entry<Long, List<Host>>> past = new ArrayList<>();
-  private int counter;
-  private boolean out;
-  private final Map<String, Double> slowBoots = new HashMap<>();
-  private final Set<String> unknown = new HashSet<>();
-  private boolean everyBootSucceeds;
-  private int refused;
+  private final long listLagMs;
+  final RateLimiter requestLimiter;
+  private final Function<InvariantChecker.Place, SimWorker> startWorker;
+  private final TerminationHistory terminations;
+  private final Map<String, ProvisionedMachine> machines = new LinkedHashMap<>();
+  private final Map<String, ProvisionResult.Provisioned> provisionedByIntent = new HashMap<>();
+  private final List<Map.Entry<Long, List<Host>>> pastLists = new ArrayList<>();
+  private int provisionedCount;
+  private boolean isOutage;
+  private final Map<String, Double> bootTimeFactors = new HashMap<>();
+  private final Set<String> rejectedTypes = new HashSet<>();
+  private boolean bootFailuresStopped;
+  private int capacityRefusals;
 
   SimCloud(
       SimClock clock,
@@ -71,131 +71,145 @@
       List<MachineType> types,
       int capacity,
       Settings.CloudLimits limits,
-      TerminationHistory releases,
-      Function<InvariantChecker.Place, SimWorker> boot) {
+      TerminationHistory terminations,
+      Function<InvariantChecker.Place, SimWorker> startWorker) {
     this.clock = clock;
     this.random = random;
     this.types = types;
     this.capacity = capacity;
-    this.lagMs = Math.round(limits.maxListLagS() * 1000);
-    this.requests = new RateLimiter(clock, limits.requestsPerS(), 2);
-    this.boot = boot;
-    this.releases = releases;
-    remember();
+    this.listLagMs = Math.round(limits.maxListLagS() * 1000);
+    this.requestLimiter = new RateLimiter(clock, limits.requestsPerS(), 2);
+    this.startWorker = startWorker;
+    this.terminations = terminations;
+    recordList();
   }
 
-  private void remember() {
+  private void recordList() {
     List<Host> now = new ArrayList<>();
-    for (Rented r : machines.values()) {
-      double age = (clock.nowMs() - r.sinceMs) / 1000.0;
-      now.add(new Host(r.id, r.id + ":9000", r.type, r.zone, r.spot, r.status, age));
+    for (ProvisionedMachine machine : machines.values()) {
+      double age = (clock.nowMs() - machine.provisionedMs) / 1000.0;
+      now.add(
+          new Host(
+              machine.id,
+              machine.id + ":9000",
+              machine.type,
+              machine.zone,
+              machine.spot,
+              machine.status,
+              age));
     }
-    past.add(Map.entry(clock.nowMs(), now));
-    if (past.size() > 4 * lagMs / 500 + 4) {
-      past.remove(0);
+    pastLists.add(Map.entry(clock.nowMs(), now));
+    if (pastLists.size() > 4 * listLagMs / 500 + 4) {
+      pastLists.remove(0);
     }
-    clock.at(500, this::remember);
+    clock.after(500, this::recordList);
   }
 
-  void outage(boolean now) {
-    out = now;
+  void setOutage(boolean active) {
+    isOutage = active;
   }
 
   /** From now on no machine fails to come up. */
-  void everyBootSucceeds() {
-    everyBootSucceeds = true;
+  void stopBootFailures() {
+    bootFailuresStopped = true;
   }
 
   /** From now on machines of the type take so many times as long to come up; 0: they never do. */
-  void boots(String type, double factor) {
-    slowBoots.put(type, factor);
+  void setBootTimeFactor(String type, double factor) {
+    bootTimeFactors.put(type, factor);
   }
 
   /** From now on requests for the type are malformed: the cloud has given it up. */
-  void giveUp(String type) {
-    unknown.add(type);
+  void rejectType(String type) {
+    rejectedTypes.add(type);
   }
 
   /** Machines ever rented. */
-  int rented() {
-    return counter;
+  int provisionedCount() {
+    return provisionedCount;
   }
 
   /** Rentals refused for want of capacity. */
-  int refusals() {
-    return refused;
+  int capacityRefusals() {
+    return capacityRefusals;
   }
 
   /** False when a request is answered 503 or 429. */
-  boolean serves() {
-    return !out && requests.take(1);
+  boolean admitsRequest() {
+    return !isOutage && requestLimiter.tryAcquire(1);
   }
 
   List<MachineType> types() {
     return types;
   }
 
-  int size() {
+  int machineCount() {
     return machines.size();
   }
 
   List<SimWorker> workers() {
-    return machines.values().stream().filter(r -> r.worker != null).map(r -> r.worker).toList();
+    return machines.values().stream()
+        .filter(machine -> machine.worker != null)
+        .map(machine -> machine.worker)
+        .toList();
   }
 
-  ProvisionResult rent(String claim, String type, String zone, boolean spot, int count) {
-    limit(count, MOST_RENTED);
-    if (unknown.contains(type)) {
+  ProvisionResult provision(String intentName, String type, String zone, boolean spot, int count) {
+    checkMachineLimit(count, MAX_MACHINES_PER_PROVISIONING);
+    if (rejectedTypes.contains(type)) {
       return new ProvisionResult.Malformed();
     }
-    ProvisionResult.Provisioned before = claims.get(claim);
-    if (before != null) {
-      return before;
+    ProvisionResult.Provisioned earlierResult = provisionedByIntent.get(intentName);
+    if (earlierResult != null) {
+      return earlierResult;
     }
     List<String> ids = new ArrayList<>();
     for (int i = 0; i < count && machines.size() < capacity; i++) {
-      String id = String.format(Locale.ROOT, "i-%06d", counter++);
-      Rented r = new Rented(id, type, zone, spot, clock.nowMs());
-      machines.put(id, r);
+      String id = String.format(Locale.ROOT, "i-%06d", provisionedCount++);
+      ProvisionedMachine machine = new ProvisionedMachine(id, type, zone, spot, clock.nowMs());
+      machines.put(id, machine);
       ids.add(id);
-      double factor = slowBoots.getOrDefault(type, 1.0);
-      boolean fails = random.nextInt(NEVER_BOOTS_ONE_IN) == 0 && !everyBootSucceeds;
+      double factor = bootTimeFactors.getOrDefault(type, 1.0);
+      boolean fails = random.nextInt(BOOT_FAILS_ONE_IN) == 0 && !bootFailuresStopped;
       if (!fails && factor > 0) {
-        clock.at(Math.round((500 + random.nextInt(9_000)) * factor), () -> up(r));
+        clock.after(Math.round((500 + random.nextInt(9_000)) * factor), () -> finishBoot(machine));
       }
     }
     if (ids.isEmpty()) {
-      refused++;
+      capacityRefusals++;
       return new ProvisionResult.NoCapacity();
     }
     ProvisionResult.Provisioned result = new ProvisionResult.Provisioned(ids);
-    claims.put(claim, result);
+    provisionedByIntent.put(intentName, result);
     return result;
   }
 
-  private void up(Rented r) {
-    if (machines.get(r.id) == r) {
-      r.status = HostStatus.RUNNING;
-      r.worker = boot.apply(new InvariantChecker.Place(r.id, r.type, r.zone, r.spot));
+  private void finishBoot(ProvisionedMachine machine) {
+    if (machines.get(machine.id) == machine) {
+      machine.status = HostStatus.RUNNING;
+      machine.worker =
+          startWorker.apply(
+              new InvariantChecker.Place(machine.id, machine.type, machine.zone, machine.spot));
     }
   }
 
   /** Refused for ever: a defect, not a fault to live with. */
-  private static void limit(int asked, int most) {
-    if (asked > most) {
-      throw new IllegalStateException(asked + " machines in a request, " + most + " are allowed");
+  private static void checkMachineLimit(int requested, int limit) {
+    if (requested > limit) {
+      throw new IllegalStateException(
+          requested + " machines in a request, " + limit + " are allowed");
     }
   }
 
   /**
    * @param by who asks for it
    */
-  void release(List<String> ids, String by) {
-    limit(ids.size(), MOST_RELEASED);
-    List<String> ended = ids.stream().filter(machines::containsKey).toList();
-    List<String> withTasks = ended.stream().filter(this::hasTasks).toList();
+  void terminate(List<String> ids, String controller) {
+    checkMachineLimit(ids.size(), MAX_MACHINES_PER_TERMINATION);
+    List<String> terminated = ids.stream().filter(machines::containsKey).toList();
+    List<String> withTasks = terminated.stream().filter(this::hasTasks).toList();
     remove(ids);
-    releases.add(by, ended, withTasks);
+    terminations.add(controller, terminated, withTasks);
   }
 
   private boolean hasTasks(String id) {
@@ -205,36 +219,37 @@
 
   private void remove(List<String> ids) {
     for (String id : ids) {
-      Rented r = machines.remove(id);
-      if (r != null && r.worker != null) {
-        r.worker.end();
+      ProvisionedMachine machine = machines.remove(id);
+      if (machine != null && machine.worker != null) {
+        machine.worker.terminate();
       }
     }
   }
 
   /** The cloud takes the machine back without notice. */
-  void take(String id) {
+  void reclaim(String id) {
     remove(List.of(id));
   }
 
   /** The machine stops by itself; the list tells it late. */
-  void die(String id) {
-    Rented r = machines.get(id);
-    if (r != null && r.worker != null) {
-      r.worker.end();
-      clock.at(10_000, () -> r.status = HostStatus.FAILED);
+  void fail(String id) {
+    ProvisionedMachine machine = machines.get(id);
+    if (machine != null && machine.worker != null) {
+      machine.worker.terminate();
+      clock.after(10_000, () -> machine.status = HostStatus.FAILED);
     }
   }
 
-  HostPage list(String after) {
-    long at = clock.nowMs() - lagMs - random.nextInt((int) lagMs);
-    List<Host> then = List.of();
-    for (Map.Entry<Long, List<Host>> p : past) {
-      if (p.getKey() <= at) {
-        then = p.getValue();
+  HostPage listMachines(String after) {
+    long listedMs = clock.nowMs() - listLagMs - random.nextInt((int) listLagMs);
+    List<Host> listed = List.of();
+    for (Map.Entry<Long, List<Host>> pastList : pastLists) {
+      if (pastList.getKey() <= listedMs) {
+        listed = pastList.getValue();
       }
     }
-    List<Host> rest = then.stream().filter(h -> h.id().compareTo(after) > 0).toList();
-    return new HostPage(rest.subList(0, Math.min(PAGE, rest.size())), rest.size() > PAGE);
+    List<Host> following = listed.stream().filter(host -> host.id().compareTo(after) > 0).toList();
+    return new HostPage(
+        following.subList(0, Math.min(PAGE_SIZE, following.size())), following.size() > PAGE_SIZE);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimCloudClient.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloudClient.java
@@ -21,30 +21,31 @@
     this.link = link;
   }
 
-  private <T> void call(Supplier<T> execute, T refused, T none, Consumer<T> then) {
+  private <T> void request(
+      Supplier<T> execute, T refusedResult, T timeoutResult, Consumer<T> then) {
     link.request(
         CLOUD,
         TIMEOUT_MS,
-        reply -> reply.accept(cloud.serves() ? execute.get() : refused),
-        none,
+        reply -> reply.accept(cloud.admitsRequest() ? execute.get() : refusedResult),
+        timeoutResult,
         then);
   }
 
   @Override
   public void listMachineTypes(Consumer<Optional<List<MachineType>>> then) {
-    call(() -> Optional.of(cloud.types()), Optional.empty(), Optional.empty(), then);
+    request(() -> Optional.of(cloud.types()), Optional.empty(), Optional.empty(), then);
   }
 
   @Override
   public void provision(
-      String claim,
+      String intentName,
       String type,
       String zone,
       boolean spot,
       int count,
       Consumer<ProvisionResult> then) {
-    call(
-        () -> cloud.rent(claim, type, zone, spot, count),
+    request(
+        () -> cloud.provision(intentName, type, zone, spot, count),
         new ProvisionResult.Refused(),
         new ProvisionResult.Unknown(),
         then);
@@ -52,9 +53,9 @@
 
   @Override
   public void terminate(List<String> hosts, Consumer<Boolean> then) {
-    call(
+    request(
         () -> {
-          cloud.release(hosts, link.node());
+          cloud.terminate(hosts, link.source());
           return true;
         },
         false,
@@ -64,6 +65,6 @@
 
   @Override
   public void listMachines(String after, Consumer<Optional<HostPage>> then) {
-    call(() -> Optional.of(cloud.list(after)), Optional.empty(), Optional.empty(), then);
+    request(() -> Optional.of(cloud.listMachines(after)), Optional.empty(), Optional.empty(), then);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimDirectCommands.java
+++ b/src/test/java/org/ploverspindle/sim/SimDirectCommands.java
@@ -13,17 +13,17 @@
   private static final long TIMEOUT_MS = 1_500;
 
   /** One command in so many is carried out again, much later. */
-  private static final int REPEATED_ONE_IN = 6;
+  private static final int DUPLICATED_ONE_IN = 6;
 
-  private static final int REPEATED_LEAST_MS = 500;
-  private static final int REPEATED_SPREAD_MS = 40_000;
+  private static final int MIN_DUPLICATE_DELAY_MS = 500;
+  private static final int DUPLICATE_DELAY_RANGE_MS = 40_000;
 
   private final SimClock clock;
   private final Random random;
   private final SimNetwork network;
   private final SimCloud cloud;
-  private int late;
-  private int toMute;
+  private int executedAfterTimeout;
+  private int executedWithRequestsDropped;
 
   SimDirectCommands(SimClock clock, Random random, SimNetwork network, SimCloud cloud) {
     this.clock = clock;
@@ -33,25 +33,30 @@
   }
 
   /** How many commands reached their machine after their sender had given up. */
-  int late() {
-    return late;
+  int executedAfterTimeout() {
+    return executedAfterTimeout;
   }
 
   /** How many commands reached machines that reach no controller. */
-  int toMute() {
-    return toMute;
+  int executedWithRequestsDropped() {
+    return executedWithRequestsDropped;
   }
 
   WorkerClient client(SimLink link) {
-    return (address, token, tenure, orders, then) ->
-        send(link, address, new Command(token, tenure, orders, clock.nowMs()), then);
+    return (address, fencingToken, workerEpoch, commands, then) ->
+        send(
+            link,
+            address,
+            new CommandMessage(fencingToken, workerEpoch, commands, clock.nowMs()),
+            then);
   }
 
-  private record Command(long token, long tenure, List<WorkerCommand> orders, long orderedMs) {}
+  private record CommandMessage(
+      long fencingToken, long workerEpoch, List<WorkerCommand> commands, long sentMs) {}
 
   private void send(
-      SimLink link, String address, Command command, Consumer<Optional<Heartbeat>> then) {
-    long heldMs = network.commandHeldMs();
+      SimLink link, String address, CommandMessage message, Consumer<Optional<Heartbeat>> then) {
+    long delayMs = network.drawCommandDelayMs();
     Optional<SimWorker> found =
         cloud.workers().stream().filter(w -> w.address().equals(address)).findFirst();
     if (found.isEmpty()) {
@@ -62,37 +67,44 @@
     link.request(
         worker.host(),
         TIMEOUT_MS,
-        reply -> clock.at(heldMs, () -> execute(worker, command, reply)),
+        reply -> clock.after(delayMs, () -> execute(worker, message, reply)),
         Optional.<Heartbeat>empty(),
         then);
-    if (random.nextInt(REPEATED_ONE_IN) == 0) {
-      repeat(worker, command);
+    if (random.nextInt(DUPLICATED_ONE_IN) == 0) {
+      deliverDuplicate(worker, message);
     }
   }
 
   /** A copy of what was carried out comes late. */
-  private void repeat(SimWorker worker, Command command) {
-    clock.at(
-        REPEATED_LEAST_MS + random.nextInt(REPEATED_SPREAD_MS),
+  private void deliverDuplicate(SimWorker worker, CommandMessage message) {
+    clock.after(
+        MIN_DUPLICATE_DELAY_MS + random.nextInt(DUPLICATE_DELAY_RANGE_MS),
         () -> {
-          if (network.hears(worker.host())) {
-            worker.direct(
-                command.token(), command.tenure(), command.orders(), command.orderedMs(), r -> {});
+          if (network.receives(worker.host())) {
+            worker.executeDirect(
+                message.fencingToken(),
+                message.workerEpoch(),
+                message.commands(),
+                message.sentMs(),
+                response -> {});
           }
         });
   }
 
-  private void execute(SimWorker worker, Command command, Consumer<Optional<Heartbeat>> then) {
-    worker.direct(
-        command.token(),
-        command.tenure(),
-        command.orders(),
-        command.orderedMs(),
-        report -> {
-          boolean orders = !command.orders().isEmpty();
-          late += orders && clock.nowMs() - command.orderedMs() > TIMEOUT_MS ? 1 : 0;
-          toMute += !orders || network.speaks(worker.host()) ? 0 : 1;
-          then.accept(Optional.of(report));
+  private void execute(
+      SimWorker worker, CommandMessage message, Consumer<Optional<Heartbeat>> then) {
+    worker.executeDirect(
+        message.fencingToken(),
+        message.workerEpoch(),
+        message.commands(),
+        message.sentMs(),
+        heartbeat -> {
+          boolean hasCommands = !message.commands().isEmpty();
+          executedAfterTimeout +=
+              hasCommands && clock.nowMs() - message.sentMs() > TIMEOUT_MS ? 1 : 0;
+          executedWithRequestsDropped +=
+              !hasCommands || network.sendsRequests(worker.host()) ? 0 : 1;
+          then.accept(Optional.of(heartbeat));
         });
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimHeartbeatDelivery.java
+++ b/src/test/java/org/ploverspindle/sim/SimHeartbeatDelivery.java
@@ -18,27 +18,27 @@
 
 /** Reports on their way from workers to controllers: once, late, or again, and their answers. */
 final class SimHeartbeatDelivery {
-  private static final int MOST_KEPT = 400;
-  private static final int COPY_LEAST_MS = 200;
-  private static final int REPEATED_LEAST_MS = 2_000;
+  private static final int MAX_RETAINED = 400;
+  private static final int MIN_COPY_DELAY_MS = 200;
+  private static final int MIN_REPLAY_DELAY_MS = 2_000;
 
   /** Kept reports reach a new leader just before or just after it knows that it leads. */
-  private static final int AROUND_TERM_BEGIN_MS = 50;
+  private static final int TERM_START_WINDOW_MS = 50;
 
   /** Well over a lease, for each second of it. */
-  private static final double LATE_MS_PER_LEASE_S = 4_000;
+  private static final double DELAY_RANGE_MS_PER_LEASE_S = 4_000;
 
   private static final int OK = 200;
   private static final int MISDIRECTED = 421;
-  private static final int NO_NODE = -1;
+  private static final int NO_CONTROLLER = -1;
 
   private final SimulatedCluster cluster;
   private final Random random;
-  private final Deque<byte[]> keptReports = new ArrayDeque<>();
-  private final Map<String, Set<Long>> lostLaunches = new HashMap<>();
-  private final Histogram reportNanos = new Histogram(2);
-  private int copiesDelivered;
-  private int copiesToLeader;
+  private final Deque<byte[]> retainedHeartbeats = new ArrayDeque<>();
+  private final Map<String, Set<Long>> undeliveredLaunches = new HashMap<>();
+  private final Histogram handlingNanos = new Histogram(2);
+  private int replaysDelivered;
+  private int replaysToLeader;
 
   SimHeartbeatDelivery(SimulatedCluster cluster) {
     this.cluster = cluster;
@@ -46,148 +46,151 @@
   }
 
   /** How many reports came again, to every controller. */
-  int copiesDelivered() {
-    return copiesDelivered;
+  int replaysDelivered() {
+    return replaysDelivered;
   }
 
   /** How many old reports came to a controller that led. */
-  int copiesToLeader() {
-    return copiesToLeader;
+  int replaysToLeader() {
+    return replaysToLeader;
   }
 
   /** How many attempts were ordered from a machine while it could not hear. */
-  int launchesLostTo(String host) {
-    return lostLaunches.getOrDefault(host, Set.of()).size();
+  int undeliveredLaunches(String host) {
+    return undeliveredLaunches.getOrDefault(host, Set.of()).size();
   }
 
-  private int lateSpreadMs() {
-    return (int) (cluster.settings.workers().leaseS() * LATE_MS_PER_LEASE_S);
+  private int delayRangeMs() {
+    return (int) (cluster.settings.workers().leaseS() * DELAY_RANGE_MS_PER_LEASE_S);
   }
 
-  void send(SimWorker from, int to, Heartbeat report, long serial) {
-    byte[] body = SimWireCodec.encode(report);
-    if (cluster.network.speaks(from.host())) {
-      repeat(body);
+  void send(SimWorker worker, int controller, Heartbeat heartbeat, long requestId) {
+    byte[] body = SimWireCodec.encode(heartbeat);
+    if (cluster.network.sendsRequests(worker.host())) {
+      scheduleReplay(body);
     }
-    if (cluster.network.copied()) {
-      deliverCopyLate(body);
+    if (cluster.network.drawDelayedCopy()) {
+      deliverDelayedCopy(body);
     }
     cluster.network.request(
-        from.host(),
-        SimLink.nodeName(to),
+        worker.host(),
+        SimLink.controllerName(controller),
         () -> {
-          if (cluster.alive(to)) {
-            handOver(from, to, body, serial);
+          if (cluster.isAlive(controller)) {
+            deliver(worker, controller, body, requestId);
           } else {
-            cluster.clock.at(1, () -> from.refused(serial, NO_NODE));
+            cluster.clock.after(1, () -> worker.handleRefusal(requestId, NO_CONTROLLER));
           }
         },
         () -> {});
   }
 
   /** From a moment to well over a lease later, to whichever node the packets were held for. */
-  private void deliverCopyLate(byte[] body) {
-    int node = random.nextInt(cluster.nodes);
-    cluster.clock.at(
-        COPY_LEAST_MS + random.nextInt(lateSpreadMs()),
+  private void deliverDelayedCopy(byte[] body) {
+    int controller = random.nextInt(cluster.controllerCount);
+    cluster.clock.after(
+        MIN_COPY_DELAY_MS + random.nextInt(delayRangeMs()),
         () -> {
-          if (cluster.alive(node)) {
-            cluster.controller(node).heartbeat(body, answer -> {});
+          if (cluster.isAlive(controller)) {
+            cluster.controller(controller).heartbeat(body, response -> {});
           }
         });
   }
 
   /** What comes while the process stands still is read when it goes on. */
-  private void handOver(SimWorker from, int to, byte[] body, long serial) {
-    SimClock.Process process = cluster.process(to);
+  private void deliver(SimWorker worker, int controller, byte[] body, long requestId) {
+    SimClock.Process process = cluster.process(controller);
     process.schedule(
         0,
         () ->
-            timed(
-                cluster.controller(to),
+            handleTimed(
+                cluster.controller(controller),
                 body,
-                answer -> {
-                  long orderedMs = cluster.clock.nowMs();
-                  countLost(from.host(), answer);
-                  if (!process.dead()) {
-                    cluster.network.answer(
-                        SimLink.nodeName(to),
-                        from.host(),
-                        () -> answered(from, serial, answer, orderedMs));
+                response -> {
+                  long sentMs = cluster.clock.nowMs();
+                  countUndelivered(worker.host(), response);
+                  if (!process.isDead()) {
+                    cluster.network.respond(
+                        SimLink.controllerName(controller),
+                        worker.host(),
+                        () -> deliverResponse(worker, requestId, response, sentMs));
                   }
                 }));
   }
 
-  private void timed(Controller controller, byte[] body, Consumer<ApiResponse> then) {
-    long beganNanos = System.nanoTime();
+  private void handleTimed(Controller controller, byte[] body, Consumer<ApiResponse> then) {
+    long startNanos = System.nanoTime();
     controller.heartbeat(body, then);
-    reportNanos.recordValue(System.nanoTime() - beganNanos);
+    handlingNanos.recordValue(System.nanoTime() - startNanos);
   }
 
   /** How long controllers took for reports on this machine: a measurement, of no effect. */
-  Histogram reportNanos() {
-    return reportNanos;
+  Histogram handlingNanos() {
+    return handlingNanos;
   }
 
   /** Of some reports a copy comes again; to whom it was on its way, and to all others. */
-  private void repeat(byte[] body) {
-    switch (cluster.network.reportFate()) {
-      case ONCE -> {}
-      case AGAIN ->
-          cluster.clock.at(
-              REPEATED_LEAST_MS + random.nextInt(lateSpreadMs()), () -> toEveryController(body));
-      case FOR_NEXT -> {
-        keptReports.add(body);
-        if (keptReports.size() > MOST_KEPT) {
-          keptReports.remove();
+  private void scheduleReplay(byte[] body) {
+    switch (cluster.network.drawReplay()) {
+      case NONE -> {}
+      case DELAYED ->
+          cluster.clock.after(
+              MIN_REPLAY_DELAY_MS + random.nextInt(delayRangeMs()), () -> replayToAll(body));
+      case AT_NEXT_TERM -> {
+        retainedHeartbeats.add(body);
+        if (retainedHeartbeats.size() > MAX_RETAINED) {
+          retainedHeartbeats.remove();
         }
       }
     }
   }
 
   /** Some just before the new leader knows that it leads, some just after. */
-  void deliverKeptReports() {
-    List<byte[]> kept = List.copyOf(keptReports);
-    keptReports.clear();
-    for (byte[] body : kept) {
-      cluster.clock.at(random.nextInt(AROUND_TERM_BEGIN_MS), () -> toEveryController(body));
+  void deliverRetained() {
+    List<byte[]> retained = List.copyOf(retainedHeartbeats);
+    retainedHeartbeats.clear();
+    for (byte[] body : retained) {
+      cluster.clock.after(random.nextInt(TERM_START_WINDOW_MS), () -> replayToAll(body));
     }
   }
 
-  private void toEveryController(byte[] body) {
-    copiesDelivered++;
-    for (int i = 0; i < cluster.nodes; i++) {
+  private void replayToAll(byte[] body) {
+    replaysDelivered++;
+    for (int i = 0; i < cluster.controllerCount; i++) {
       var controller = cluster.controller(i);
       cluster
           .process(i)
           .schedule(
               0,
               () -> {
-                copiesToLeader += controller.isLeading() ? 1 : 0;
-                controller.heartbeat(body, answer -> {});
+                replaysToLeader += controller.isLeading() ? 1 : 0;
+                controller.heartbeat(body, response -> {});
               });
     }
   }
 
-  private void countLost(String host, ApiResponse answer) {
-    if (cluster.network.hears(host)) {
+  private void countUndelivered(String host, ApiResponse response) {
+    if (cluster.network.receives(host)) {
       return;
     }
-    for (WorkerCommand order : SimWireCodec.orders(SimWireCodec.body(answer))) {
-      if (order instanceof WorkerCommand.Launch launch) {
-        lostLaunches.computeIfAbsent(host, h -> new HashSet<>()).add(launch.attempt());
+    for (WorkerCommand command : SimWireCodec.commands(SimWireCodec.body(response))) {
+      if (command instanceof WorkerCommand.Launch launch) {
+        undeliveredLaunches.computeIfAbsent(host, key -> new HashSet<>()).add(launch.attempt());
       }
     }
   }
 
-  private static void answered(SimWorker to, long serial, ApiResponse answer, long orderedMs) {
-    ObjectNode body = SimWireCodec.body(answer);
-    if (answer.status() == OK) {
-      to.answered(serial, body.path("warrant").asLong(), SimWireCodec.orders(body), orderedMs);
+  private static void deliverResponse(
+      SimWorker worker, long requestId, ApiResponse response, long sentMs) {
+    ObjectNode body = SimWireCodec.body(response);
+    if (response.status() == OK) {
+      worker.handleResponse(
+          requestId, body.path("warrant").asLong(), SimWireCodec.commands(body), sentMs);
       return;
     }
-    String name = body.path("steward").asText(SimLink.nodeName(NO_NODE));
-    boolean redirected = answer.status() == MISDIRECTED;
-    to.refused(serial, redirected ? Integer.parseInt(name.substring(1)) : NO_NODE);
+    String leader = body.path("steward").asText(SimLink.controllerName(NO_CONTROLLER));
+    boolean isRedirect = response.status() == MISDIRECTED;
+    worker.handleRefusal(
+        requestId, isRedirect ? Integer.parseInt(leader.substring(1)) : NO_CONTROLLER);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimLink.java
+++ b/src/test/java/org/ploverspindle/sim/SimLink.java
@@ -6,22 +6,22 @@
 final class SimLink {
   private final SimClock clock;
   private final SimNetwork network;
-  private final String node;
+  private final String source;
   private final SimClock.Process process;
 
-  SimLink(SimClock clock, SimNetwork network, int node, SimClock.Process process) {
+  SimLink(SimClock clock, SimNetwork network, int controller, SimClock.Process process) {
     this.clock = clock;
     this.network = network;
-    this.node = nodeName(node);
+    this.source = controllerName(controller);
     this.process = process;
   }
 
-  static String nodeName(int node) {
-    return "n" + node;
+  static String controllerName(int controller) {
+    return "n" + controller;
   }
 
-  String node() {
-    return node;
+  String source() {
+    return source;
   }
 
   SimClock.Process process() {
@@ -30,20 +30,26 @@
 
   /** Sends a request; whatever goes wrong ends in {@code none} at the timeout. */
   <T> void request(
-      String target, long timeoutMs, Consumer<Consumer<T>> execute, T none, Consumer<T> then) {
-    boolean[] over = {false};
-    Consumer<T> once =
+      String target,
+      long timeoutMs,
+      Consumer<Consumer<T>> execute,
+      T timeoutResult,
+      Consumer<T> then) {
+    boolean[] isCompleted = {false};
+    Consumer<T> completeOnce =
         result -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!isCompleted[0]) {
+            isCompleted[0] = true;
             process.schedule(0, () -> then.accept(result));
           }
         };
-    clock.at(timeoutMs, () -> once.accept(none));
+    clock.after(timeoutMs, () -> completeOnce.accept(timeoutResult));
     network.request(
-        node,
+        source,
         target,
-        () -> execute.accept(result -> network.answer(target, node, () -> once.accept(result))),
+        () ->
+            execute.accept(
+                result -> network.respond(target, source, () -> completeOnce.accept(result))),
         () -> {});
   }
 }
