--- a/src/test/java/org/ploverspindle/sim/SimNetwork.java
+++ b/src/test/java/org/ploverspindle/sim/SimNetwork.java
@@ -10,41 +10,41 @@
 
 /** Who reaches whom, how long it takes, and what is lost or comes late. */
 final class SimNetwork {
-  private static final int MOST_HELD = 16;
+  private static final int MAX_HELD_PACKETS = 16;
 
   private final SimClock clock;
   private final Random random;
-  private final Set<String> cut = new HashSet<>();
-  private final Set<String> deaf = new HashSet<>();
-  private final Set<String> mute = new HashSet<>();
-  private final Set<String> machineMute = new HashSet<>();
-  private final Map<String, List<Runnable>> held = new HashMap<>();
-  private final Map<String, Integer> slow = new HashMap<>();
-  private double lateShare;
-  private double heldCommands;
-  private double copyShare;
-  private double lateWrites;
-  private double lostHints;
-  private boolean writesAtOnce;
-  private double lateReports;
-  private boolean reportsForNext;
+  private final Set<String> partitionedPairs = new HashSet<>();
+  private final Set<String> inboundDropped = new HashSet<>();
+  private final Set<String> responsesDropped = new HashSet<>();
+  private final Set<String> requestsDropped = new HashSet<>();
+  private final Map<String, List<Runnable>> heldPackets = new HashMap<>();
+  private final Map<String, Integer> maxDelays = new HashMap<>();
+  private double lateRequestShare;
+  private double delayedCommandShare;
+  private double delayedCopyShare;
+  private double unansweredWriteShare;
+  private double lostPeerMessageShare;
+  private boolean unansweredAreImmediate;
+  private double replayShare;
+  private boolean replaysAtNextTerm;
 
   /** What becomes of a transaction. */
-  enum WriteFate {
+  enum WriteOutcome {
     ANSWERED,
     /** Carried out after newer ones, and never answered. */
-    LATE,
+    LATE_UNANSWERED,
     /** Carried out at once, and never answered. */
     UNANSWERED
   }
 
   /** What becomes of a report, beside its arrival. */
-  enum ReportFate {
-    ONCE,
+  enum Replay {
+    NONE,
     /** A copy reaches every controller later. */
-    AGAIN,
+    DELAYED,
     /** A copy reaches every controller when the next term begins. */
-    FOR_NEXT
+    AT_NEXT_TERM
   }
 
   SimNetwork(SimClock clock, Random random) {
@@ -53,35 +53,35 @@
   }
 
   /** Part of what is sent to the state service and the cloud is executed late, its answer lost. */
-  void lateShare(double share) {
-    lateShare = share;
+  void setLateRequestShare(double share) {
+    lateRequestShare = share;
   }
 
   /** What the host says arrives; what it is told does not. */
-  void deaf(String host, boolean now) {
-    if (now) {
-      deaf.add(host);
+  void dropInbound(String host, boolean active) {
+    if (active) {
+      inboundDropped.add(host);
     } else {
-      deaf.remove(host);
+      inboundDropped.remove(host);
     }
   }
 
   /** What the node answers does not arrive; what it asks is answered. */
-  void mute(String node, boolean now) {
-    if (now) {
-      mute.add(node);
+  void dropResponsesFrom(String controller, boolean active) {
+    if (active) {
+      responsesDropped.add(controller);
     } else {
-      mute.remove(node);
+      responsesDropped.remove(controller);
     }
   }
 
-  boolean hears(String host) {
-    return !deaf.contains(host);
+  boolean receives(String host) {
+    return !inboundDropped.contains(host);
   }
 
   /** Part of the reports come a second time, late. */
-  void copyShare(double share) {
-    copyShare = share;
+  void setDelayedCopyShare(double share) {
+    delayedCopyShare = share;
   }
 
   /**
@@ -89,52 +89,52 @@
    * for failed. {@code atOnce}: others read what the writer does not know to stand; otherwise it is
    * carried out after newer ones, which it must not undo.
    */
-  void lateWrites(double share, boolean atOnce) {
-    lateWrites = share;
-    writesAtOnce = atOnce;
+  void setUnansweredWrites(double share, boolean immediate) {
+    unansweredWriteShare = share;
+    unansweredAreImmediate = immediate;
   }
 
   /** This share of what controllers tell each other is lost. */
-  void lostHints(double share) {
-    lostHints = share;
+  void setLostPeerMessageShare(double share) {
+    lostPeerMessageShare = share;
   }
 
-  boolean losesHint() {
-    return lostHints > 0 && random.nextDouble() < lostHints;
+  boolean drawPeerMessageLoss() {
+    return lostPeerMessageShare > 0 && random.nextDouble() < lostPeerMessageShare;
   }
 
-  WriteFate writeFate() {
-    if (lateWrites <= 0 || random.nextDouble() >= lateWrites) {
-      return WriteFate.ANSWERED;
+  WriteOutcome drawWriteOutcome() {
+    if (unansweredWriteShare <= 0 || random.nextDouble() >= unansweredWriteShare) {
+      return WriteOutcome.ANSWERED;
     }
-    return writesAtOnce ? WriteFate.UNANSWERED : WriteFate.LATE;
+    return unansweredAreImmediate ? WriteOutcome.UNANSWERED : WriteOutcome.LATE_UNANSWERED;
   }
 
   /**
    * Of this share of the reports a copy comes again, to every controller: what is old must not be
    * believed. {@code forNext}: just as a leader begins who has heard nothing newer.
    */
-  void lateReports(double share, boolean forNext) {
-    lateReports = share;
-    reportsForNext = forNext;
+  void setHeartbeatReplay(double share, boolean atNextTerm) {
+    replayShare = share;
+    replaysAtNextTerm = atNextTerm;
   }
 
-  ReportFate reportFate() {
-    if (lateReports <= 0 || random.nextDouble() >= lateReports) {
-      return ReportFate.ONCE;
+  Replay drawReplay() {
+    if (replayShare <= 0 || random.nextDouble() >= replayShare) {
+      return Replay.NONE;
     }
-    return reportsForNext ? ReportFate.FOR_NEXT : ReportFate.AGAIN;
+    return replaysAtNextTerm ? Replay.AT_NEXT_TERM : Replay.DELAYED;
   }
 
   /**
    * The machine opens no connection to any controller, so that its lease runs out, while direct
    * commands reach it and are answered: what they show is no sign that it hears.
    */
-  void machineMute(String host, boolean now) {
-    if (now) {
-      machineMute.add(host);
+  void dropRequestsFrom(String host, boolean active) {
+    if (active) {
+      requestsDropped.add(host);
     } else {
-      machineMute.remove(host);
+      requestsDropped.remove(host);
     }
   }
 
@@ -142,27 +142,27 @@
    * This share of the direct commands is held up for seconds and then carried out, while reports on
    * connections of their own overtake them.
    */
-  void heldCommands(double share) {
-    heldCommands = share;
+  void setDelayedCommandShare(double share) {
+    delayedCommandShare = share;
   }
 
-  long commandHeldMs() {
-    boolean isHeld = heldCommands > 0 && random.nextDouble() < heldCommands;
-    return isHeld ? 1_600 + random.nextInt(7_000) : 0;
+  long drawCommandDelayMs() {
+    boolean isDelayed = delayedCommandShare > 0 && random.nextDouble() < delayedCommandShare;
+    return isDelayed ? 1_600 + random.nextInt(7_000) : 0;
   }
 
   /** Each way to and from the host takes up to so long; 0: as ever. */
-  void slow(String host, int mostMs) {
-    slow.put(host, mostMs);
+  void setMaxDelay(String host, int maxDelayMs) {
+    maxDelays.put(host, maxDelayMs);
   }
 
   private long delayMs(String host) {
-    int mostMs = slow.getOrDefault(host, 0);
-    return 1 + random.nextInt(15) + (mostMs > 0 ? random.nextInt(mostMs) : 0);
+    int maxDelayMs = maxDelays.getOrDefault(host, 0);
+    return 1 + random.nextInt(15) + (maxDelayMs > 0 ? random.nextInt(maxDelayMs) : 0);
   }
 
-  boolean speaks(String host) {
-    return !machineMute.contains(host);
+  boolean sendsRequests(String host) {
+    return !requestsDropped.contains(host);
   }
 
   /**
@@ -171,25 +171,25 @@
    *
    * @return how many packets are delivered now
    */
-  int hold(String a, String b, boolean now) {
-    if (now) {
-      held.putIfAbsent(pair(a, b), new ArrayList<>());
+  int holdPackets(String a, String b, boolean active) {
+    if (active) {
+      heldPackets.putIfAbsent(pair(a, b), new ArrayList<>());
       return 0;
     }
-    List<Runnable> packets = held.remove(pair(a, b));
+    List<Runnable> packets = heldPackets.remove(pair(a, b));
     if (packets == null) {
       return 0;
     }
-    packets.forEach(p -> clock.at(1, p));
+    packets.forEach(packet -> clock.after(1, packet));
     return packets.size();
   }
 
-  private boolean heldBack(String from, String to, Runnable packet) {
-    List<Runnable> packets = held.get(pair(from, to));
+  private boolean holdBack(String from, String to, Runnable packet) {
+    List<Runnable> packets = heldPackets.get(pair(from, to));
     if (packets == null) {
       return false;
     }
-    if (packets.size() < MOST_HELD) {
+    if (packets.size() < MAX_HELD_PACKETS) {
       packets.add(packet);
     }
     return true;
@@ -199,57 +199,57 @@
     return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
   }
 
-  boolean copied() {
-    return copyShare > 0 && random.nextDouble() < copyShare;
+  boolean drawDelayedCopy() {
+    return delayedCopyShare > 0 && random.nextDouble() < delayedCopyShare;
   }
 
-  void cut(String a, String b, boolean now) {
-    if (now) {
-      cut.add(pair(a, b));
+  void partition(String a, String b, boolean active) {
+    if (active) {
+      partitionedPairs.add(pair(a, b));
     } else {
-      cut.remove(pair(a, b));
+      partitionedPairs.remove(pair(a, b));
     }
   }
 
-  boolean reaches(String a, String b) {
-    return !cut.contains(pair(a, b));
+  boolean isConnected(String a, String b) {
+    return !partitionedPairs.contains(pair(a, b));
   }
 
   /**
    * Sends a request. Behind a cut it is held back: mostly lost, at times executed long after its
    * sender gave up.
    */
-  void request(String from, String to, Runnable deliver, Runnable lost) {
+  void request(String from, String to, Runnable deliver, Runnable onLoss) {
     long delay = delayMs(to);
-    if (!hears(to) || !speaks(from)) {
-      lost.run();
-    } else if (heldBack(from, to, deliver)) {
-      lost.run();
-    } else if (!reaches(from, to)) {
+    if (!receives(to) || !sendsRequests(from)) {
+      onLoss.run();
+    } else if (holdBack(from, to, deliver)) {
+      onLoss.run();
+    } else if (!isConnected(from, to)) {
       if (random.nextInt(3) == 0) {
-        clock.at(3_000 + random.nextInt(60_000), deliver);
+        clock.after(3_000 + random.nextInt(60_000), deliver);
       }
-      lost.run();
-    } else if (random.nextDouble() < lateShare) {
-      clock.at(2_600 + random.nextInt(8_000), deliver);
-      lost.run();
+      onLoss.run();
+    } else if (random.nextDouble() < lateRequestShare) {
+      clock.after(2_600 + random.nextInt(8_000), deliver);
+      onLoss.run();
     } else {
-      clock.at(delay, deliver);
+      clock.after(delay, deliver);
     }
   }
 
   /** Sends an answer; false when it can't arrive. */
-  boolean answer(String from, String to, Runnable deliver) {
-    if (!hears(to)
-        || mute.contains(from)
-        || !reaches(from, to)
-        || random.nextDouble() < lateShare) {
+  boolean respond(String from, String to, Runnable deliver) {
+    if (!receives(to)
+        || responsesDropped.contains(from)
+        || !isConnected(from, to)
+        || random.nextDouble() < lateRequestShare) {
       return false;
     }
-    if (heldBack(from, to, deliver)) {
+    if (holdBack(from, to, deliver)) {
       return false;
     }
-    clock.at(delayMs(from), deliver);
+    clock.after(delayMs(from), deliver);
     return true;
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimPause.java
+++ b/src/test/java/org/ploverspindle/sim/SimPause.java
@@ -4,50 +4,50 @@
 final class SimPause {
   private final SimClock clock;
   private long untilMs;
-  private long totalMs;
+  private long scheduledMs;
 
   SimPause(SimClock clock) {
     this.clock = clock;
   }
 
   /** Begins a pause, or lengthens the one that there is; a shorter one changes nothing. */
-  void begin(long forMs, Runnable over) {
-    long newUntilMs = clock.nowMs() + forMs;
+  void begin(long durationMs, Runnable onEnd) {
+    long newUntilMs = clock.nowMs() + durationMs;
     if (newUntilMs <= untilMs) {
       return;
     }
-    totalMs += newUntilMs - Math.max(clock.nowMs(), untilMs);
+    scheduledMs += newUntilMs - Math.max(clock.nowMs(), untilMs);
     untilMs = newUntilMs;
-    clock.at(forMs, over);
+    clock.after(durationMs, onEnd);
   }
 
-  boolean isOn() {
+  boolean isActive() {
     return clock.nowMs() < untilMs;
   }
 
-  void whenOver(Runnable work) {
-    if (isOn()) {
-      clock.at(untilMs - clock.nowMs(), () -> whenOver(work));
+  void runAfterPause(Runnable action) {
+    if (isActive()) {
+      clock.after(untilMs - clock.nowMs(), () -> runAfterPause(action));
     } else {
-      work.run();
+      action.run();
     }
   }
 
-  private long stoodStillMs() {
-    return totalMs - Math.max(0, untilMs - clock.nowMs());
+  private long pausedMs() {
+    return scheduledMs - Math.max(0, untilMs - clock.nowMs());
   }
 
   /** After so much time in which the machine did not stand still. */
-  void afterWork(long delayMs, Runnable work) {
-    long before = stoodStillMs();
-    clock.at(
-        delayMs,
+  void afterActiveTime(long activeMs, Runnable action) {
+    long pausedBeforeMs = pausedMs();
+    clock.after(
+        activeMs,
         () -> {
-          long missedMs = stoodStillMs() - before;
+          long missedMs = pausedMs() - pausedBeforeMs;
           if (missedMs > 0) {
-            afterWork(missedMs, work);
+            afterActiveTime(missedMs, action);
           } else {
-            work.run();
+            action.run();
           }
         });
   }
--- a/src/test/java/org/ploverspindle/sim/SimPeers.java
+++ b/src/test/java/org/ploverspindle/sim/SimPeers.java
@@ -8,31 +8,33 @@
 final class SimPeers implements Peers {
   private final SimNetwork network;
   private final int self;
-  private final int nodes;
+  private final int controllerCount;
   private final BiConsumer<Integer, PeerMessage> deliver;
 
   /**
    * @param deliver takes a record that reached the node with this number
    */
-  SimPeers(SimNetwork network, int self, int nodes, BiConsumer<Integer, PeerMessage> deliver) {
+  SimPeers(
+      SimNetwork network, int self, int controllerCount, BiConsumer<Integer, PeerMessage> deliver) {
     this.network = network;
     this.self = self;
-    this.nodes = nodes;
+    this.controllerCount = controllerCount;
     this.deliver = deliver;
   }
 
   @Override
-  public void send(String member, PeerMessage record) {
+  public void send(String member, PeerMessage message) {
     int to = Integer.parseInt(member.substring(1));
-    if (to != self && !network.losesHint()) {
-      network.request(SimLink.nodeName(self), member, () -> deliver.accept(to, record), () -> {});
+    if (to != self && !network.drawPeerMessageLoss()) {
+      network.request(
+          SimLink.controllerName(self), member, () -> deliver.accept(to, message), () -> {});
     }
   }
 
   @Override
-  public void broadcast(PeerMessage record) {
-    for (int to = 0; to < nodes; to++) {
-      send(SimLink.nodeName(to), record);
+  public void broadcast(PeerMessage message) {
+    for (int to = 0; to < controllerCount; to++) {
+      send(SimLink.controllerName(to), message);
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimStateAccess.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateAccess.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.ploverspindle.sim.SimulatedCluster.Refusal;
+import org.ploverspindle.sim.SimulatedCluster.RequestKind;
 import org.ploverspindle.state.StateStore;
 
 /**
@@ -19,24 +19,24 @@
   static final String STATE = "state";
 
   private static final long TIMEOUT_MS = 2_500;
-  private static final int LATE_WRITE_LEAST_MS = 2_000;
-  private static final int LATE_WRITE_SPREAD_MS = 10_000;
+  private static final int MIN_LATE_WRITE_DELAY_MS = 2_000;
+  private static final int LATE_WRITE_DELAY_RANGE_MS = 10_000;
 
   /** Small pages where there is little to read, so that changes come between them. */
-  private static final int SMALL_PAGE = 7;
+  private static final int SMALL_PAGE_SIZE = 7;
 
-  private record RefusalOfNode(Refusal kind, int node) {}
+  private record RefusedRequests(RequestKind kind, int controller) {}
 
   private final SimClock clock;
   private final Random random;
   private final SimNetwork network;
   private final SimStateStore state;
   private final boolean smallPages;
-  private final Set<RefusalOfNode> refusals = new HashSet<>();
-  private final Map<Integer, Long> carriedOut = new HashMap<>();
-  private Consumer<StateStore.Transaction> sending = txn -> {};
+  private final Set<RefusedRequests> refusals = new HashSet<>();
+  private final Map<Integer, Long> executedWrites = new HashMap<>();
+  private Consumer<StateStore.Transaction> sendListener = txn -> {};
   private int unansweredWrites;
-  private int overtakenWrites;
+  private int reorderedWrites;
 
   SimStateAccess(
       SimClock clock, Random random, SimNetwork network, SimStateStore state, boolean smallPages) {
@@ -48,17 +48,17 @@
   }
 
   /** From now on the state service refuses such requests of the node, or serves them again. */
-  void refuse(int node, Refusal kind, boolean now) {
-    if (now) {
-      refusals.add(new RefusalOfNode(kind, node));
+  void setRefused(int controller, RequestKind kind, boolean active) {
+    if (active) {
+      refusals.add(new RefusedRequests(kind, controller));
     } else {
-      refusals.remove(new RefusalOfNode(kind, node));
+      refusals.remove(new RefusedRequests(kind, controller));
     }
   }
 
   /** To be told of every transaction as it is sent, before its fate is drawn. */
-  void whenSent(Consumer<StateStore.Transaction> then) {
-    sending = then;
+  void onTransactionSent(Consumer<StateStore.Transaction> listener) {
+    sendListener = listener;
   }
 
   /** How many transactions stand whose answers were lost. */
@@ -67,69 +67,74 @@
   }
 
   /** Unanswered transactions that were carried out after newer ones of the same controller. */
-  int overtakenWrites() {
-    return overtakenWrites;
+  int reorderedWrites() {
+    return reorderedWrites;
   }
 
-  StateStore client(int node, SimLink link) {
-    return new Client(node, link);
+  StateStore client(int controller, SimLink link) {
+    return new Client(controller, link);
   }
 
   private final class Client implements StateStore {
-    private final int node;
+    private final int controller;
     private final SimLink link;
 
-    Client(int node, SimLink link) {
-      this.node = node;
+    Client(int controller, SimLink link) {
+      this.controller = controller;
       this.link = link;
     }
 
-    private <T> void call(Refusal kind, Supplier<T> execute, T refused, T none, Consumer<T> then) {
+    private <T> void request(
+        RequestKind kind, Supplier<T> execute, T refusedResult, T timeoutResult, Consumer<T> then) {
       link.request(
           STATE,
           TIMEOUT_MS,
-          reply -> reply.accept(serves(kind) ? execute.get() : refused),
-          none,
+          reply -> reply.accept(admitsRequest(kind) ? execute.get() : refusedResult),
+          timeoutResult,
           then);
     }
 
-    private boolean serves(Refusal kind) {
-      return state.serves() && !refusals.contains(new RefusalOfNode(kind, node));
+    private boolean admitsRequest(RequestKind kind) {
+      return state.admitsRequest() && !refusals.contains(new RefusedRequests(kind, controller));
     }
 
     /** Nobody hears what becomes of it. */
     private void executeUnanswered(
-        Transaction txn, long delayMs, Consumer<TransactionResult> then) {
-      long before = carriedOut.getOrDefault(node, 0L);
-      clock.at(
+        Transaction transaction, long delayMs, Consumer<TransactionResult> then) {
+      long executedBefore = executedWrites.getOrDefault(controller, 0L);
+      clock.after(
           delayMs,
           () -> {
-            if (serves(Refusal.WRITES)) {
-              overtakenWrites += carriedOut.getOrDefault(node, 0L) > before ? 1 : 0;
-              unansweredWrites += state.txn(txn) instanceof TransactionResult.Committed ? 1 : 0;
+            if (admitsRequest(RequestKind.WRITES)) {
+              reorderedWrites +=
+                  executedWrites.getOrDefault(controller, 0L) > executedBefore ? 1 : 0;
+              unansweredWrites +=
+                  state.commit(transaction) instanceof TransactionResult.Committed ? 1 : 0;
             }
           });
-      clock.at(
+      clock.after(
           TIMEOUT_MS,
           () -> link.process().schedule(0, () -> then.accept(new TransactionResult.Unknown())));
     }
 
     @Override
-    public void commit(Transaction txn, Consumer<TransactionResult> then) {
-      sending.accept(txn);
-      SimNetwork.WriteFate fate = network.writeFate();
-      if (fate != SimNetwork.WriteFate.ANSWERED && network.reaches(link.node(), STATE)) {
-        boolean late = fate == SimNetwork.WriteFate.LATE;
-        long delayMs = late ? LATE_WRITE_LEAST_MS + random.nextInt(LATE_WRITE_SPREAD_MS) : 1;
-        executeUnanswered(txn, delayMs, then);
+    public void commit(Transaction transaction, Consumer<TransactionResult> then) {
+      sendListener.accept(transaction);
+      SimNetwork.WriteOutcome outcome = network.drawWriteOutcome();
+      if (outcome != SimNetwork.WriteOutcome.ANSWERED
+          && network.isConnected(link.source(), STATE)) {
+        boolean isLate = outcome == SimNetwork.WriteOutcome.LATE_UNANSWERED;
+        long delayMs =
+            isLate ? MIN_LATE_WRITE_DELAY_MS + random.nextInt(LATE_WRITE_DELAY_RANGE_MS) : 1;
+        executeUnanswered(transaction, delayMs, then);
         return;
       }
-      call(
-          Refusal.WRITES,
+      request(
+          RequestKind.WRITES,
           () -> {
-            TransactionResult result = state.txn(txn);
+            TransactionResult result = state.commit(transaction);
             if (result instanceof TransactionResult.Committed) {
-              carriedOut.merge(node, 1L, Long::sum);
+              executedWrites.merge(controller, 1L, Long::sum);
             }
             return result;
           },
@@ -141,30 +146,32 @@
     @Override
     public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
       PageResult failed = new PageResult.Failed();
-      int page = smallPages ? Math.min(size, SMALL_PAGE) : size;
-      call(Refusal.READS, () -> state.page(prefix, after, page), failed, failed, then);
+      int pageSize = smallPages ? Math.min(size, SMALL_PAGE_SIZE) : size;
+      request(
+          RequestKind.READS, () -> state.readPage(prefix, after, pageSize), failed, failed, then);
     }
 
     @Override
-    public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
+    public void readChanges(String prefix, long revision, Consumer<ChangesResult> then) {
       ChangesResult failed = new ChangesResult.Failed();
-      call(Refusal.READS, () -> state.changesAfter(prefix, ledger), failed, failed, then);
+      request(RequestKind.READS, () -> state.readChanges(prefix, revision), failed, failed, then);
     }
 
     @Override
     public void openLease(long ttlMs, Consumer<Optional<Long>> then) {
       Optional<Long> none = Optional.empty();
-      call(Refusal.HOLDS, () -> Optional.of(state.openLease(ttlMs)), none, none, then);
+      request(RequestKind.LEASES, () -> Optional.of(state.openLease(ttlMs)), none, none, then);
     }
 
     @Override
     public void renewLease(long lease, Consumer<Renewal> then) {
-      call(Refusal.HOLDS, () -> state.renew(lease), Renewal.FAILED, Renewal.FAILED, then);
+      request(
+          RequestKind.LEASES, () -> state.renewLease(lease), Renewal.FAILED, Renewal.FAILED, then);
     }
 
     @Override
     public void closeLease(long lease) {
-      network.request(link.node(), STATE, () -> state.endHold(lease), () -> {});
+      network.request(link.source(), STATE, () -> state.endLease(lease), () -> {});
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimStateStore.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateStore.java
@@ -24,153 +24,153 @@
 
 /** Stand-in for the state service, by its published protocol; faults are the network's business. */
 final class SimStateStore {
-  private record Kept(JsonNode value, long stamp, Optional<Long> hold) {}
+  private record StoredValue(JsonNode value, long modRevision, Optional<Long> lease) {}
 
-  private static final int HISTORY = 10_000;
+  private static final int MAX_HISTORY = 10_000;
 
   private final SimClock clock;
   private Settings.StateLimits limits;
-  private boolean limitsFell;
-  private int tooLarge;
-  private int pages;
-  final RateLimiter requests;
-  final RateLimiter changes;
-  private final TreeMap<String, Kept> keys = new TreeMap<>();
-  private final Map<Long, Long> holdEndsMs = new HashMap<>();
-  private final Map<Long, Long> holdTtlMs = new HashMap<>();
+  private boolean limitsChanged;
+  private int refusedAsTooLarge;
+  private int pagesRead;
+  final RateLimiter requestLimiter;
+  final RateLimiter changeLimiter;
+  private final TreeMap<String, StoredValue> valuesByKey = new TreeMap<>();
+  private final Map<Long, Long> leaseEndsMs = new HashMap<>();
+  private final Map<Long, Long> leaseTtlsMs = new HashMap<>();
   private final List<ChangedEntry> history = new ArrayList<>();
-  private long ledger = 1;
-  private long nextHold = 1;
-  private boolean out;
-  private Runnable newTerm = () -> {};
-  private Consumer<Transaction> written = txn -> {};
+  private long revision = 1;
+  private long nextLease = 1;
+  private boolean isOutage;
+  private Runnable termListener = () -> {};
+  private Consumer<Transaction> writeListener = txn -> {};
   private String lostPrefix = "";
 
   SimStateStore(SimClock clock, Settings.StateLimits limits) {
     this.clock = clock;
     this.limits = limits;
-    this.requests = new RateLimiter(clock, limits.requestsPerS(), 1);
-    this.changes = new RateLimiter(clock, limits.changesPerS(), 1);
+    this.requestLimiter = new RateLimiter(clock, limits.requestsPerS(), 1);
+    this.changeLimiter = new RateLimiter(clock, limits.changesPerS(), 1);
   }
 
   /** To be run whenever a controller comes to lead, at the moment of the write that makes it so. */
-  void whenATermBegins(Runnable then) {
-    newTerm = then;
+  void onTermStart(Runnable listener) {
+    termListener = listener;
   }
 
   /** To be told of every transaction that is carried out and changes something. */
-  void whenWritten(Consumer<Transaction> then) {
-    written = then;
+  void onWrite(Consumer<Transaction> listener) {
+    writeListener = listener;
   }
 
   /** A planted fault: what is put under the prefix is acknowledged and not kept. */
-  void losesUnder(String prefix) {
+  void loseWritesUnder(String prefix) {
     lostPrefix = prefix;
   }
 
-  private boolean isLost(String key) {
+  private boolean losesWrite(String key) {
     return !lostPrefix.isEmpty() && key.startsWith(lostPrefix);
   }
 
   /** How many transactions were refused for their size. */
-  int tooLarge() {
-    return tooLarge;
+  int refusedAsTooLarge() {
+    return refusedAsTooLarge;
   }
 
   /** How many pages of keys were read. */
-  int pages() {
-    return pages;
+  int pagesRead() {
+    return pagesRead;
   }
 
-  boolean holds(String key) {
-    return keys.containsKey(key);
+  boolean containsKey(String key) {
+    return valuesByKey.containsKey(key);
   }
 
   /** How many keys there are of this prefix; no request. */
-  int keysUnder(String prefix) {
-    return keys.subMap(prefix, prefix + Character.MAX_VALUE).size();
+  int keyCount(String prefix) {
+    return valuesByKey.subMap(prefix, prefix + Character.MAX_VALUE).size();
   }
 
   /** The names and the values of the prefix's keys in JSON form; no request. */
-  long bytesUnder(String prefix) {
-    return keys.subMap(prefix, prefix + Character.MAX_VALUE).entrySet().stream()
-        .mapToLong(e -> e.getKey().length() + Cbor.jsonSize(e.getValue().value()))
+  long sizeInBytes(String prefix) {
+    return valuesByKey.subMap(prefix, prefix + Character.MAX_VALUE).entrySet().stream()
+        .mapToLong(entry -> entry.getKey().length() + Cbor.jsonSize(entry.getValue().value()))
         .sum();
   }
 
   /** This stood there before the run began, and cost nothing of its rates. */
-  void stoodBefore(String key, JsonNode value) {
-    ledger++;
-    keys.put(key, new Kept(value.deepCopy(), ledger, Optional.empty()));
-    history.add(new ChangedEntry(key, Optional.of(value.deepCopy()), ledger));
+  void preload(String key, JsonNode value) {
+    revision++;
+    valuesByKey.put(key, new StoredValue(value.deepCopy(), revision, Optional.empty()));
+    history.add(new ChangedEntry(key, Optional.of(value.deepCopy()), revision));
   }
 
   /** From now on these are the limits; nobody is told. */
-  void limits(Settings.StateLimits now) {
-    limits = now;
-    limitsFell = true;
-    requests.perSecond(now.requestsPerS());
-    changes.perSecond(now.changesPerS());
+  void setLimits(Settings.StateLimits newLimits) {
+    limits = newLimits;
+    limitsChanged = true;
+    requestLimiter.setRatePerSecond(newLimits.requestsPerS());
+    changeLimiter.setRatePerSecond(newLimits.changesPerS());
   }
 
   /** False when a request is answered 503 or 429. */
-  boolean serves() {
-    return !out && requests.take(1);
+  boolean admitsRequest() {
+    return !isOutage && requestLimiter.tryAcquire(1);
   }
 
-  void outage(boolean now) {
-    if (out && !now) {
+  void setOutage(boolean active) {
+    if (isOutage && !active) {
       // After an outage every hold has its full time again.
-      holdEndsMs.replaceAll((h, end) -> clock.nowMs() + holdTtlMs.get(h));
-      holdEndsMs.keySet().forEach(this::watch);
+      leaseEndsMs.replaceAll((lease, endMs) -> clock.nowMs() + leaseTtlsMs.get(lease));
+      leaseEndsMs.keySet().forEach(this::scheduleExpiry);
     }
-    out = now;
+    isOutage = active;
   }
 
   long openLease(long ttlMs) {
-    long id = nextHold++;
-    holdTtlMs.put(id, ttlMs);
-    holdEndsMs.put(id, clock.nowMs() + ttlMs);
-    watch(id);
-    return id;
+    long lease = nextLease++;
+    leaseTtlsMs.put(lease, ttlMs);
+    leaseEndsMs.put(lease, clock.nowMs() + ttlMs);
+    scheduleExpiry(lease);
+    return lease;
   }
 
-  private void watch(long id) {
-    clock.at(
-        holdEndsMs.get(id) - clock.nowMs(),
+  private void scheduleExpiry(long lease) {
+    clock.after(
+        leaseEndsMs.get(lease) - clock.nowMs(),
         () -> {
-          Long end = holdEndsMs.get(id);
-          if (end != null && !out && end <= clock.nowMs()) {
-            endHold(id);
+          Long endMs = leaseEndsMs.get(lease);
+          if (endMs != null && !isOutage && endMs <= clock.nowMs()) {
+            endLease(lease);
           }
         });
   }
 
-  void endHold(long id) {
-    holdEndsMs.remove(id);
+  void endLease(long lease) {
+    leaseEndsMs.remove(lease);
     List<String> attached =
-        keys.entrySet().stream()
-            .filter(e -> e.getValue().hold().equals(Optional.of(id)))
+        valuesByKey.entrySet().stream()
+            .filter(entry -> entry.getValue().lease().equals(Optional.of(lease)))
             .map(Map.Entry::getKey)
             .toList();
     if (!attached.isEmpty()) {
-      ledger++;
+      revision++;
       attached.forEach(this::remove);
     }
   }
 
-  Renewal renew(long id) {
-    if (!holdEndsMs.containsKey(id)) {
+  Renewal renewLease(long lease) {
+    if (!leaseEndsMs.containsKey(lease)) {
       return Renewal.GONE;
     }
-    holdEndsMs.put(id, clock.nowMs() + holdTtlMs.get(id));
-    watch(id);
+    leaseEndsMs.put(lease, clock.nowMs() + leaseTtlsMs.get(lease));
+    scheduleExpiry(lease);
     return Renewal.RENEWED;
   }
 
   private void remove(String key) {
-    if (keys.remove(key) != null) {
-      history.add(new ChangedEntry(key, Optional.empty(), ledger));
+    if (valuesByKey.remove(key) != null) {
+      history.add(new ChangedEntry(key, Optional.empty(), revision));
     }
   }
 
@@ -179,127 +179,130 @@
    * unless the limits fell in this run. Then it is refused, as the service does. Limits that are
    * announced count from the start on, as nobody is told of the moment.
    */
-  private boolean withinLimits(Transaction txn) {
+  private boolean fitsLimits(Transaction transaction) {
     Settings.StateLimits lowest = limits.lowest();
-    int bytes = HttpStateStore.encode(txn).toString().length();
+    int bytes = HttpStateStore.encode(transaction).toString().length();
     boolean valuesFit =
-        txn.changes().stream()
+        transaction.changes().stream()
             .allMatch(
-                c ->
-                    !(c instanceof Change.Put put)
+                change ->
+                    !(change instanceof Change.Put put)
                         || put.value().toString().length() <= lowest.maxValueBytes());
-    if (txn.changes().size() > lowest.maxChangesPerTransaction()
-        || txn.conditions().size() > 4 * lowest.maxChangesPerTransaction()
+    if (transaction.changes().size() > lowest.maxChangesPerTransaction()
+        || transaction.conditions().size() > 4 * lowest.maxChangesPerTransaction()
         || bytes > 64 * 1024
         || !valuesFit) {
-      if (!limitsFell) {
-        throw new IllegalStateException("a transaction is beyond the limits: " + txn);
+      if (!limitsChanged) {
+        throw new IllegalStateException("a transaction is beyond the limits: " + transaction);
       }
-      tooLarge++;
+      refusedAsTooLarge++;
       return false;
     }
     return true;
   }
 
-  private List<String> failedConditions(Transaction txn) {
+  private List<String> failedConditions(Transaction transaction) {
     List<String> failed = new ArrayList<>();
-    for (Condition c : txn.conditions()) {
-      Kept kept = keys.get(c.key());
-      if ((kept == null ? 0 : kept.stamp()) != c.modRevision()) {
-        failed.add(c.key());
+    for (Condition condition : transaction.conditions()) {
+      StoredValue stored = valuesByKey.get(condition.key());
+      if ((stored == null ? 0 : stored.modRevision()) != condition.modRevision()) {
+        failed.add(condition.key());
       }
     }
     return failed;
   }
 
-  private boolean putsUnderEndedLease(Transaction txn) {
-    for (Change change : txn.changes()) {
+  private boolean putsUnderExpiredLease(Transaction transaction) {
+    for (Change change : transaction.changes()) {
       if (change instanceof Change.Put put
           && put.lease().isPresent()
-          && !holdEndsMs.containsKey(put.lease().get())) {
+          && !leaseEndsMs.containsKey(put.lease().get())) {
         return true;
       }
     }
     return false;
   }
 
-  TransactionResult txn(Transaction txn) {
-    if (!withinLimits(txn)) {
+  TransactionResult commit(Transaction transaction) {
+    if (!fitsLimits(transaction)) {
       return new TransactionResult.Refused(400);
     }
-    if (!txn.changes().isEmpty() && !changes.take(txn.changes().size())) {
+    if (!transaction.changes().isEmpty()
+        && !changeLimiter.tryAcquire(transaction.changes().size())) {
       return new TransactionResult.Refused(429);
     }
-    if (putsUnderEndedLease(txn)) {
+    if (putsUnderExpiredLease(transaction)) {
       return new TransactionResult.NoSuchLease();
     }
-    List<String> failed = failedConditions(txn);
+    List<String> failed = failedConditions(transaction);
     if (!failed.isEmpty()) {
       return new TransactionResult.Conflict(failed);
     }
-    ledger++;
-    for (Change change : txn.changes()) {
-      if (isLost(change.key())) {
+    revision++;
+    for (Change change : transaction.changes()) {
+      if (losesWrite(change.key())) {
         continue;
       }
       if (change instanceof Change.Put put) {
-        keys.put(put.key(), new Kept(put.value().deepCopy(), ledger, put.lease()));
-        history.add(new ChangedEntry(put.key(), Optional.of(put.value().deepCopy()), ledger));
+        valuesByKey.put(put.key(), new StoredValue(put.value().deepCopy(), revision, put.lease()));
+        history.add(new ChangedEntry(put.key(), Optional.of(put.value().deepCopy()), revision));
       } else {
         remove(change.key());
       }
     }
-    if (!txn.changes().isEmpty()) {
-      written.accept(txn);
+    if (!transaction.changes().isEmpty()) {
+      writeListener.accept(transaction);
     }
-    if (txn.changes().stream().anyMatch(c -> c.key().equals(Keys.TOKEN))) {
-      newTerm.run();
+    if (transaction.changes().stream().anyMatch(change -> change.key().equals(Keys.TOKEN))) {
+      termListener.run();
     }
-    return new TransactionResult.Committed(ledger);
+    return new TransactionResult.Committed(revision);
   }
 
-  PageResult page(String prefix, String after, int size) {
-    pages++;
+  PageResult readPage(String prefix, String after, int size) {
+    pagesRead++;
     List<Entry> entries = new ArrayList<>();
-    boolean more = false;
-    for (Map.Entry<String, Kept> e : keys.tailMap(prefix, true).entrySet()) {
-      if (!e.getKey().startsWith(prefix)) {
+    boolean hasNext = false;
+    for (Map.Entry<String, StoredValue> entry : valuesByKey.tailMap(prefix, true).entrySet()) {
+      if (!entry.getKey().startsWith(prefix)) {
         break;
       }
-      if (e.getKey().compareTo(after) <= 0) {
+      if (entry.getKey().compareTo(after) <= 0) {
         continue;
       }
       if (entries.size() == size) {
-        more = true;
+        hasNext = true;
         break;
       }
-      entries.add(new Entry(e.getKey(), e.getValue().value(), e.getValue().stamp()));
+      entries.add(
+          new Entry(entry.getKey(), entry.getValue().value(), entry.getValue().modRevision()));
     }
-    return new PageResult.Page(entries, more, ledger);
+    return new PageResult.Page(entries, hasNext, revision);
   }
 
-  ChangesResult changesAfter(String prefix, long after) {
-    if (history.size() > HISTORY && history.get(history.size() - HISTORY).modRevision() > after) {
+  ChangesResult readChanges(String prefix, long afterRevision) {
+    if (history.size() > MAX_HISTORY
+        && history.get(history.size() - MAX_HISTORY).modRevision() > afterRevision) {
       return new ChangesResult.TooOld();
     }
     List<ChangedEntry> newer = new ArrayList<>();
-    for (int i = history.size() - 1; i >= 0 && history.get(i).modRevision() > after; i--) {
+    for (int i = history.size() - 1; i >= 0 && history.get(i).modRevision() > afterRevision; i--) {
       if (history.get(i).key().startsWith(prefix)) {
         newer.add(0, history.get(i));
       }
     }
-    return new ChangesResult.Changes(ledger, newer);
+    return new ChangesResult.Changes(revision, newer);
   }
 
   /** The member that holds the lead, or an empty text. */
-  String leader() {
-    Kept kept = keys.get(Keys.LEADER);
-    return kept == null ? "" : kept.value().path("member").asText();
+  String leaderName() {
+    StoredValue stored = valuesByKey.get(Keys.LEADER);
+    return stored == null ? "" : stored.value().path("member").asText();
   }
 
   /** The last token of the last term, or 0. */
-  long highestToken() {
-    Kept kept = keys.get(Keys.TOKEN);
-    return kept == null ? 0 : kept.value().path("n").asLong();
+  long highestFencingToken() {
+    StoredValue stored = valuesByKey.get(Keys.TOKEN);
+    return stored == null ? 0 : stored.value().path("n").asLong();
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimUsers.java
+++ b/src/test/java/org/ploverspindle/sim/SimUsers.java
@@ -19,36 +19,36 @@
 final class SimUsers {
   private static final int OK = 200;
   private static final int CREATED = 201;
-  private static final int MOST_SUBMISSIONS = 40;
-  private static final int MOST_CANCELLATIONS = 30;
+  private static final int MAX_SUBMISSION_RETRIES = 40;
+  private static final int MAX_CANCELLATION_RETRIES = 30;
 
   /** A user whose job is accepted may submit it once more, with no further tries. */
-  private static final int LAST_TRY = 100;
+  private static final int NO_MORE_RETRIES = 100;
 
-  private static final int REPEATED_ONE_IN = 6;
-  private static final long FIRST_POLL_MS = 1_000;
-  private static final int RETRY_LEAST_MS = 2_000;
-  private static final int RETRY_SPREAD_MS = 2_000;
-  private static final int POLL_MS = 2_500;
+  private static final int RESUBMITTED_ONE_IN = 6;
+  private static final long FIRST_POLL_DELAY_MS = 1_000;
+  private static final int MIN_RETRY_DELAY_MS = 2_000;
+  private static final int RETRY_DELAY_RANGE_MS = 2_000;
+  private static final int MIN_POLL_INTERVAL_MS = 2_500;
 
   /** Of the users whose job is over, one in so many stops asking at each poll. */
-  private static final int STOPS_ONE_IN = 4;
+  private static final int STOPS_POLLING_ONE_IN = 4;
 
-  private static final int AT_ONCE_MS = 200;
-  private static final int MOST_HUNG = 8;
-  private static final int CLOSE_LOOK_MS = 12;
-  private static final int CLOSE_LOOKS = 3;
-  private static final int CANCELS_ONE_IN = 6;
-  private static final int AFTER_END_MS = 2_500;
+  private static final int CANCELLATION_WINDOW_MS = 200;
+  private static final int MAX_HANGING_WORKERS = 8;
+  private static final int BURST_WINDOW_MS = 12;
+  private static final int BURST_QUERIES = 3;
+  private static final int BURST_CANCELS_ONE_IN = 6;
+  private static final int MAX_CANCELLATION_DELAY_MS = 2_500;
 
   private final SimulatedCluster cluster;
   private final SimClock clock;
   private final Random random;
   private final Map<String, JobSpec> specs;
-  private final Set<String> looked = new HashSet<>();
-  private final Map<Integer, Integer> answers = new HashMap<>();
-  private double cancelAtEnd;
-  private boolean closeLooks;
+  private final Set<String> burstsSent = new HashSet<>();
+  private final Map<Integer, Integer> responseCounts = new HashMap<>();
+  private double cancelAtEndShare;
+  private boolean sendsBursts;
   private int jobCounter;
 
   /**
@@ -66,12 +66,12 @@
   }
 
   /** How often users were answered with this status. */
-  int answers(int status) {
-    return answers.getOrDefault(status, 0);
+  int responseCount(int status) {
+    return responseCounts.getOrDefault(status, 0);
   }
 
   /** A user who submits until an answer is final, then polls until the job is over. */
-  void add(JobSpec spec) {
+  void submitAndPoll(JobSpec spec) {
     cluster.checker.submitted(spec);
     specs.put(spec.uid(), spec);
     submit(spec, 0);
@@ -83,19 +83,22 @@
    *
    * @param hangMs how long the machines hang; 0: none does
    */
-  void cancelNow(int count, long hangMs) {
+  void cancelRunning(int count, long hangDurationMs) {
     List<String> running = new ArrayList<>(cluster.checker.running());
     Collections.shuffle(running, random);
     Set<String> hosts = new LinkedHashSet<>();
     for (String uid : running.subList(0, Math.min(count, running.size()))) {
       hosts.addAll(cluster.checker.hostsOf(uid));
-      clock.at(random.nextInt(AT_ONCE_MS), () -> cancel(uid, 0));
+      clock.after(random.nextInt(CANCELLATION_WINDOW_MS), () -> cancel(uid, 0));
     }
-    if (hangMs > 0) {
+    if (hangDurationMs > 0) {
       cluster.cloud.workers().stream()
           .filter(worker -> hosts.contains(worker.host()))
-          .limit(MOST_HUNG)
-          .forEach(worker -> clock.at(random.nextInt(AT_ONCE_MS), () -> worker.hang(hangMs)));
+          .limit(MAX_HANGING_WORKERS)
+          .forEach(
+              worker ->
+                  clock.after(
+                      random.nextInt(CANCELLATION_WINDOW_MS), () -> worker.hang(hangDurationMs)));
     }
   }
 
@@ -103,8 +106,8 @@
    * That share of the jobs is cancelled just as the last task ends, or while that is being
    * recorded: done and cancelled exclude each other, whichever comes first.
    */
-  void cancelAtEnd(double share) {
-    cancelAtEnd = share;
+  void setCancelAtEndShare(double share) {
+    cancelAtEndShare = share;
   }
 
   /**
@@ -112,146 +115,154 @@
    * confirmed as cancelled, and repeat the submission, and some cancel: no node may lag behind what
    * another one acknowledged.
    */
-  void closeLooks(boolean now) {
-    closeLooks = now;
+  void setRequestBursts(boolean active) {
+    sendsBursts = active;
   }
 
   void lastTaskEnded(String uid) {
-    if (cancelAtEnd > 0 && random.nextDouble() < cancelAtEnd) {
-      clock.at(random.nextBoolean() ? 0 : random.nextInt(AFTER_END_MS), () -> cancel(uid, 0));
+    if (cancelAtEndShare > 0 && random.nextDouble() < cancelAtEndShare) {
+      clock.after(
+          random.nextBoolean() ? 0 : random.nextInt(MAX_CANCELLATION_DELAY_MS),
+          () -> cancel(uid, 0));
     }
-    lookClosely(uid, "ended");
+    sendRequestBurst(uid, "ended");
   }
 
   /** Once for each thing that happens to a job; what these users hear makes nobody look again. */
-  private void lookClosely(String uid, String why) {
-    if (!closeLooks || !specs.containsKey(uid) || !looked.add(uid + " " + why)) {
+  private void sendRequestBurst(String uid, String event) {
+    if (!sendsBursts || !specs.containsKey(uid) || !burstsSent.add(uid + " " + event)) {
       return;
     }
-    for (int i = 0; i < cluster.nodes; i++) {
-      int to = i;
-      for (int again = 0; again < CLOSE_LOOKS; again++) {
-        clock.at(random.nextInt(CLOSE_LOOK_MS), () -> askAt(to, uid));
+    for (int i = 0; i < cluster.controllerCount; i++) {
+      int controller = i;
+      for (int query = 0; query < BURST_QUERIES; query++) {
+        clock.after(random.nextInt(BURST_WINDOW_MS), () -> queryAt(controller, uid));
       }
-      clock.at(
-          random.nextInt(CLOSE_LOOK_MS),
-          () -> submitAt(to, uid, SimWireCodec.encode(specs.get(uid))));
+      clock.after(
+          random.nextInt(BURST_WINDOW_MS),
+          () -> submitAt(controller, uid, SimWireCodec.encode(specs.get(uid))));
     }
-    if (random.nextInt(CANCELS_ONE_IN) == 0) {
-      clock.at(random.nextInt(CLOSE_LOOK_MS), () -> cancel(uid, 0));
+    if (random.nextInt(BURST_CANCELS_ONE_IN) == 0) {
+      clock.after(random.nextInt(BURST_WINDOW_MS), () -> cancel(uid, 0));
     }
   }
 
   /** A single question at the node; whatever comes back is checked. */
-  void askAt(int node, String uid) {
-    toNode(node, c -> c.poll(uid, checked(uid, false, node, answer -> {})));
+  void queryAt(int controller, String uid) {
+    sendTo(
+        controller,
+        target -> target.poll(uid, checkedResponse(uid, false, controller, response -> {})));
   }
 
   /** A single submission at the node; whatever comes back is checked. */
-  void submitAt(int node, String uid, byte[] body) {
-    Consumer<ApiResponse> then = checked(uid, true, node, answer -> {});
-    toNode(node, c -> c.submit(body, then));
+  void submitAt(int controller, String uid, byte[] body) {
+    Consumer<ApiResponse> then = checkedResponse(uid, true, controller, response -> {});
+    sendTo(controller, target -> target.submit(body, then));
   }
 
   /** A single cancellation at the node; whatever comes back is checked. */
-  void cancelAt(int node, String uid, Consumer<ApiResponse> then) {
-    Consumer<ApiResponse> checked = checked(uid, false, node, then);
-    toNode(node, c -> c.cancel(uid, checked));
+  void cancelAt(int controller, String uid, Consumer<ApiResponse> then) {
+    Consumer<ApiResponse> checked = checkedResponse(uid, false, controller, then);
+    sendTo(controller, target -> target.cancel(uid, checked));
   }
 
-  private int anyNode() {
-    return random.nextInt(cluster.nodes);
+  private int randomController() {
+    return random.nextInt(cluster.controllerCount);
   }
 
-  private void toNode(int node, Consumer<Controller> request) {
-    if (!cluster.alive(node)) {
+  private void sendTo(int controller, Consumer<Controller> request) {
+    if (!cluster.isAlive(controller)) {
       return;
     }
-    SimClock.Process process = cluster.process(node);
-    clock.at(
+    SimClock.Process process = cluster.process(controller);
+    clock.after(
         1 + random.nextInt(5),
         () -> {
-          if (!process.dead()) {
-            process.schedule(0, () -> request.accept(cluster.controller(node)));
+          if (!process.isDead()) {
+            process.schedule(0, () -> request.accept(cluster.controller(controller)));
           }
         });
   }
 
-  private Consumer<ApiResponse> checked(
-      String uid, boolean submission, int from, Consumer<ApiResponse> then) {
-    SimClock.Process process = cluster.process(from);
-    long askedMs = clock.nowMs();
-    return answer -> {
-      if (process.dead()) {
+  private Consumer<ApiResponse> checkedResponse(
+      String uid, boolean isSubmission, int controller, Consumer<ApiResponse> then) {
+    SimClock.Process process = cluster.process(controller);
+    long sentMs = clock.nowMs();
+    return response -> {
+      if (process.isDead()) {
         return;
       }
-      String status = SimWireCodec.status(answer);
-      cluster.checker.told(uid, answer.status(), status, submission, askedMs);
-      answers.merge(answer.status(), 1, Integer::sum);
-      then.accept(answer);
-      if (isKnown(answer)) {
-        lookClosely(uid, status.equals("running") ? "queued" : status);
+      String status = SimWireCodec.status(response);
+      cluster.checker.told(uid, response.status(), status, isSubmission, sentMs);
+      responseCounts.merge(response.status(), 1, Integer::sum);
+      then.accept(response);
+      if (isSuccess(response)) {
+        sendRequestBurst(uid, status.equals("running") ? "queued" : status);
       }
     };
   }
 
-  private static boolean isKnown(ApiResponse answer) {
-    return answer.status() == OK || answer.status() == CREATED;
+  private static boolean isSuccess(ApiResponse response) {
+    return response.status() == OK || response.status() == CREATED;
   }
 
-  private void submit(JobSpec spec, int tries) {
+  private void submit(JobSpec spec, int retries) {
     boolean[] accepted = {false};
-    int to = anyNode();
+    int controller = randomController();
     Consumer<ApiResponse> then =
-        answer -> {
-          cluster.checker.submissionTold(spec.uid(), answer.status());
-          if (isKnown(answer)) {
+        response -> {
+          cluster.checker.submissionTold(spec.uid(), response.status());
+          if (isSuccess(response)) {
             accepted[0] = true;
-            clock.at(FIRST_POLL_MS, () -> poll(spec.uid()));
+            clock.after(FIRST_POLL_DELAY_MS, () -> poll(spec.uid()));
           }
         };
-    toNode(to, c -> c.submit(SimWireCodec.encode(spec), checked(spec.uid(), true, to, then)));
-    clock.at(
-        RETRY_LEAST_MS + random.nextInt(RETRY_SPREAD_MS),
+    sendTo(
+        controller,
+        target ->
+            target.submit(
+                SimWireCodec.encode(spec), checkedResponse(spec.uid(), true, controller, then)));
+    clock.after(
+        MIN_RETRY_DELAY_MS + random.nextInt(RETRY_DELAY_RANGE_MS),
         () -> {
-          if (!accepted[0] && tries < MOST_SUBMISSIONS) {
-            submit(spec, tries + 1);
-          } else if (random.nextInt(REPEATED_ONE_IN) == 0) {
-            submit(spec, LAST_TRY);
+          if (!accepted[0] && retries < MAX_SUBMISSION_RETRIES) {
+            submit(spec, retries + 1);
+          } else if (random.nextInt(RESUBMITTED_ONE_IN) == 0) {
+            submit(spec, NO_MORE_RETRIES);
           }
         });
   }
 
   void poll(String uid) {
     cluster.checker.asked(uid);
-    int to = anyNode();
-    boolean[] over = {false};
+    int controller = randomController();
+    boolean[] isOver = {false};
     Consumer<ApiResponse> then =
-        answer -> {
-          String status = SimWireCodec.status(answer);
-          over[0] = status.equals("done") || status.equals("aborted");
+        response -> {
+          String status = SimWireCodec.status(response);
+          isOver[0] = status.equals("done") || status.equals("aborted");
         };
-    toNode(to, c -> c.poll(uid, checked(uid, false, to, then)));
-    clock.at(
-        POLL_MS + random.nextInt(POLL_MS),
+    sendTo(controller, target -> target.poll(uid, checkedResponse(uid, false, controller, then)));
+    clock.after(
+        MIN_POLL_INTERVAL_MS + random.nextInt(MIN_POLL_INTERVAL_MS),
         () -> {
-          if (!over[0] || random.nextInt(STOPS_ONE_IN) > 0) {
+          if (!isOver[0] || random.nextInt(STOPS_POLLING_ONE_IN) > 0) {
             poll(uid);
           }
         });
   }
 
-  void cancel(String uid, int tries) {
+  void cancel(String uid, int retries) {
     cluster.checker.cancelAsked(uid);
-    int to = anyNode();
-    boolean[] told = {false};
-    Consumer<ApiResponse> then = answer -> told[0] = answer.status() == OK;
-    toNode(to, c -> c.cancel(uid, checked(uid, false, to, then)));
-    clock.at(
-        POLL_MS,
+    int controller = randomController();
+    boolean[] isAcknowledged = {false};
+    Consumer<ApiResponse> then = response -> isAcknowledged[0] = response.status() == OK;
+    sendTo(controller, target -> target.cancel(uid, checkedResponse(uid, false, controller, then)));
+    clock.after(
+        MIN_POLL_INTERVAL_MS,
         () -> {
-          if (!told[0] && tries < MOST_CANCELLATIONS) {
-            cancel(uid, tries + 1);
+          if (!isAcknowledged[0] && retries < MAX_CANCELLATION_RETRIES) {
+            cancel(uid, retries + 1);
           }
         });
   }
--- a/src/test/java/org/ploverspindle/sim/SimWireCodec.java
+++ b/src/test/java/org/ploverspindle/sim/SimWireCodec.java
@@ -16,51 +16,53 @@
 final class SimWireCodec {
   private SimWireCodec() {}
 
-  static ObjectNode body(ApiResponse answer) {
-    return Cbor.readMap(answer.body()).orElse(Cbor.map());
+  static ObjectNode body(ApiResponse response) {
+    return Cbor.readMap(response.body()).orElse(Cbor.map());
   }
 
-  static String status(ApiResponse answer) {
-    return body(answer).path("status").asText("");
+  static String status(ApiResponse response) {
+    return body(response).path("status").asText("");
   }
 
-  static byte[] encode(Heartbeat report) {
+  static byte[] encode(Heartbeat heartbeat) {
     ObjectNode body = Cbor.map();
-    body.put("host", report.host()).put("addr", report.address()).put("flavour", report.type());
-    body.put("site", report.zone()).put("loaners", report.spot());
-    body.put("tenure", report.agentEpoch()).put("tally", report.sequence());
-    body.put("warrant", report.fencingToken());
-    report.spotNoticeS().ifPresent(s -> body.put("recall_s", s));
-    ArrayNode pieces = body.putArray("pieces");
-    for (Heartbeat.TaskStatus item : report.tasks()) {
-      ObjectNode piece = pieces.addObject();
-      piece.put("piece", item.uid() + "/" + item.task()).put("try", item.attempt());
-      piece.put("status", item.phase().name().toLowerCase(Locale.ROOT));
-      if (item.exitReason() != Heartbeat.ExitReason.NONE) {
-        piece.put("cause", item.exitReason().name().toLowerCase(Locale.ROOT));
+    body.put("host", heartbeat.host())
+        .put("addr", heartbeat.address())
+        .put("flavour", heartbeat.type());
+    body.put("site", heartbeat.zone()).put("loaners", heartbeat.spot());
+    body.put("tenure", heartbeat.agentEpoch()).put("tally", heartbeat.sequence());
+    body.put("warrant", heartbeat.fencingToken());
+    heartbeat.spotNoticeS().ifPresent(seconds -> body.put("recall_s", seconds));
+    ArrayNode tasks = body.putArray("pieces");
+    for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+      ObjectNode task = tasks.addObject();
+      task.put("piece", status.uid() + "/" + status.task()).put("try", status.attempt());
+      task.put("status", status.phase().name().toLowerCase(Locale.ROOT));
+      if (status.exitReason() != Heartbeat.ExitReason.NONE) {
+        task.put("cause", status.exitReason().name().toLowerCase(Locale.ROOT));
       }
-      piece.put("stored", item.checkpointed());
+      task.put("stored", status.checkpointed());
     }
     return Cbor.write(body);
   }
 
-  static List<WorkerCommand> orders(ObjectNode body) {
-    List<WorkerCommand> orders = new ArrayList<>();
-    for (JsonNode order : body.path("orders")) {
-      orders.add(order(order));
+  static List<WorkerCommand> commands(ObjectNode body) {
+    List<WorkerCommand> commands = new ArrayList<>();
+    for (JsonNode command : body.path("orders")) {
+      commands.add(command(command));
     }
-    return orders;
+    return commands;
   }
 
-  private static WorkerCommand order(JsonNode order) {
-    String piece = order.path("piece").asText();
-    String uid = piece.substring(0, piece.lastIndexOf('/'));
-    int task = Integer.parseInt(piece.substring(piece.lastIndexOf('/') + 1));
-    long attempt = order.path("try").asLong();
-    return switch (order.path("verb").asText()) {
+  private static WorkerCommand command(JsonNode command) {
+    String taskName = command.path("piece").asText();
+    String uid = taskName.substring(0, taskName.lastIndexOf('/'));
+    int task = Integer.parseInt(taskName.substring(taskName.lastIndexOf('/') + 1));
+    long attempt = command.path("try").asLong();
+    return switch (command.path("verb").asText()) {
       case "launch" -> new WorkerCommand.Launch(uid, task, attempt);
       case "stop" ->
-          new WorkerCommand.Stop(uid, task, attempt, order.path("wind_down_s").asDouble());
+          new WorkerCommand.Stop(uid, task, attempt, command.path("wind_down_s").asDouble());
       default -> new WorkerCommand.Forget(uid, task, attempt);
     };
   }
@@ -81,7 +83,7 @@
     body.put("bundle", spec.image()).put("image_gb", spec.imageGb());
     body.put("expected_s", spec.expectedS());
     body.put("save_every_s", spec.checkpointIntervalS()).put("save_cost_s", spec.checkpointCostS());
-    spec.deadlineS().ifPresent(due -> body.put("due_s", due));
+    spec.deadlineS().ifPresent(seconds -> body.put("due_s", seconds));
     if (!spec.dependencies().isEmpty()) {
       spec.dependencies().forEach(body.putArray("awaits")::add);
     }
--- a/src/test/java/org/ploverspindle/sim/SimWorker.java
+++ b/src/test/java/org/ploverspindle/sim/SimWorker.java
@@ -15,14 +15,14 @@
 /** Stand-in for a worker, by the protocol: sessions, leases, tokens, and one report in flight. */
 final class SimWorker {
   /** Jobs of this class were submitted with a mistake: they fail on every machine. */
-  static final String BROKEN = "broken";
+  static final String FAILING_CLASS = "broken";
 
   /** How a worker gets a report to a node; the answer may never come. */
-  interface Line {
-    void report(SimWorker from, int node, Heartbeat report, long serial);
+  interface HeartbeatSender {
+    void send(SimWorker from, int node, Heartbeat report, long serial);
   }
 
-  private static final long ANSWER_LIMIT_MS = 4_000;
+  private static final long RESPONSE_TIMEOUT_MS = 4_000;
 
   private final SimClock clock;
   private final Random random;
@@ -30,23 +30,23 @@
   private final InvariantChecker checker;
   private final InvariantChecker.Place place;
   private final Map<String, JobSpec> specs;
-  private final Line line;
-  private final int nodes;
+  private final HeartbeatSender heartbeatSender;
+  private final int controllerCount;
   private final double cores;
-  private final Map<Long, SimAttempt> runs = new LinkedHashMap<>();
+  private final Map<Long, SimAttempt> attempts = new LinkedHashMap<>();
   private final SimPause pause;
-  private int node;
+  private int controller;
   private long agentEpoch = 1;
   private long sequence;
   private long fencingToken;
-  private long leaseFromMs;
-  private long serial;
-  private long inFlight = -1;
+  private long leaseStartMs;
+  private long lastRequestId;
+  private long inFlightRequestId = -1;
   private long inFlightAgentEpoch;
   private long inFlightSentMs;
-  private boolean gone;
-  private boolean sick;
-  private boolean recalled;
+  private boolean isTerminated;
+  private boolean isFailing;
+  private boolean hasSpotNotice;
 
   SimWorker(
       SimClock clock,
@@ -55,8 +55,8 @@
       InvariantChecker checker,
       InvariantChecker.Place place,
       Map<String, JobSpec> specs,
-      Line line,
-      int nodes,
+      HeartbeatSender heartbeatSender,
+      int controllerCount,
       double cores) {
     this.clock = clock;
     this.random = random;
@@ -64,14 +64,14 @@
     this.checker = checker;
     this.place = place;
     this.specs = specs;
-    this.line = line;
-    this.nodes = nodes;
+    this.heartbeatSender = heartbeatSender;
+    this.controllerCount = controllerCount;
     this.cores = cores;
     this.pause = new SimPause(clock);
-    this.node = random.nextInt(nodes);
-    this.leaseFromMs = clock.nowMs();
-    next(0);
-    watchLease();
+    this.controller = random.nextInt(controllerCount);
+    this.leaseStartMs = clock.nowMs();
+    sendAfter(0);
+    scheduleLeaseCheck();
   }
 
   String host() {
@@ -87,29 +87,29 @@
     return agentEpoch;
   }
 
-  void sick(boolean now) {
-    sick = now;
+  void setFailing(boolean active) {
+    isFailing = active;
   }
 
-  void recall() {
-    recalled = true;
+  void giveSpotNotice() {
+    hasSpotNotice = true;
   }
 
   /** The machine is gone, with all on it. */
-  void end() {
-    gone = true;
-    killAll();
+  void terminate() {
+    isTerminated = true;
+    killTasks();
   }
 
   /** Is there an attempt on it that has not ended, and its lease not over? */
   boolean hasTasks() {
-    return !gone
-        && !leaseIsOver()
-        && runs.values().stream().anyMatch(run -> run.phase != Heartbeat.Phase.EXITED);
+    return !isTerminated
+        && !isLeaseExpired()
+        && attempts.values().stream().anyMatch(attempt -> attempt.phase != Heartbeat.Phase.EXITED);
   }
 
-  boolean gone() {
-    return gone;
+  boolean isTerminated() {
+    return isTerminated;
   }
 
   InvariantChecker.Place place() {
@@ -121,8 +121,8 @@
   }
 
   /** Neither sick nor about to be taken, and it goes on: what is asked of it, it can do. */
-  boolean sound() {
-    return !gone && !sick && !recalled && !pause.isOn();
+  boolean isHealthy() {
+    return !isTerminated && !isFailing && !hasSpotNotice && !pause.isActive();
   }
 
   /**
@@ -130,113 +130,115 @@
    * waits. It may go on at any time within its lease, and then do what it was told before others
    * were told otherwise.
    */
-  void hang(long forMs) {
-    if (!gone) {
-      pause.begin(forMs, this::goOn);
+  void hang(long durationMs) {
+    if (!isTerminated) {
+      pause.begin(durationMs, this::resume);
     }
   }
 
   /** First of all that waited: a lease that ran out meanwhile ends everything. */
-  private void goOn() {
-    if (gone || pause.isOn()) {
+  private void resume() {
+    if (isTerminated || pause.isActive()) {
       return;
     }
     checkLease();
-    for (SimAttempt r : runs.values()) {
-      if (r.isOn()) {
-        checker.goesOn(r.uid, r.task, place);
+    for (SimAttempt attempt : attempts.values()) {
+      if (attempt.isExecuting()) {
+        checker.goesOn(attempt.uid, attempt.task, place);
       }
     }
   }
 
   /** Commands that come straight here; the answer is the report after them. */
-  void direct(
+  void executeDirect(
       long token,
-      long ofTenure,
-      List<WorkerCommand> orders,
-      long orderedMs,
+      long workerEpoch,
+      List<WorkerCommand> commands,
+      long sentMs,
       Consumer<Heartbeat> then) {
-    pause.whenOver(
+    pause.runAfterPause(
         () -> {
-          if (gone) {
+          if (isTerminated) {
             return;
           }
-          if (token >= fencingToken && ofTenure == agentEpoch) {
+          if (token >= fencingToken && workerEpoch == agentEpoch) {
             fencingToken = token;
-            orders.forEach(o -> execute(o, orderedMs));
+            commands.forEach(command -> execute(command, sentMs));
           }
-          then.accept(report());
+          then.accept(newHeartbeat());
         });
   }
 
-  private void killAll() {
-    for (SimAttempt r : runs.values()) {
-      leave(r);
+  private void killTasks() {
+    for (SimAttempt attempt : attempts.values()) {
+      notifyStopped(attempt);
     }
-    runs.clear();
+    attempts.clear();
   }
 
-  private void leave(SimAttempt r) {
-    if (r.isOn()) {
-      checker.leaves(r.uid, r.task, place);
+  private void notifyStopped(SimAttempt attempt) {
+    if (attempt.isExecuting()) {
+      checker.leaves(attempt.uid, attempt.task, place);
     }
   }
 
-  private void watchLease() {
-    clock.at(
+  private void scheduleLeaseCheck() {
+    clock.after(
         100,
         () -> {
-          if (gone) {
+          if (isTerminated) {
             return;
           }
-          if (!pause.isOn()) {
+          if (!pause.isActive()) {
             checkLease();
-          } else if (leaseIsOver()) {
+          } else if (isLeaseExpired()) {
             // It can't go on with them: from now on they may run elsewhere.
-            runs.values().forEach(this::leave);
+            attempts.values().forEach(this::notifyStopped);
           }
-          watchLease();
+          scheduleLeaseCheck();
         });
   }
 
-  private boolean leaseIsOver() {
-    return clock.nowMs() - leaseFromMs > limits.leaseS() * 1000;
+  private boolean isLeaseExpired() {
+    return clock.nowMs() - leaseStartMs > limits.leaseS() * 1000;
   }
 
   private void checkLease() {
-    if (leaseIsOver()) {
-      killAll();
+    if (isLeaseExpired()) {
+      killTasks();
       agentEpoch++;
       sequence = 0;
-      leaseFromMs = clock.nowMs();
+      leaseStartMs = clock.nowMs();
     }
   }
 
-  private void next(long delayMs) {
-    clock.at(delayMs, this::send);
+  private void sendAfter(long delayMs) {
+    clock.after(delayMs, this::sendHeartbeat);
   }
 
-  private void send() {
-    if (pause.isOn()) {
-      pause.whenOver(this::send);
+  private void sendHeartbeat() {
+    if (pause.isActive()) {
+      pause.runAfterPause(this::sendHeartbeat);
       return;
     }
-    if (gone || inFlight >= 0) {
+    if (isTerminated || inFlightRequestId >= 0) {
       return;
     }
-    long mine = ++serial;
-    inFlight = mine;
+    long requestId = ++lastRequestId;
+    inFlightRequestId = requestId;
     inFlightAgentEpoch = agentEpoch;
     inFlightSentMs = clock.nowMs();
-    line.report(this, node, report(), mine);
-    clock.at(ANSWER_LIMIT_MS, () -> pause.whenOver(() -> failed(mine)));
+    heartbeatSender.send(this, controller, newHeartbeat(), requestId);
+    clock.after(RESPONSE_TIMEOUT_MS, () -> pause.runAfterPause(() -> requestFailed(requestId)));
   }
 
-  private Heartbeat report() {
+  private Heartbeat newHeartbeat() {
     sequence++;
-    List<Heartbeat.TaskStatus> items = new ArrayList<>();
-    for (SimAttempt r : runs.values()) {
-      items.add(new Heartbeat.TaskStatus(r.uid, r.task, r.attempt, r.phase, r.cause, r.saved));
+    List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
+    for (SimAttempt a : attempts.values()) {
+      statuses.add(
+          new Heartbeat.TaskStatus(
+              a.uid, a.task, a.attempt, a.phase, a.exitReason, a.checkpointed));
     }
     return new Heartbeat(
         place.host(),
@@ -247,148 +249,150 @@
         agentEpoch,
         sequence,
         fencingToken,
-        recalled ? OptionalDouble.of(8) : OptionalDouble.empty(),
-        items);
+        hasSpotNotice ? OptionalDouble.of(8) : OptionalDouble.empty(),
+        statuses);
   }
 
-  private void failed(long mine) {
-    if (inFlight == mine) {
-      inFlight = -1;
-      node = (node + 1) % nodes;
-      next(1_000);
+  private void requestFailed(long requestId) {
+    if (inFlightRequestId == requestId) {
+      inFlightRequestId = -1;
+      controller = (controller + 1) % controllerCount;
+      sendAfter(1_000);
     }
   }
 
-  void refused(long mine, int toNode) {
-    pause.whenOver(() -> takeRefusal(mine, toNode));
+  void handleRefusal(long requestId, int leader) {
+    pause.runAfterPause(() -> takeRefusal(requestId, leader));
   }
 
-  private void takeRefusal(long mine, int toNode) {
-    if (inFlight != mine || gone) {
+  private void takeRefusal(long requestId, int leader) {
+    if (inFlightRequestId != requestId || isTerminated) {
       return;
     }
-    inFlight = -1;
-    if (toNode >= 0 && toNode != node) {
-      node = toNode;
-      next(random.nextInt(500));
+    inFlightRequestId = -1;
+    if (leader >= 0 && leader != controller) {
+      controller = leader;
+      sendAfter(random.nextInt(500));
     } else {
-      node = (node + 1) % nodes;
-      next(1_000);
+      controller = (controller + 1) % controllerCount;
+      sendAfter(1_000);
     }
   }
 
-  /**
-   * @param orderedMs when the controller gave the orders
-   */
-  void answered(long mine, long token, List<WorkerCommand> orders, long orderedMs) {
-    pause.whenOver(() -> takeAnswer(mine, token, orders, orderedMs));
+  /** Takes a response to a heartbeat; the controller sent its commands at {@code sentMs}. */
+  void handleResponse(long requestId, long token, List<WorkerCommand> commands, long sentMs) {
+    pause.runAfterPause(() -> takeResponse(requestId, token, commands, sentMs));
   }
 
-  private void takeAnswer(long mine, long token, List<WorkerCommand> orders, long orderedMs) {
-    if (inFlight != mine || gone) {
+  private void takeResponse(long requestId, long token, List<WorkerCommand> commands, long sentMs) {
+    if (inFlightRequestId != requestId || isTerminated) {
       return;
     }
-    if (clock.nowMs() - inFlightSentMs > ANSWER_LIMIT_MS) {
-      failed(mine);
+    if (clock.nowMs() - inFlightSentMs > RESPONSE_TIMEOUT_MS) {
+      requestFailed(requestId);
       return;
     }
-    inFlight = -1;
-    next(Math.round(limits.heartbeatIntervalS() * 1000 * (0.75 + random.nextDouble() / 2)));
+    inFlightRequestId = -1;
+    sendAfter(Math.round(limits.heartbeatIntervalS() * 1000 * (0.75 + random.nextDouble() / 2)));
     if (inFlightAgentEpoch != agentEpoch || token < fencingToken) {
       return;
     }
     fencingToken = token;
-    leaseFromMs = inFlightSentMs;
-    orders.forEach(o -> execute(o, orderedMs));
+    leaseStartMs = inFlightSentMs;
+    commands.forEach(command -> execute(command, sentMs));
   }
 
-  private void execute(WorkerCommand order, long orderedMs) {
-    SimAttempt known = runs.get(order.attempt());
-    if (order instanceof WorkerCommand.Launch launch) {
+  private void execute(WorkerCommand command, long sentMs) {
+    SimAttempt known = attempts.get(command.attempt());
+    if (command instanceof WorkerCommand.Launch launch) {
       if (known == null) {
-        launch(launch, orderedMs);
+        launch(launch, sentMs);
       }
-    } else if (order instanceof WorkerCommand.Stop stop) {
+    } else if (command instanceof WorkerCommand.Stop stop) {
       if (known != null && known.phase != Heartbeat.Phase.EXITED) {
         stop(known, stop.gracePeriodS());
       }
     } else if (known != null && known.phase == Heartbeat.Phase.EXITED) {
-      runs.remove(order.attempt());
+      attempts.remove(command.attempt());
     }
   }
 
-  private void launch(WorkerCommand.Launch o, long orderedMs) {
-    SimAttempt r = new SimAttempt(o.uid(), o.task(), o.attempt(), orderedMs);
-    JobSpec spec = specs.get(o.uid());
-    boolean busy =
-        runs.values().stream()
+  private void launch(WorkerCommand.Launch command, long sentMs) {
+    SimAttempt attempt = new SimAttempt(command.uid(), command.task(), command.attempt(), sentMs);
+    JobSpec spec = specs.get(command.uid());
+    boolean isDuplicate =
+        attempts.values().stream()
             .anyMatch(
-                x -> x.uid.equals(r.uid) && x.task == r.task && x.phase != Heartbeat.Phase.EXITED);
-    double used =
-        runs.values().stream()
-            .filter(x -> x.phase != Heartbeat.Phase.EXITED)
-            .mapToDouble(x -> specs.get(x.uid).cores())
+                other ->
+                    other.uid.equals(attempt.uid)
+                        && other.task == attempt.task
+                        && other.phase != Heartbeat.Phase.EXITED);
+    double usedCores =
+        attempts.values().stream()
+            .filter(other -> other.phase != Heartbeat.Phase.EXITED)
+            .mapToDouble(other -> specs.get(other.uid).cores())
             .sum();
-    runs.put(r.attempt, r);
+    attempts.put(attempt.attempt, attempt);
     if (spec == null) {
-      exit(r, Heartbeat.ExitReason.NO_SUCH);
-    } else if (busy) {
-      exit(r, Heartbeat.ExitReason.BUSY);
-    } else if (used + spec.cores() > cores + 1e-9) {
-      exit(r, Heartbeat.ExitReason.NO_ROOM);
+      exit(attempt, Heartbeat.ExitReason.NO_SUCH);
+    } else if (isDuplicate) {
+      exit(attempt, Heartbeat.ExitReason.BUSY);
+    } else if (usedCores + spec.cores() > cores + 1e-9) {
+      exit(attempt, Heartbeat.ExitReason.NO_ROOM);
     } else {
-      pause.afterWork(200 + random.nextInt(1_500), () -> begin(r, spec));
+      pause.afterActiveTime(200 + random.nextInt(1_500), () -> start(attempt, spec));
     }
   }
 
-  private boolean there(SimAttempt r) {
-    return !gone && runs.get(r.attempt) == r;
+  private boolean isPresent(SimAttempt attempt) {
+    return !isTerminated && attempts.get(attempt.attempt) == attempt;
   }
 
-  private void begin(SimAttempt r, JobSpec spec) {
-    if (!there(r) || r.phase != Heartbeat.Phase.FETCHING) {
+  private void start(SimAttempt attempt, JobSpec spec) {
+    if (!isPresent(attempt) || attempt.phase != Heartbeat.Phase.FETCHING) {
       return;
     }
-    r.phase = Heartbeat.Phase.RUNNING;
-    checker.starts(r.uid, r.task, place, r.orderedMs);
-    if (sick || spec.jobClass().equals(BROKEN)) {
-      pause.afterWork(sick ? 300 : 20, () -> end(r, Heartbeat.ExitReason.ERROR));
+    attempt.phase = Heartbeat.Phase.RUNNING;
+    checker.starts(attempt.uid, attempt.task, place, attempt.commandSentMs);
+    if (isFailing || spec.jobClass().equals(FAILING_CLASS)) {
+      pause.afterActiveTime(isFailing ? 300 : 20, () -> end(attempt, Heartbeat.ExitReason.ERROR));
     } else if (spec.expectedS() > 0) {
-      pause.afterWork(Math.round(spec.expectedS() * 1000), () -> end(r, Heartbeat.ExitReason.DONE));
+      pause.afterActiveTime(
+          Math.round(spec.expectedS() * 1000), () -> end(attempt, Heartbeat.ExitReason.DONE));
     }
   }
 
-  private void end(SimAttempt r, Heartbeat.ExitReason cause) {
-    if (there(r) && r.phase == Heartbeat.Phase.RUNNING) {
-      if (cause == Heartbeat.ExitReason.DONE) {
-        checker.completes(r.uid, r.task);
+  private void end(SimAttempt attempt, Heartbeat.ExitReason exitReason) {
+    if (isPresent(attempt) && attempt.phase == Heartbeat.Phase.RUNNING) {
+      if (exitReason == Heartbeat.ExitReason.DONE) {
+        checker.completes(attempt.uid, attempt.task);
       }
-      exit(r, cause);
+      exit(attempt, exitReason);
     }
   }
 
-  private void exit(SimAttempt r, Heartbeat.ExitReason cause) {
-    leave(r);
-    r.phase = Heartbeat.Phase.EXITED;
-    r.cause = cause;
+  private void exit(SimAttempt attempt, Heartbeat.ExitReason exitReason) {
+    notifyStopped(attempt);
+    attempt.phase = Heartbeat.Phase.EXITED;
+    attempt.exitReason = exitReason;
   }
 
-  private void stop(SimAttempt r, double windDownS) {
-    JobSpec spec = specs.get(r.uid);
-    if (r.phase == Heartbeat.Phase.RUNNING
+  private void stop(SimAttempt attempt, double gracePeriodS) {
+    JobSpec spec = specs.get(attempt.uid);
+    if (attempt.phase == Heartbeat.Phase.RUNNING
         && spec.isCheckpointed()
-        && windDownS >= spec.checkpointCostS()) {
-      r.phase = Heartbeat.Phase.CHECKPOINTING;
-      pause.afterWork(
+        && gracePeriodS >= spec.checkpointCostS()) {
+      attempt.phase = Heartbeat.Phase.CHECKPOINTING;
+      pause.afterActiveTime(
           Math.round(spec.checkpointCostS() * 1000),
           () -> {
-            if (there(r) && r.phase == Heartbeat.Phase.CHECKPOINTING) {
-              r.saved = true;
-              exit(r, Heartbeat.ExitReason.STOPPED);
+            if (isPresent(attempt) && attempt.phase == Heartbeat.Phase.CHECKPOINTING) {
+              attempt.checkpointed = true;
+              exit(attempt, Heartbeat.ExitReason.STOPPED);
             }
           });
-    } else if (r.phase != Heartbeat.Phase.CHECKPOINTING || windDownS == 0) {
-      exit(r, Heartbeat.ExitReason.STOPPED);
+    } else if (attempt.phase != Heartbeat.Phase.CHECKPOINTING || gracePeriodS == 0) {
+      exit(attempt, Heartbeat.ExitReason.STOPPED);
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -31,49 +31,49 @@
   static final String CLOUD = SimCloudClient.CLOUD;
 
   /** Below so many machines the state service's pages are small. */
-  private static final int SMALL_SITE = 100;
+  private static final int SMALL_DEPLOYMENT = 100;
 
   private static final int SMALL_MACHINE_CORES = 4;
   private static final int LARGE_MACHINE_CORES = 16;
-  private static final long LOOK_EVERY_MS = 1_000;
+  private static final long CHECK_INTERVAL_MS = 1_000;
 
   final SimClock clock = new SimClock();
   final Random random;
   final SimNetwork network;
   final SimStateStore state;
   final SimCloud cloud;
-  final TerminationHistory releases;
+  final TerminationHistory terminations;
   final InvariantChecker checker;
   final Settings settings;
-  final int nodes;
-  private final Site site;
+  final int controllerCount;
+  private final Deployment deployment;
   private final Map<String, JobSpec> specs = new HashMap<>();
   private final List<SimClock.Process> processes = new ArrayList<>();
   private final List<Controller> controllers = new ArrayList<>();
   final SimStateAccess stateAccess;
   final SimDirectCommands directCommands;
-  final SimHeartbeatDelivery reports;
+  final SimHeartbeatDelivery heartbeatDelivery;
   final SimUsers users;
   private final InvalidRequests invalidRequests;
 
   /** How a controller loses the state service, its other controllers beside. */
-  enum CutMode {
+  enum PartitionMode {
     /** What is sent is held back, and delivered when the cut ends. */
-    HOLD,
+    HOLD_PACKETS,
     /** The state service answers it 503, to reads, writes and leases. */
-    REFUSE
+    REFUSE_REQUESTS
   }
 
   /** What the state service may refuse to one node alone. */
-  enum Refusal {
+  enum RequestKind {
     READS,
     WRITES,
-    HOLDS
+    LEASES
   }
 
   /** A deployment's size and times. */
-  record Site(
-      int nodes,
+  record Deployment(
+      int controllerCount,
       int capacity,
       List<String> zones,
       Settings.WorkerLimits workers,
@@ -82,9 +82,9 @@
       List<Settings.Team> teams,
       Policy policy) {
     /** Small and quick, with short leases: many troubles fit into few seconds. */
-    static Site small(int nodes, int capacity, List<String> zones) {
-      return new Site(
-          nodes,
+    static Deployment small(int controllerCount, int capacity, List<String> zones) {
+      return new Deployment(
+          controllerCount,
           capacity,
           zones,
           new Settings.WorkerLimits(1.5, 6, 20),
@@ -95,82 +95,88 @@
     }
   }
 
-  SimulatedCluster(long seed, int nodes, int capacity, List<String> zones) {
-    this(seed, Site.small(nodes, capacity, zones));
+  SimulatedCluster(long seed, int controllerCount, int capacity, List<String> zones) {
+    this(seed, Deployment.small(controllerCount, capacity, zones));
   }
 
-  SimulatedCluster(long seed, Site site) {
+  SimulatedCluster(long seed, Deployment deployment) {
     this.random = new Random(seed);
-    this.site = site;
-    this.nodes = site.nodes();
-    this.settings = settings("n0", site);
+    this.deployment = deployment;
+    this.controllerCount = deployment.controllerCount();
+    this.settings = settings("n0", deployment);
     this.network = new SimNetwork(clock, random);
-    this.state = new SimStateStore(clock, site.state());
+    this.state = new SimStateStore(clock, deployment.state());
     this.checker = new InvariantChecker(clock, settings);
     this.invalidRequests = new InvalidRequests(this);
-    this.reports = new SimHeartbeatDelivery(this);
-    state.whenATermBegins(reports::deliverKeptReports);
-    this.releases = new TerminationHistory(clock, state::leader);
+    this.heartbeatDelivery = new SimHeartbeatDelivery(this);
+    state.onTermStart(heartbeatDelivery::deliverRetained);
+    this.terminations = new TerminationHistory(clock, state::leaderName);
     this.cloud =
         new SimCloud(
-            clock, random, types(site), site.capacity(), site.cloud(), releases, this::boot);
+            clock,
+            random,
+            types(deployment),
+            deployment.capacity(),
+            deployment.cloud(),
+            terminations,
+            this::startWorker);
     this.stateAccess =
-        new SimStateAccess(clock, random, network, state, site.capacity() < SMALL_SITE);
+        new SimStateAccess(clock, random, network, state, deployment.capacity() < SMALL_DEPLOYMENT);
     this.directCommands = new SimDirectCommands(clock, random, network, cloud);
     this.users = new SimUsers(this, specs);
     checker.whenALastTaskEnds(users::lastTaskEnded);
-    for (int i = 0; i < nodes; i++) {
+    for (int i = 0; i < controllerCount; i++) {
       processes.add(null);
       controllers.add(null);
-      startNode(i);
+      startController(i);
     }
-    look();
+    checkPeriodically();
   }
 
-  private static List<MachineType> types(Site site) {
+  private static List<MachineType> types(Deployment deployment) {
     Resources small = Resources.offered(SMALL_MACHINE_CORES, 0, 16);
     Resources large = Resources.offered(LARGE_MACHINE_CORES, 2, 64);
     return List.of(
-        new MachineType("small", small, 40, 1, 0.3, 0.1, 5, site.zones()),
-        new MachineType("large", large, 40, 1, 1.1, 0.4, 5, site.zones()));
+        new MachineType("small", small, 40, 1, 0.3, 0.1, 5, deployment.zones()),
+        new MachineType("large", large, 40, 1, 1.1, 0.4, 5, deployment.zones()));
   }
 
-  private void look() {
+  private void checkPeriodically() {
     checker.look();
-    clock.at(LOOK_EVERY_MS, this::look);
+    clock.after(CHECK_INTERVAL_MS, this::checkPeriodically);
   }
 
-  static Settings settings(String member, Site site) {
-    int nodes = site.nodes();
-    List<String> zones = site.zones();
-    Address nowhere = new Address("127.0.0.1", 1);
+  static Settings settings(String member, Deployment deployment) {
+    int controllerCount = deployment.controllerCount();
+    List<String> zones = deployment.zones();
+    Address unusedAddress = new Address("127.0.0.1", 1);
     List<Settings.Member> others = new ArrayList<>();
-    for (int i = 0; i < nodes; i++) {
+    for (int i = 0; i < controllerCount; i++) {
       if (!member.equals("n" + i)) {
-        others.add(new Settings.Member("n" + i, zones.get(0), nowhere));
+        others.add(new Settings.Member("n" + i, zones.get(0), unusedAddress));
       }
     }
     return new Settings(
         member,
         zones.get(0),
-        nowhere,
-        nowhere,
+        unusedAddress,
+        unusedAddress,
         others,
-        nowhere,
-        nowhere,
+        unusedAddress,
+        unusedAddress,
         zones,
         500,
-        site.teams(),
+        deployment.teams(),
         List.of(),
-        site.workers(),
-        site.state(),
-        site.cloud(),
+        deployment.workers(),
+        deployment.state(),
+        deployment.cloud(),
         new Settings.Quota(1, 200, 500));
   }
 
   // ---- nodes
 
-  private void startNode(int i) {
+  private void startController(int i) {
     SimClock.Process process =
         clock
         .new Process(
@@ -186,17 +192,17 @@
                 stateAccess.client(i, link),
                 new SimCloudClient(cloud, link),
                 directCommands.client(link),
-                new SimPeers(network, i, nodes, this::hint)),
-            settings(SimLink.nodeName(i), site),
-            site.policy(),
+                new SimPeers(network, i, controllerCount, this::deliverPeerMessage)),
+            settings(SimLink.controllerName(i), deployment),
+            deployment.policy(),
             new SplittableRandom(random.nextLong()));
     controllers.set(i, controller);
     process.schedule(0, controller::start);
   }
 
-  private void hint(int to, PeerMessage record) {
-    if (alive(to)) {
-      controllers.get(to).handlePeerMessage(record);
+  private void deliverPeerMessage(int to, PeerMessage message) {
+    if (isAlive(to)) {
+      controllers.get(to).handlePeerMessage(message);
     }
   }
 
@@ -210,8 +216,8 @@
 
   /** The node that leads, or -1. */
   int leader() {
-    for (int i = 0; i < nodes; i++) {
-      if (alive(i) && controllers.get(i).isLeading()) {
+    for (int i = 0; i < controllerCount; i++) {
+      if (isAlive(i) && controllers.get(i).isLeading()) {
         return i;
       }
     }
@@ -219,86 +225,88 @@
   }
 
   /** Does the node believe that it leads? Cut off, it may do so beside another one. */
-  boolean leads(int i) {
-    return alive(i) && controllers.get(i).isLeading();
+  boolean isLeading(int i) {
+    return isAlive(i) && controllers.get(i).isLeading();
   }
 
   /** How many terms there have been. */
-  long terms() {
-    return (state.highestToken() + Term.TOKENS_PER_TERM - 1) / Term.TOKENS_PER_TERM;
+  long termCount() {
+    return (state.highestFencingToken() + Term.TOKENS_PER_TERM - 1) / Term.TOKENS_PER_TERM;
   }
 
-  boolean ready(int i) {
-    return alive(i) && controllers.get(i).isReady();
+  boolean isReady(int i) {
+    return isAlive(i) && controllers.get(i).isReady();
   }
 
   /** What the node answers to a question about the job, put to it at this moment. */
-  void ask(int i, String uid, Consumer<ApiResponse> then) {
+  void query(int i, String uid, Consumer<ApiResponse> then) {
     controllers.get(i).poll(uid, then);
   }
 
   /** Does the node's replica show the job as cancelled? Asking changes nothing there. */
-  boolean knowsCancelled(int i, String uid) {
+  boolean showsCancelled(int i, String uid) {
     String[] text = {""};
-    controllers.get(i).explainJob(uid, a -> text[0] = new String(a.body(), StandardCharsets.UTF_8));
+    controllers
+        .get(i)
+        .explainJob(uid, response -> text[0] = new String(response.body(), StandardCharsets.UTF_8));
     return text[0].contains(uid + " is aborted");
   }
 
-  boolean alive(int i) {
-    return !processes.get(i).dead();
+  boolean isAlive(int i) {
+    return !processes.get(i).isDead();
   }
 
-  void crash(int i, long backAfterMs) {
-    if (alive(i)) {
+  void crash(int i, long restartAfterMs) {
+    if (isAlive(i)) {
       processes.get(i).kill();
-      clock.at(backAfterMs, () -> startNode(i));
+      clock.after(restartAfterMs, () -> startController(i));
     }
   }
 
-  void freeze(int i, long forMs) {
-    processes.get(i).freeze(forMs);
+  void freeze(int i, long durationMs) {
+    processes.get(i).freeze(durationMs);
   }
 
   /**
    * For a while the node reaches neither the state service nor the other controllers, while workers
    * and users reach it: it can't tell that from an outage, and must not lead for long.
    */
-  void nodeCut(int node, CutMode mode, long forMs) {
-    cutNode(node, mode, true);
-    clock.at(forMs, () -> cutNode(node, mode, false));
+  void partitionController(int controller, PartitionMode mode, long durationMs) {
+    setPartitioned(controller, mode, true);
+    clock.after(durationMs, () -> setPartitioned(controller, mode, false));
   }
 
-  private void cutNode(int node, CutMode mode, boolean now) {
-    for (int i = 0; i < nodes; i++) {
-      network.hold(SimLink.nodeName(node), SimLink.nodeName(i), now);
+  private void setPartitioned(int controller, PartitionMode mode, boolean active) {
+    for (int i = 0; i < controllerCount; i++) {
+      network.holdPackets(SimLink.controllerName(controller), SimLink.controllerName(i), active);
     }
-    if (mode == CutMode.HOLD) {
-      network.hold(SimLink.nodeName(node), STATE, now);
+    if (mode == PartitionMode.HOLD_PACKETS) {
+      network.holdPackets(SimLink.controllerName(controller), STATE, active);
     } else {
-      for (Refusal kind : Refusal.values()) {
-        refuse(node, kind, now);
+      for (RequestKind kind : RequestKind.values()) {
+        setRefused(controller, kind, active);
       }
     }
   }
 
   /** From now on the state service refuses such requests of the node, or serves them again. */
-  void refuse(int node, Refusal kind, boolean now) {
-    stateAccess.refuse(node, kind, now);
+  void setRefused(int controller, RequestKind kind, boolean active) {
+    stateAccess.setRefused(controller, kind, active);
   }
 
   /** To be told of every transaction as it is sent, before it is known what becomes of it. */
-  void whenATransactionIsSent(Consumer<StateStore.Transaction> then) {
-    stateAccess.whenSent(then);
+  void onTransactionSent(Consumer<StateStore.Transaction> listener) {
+    stateAccess.onTransactionSent(listener);
   }
 
   /** From now on all that was broken works again; what users ask is to be answered. */
-  void troublesAreOver() {
+  void faultsEnded() {
     checker.troublesAreOver();
   }
 
   // ---- workers
 
-  private SimWorker boot(InvariantChecker.Place place) {
+  private SimWorker startWorker(InvariantChecker.Place place) {
     SimWorker worker =
         new SimWorker(
             clock,
@@ -307,17 +315,19 @@
             checker,
             place,
             specs,
-            reports::send,
-            nodes,
+            heartbeatDelivery::send,
+            controllerCount,
             place.type().equals("small") ? SMALL_MACHINE_CORES : LARGE_MACHINE_CORES);
     cloud.types().stream()
         .filter(type -> type.name().equals(place.type()))
-        .forEach(type -> checker.machineUp(place, type.size(), () -> isReached(worker)));
+        .forEach(type -> checker.machineUp(place, type.size(), () -> isUsable(worker)));
     return worker;
   }
 
-  private boolean isReached(SimWorker worker) {
-    return worker.sound() && network.hears(worker.host()) && network.speaks(worker.host());
+  private boolean isUsable(SimWorker worker) {
+    return worker.isHealthy()
+        && network.receives(worker.host())
+        && network.sendsRequests(worker.host());
   }
 
   // ---- users
@@ -327,8 +337,8 @@
   }
 
   /** A user who submits until an answer is final, then polls until the job is over. */
-  void user(JobSpec spec) {
-    users.add(spec);
+  void submitAndPoll(JobSpec spec) {
+    users.submitAndPoll(spec);
   }
 
   JobSpec spec(String uid) {
@@ -339,41 +349,41 @@
     users.poll(uid);
   }
 
-  void cancel(String uid, int tries) {
-    users.cancel(uid, tries);
+  void cancel(String uid, int retries) {
+    users.cancel(uid, retries);
   }
 
-  void askAt(int node, String uid) {
-    users.askAt(node, uid);
+  void queryAt(int controller, String uid) {
+    users.queryAt(controller, uid);
   }
 
-  void submitAt(int node, String uid, byte[] body) {
-    users.submitAt(node, uid, body);
+  void submitAt(int controller, String uid, byte[] body) {
+    users.submitAt(controller, uid, body);
   }
 
-  void cancelAt(int node, String uid) {
-    users.cancelAt(node, uid, answer -> {});
+  void cancelAt(int controller, String uid) {
+    users.cancelAt(controller, uid, response -> {});
   }
 
-  void cancelAt(int node, String uid, Consumer<ApiResponse> then) {
-    users.cancelAt(node, uid, then);
+  void cancelAt(int controller, String uid, Consumer<ApiResponse> then) {
+    users.cancelAt(controller, uid, then);
   }
 
-  void cancelNow(int count, long hangMs) {
-    users.cancelNow(count, hangMs);
+  void cancelRunning(int count, long hangDurationMs) {
+    users.cancelRunning(count, hangDurationMs);
   }
 
-  void cancelAtEnd(double share) {
-    users.cancelAtEnd(share);
+  void setCancelAtEndShare(double share) {
+    users.setCancelAtEndShare(share);
   }
 
-  void closeLooks(boolean now) {
-    users.closeLooks(now);
+  void setRequestBursts(boolean active) {
+    users.setRequestBursts(active);
   }
 
   /** From now on users send what is late, needless or wrong, to all nodes. */
-  void oddRequests(boolean now) {
-    invalidRequests.play(now);
+  void setInvalidRequests(boolean active) {
+    invalidRequests.play(active);
   }
 
   static byte[] encode(JobSpec spec) {
--- a/src/test/java/org/ploverspindle/sim/SimulatorTest.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatorTest.java
@@ -21,7 +21,7 @@
 
   /** A job of one task, and the machine that it has been on for a moment. */
   private SimWorker machineOf(JobSpec spec) {
-    w.clock.at(5_000, () -> w.user(spec));
+    w.clock.after(5_000, () -> w.submitAndPoll(spec));
     while (w.checker.hostsOf(spec.uid()).isEmpty() || w.checker.begunMs(spec.uid()) < 0) {
       assertTrue(w.clock.nowMs() < 60_000, "it begins");
       w.clock.runUntil(w.clock.nowMs() + 10);
@@ -57,7 +57,7 @@
     long sentMs = w.clock.nowMs();
     List<Long> answeredMs = new ArrayList<>();
     machine.hang(5_000);
-    machine.direct(0, 1, List.of(), sentMs, r -> answeredMs.add(w.clock.nowMs()));
+    machine.executeDirect(0, 1, List.of(), sentMs, r -> answeredMs.add(w.clock.nowMs()));
     run(20_000);
     assertEquals(List.of(sentMs + 5_000), answeredMs);
   }
@@ -78,11 +78,11 @@
   void aMuteMachineAnswersCommandsAndItsLeaseRunsOut() {
     JobSpec spec = task(60);
     SimWorker machine = machineOf(spec);
-    w.network.machineMute(machine.host(), true);
+    w.network.dropRequestsFrom(machine.host(), true);
     run(8_000);
     assertFalse(w.checker.hostsOf(spec.uid()).contains(machine.host()));
     int[] answers = new int[1];
-    machine.direct(0, 1, List.of(), 0, r -> answers[0]++);
+    machine.executeDirect(0, 1, List.of(), 0, r -> answers[0]++);
     assertEquals(1, answers[0]);
   }
 
@@ -91,16 +91,16 @@
   void writesWithoutAnAnswerAreCarriedOutLateOrAtOnce(boolean atOnce) {
     run(20_000);
     JobSpec spec = task(5);
-    w.network.lateWrites(1, atOnce);
-    w.user(spec);
+    w.network.setUnansweredWrites(1, atOnce);
+    w.submitAndPoll(spec);
     run(500);
     long soon =
-        w.state.changesAfter("", 0) instanceof StateStore.ChangesResult.Changes c
+        w.state.readChanges("", 0) instanceof StateStore.ChangesResult.Changes c
             ? c.changes().stream().filter(x -> speaksOf(x, spec)).count()
             : -1;
     assertEquals(atOnce ? 1 : 0, soon);
     assertTrue(w.checker.unfinished().isEmpty(), "nobody was told");
-    w.network.lateWrites(0, false);
+    w.network.setUnansweredWrites(0, false);
     // Up to 12 s until it stands; then a repeat, a boot, the run and a question.
     run(60_000);
     assertEquals(List.of(spec.uid()), w.checker.toldDone());
@@ -111,29 +111,29 @@
   }
 
   @ParameterizedTest
-  @EnumSource(SimulatedCluster.CutMode.class)
-  void aLeaderCutFromStateAndPeersIsReplacedAndComesBack(SimulatedCluster.CutMode mode) {
+  @EnumSource(SimulatedCluster.PartitionMode.class)
+  void aLeaderCutFromStateAndPeersIsReplacedAndComesBack(SimulatedCluster.PartitionMode mode) {
     run(20_000);
     int before = w.leader();
-    w.nodeCut(before, mode, 20_000);
+    w.partitionController(before, mode, 20_000);
     run(15_000);
     assertNotEquals(before, w.leader());
     assertTrue(w.leader() >= 0);
     run(15_000);
-    assertTrue(w.ready(before), "it is of use again");
+    assertTrue(w.isReady(before), "it is of use again");
   }
 
   @Test
   void heldPacketsArriveInTheirOrderWhenTheCutEnds() {
     List<Integer> arrived = new ArrayList<>();
-    w.network.hold("x", "y", true);
+    w.network.holdPackets("x", "y", true);
     for (int i = 0; i < 5; i++) {
       int n = i;
       w.network.request("x", "y", () -> arrived.add(n), () -> {});
     }
     run(60_000);
     assertEquals(List.of(), arrived);
-    w.network.hold("x", "y", false);
+    w.network.holdPackets("x", "y", false);
     run(10);
     assertEquals(List.of(0, 1, 2, 3, 4), arrived);
   }
@@ -143,24 +143,24 @@
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       jobs.add(task(100));
-      w.user(jobs.get(i));
+      w.submitAndPoll(jobs.get(i));
     }
     run(40_000);
     assertEquals(6, w.checker.running().size());
-    w.cancelNow(5, 10_000);
+    w.cancelRunning(5, 10_000);
     run(250);
     assertEquals(1, w.checker.running().size());
-    assertTrue(w.cloud.workers().stream().anyMatch(x -> !x.sound()));
+    assertTrue(w.cloud.workers().stream().anyMatch(x -> !x.isHealthy()));
     run(60_000);
     assertEquals(List.of(), w.checker.broken());
   }
 
   @Test
   void jobsAreCancelledAtTheEndOfTheirLastTask() {
-    w.cancelAtEnd(1);
+    w.setCancelAtEndShare(1);
     for (int i = 0; i < 20; i++) {
       JobSpec spec = task(5);
-      w.clock.at(5_000 + i * 1_000, () -> w.user(spec));
+      w.clock.after(5_000 + i * 1_000, () -> w.submitAndPoll(spec));
     }
     run(100_000);
     int done = w.checker.toldDone().size();
--- a/src/test/java/org/ploverspindle/sim/StaleHeartbeatFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/StaleHeartbeatFaultsTest.java
@@ -10,18 +10,19 @@
       public void play(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         scenario.jobs(3_000, 1_500, 60, 3, 1, 18);
-        scenario.at(15_000, () -> cluster.network.lateReports(0.5, true));
-        scenario.at(29_000, () -> scenario.note("terms", cluster::terms));
+        scenario.at(15_000, () -> cluster.network.setHeartbeatReplay(0.5, true));
+        scenario.at(29_000, () -> scenario.note("terms", cluster::termCount));
         for (int i = 0; i < 4; i++) {
           scenario.at(
               30_000 + i * 20_000 + scenario.random.nextInt(4_000),
               () -> scenario.crashLeader(3_000));
         }
-        scenario.every(28_000, 100_000, 10_000, () -> cluster.cancelNow(2, 0));
-        scenario.at(110_000, () -> cluster.network.lateReports(0, false));
+        scenario.every(28_000, 100_000, 10_000, () -> cluster.cancelRunning(2, 0));
+        scenario.at(110_000, () -> cluster.network.setHeartbeatReplay(0, false));
         scenario.faultsEndMs = 112_000;
         scenario.leaderMustChange(4);
-        scenario.mustOccur("old reports came then", () -> cluster.reports.copiesDelivered() >= 40);
+        scenario.mustOccur(
+            "old reports came then", () -> cluster.heartbeatDelivery.replaysDelivered() >= 40);
       }
     },
 
@@ -45,8 +46,9 @@
         List<SimWorker> busy = scenario.busyWorkers();
         List<SimWorker> some = busy.subList(0, busy.size() / 2 + 1);
         some.forEach(x -> scenario.partition(x, true));
-        scenario.note("terms", cluster::terms);
-        cluster.clock.at(1_000 + scenario.random.nextInt(3_000), () -> scenario.crashLeader(2_000));
+        scenario.note("terms", cluster::termCount);
+        cluster.clock.after(
+            1_000 + scenario.random.nextInt(3_000), () -> scenario.crashLeader(2_000));
         // While their leases last, and after they ran out and their tasks began elsewhere.
         long lasting = scenario.oddSeed ? 17_000 : scenario.cancelMs + 8_000;
         boolean[] seen = {false};
@@ -55,12 +57,14 @@
             cluster.clock.nowMs() + lasting,
             100,
             () -> {
-              if (!seen[0] && cluster.leader() >= 0 && cluster.terms() > scenario.noted("terms")) {
+              if (!seen[0]
+                  && cluster.leader() >= 0
+                  && cluster.termCount() > scenario.noted("terms")) {
                 seen[0] = true;
                 scenario.note("starts", cluster.checker::starts);
               }
             });
-        cluster.clock.at(
+        cluster.clock.after(
             lasting + 3_000 + scenario.random.nextInt(4_000),
             () -> {
               scenario.note("acted", () -> cluster.checker.starts() - scenario.noted("starts"));
--- a/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
+++ b/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
@@ -26,12 +26,12 @@
   private static final int NODES = 3;
 
   /** What the state service refuses to the leader alone before it is out for all. */
-  private static final List<Set<SimulatedCluster.Refusal>> REFUSED =
+  private static final List<Set<SimulatedCluster.RequestKind>> REFUSED =
       List.of(
-          Set.of(SimulatedCluster.Refusal.values()),
-          Set.of(SimulatedCluster.Refusal.READS),
-          Set.of(SimulatedCluster.Refusal.HOLDS),
-          Set.of(SimulatedCluster.Refusal.WRITES));
+          Set.of(SimulatedCluster.RequestKind.values()),
+          Set.of(SimulatedCluster.RequestKind.READS),
+          Set.of(SimulatedCluster.RequestKind.LEASES),
+          Set.of(SimulatedCluster.RequestKind.WRITES));
 
   /** Report, lease and cancellation times of the operators' deployments. */
   private static final Map<String, Settings.WorkerLimits> TIMINGS =
@@ -44,7 +44,7 @@
   static Stream<Arguments> gaps() {
     List<Arguments> all = new ArrayList<>();
     for (String deployment : TIMINGS.keySet().stream().sorted().toList()) {
-      for (Set<SimulatedCluster.Refusal> refused : REFUSED) {
+      for (Set<SimulatedCluster.RequestKind> refused : REFUSED) {
         for (long seed = 1; seed <= 3; seed++) {
           all.add(Arguments.of(deployment, refused, seed));
         }
@@ -56,12 +56,12 @@
   @ParameterizedTest
   @MethodSource("gaps")
   void whatWasCancelledInTheGapIsGoneInTime(
-      String deployment, Set<SimulatedCluster.Refusal> refused, long seed) {
+      String deployment, Set<SimulatedCluster.RequestKind> refused, long seed) {
     Settings.WorkerLimits limits = TIMINGS.get(deployment);
     SimulatedCluster w =
         new SimulatedCluster(
             seed,
-            new SimulatedCluster.Site(
+            new SimulatedCluster.Deployment(
                 NODES,
                 14,
                 List.of("a"),
@@ -77,30 +77,30 @@
     for (int round = 0; round < 2; round++) {
       List<String> running = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
-        w.clock.at(
+        w.clock.after(
             gapMs - 45_000 + i * 1_000 - w.clock.nowMs(),
             () -> {
               // Well longer than the outage: nothing of it ends by itself in time.
               var spec = DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 4, 1, 250, 0);
               running.add(spec.uid());
-              w.user(spec);
+              w.submitAndPoll(spec);
             });
       }
-      w.clock.at(gapMs, () -> gap(w, refused, outMs));
-      w.clock.at(
+      w.clock.after(gapMs, () -> gap(w, refused, outMs));
+      w.clock.after(
           gapMs - 1_500,
           () -> {
             // From just before the leader's last answered read to the service's end.
             for (String uid : running) {
               if (r.nextInt(5) > 0) {
-                w.clock.at(r.nextInt(3_400), () -> w.cancel(uid, 0));
+                w.clock.after(r.nextInt(3_400), () -> w.cancel(uid, 0));
               }
             }
           });
       gapMs += 2_000 + outMs + 23_000 + 40_000;
     }
     long overMs = gapMs;
-    w.clock.at(overMs, w::troublesAreOver);
+    w.clock.after(overMs, w::faultsEnded);
     w.clock.runUntil(overMs + 120_000);
     assertEquals(List.of(), w.checker.broken());
     assertTrue(
@@ -108,13 +108,14 @@
         "cancelled while tasks were on machines: " + w.checker.cancelledWhileOn());
   }
 
-  private static void gap(SimulatedCluster w, Set<SimulatedCluster.Refusal> refused, long outMs) {
+  private static void gap(
+      SimulatedCluster w, Set<SimulatedCluster.RequestKind> refused, long outMs) {
     int leader = w.leader();
     if (leader >= 0) {
-      refused.forEach(kind -> w.refuse(leader, kind, true));
-      w.clock.at(14_000, () -> refused.forEach(kind -> w.refuse(leader, kind, false)));
+      refused.forEach(kind -> w.setRefused(leader, kind, true));
+      w.clock.after(14_000, () -> refused.forEach(kind -> w.setRefused(leader, kind, false)));
     }
-    w.clock.at(2_000, () -> w.state.outage(true));
-    w.clock.at(2_000 + outMs, () -> w.state.outage(false));
+    w.clock.after(2_000, () -> w.state.setOutage(true));
+    w.clock.after(2_000 + outMs, () -> w.state.setOutage(false));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ReadingStateClient.java
+++ b/src/test/java/org/ploverspindle/sim/StubStateStore.java
@@ -8,14 +8,14 @@
  * A process's way to the state service for tests of the progress writer alone: reads always
  * succeed, there are no leases, and what becomes of a transaction is for the test to say.
  */
-abstract class ReadingStateClient implements StateStore {
-  private static final long READ_MS = 2;
+abstract class StubStateStore implements StateStore {
+  private static final long READ_DELAY_MS = 2;
 
   private final SimClock clock;
   private final SimStateStore state;
   private final SimClock.Process process;
 
-  ReadingStateClient(SimClock clock, SimStateStore state, SimClock.Process process) {
+  StubStateStore(SimClock clock, SimStateStore state, SimClock.Process process) {
     this.clock = clock;
     this.state = state;
     this.process = process;
@@ -23,17 +23,18 @@
 
   @Override
   public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
-    clock.at(
-        READ_MS, () -> process.execute(null, () -> then.accept(state.page(prefix, after, size))));
+    clock.after(
+        READ_DELAY_MS,
+        () -> process.execute(null, () -> then.accept(state.readPage(prefix, after, size))));
   }
 
   @Override
-  public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
-    clock.at(
-        READ_MS,
+  public void readChanges(String prefix, long revision, Consumer<ChangesResult> then) {
+    clock.after(
+        READ_DELAY_MS,
         () -> {
-          ChangesResult news = state.changesAfter(prefix, ledger);
-          process.schedule(READ_MS, () -> then.accept(news));
+          ChangesResult changes = state.readChanges(prefix, revision);
+          process.schedule(READ_DELAY_MS, () -> then.accept(changes));
         });
   }
 
--- a/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
@@ -22,7 +22,7 @@
       public void play(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         for (int i = 0; i < 4; i++) {
-          scenario.at(3_000 + i * 300, () -> cluster.user(scenario.job("red", 1, 4, 260)));
+          scenario.at(3_000 + i * 300, () -> cluster.submitAndPoll(scenario.job("red", 1, 4, 260)));
         }
         List<String> waiting = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -31,7 +31,7 @@
               () -> {
                 JobSpec spec = scenario.job("red", 1, 4, 20);
                 waiting.add(spec.uid());
-                cluster.user(spec);
+                cluster.submitAndPoll(spec);
               });
         }
         scenario.at(50_000, () -> makeUnreachable(scenario));
@@ -48,15 +48,15 @@
       private void makeUnreachable(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         scenario.note("red", () -> Math.round(cluster.checker.coresInUse("red")));
-        scenario.note("terms", cluster::terms);
+        scenario.note("terms", cluster::termCount);
         List<SimWorker> busy = scenario.busyWorkers();
         List<SimWorker> cut = busy.subList(0, Math.max(0, busy.size() - 1));
         scenario.note("unasked", cut::size);
         List<String> first = scenario.jobsOn(cut);
         cut.forEach(x -> scenario.partition(x, true));
         long lasting = 4_000 + scenario.random.nextInt((int) scenario.leaseMs + 10_000);
-        cluster.clock.at(lasting, () -> cut.forEach(x -> scenario.partition(x, false)));
-        cluster.clock.at(scenario.random.nextInt(1_000), () -> scenario.crashLeader(2_000));
+        cluster.clock.after(lasting, () -> cut.forEach(x -> scenario.partition(x, false)));
+        cluster.clock.after(scenario.random.nextInt(1_000), () -> scenario.crashLeader(2_000));
         // One of a machine that nobody can ask, one of a machine that answers.
         List<String> other =
             cluster.checker.running().stream().filter(u -> !first.contains(u)).toList();
@@ -64,13 +64,13 @@
             .limit(1)
             .forEach(
                 u ->
-                    cluster.clock.at(
+                    cluster.clock.after(
                         500 + scenario.random.nextInt(7_000), () -> cluster.cancel(u, 0)));
         other.stream()
             .limit(1)
             .forEach(
                 u ->
-                    cluster.clock.at(
+                    cluster.clock.after(
                         500 + scenario.random.nextInt(7_000), () -> cluster.cancel(u, 0)));
       }
     },
@@ -95,7 +95,7 @@
         SimulatedCluster cluster = scenario.cluster;
         scenario.note("red", () -> Math.round(cluster.checker.coresInUse("red")));
         scenario.note("blue", () -> Math.round(cluster.checker.coresInUse("blue")));
-        scenario.note("terms", cluster::terms);
+        scenario.note("terms", cluster::termCount);
         List<SimWorker> busy = new ArrayList<>(scenario.busyWorkers());
         Collections.shuffle(busy, scenario.random);
         long lasting = 5_000 + scenario.random.nextInt((int) scenario.cancelMs);
@@ -104,17 +104,19 @@
           scenario
               .jobsOn(List.of(x))
               .forEach(
-                  u -> cluster.clock.at(scenario.random.nextInt(200), () -> cluster.cancel(u, 0)));
+                  u ->
+                      cluster.clock.after(
+                          scenario.random.nextInt(200), () -> cluster.cancel(u, 0)));
           if (i % 2 == 0) {
             scenario.increase("cut", 1);
-            cluster.clock.at(scenario.random.nextInt(200), () -> scenario.partition(x, true));
-            cluster.clock.at(lasting, () -> scenario.partition(x, false));
+            cluster.clock.after(scenario.random.nextInt(200), () -> scenario.partition(x, true));
+            cluster.clock.after(lasting, () -> scenario.partition(x, false));
           } else {
             scenario.increase("hung", 1);
-            cluster.clock.at(scenario.random.nextInt(200), () -> x.hang(lasting));
+            cluster.clock.after(scenario.random.nextInt(200), () -> x.hang(lasting));
           }
         }
-        cluster.clock.at(scenario.random.nextInt(3_000), () -> scenario.crashLeader(2_000));
+        cluster.clock.after(scenario.random.nextInt(3_000), () -> scenario.crashLeader(2_000));
       }
     };
 
@@ -151,7 +153,7 @@
     SimulatedCluster cluster = scenario.cluster;
     int tasks = scenario.oddSeed ? 1 : 2;
     JobSpec job = scenario.job("red", tasks, 4, 70);
-    scenario.at(3_000, () -> cluster.user(job));
+    scenario.at(3_000, () -> cluster.submitAndPoll(job));
     submitOthers(scenario, tasks);
     List<SimWorker> completedOn = new ArrayList<>();
     List<SimWorker> first = new ArrayList<>();
@@ -169,17 +171,17 @@
             completedOn.addAll(first);
             completedOn.forEach(x -> scenario.partition(x, true));
             // Of two tasks the other one begins again as well, so that the job is not yet done.
-            on.forEach(x -> cluster.cloud.take(x.host()));
+            on.forEach(x -> cluster.cloud.reclaim(x.host()));
           } else if (again.isEmpty() && !completedOn.isEmpty() && on.size() == tasks) {
             again.addAll(on);
-            cluster.clock.at(2_500, () -> deliverDelayedReports(scenario, completedOn, again));
+            cluster.clock.after(2_500, () -> deliverDelayedReports(scenario, completedOn, again));
           }
         });
-    scenario.at(260_000, cluster::troublesAreOver);
+    scenario.at(260_000, cluster::faultsEnded);
     cluster.clock.runUntil(260_000 + FaultScenario.RECOVERY_MS);
     assertEquals(List.of(), cluster.checker.broken());
     assertTrue(scenario.noted("arrived") >= 1, "held reports arrived");
-    assertTrue(cluster.terms() > scenario.noted("terms"), "the lead changed");
+    assertTrue(cluster.termCount() > scenario.noted("terms"), "the lead changed");
     assertEquals(16, scenario.noted("red"), "at its limit, with what goes on");
     assertTrue(cluster.checker.isDone(job.uid()));
   }
@@ -187,10 +189,10 @@
   private static void submitOthers(FaultScenario scenario, int tasks) {
     SimulatedCluster cluster = scenario.cluster;
     for (int i = tasks; i < 4; i++) {
-      scenario.at(4_000 + i * 300, () -> cluster.user(scenario.job("red", 1, 4, 400)));
+      scenario.at(4_000 + i * 300, () -> cluster.submitAndPoll(scenario.job("red", 1, 4, 400)));
     }
     for (int i = 0; i < 4; i++) {
-      scenario.at(60_000 + i * 300, () -> cluster.user(scenario.job("red", 1, 4, 50)));
+      scenario.at(60_000 + i * 300, () -> cluster.submitAndPoll(scenario.job("red", 1, 4, 50)));
     }
   }
 
@@ -202,17 +204,17 @@
   private static void deliverDelayedReports(
       FaultScenario scenario, List<SimWorker> completedOn, List<SimWorker> again) {
     again.forEach(x -> scenario.partition(x, true));
-    scenario.cluster.clock.at(
+    scenario.cluster.clock.after(
         100,
         () -> completedOn.forEach(x -> scenario.increase("arrived", scenario.partition(x, false))));
-    scenario.cluster.clock.at(
+    scenario.cluster.clock.after(
         1_000,
         () -> {
           scenario.note("red", () -> Math.round(scenario.cluster.checker.coresInUse("red")));
-          scenario.note("terms", scenario.cluster::terms);
+          scenario.note("terms", scenario.cluster::termCount);
           scenario.crashLeader(50);
         });
-    scenario.cluster.clock.at(
+    scenario.cluster.clock.after(
         scenario.leaseMs + 9_000, () -> again.forEach(x -> scenario.partition(x, false)));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
@@ -62,18 +62,18 @@
       this.cluster = new SimulatedCluster(seed, NODES, MACHINES, List.of("a"));
       this.random = new Random(seed);
       this.steps = steps;
-      cluster.cloud.everyBootSucceeds();
+      cluster.cloud.stopBootFailures();
       for (int wave = 0; wave < WAVES; wave++) {
-        cluster.clock.at(3_000 + wave * WAVE_MS, () -> submit(6));
+        cluster.clock.after(3_000 + wave * WAVE_MS, () -> submit(6));
       }
-      cluster.whenATransactionIsSent(this::sent);
-      cluster.state.whenWritten(this::written);
-      cluster.releases.whenExecuted(this::released);
+      cluster.onTransactionSent(this::sent);
+      cluster.state.onWrite(this::written);
+      cluster.terminations.whenExecuted(this::released);
     }
 
     private void submit(int jobs) {
       for (int i = 0; i < jobs; i++) {
-        cluster.user(DayEndCriteriaTest.job(cluster, "wave", Priority.NORMAL, 3, 4, 4, 0));
+        cluster.submitAndPoll(DayEndCriteriaTest.job(cluster, "wave", Priority.NORMAL, 3, 4, 4, 0));
       }
     }
 
@@ -89,7 +89,7 @@
       quietUntilMs = cluster.clock.nowMs() + PAUSE_MS * 3 / 2;
       faults.merge(step, 1, Integer::sum);
       // The successor leads by then, and would use whatever machine it takes for its own.
-      cluster.clock.at(PAUSE_MS / 2, () -> submit(8));
+      cluster.clock.after(PAUSE_MS / 2, () -> submit(8));
     }
 
     private static boolean isReturn(Transaction txn) {
@@ -104,9 +104,9 @@
       }
       happens(Step.RECORDED_LATE);
       holdCloud(leader);
-      cluster.network.lateWrites(1, false);
-      cluster.clock.at(1, () -> cluster.network.lateWrites(0, false));
-      cluster.clock.at(3_000, () -> cluster.freeze(leader, PAUSE_MS - 3_000));
+      cluster.network.setUnansweredWrites(1, false);
+      cluster.clock.after(1, () -> cluster.network.setUnansweredWrites(0, false));
+      cluster.clock.after(3_000, () -> cluster.freeze(leader, PAUSE_MS - 3_000));
     }
 
     private void written(Transaction txn) {
@@ -121,11 +121,11 @@
       switch (step.get()) {
         case PAUSED_AFTER_SEND -> {
           holdCloud(leader);
-          cluster.clock.at(500, () -> cluster.freeze(leader, PAUSE_MS - 500));
+          cluster.clock.after(500, () -> cluster.freeze(leader, PAUSE_MS - 500));
         }
         case CLOCK_BACK -> {
           holdCloud(leader);
-          cluster.clock.at(100, () -> turnClockBack(leader));
+          cluster.clock.after(100, () -> turnClockBack(leader));
         }
         case ENDED_BEFORE_SEND -> cluster.crash(leader, 600);
         default -> cluster.freeze(leader, PAUSE_MS);
@@ -138,15 +138,15 @@
 
     /** It hears nothing of its lease from now on, and counts on it for longer than it lasts. */
     private void turnClockBack(int node) {
-      cluster.process(node).jump(-CLOCK_JUMP_MS);
+      cluster.process(node).jumpClock(-CLOCK_JUMP_MS);
       hold(node, SimulatedCluster.STATE);
     }
 
     /** What goes between the two is held back, and delivered after the pause. */
     private void hold(int node, String other) {
-      String name = SimLink.nodeName(node);
-      cluster.network.hold(name, other, true);
-      cluster.clock.at(PAUSE_MS, () -> cluster.network.hold(name, other, false));
+      String name = SimLink.controllerName(node);
+      cluster.network.holdPackets(name, other, true);
+      cluster.clock.after(PAUSE_MS, () -> cluster.network.holdPackets(name, other, false));
     }
 
     private void released(TerminationHistory.Release release) {
@@ -160,7 +160,7 @@
     Day play() {
       long endMs = WAVES * WAVE_MS + 40_000;
       cluster.clock.runUntil(endMs);
-      cluster.troublesAreOver();
+      cluster.faultsEnded();
       cluster.clock.runUntil(endMs + 110_000);
       cluster.checker.endOfDay();
       return this;
@@ -173,11 +173,12 @@
 
   private static void assertKept(Day day, String what) {
     SimulatedCluster cluster = day.cluster;
-    assertEquals(List.of(), cluster.releases.withTasks(), what);
+    assertEquals(List.of(), cluster.terminations.withTasks(), what);
     assertEquals(List.of(), cluster.checker.broken(), what);
     assertEquals(0, cluster.checker.neverBegun(), what);
-    assertEquals(0, cluster.cloud.size(), what + ": machines that are idle and not returned");
-    assertEquals(0, cluster.state.keysUnder(Keys.TERMINATIONS), what + ": records that are left");
+    assertEquals(
+        0, cluster.cloud.machineCount(), what + ": machines that are idle and not returned");
+    assertEquals(0, cluster.state.keyCount(Keys.TERMINATIONS), what + ": records that are left");
   }
 
   @ParameterizedTest
@@ -189,8 +190,8 @@
       String what = step + ", seed " + seed + ": " + day.faults;
       assertKept(day, what);
       assertTrue(day.faultCount() >= 3, what);
-      assertTrue(day.cluster.terms() > 3, what + " " + day.cluster.terms() + " terms");
-      stale += day.cluster.releases.stale().size();
+      assertTrue(day.cluster.termCount() > 3, what + " " + day.cluster.termCount() + " terms");
+      stale += day.cluster.terminations.stale().size();
     }
     if (step == Step.PAUSED_AFTER_SEND || step == Step.CLOCK_BACK) {
       assertTrue(stale >= 4, stale + " requests of former leaders were executed");
@@ -202,8 +203,9 @@
   @CsvSource({"11", "12", "13", "14", "15", "16", "17", "18"})
   void stepsAndLostAnswersMixed(long seed) {
     Day day = new Day(seed, List.of(Step.values()));
-    day.cluster.network.lateWrites(0.1, seed % 2 == 0);
-    day.cluster.clock.at(WAVES * WAVE_MS, () -> day.cluster.network.lateWrites(0, false));
+    day.cluster.network.setUnansweredWrites(0.1, seed % 2 == 0);
+    day.cluster.clock.after(
+        WAVES * WAVE_MS, () -> day.cluster.network.setUnansweredWrites(0, false));
     day.play();
     assertKept(day, "seed " + seed + ": " + day.faults);
     assertTrue(day.faultCount() >= 3, "seed " + seed + ": " + day.faults);
@@ -215,8 +217,8 @@
     int withTasks = 0;
     for (long seed = 1; seed <= 4; seed++) {
       Day day = new Day(seed, List.of(Step.PAUSED_AFTER_SEND));
-      day.cluster.state.losesUnder(Keys.TERMINATIONS);
-      withTasks += day.play().cluster.releases.withTasks().size();
+      day.cluster.state.loseWritesUnder(Keys.TERMINATIONS);
+      withTasks += day.play().cluster.terminations.withTasks().size();
     }
     assertTrue(withTasks > 0, "a counter that never counts shows nothing");
   }
--- a/src/test/java/org/ploverspindle/sim/UnguaranteedTeamTest.java
+++ b/src/test/java/org/ploverspindle/sim/UnguaranteedTeamTest.java
@@ -21,7 +21,7 @@
   private static SimulatedCluster world(long seed) {
     return new SimulatedCluster(
         seed,
-        new SimulatedCluster.Site(
+        new SimulatedCluster.Deployment(
             3,
             60,
             List.of("a"),
@@ -42,12 +42,12 @@
   private static List<JobSpec> homeTeam(SimulatedCluster w) {
     List<JobSpec> own = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
-      w.clock.at(
+      w.clock.after(
           3_000 + i * 3_000,
           () -> {
             JobSpec spec = DayEndCriteriaTest.job(w, "a", Priority.HIGH, 12, 2, 10, 60);
             own.add(spec);
-            w.user(spec);
+            w.submitAndPoll(spec);
           });
     }
     return own;
@@ -58,8 +58,8 @@
     assertEquals(List.of(), w.checker.broken());
     assertEquals(0, w.checker.neverBegun());
     own.forEach(s -> assertTrue(w.checker.isDone(s.uid()), s.uid() + " of the home team is done"));
-    assertEquals(0, w.state.changes.refused(), "changes stay below the rate");
-    assertEquals(0, w.state.requests.refused(), "requests stay below the rate");
+    assertEquals(0, w.state.changeLimiter.refusedCount(), "changes stay below the rate");
+    assertEquals(0, w.state.requestLimiter.refusedCount(), "requests stay below the rate");
   }
 
   @Test
@@ -68,18 +68,18 @@
     List<JobSpec> own = homeTeam(w);
     JobSpec[] huge = new JobSpec[1];
     long[] changes = new long[1];
-    w.clock.at(
+    w.clock.after(
         60_000,
         () -> {
-          changes[0] = w.state.changes.asked();
+          changes[0] = w.state.changeLimiter.requestCount();
           huge[0] = guest(w, "rebuild", 25_000, 0.25, 4);
-          w.user(huge[0]);
+          w.submitAndPoll(huge[0]);
         });
-    w.clock.at(65_000, () -> w.crash(Math.max(0, w.leader()), 2_000));
+    w.clock.after(65_000, () -> w.crash(Math.max(0, w.leader()), 2_000));
     w.clock.runUntil(500_000);
     assertServed(w, own);
     assertTrue(w.checker.isDone(huge[0].uid()));
-    long writes = w.state.changes.asked() - changes[0];
+    long writes = w.state.changeLimiter.requestCount() - changes[0];
     assertTrue(writes <= 25_000 / 5, writes + " writes for 25,000 tasks and 60 jobs");
   }
 
@@ -89,15 +89,15 @@
     List<JobSpec> own = homeTeam(w);
     List<JobSpec> small = new ArrayList<>();
     for (int i = 0; i < 500; i++) {
-      w.clock.at(
+      w.clock.after(
           60_000 + i * 120,
           () -> {
             JobSpec spec = guest(w, "check", 1, 0.25, 60);
             small.add(spec);
-            w.user(spec);
+            w.submitAndPoll(spec);
           });
     }
-    w.clock.at(90_000, () -> w.crash(Math.max(0, w.leader()), 2_000));
+    w.clock.after(90_000, () -> w.crash(Math.max(0, w.leader()), 2_000));
     w.clock.runUntil(500_000);
     assertServed(w, own);
     assertTrue(small.stream().allMatch(s -> w.checker.isDone(s.uid())));
@@ -113,20 +113,20 @@
       Random r = new Random(3);
       int[] answers = new int[2];
       for (int i = 0; storm == 1 && i < 8_000; i++) {
-        w.clock.at(
+        w.clock.after(
             100_000 + i * 7,
             () -> {
               int node = r.nextInt(3);
-              w.ask(
+              w.query(
                   node,
                   own.get(r.nextInt(own.size() - 1)).uid(),
                   a -> answers[a.status() == 200 ? 0 : 1]++);
             });
       }
       w.clock.runUntil(100_000);
-      long before = w.state.requests.asked();
+      long before = w.state.requestLimiter.requestCount();
       w.clock.runUntil(161_000);
-      asked[storm] = w.state.requests.asked() - before;
+      asked[storm] = w.state.requestLimiter.requestCount() - before;
       w.clock.runUntil(400_000);
       assertServed(w, own);
       if (storm == 1) {
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -81,16 +81,16 @@
               process.schedule(0, () -> then.accept(t));
             }
           };
-      clock.at(TIMEOUT_MS, () -> once.accept(none));
+      clock.after(TIMEOUT_MS, () -> once.accept(none));
       Runnable work =
           () -> {
-            T result = !cut && state.serves() ? execute.get() : refused;
+            T result = !cut && state.admitsRequest() ? execute.get() : refused;
             if (random.nextDouble() >= lossShare) {
-              clock.at(1 + random.nextInt(8), () -> once.accept(result));
+              clock.after(1 + random.nextInt(8), () -> once.accept(result));
             }
           };
       boolean late = random.nextDouble() < lossShare / 2;
-      clock.at(late ? 2_000 + random.nextInt(6_000) : 1 + random.nextInt(8), work);
+      clock.after(late ? 2_000 + random.nextInt(6_000) : 1 + random.nextInt(8), work);
     }
 
     @Override
@@ -105,13 +105,13 @@
     @Override
     public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
       PageResult failed = new PageResult.Failed();
-      call(() -> state.page(prefix, after, size), failed, failed, then);
+      call(() -> state.readPage(prefix, after, size), failed, failed, then);
     }
 
     @Override
     public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
       ChangesResult failed = new ChangesResult.Failed();
-      call(() -> state.changesAfter(prefix, ledger), failed, failed, then);
+      call(() -> state.readChanges(prefix, ledger), failed, failed, then);
     }
 
     @Override
@@ -144,11 +144,11 @@
 
   UserApiCluster(long seed, int count, Settings.StateLimits limits) {
     random = new Random(seed);
-    SimulatedCluster.Site small = SimulatedCluster.Site.small(count, 10, List.of("a"));
+    SimulatedCluster.Deployment small = SimulatedCluster.Deployment.small(count, 10, List.of("a"));
     settings =
         SimulatedCluster.settings(
             "n0",
-            new SimulatedCluster.Site(
+            new SimulatedCluster.Deployment(
                 count,
                 10,
                 small.zones(),
@@ -175,7 +175,7 @@
   }
 
   TransactionResult applied(Transaction txn) {
-    TransactionResult result = state.txn(txn);
+    TransactionResult result = state.commit(txn);
     if (result instanceof TransactionResult.Committed) {
       txn.changes().forEach(this::checkListStands);
       changes += txn.changes().size();
@@ -221,7 +221,7 @@
 
   static JobSpec job(String uid, List<String> awaits) {
     JobSpec spec = JobSpecFixtures.batch(uid, "c", "blue", Priority.NORMAL, 1, 1, 1, 10, 0);
-    return JobSpecFixtures.after(spec, awaits.toArray(String[]::new));
+    return JobSpecFixtures.withDependencies(spec, awaits.toArray(String[]::new));
   }
 
   static ObjectNode body(String uid, List<String> awaits) {
--- a/src/test/java/org/ploverspindle/sim/UserFaultsDay.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsDay.java
@@ -46,7 +46,7 @@
     cluster =
         new SimulatedCluster(
             seed,
-            new SimulatedCluster.Site(
+            new SimulatedCluster.Deployment(
                 NODES,
                 capacity,
                 List.of("a"),
@@ -68,21 +68,21 @@
         JobSpecFixtures.batch(
             cluster.newUid(), "c-" + urgency, team, urgency, tasks, cores, 0.1, runS, 0);
     submitted.add(spec.uid());
-    cluster.user(spec);
+    cluster.submitAndPoll(spec);
     return spec.uid();
   }
 
   /** One job after another, at a spacing. */
   void jobs(int fromMs, int count, int everyMs, Priority urgency, int tasks, double runS) {
     for (int i = 0; i < count; i++) {
-      cluster.clock.at(fromMs + i * everyMs, () -> submit("blue", urgency, tasks, 1, runS));
+      cluster.clock.after(fromMs + i * everyMs, () -> submit("blue", urgency, tasks, 1, runS));
     }
   }
 
   /** Users cancel some of what has been submitted and is not over, one after another. */
   void cancellations(int fromMs, int count, int everyMs) {
     for (int i = 0; i < count; i++) {
-      cluster.clock.at(
+      cluster.clock.after(
           fromMs + i * everyMs,
           () -> {
             List<String> running = cluster.checker.running();
@@ -94,7 +94,7 @@
   }
 
   void runAndCheckRules(int faultsEndMs, int recoveryMs) {
-    cluster.clock.at(faultsEndMs, cluster::troublesAreOver);
+    cluster.clock.after(faultsEndMs, cluster::faultsEnded);
     cluster.clock.runUntil(faultsEndMs + recoveryMs);
     assertEquals(List.of(), cluster.checker.broken());
     long lateMs =
--- a/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
@@ -17,12 +17,12 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void writesWithLostAnswersAreReadByOtherControllers(long seed) {
     startCluster(seed, 10);
-    cluster.clock.at(FROM_MS, () -> cluster.network.lateWrites(0.3, true));
-    cluster.clock.at(FROM_MS, () -> cluster.closeLooks(true));
+    cluster.clock.after(FROM_MS, () -> cluster.network.setUnansweredWrites(0.3, true));
+    cluster.clock.after(FROM_MS, () -> cluster.setRequestBursts(true));
     jobs(FROM_MS, 50, 1_000, Priority.NORMAL, 2, 8);
     cancellations(FROM_MS + 10_000, 12, 4_000);
-    cluster.clock.at(35_000, () -> cluster.crash(Math.max(0, cluster.leader()), 1_000));
-    cluster.clock.at(70_000, () -> cluster.network.lateWrites(0, true));
+    cluster.clock.after(35_000, () -> cluster.crash(Math.max(0, cluster.leader()), 1_000));
+    cluster.clock.after(70_000, () -> cluster.network.setUnansweredWrites(0, true));
     runAndCheckRules(70_000, 100_000);
     assertAtLeast("transactions that stand unanswered", 20, cluster.stateAccess.unansweredWrites());
     assertAtLeast("cancelled while on", 3, cluster.checker.cancelledWhileOn());
@@ -33,16 +33,16 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void overloadOverSlowLinks(long seed) {
     startCluster(seed, 4, 6);
-    cluster.clock.at(FROM_MS, () -> cluster.network.lateShare(0.15));
+    cluster.clock.after(FROM_MS, () -> cluster.network.setLateRequestShare(0.15));
     jobs(FROM_MS, 20, 1_500, Priority.NORMAL, 4, 15);
     jobs(FROM_MS + 500, 10, 4_000, Priority.HIGH, 3, 6);
     for (int i = 0; i < 6; i++) {
-      cluster.clock.at(FROM_MS + i * 5_000, () -> submit("red", Priority.CRITICAL, 8, 1, 5));
+      cluster.clock.after(FROM_MS + i * 5_000, () -> submit("red", Priority.CRITICAL, 8, 1, 5));
     }
     cancellations(FROM_MS + 15_000, 6, 6_000);
     long[] waiting = {0};
-    cluster.clock.at(50_000, () -> waiting[0] = cluster.checker.neverBegun());
-    cluster.clock.at(80_000, () -> cluster.network.lateShare(0));
+    cluster.clock.after(50_000, () -> waiting[0] = cluster.checker.neverBegun());
+    cluster.clock.after(80_000, () -> cluster.network.setLateRequestShare(0));
     runAndCheckRules(80_000, 500_000);
     assertAtLeast("jobs that wait for room", 5, waiting[0]);
     assertAtLeast("done", 25, cluster.checker.jobsDone());
@@ -71,26 +71,26 @@
     int outMs = (int) (timing(seed).cancelS() * 1_000) + 12_000;
     jobs(4_000, 20, 700, Priority.NORMAL, 3, 200);
     jobs(4_500, 30, 900, Priority.NORMAL, 1, 6);
-    cluster.closeLooks(true);
-    cluster.clock.at(30_000, () -> degradeStateService(fault));
+    cluster.setRequestBursts(true);
+    cluster.clock.after(30_000, () -> degradeStateService(fault));
     // Up to the very end of the service.
     cancellations(30_500, 22, 400);
-    cluster.clock.at(39_000, () -> cluster.state.outage(true));
-    cluster.clock.at(39_000 + outMs, () -> cluster.state.outage(false));
+    cluster.clock.after(39_000, () -> cluster.state.setOutage(true));
+    cluster.clock.after(39_000 + outMs, () -> cluster.state.setOutage(false));
     runAndCheckRules(39_000 + outMs, 60_000);
     assertAtLeast("cancelled while on", 4, cluster.checker.cancelledWhileOn());
-    assertAtLeast("questions not answered", 20, cluster.users.answers(503));
+    assertAtLeast("questions not answered", 20, cluster.users.responseCount(503));
   }
 
   private void degradeStateService(StateServiceFault fault) {
     if (fault == StateServiceFault.ANSWERS_SLOWLY) {
-      cluster.network.slow(SimulatedCluster.STATE, 900);
-      cluster.clock.at(20_000, () -> cluster.network.slow(SimulatedCluster.STATE, 0));
+      cluster.network.setMaxDelay(SimulatedCluster.STATE, 900);
+      cluster.clock.after(20_000, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 0));
     } else {
       int leader = Math.max(0, cluster.leader());
-      for (SimulatedCluster.Refusal kind : SimulatedCluster.Refusal.values()) {
-        cluster.refuse(leader, kind, true);
-        cluster.clock.at(20_000, () -> cluster.refuse(leader, kind, false));
+      for (SimulatedCluster.RequestKind kind : SimulatedCluster.RequestKind.values()) {
+        cluster.setRefused(leader, kind, true);
+        cluster.clock.after(20_000, () -> cluster.setRefused(leader, kind, false));
       }
     }
   }
@@ -102,29 +102,29 @@
     int count = 480;
     for (int i = 0; i < count; i++) {
       boolean cancelled = i % 4 == 3;
-      cluster.clock.at(
+      cluster.clock.after(
           // Four a second, many at once: what comes together is written together.
           FROM_MS + i / 24 * 6_000,
           () -> {
             String uid = submit("blue", Priority.NORMAL, 1, 0.5, 4);
             if (cancelled) {
-              cluster.clock.at(3_000, () -> cluster.cancel(uid, 0));
+              cluster.clock.after(3_000, () -> cluster.cancel(uid, 0));
             }
           });
     }
     double[] before = new double[2];
-    cluster.clock.at(
+    cluster.clock.after(
         FROM_MS,
         () -> {
-          before[0] = cluster.state.requests.asked();
-          before[1] = cluster.state.changes.amount();
+          before[0] = cluster.state.requestLimiter.requestCount();
+          before[1] = cluster.state.changeLimiter.requestedAmount();
         });
     double[] after = new double[2];
-    cluster.clock.at(
+    cluster.clock.after(
         FROM_MS + count * 250,
         () -> {
-          after[0] = cluster.state.requests.asked();
-          after[1] = cluster.state.changes.amount();
+          after[0] = cluster.state.requestLimiter.requestCount();
+          after[1] = cluster.state.changeLimiter.requestedAmount();
         });
     runAndCheckRules(FROM_MS + count * 250, 90_000);
     assertAtLeast("cancelled while on", 10, cluster.checker.cancelledWhileOn());
@@ -135,20 +135,24 @@
     assertTrue(requests <= 4.6, requests + " requests for a job");
     assertTrue(changes <= 1.6, changes + " changes for a job");
     assertAtLeast(
-        "requests below the rate", 50, 120 - Math.round(cluster.state.requests.mostInASecond()));
-    assertEquals(0, cluster.state.requests.refused(), "requests beyond the state service's rate");
-    assertEquals(0, cluster.state.changes.refused(), "changes beyond the state service's rate");
+        "requests below the rate",
+        50,
+        120 - Math.round(cluster.state.requestLimiter.peakPerSecond()));
+    assertEquals(
+        0, cluster.state.requestLimiter.refusedCount(), "requests beyond the state service's rate");
+    assertEquals(
+        0, cluster.state.changeLimiter.refusedCount(), "changes beyond the state service's rate");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void pollsAtAllNodesWithinMillisecondsOfEachAnswer(long seed) {
     startCluster(seed, 14);
-    cluster.closeLooks(true);
+    cluster.setRequestBursts(true);
     jobs(FROM_MS, 60, 800, Priority.NORMAL, 1, 5);
     cancellations(FROM_MS + 3_000, 25, 1_700);
     runAndCheckRules(70_000, 60_000);
-    assertAtLeast("answers", 1_200, cluster.users.answers(200));
+    assertAtLeast("answers", 1_200, cluster.users.responseCount(200));
     assertAtLeast("cancelled while on", 8, cluster.checker.cancelledWhileOn());
     assertAtLeast("done", 15, cluster.checker.jobsDone());
   }
@@ -161,7 +165,7 @@
     byte[] lacking = Cbor.write(body);
     for (int i = 0; i < 40; i++) {
       int node = i % NODES;
-      cluster.clock.at(i * 3L, () -> cluster.submitAt(node, uid, lacking));
+      cluster.clock.after(i * 3L, () -> cluster.submitAt(node, uid, lacking));
     }
   }
 
@@ -169,17 +173,17 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void invalidInputAtAllNodes(long seed) {
     startCluster(seed, 14);
-    cluster.oddRequests(true);
-    cluster.closeLooks(true);
+    cluster.setInvalidRequests(true);
+    cluster.setRequestBursts(true);
     for (int i = 0; i < 60; i++) {
-      cluster.clock.at(FROM_MS + i * 1_000, this::submitAndRepeatInvalid);
+      cluster.clock.after(FROM_MS + i * 1_000, this::submitAndRepeatInvalid);
     }
     cancellations(FROM_MS + 4_000, 10, 5_000);
-    cluster.clock.at(40_000, () -> cluster.crash(Math.max(0, cluster.leader()), 600));
-    cluster.clock.at(80_000, () -> cluster.oddRequests(false));
+    cluster.clock.after(40_000, () -> cluster.crash(Math.max(0, cluster.leader()), 600));
+    cluster.clock.after(80_000, () -> cluster.setInvalidRequests(false));
     runAndCheckRules(80_000, 60_000);
     IntStream.of(400, 422, 404)
-        .forEach(s -> assertAtLeast("answers " + s, 30, cluster.users.answers(s)));
+        .forEach(s -> assertAtLeast("answers " + s, 30, cluster.users.responseCount(s)));
     assertAtLeast("done", 25, cluster.checker.jobsDone());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/WorkerFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/WorkerFaultsTest.java
@@ -20,24 +20,28 @@
     Set<String> unreachable = new HashSet<>();
     for (int round = 0; round < 2; round++) {
       boolean all = round == 1;
-      cluster.clock.at(
+      cluster.clock.after(
           20_000 + round * (unreachableMs + 8_000),
           () -> {
             for (SimWorker x : cluster.cloud.workers()) {
-              if (!x.gone() && (all || random.nextInt(3) == 0)) {
+              if (!x.isTerminated() && (all || random.nextInt(3) == 0)) {
                 unreachable.add(x.host());
-                cluster.network.machineMute(x.host(), true);
-                cluster.clock.at(unreachableMs, () -> cluster.network.machineMute(x.host(), false));
+                cluster.network.dropRequestsFrom(x.host(), true);
+                cluster.clock.after(
+                    unreachableMs, () -> cluster.network.dropRequestsFrom(x.host(), false));
               }
             }
           });
     }
-    cluster.clock.at(
+    cluster.clock.after(
         32_000 + unreachableMs, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
     cancellations(24_000, 10, 4_000);
     runAndCheckRules(30_000 + 2 * unreachableMs + 8_000, 120_000);
     assertAtLeast("machines that reached no controller", 2, unreachable.size());
-    assertAtLeast("launches that reached them directly", 1, cluster.directCommands.toMute());
+    assertAtLeast(
+        "launches that reached them directly",
+        1,
+        cluster.directCommands.executedWithRequestsDropped());
     assertAtLeast("cancelled while on", 2, cluster.checker.cancelledWhileOn());
   }
 
@@ -46,30 +50,30 @@
   void directCommandsAreDelayedAndTheWorkerResumes(long seed) {
     startCluster(seed, 8);
     jobs(4_000, 110, 600, Priority.HIGH, 1, 15);
-    cluster.network.heldCommands(0.7);
-    cluster.clock.at(80_000, () -> cluster.network.heldCommands(0));
+    cluster.network.setDelayedCommandShare(0.7);
+    cluster.clock.after(80_000, () -> cluster.network.setDelayedCommandShare(0));
     for (int at = FROM_MS; at < 70_000; at += 3_000) {
-      cluster.clock.at(at, () -> cluster.cloud.workers().forEach(this::delay));
+      cluster.clock.after(at, () -> cluster.cloud.workers().forEach(this::delay));
     }
     cancellations(FROM_MS + 4_000, 20, 2_500);
-    cluster.clock.at(40_000, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
+    cluster.clock.after(40_000, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
     runAndCheckRules(80_000, 120_000);
-    assertAtLeast("launches carried out late", 5, cluster.directCommands.late());
+    assertAtLeast("launches carried out late", 5, cluster.directCommands.executedAfterTimeout());
     assertAtLeast("cancelled while on", 8, cluster.checker.cancelledWhileOn());
   }
 
   /** It stands still, or what goes between it and the leader is held back, for some seconds. */
   private void delay(SimWorker x) {
     int leader = cluster.leader();
-    if (x.gone() || leader < 0 || random.nextInt(2) > 0) {
+    if (x.isTerminated() || leader < 0 || random.nextInt(2) > 0) {
       return;
     }
     int forMs = 1_600 + random.nextInt(6_000);
     if (random.nextBoolean()) {
       x.hang(forMs);
     } else {
-      cluster.network.hold("n" + leader, x.host(), true);
-      cluster.clock.at(forMs, () -> cluster.network.hold("n" + leader, x.host(), false));
+      cluster.network.holdPackets("n" + leader, x.host(), true);
+      cluster.clock.after(forMs, () -> cluster.network.holdPackets("n" + leader, x.host(), false));
     }
   }
 
@@ -77,28 +81,30 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void staleReportsArriveAfterNewerOnes(long seed) {
     startCluster(seed, 8);
-    cluster.network.lateReports(0.5, false);
+    cluster.network.setHeartbeatReplay(0.5, false);
     jobs(4_000, 60, 1_100, Priority.HIGH, 3, 12);
     int lostAnswersMs = (int) (timing(seed).leaseS() * 1_300);
     int[] sessions = {0};
     for (int at = 20_000; at < 70_000; at += 12_000) {
-      cluster.clock.at(
+      cluster.clock.after(
           at,
           () -> {
-            List<SimWorker> all = cluster.cloud.workers().stream().filter(x -> !x.gone()).toList();
+            List<SimWorker> all =
+                cluster.cloud.workers().stream().filter(x -> !x.isTerminated()).toList();
             if (!all.isEmpty()) {
               SimWorker x = all.get(random.nextInt(all.size()));
               sessions[0]++;
-              cluster.network.deaf(x.host(), true);
-              cluster.clock.at(lostAnswersMs, () -> cluster.network.deaf(x.host(), false));
+              cluster.network.dropInbound(x.host(), true);
+              cluster.clock.after(
+                  lostAnswersMs, () -> cluster.network.dropInbound(x.host(), false));
             }
           });
     }
-    cluster.clock.at(45_000, () -> cluster.crash(Math.max(0, cluster.leader()), 800));
+    cluster.clock.after(45_000, () -> cluster.crash(Math.max(0, cluster.leader()), 800));
     cancellations(24_000, 12, 4_000);
-    cluster.clock.at(100_000, () -> cluster.network.lateReports(0, false));
+    cluster.clock.after(100_000, () -> cluster.network.setHeartbeatReplay(0, false));
     runAndCheckRules(100_000, 220_000);
-    assertAtLeast("old reports", 50, cluster.reports.copiesToLeader());
+    assertAtLeast("old reports", 50, cluster.heartbeatDelivery.replaysToLeader());
     assertAtLeast("sessions ended", 3, sessions[0]);
     assertAtLeast("cancelled while on", 5, cluster.checker.cancelledWhileOn());
   }
