--- a/src/test/java/org/ploverspindle/sim/SimCloud.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloud.java
@@ -170,8 +170,8 @@
       machines.put(id, machine);
       ids.add(id);
       double factor = bootTimeFactors.getOrDefault(type, 1.0);
-      boolean fails = random.nextInt(BOOT_FAILS_ONE_IN) == 0 && !bootFailuresStopped;
-      if (!fails && factor > 0) {
+      boolean bootFails = random.nextInt(BOOT_FAILS_ONE_IN) == 0 && !bootFailuresStopped;
+      if (!bootFails && factor > 0) {
         clock.after(Math.round((500 + random.nextInt(9_000)) * factor), () -> finishBoot(machine));
       }
     }
--- a/src/test/java/org/ploverspindle/sim/SimDirectCommands.java
+++ b/src/test/java/org/ploverspindle/sim/SimDirectCommands.java
@@ -57,13 +57,15 @@
   private void send(
       SimLink link, String address, CommandMessage message, Consumer<Optional<Heartbeat>> then) {
     long delayMs = network.drawCommandDelayMs();
-    Optional<SimWorker> found =
-        cloud.workers().stream().filter(w -> w.address().equals(address)).findFirst();
-    if (found.isEmpty()) {
+    Optional<SimWorker> addressee =
+        cloud.workers().stream()
+            .filter(candidate -> candidate.address().equals(address))
+            .findFirst();
+    if (addressee.isEmpty()) {
       link.process().schedule(TIMEOUT_MS, () -> then.accept(Optional.empty()));
       return;
     }
-    SimWorker worker = found.get();
+    SimWorker worker = addressee.get();
     link.request(
         worker.host(),
         TIMEOUT_MS,
--- a/src/test/java/org/ploverspindle/sim/SimUsers.java
+++ b/src/test/java/org/ploverspindle/sim/SimUsers.java
@@ -29,7 +29,7 @@
   private static final long FIRST_POLL_DELAY_MS = 1_000;
   private static final int MIN_RETRY_DELAY_MS = 2_000;
   private static final int RETRY_DELAY_RANGE_MS = 2_000;
-  private static final int MIN_POLL_INTERVAL_MS = 2_500;
+  private static final int POLL_INTERVAL_MS = 2_500;
 
   /** Of the users whose job is over, one in so many stops asking at each poll. */
   private static final int STOPS_POLLING_ONE_IN = 4;
@@ -244,7 +244,7 @@
         };
     sendTo(controller, target -> target.poll(uid, checkedResponse(uid, false, controller, then)));
     clock.after(
-        MIN_POLL_INTERVAL_MS + random.nextInt(MIN_POLL_INTERVAL_MS),
+        POLL_INTERVAL_MS + random.nextInt(POLL_INTERVAL_MS),
         () -> {
           if (!isOver[0] || random.nextInt(STOPS_POLLING_ONE_IN) > 0) {
             poll(uid);
@@ -259,7 +259,7 @@
     Consumer<ApiResponse> then = response -> isAcknowledged[0] = response.status() == OK;
     sendTo(controller, target -> target.cancel(uid, checkedResponse(uid, false, controller, then)));
     clock.after(
-        MIN_POLL_INTERVAL_MS,
+        POLL_INTERVAL_MS,
         () -> {
           if (!isAcknowledged[0] && retries < MAX_CANCELLATION_RETRIES) {
             cancel(uid, retries + 1);
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -176,27 +176,27 @@
 
   // ---- nodes
 
-  private void startController(int i) {
+  private void startController(int index) {
     SimClock.Process process =
         clock
         .new Process(
             random.nextInt(1_000_000),
             1 + (random.nextDouble() - 0.5) / 1000,
             random.nextInt(1000) - 500);
-    processes.set(i, process);
-    SimLink link = new SimLink(clock, network, i, process);
+    processes.set(index, process);
+    SimLink link = new SimLink(clock, network, index, process);
     Controller controller =
         new Controller(
             process,
             new Controller.Services(
-                stateAccess.client(i, link),
+                stateAccess.client(index, link),
                 new SimCloudClient(cloud, link),
                 directCommands.client(link),
-                new SimPeers(network, i, controllerCount, this::deliverPeerMessage)),
-            settings(SimLink.controllerName(i), deployment),
+                new SimPeers(network, index, controllerCount, this::deliverPeerMessage)),
+            settings(SimLink.controllerName(index), deployment),
             deployment.policy(),
             new SplittableRandom(random.nextLong()));
-    controllers.set(i, controller);
+    controllers.set(index, controller);
     process.schedule(0, controller::start);
   }
 
@@ -206,12 +206,12 @@
     }
   }
 
-  Controller controller(int i) {
-    return controllers.get(i);
+  Controller controller(int index) {
+    return controllers.get(index);
   }
 
-  SimClock.Process process(int i) {
-    return processes.get(i);
+  SimClock.Process process(int index) {
+    return processes.get(index);
   }
 
   /** The node that leads, or -1. */
@@ -225,8 +225,8 @@
   }
 
   /** Does the node believe that it leads? Cut off, it may do so beside another one. */
-  boolean isLeading(int i) {
-    return isAlive(i) && controllers.get(i).isLeading();
+  boolean isLeading(int index) {
+    return isAlive(index) && controllers.get(index).isLeading();
   }
 
   /** How many terms there have been. */
@@ -234,37 +234,37 @@
     return (state.highestFencingToken() + Term.TOKENS_PER_TERM - 1) / Term.TOKENS_PER_TERM;
   }
 
-  boolean isReady(int i) {
-    return isAlive(i) && controllers.get(i).isReady();
+  boolean isReady(int index) {
+    return isAlive(index) && controllers.get(index).isReady();
   }
 
   /** What the node answers to a question about the job, put to it at this moment. */
-  void query(int i, String uid, Consumer<ApiResponse> then) {
-    controllers.get(i).poll(uid, then);
+  void query(int index, String uid, Consumer<ApiResponse> then) {
+    controllers.get(index).poll(uid, then);
   }
 
   /** Does the node's replica show the job as cancelled? Asking changes nothing there. */
-  boolean showsCancelled(int i, String uid) {
+  boolean showsCancelled(int index, String uid) {
     String[] text = {""};
     controllers
-        .get(i)
+        .get(index)
         .explainJob(uid, response -> text[0] = new String(response.body(), StandardCharsets.UTF_8));
     return text[0].contains(uid + " is aborted");
   }
 
-  boolean isAlive(int i) {
-    return !processes.get(i).isDead();
+  boolean isAlive(int index) {
+    return !processes.get(index).isDead();
   }
 
-  void crash(int i, long restartAfterMs) {
-    if (isAlive(i)) {
-      processes.get(i).kill();
-      clock.after(restartAfterMs, () -> startController(i));
+  void crash(int index, long restartAfterMs) {
+    if (isAlive(index)) {
+      processes.get(index).kill();
+      clock.after(restartAfterMs, () -> startController(index));
     }
   }
 
-  void freeze(int i, long durationMs) {
-    processes.get(i).freeze(durationMs);
+  void freeze(int index, long durationMs) {
+    processes.get(index).freeze(durationMs);
   }
 
   /**
--- a/src/test/java/org/ploverspindle/sim/SimulatorTest.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatorTest.java
@@ -17,154 +17,159 @@
 
 /** The stand-ins' troubles are what they are called: a trouble that does nothing tests nothing. */
 class SimulatorTest {
-  private final SimulatedCluster w = new SimulatedCluster(1, 3, 14, List.of("a"));
+  private final SimulatedCluster cluster = new SimulatedCluster(1, 3, 14, List.of("a"));
 
   /** A job of one task, and the machine that it has been on for a moment. */
-  private SimWorker machineOf(JobSpec spec) {
-    w.clock.after(5_000, () -> w.submitAndPoll(spec));
-    while (w.checker.hostsOf(spec.uid()).isEmpty() || w.checker.begunMs(spec.uid()) < 0) {
-      assertTrue(w.clock.nowMs() < 60_000, "it begins");
-      w.clock.runUntil(w.clock.nowMs() + 10);
+  private SimWorker submitAndAwaitStart(JobSpec spec) {
+    cluster.clock.after(5_000, () -> cluster.submitAndPoll(spec));
+    while (cluster.checker.hostsOf(spec.uid()).isEmpty()
+        || cluster.checker.begunMs(spec.uid()) < 0) {
+      assertTrue(cluster.clock.nowMs() < 60_000, "it begins");
+      cluster.clock.runUntil(cluster.clock.nowMs() + 10);
     }
-    String host = w.checker.hostsOf(spec.uid()).get(0);
-    return w.cloud.workers().stream().filter(x -> x.host().equals(host)).findFirst().orElseThrow();
+    String host = cluster.checker.hostsOf(spec.uid()).get(0);
+    return cluster.cloud.workers().stream()
+        .filter(worker -> worker.host().equals(host))
+        .findFirst()
+        .orElseThrow();
   }
 
-  private JobSpec task(double runS) {
-    JobSpec spec = DayEndCriteriaTest.job(w, "a", Priority.HIGH, 1, 1, runS, 0);
-    w.checker.submitted(spec);
+  private JobSpec newJob(double expectedS) {
+    JobSpec spec = DayEndCriteriaTest.job(cluster, "a", Priority.HIGH, 1, 1, expectedS, 0);
+    cluster.checker.submitted(spec);
     return spec;
   }
 
-  private void run(long forMs) {
-    w.clock.runUntil(w.clock.nowMs() + forMs);
+  private void advance(long durationMs) {
+    cluster.clock.runUntil(cluster.clock.nowMs() + durationMs);
   }
 
   @Test
-  void tasksDoNotProgressOnAMachineThatHangs() {
-    JobSpec spec = task(10);
-    SimWorker machine = machineOf(spec);
+  void tasksMakeNoProgressWhileTheirMachineHangs() {
+    JobSpec spec = newJob(10);
+    SimWorker machine = submitAndAwaitStart(spec);
     machine.hang(3_000);
-    run(12_900);
-    assertFalse(w.checker.isDone(spec.uid()));
-    run(200);
-    assertTrue(w.checker.isDone(spec.uid()));
+    advance(12_900);
+    assertFalse(cluster.checker.isDone(spec.uid()));
+    advance(200);
+    assertTrue(cluster.checker.isDone(spec.uid()));
   }
 
   @Test
-  void commandsWaitForAMachineThatHangs() {
-    SimWorker machine = machineOf(task(60));
-    long sentMs = w.clock.nowMs();
+  void directCommandsWaitUntilTheirMachineResumes() {
+    SimWorker machine = submitAndAwaitStart(newJob(60));
+    long sentMs = cluster.clock.nowMs();
     List<Long> answeredMs = new ArrayList<>();
     machine.hang(5_000);
-    machine.executeDirect(0, 1, List.of(), sentMs, r -> answeredMs.add(w.clock.nowMs()));
-    run(20_000);
+    machine.executeDirect(
+        0, 1, List.of(), sentMs, response -> answeredMs.add(cluster.clock.nowMs()));
+    advance(20_000);
     assertEquals(List.of(sentMs + 5_000), answeredMs);
   }
 
   @Test
-  void aMachineThatHangsBeyondItsLeaseGoesOnWithoutItsTasks() {
-    JobSpec spec = task(60);
-    SimWorker machine = machineOf(spec);
+  void machineThatHangsBeyondItsLeaseLosesItsTasks() {
+    JobSpec spec = newJob(60);
+    SimWorker machine = submitAndAwaitStart(spec);
     machine.hang(30_000);
-    run(15_000);
-    assertFalse(w.checker.hostsOf(spec.uid()).contains(machine.host()), "its lease is over");
-    run(100_000);
-    assertTrue(w.checker.isDone(spec.uid()), "it ran elsewhere");
-    assertEquals(List.of(), w.checker.broken());
+    advance(15_000);
+    assertFalse(cluster.checker.hostsOf(spec.uid()).contains(machine.host()), "its lease is over");
+    advance(100_000);
+    assertTrue(cluster.checker.isDone(spec.uid()), "it ran elsewhere");
+    assertEquals(List.of(), cluster.checker.broken());
   }
 
   @Test
-  void aMuteMachineAnswersCommandsAndItsLeaseRunsOut() {
-    JobSpec spec = task(60);
-    SimWorker machine = machineOf(spec);
-    w.network.dropRequestsFrom(machine.host(), true);
-    run(8_000);
-    assertFalse(w.checker.hostsOf(spec.uid()).contains(machine.host()));
-    int[] answers = new int[1];
-    machine.executeDirect(0, 1, List.of(), 0, r -> answers[0]++);
-    assertEquals(1, answers[0]);
+  void machineWithDroppedRequestsAnswersCommandsAndItsLeaseExpires() {
+    JobSpec spec = newJob(60);
+    SimWorker machine = submitAndAwaitStart(spec);
+    cluster.network.dropRequestsFrom(machine.host(), true);
+    advance(8_000);
+    assertFalse(cluster.checker.hostsOf(spec.uid()).contains(machine.host()));
+    int[] responses = new int[1];
+    machine.executeDirect(0, 1, List.of(), 0, response -> responses[0]++);
+    assertEquals(1, responses[0]);
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void writesWithoutAnAnswerAreCarriedOutLateOrAtOnce(boolean atOnce) {
-    run(20_000);
-    JobSpec spec = task(5);
-    w.network.setUnansweredWrites(1, atOnce);
-    w.submitAndPoll(spec);
-    run(500);
-    long soon =
-        w.state.readChanges("", 0) instanceof StateStore.ChangesResult.Changes c
-            ? c.changes().stream().filter(x -> speaksOf(x, spec)).count()
+  void unansweredWritesAreExecutedLateOrAtOnce(boolean immediate) {
+    advance(20_000);
+    JobSpec spec = newJob(5);
+    cluster.network.setUnansweredWrites(1, immediate);
+    cluster.submitAndPoll(spec);
+    advance(500);
+    long changesAfter500Ms =
+        cluster.state.readChanges("", 0) instanceof StateStore.ChangesResult.Changes result
+            ? result.changes().stream().filter(change -> concerns(change, spec)).count()
             : -1;
-    assertEquals(atOnce ? 1 : 0, soon);
-    assertTrue(w.checker.unfinished().isEmpty(), "nobody was told");
-    w.network.setUnansweredWrites(0, false);
+    assertEquals(immediate ? 1 : 0, changesAfter500Ms);
+    assertTrue(cluster.checker.unfinished().isEmpty(), "nobody was told");
+    cluster.network.setUnansweredWrites(0, false);
     // Up to 12 s until it stands; then a repeat, a boot, the run and a question.
-    run(60_000);
-    assertEquals(List.of(spec.uid()), w.checker.toldDone());
+    advance(60_000);
+    assertEquals(List.of(spec.uid()), cluster.checker.toldDone());
   }
 
-  private static boolean speaksOf(StateStore.ChangedEntry change, JobSpec spec) {
-    return change.value().map(v -> v.has(spec.uid())).orElse(false);
+  private static boolean concerns(StateStore.ChangedEntry change, JobSpec spec) {
+    return change.value().map(value -> value.has(spec.uid())).orElse(false);
   }
 
   @ParameterizedTest
   @EnumSource(SimulatedCluster.PartitionMode.class)
-  void aLeaderCutFromStateAndPeersIsReplacedAndComesBack(SimulatedCluster.PartitionMode mode) {
-    run(20_000);
-    int before = w.leader();
-    w.partitionController(before, mode, 20_000);
-    run(15_000);
-    assertNotEquals(before, w.leader());
-    assertTrue(w.leader() >= 0);
-    run(15_000);
-    assertTrue(w.isReady(before), "it is of use again");
+  void partitionedLeaderIsReplacedAndBecomesReadyAgain(SimulatedCluster.PartitionMode mode) {
+    advance(20_000);
+    int oldLeader = cluster.leader();
+    cluster.partitionController(oldLeader, mode, 20_000);
+    advance(15_000);
+    assertNotEquals(oldLeader, cluster.leader());
+    assertTrue(cluster.leader() >= 0);
+    advance(15_000);
+    assertTrue(cluster.isReady(oldLeader), "it is of use again");
   }
 
   @Test
-  void heldPacketsArriveInTheirOrderWhenTheCutEnds() {
+  void heldPacketsArriveInOrderWhenThePartitionEnds() {
     List<Integer> arrived = new ArrayList<>();
-    w.network.holdPackets("x", "y", true);
+    cluster.network.holdPackets("x", "y", true);
     for (int i = 0; i < 5; i++) {
-      int n = i;
-      w.network.request("x", "y", () -> arrived.add(n), () -> {});
+      int packet = i;
+      cluster.network.request("x", "y", () -> arrived.add(packet), () -> {});
     }
-    run(60_000);
+    advance(60_000);
     assertEquals(List.of(), arrived);
-    w.network.holdPackets("x", "y", false);
-    run(10);
+    cluster.network.holdPackets("x", "y", false);
+    advance(10);
     assertEquals(List.of(0, 1, 2, 3, 4), arrived);
   }
 
   @Test
-  void usersCancelManyJobsWithinAFifthOfASecondAndTheirMachinesHang() {
+  void runningJobsAreCancelledWithin200MsWhileTheirMachinesHang() {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      jobs.add(task(100));
-      w.submitAndPoll(jobs.get(i));
+      jobs.add(newJob(100));
+      cluster.submitAndPoll(jobs.get(i));
     }
-    run(40_000);
-    assertEquals(6, w.checker.running().size());
-    w.cancelRunning(5, 10_000);
-    run(250);
-    assertEquals(1, w.checker.running().size());
-    assertTrue(w.cloud.workers().stream().anyMatch(x -> !x.isHealthy()));
-    run(60_000);
-    assertEquals(List.of(), w.checker.broken());
+    advance(40_000);
+    assertEquals(6, cluster.checker.running().size());
+    cluster.cancelRunning(5, 10_000);
+    advance(250);
+    assertEquals(1, cluster.checker.running().size());
+    assertTrue(cluster.cloud.workers().stream().anyMatch(worker -> !worker.isHealthy()));
+    advance(60_000);
+    assertEquals(List.of(), cluster.checker.broken());
   }
 
   @Test
-  void jobsAreCancelledAtTheEndOfTheirLastTask() {
-    w.setCancelAtEndShare(1);
+  void jobsAreCancelledWhenTheirLastTaskEnds() {
+    cluster.setCancelAtEndShare(1);
     for (int i = 0; i < 20; i++) {
-      JobSpec spec = task(5);
-      w.clock.after(5_000 + i * 1_000, () -> w.submitAndPoll(spec));
+      JobSpec spec = newJob(5);
+      cluster.clock.after(5_000 + i * 1_000, () -> cluster.submitAndPoll(spec));
     }
-    run(100_000);
-    int done = w.checker.toldDone().size();
+    advance(100_000);
+    int done = cluster.checker.toldDone().size();
     assertTrue(done > 0 && done < 20, done + " done, the others were cancelled first");
-    assertEquals(List.of(), w.checker.broken());
+    assertEquals(List.of(), cluster.checker.broken());
   }
 }
