--- a/src/test/java/org/ploverspindle/JobSpecBuilder.java
+++ b/src/test/java/org/ploverspindle/JobSpecBuilder.java
@@ -8,9 +8,9 @@
 import org.ploverspindle.model.Priority;
 
 /**
- * Builds a job for a test, which names only the fields that it cares about. By default: one
- * independent task of one core for a second, of normal priority, allowed anywhere and on spot
- * machines, with no deadline, checkpoints or dependencies.
+ * Builds a job for a test, which sets only the fields that matter to it. By default a job has one
+ * independent task that takes one core for one second. It has normal priority, may run in any zone,
+ * on any machine type and on spot machines, and has no deadline, checkpoints or dependencies.
  */
 public final class JobSpecBuilder {
   private final String uid;
@@ -39,12 +39,12 @@
     this.uid = uid;
   }
 
-  /** A new job. */
+  /** Starts a job with the default values. */
   public static JobSpecBuilder job(String uid) {
     return new JobSpecBuilder(uid);
   }
 
-  /** A job that differs from this one in what is set next. */
+  /** Starts a job with the values of {@code spec}, of which some can then be replaced. */
   public static JobSpecBuilder from(JobSpec spec) {
     JobSpecBuilder builder = new JobSpecBuilder(spec.uid());
     builder.jobClass = spec.jobClass();
@@ -105,25 +105,25 @@
     return this;
   }
 
-  /** Only these machine types. */
+  /** Restricts the job to these machine types. */
   public JobSpecBuilder types(String... names) {
     types = Optional.of(List.of(names));
     return this;
   }
 
-  /** Only this zone; any if empty. */
+  /** Restricts the job to this zone; empty allows any. */
   public JobSpecBuilder zone(Optional<String> name) {
     zone = name;
     return this;
   }
 
-  /** All tasks in one zone, whichever it is. */
+  /** Whether all tasks must run in the same zone. */
   public JobSpecBuilder oneZone(boolean value) {
     oneZone = value;
     return this;
   }
 
-  /** At most half of the tasks in a zone. */
+  /** Whether at most half of the tasks may run in the same zone. */
   public JobSpecBuilder spreadOverZones(boolean value) {
     spreadOverZones = value;
     return this;
@@ -145,14 +145,14 @@
     return this;
   }
 
-  /** Each task saves its progress so often, which takes so long; 0 for never. */
+  /** Sets the interval and the duration of each task's checkpoints; an interval of 0: none. */
   public JobSpecBuilder checkpoints(double intervalS, double costS) {
     checkpointIntervalS = intervalS;
     checkpointCostS = costS;
     return this;
   }
 
-  /** Due so long after its acceptance; 0 for no deadline. */
+  /** Sets the deadline in seconds after acceptance; 0: no deadline. */
   public JobSpecBuilder deadlineS(double value) {
     deadlineS = value > 0 ? OptionalDouble.of(value) : OptionalDouble.empty();
     return this;
--- a/src/test/java/org/ploverspindle/JobSpecFixtures.java
+++ b/src/test/java/org/ploverspindle/JobSpecFixtures.java
@@ -4,11 +4,15 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 
-/** Jobs for tests that care about few of their fields. */
+/** Creates jobs for tests to which only a few fields matter. */
 public final class JobSpecFixtures {
   private JobSpecFixtures() {}
 
-  /** Independent tasks that may run anywhere, also on spot machines, and write no checkpoints. */
+  /**
+   * A batch job whose tasks may run anywhere, spot machines included, and write no checkpoints.
+   *
+   * @param deadlineS seconds after acceptance; 0: no deadline
+   */
   public static JobSpec batch(
       String uid,
       String jobClass,
@@ -31,12 +35,12 @@
         .build();
   }
 
-  /** The same job, but its tasks write checkpoints. */
+  /** A copy of the job whose tasks write checkpoints. */
   public static JobSpec withCheckpoints(JobSpec spec, double intervalS, double costS) {
     return JobSpecBuilder.from(spec).checkpoints(intervalS, costS).build();
   }
 
-  /** The same job, but it depends on others. */
+  /** A copy of the job that depends on the jobs with these uids. */
   public static JobSpec withDependencies(JobSpec spec, String... dependencies) {
     return JobSpecBuilder.from(spec).dependsOn(List.of(dependencies)).build();
   }
--- a/src/test/java/org/ploverspindle/NoOpHeartbeatListener.java
+++ b/src/test/java/org/ploverspindle/NoOpHeartbeatListener.java
@@ -8,9 +8,9 @@
 import org.ploverspindle.cluster.Placement;
 import org.ploverspindle.model.Term;
 
-/** For tests that do not ask what reports show. */
+/** Ignores what heartbeats show about tasks, for tests that do not check it. */
 public final class NoOpHeartbeatListener implements HeartbeatHandler.Listener {
-  /** Takes reports in for a leader that is sure of its lead and knows of no job. */
+  /** A heartbeat handler of a leader whose lease is valid and that knows no jobs. */
   public static HeartbeatHandler heartbeatHandler(MachineRegistry registry, Term term) {
     return new HeartbeatHandler(
         registry,
--- a/src/test/java/org/ploverspindle/NoOpLeaderNotifier.java
+++ b/src/test/java/org/ploverspindle/NoOpLeaderNotifier.java
@@ -4,7 +4,7 @@
 import org.ploverspindle.api.LeaderNotifier;
 import org.ploverspindle.state.StateStore.Change;
 
-/** Where nobody leads. */
+/** Drops all notifications, for tests without a leader. */
 public final class NoOpLeaderNotifier implements LeaderNotifier {
   @Override
   public void cancellationSent() {}
--- a/src/test/java/org/ploverspindle/sim/AgentEpochs.java
+++ b/src/test/java/org/ploverspindle/sim/AgentEpochs.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The agent epochs that workers were in at one time, to tell later whose lease has expired. */
+/** The epochs of workers at one time, to find out later whose worker lease has expired since. */
 final class AgentEpochs {
   private final Map<SimWorker, Long> initialEpochs = new HashMap<>();
 
@@ -16,7 +16,7 @@
     return initialEpochs.size();
   }
 
-  /** How many of the workers are in a later epoch by now. */
+  /** Number of workers that are in a later epoch now, as their lease has expired. */
   long expiredCount() {
     return initialEpochs.entrySet().stream()
         .filter(worker -> worker.getKey().agentEpoch() > worker.getValue())
--- a/src/test/java/org/ploverspindle/sim/RateLimiter.java
+++ b/src/test/java/org/ploverspindle/sim/RateLimiter.java
@@ -1,6 +1,9 @@
 package org.ploverspindle.sim;
 
-/** A published limit on a rate: what it allows, what it refused, and the most asked in a second. */
+/**
+ * A published rate limit, enforced by a token bucket. It also counts requests and refusals, and the
+ * highest amount requested within a second.
+ */
 final class RateLimiter {
   private final SimClock clock;
   private final double burstSeconds;
@@ -23,7 +26,7 @@
     this.tokens = maxTokens;
   }
 
-  /** From now on it allows this. */
+  /** Changes the allowed rate, and the burst in proportion. */
   void setRatePerSecond(double newRate) {
     ratePerSecond = newRate;
     maxTokens = newRate * burstSeconds;
@@ -50,7 +53,7 @@
     return requestCount;
   }
 
-  /** All that was asked for, refused or not. */
+  /** Total amount requested, including what was refused. */
   double requestedAmount() {
     return requestedAmount;
   }
--- a/src/test/java/org/ploverspindle/sim/SimAttempt.java
+++ b/src/test/java/org/ploverspindle/sim/SimAttempt.java
@@ -2,7 +2,7 @@
 
 import org.ploverspindle.cluster.Heartbeat;
 
-/** An attempt on a stand-in's machine, from its launch until it is forgotten. */
+/** An attempt on a simulated worker, from its launch command until the command to forget it. */
 final class SimAttempt {
   final String uid;
   final int task;
@@ -19,7 +19,7 @@
     this.attempt = attempt;
   }
 
-  /** Does it take its place by the rules: from the moment that it has its image? */
+  /** Whether its task executes: from the end of the image fetch until the attempt exits. */
   boolean isExecuting() {
     return phase == Heartbeat.Phase.RUNNING || phase == Heartbeat.Phase.CHECKPOINTING;
   }
--- a/src/test/java/org/ploverspindle/sim/SimClock.java
+++ b/src/test/java/org/ploverspindle/sim/SimClock.java
@@ -5,7 +5,10 @@
 import org.ploverspindle.eventloop.EventPriority;
 import org.ploverspindle.eventloop.Scheduler;
 
-/** Simulated time: one queue of events for the whole world, in a fixed order. */
+/**
+ * Simulated time: a single queue of events for the whole simulation. Events of the same time run in
+ * the order in which they were added, so that runs are repeatable.
+ */
 final class SimClock {
   private record Event(long atMs, long sequence, Runnable action) implements Comparable<Event> {
     @Override
@@ -37,7 +40,10 @@
     nowMs = endMs;
   }
 
-  /** One process's view: its own offset and drift, and an end after which nothing of it runs. */
+  /**
+   * The event loop of one process, with clocks of its own offset and rate. After {@link #kill}
+   * nothing of the process runs.
+   */
   final class Process implements Scheduler {
     private long clockOffsetMs;
     private final double clockRate;
@@ -51,12 +57,15 @@
       this.wallClockOffsetMs = wallClockOffsetMs;
     }
 
-    /** Nothing of it runs for a while, and its clock runs on; then all that is due runs. */
+    /**
+     * Runs nothing of the process for {@code durationMs}, while its clocks run on; events that are
+     * due in that time run at its end.
+     */
     void freeze(long durationMs) {
       frozenUntilMs = nowMs + durationMs;
     }
 
-    /** Its steady clock jumps by so much, also back. */
+    /** Moves the monotonic clock of the process by {@code byMs}, which may be negative. */
     void jumpClock(long byMs) {
       clockOffsetMs += byMs;
     }
--- a/src/test/java/org/ploverspindle/sim/SimCloud.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloud.java
@@ -18,7 +18,8 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * Stand-in for the cloud: claims that rent once, a lagging list, machines that boot or never do.
+ * The simulated cloud. Provisioning is idempotent by the name of the intent, the list of machines
+ * is out of date, and some machines never boot.
  */
 final class SimCloud {
   private static final class ProvisionedMachine {
@@ -45,7 +46,7 @@
 
   private final SimClock clock;
 
-  /** One machine in so many never comes up. */
+  /** One machine in this many never boots. */
   private static final int BOOT_FAILS_ONE_IN = 12;
 
   private final Random random;
@@ -85,10 +86,10 @@
   }
 
   private void recordList() {
-    List<Host> now = new ArrayList<>();
+    List<Host> hosts = new ArrayList<>();
     for (ProvisionedMachine machine : machines.values()) {
       double age = (clock.nowMs() - machine.provisionedMs) / 1000.0;
-      now.add(
+      hosts.add(
           new Host(
               machine.id,
               machine.id + ":9000",
@@ -98,7 +99,7 @@
               machine.status,
               age));
     }
-    pastLists.add(Map.entry(clock.nowMs(), now));
+    pastLists.add(Map.entry(clock.nowMs(), hosts));
     if (pastLists.size() > 4 * listLagMs / 500 + 4) {
       pastLists.remove(0);
     }
@@ -109,32 +110,32 @@
     isOutage = active;
   }
 
-  /** From now on no machine fails to come up. */
+  /** From now on every machine boots, unless its type has a boot time factor of 0. */
   void stopBootFailures() {
     bootFailuresStopped = true;
   }
 
-  /** From now on machines of the type take so many times as long to come up; 0: they never do. */
+  /** Multiplies the boot time of the type's machines from now on; with 0 they never boot. */
   void setBootTimeFactor(String type, double factor) {
     bootTimeFactors.put(type, factor);
   }
 
-  /** From now on requests for the type are malformed: the cloud has given it up. */
+  /** From now on rejects provisioning requests for the type as malformed, as if it was unknown. */
   void rejectType(String type) {
     rejectedTypes.add(type);
   }
 
-  /** Machines ever rented. */
+  /** Number of machines provisioned since the start of the run. */
   int provisionedCount() {
     return provisionedCount;
   }
 
-  /** Rentals refused for want of capacity. */
+  /** Number of provisioning requests refused for lack of capacity. */
   int capacityRefusals() {
     return capacityRefusals;
   }
 
-  /** False when a request is answered 503 or 429. */
+  /** Whether a request is served; otherwise it gets 503 (outage) or 429 (above the rate limit). */
   boolean admitsRequest() {
     return !isOutage && requestLimiter.tryAcquire(1);
   }
@@ -193,16 +194,16 @@
     }
   }
 
-  /** Refused for ever: a defect, not a fault to live with. */
+  /** Fails the run: the cloud would refuse the request on each retry, so it is a defect. */
   private static void checkMachineLimit(int requested, int limit) {
     if (requested > limit) {
       throw new IllegalStateException(
-          requested + " machines in a request, " + limit + " are allowed");
+          requested + " machines in one request, at most " + limit + " are allowed");
     }
   }
 
   /**
-   * @param by who asks for it
+   * @param controller name of the controller that requests it
    */
   void terminate(List<String> ids, String controller) {
     checkMachineLimit(ids.size(), MAX_MACHINES_PER_TERMINATION);
@@ -226,12 +227,12 @@
     }
   }
 
-  /** The cloud takes the machine back without notice. */
+  /** Takes a machine back without a spot notice. */
   void reclaim(String id) {
     remove(List.of(id));
   }
 
-  /** The machine stops by itself; the list tells it late. */
+  /** Stops a machine without a request; the list shows it as failed 10 s later. */
   void fail(String id) {
     ProvisionedMachine machine = machines.get(id);
     if (machine != null && machine.worker != null) {
--- a/src/test/java/org/ploverspindle/sim/SimDirectCommands.java
+++ b/src/test/java/org/ploverspindle/sim/SimDirectCommands.java
@@ -8,11 +8,11 @@
 import org.ploverspindle.cluster.WorkerClient;
 import org.ploverspindle.cluster.WorkerCommand;
 
-/** Direct commands: executed once, late, twice, or never, as the network has it. */
+/** Delivers direct commands over the simulated network: once, late, twice or never. */
 final class SimDirectCommands {
   private static final long TIMEOUT_MS = 1_500;
 
-  /** One command in so many is carried out again, much later. */
+  /** One message in this many is delivered a second time, 0.5 s to 40.5 s later. */
   private static final int DUPLICATED_ONE_IN = 6;
 
   private static final int MIN_DUPLICATE_DELAY_MS = 500;
@@ -32,12 +32,12 @@
     this.cloud = cloud;
   }
 
-  /** How many commands reached their machine after their sender had given up. */
+  /** Number of messages with commands that reached their worker after the sender's timeout. */
   int executedAfterTimeout() {
     return executedAfterTimeout;
   }
 
-  /** How many commands reached machines that reach no controller. */
+  /** Number of messages with commands that reached workers whose own requests are dropped. */
   int executedWithRequestsDropped() {
     return executedWithRequestsDropped;
   }
@@ -77,7 +77,7 @@
     }
   }
 
-  /** A copy of what was carried out comes late. */
+  /** Delivers the message a second time; the worker's response to it is ignored. */
   private void deliverDuplicate(SimWorker worker, CommandMessage message) {
     clock.after(
         MIN_DUPLICATE_DELAY_MS + random.nextInt(DUPLICATE_DELAY_RANGE_MS),
--- a/src/test/java/org/ploverspindle/sim/SimHeartbeatDelivery.java
+++ b/src/test/java/org/ploverspindle/sim/SimHeartbeatDelivery.java
@@ -16,16 +16,19 @@
 import org.ploverspindle.cluster.WorkerCommand;
 import org.ploverspindle.controller.Controller;
 
-/** Reports on their way from workers to controllers: once, late, or again, and their answers. */
+/** Delivers heartbeats to controllers, once, late or repeatedly, and the responses to workers. */
 final class SimHeartbeatDelivery {
   private static final int MAX_RETAINED = 400;
   private static final int MIN_COPY_DELAY_MS = 200;
   private static final int MIN_REPLAY_DELAY_MS = 2_000;
 
-  /** Kept reports reach a new leader just before or just after it knows that it leads. */
+  /**
+   * Retained heartbeats arrive within this time after the write that begins a term, that is,
+   * shortly before or after the new leader learns of its term.
+   */
   private static final int TERM_START_WINDOW_MS = 50;
 
-  /** Well over a lease, for each second of it. */
+  /** Random part of a copy's delay in milliseconds per second of the worker lease: four leases. */
   private static final double DELAY_RANGE_MS_PER_LEASE_S = 4_000;
 
   private static final int OK = 200;
@@ -45,17 +48,17 @@
     this.random = cluster.random;
   }
 
-  /** How many reports came again, to every controller. */
+  /** Number of heartbeats that were delivered again to every controller. */
   int replaysDelivered() {
     return replaysDelivered;
   }
 
-  /** How many old reports came to a controller that led. */
+  /** Number of repeated deliveries of heartbeats to a controller that was leading. */
   int replaysToLeader() {
     return replaysToLeader;
   }
 
-  /** How many attempts were ordered from a machine while it could not hear. */
+  /** Number of attempts whose launch was sent to the machine while it could not receive. */
   int undeliveredLaunches(String host) {
     return undeliveredLaunches.getOrDefault(host, Set.of()).size();
   }
@@ -85,7 +88,7 @@
         () -> {});
   }
 
-  /** From a moment to well over a lease later, to whichever node the packets were held for. */
+  /** Delivers a copy to a random controller, 0.2 s to about four worker leases later. */
   private void deliverDelayedCopy(byte[] body) {
     int controller = random.nextInt(cluster.controllerCount);
     cluster.clock.after(
@@ -97,7 +100,7 @@
         });
   }
 
-  /** What comes while the process stands still is read when it goes on. */
+  /** Delivers a heartbeat to a controller; a frozen process handles it when it resumes. */
   private void deliver(SimWorker worker, int controller, byte[] body, long requestId) {
     SimClock.Process process = cluster.process(controller);
     process.schedule(
@@ -124,12 +127,15 @@
     handlingNanos.recordValue(System.nanoTime() - startNanos);
   }
 
-  /** How long controllers took for reports on this machine: a measurement, of no effect. */
+  /**
+   * Time in nanoseconds that controllers took to handle heartbeats on the host that runs the test.
+   * It is only measured and does not influence the simulation.
+   */
   Histogram handlingNanos() {
     return handlingNanos;
   }
 
-  /** Of some reports a copy comes again; to whom it was on its way, and to all others. */
+  /** Draws whether a copy of the heartbeat is delivered again, to its addressee and all others. */
   private void scheduleReplay(byte[] body) {
     switch (cluster.network.drawReplay()) {
       case NONE -> {}
@@ -145,7 +151,7 @@
     }
   }
 
-  /** Some just before the new leader knows that it leads, some just after. */
+  /** Delivers the retained heartbeats to all controllers around the start of a term. */
   void deliverRetained() {
     List<byte[]> retained = List.copyOf(retainedHeartbeats);
     retainedHeartbeats.clear();
--- a/src/test/java/org/ploverspindle/sim/SimLink.java
+++ b/src/test/java/org/ploverspindle/sim/SimLink.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** One controller's way to the outside: requests over the simulated network, with timeouts. */
+/** Sends one controller's requests over the simulated network, with timeouts. */
 final class SimLink {
   private final SimClock clock;
   private final SimNetwork network;
@@ -28,7 +28,10 @@
     return process;
   }
 
-  /** Sends a request; whatever goes wrong ends in {@code none} at the timeout. */
+  /**
+   * Sends a request. {@code then} receives exactly one result: the response, or {@code
+   * timeoutResult} if none has arrived by the timeout.
+   */
   <T> void request(
       String target,
       long timeoutMs,
--- a/src/test/java/org/ploverspindle/sim/SimNetwork.java
+++ b/src/test/java/org/ploverspindle/sim/SimNetwork.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Who reaches whom, how long it takes, and what is lost or comes late. */
+/** The simulated network: delays, partitions, and lost, late and repeated messages. */
 final class SimNetwork {
   private static final int MAX_HELD_PACKETS = 16;
 
@@ -29,16 +29,16 @@
   private double replayShare;
   private boolean replaysAtNextTerm;
 
-  /** What becomes of a transaction. */
+  /** The outcome of a transaction. */
   enum WriteOutcome {
     ANSWERED,
-    /** Carried out after newer ones, and never answered. */
+    /** Executed after newer transactions, and never answered. */
     LATE_UNANSWERED,
-    /** Carried out at once, and never answered. */
+    /** Executed at once, and never answered. */
     UNANSWERED
   }
 
-  /** What becomes of a report, beside its arrival. */
+  /** Whether a heartbeat is delivered again, in addition to its regular delivery. */
   enum Replay {
     NONE,
     /** A copy reaches every controller later. */
@@ -52,12 +52,14 @@
     this.random = random;
   }
 
-  /** Part of what is sent to the state service and the cloud is executed late, its answer lost. */
+  /**
+   * Delivers this share of the requests 2.6 s to 10.6 s late, and loses this share of responses.
+   */
   void setLateRequestShare(double share) {
     lateRequestShare = share;
   }
 
-  /** What the host says arrives; what it is told does not. */
+  /** Drops all requests and responses to the host; those that it sends arrive. */
   void dropInbound(String host, boolean active) {
     if (active) {
       inboundDropped.add(host);
@@ -66,7 +68,7 @@
     }
   }
 
-  /** What the node answers does not arrive; what it asks is answered. */
+  /** Drops the responses that the controller sends; its own requests are still answered. */
   void dropResponsesFrom(String controller, boolean active) {
     if (active) {
       responsesDropped.add(controller);
@@ -79,22 +81,23 @@
     return !inboundDropped.contains(host);
   }
 
-  /** Part of the reports come a second time, late. */
+  /** A copy of this share of the heartbeats is delivered late to a random controller. */
   void setDelayedCopyShare(double share) {
     delayedCopyShare = share;
   }
 
   /**
-   * This share of the transactions gets no answer: "no response" must neither be taken for done nor
-   * for failed. {@code atOnce}: others read what the writer does not know to stand; otherwise it is
-   * carried out after newer ones, which it must not undo.
+   * This share of the transactions gets no response, which a controller must take neither for
+   * success nor for failure. If {@code immediate}, they are executed at once, and others read
+   * changes that the writer does not know to be durable. Otherwise they are executed after newer
+   * transactions, which they must not undo.
    */
   void setUnansweredWrites(double share, boolean immediate) {
     unansweredWriteShare = share;
     unansweredAreImmediate = immediate;
   }
 
-  /** This share of what controllers tell each other is lost. */
+  /** This share of the messages between controllers is lost. */
   void setLostPeerMessageShare(double share) {
     lostPeerMessageShare = share;
   }
@@ -111,8 +114,9 @@
   }
 
   /**
-   * Of this share of the reports a copy comes again, to every controller: what is old must not be
-   * believed. {@code forNext}: just as a leader begins who has heard nothing newer.
+   * A copy of this share of the heartbeats is delivered again to every controller, which must
+   * recognize it as out of date. If {@code atNextTerm}, it arrives when the next term starts, at a
+   * leader that has received nothing newer; otherwise after a random delay.
    */
   void setHeartbeatReplay(double share, boolean atNextTerm) {
     replayShare = share;
@@ -127,8 +131,9 @@
   }
 
   /**
-   * The machine opens no connection to any controller, so that its lease runs out, while direct
-   * commands reach it and are answered: what they show is no sign that it hears.
+   * Drops the requests that the machine sends, so that its worker lease expires, while direct
+   * commands still reach it and are answered. Such a response does not show that heartbeats are
+   * answered.
    */
   void dropRequestsFrom(String host, boolean active) {
     if (active) {
@@ -139,8 +144,8 @@
   }
 
   /**
-   * This share of the direct commands is held up for seconds and then carried out, while reports on
-   * connections of their own overtake them.
+   * This share of the direct commands is delayed by 1.6 s to 8.6 s and then executed, while
+   * heartbeats on connections of their own overtake them.
    */
   void setDelayedCommandShare(double share) {
     delayedCommandShare = share;
@@ -151,7 +156,7 @@
     return isDelayed ? 1_600 + random.nextInt(7_000) : 0;
   }
 
-  /** Each way to and from the host takes up to so long; 0: as ever. */
+  /** Adds up to {@code maxDelayMs} to the delay of messages to and from the host; 0: none. */
   void setMaxDelay(String host, int maxDelayMs) {
     maxDelays.put(host, maxDelayMs);
   }
@@ -166,10 +171,11 @@
   }
 
   /**
-   * Packets between the two are held back and delivered in order when that ends, long after their
-   * senders gave up. Only a few connections are open; what opens another one is lost.
+   * Holds packets between two hosts back, and delivers them in order when that ends, long after the
+   * timeouts of their senders. At most 16 are held, one for each open connection; later ones, which
+   * would need another connection, are lost.
    *
-   * @return how many packets are delivered now
+   * @return number of held packets that are delivered by this call
    */
   int holdPackets(String a, String b, boolean active) {
     if (active) {
@@ -216,8 +222,8 @@
   }
 
   /**
-   * Sends a request. Behind a cut it is held back: mostly lost, at times executed long after its
-   * sender gave up.
+   * Sends a request. During a network partition two of three requests are lost, and one is
+   * delivered 3 s to 63 s later, when its sender has timed out.
    */
   void request(String from, String to, Runnable deliver, Runnable onLoss) {
     long delay = delayMs(to);
@@ -238,7 +244,7 @@
     }
   }
 
-  /** Sends an answer; false when it can't arrive. */
+  /** Sends a response; returns whether it arrives without being held back or lost. */
   boolean respond(String from, String to, Runnable deliver) {
     if (!receives(to)
         || responsesDropped.contains(from)
--- a/src/test/java/org/ploverspindle/sim/SimPause.java
+++ b/src/test/java/org/ploverspindle/sim/SimPause.java
@@ -1,6 +1,6 @@
 package org.ploverspindle.sim;
 
-/** A machine that stands still at times: what waits for it, and how long its work takes then. */
+/** Pauses of a machine that hangs, which postpone and prolong the work that runs on it. */
 final class SimPause {
   private final SimClock clock;
   private long untilMs;
@@ -10,7 +10,7 @@
     this.clock = clock;
   }
 
-  /** Begins a pause, or lengthens the one that there is; a shorter one changes nothing. */
+  /** Begins a pause or extends the current one; has no effect if that one lasts longer. */
   void begin(long durationMs, Runnable onEnd) {
     long newUntilMs = clock.nowMs() + durationMs;
     if (newUntilMs <= untilMs) {
@@ -37,7 +37,7 @@
     return scheduledMs - Math.max(0, untilMs - clock.nowMs());
   }
 
-  /** After so much time in which the machine did not stand still. */
+  /** Runs the action after {@code activeMs} in which the machine was not paused. */
   void afterActiveTime(long activeMs, Runnable action) {
     long pausedBeforeMs = pausedMs();
     clock.after(
--- a/src/test/java/org/ploverspindle/sim/SimPeers.java
+++ b/src/test/java/org/ploverspindle/sim/SimPeers.java
@@ -4,7 +4,7 @@
 import org.ploverspindle.peers.PeerMessage;
 import org.ploverspindle.peers.Peers;
 
-/** Hints between controllers: each may be lost. */
+/** Sends messages between controllers over the simulated network; each may be lost. */
 final class SimPeers implements Peers {
   private final SimNetwork network;
   private final int self;
@@ -12,7 +12,7 @@
   private final BiConsumer<Integer, PeerMessage> deliver;
 
   /**
-   * @param deliver takes a record that reached the node with this number
+   * @param deliver receives the index of the controller that a message reached, and the message
    */
   SimPeers(
       SimNetwork network, int self, int controllerCount, BiConsumer<Integer, PeerMessage> deliver) {
--- a/src/test/java/org/ploverspindle/sim/SimStateAccess.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateAccess.java
@@ -12,8 +12,8 @@
 import org.ploverspindle.state.StateStore;
 
 /**
- * How all controllers reach the state service: refusals to single nodes, transactions whose answers
- * are lost or that are carried out late, and the counts of those.
+ * The clients by which all controllers reach the simulated state service. They refuse requests of
+ * single controllers, lose responses to transactions, execute transactions late, and count these.
  */
 final class SimStateAccess {
   static final String STATE = "state";
@@ -22,7 +22,7 @@
   private static final int MIN_LATE_WRITE_DELAY_MS = 2_000;
   private static final int LATE_WRITE_DELAY_RANGE_MS = 10_000;
 
-  /** Small pages where there is little to read, so that changes come between them. */
+  /** Page size for small deployments, so that changes also occur between pages of a short list. */
   private static final int SMALL_PAGE_SIZE = 7;
 
   private record RefusedRequests(RequestKind kind, int controller) {}
@@ -34,7 +34,7 @@
   private final boolean smallPages;
   private final Set<RefusedRequests> refusals = new HashSet<>();
   private final Map<Integer, Long> executedWrites = new HashMap<>();
-  private Consumer<StateStore.Transaction> sendListener = txn -> {};
+  private Consumer<StateStore.Transaction> sendListener = transaction -> {};
   private int unansweredWrites;
   private int reorderedWrites;
 
@@ -47,7 +47,7 @@
     this.smallPages = smallPages;
   }
 
-  /** From now on the state service refuses such requests of the node, or serves them again. */
+  /** From now on refuses requests of this kind from the controller, or serves them again. */
   void setRefused(int controller, RequestKind kind, boolean active) {
     if (active) {
       refusals.add(new RefusedRequests(kind, controller));
@@ -56,17 +56,17 @@
     }
   }
 
-  /** To be told of every transaction as it is sent, before its fate is drawn. */
+  /** Sets the listener for transactions; it is called on sending, before the outcome is drawn. */
   void onTransactionSent(Consumer<StateStore.Transaction> listener) {
     sendListener = listener;
   }
 
-  /** How many transactions stand whose answers were lost. */
+  /** Number of transactions that were committed and got no response. */
   int unansweredWrites() {
     return unansweredWrites;
   }
 
-  /** Unanswered transactions that were carried out after newer ones of the same controller. */
+  /** Number of unanswered transactions executed after newer ones of the same controller. */
   int reorderedWrites() {
     return reorderedWrites;
   }
@@ -98,7 +98,7 @@
       return state.admitsRequest() && !refusals.contains(new RefusedRequests(kind, controller));
     }
 
-    /** Nobody hears what becomes of it. */
+    /** Executes a transaction after a delay; the sender gets no response and times out. */
     private void executeUnanswered(
         Transaction transaction, long delayMs, Consumer<TransactionResult> then) {
       long executedBefore = executedWrites.getOrDefault(controller, 0L);
--- a/src/test/java/org/ploverspindle/sim/SimStateStore.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateStore.java
@@ -22,7 +22,10 @@
 import org.ploverspindle.state.StateStore.Transaction;
 import org.ploverspindle.state.StateStore.TransactionResult;
 
-/** Stand-in for the state service, by its published protocol; faults are the network's business. */
+/**
+ * The simulated state service, which follows the published protocol. Lost and late messages are
+ * simulated by {@link SimNetwork}.
+ */
 final class SimStateStore {
   private record StoredValue(JsonNode value, long modRevision, Optional<Long> lease) {}
 
@@ -43,7 +46,7 @@
   private long nextLease = 1;
   private boolean isOutage;
   private Runnable termListener = () -> {};
-  private Consumer<Transaction> writeListener = txn -> {};
+  private Consumer<Transaction> writeListener = transaction -> {};
   private String lostPrefix = "";
 
   SimStateStore(SimClock clock, Settings.StateLimits limits) {
@@ -53,17 +56,17 @@
     this.changeLimiter = new RateLimiter(clock, limits.changesPerS(), 1);
   }
 
-  /** To be run whenever a controller comes to lead, at the moment of the write that makes it so. */
+  /** Sets the listener that runs with each write that makes a controller the leader of a term. */
   void onTermStart(Runnable listener) {
     termListener = listener;
   }
 
-  /** To be told of every transaction that is carried out and changes something. */
+  /** Sets the listener for committed transactions that have changes. */
   void onWrite(Consumer<Transaction> listener) {
     writeListener = listener;
   }
 
-  /** A planted fault: what is put under the prefix is acknowledged and not kept. */
+  /** Injects a fault: changes of keys with this prefix are acknowledged and not executed. */
   void loseWritesUnder(String prefix) {
     lostPrefix = prefix;
   }
@@ -72,12 +75,12 @@
     return !lostPrefix.isEmpty() && key.startsWith(lostPrefix);
   }
 
-  /** How many transactions were refused for their size. */
+  /** Number of transactions that were refused because they exceeded the limits. */
   int refusedAsTooLarge() {
     return refusedAsTooLarge;
   }
 
-  /** How many pages of keys were read. */
+  /** Number of pages of keys that were read. */
   int pagesRead() {
     return pagesRead;
   }
@@ -86,26 +89,26 @@
     return valuesByKey.containsKey(key);
   }
 
-  /** How many keys there are of this prefix; no request. */
+  /** Number of keys with this prefix; does not count as a request. */
   int keyCount(String prefix) {
     return valuesByKey.subMap(prefix, prefix + Character.MAX_VALUE).size();
   }
 
-  /** The names and the values of the prefix's keys in JSON form; no request. */
+  /** Size of the keys with this prefix and their values in JSON; does not count as a request. */
   long sizeInBytes(String prefix) {
     return valuesByKey.subMap(prefix, prefix + Character.MAX_VALUE).entrySet().stream()
         .mapToLong(entry -> entry.getKey().length() + Cbor.jsonSize(entry.getValue().value()))
         .sum();
   }
 
-  /** This stood there before the run began, and cost nothing of its rates. */
+  /** Stores a value as if it was written before the run; does not count against the rate limits. */
   void preload(String key, JsonNode value) {
     revision++;
     valuesByKey.put(key, new StoredValue(value.deepCopy(), revision, Optional.empty()));
     history.add(new ChangedEntry(key, Optional.of(value.deepCopy()), revision));
   }
 
-  /** From now on these are the limits; nobody is told. */
+  /** Changes the limits from now on, without notice to the controllers. */
   void setLimits(Settings.StateLimits newLimits) {
     limits = newLimits;
     limitsChanged = true;
@@ -113,14 +116,14 @@
     changeLimiter.setRatePerSecond(newLimits.changesPerS());
   }
 
-  /** False when a request is answered 503 or 429. */
+  /** Whether a request is served; otherwise it gets 503 (outage) or 429 (above the rate limit). */
   boolean admitsRequest() {
     return !isOutage && requestLimiter.tryAcquire(1);
   }
 
   void setOutage(boolean active) {
     if (isOutage && !active) {
-      // After an outage every hold has its full time again.
+      // After an outage every lease has its full time to live again.
       leaseEndsMs.replaceAll((lease, endMs) -> clock.nowMs() + leaseTtlsMs.get(lease));
       leaseEndsMs.keySet().forEach(this::scheduleExpiry);
     }
@@ -175,9 +178,10 @@
   }
 
   /**
-   * A transaction beyond the limits would be refused for ever: a defect, not a fault to live with,
-   * unless the limits fell in this run. Then it is refused, as the service does. Limits that are
-   * announced count from the start on, as nobody is told of the moment.
+   * Whether the transaction is within the limits. One that is not would be refused on each retry:
+   * it is a defect and fails the run. Only if the limits were changed during the run is it refused,
+   * as by the real service. Announced lower limits apply from the start, since controllers are not
+   * told when they take effect.
    */
   private boolean fitsLimits(Transaction transaction) {
     Settings.StateLimits lowest = limits.lowest();
@@ -193,7 +197,8 @@
         || bytes > 64 * 1024
         || !valuesFit) {
       if (!limitsChanged) {
-        throw new IllegalStateException("a transaction is beyond the limits: " + transaction);
+        throw new IllegalStateException(
+            "transaction exceeds the limits of the state service: " + transaction);
       }
       refusedAsTooLarge++;
       return false;
@@ -294,13 +299,13 @@
     return new ChangesResult.Changes(revision, newer);
   }
 
-  /** The member that holds the lead, or an empty text. */
+  /** Name of the controller that has the leadership, or an empty text. */
   String leaderName() {
     StoredValue stored = valuesByKey.get(Keys.LEADER);
     return stored == null ? "" : stored.value().path("member").asText();
   }
 
-  /** The last token of the last term, or 0. */
+  /** The highest fencing token of the latest term, or 0 before the first term. */
   long highestFencingToken() {
     StoredValue stored = valuesByKey.get(Keys.TOKEN);
     return stored == null ? 0 : stored.value().path("n").asLong();
--- a/src/test/java/org/ploverspindle/sim/SimUsers.java
+++ b/src/test/java/org/ploverspindle/sim/SimUsers.java
@@ -15,14 +15,14 @@
 import org.ploverspindle.controller.Controller;
 import org.ploverspindle.model.JobSpec;
 
-/** Users who submit, ask and cancel at any node; the checker hears every answer. */
+/** Users who submit, poll and cancel at any controller; the checker verifies every response. */
 final class SimUsers {
   private static final int OK = 200;
   private static final int CREATED = 201;
   private static final int MAX_SUBMISSION_RETRIES = 40;
   private static final int MAX_CANCELLATION_RETRIES = 30;
 
-  /** A user whose job is accepted may submit it once more, with no further tries. */
+  /** Retry count of a repeated submission; it is above the maximum, so that it is not retried. */
   private static final int NO_MORE_RETRIES = 100;
 
   private static final int RESUBMITTED_ONE_IN = 6;
@@ -31,7 +31,7 @@
   private static final int RETRY_DELAY_RANGE_MS = 2_000;
   private static final int POLL_INTERVAL_MS = 2_500;
 
-  /** Of the users whose job is over, one in so many stops asking at each poll. */
+  /** After each poll, one in this many of the users whose job is over stops polling. */
   private static final int STOPS_POLLING_ONE_IN = 4;
 
   private static final int CANCELLATION_WINDOW_MS = 200;
@@ -52,7 +52,7 @@
   private int jobCounter;
 
   /**
-   * @param specs what was submitted, which workers know as well
+   * @param specs all submitted jobs by uid; shared with the simulated workers
    */
   SimUsers(SimulatedCluster cluster, Map<String, JobSpec> specs) {
     this.cluster = cluster;
@@ -65,12 +65,12 @@
     return String.format(Locale.ROOT, "run-%06d", jobCounter++);
   }
 
-  /** How often users were answered with this status. */
+  /** Number of responses with this status that users received. */
   int responseCount(int status) {
     return responseCounts.getOrDefault(status, 0);
   }
 
-  /** A user who submits until an answer is final, then polls until the job is over. */
+  /** Adds a user who submits until the job is accepted, and then polls until it is over. */
   void submitAndPoll(JobSpec spec) {
     cluster.checker.submitted(spec);
     specs.put(spec.uid(), spec);
@@ -78,10 +78,11 @@
   }
 
   /**
-   * That many jobs that run are cancelled, all within a fifth of a second, and up to eight of their
-   * machines then hang: their stops wait there, and nothing of them may go on too late.
+   * Cancels this many running jobs within 200 ms, while up to eight of their machines begin to
+   * hang. The stop commands wait on these machines, and no task may resume after the cancellation
+   * delay.
    *
-   * @param hangMs how long the machines hang; 0: none does
+   * @param hangDurationMs how long the machines hang; 0: none hangs
    */
   void cancelRunning(int count, long hangDurationMs) {
     List<String> running = new ArrayList<>(cluster.checker.running());
@@ -103,17 +104,17 @@
   }
 
   /**
-   * That share of the jobs is cancelled just as the last task ends, or while that is being
-   * recorded: done and cancelled exclude each other, whichever comes first.
+   * This share of the jobs is cancelled when their last task ends, or within 2.5 s, while the
+   * completion is being recorded. A job must end either as done or as aborted, never as both.
    */
   void setCancelAtEndShare(double share) {
     cancelAtEndShare = share;
   }
 
   /**
-   * From now on users ask at every node within milliseconds after a job was accepted, ended or was
-   * confirmed as cancelled, and repeat the submission, and some cancel: no node may lag behind what
-   * another one acknowledged.
+   * From now on, within 12 ms after a job was accepted, ended or confirmed as cancelled, users
+   * query it and repeat its submission at every controller, and some cancel it. No controller's
+   * response may be older than what another controller has acknowledged.
    */
   void setRequestBursts(boolean active) {
     sendsBursts = active;
@@ -128,7 +129,7 @@
     sendRequestBurst(uid, "ended");
   }
 
-  /** Once for each thing that happens to a job; what these users hear makes nobody look again. */
+  /** Sends a burst once for each event of a job; responses to it that show the event cause none. */
   private void sendRequestBurst(String uid, String event) {
     if (!sendsBursts || !specs.containsKey(uid) || !burstsSent.add(uid + " " + event)) {
       return;
@@ -147,20 +148,20 @@
     }
   }
 
-  /** A single question at the node; whatever comes back is checked. */
+  /** Sends a single query to the controller; its response is checked. */
   void queryAt(int controller, String uid) {
     sendTo(
         controller,
         target -> target.poll(uid, checkedResponse(uid, false, controller, response -> {})));
   }
 
-  /** A single submission at the node; whatever comes back is checked. */
+  /** Sends a single submission to the controller; its response is checked. */
   void submitAt(int controller, String uid, byte[] body) {
     Consumer<ApiResponse> then = checkedResponse(uid, true, controller, response -> {});
     sendTo(controller, target -> target.submit(body, then));
   }
 
-  /** A single cancellation at the node; whatever comes back is checked. */
+  /** Sends a single cancellation to the controller; its response is checked. */
   void cancelAt(int controller, String uid, Consumer<ApiResponse> then) {
     Consumer<ApiResponse> checked = checkedResponse(uid, false, controller, then);
     sendTo(controller, target -> target.cancel(uid, checked));
--- a/src/test/java/org/ploverspindle/sim/SimWireCodec.java
+++ b/src/test/java/org/ploverspindle/sim/SimWireCodec.java
@@ -12,7 +12,7 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.net.Cbor;
 
-/** The wire's names as workers and users write and read them. */
+/** Encodes and decodes messages as workers and users do, under the names of the protocol. */
 final class SimWireCodec {
   private SimWireCodec() {}
 
--- a/src/test/java/org/ploverspindle/sim/SimWorker.java
+++ b/src/test/java/org/ploverspindle/sim/SimWorker.java
@@ -12,14 +12,14 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.settings.Settings;
 
-/** Stand-in for a worker, by the protocol: sessions, leases, tokens, and one report in flight. */
+/** A simulated worker; it follows the protocol and has at most one heartbeat in flight. */
 final class SimWorker {
-  /** Jobs of this class were submitted with a mistake: they fail on every machine. */
+  /** Jobs of this class are defective: their tasks fail on every machine. */
   static final String FAILING_CLASS = "broken";
 
-  /** How a worker gets a report to a node; the answer may never come. */
+  /** Sends a heartbeat of a worker to a controller; there may be no response. */
   interface HeartbeatSender {
-    void send(SimWorker from, int node, Heartbeat report, long serial);
+    void send(SimWorker worker, int controller, Heartbeat heartbeat, long requestId);
   }
 
   private static final long RESPONSE_TIMEOUT_MS = 4_000;
@@ -82,7 +82,7 @@
     return place.zone();
   }
 
-  /** Its sessions so far: one more with each lease that ran out. */
+  /** The worker epoch: starts at 1 and grows by one each time the worker lease expires. */
   long agentEpoch() {
     return agentEpoch;
   }
@@ -95,13 +95,13 @@
     hasSpotNotice = true;
   }
 
-  /** The machine is gone, with all on it. */
+  /** Ends the machine and all tasks on it. */
   void terminate() {
     isTerminated = true;
     killTasks();
   }
 
-  /** Is there an attempt on it that has not ended, and its lease not over? */
+  /** Whether its worker lease is valid and an attempt on it has not exited. */
   boolean hasTasks() {
     return !isTerminated
         && !isLeaseExpired()
@@ -120,15 +120,15 @@
     return place.host() + ":9000";
   }
 
-  /** Neither sick nor about to be taken, and it goes on: what is asked of it, it can do. */
+  /** Whether it can execute commands: it neither fails tasks nor hangs, and has no spot notice. */
   boolean isHealthy() {
     return !isTerminated && !isFailing && !hasSpotNotice && !pause.isActive();
   }
 
   /**
-   * The machine stands still: its tasks do not progress, it reports nothing, and what reaches it
-   * waits. It may go on at any time within its lease, and then do what it was told before others
-   * were told otherwise.
+   * Makes the machine unresponsive: tasks make no progress, no heartbeats are sent, and messages to
+   * it wait. If it resumes within its lease, it executes commands that it received before, although
+   * the controller may have decided otherwise since.
    */
   void hang(long durationMs) {
     if (!isTerminated) {
@@ -136,7 +136,7 @@
     }
   }
 
-  /** First of all that waited: a lease that ran out meanwhile ends everything. */
+  /** Runs before all that waited for the end of the pause: an expired lease ends all tasks. */
   private void resume() {
     if (isTerminated || pause.isActive()) {
       return;
@@ -149,7 +149,7 @@
     }
   }
 
-  /** Commands that come straight here; the answer is the report after them. */
+  /** Executes direct commands and responds with the heartbeat that results from them. */
   void executeDirect(
       long token,
       long workerEpoch,
@@ -192,7 +192,7 @@
           if (!pause.isActive()) {
             checkLease();
           } else if (isLeaseExpired()) {
-            // It can't go on with them: from now on they may run elsewhere.
+            // The tasks can't resume after the pause: from now on they may run elsewhere.
             attempts.values().forEach(this::notifyStopped);
           }
           scheduleLeaseCheck();
@@ -279,7 +279,7 @@
     }
   }
 
-  /** Takes a response to a heartbeat; the controller sent its commands at {@code sentMs}. */
+  /** Handles a response to a heartbeat; the controller sent its commands at {@code sentMs}. */
   void handleResponse(long requestId, long token, List<WorkerCommand> commands, long sentMs) {
     pause.runAfterPause(() -> takeResponse(requestId, token, commands, sentMs));
   }
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -21,16 +21,16 @@
 import org.ploverspindle.state.StateStore;
 
 /**
- * Controllers as they really decide, among stand-ins for all else, in simulated time. It starts and
- * ends their processes and brings faults about; what goes between the parts is in {@link
- * SimStateAccess}, {@link SimCloudClient}, {@link SimDirectCommands}, {@link SimPeers}, {@link
- * SimHeartbeatDelivery} and {@link SimUsers}.
+ * Runs the real controllers in simulated time, with simulations of everything else. It starts and
+ * ends their processes and injects faults. The communication between the parts is simulated by
+ * {@link SimStateAccess}, {@link SimCloudClient}, {@link SimDirectCommands}, {@link SimPeers},
+ * {@link SimHeartbeatDelivery} and {@link SimUsers}.
  */
 final class SimulatedCluster {
   static final String STATE = SimStateAccess.STATE;
   static final String CLOUD = SimCloudClient.CLOUD;
 
-  /** Below so many machines the state service's pages are small. */
+  /** With a capacity below this many machines, the state service returns small pages. */
   private static final int SMALL_DEPLOYMENT = 100;
 
   private static final int SMALL_MACHINE_CORES = 4;
@@ -56,22 +56,22 @@
   final SimUsers users;
   private final InvalidRequests invalidRequests;
 
-  /** How a controller loses the state service, its other controllers beside. */
+  /** How a controller that is partitioned from the others also loses the state service. */
   enum PartitionMode {
-    /** What is sent is held back, and delivered when the cut ends. */
+    /** Packets are held back, and delivered when the partition ends. */
     HOLD_PACKETS,
-    /** The state service answers it 503, to reads, writes and leases. */
+    /** The state service responds 503 to its reads, writes and lease requests. */
     REFUSE_REQUESTS
   }
 
-  /** What the state service may refuse to one node alone. */
+  /** Requests that the state service may refuse to a single controller. */
   enum RequestKind {
     READS,
     WRITES,
     LEASES
   }
 
-  /** A deployment's size and times. */
+  /** Size, intervals and limits of a deployment. */
   record Deployment(
       int controllerCount,
       int capacity,
@@ -81,7 +81,7 @@
       Settings.CloudLimits cloud,
       List<Settings.Team> teams,
       Policy policy) {
-    /** Small and quick, with short leases: many troubles fit into few seconds. */
+    /** A small deployment with short leases, so that many faults fit into a short run. */
     static Deployment small(int controllerCount, int capacity, List<String> zones) {
       return new Deployment(
           controllerCount,
@@ -174,7 +174,7 @@
         new Settings.Quota(1, 200, 500));
   }
 
-  // ---- nodes
+  // ---- controllers
 
   private void startController(int index) {
     SimClock.Process process =
@@ -214,7 +214,7 @@
     return processes.get(index);
   }
 
-  /** The node that leads, or -1. */
+  /** Index of the first controller that believes it is the leader, or -1. */
   int leader() {
     for (int i = 0; i < controllerCount; i++) {
       if (isAlive(i) && controllers.get(i).isLeading()) {
@@ -224,12 +224,12 @@
     return -1;
   }
 
-  /** Does the node believe that it leads? Cut off, it may do so beside another one. */
+  /** Whether the controller believes it is the leader; if partitioned, another may as well. */
   boolean isLeading(int index) {
     return isAlive(index) && controllers.get(index).isLeading();
   }
 
-  /** How many terms there have been. */
+  /** Number of terms so far, by the highest fencing token. */
   long termCount() {
     return (state.highestFencingToken() + Term.TOKENS_PER_TERM - 1) / Term.TOKENS_PER_TERM;
   }
@@ -238,12 +238,12 @@
     return isAlive(index) && controllers.get(index).isReady();
   }
 
-  /** What the node answers to a question about the job, put to it at this moment. */
+  /** Queries a job at the controller directly, without the network. */
   void query(int index, String uid, Consumer<ApiResponse> then) {
     controllers.get(index).poll(uid, then);
   }
 
-  /** Does the node's replica show the job as cancelled? Asking changes nothing there. */
+  /** Whether the controller's replica shows the job as cancelled; reading it has no side effect. */
   boolean showsCancelled(int index, String uid) {
     String[] text = {""};
     controllers
@@ -268,8 +268,8 @@
   }
 
   /**
-   * For a while the node reaches neither the state service nor the other controllers, while workers
-   * and users reach it: it can't tell that from an outage, and must not lead for long.
+   * Cuts a controller off from the state service and the other controllers, while workers and users
+   * still reach it. It can't tell that from an outage, and must give up leadership soon.
    */
   void partitionController(int controller, PartitionMode mode, long durationMs) {
     setPartitioned(controller, mode, true);
@@ -289,17 +289,17 @@
     }
   }
 
-  /** From now on the state service refuses such requests of the node, or serves them again. */
+  /** From now on the state service refuses these requests of the controller, or serves them. */
   void setRefused(int controller, RequestKind kind, boolean active) {
     stateAccess.setRefused(controller, kind, active);
   }
 
-  /** To be told of every transaction as it is sent, before it is known what becomes of it. */
+  /** Sets the listener for transactions; it is called on sending, before the outcome is known. */
   void onTransactionSent(Consumer<StateStore.Transaction> listener) {
     stateAccess.onTransactionSent(listener);
   }
 
-  /** From now on all that was broken works again; what users ask is to be answered. */
+  /** Tells the checker that all faults have ended, so that requests of users must be answered. */
   void faultsEnded() {
     checker.troublesAreOver();
   }
@@ -336,7 +336,7 @@
     return users.newUid();
   }
 
-  /** A user who submits until an answer is final, then polls until the job is over. */
+  /** Adds a user who submits until the job is accepted, and then polls until it is over. */
   void submitAndPoll(JobSpec spec) {
     users.submitAndPoll(spec);
   }
@@ -381,7 +381,7 @@
     users.setRequestBursts(active);
   }
 
-  /** From now on users send what is late, needless or wrong, to all nodes. */
+  /** From now on users send late, redundant and invalid requests to all controllers. */
   void setInvalidRequests(boolean active) {
     invalidRequests.play(active);
   }
--- a/src/test/java/org/ploverspindle/sim/SimulatorTest.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatorTest.java
@@ -15,16 +15,19 @@
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.state.StateStore;
 
-/** The stand-ins' troubles are what they are called: a trouble that does nothing tests nothing. */
+/**
+ * Simulated faults have the effect that their names state. A fault without an effect would let the
+ * tests that inject it pass without testing anything.
+ */
 class SimulatorTest {
   private final SimulatedCluster cluster = new SimulatedCluster(1, 3, 14, List.of("a"));
 
-  /** A job of one task, and the machine that it has been on for a moment. */
+  /** Submits a job of one task and returns its worker, within 10 ms after the task started. */
   private SimWorker submitAndAwaitStart(JobSpec spec) {
     cluster.clock.after(5_000, () -> cluster.submitAndPoll(spec));
     while (cluster.checker.hostsOf(spec.uid()).isEmpty()
         || cluster.checker.begunMs(spec.uid()) < 0) {
-      assertTrue(cluster.clock.nowMs() < 60_000, "it begins");
+      assertTrue(cluster.clock.nowMs() < 60_000, "task did not start within 60 s");
       cluster.clock.runUntil(cluster.clock.nowMs() + 10);
     }
     String host = cluster.checker.hostsOf(spec.uid()).get(0);
@@ -73,9 +76,11 @@
     SimWorker machine = submitAndAwaitStart(spec);
     machine.hang(30_000);
     advance(15_000);
-    assertFalse(cluster.checker.hostsOf(spec.uid()).contains(machine.host()), "its lease is over");
+    assertFalse(
+        cluster.checker.hostsOf(spec.uid()).contains(machine.host()),
+        "task still counts as running after its worker lease expired");
     advance(100_000);
-    assertTrue(cluster.checker.isDone(spec.uid()), "it ran elsewhere");
+    assertTrue(cluster.checker.isDone(spec.uid()), "task did not complete on another machine");
     assertEquals(List.of(), cluster.checker.broken());
   }
 
@@ -104,9 +109,11 @@
             ? result.changes().stream().filter(change -> concerns(change, spec)).count()
             : -1;
     assertEquals(immediate ? 1 : 0, changesAfter500Ms);
-    assertTrue(cluster.checker.unfinished().isEmpty(), "nobody was told");
+    assertTrue(
+        cluster.checker.unfinished().isEmpty(),
+        "a user got a response although all of them are lost");
     cluster.network.setUnansweredWrites(0, false);
-    // Up to 12 s until it stands; then a repeat, a boot, the run and a question.
+    // The write is executed within 12 s; then follow a retry, a machine's boot, the run and a poll.
     advance(60_000);
     assertEquals(List.of(spec.uid()), cluster.checker.toldDone());
   }
@@ -125,7 +132,7 @@
     assertNotEquals(oldLeader, cluster.leader());
     assertTrue(cluster.leader() >= 0);
     advance(15_000);
-    assertTrue(cluster.isReady(oldLeader), "it is of use again");
+    assertTrue(cluster.isReady(oldLeader), "controller is not ready after the partition ended");
   }
 
   @Test
@@ -169,7 +176,7 @@
     }
     advance(100_000);
     int done = cluster.checker.toldDone().size();
-    assertTrue(done > 0 && done < 20, done + " done, the others were cancelled first");
+    assertTrue(done > 0 && done < 20, done + " jobs done; expected some done and some cancelled");
     assertEquals(List.of(), cluster.checker.broken());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/StubStateStore.java
+++ b/src/test/java/org/ploverspindle/sim/StubStateStore.java
@@ -5,8 +5,8 @@
 import org.ploverspindle.state.StateStore;
 
 /**
- * A process's way to the state service for tests of the progress writer alone: reads always
- * succeed, there are no leases, and what becomes of a transaction is for the test to say.
+ * A client of the simulated state service for tests of the progress writer alone. Reads always
+ * succeed, there are no leases, and each test defines the outcome of transactions.
  */
 abstract class StubStateStore implements StateStore {
   private static final long READ_DELAY_MS = 2;
