--- a/src/test/java/org/ploverspindle/placement/PreemptionTest.java
+++ b/src/test/java/org/ploverspindle/placement/PreemptionTest.java
@@ -64,7 +64,7 @@
   }
 
   private static HeartbeatHandler heartbeatHandler(MachineRegistry fleet) {
-    return NoOpHeartbeatListener.reportHandler(fleet, TERM);
+    return NoOpHeartbeatListener.heartbeatHandler(fleet, TERM);
   }
 
   /**
--- a/src/test/java/org/ploverspindle/sim/AgentEpochs.java
+++ b/src/test/java/org/ploverspindle/sim/AgentEpochs.java
@@ -4,21 +4,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** The agent epochs that workers were in at one time, to tell later whose lease has expired. */
+/** The epochs of workers at one time, to find out later whose worker lease has expired since. */
 final class AgentEpochs {
-  private final Map<SimWorker, Long> before = new HashMap<>();
+  private final Map<SimWorker, Long> initialEpochs = new HashMap<>();
 
   AgentEpochs(List<SimWorker> workers) {
-    workers.forEach(worker -> before.put(worker, worker.agentEpoch()));
+    workers.forEach(worker -> initialEpochs.put(worker, worker.agentEpoch()));
   }
 
-  int workers() {
-    return before.size();
+  int workerCount() {
+    return initialEpochs.size();
   }
 
-  /** How many of the workers are in a later epoch by now. */
-  long ended() {
-    return before.entrySet().stream()
+  /** Number of workers that are in a later epoch now, as their lease has expired. */
+  long expiredCount() {
+    return initialEpochs.entrySet().stream()
         .filter(worker -> worker.getKey().agentEpoch() > worker.getValue())
         .count();
   }
--- a/src/test/java/org/ploverspindle/sim/SimNetwork.java
+++ b/src/test/java/org/ploverspindle/sim/SimNetwork.java
@@ -8,43 +8,43 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Who reaches whom, how long it takes, and what is lost or comes late. */
+/** The simulated network: delays, partitions, and lost, late and repeated messages. */
 final class SimNetwork {
-  private static final int MOST_HELD = 16;
+  private static final int MAX_HELD_PACKETS = 16;
 
   private final SimClock clock;
   private final Random random;
-  private final Set<String> cut = new HashSet<>();
-  private final Set<String> deaf = new HashSet<>();
-  private final Set<String> mute = new HashSet<>();
-  private final Set<String> machineMute = new HashSet<>();
-  private final Map<String, List<Runnable>> held = new HashMap<>();
-  private final Map<String, Integer> slow = new HashMap<>();
-  private double lateShare;
-  private double heldCommands;
-  private double copyShare;
-  private double lateWrites;
-  private double lostHints;
-  private boolean writesAtOnce;
-  private double lateReports;
-  private boolean reportsForNext;
-
-  /** What becomes of a transaction. */
-  enum WriteFate {
+  private final Set<String> partitionedPairs = new HashSet<>();
+  private final Set<String> inboundDropped = new HashSet<>();
+  private final Set<String> responsesDropped = new HashSet<>();
+  private final Set<String> requestsDropped = new HashSet<>();
+  private final Map<String, List<Runnable>> heldPackets = new HashMap<>();
+  private final Map<String, Integer> maxDelays = new HashMap<>();
+  private double lateRequestShare;
+  private double delayedCommandShare;
+  private double delayedCopyShare;
+  private double unansweredWriteShare;
+  private double lostPeerMessageShare;
+  private boolean unansweredAreImmediate;
+  private double replayShare;
+  private boolean replaysAtNextTerm;
+
+  /** The outcome of a transaction. */
+  enum WriteOutcome {
     ANSWERED,
-    /** Carried out after newer ones, and never answered. */
-    LATE,
-    /** Carried out at once, and never answered. */
+    /** Executed after newer transactions, and never answered. */
+    LATE_UNANSWERED,
+    /** Executed at once, and never answered. */
     UNANSWERED
   }
 
-  /** What becomes of a report, beside its arrival. */
-  enum ReportFate {
-    ONCE,
+  /** Whether a heartbeat is delivered again, in addition to its regular delivery. */
+  enum Replay {
+    NONE,
     /** A copy reaches every controller later. */
-    AGAIN,
+    DELAYED,
     /** A copy reaches every controller when the next term begins. */
-    FOR_NEXT
+    AT_NEXT_TERM
   }
 
   SimNetwork(SimClock clock, Random random) {
@@ -52,144 +52,150 @@
     this.random = random;
   }
 
-  /** Part of what is sent to the state service and the cloud is executed late, its answer lost. */
-  void lateShare(double share) {
-    lateShare = share;
+  /**
+   * Delivers this share of the requests 2.6 s to 10.6 s late, and loses this share of responses.
+   */
+  void setLateRequestShare(double share) {
+    lateRequestShare = share;
   }
 
-  /** What the host says arrives; what it is told does not. */
-  void deaf(String host, boolean now) {
-    if (now) {
-      deaf.add(host);
+  /** Drops all requests and responses to the host; those that it sends arrive. */
+  void dropInbound(String host, boolean active) {
+    if (active) {
+      inboundDropped.add(host);
     } else {
-      deaf.remove(host);
+      inboundDropped.remove(host);
     }
   }
 
-  /** What the node answers does not arrive; what it asks is answered. */
-  void mute(String node, boolean now) {
-    if (now) {
-      mute.add(node);
+  /** Drops the responses that the controller sends; its own requests are still answered. */
+  void dropResponsesFrom(String controller, boolean active) {
+    if (active) {
+      responsesDropped.add(controller);
     } else {
-      mute.remove(node);
+      responsesDropped.remove(controller);
     }
   }
 
-  boolean hears(String host) {
-    return !deaf.contains(host);
+  boolean receives(String host) {
+    return !inboundDropped.contains(host);
   }
 
-  /** Part of the reports come a second time, late. */
-  void copyShare(double share) {
-    copyShare = share;
+  /** A copy of this share of the heartbeats is delivered late to a random controller. */
+  void setDelayedCopyShare(double share) {
+    delayedCopyShare = share;
   }
 
   /**
-   * This share of the transactions gets no answer: "no response" must neither be taken for done nor
-   * for failed. {@code atOnce}: others read what the writer does not know to stand; otherwise it is
-   * carried out after newer ones, which it must not undo.
+   * This share of the transactions gets no response, which a controller must take neither for
+   * success nor for failure. If {@code immediate}, they are executed at once, and others read
+   * changes that the writer does not know to be durable. Otherwise they are executed after newer
+   * transactions, which they must not undo.
    */
-  void lateWrites(double share, boolean atOnce) {
-    lateWrites = share;
-    writesAtOnce = atOnce;
+  void setUnansweredWrites(double share, boolean immediate) {
+    unansweredWriteShare = share;
+    unansweredAreImmediate = immediate;
   }
 
-  /** This share of what controllers tell each other is lost. */
-  void lostHints(double share) {
-    lostHints = share;
+  /** This share of the messages between controllers is lost. */
+  void setLostPeerMessageShare(double share) {
+    lostPeerMessageShare = share;
   }
 
-  boolean losesHint() {
-    return lostHints > 0 && random.nextDouble() < lostHints;
+  boolean drawPeerMessageLoss() {
+    return lostPeerMessageShare > 0 && random.nextDouble() < lostPeerMessageShare;
   }
 
-  WriteFate writeFate() {
-    if (lateWrites <= 0 || random.nextDouble() >= lateWrites) {
-      return WriteFate.ANSWERED;
+  WriteOutcome drawWriteOutcome() {
+    if (unansweredWriteShare <= 0 || random.nextDouble() >= unansweredWriteShare) {
+      return WriteOutcome.ANSWERED;
     }
-    return writesAtOnce ? WriteFate.UNANSWERED : WriteFate.LATE;
+    return unansweredAreImmediate ? WriteOutcome.UNANSWERED : WriteOutcome.LATE_UNANSWERED;
   }
 
   /**
-   * Of this share of the reports a copy comes again, to every controller: what is old must not be
-   * believed. {@code forNext}: just as a leader begins who has heard nothing newer.
+   * A copy of this share of the heartbeats is delivered again to every controller, which must
+   * recognize it as out of date. If {@code atNextTerm}, it arrives when the next term starts, at a
+   * leader that has received nothing newer; otherwise after a random delay.
    */
-  void lateReports(double share, boolean forNext) {
-    lateReports = share;
-    reportsForNext = forNext;
+  void setHeartbeatReplay(double share, boolean atNextTerm) {
+    replayShare = share;
+    replaysAtNextTerm = atNextTerm;
   }
 
-  ReportFate reportFate() {
-    if (lateReports <= 0 || random.nextDouble() >= lateReports) {
-      return ReportFate.ONCE;
+  Replay drawReplay() {
+    if (replayShare <= 0 || random.nextDouble() >= replayShare) {
+      return Replay.NONE;
     }
-    return reportsForNext ? ReportFate.FOR_NEXT : ReportFate.AGAIN;
+    return replaysAtNextTerm ? Replay.AT_NEXT_TERM : Replay.DELAYED;
   }
 
   /**
-   * The machine opens no connection to any controller, so that its lease runs out, while direct
-   * commands reach it and are answered: what they show is no sign that it hears.
+   * Drops the requests that the machine sends, so that its worker lease expires, while direct
+   * commands still reach it and are answered. Such a response does not show that heartbeats are
+   * answered.
    */
-  void machineMute(String host, boolean now) {
-    if (now) {
-      machineMute.add(host);
+  void dropRequestsFrom(String host, boolean active) {
+    if (active) {
+      requestsDropped.add(host);
     } else {
-      machineMute.remove(host);
+      requestsDropped.remove(host);
     }
   }
 
   /**
-   * This share of the direct commands is held up for seconds and then carried out, while reports on
-   * connections of their own overtake them.
+   * This share of the direct commands is delayed by 1.6 s to 8.6 s and then executed, while
+   * heartbeats on connections of their own overtake them.
    */
-  void heldCommands(double share) {
-    heldCommands = share;
+  void setDelayedCommandShare(double share) {
+    delayedCommandShare = share;
   }
 
-  long commandHeldMs() {
-    boolean isHeld = heldCommands > 0 && random.nextDouble() < heldCommands;
-    return isHeld ? 1_600 + random.nextInt(7_000) : 0;
+  long drawCommandDelayMs() {
+    boolean isDelayed = delayedCommandShare > 0 && random.nextDouble() < delayedCommandShare;
+    return isDelayed ? 1_600 + random.nextInt(7_000) : 0;
   }
 
-  /** Each way to and from the host takes up to so long; 0: as ever. */
-  void slow(String host, int mostMs) {
-    slow.put(host, mostMs);
+  /** Adds up to {@code maxDelayMs} to the delay of messages to and from the host; 0: none. */
+  void setMaxDelay(String host, int maxDelayMs) {
+    maxDelays.put(host, maxDelayMs);
   }
 
   private long delayMs(String host) {
-    int mostMs = slow.getOrDefault(host, 0);
-    return 1 + random.nextInt(15) + (mostMs > 0 ? random.nextInt(mostMs) : 0);
+    int maxDelayMs = maxDelays.getOrDefault(host, 0);
+    return 1 + random.nextInt(15) + (maxDelayMs > 0 ? random.nextInt(maxDelayMs) : 0);
   }
 
-  boolean speaks(String host) {
-    return !machineMute.contains(host);
+  boolean sendsRequests(String host) {
+    return !requestsDropped.contains(host);
   }
 
   /**
-   * Packets between the two are held back and delivered in order when that ends, long after their
-   * senders gave up. Only a few connections are open; what opens another one is lost.
+   * Holds packets between two hosts back, and delivers them in order when that ends, long after the
+   * timeouts of their senders. At most 16 are held, one for each open connection; later ones, which
+   * would need another connection, are lost.
    *
-   * @return how many packets are delivered now
+   * @return number of held packets that are delivered by this call
    */
-  int hold(String a, String b, boolean now) {
-    if (now) {
-      held.putIfAbsent(pair(a, b), new ArrayList<>());
+  int holdPackets(String a, String b, boolean active) {
+    if (active) {
+      heldPackets.putIfAbsent(pair(a, b), new ArrayList<>());
       return 0;
     }
-    List<Runnable> packets = held.remove(pair(a, b));
+    List<Runnable> packets = heldPackets.remove(pair(a, b));
     if (packets == null) {
       return 0;
     }
-    packets.forEach(p -> clock.at(1, p));
+    packets.forEach(packet -> clock.after(1, packet));
     return packets.size();
   }
 
-  private boolean heldBack(String from, String to, Runnable packet) {
-    List<Runnable> packets = held.get(pair(from, to));
+  private boolean holdBack(String from, String to, Runnable packet) {
+    List<Runnable> packets = heldPackets.get(pair(from, to));
     if (packets == null) {
       return false;
     }
-    if (packets.size() < MOST_HELD) {
+    if (packets.size() < MAX_HELD_PACKETS) {
       packets.add(packet);
     }
     return true;
@@ -199,57 +205,57 @@
     return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
   }
 
-  boolean copied() {
-    return copyShare > 0 && random.nextDouble() < copyShare;
+  boolean drawDelayedCopy() {
+    return delayedCopyShare > 0 && random.nextDouble() < delayedCopyShare;
   }
 
-  void cut(String a, String b, boolean now) {
-    if (now) {
-      cut.add(pair(a, b));
+  void partition(String a, String b, boolean active) {
+    if (active) {
+      partitionedPairs.add(pair(a, b));
     } else {
-      cut.remove(pair(a, b));
+      partitionedPairs.remove(pair(a, b));
     }
   }
 
-  boolean reaches(String a, String b) {
-    return !cut.contains(pair(a, b));
+  boolean isConnected(String a, String b) {
+    return !partitionedPairs.contains(pair(a, b));
   }
 
   /**
-   * Sends a request. Behind a cut it is held back: mostly lost, at times executed long after its
-   * sender gave up.
+   * Sends a request. During a network partition two of three requests are lost, and one is
+   * delivered 3 s to 63 s later, when its sender has timed out.
    */
-  void request(String from, String to, Runnable deliver, Runnable lost) {
+  void request(String from, String to, Runnable deliver, Runnable onLoss) {
     long delay = delayMs(to);
-    if (!hears(to) || !speaks(from)) {
-      lost.run();
-    } else if (heldBack(from, to, deliver)) {
-      lost.run();
-    } else if (!reaches(from, to)) {
+    if (!receives(to) || !sendsRequests(from)) {
+      onLoss.run();
+    } else if (holdBack(from, to, deliver)) {
+      onLoss.run();
+    } else if (!isConnected(from, to)) {
       if (random.nextInt(3) == 0) {
-        clock.at(3_000 + random.nextInt(60_000), deliver);
+        clock.after(3_000 + random.nextInt(60_000), deliver);
       }
-      lost.run();
-    } else if (random.nextDouble() < lateShare) {
-      clock.at(2_600 + random.nextInt(8_000), deliver);
-      lost.run();
+      onLoss.run();
+    } else if (random.nextDouble() < lateRequestShare) {
+      clock.after(2_600 + random.nextInt(8_000), deliver);
+      onLoss.run();
     } else {
-      clock.at(delay, deliver);
+      clock.after(delay, deliver);
     }
   }
 
-  /** Sends an answer; false when it can't arrive. */
-  boolean answer(String from, String to, Runnable deliver) {
-    if (!hears(to)
-        || mute.contains(from)
-        || !reaches(from, to)
-        || random.nextDouble() < lateShare) {
+  /** Sends a response; returns whether it arrives without being held back or lost. */
+  boolean respond(String from, String to, Runnable deliver) {
+    if (!receives(to)
+        || responsesDropped.contains(from)
+        || !isConnected(from, to)
+        || random.nextDouble() < lateRequestShare) {
       return false;
     }
-    if (heldBack(from, to, deliver)) {
+    if (holdBack(from, to, deliver)) {
       return false;
     }
-    clock.at(delayMs(from), deliver);
+    clock.after(delayMs(from), deliver);
     return true;
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimPause.java
+++ b/src/test/java/org/ploverspindle/sim/SimPause.java
@@ -1,53 +1,53 @@
 package org.ploverspindle.sim;
 
-/** A machine that stands still at times: what waits for it, and how long its work takes then. */
+/** Pauses of a machine that hangs, which postpone and prolong the work that runs on it. */
 final class SimPause {
   private final SimClock clock;
   private long untilMs;
-  private long totalMs;
+  private long scheduledMs;
 
   SimPause(SimClock clock) {
     this.clock = clock;
   }
 
-  /** Begins a pause, or lengthens the one that there is; a shorter one changes nothing. */
-  void begin(long forMs, Runnable over) {
-    long newUntilMs = clock.nowMs() + forMs;
+  /** Begins a pause or extends the current one; has no effect if that one lasts longer. */
+  void begin(long durationMs, Runnable onEnd) {
+    long newUntilMs = clock.nowMs() + durationMs;
     if (newUntilMs <= untilMs) {
       return;
     }
-    totalMs += newUntilMs - Math.max(clock.nowMs(), untilMs);
+    scheduledMs += newUntilMs - Math.max(clock.nowMs(), untilMs);
     untilMs = newUntilMs;
-    clock.at(forMs, over);
+    clock.after(durationMs, onEnd);
   }
 
-  boolean isOn() {
+  boolean isActive() {
     return clock.nowMs() < untilMs;
   }
 
-  void whenOver(Runnable work) {
-    if (isOn()) {
-      clock.at(untilMs - clock.nowMs(), () -> whenOver(work));
+  void runAfterPause(Runnable action) {
+    if (isActive()) {
+      clock.after(untilMs - clock.nowMs(), () -> runAfterPause(action));
     } else {
-      work.run();
+      action.run();
     }
   }
 
-  private long stoodStillMs() {
-    return totalMs - Math.max(0, untilMs - clock.nowMs());
+  private long pausedMs() {
+    return scheduledMs - Math.max(0, untilMs - clock.nowMs());
   }
 
-  /** After so much time in which the machine did not stand still. */
-  void afterWork(long delayMs, Runnable work) {
-    long before = stoodStillMs();
-    clock.at(
-        delayMs,
+  /** Runs the action after {@code activeMs} in which the machine was not paused. */
+  void afterActiveTime(long activeMs, Runnable action) {
+    long pausedBeforeMs = pausedMs();
+    clock.after(
+        activeMs,
         () -> {
-          long missedMs = stoodStillMs() - before;
+          long missedMs = pausedMs() - pausedBeforeMs;
           if (missedMs > 0) {
-            afterWork(missedMs, work);
+            afterActiveTime(missedMs, action);
           } else {
-            work.run();
+            action.run();
           }
         });
   }
