--- a/src/test/java/org/ploverspindle/sim/PipelineTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineTest.java
@@ -22,272 +22,306 @@
  * Jobs that await others, among stand-ins: what starts when, and what a cancellation takes along.
  */
 class PipelineTest {
-  private static final int NODES = 3;
-  private static final double REPORT_S = 1.5;
+  private static final int CONTROLLERS = 3;
+  private static final double HEARTBEAT_INTERVAL_S = 1.5;
 
   private static JobSpec step(
-      SimulatedCluster w,
-      Priority urgency,
+      SimulatedCluster cluster,
+      Priority priority,
       int tasks,
       double cores,
-      double runS,
-      double dueS,
-      String... awaits) {
+      double expectedS,
+      double deadlineS,
+      String... dependencies) {
     JobSpec spec =
-        JobSpecFixtures.batch(w.newUid(), "step", "blue", urgency, tasks, cores, 0.1, runS, dueS);
-    return JobSpecFixtures.withDependencies(spec, awaits);
+        JobSpecFixtures.batch(
+            cluster.newUid(), "step", "blue", priority, tasks, cores, 0.1, expectedS, deadlineS);
+    return JobSpecFixtures.withDependencies(spec, dependencies);
   }
 
   // ---- random pipelines under random troubles
 
-  private static JobSpec random(SimulatedCluster w, Random r, List<String> awaits) {
-    return RandomPipelineSteps.step(w.newUid(), "class-", 6, r, awaits);
+  private static JobSpec randomStep(
+      SimulatedCluster cluster, Random random, List<String> dependencies) {
+    return RandomPipelineSteps.step(cluster.newUid(), "class-", 6, random, dependencies);
   }
 
   /** One after another, each as soon as all before are accepted, or the last once they are over. */
-  private static void submit(
-      SimulatedCluster w, Random r, List<String> before, int left, boolean lastLate) {
-    boolean accepted = before.stream().allMatch(w.checker::isAccepted);
-    boolean over = before.stream().noneMatch(u -> w.checker.finalWord(u).isEmpty());
-    if (!accepted || left == 1 && lastLate && !over) {
-      w.clock.after(500, () -> submit(w, r, before, left, lastLate));
+  private static void submitSteps(
+      SimulatedCluster cluster,
+      Random random,
+      List<String> earlier,
+      int remaining,
+      boolean lastAfterAllEnded) {
+    boolean allAccepted = earlier.stream().allMatch(cluster.checker::isAccepted);
+    boolean allEnded = earlier.stream().noneMatch(uid -> cluster.checker.finalWord(uid).isEmpty());
+    if (!allAccepted || remaining == 1 && lastAfterAllEnded && !allEnded) {
+      cluster.clock.after(
+          500, () -> submitSteps(cluster, random, earlier, remaining, lastAfterAllEnded));
       return;
     }
-    List<String> awaits = new ArrayList<>();
-    for (String uid : before) {
-      if (r.nextInt(3) > 0) {
-        awaits.add(uid);
+    List<String> dependencies = new ArrayList<>();
+    for (String uid : earlier) {
+      if (random.nextInt(3) > 0) {
+        dependencies.add(uid);
       }
     }
-    JobSpec spec = random(w, r, awaits.isEmpty() && !before.isEmpty() ? before : awaits);
-    w.submitAndPoll(spec);
-    if (r.nextInt(12) == 0) {
-      w.clock.after(500 + r.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
+    JobSpec spec =
+        randomStep(
+            cluster, random, dependencies.isEmpty() && !earlier.isEmpty() ? earlier : dependencies);
+    cluster.submitAndPoll(spec);
+    if (random.nextInt(12) == 0) {
+      cluster.clock.after(500 + random.nextInt(40_000), () -> cluster.cancel(spec.uid(), 0));
     }
-    if (left > 1) {
-      List<String> then = new ArrayList<>(before);
-      then.add(spec.uid());
-      w.clock.after(200, () -> submit(w, r, then, left - 1, lastLate));
+    if (remaining > 1) {
+      List<String> earlierAndThis = new ArrayList<>(earlier);
+      earlierAndThis.add(spec.uid());
+      cluster.clock.after(
+          200,
+          () -> submitSteps(cluster, random, earlierAndThis, remaining - 1, lastAfterAllEnded));
     }
   }
 
-  private static void trouble(SimulatedCluster w) {
-    Random r = w.random;
-    int node = r.nextInt(NODES);
-    long forMs = 1_000 + r.nextInt(20_000);
-    switch (r.nextInt(8)) {
-      case 0 -> w.crash(node, 100 + r.nextInt(4_000));
-      case 1 -> w.crash(Math.max(0, w.leader()), 100 + r.nextInt(4_000));
+  private static void injectFault(SimulatedCluster cluster) {
+    Random random = cluster.random;
+    int controller = random.nextInt(CONTROLLERS);
+    long durationMs = 1_000 + random.nextInt(20_000);
+    switch (random.nextInt(8)) {
+      case 0 -> cluster.crash(controller, 100 + random.nextInt(4_000));
+      case 1 -> cluster.crash(Math.max(0, cluster.leader()), 100 + random.nextInt(4_000));
       case 2 -> {
-        for (int i = 0; i < NODES; i++) {
-          w.crash(i, 100 + r.nextInt(4_000));
+        for (int i = 0; i < CONTROLLERS; i++) {
+          cluster.crash(i, 100 + random.nextInt(4_000));
         }
       }
       case 3 -> {
-        w.state.setOutage(true);
-        w.clock.after(forMs, () -> w.state.setOutage(false));
+        cluster.state.setOutage(true);
+        cluster.clock.after(durationMs, () -> cluster.state.setOutage(false));
       }
       case 4 -> {
-        w.network.partition("n" + node, SimulatedCluster.STATE, true);
-        w.clock.after(forMs, () -> w.network.partition("n" + node, SimulatedCluster.STATE, false));
+        cluster.network.partition("n" + controller, SimulatedCluster.STATE, true);
+        cluster.clock.after(
+            durationMs,
+            () -> cluster.network.partition("n" + controller, SimulatedCluster.STATE, false));
       }
       case 5 -> {
-        List<SimWorker> all = w.cloud.workers();
-        if (!all.isEmpty()) {
-          w.cloud.fail(all.get(r.nextInt(all.size())).host());
+        List<SimWorker> workers = cluster.cloud.workers();
+        if (!workers.isEmpty()) {
+          cluster.cloud.fail(workers.get(random.nextInt(workers.size())).host());
         }
       }
       case 6 -> {
-        w.network.setDelayedCopyShare(0.05 + r.nextDouble() * 0.3);
-        w.clock.after(forMs, () -> w.network.setDelayedCopyShare(0));
+        cluster.network.setDelayedCopyShare(0.05 + random.nextDouble() * 0.3);
+        cluster.clock.after(durationMs, () -> cluster.network.setDelayedCopyShare(0));
       }
       default -> {
-        w.network.setLateRequestShare(0.05 + r.nextDouble() * 0.2);
-        w.clock.after(forMs, () -> w.network.setLateRequestShare(0));
+        cluster.network.setLateRequestShare(0.05 + random.nextDouble() * 0.2);
+        cluster.clock.after(durationMs, () -> cluster.network.setLateRequestShare(0));
       }
     }
   }
 
-  private static SimulatedCluster play(long seed, int troubles) {
-    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a", "b"));
-    Random r = new Random(seed * 31 + 7);
+  private static SimulatedCluster runPipelinesUnderFaults(long seed, int faults) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, CONTROLLERS, 14, List.of("a", "b"));
+    Random random = new Random(seed * 31 + 7);
     for (int i = 0; i < 14; i++) {
-      int steps = 2 + r.nextInt(5);
-      boolean lastLate = r.nextInt(3) == 0;
-      w.clock.after(3_000 + r.nextInt(120_000), () -> submit(w, r, List.of(), steps, lastLate));
+      int steps = 2 + random.nextInt(5);
+      boolean lastAfterAllEnded = random.nextInt(3) == 0;
+      cluster.clock.after(
+          3_000 + random.nextInt(120_000),
+          () -> submitSteps(cluster, random, List.of(), steps, lastAfterAllEnded));
     }
-    for (int i = 0; i < troubles; i++) {
-      w.clock.after(10_000 + r.nextInt(190_000), () -> trouble(w));
+    for (int i = 0; i < faults; i++) {
+      cluster.clock.after(10_000 + random.nextInt(190_000), () -> injectFault(cluster));
     }
-    w.clock.after(240_000, w::faultsEnded);
-    w.clock.runUntil(480_000);
-    w.checker.endOfDay();
-    return w;
+    cluster.clock.after(240_000, cluster::faultsEnded);
+    cluster.clock.runUntil(480_000);
+    cluster.checker.endOfDay();
+    return cluster;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 291})
-  void rulesHoldForPipelinesUnderRandomTroubles(long seed) {
-    SimulatedCluster w = play(seed, 12);
-    assertEquals(List.of(), w.checker.broken(), "seed " + seed);
-    assertTrue(w.checker.starts() > 60, "seed " + seed + ": " + w.checker.starts() + " starts");
-    assertEquals(0, w.checker.neverBegun(), "seed " + seed + ": jobs that were ready never began");
+  void pipelinesUnderRandomFaultsBreakNoInvariant(long seed) {
+    SimulatedCluster cluster = runPipelinesUnderFaults(seed, 12);
+    assertEquals(List.of(), cluster.checker.broken(), "seed " + seed);
+    assertTrue(
+        cluster.checker.starts() > 60,
+        "seed " + seed + ": " + cluster.checker.starts() + " starts");
+    assertEquals(
+        0, cluster.checker.neverBegun(), "seed " + seed + ": jobs that were ready never began");
   }
 
   // ---- one deadline
 
   /** Two machines, and normal work that keeps them busy for minutes. */
-  private static SimulatedCluster busy() {
-    SimulatedCluster w = new SimulatedCluster(3, NODES, 2, List.of("a"));
+  private static SimulatedCluster busyCluster() {
+    SimulatedCluster cluster = new SimulatedCluster(3, CONTROLLERS, 2, List.of("a"));
     for (int i = 0; i < 60; i++) {
-      w.clock.after(3_000, () -> w.submitAndPoll(step(w, Priority.NORMAL, 4, 4, 20, 0)));
+      cluster.clock.after(
+          3_000, () -> cluster.submitAndPoll(step(cluster, Priority.NORMAL, 4, 4, 20, 0)));
     }
-    return w;
+    return cluster;
   }
 
   @Test
-  void aFirstStepRunsBeforeOtherWorkForTheSakeOfTheLast() {
-    SimulatedCluster alone = busy();
-    JobSpec index = step(alone, Priority.BEST_EFFORT, 4, 4, 10, 0);
-    alone.clock.after(60_000, () -> alone.submitAndPoll(index));
-    alone.clock.runUntil(140_000);
-    assertEquals(-1, alone.checker.begunMs(index.uid()), "without a last job it waits");
+  void bestEffortStepRunsBeforeNormalJobsWhenItsDependentHasADeadline() {
+    SimulatedCluster clusterWithoutDependent = busyCluster();
+    JobSpec step = step(clusterWithoutDependent, Priority.BEST_EFFORT, 4, 4, 10, 0);
+    clusterWithoutDependent.clock.after(60_000, () -> clusterWithoutDependent.submitAndPoll(step));
+    clusterWithoutDependent.clock.runUntil(140_000);
+    assertEquals(
+        -1, clusterWithoutDependent.checker.begunMs(step.uid()), "without a last job it waits");
 
-    SimulatedCluster w = busy();
-    JobSpec first = step(w, Priority.BEST_EFFORT, 4, 4, 10, 0);
-    JobSpec last = step(w, Priority.HIGH, 1, 1, 5, 60, first.uid());
-    w.clock.after(60_000, () -> w.submitAndPoll(first));
-    w.clock.after(80_000, () -> w.submitAndPoll(last));
-    w.clock.runUntil(79_000);
-    assertEquals(-1, w.checker.begunMs(first.uid()));
-    w.clock.runUntil(140_000);
-    long begun = w.checker.begunMs(first.uid());
-    assertTrue(begun >= 0 && begun < 95_000, "it began at " + begun);
-    assertTrue(w.checker.isDone(last.uid()));
-    assertEquals(List.of(), w.checker.broken());
+    SimulatedCluster cluster = busyCluster();
+    JobSpec first = step(cluster, Priority.BEST_EFFORT, 4, 4, 10, 0);
+    JobSpec last = step(cluster, Priority.HIGH, 1, 1, 5, 60, first.uid());
+    cluster.clock.after(60_000, () -> cluster.submitAndPoll(first));
+    cluster.clock.after(80_000, () -> cluster.submitAndPoll(last));
+    cluster.clock.runUntil(79_000);
+    assertEquals(-1, cluster.checker.begunMs(first.uid()));
+    cluster.clock.runUntil(140_000);
+    long begunMs = cluster.checker.begunMs(first.uid());
+    assertTrue(begunMs >= 0 && begunMs < 95_000, "it began at " + begunMs);
+    assertTrue(cluster.checker.isDone(last.uid()));
+    assertEquals(List.of(), cluster.checker.broken());
   }
 
   @Test
-  void itNoLongerDoesOnceTheLastIsCancelled() {
-    SimulatedCluster w = busy();
-    JobSpec first = step(w, Priority.BEST_EFFORT, 80, 4, 10, 0);
-    JobSpec last = step(w, Priority.HIGH, 1, 1, 5, 600, first.uid());
-    w.clock.after(60_000, () -> w.submitAndPoll(first));
-    w.clock.after(62_000, () -> w.submitAndPoll(last));
-    w.clock.after(95_000, () -> w.cancel(last.uid(), 0));
-    w.clock.runUntil(95_000);
-    int before = w.checker.tasksDone(first.uid());
-    assertTrue(before >= 3, before + " tasks are done");
-    w.clock.runUntil(112_000);
-    int after = w.checker.tasksDone(first.uid());
-    w.clock.runUntil(150_000);
-    int later = w.checker.tasksDone(first.uid());
-    assertTrue(later - after <= 1, "after the cancellation " + (later - after) + " more are done");
-    assertEquals(List.of(), w.checker.broken());
+  void stepLosesPrecedenceWhenItsDependentWithADeadlineIsCancelled() {
+    SimulatedCluster cluster = busyCluster();
+    JobSpec first = step(cluster, Priority.BEST_EFFORT, 80, 4, 10, 0);
+    JobSpec last = step(cluster, Priority.HIGH, 1, 1, 5, 600, first.uid());
+    cluster.clock.after(60_000, () -> cluster.submitAndPoll(first));
+    cluster.clock.after(62_000, () -> cluster.submitAndPoll(last));
+    cluster.clock.after(95_000, () -> cluster.cancel(last.uid(), 0));
+    cluster.clock.runUntil(95_000);
+    int doneAtCancellation = cluster.checker.tasksDone(first.uid());
+    assertTrue(doneAtCancellation >= 3, doneAtCancellation + " tasks are done");
+    cluster.clock.runUntil(112_000);
+    int doneSoonAfter = cluster.checker.tasksDone(first.uid());
+    cluster.clock.runUntil(150_000);
+    int doneLater = cluster.checker.tasksDone(first.uid());
+    assertTrue(
+        doneLater - doneSoonAfter <= 1,
+        "after the cancellation " + (doneLater - doneSoonAfter) + " more are done");
+    assertEquals(List.of(), cluster.checker.broken());
   }
 
   // ---- no later than need be
 
   @Test
-  void theNextStepStartsWithinAReportsTime() {
-    SimulatedCluster w = new SimulatedCluster(8, NODES, 14, List.of("a"));
+  void dependentStartsWithinAHeartbeatIntervalAndAnImagePull() {
+    SimulatedCluster cluster = new SimulatedCluster(8, CONTROLLERS, 14, List.of("a"));
     List<JobSpec> steps = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      String[] before = i == 0 ? new String[0] : new String[] {steps.get(i - 1).uid()};
-      JobSpec s = step(w, i == 11 ? Priority.HIGH : Priority.BEST_EFFORT, 3, 1, 5, 0, before);
-      steps.add(s);
-      w.clock.after(20_000 + i * 1_000, () -> w.submitAndPoll(s));
+      String[] dependencies = i == 0 ? new String[0] : new String[] {steps.get(i - 1).uid()};
+      JobSpec spec =
+          step(cluster, i == 11 ? Priority.HIGH : Priority.BEST_EFFORT, 3, 1, 5, 0, dependencies);
+      steps.add(spec);
+      cluster.clock.after(20_000 + i * 1_000, () -> cluster.submitAndPoll(spec));
     }
-    w.clock.runUntil(220_000);
-    assertEquals(List.of(), w.checker.broken());
+    cluster.clock.runUntil(220_000);
+    assertEquals(List.of(), cluster.checker.broken());
     for (int i = 1; i < 12; i++) {
-      long gapMs = w.checker.begunMs(steps.get(i).uid()) - w.checker.doneMs(steps.get(i - 1).uid());
+      long gapMs =
+          cluster.checker.begunMs(steps.get(i).uid())
+              - cluster.checker.doneMs(steps.get(i - 1).uid());
       // An end is reported within half a second, and an image is there within 1.7 s.
-      assertTrue(gapMs > 0 && gapMs < REPORT_S * 1_000 + 2_200, "step " + i + ": " + gapMs + " ms");
+      assertTrue(
+          gapMs > 0 && gapMs < HEARTBEAT_INTERVAL_S * 1_000 + 2_200,
+          "step " + i + ": " + gapMs + " ms");
     }
   }
 
   @Test
-  void theNextStepWaitsForNoReadOfTheState() {
-    SimulatedCluster w = new SimulatedCluster(8, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Priority.NORMAL, 1, 1, 20, 0);
-    JobSpec second = step(w, Priority.NORMAL, 1, 1, 5, 0, first.uid());
-    w.clock.after(3_000, () -> w.submitAndPoll(first));
-    w.clock.after(6_000, () -> w.submitAndPoll(second));
-    w.clock.runUntil(10_000);
-    while (w.checker.begunMs(first.uid()) < 0) {
-      w.clock.runUntil(w.clock.nowMs() + 100);
+  void dependentStartsOnTimeWhenReadsOfTheStateServiceAreRefused() {
+    SimulatedCluster cluster = new SimulatedCluster(8, CONTROLLERS, 14, List.of("a"));
+    JobSpec first = step(cluster, Priority.NORMAL, 1, 1, 20, 0);
+    JobSpec second = step(cluster, Priority.NORMAL, 1, 1, 5, 0, first.uid());
+    cluster.clock.after(3_000, () -> cluster.submitAndPoll(first));
+    cluster.clock.after(6_000, () -> cluster.submitAndPoll(second));
+    cluster.clock.runUntil(10_000);
+    while (cluster.checker.begunMs(first.uid()) < 0) {
+      cluster.clock.runUntil(cluster.clock.nowMs() + 100);
     }
-    w.clock.runUntil(w.checker.begunMs(first.uid()) + 19_800);
-    w.setRefused(w.leader(), SimulatedCluster.RequestKind.READS, true);
-    w.clock.runUntil(w.clock.nowMs() + 9_000);
-    long gapMs = w.checker.begunMs(second.uid()) - w.checker.doneMs(first.uid());
-    assertTrue(gapMs > 0 && gapMs < REPORT_S * 1_000 + 2_200, gapMs + " ms");
-    assertEquals(List.of(), w.checker.broken());
+    cluster.clock.runUntil(cluster.checker.begunMs(first.uid()) + 19_800);
+    cluster.setRefused(cluster.leader(), SimulatedCluster.RequestKind.READS, true);
+    cluster.clock.runUntil(cluster.clock.nowMs() + 9_000);
+    long gapMs = cluster.checker.begunMs(second.uid()) - cluster.checker.doneMs(first.uid());
+    assertTrue(gapMs > 0 && gapMs < HEARTBEAT_INTERVAL_S * 1_000 + 2_200, gapMs + " ms");
+    assertEquals(List.of(), cluster.checker.broken());
   }
 
   // ---- waiting
 
   @Test
-  void whatWaitsForOthersHoldsNothingAndIsNoDemand() {
-    SimulatedCluster w = new SimulatedCluster(9, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Priority.NORMAL, 1, 1, 120, 0);
+  void blockedJobNeitherUsesItsTeamsLimitNorCausesProvisioning() {
+    SimulatedCluster cluster = new SimulatedCluster(9, CONTROLLERS, 14, List.of("a"));
+    JobSpec first = step(cluster, Priority.NORMAL, 1, 1, 120, 0);
     // Team red may use 24 cores, and 8 are guaranteed.
-    JobSpec waits =
+    JobSpec blocked =
         JobSpecFixtures.withDependencies(
-            JobSpecFixtures.batch(w.newUid(), "large", "red", Priority.HIGH, 60, 4, 0.1, 10, 100),
+            JobSpecFixtures.batch(
+                cluster.newUid(), "large", "red", Priority.HIGH, 60, 4, 0.1, 10, 100),
             first.uid());
     JobSpec other =
-        JobSpecFixtures.batch(w.newUid(), "o", "red", Priority.BEST_EFFORT, 6, 4, 0.1, 10, 0);
-    w.clock.after(3_000, () -> w.submitAndPoll(first));
-    w.clock.after(6_000, () -> w.submitAndPoll(waits));
-    w.clock.after(60_000, () -> w.submitAndPoll(other));
-    w.clock.runUntil(55_000);
+        JobSpecFixtures.batch(cluster.newUid(), "o", "red", Priority.BEST_EFFORT, 6, 4, 0.1, 10, 0);
+    cluster.clock.after(3_000, () -> cluster.submitAndPoll(first));
+    cluster.clock.after(6_000, () -> cluster.submitAndPoll(blocked));
+    cluster.clock.after(60_000, () -> cluster.submitAndPoll(other));
+    cluster.clock.runUntil(55_000);
+    assertTrue(
+        cluster.cloud.provisionedCount() <= 2,
+        cluster.cloud.provisionedCount() + " machines for one task");
+    cluster.clock.runUntil(100_000);
+    assertTrue(cluster.checker.isDone(other.uid()), "all that its team may use was free for it");
+    assertEquals(-1, cluster.checker.begunMs(blocked.uid()));
+    cluster.clock.runUntil(200_000);
+    long begunMs = cluster.checker.begunMs(blocked.uid());
     assertTrue(
-        w.cloud.provisionedCount() <= 2, w.cloud.provisionedCount() + " machines for one task");
-    w.clock.runUntil(100_000);
-    assertTrue(w.checker.isDone(other.uid()), "all that its team may use was free for it");
-    assertEquals(-1, w.checker.begunMs(waits.uid()));
-    w.clock.runUntil(200_000);
-    long begun = w.checker.begunMs(waits.uid());
-    assertTrue(begun >= w.checker.doneMs(first.uid()) && begun < 160_000, "it began at " + begun);
-    assertEquals(List.of(), w.checker.broken());
+        begunMs >= cluster.checker.doneMs(first.uid()) && begunMs < 160_000,
+        "it began at " + begunMs);
+    assertEquals(List.of(), cluster.checker.broken());
   }
 
   // ---- new leaders
 
   @Test
-  void readinessIsWorkedOutAgainByEachNewLeader() {
-    SimulatedCluster w = new SimulatedCluster(10, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Priority.NORMAL, 2, 1, 25, 0);
-    JobSpec second = step(w, Priority.NORMAL, 2, 1, 25, 0, first.uid());
-    JobSpec third = step(w, Priority.HIGH, 2, 1, 5, 0, first.uid(), second.uid());
-    w.clock.after(3_000, () -> w.submitAndPoll(first));
-    w.clock.after(5_000, () -> w.submitAndPoll(second));
-    w.clock.after(7_000, () -> w.submitAndPoll(third));
-    for (int at = 12; at < 100; at += 11) {
-      w.clock.after(at * 1_000, () -> w.crash(Math.max(0, w.leader()), 2_000));
+  void pipelineCompletesInOrderAcrossRepeatedFailovers() {
+    SimulatedCluster cluster = new SimulatedCluster(10, CONTROLLERS, 14, List.of("a"));
+    JobSpec first = step(cluster, Priority.NORMAL, 2, 1, 25, 0);
+    JobSpec second = step(cluster, Priority.NORMAL, 2, 1, 25, 0, first.uid());
+    JobSpec third = step(cluster, Priority.HIGH, 2, 1, 5, 0, first.uid(), second.uid());
+    cluster.clock.after(3_000, () -> cluster.submitAndPoll(first));
+    cluster.clock.after(5_000, () -> cluster.submitAndPoll(second));
+    cluster.clock.after(7_000, () -> cluster.submitAndPoll(third));
+    for (int atS = 12; atS < 100; atS += 11) {
+      cluster.clock.after(atS * 1_000, () -> cluster.crash(Math.max(0, cluster.leader()), 2_000));
     }
-    w.clock.runUntil(200_000);
-    assertEquals(List.of(), w.checker.broken());
-    assertTrue(w.checker.isDone(third.uid()));
+    cluster.clock.runUntil(200_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    assertTrue(cluster.checker.isDone(third.uid()));
   }
 
   /** Records say that a task is out whose job awaits others: it counts, and none is started. */
   @Test
-  void afterRecordsThatCannotBeNothingNewOfTheJobStarts() {
-    SimulatedCluster w = new SimulatedCluster(11, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Priority.NORMAL, 2, 1, 60, 0);
-    JobSpec second = step(w, Priority.HIGH, 3, 1, 5, 0, first.uid());
-    w.clock.after(3_000, () -> w.submitAndPoll(first));
-    w.clock.after(5_000, () -> w.submitAndPoll(second));
-    w.clock.after(
+  void blockedJobWithARecordedPlacementStartsNoTaskBeforeItsDependencyIsDone() {
+    SimulatedCluster cluster = new SimulatedCluster(11, CONTROLLERS, 14, List.of("a"));
+    JobSpec first = step(cluster, Priority.NORMAL, 2, 1, 60, 0);
+    JobSpec second = step(cluster, Priority.HIGH, 3, 1, 5, 0, first.uid());
+    cluster.clock.after(3_000, () -> cluster.submitAndPoll(first));
+    cluster.clock.after(5_000, () -> cluster.submitAndPoll(second));
+    cluster.clock.after(
         30_000,
         () -> {
-          SimWorker m = w.cloud.workers().get(0);
+          SimWorker worker = cluster.cloud.workers().get(0);
           SnapshotRecord.MachineInfo host =
               new SnapshotRecord.MachineInfo(
-                  m.host(), m.place().type(), m.place().zone(), m.place().spot());
+                  worker.host(),
+                  worker.place().type(),
+                  worker.place().zone(),
+                  worker.place().spot());
           SnapshotRecord record =
               new SnapshotRecord(
                   new BitSet(),
@@ -295,36 +329,36 @@
                   1,
                   0);
           Change put = new Change.Put(Keys.snapshot(second.uid(), 0), record.encode(0, 1));
-          w.state.commit(new Transaction(List.of(), List.of(put)));
-          w.crash(w.leader(), 5_000);
+          cluster.state.commit(new Transaction(List.of(), List.of(put)));
+          cluster.crash(cluster.leader(), 5_000);
         });
-    w.clock.runUntil(160_000);
-    assertEquals(List.of(), w.checker.broken());
-    assertTrue(w.checker.doneMs(first.uid()) > 40_000);
-    assertTrue(w.checker.isDone(second.uid()));
+    cluster.clock.runUntil(160_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    assertTrue(cluster.checker.doneMs(first.uid()) > 40_000);
+    assertTrue(cluster.checker.isDone(second.uid()));
   }
 
   /** Were it done by such records, it would still be aborted with what it awaits. */
   @Test
-  void whatAwaitsOthersIsNotDoneBeforeThem() {
-    SimulatedCluster w = new SimulatedCluster(12, NODES, 14, List.of("a"));
-    JobSpec first = step(w, Priority.NORMAL, 2, 1, 90, 0);
-    JobSpec second = step(w, Priority.HIGH, 3, 1, 5, 0, first.uid());
-    w.clock.after(3_000, () -> w.submitAndPoll(first));
-    w.clock.after(5_000, () -> w.submitAndPoll(second));
-    w.clock.after(
+  void blockedJobRecordedAsCompleteIsAbortedWithItsDependency() {
+    SimulatedCluster cluster = new SimulatedCluster(12, CONTROLLERS, 14, List.of("a"));
+    JobSpec first = step(cluster, Priority.NORMAL, 2, 1, 90, 0);
+    JobSpec second = step(cluster, Priority.HIGH, 3, 1, 5, 0, first.uid());
+    cluster.clock.after(3_000, () -> cluster.submitAndPoll(first));
+    cluster.clock.after(5_000, () -> cluster.submitAndPoll(second));
+    cluster.clock.after(
         30_000,
         () -> {
-          BitSet all = new BitSet();
-          all.set(0, 3);
-          SnapshotRecord record = new SnapshotRecord(all, List.of(), 0, 0);
+          BitSet allTasks = new BitSet();
+          allTasks.set(0, 3);
+          SnapshotRecord record = new SnapshotRecord(allTasks, List.of(), 0, 0);
           Change put = new Change.Put(Keys.snapshot(second.uid(), 0), record.encode(3, 0));
-          w.state.commit(new Transaction(List.of(), List.of(put)));
-          w.crash(w.leader(), 5_000);
+          cluster.state.commit(new Transaction(List.of(), List.of(put)));
+          cluster.crash(cluster.leader(), 5_000);
         });
-    w.clock.after(60_000, () -> w.cancel(first.uid(), 0));
-    w.clock.runUntil(100_000);
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals("aborted", w.checker.finalWord(second.uid()));
+    cluster.clock.after(60_000, () -> cluster.cancel(first.uid(), 0));
+    cluster.clock.runUntil(100_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals("aborted", cluster.checker.finalWord(second.uid()));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
@@ -26,96 +26,99 @@
  * cancellations by walking back along the lists.
  */
 class PipelineUsersTest {
-  private static final class Users {
-    private final UserApiCluster doors;
+  private static final class RandomUsers {
+    private final UserApiCluster cluster;
     private final Random random;
-    private final Map<String, List<String>> lists = new LinkedHashMap<>();
+    private final Map<String, List<String>> dependencies = new LinkedHashMap<>();
     private final Map<String, Long> acceptedMs = new HashMap<>();
-    private final Map<String, Long> overMs = new HashMap<>();
-    private final Map<String, String> over = new HashMap<>();
-    private final Set<String> cancelAsked = new HashSet<>();
-    private final List<String> broken = new ArrayList<>();
-    private int heard;
+    private final Map<String, Long> finalKnownMs = new HashMap<>();
+    private final Map<String, String> finalStates = new HashMap<>();
+    private final Set<String> cancellationsRequested = new HashSet<>();
+    private final List<String> violations = new ArrayList<>();
+    private int answers;
 
-    Users(long seed) {
-      doors = new UserApiCluster(seed, 3, new Settings.StateLimits(60, 20, 2, 4));
-      random = doors.random;
+    RandomUsers(long seed) {
+      cluster = new UserApiCluster(seed, 3, new Settings.StateLimits(60, 20, 2, 4));
+      random = cluster.random;
     }
 
-    private int node() {
+    private int randomController() {
       return random.nextInt(3);
     }
 
-    private String any() {
-      List<String> all = List.copyOf(lists.keySet());
-      return all.get(random.nextInt(all.size()));
+    private String randomUid() {
+      List<String> uids = List.copyOf(dependencies.keySet());
+      return uids.get(random.nextInt(uids.size()));
     }
 
-    private boolean needsOneOf(String uid, Set<String> cancelled) {
+    private boolean isOrDependsOnAnyOf(String uid, Set<String> cancelled) {
       return cancelled.contains(uid)
-          || lists.get(uid).stream().anyMatch(d -> needsOneOf(d, cancelled));
+          || dependencies.get(uid).stream().anyMatch(d -> isOrDependsOnAnyOf(d, cancelled));
     }
 
     /** Holds an answer against all that was told before its question was asked. */
-    private Consumer<UserApiCluster.Heard> told(String uid, boolean submission) {
-      long askedMs = doors.clock.nowMs();
-      return h -> {
-        heard++;
-        String what = uid + " is told " + h + " at " + doors.clock.nowMs();
-        boolean accepted = acceptedMs.getOrDefault(uid, Long.MAX_VALUE) < askedMs;
-        if (h.status() == 200 || h.status() == 201) {
-          acceptedMs.putIfAbsent(uid, doors.clock.nowMs());
-          if (overMs.getOrDefault(uid, Long.MAX_VALUE) < askedMs
-              && !h.state().equals(over.get(uid))) {
-            broken.add(what + " after " + over.get(uid));
+    private Consumer<UserApiCluster.Heard> answerCheck(String uid, boolean submission) {
+      long requestedMs = cluster.clock.nowMs();
+      return answer -> {
+        answers++;
+        String description = uid + " is told " + answer + " at " + cluster.clock.nowMs();
+        boolean acceptedBefore = acceptedMs.getOrDefault(uid, Long.MAX_VALUE) < requestedMs;
+        if (answer.status() == 200 || answer.status() == 201) {
+          acceptedMs.putIfAbsent(uid, cluster.clock.nowMs());
+          if (finalKnownMs.getOrDefault(uid, Long.MAX_VALUE) < requestedMs
+              && !answer.state().equals(finalStates.get(uid))) {
+            violations.add(description + " after " + finalStates.get(uid));
           }
-          if (h.state().equals("aborted") && !needsOneOf(uid, cancelAsked)) {
-            broken.add(what + ", and nobody cancelled it");
+          if (answer.state().equals("aborted")
+              && !isOrDependsOnAnyOf(uid, cancellationsRequested)) {
+            violations.add(description + ", and nobody cancelled it");
           }
-          if (h.state().equals("done") || h.state().equals("aborted")) {
-            over.putIfAbsent(uid, h.state());
-            overMs.putIfAbsent(uid, doors.clock.nowMs());
+          if (answer.state().equals("done") || answer.state().equals("aborted")) {
+            finalStates.putIfAbsent(uid, answer.state());
+            finalKnownMs.putIfAbsent(uid, cluster.clock.nowMs());
           }
-        } else if (h.status() == 422 || h.status() == 400 || accepted && h.status() == 404) {
-          broken.add(what);
-        } else if (submission && h.status() != 503 && h.status() != 429) {
-          broken.add(what);
+        } else if (answer.status() == 422
+            || answer.status() == 400
+            || acceptedBefore && answer.status() == 404) {
+          violations.add(description);
+        } else if (submission && answer.status() != 503 && answer.status() != 429) {
+          violations.add(description);
         }
       };
     }
 
-    private boolean sawBothEnds() {
-      return over.containsValue("aborted") && over.containsValue("done");
+    private boolean sawDoneAndAborted() {
+      return finalStates.containsValue("aborted") && finalStates.containsValue("done");
     }
 
     private void submitNew() {
-      String uid = "run-" + lists.size();
-      List<String> accepted = List.copyOf(acceptedMs.keySet());
-      int most = random.nextInt(25) == 0 ? 300 : random.nextInt(12) == 0 ? 20 : 3;
-      Set<String> awaits = new HashSet<>();
-      for (int i = random.nextInt(most + 1); i > 0 && !accepted.isEmpty(); i--) {
-        awaits.add(accepted.get(random.nextInt(accepted.size())));
+      String uid = "run-" + dependencies.size();
+      List<String> acceptedUids = List.copyOf(acceptedMs.keySet());
+      int maxDependencies = random.nextInt(25) == 0 ? 300 : random.nextInt(12) == 0 ? 20 : 3;
+      Set<String> chosen = new HashSet<>();
+      for (int i = random.nextInt(maxDependencies + 1); i > 0 && !acceptedUids.isEmpty(); i--) {
+        chosen.add(acceptedUids.get(random.nextInt(acceptedUids.size())));
       }
-      lists.put(uid, List.copyOf(awaits));
+      dependencies.put(uid, List.copyOf(chosen));
       submit(uid, 0);
     }
 
-    private void submit(String uid, int tries) {
-      doors.submit(node(), uid, lists.get(uid), told(uid, true));
-      doors.clock.after(
+    private void submit(String uid, int retries) {
+      cluster.submit(randomController(), uid, dependencies.get(uid), answerCheck(uid, true));
+      cluster.clock.after(
           1_000 + random.nextInt(3_000),
           () -> {
-            if (!acceptedMs.containsKey(uid) && tries < 15 || random.nextInt(4) == 0) {
-              submit(uid, tries + 1);
+            if (!acceptedMs.containsKey(uid) && retries < 15 || random.nextInt(4) == 0) {
+              submit(uid, retries + 1);
             }
           });
     }
 
     /** Ends a job whose dependencies are done, as a leader does. */
-    private void end(String uid, Set<String> keys) {
-      if (lists.get(uid).stream().allMatch(d -> keys.contains(Keys.completion(d)))
+    private void complete(String uid, Set<String> writtenKeys) {
+      if (dependencies.get(uid).stream().allMatch(d -> writtenKeys.contains(Keys.completion(d)))
           && acceptedMs.containsKey(uid)) {
-        doors.applied(
+        cluster.applied(
             new Transaction(
                 List.of(
                     new Condition(Keys.cancellation(uid), 0),
@@ -124,61 +127,65 @@
       }
     }
 
-    private void act() {
-      int what = random.nextInt(100);
-      if (what < 35 || lists.isEmpty()) {
+    private void performRandomAction() {
+      int draw = random.nextInt(100);
+      if (draw < 35 || dependencies.isEmpty()) {
         submitNew();
-      } else if (what < 70) {
-        String uid = any();
-        doors.poll(node(), uid, told(uid, false));
-      } else if (what < 75) {
-        String uid = any();
+      } else if (draw < 70) {
+        String uid = randomUid();
+        cluster.poll(randomController(), uid, answerCheck(uid, false));
+      } else if (draw < 75) {
+        String uid = randomUid();
         if (acceptedMs.containsKey(uid)) {
-          cancelAsked.add(uid);
-          doors.withdraw(node(), uid, told(uid, false));
+          cancellationsRequested.add(uid);
+          cluster.withdraw(randomController(), uid, answerCheck(uid, false));
         }
-      } else if (what < 90) {
-        end(any(), doors.written);
-      } else if (what < 93) {
-        int cut = node();
-        doors.nodes.get(cut).cut = true;
-        doors.clock.after(random.nextInt(6_000), () -> doors.nodes.get(cut).cut = false);
-      } else if (what < 95) {
-        doors.restart(node());
-      } else if (what == 95) {
-        doors.state.setOutage(true);
-        doors.clock.after(random.nextInt(4_000), () -> doors.state.setOutage(false));
-      } else if (what == 96) {
-        doors.lossShare = 0.2 * random.nextDouble();
+      } else if (draw < 90) {
+        complete(randomUid(), cluster.written);
+      } else if (draw < 93) {
+        int partitioned = randomController();
+        cluster.nodes.get(partitioned).cut = true;
+        cluster.clock.after(
+            random.nextInt(6_000), () -> cluster.nodes.get(partitioned).cut = false);
+      } else if (draw < 95) {
+        cluster.restart(randomController());
+      } else if (draw == 95) {
+        cluster.state.setOutage(true);
+        cluster.clock.after(random.nextInt(4_000), () -> cluster.state.setOutage(false));
+      } else if (draw == 96) {
+        cluster.lossShare = 0.2 * random.nextDouble();
       }
     }
 
-    private void settle() {
-      doors.lossShare = 0;
-      doors.pass(10_000);
-      doors.state.setOutage(false);
-      doors.nodes.forEach(n -> n.cut = false);
-      doors.pass(20_000);
+    private void checkFinalAnswers() {
+      cluster.lossShare = 0;
+      cluster.pass(10_000);
+      cluster.state.setOutage(false);
+      cluster.nodes.forEach(n -> n.cut = false);
+      cluster.pass(20_000);
       Set<String> cancelled = new HashSet<>();
-      lists.keySet().stream()
-          .filter(uid -> doors.written.contains(Keys.cancellation(uid)))
+      dependencies.keySet().stream()
+          .filter(uid -> cluster.written.contains(Keys.cancellation(uid)))
           .forEach(cancelled::add);
-      for (String uid : lists.keySet()) {
-        String state = "queued";
-        if (doors.written.contains(Keys.completion(uid))) {
-          state = "done";
-        } else if (needsOneOf(uid, cancelled)) {
-          state = "aborted";
+      for (String uid : dependencies.keySet()) {
+        String expectedState = "queued";
+        if (cluster.written.contains(Keys.completion(uid))) {
+          expectedState = "done";
+        } else if (isOrDependsOnAnyOf(uid, cancelled)) {
+          expectedState = "aborted";
         }
         for (int i = 0; i < 3; i++) {
-          UserApiCluster.Heard h = doors.poll(i, uid);
-          boolean accepted = acceptedMs.containsKey(uid);
-          assertTrue(h.status() == 200 || !accepted && h.status() == 404, uid + " " + h);
-          if (h.status() == 200) {
-            assertEquals(state, h.state(), uid + " at " + i);
-            boolean ready =
-                lists.get(uid).stream().allMatch(d -> doors.written.contains(Keys.completion(d)));
-            assertEquals(ready, doors.nodes.get(i).pipelines.graph().isReady(uid));
+          UserApiCluster.Heard answer = cluster.poll(i, uid);
+          boolean acceptedBefore = acceptedMs.containsKey(uid);
+          assertTrue(
+              answer.status() == 200 || !acceptedBefore && answer.status() == 404,
+              uid + " " + answer);
+          if (answer.status() == 200) {
+            assertEquals(expectedState, answer.state(), uid + " at " + i);
+            boolean expectedReady =
+                dependencies.get(uid).stream()
+                    .allMatch(d -> cluster.written.contains(Keys.completion(d)));
+            assertEquals(expectedReady, cluster.nodes.get(i).pipelines.graph().isReady(uid));
           }
         }
       }
@@ -187,16 +194,18 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-  void noNodeTellsUsersWhatIsOlderOrUntrue(long seed) {
-    Users users = new Users(seed);
+  void answersOfEveryControllerAgreeWithTheReferenceModel(long seed) {
+    RandomUsers users = new RandomUsers(seed);
     // Until both ends have come about: what users happen to do depends on when they are answered.
-    for (int i = 0; i < 900 || i < 4_000 && !users.sawBothEnds(); i++) {
-      users.act();
-      users.doors.pass(users.random.nextInt(120));
+    for (int i = 0; i < 900 || i < 4_000 && !users.sawDoneAndAborted(); i++) {
+      users.performRandomAction();
+      users.cluster.pass(users.random.nextInt(120));
     }
-    users.settle();
-    assertEquals(List.of(), users.broken);
-    assertTrue(users.heard > 600 && users.over.containsValue("aborted"), users.heard + " answers");
-    assertTrue(users.over.containsValue("done"));
+    users.checkFinalAnswers();
+    assertEquals(List.of(), users.violations);
+    assertTrue(
+        users.answers > 600 && users.finalStates.containsValue("aborted"),
+        users.answers + " answers");
+    assertTrue(users.finalStates.containsValue("done"));
   }
 }
