--- a/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
@@ -22,7 +22,10 @@
 import org.ploverspindle.state.StateStore.Transaction;
 import org.ploverspindle.state.StateStore.TransactionResult;
 
-/** What users of pipelines are told, at several nodes. */
+/**
+ * Submissions, polls and cancellations of jobs with dependencies, sent to several controllers.
+ * Guards against answers that contradict an earlier answer of another controller.
+ */
 class PipelineQueriesTest {
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(200, 60, 8, 12);
   private static final Settings.StateLimits LOWEST = new Settings.StateLimits(60, 20, 2, 4);
@@ -68,9 +71,9 @@
   @Test
   void jobIsAcceptedOnlyAfterItsDependencies() {
     assertEquals(422, cluster.submit(0, "run-2", List.of("run-1")).status());
-    assertEquals(422, cluster.submit(0, "run-2", List.of("run-2")).status(), "itself");
+    assertEquals(422, cluster.submit(0, "run-2", List.of("run-2")).status(), "own uid");
     assertAnswer(201, "queued", cluster.submit(0, "run-1", List.of()));
-    assertFalse(cluster.nodes.get(1).specs.get("run-1").isPresent(), "the other's copy lags");
+    assertFalse(cluster.nodes.get(1).specs.get("run-1").isPresent(), "its replica lags");
     assertAnswer(201, "queued", cluster.submit(1, "run-2", List.of("run-1", "run-1")));
     assertEquals(422, cluster.submit(1, "run-3", List.of("run-1", "run-9")).status());
     cluster.pass(1_000);
@@ -87,7 +90,7 @@
     cluster.pass(1_000);
     UserApiCluster.Heard answer = cluster.submit(1, "run-2", List.of("run-1"));
     assertEquals(201, answer.status());
-    assertTrue(answer.tookMs() < 40, "after " + answer.tookMs() + " ms");
+    assertTrue(answer.tookMs() < 40, "took " + answer.tookMs() + " ms");
   }
 
   @Test
@@ -96,11 +99,11 @@
     partitioned.cut = true;
     cluster.submit(0, "run-1", List.of());
     UserApiCluster.Heard first = cluster.submit(1, "run-2", List.of("run-1"));
-    assertEquals(503, first.status(), "the copy may lag");
-    assertTrue(first.tookMs() <= 1_400, "after " + first.tookMs() + " ms");
+    assertEquals(503, first.status(), "its replica may lag");
+    assertTrue(first.tookMs() <= 1_400, "took " + first.tookMs() + " ms");
     cluster.pass(5_000);
     assertEquals(503, cluster.submit(1, "run-2", List.of("run-9")).status());
-    assertEquals(0, cluster.submit(1, "run-2", List.of("run-2")).tookMs(), "at once");
+    assertEquals(0, cluster.submit(1, "run-2", List.of("run-2")).tookMs(), "ms for its own uid");
     partitioned.cut = false;
     cluster.pass(3_000);
     assertAnswer(201, "queued", cluster.submit(1, "run-2", List.of("run-1")));
@@ -121,7 +124,7 @@
     return "run-" + i;
   }
 
-  /** Each in turn at the node that the last was not sent to. */
+  /** Submits a chain of jobs, each to the controller that did not get the job before it. */
   private void submitChain(int length) {
     for (int i = 0; i < length; i++) {
       List<String> dependencies = i == 0 ? List.of() : List.of(uid(i - 1));
@@ -138,7 +141,7 @@
     int changesBefore = cluster.changes;
     assertAnswer(200, "aborted", cluster.withdraw(1, uid(17)));
     assertAnswer(200, "aborted", cluster.submit(0, uid(8), List.of()));
-    assertEquals(changesBefore, cluster.changes, "nothing has to be written");
+    assertEquals(changesBefore, cluster.changes, "aborted jobs need no further write");
     assertAnswer(201, "aborted", cluster.submit(1, "run-100", List.of(uid(29))));
     assertAnswer(200, "aborted", cluster.poll(0, "run-100"));
   }
@@ -155,7 +158,7 @@
     cluster.pass(1_000);
     List<UserApiCluster.Heard> cancellationAnswers = new ArrayList<>();
     cluster.withdraw(0, uid(0), cancellationAnswers::add);
-    // The barrier before the cancellation may take as long as the reads are apart.
+    // A read barrier precedes the cancellation and may take as long as the read interval.
     while (cluster.written.stream().noneMatch(k -> k.startsWith(Keys.CANCELLATIONS))) {
       cluster.pass(1);
     }
@@ -252,7 +255,7 @@
     assertEquals("run-7 is not known here", cluster.nodes.get(1).requests.explain(uid(7)));
   }
 
-  /** Jobs accepted long ago, as many in a record as fit. */
+  /** Stores accepted jobs in records that fit a value limit of 2 KiB, and returns their uids. */
   private static List<String> preloadAcceptedJobs(UserApiCluster cluster, int count) {
     List<String> uids = new ArrayList<>();
     ObjectNode batch = Cbor.map();
@@ -277,7 +280,7 @@
     return cluster.written.stream().filter(k -> k.startsWith(Keys.DEPENDENCIES)).count();
   }
 
-  /** A user's tries, each at another node, a second after the last was answered. */
+  /** Submits at the controllers in turn until accepted; retries one second after each 503. */
   private static UserApiCluster.Heard submitWithRetries(
       UserApiCluster cluster, String uid, List<String> dependencies) {
     UserApiCluster.Heard answer = new UserApiCluster.Heard(0, "", 0);
@@ -297,7 +300,8 @@
     List<String> dependencies = preloadAcceptedJobs(lowLimitCluster, 8_500);
     ObjectNode body = UserApiCluster.body("run-1", dependencies);
     int requestBytes = Cbor.write(body).length;
-    assertTrue(requestBytes > 58_000 && requestBytes <= 64 * 1024, "a request of " + requestBytes);
+    assertTrue(
+        requestBytes > 58_000 && requestBytes <= 64 * 1024, "request bytes: " + requestBytes);
     lowLimitCluster.lossShare = lossShare;
     int changesBefore = lowLimitCluster.changes;
     UserApiCluster.Heard answer = submitWithRetries(lowLimitCluster, "run-1", dependencies);
@@ -306,8 +310,8 @@
     lowLimitCluster.lossShare = 0;
     lowLimitCluster.pass(20_000);
     long parts = storedListParts(lowLimitCluster);
-    assertTrue(parts > 25 && parts < 45, parts + " parts");
-    assertTrue(lowLimitCluster.changes - changesBefore <= parts + 3, "no part is written twice");
+    assertTrue(parts > 25 && parts < 45, parts + " parts, expected 26 to 44");
+    assertTrue(lowLimitCluster.changes - changesBefore <= parts + 3, "some part is written twice");
     lowLimitCluster.restart(0);
     lowLimitCluster.pass(5_000);
     for (UserApiCluster.Node node : lowLimitCluster.nodes) {
@@ -327,7 +331,7 @@
     for (int i = 2; i < 12; i++) {
       UserApiCluster.Heard answer = lowLimitCluster.submit(0, uid(i), List.of());
       assertEquals(201, answer.status());
-      assertTrue(answer.tookMs() < 400, answer.tookMs() + " ms");
+      assertTrue(answer.tookMs() < 400, answer.tookMs() + " ms to answer");
       lowLimitCluster.pass(300);
     }
   }
@@ -343,7 +347,8 @@
     while (loading.replica.withPrefix(Keys.PREFIX).isEmpty()) {
       cluster.pass(1);
     }
-    // Lists were on the first page; jobs of this process are on the last.
+    // The restarted replica has read the first page, which holds all keys of dependency lists. It
+    // reads the job below with the last page, and the list only afterwards, with the changes.
     for (int i = 0; i < list.parts().size(); i++) {
       Change part = new Change.Put(list.key(i), list.parts().get(i));
       cluster.applied(new Transaction(List.of(), List.of(part)));
@@ -363,7 +368,7 @@
         assertEquals(1, loading.pipelines.blockedJobs());
       }
     }
-    assertTrue(checksBeforeList > 0, "it was read before its list");
+    assertTrue(checksBeforeList > 0, "the job was never read before its dependency list");
     assertEquals(dependencies, loading.pipelines.graph().dependenciesOf("run-1"));
   }
 
--- a/src/test/java/org/ploverspindle/sim/PipelineTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineTest.java
@@ -19,7 +19,8 @@
 import org.ploverspindle.state.StateStore.Transaction;
 
 /**
- * Jobs that await others, among stand-ins: what starts when, and what a cancellation takes along.
+ * Runs jobs with dependencies on a simulated cluster. Guards against jobs that start before their
+ * dependencies are done, that start later than necessary, or that outlive a cancelled dependency.
  */
 class PipelineTest {
   private static final int CONTROLLERS = 3;
@@ -39,14 +40,20 @@
     return JobSpecFixtures.withDependencies(spec, dependencies);
   }
 
-  // ---- random pipelines under random troubles
+  // ---- random pipelines under random faults
 
   private static JobSpec randomStep(
       SimulatedCluster cluster, Random random, List<String> dependencies) {
     return RandomPipelineSteps.step(cluster.newUid(), "class-", 6, random, dependencies);
   }
 
-  /** One after another, each as soon as all before are accepted, or the last once they are over. */
+  /**
+   * Submits the remaining jobs of a pipeline one by one, each after all earlier ones are accepted.
+   * Each job depends on a random part of the earlier ones.
+   *
+   * @param lastAfterAllEnded the last job is submitted only after all earlier ones are done or
+   *     aborted
+   */
   private static void submitSteps(
       SimulatedCluster cluster,
       Random random,
@@ -147,14 +154,13 @@
     assertEquals(List.of(), cluster.checker.broken(), "seed " + seed);
     assertTrue(
         cluster.checker.starts() > 60,
-        "seed " + seed + ": " + cluster.checker.starts() + " starts");
-    assertEquals(
-        0, cluster.checker.neverBegun(), "seed " + seed + ": jobs that were ready never began");
+        "seed " + seed + ": " + cluster.checker.starts() + " starts, expected more than 60");
+    assertEquals(0, cluster.checker.neverBegun(), "seed " + seed + ": ready jobs that never began");
   }
 
-  // ---- one deadline
+  // ---- a deadline of the last job counts for the jobs that it depends on
 
-  /** Two machines, and normal work that keeps them busy for minutes. */
+  /** A cluster of two machines with jobs of normal priority that occupy them for minutes. */
   private static SimulatedCluster busyCluster() {
     SimulatedCluster cluster = new SimulatedCluster(3, CONTROLLERS, 2, List.of("a"));
     for (int i = 0; i < 60; i++) {
@@ -171,7 +177,9 @@
     clusterWithoutDependent.clock.after(60_000, () -> clusterWithoutDependent.submitAndPoll(step));
     clusterWithoutDependent.clock.runUntil(140_000);
     assertEquals(
-        -1, clusterWithoutDependent.checker.begunMs(step.uid()), "without a last job it waits");
+        -1,
+        clusterWithoutDependent.checker.begunMs(step.uid()),
+        "a best-effort step without a dependent started before the normal jobs");
 
     SimulatedCluster cluster = busyCluster();
     JobSpec first = step(cluster, Priority.BEST_EFFORT, 4, 4, 10, 0);
@@ -182,7 +190,7 @@
     assertEquals(-1, cluster.checker.begunMs(first.uid()));
     cluster.clock.runUntil(140_000);
     long begunMs = cluster.checker.begunMs(first.uid());
-    assertTrue(begunMs >= 0 && begunMs < 95_000, "it began at " + begunMs);
+    assertTrue(begunMs >= 0 && begunMs < 95_000, "first task began at " + begunMs);
     assertTrue(cluster.checker.isDone(last.uid()));
     assertEquals(List.of(), cluster.checker.broken());
   }
@@ -197,18 +205,22 @@
     cluster.clock.after(95_000, () -> cluster.cancel(last.uid(), 0));
     cluster.clock.runUntil(95_000);
     int doneAtCancellation = cluster.checker.tasksDone(first.uid());
-    assertTrue(doneAtCancellation >= 3, doneAtCancellation + " tasks are done");
+    assertTrue(
+        doneAtCancellation >= 3,
+        doneAtCancellation + " tasks are done at the cancellation, expected at least 3");
     cluster.clock.runUntil(112_000);
     int doneSoonAfter = cluster.checker.tasksDone(first.uid());
     cluster.clock.runUntil(150_000);
     int doneLater = cluster.checker.tasksDone(first.uid());
     assertTrue(
         doneLater - doneSoonAfter <= 1,
-        "after the cancellation " + (doneLater - doneSoonAfter) + " more are done");
+        "tasks done after the cancellation: "
+            + (doneLater - doneSoonAfter)
+            + ", expected at most 1");
     assertEquals(List.of(), cluster.checker.broken());
   }
 
-  // ---- no later than need be
+  // ---- dependents start without avoidable delay
 
   @Test
   void dependentStartsWithinAHeartbeatIntervalAndAnImagePull() {
@@ -227,7 +239,7 @@
       long gapMs =
           cluster.checker.begunMs(steps.get(i).uid())
               - cluster.checker.doneMs(steps.get(i - 1).uid());
-      // An end is reported within half a second, and an image is there within 1.7 s.
+      // A worker reports the end of a task within 0.5 s, and an image is pulled within 1.7 s.
       assertTrue(
           gapMs > 0 && gapMs < HEARTBEAT_INTERVAL_S * 1_000 + 2_200,
           "step " + i + ": " + gapMs + " ms");
@@ -253,13 +265,13 @@
     assertEquals(List.of(), cluster.checker.broken());
   }
 
-  // ---- waiting
+  // ---- blocked jobs
 
   @Test
   void blockedJobNeitherUsesItsTeamsLimitNorCausesProvisioning() {
     SimulatedCluster cluster = new SimulatedCluster(9, CONTROLLERS, 14, List.of("a"));
     JobSpec first = step(cluster, Priority.NORMAL, 1, 1, 120, 0);
-    // Team red may use 24 cores, and 8 are guaranteed.
+    // The limit of team red is 24 cores, and its guarantee is 8 cores.
     JobSpec blocked =
         JobSpecFixtures.withDependencies(
             JobSpecFixtures.batch(
@@ -273,19 +285,19 @@
     cluster.clock.runUntil(55_000);
     assertTrue(
         cluster.cloud.provisionedCount() <= 2,
-        cluster.cloud.provisionedCount() + " machines for one task");
+        cluster.cloud.provisionedCount() + " machines for one task, expected at most 2");
     cluster.clock.runUntil(100_000);
-    assertTrue(cluster.checker.isDone(other.uid()), "all that its team may use was free for it");
+    assertTrue(cluster.checker.isDone(other.uid()), "a blocked job used up the limit of its team");
     assertEquals(-1, cluster.checker.begunMs(blocked.uid()));
     cluster.clock.runUntil(200_000);
     long begunMs = cluster.checker.begunMs(blocked.uid());
     assertTrue(
         begunMs >= cluster.checker.doneMs(first.uid()) && begunMs < 160_000,
-        "it began at " + begunMs);
+        "first task began at " + begunMs);
     assertEquals(List.of(), cluster.checker.broken());
   }
 
-  // ---- new leaders
+  // ---- failover
 
   @Test
   void pipelineCompletesInOrderAcrossRepeatedFailovers() {
@@ -304,7 +316,11 @@
     assertTrue(cluster.checker.isDone(third.uid()));
   }
 
-  /** Records say that a task is out whose job awaits others: it counts, and none is started. */
+  /**
+   * The snapshot of a job names a running placement although the job's dependency is not done. The
+   * next leader counts that placement and starts no further task of the job until the dependency is
+   * done.
+   */
   @Test
   void blockedJobWithARecordedPlacementStartsNoTaskBeforeItsDependencyIsDone() {
     SimulatedCluster cluster = new SimulatedCluster(11, CONTROLLERS, 14, List.of("a"));
@@ -338,7 +354,10 @@
     assertTrue(cluster.checker.isDone(second.uid()));
   }
 
-  /** Were it done by such records, it would still be aborted with what it awaits. */
+  /**
+   * The snapshot of a job shows all its tasks as done although the job's dependency is not done.
+   * The job must not count as done, because it is aborted if the dependency is cancelled.
+   */
   @Test
   void blockedJobRecordedAsCompleteIsAbortedWithItsDependency() {
     SimulatedCluster cluster = new SimulatedCluster(12, CONTROLLERS, 14, List.of("a"));
--- a/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
@@ -21,9 +21,10 @@
 import org.ploverspindle.state.StateStore.Transaction;
 
 /**
- * Users of random pipelines at several nodes, with lost and late messages, nodes that lag, restarts
- * and outages. What they are told is held against a plain model: what is over is derived from all
- * cancellations by walking back along the lists.
+ * Users submit, poll and cancel random pipelines at three controllers, with lost and late messages,
+ * lagging replicas, restarts and outages. Each answer is compared with a reference model, in which
+ * a job is aborted if it is cancelled or depends, directly or not, on a cancelled job. Guards
+ * against answers that are older than an earlier one or that no cancellation explains.
  */
 class PipelineUsersTest {
   private static final class RandomUsers {
@@ -56,22 +57,22 @@
           || dependencies.get(uid).stream().anyMatch(d -> isOrDependsOnAnyOf(d, cancelled));
     }
 
-    /** Holds an answer against all that was told before its question was asked. */
+    /** Compares an answer with all answers that were received before its request was sent. */
     private Consumer<UserApiCluster.Heard> answerCheck(String uid, boolean submission) {
       long requestedMs = cluster.clock.nowMs();
       return answer -> {
         answers++;
-        String description = uid + " is told " + answer + " at " + cluster.clock.nowMs();
+        String description = uid + " is answered " + answer + " at " + cluster.clock.nowMs();
         boolean acceptedBefore = acceptedMs.getOrDefault(uid, Long.MAX_VALUE) < requestedMs;
         if (answer.status() == 200 || answer.status() == 201) {
           acceptedMs.putIfAbsent(uid, cluster.clock.nowMs());
           if (finalKnownMs.getOrDefault(uid, Long.MAX_VALUE) < requestedMs
               && !answer.state().equals(finalStates.get(uid))) {
-            violations.add(description + " after " + finalStates.get(uid));
+            violations.add(description + " after the final answer " + finalStates.get(uid));
           }
           if (answer.state().equals("aborted")
               && !isOrDependsOnAnyOf(uid, cancellationsRequested)) {
-            violations.add(description + ", and nobody cancelled it");
+            violations.add(description + ", but neither it nor a dependency was cancelled");
           }
           if (answer.state().equals("done") || answer.state().equals("aborted")) {
             finalStates.putIfAbsent(uid, answer.state());
@@ -114,7 +115,7 @@
           });
     }
 
-    /** Ends a job whose dependencies are done, as a leader does. */
+    /** Writes the completion of an accepted job as a leader does, if its dependencies are done. */
     private void complete(String uid, Set<String> writtenKeys) {
       if (dependencies.get(uid).stream().allMatch(d -> writtenKeys.contains(Keys.completion(d)))
           && acceptedMs.containsKey(uid)) {
@@ -181,7 +182,7 @@
               answer.status() == 200 || !acceptedBefore && answer.status() == 404,
               uid + " " + answer);
           if (answer.status() == 200) {
-            assertEquals(expectedState, answer.state(), uid + " at " + i);
+            assertEquals(expectedState, answer.state(), uid + " at controller " + i);
             boolean expectedReady =
                 dependencies.get(uid).stream()
                     .allMatch(d -> cluster.written.contains(Keys.completion(d)));
@@ -196,7 +197,8 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
   void answersOfEveryControllerAgreeWithTheReferenceModel(long seed) {
     RandomUsers users = new RandomUsers(seed);
-    // Until both ends have come about: what users happen to do depends on when they are answered.
+    // Continues until a done and an aborted job were seen, for at most 4,000 actions: the random
+    // actions depend on the times of the answers, so 900 actions may not show both.
     for (int i = 0; i < 900 || i < 4_000 && !users.sawDoneAndAborted(); i++) {
       users.performRandomAction();
       users.cluster.pass(users.random.nextInt(120));
@@ -205,7 +207,7 @@
     assertEquals(List.of(), users.violations);
     assertTrue(
         users.answers > 600 && users.finalStates.containsValue("aborted"),
-        users.answers + " answers");
+        users.answers + " answers, expected more than 600, one of them aborted");
     assertTrue(users.finalStates.containsValue("done"));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/RandomPipelineSteps.java
+++ b/src/test/java/org/ploverspindle/sim/RandomPipelineSteps.java
@@ -6,14 +6,17 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 
-/** Jobs of random pipelines. The draws and their order are fixed, as seeds name whole days. */
+/**
+ * Jobs of random pipelines. The random draws and their order must not change: tests name scenarios
+ * by their seeds, and another draw would give each seed another scenario.
+ */
 final class RandomPipelineSteps {
   private RandomPipelineSteps() {}
 
   /**
    * A random job that depends on others.
    *
-   * @param maxTasks no number of tasks is drawn where this is 1
+   * @param maxTasks the largest number of tasks; with 1, no random number is drawn for it
    */
   static JobSpec step(
       String uid, String classPrefix, int maxTasks, Random random, List<String> dependencies) {
