--- a/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
+++ b/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
@@ -17,23 +17,23 @@
 
 /** What counts as refused for a newer holder's sake, and what does not. */
 class FencedStoreTest {
-  private static final String KEY = Keys.PREFIX + "k";
+  private static final String OTHER_KEY = Keys.PREFIX + "k";
 
   private final SimClock clock = new SimClock();
   private final SimStateStore state =
       new SimStateStore(clock, new Settings.StateLimits(100, 100, 8, 12));
-  private final FencingRejections refused = new FencingRejections();
+  private final FencingRejections rejections = new FencingRejections();
 
-  private void write(StateStore store, String conditionKey, long stamp) {
-    Change put = new Change.Put(KEY, Cbor.map());
+  private void write(StateStore store, String conditionKey, long modRevision) {
+    Change put = new Change.Put(OTHER_KEY, Cbor.map());
     store.commit(
-        new StateStore.Transaction(List.of(new Condition(conditionKey, stamp)), List.of(put)),
+        new StateStore.Transaction(List.of(new Condition(conditionKey, modRevision)), List.of(put)),
         result -> {});
     clock.runUntil(clock.nowMs() + 1_000);
   }
 
   @Test
-  void countsWritesThatWereBoundToAnEarlierHoldersRecord() {
+  void onlyWritesConditionalOnAReplacedHolderRecordAreCounted() {
     state.preload(Keys.LEADER, Cbor.map().put("member", "n1"));
     SimNetwork network = new SimNetwork(clock, new Random(1));
     SimClock.Process process = clock.new Process(0, 1, 0);
@@ -42,12 +42,12 @@
             new SimStateAccess(clock, new Random(2), network, state, false)
                 .client(0, new SimLink(clock, network, 0, process)),
             Keys.LEADER,
-            refused);
+            rejections);
     write(store, Keys.LEADER, 2);
-    write(store, KEY, 99);
-    assertEquals(0, refused.count(Kind.STATE_WRITE), "it stands, or another key is in its way");
+    write(store, OTHER_KEY, 99);
+    assertEquals(0, rejections.count(Kind.STATE_WRITE), "it stands, or another key is in its way");
     write(store, Keys.LEADER, 1);
-    assertEquals(1, refused.count(Kind.STATE_WRITE));
-    assertEquals("refused state_writes=1 worker_commands=0", refused.summary());
+    assertEquals(1, rejections.count(Kind.STATE_WRITE));
+    assertEquals("refused state_writes=1 worker_commands=0", rejections.summary());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ReferenceRole.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceRole.java
@@ -12,25 +12,25 @@
  */
 final class ReferenceRole {
   private final Set<Long> epochs = new HashSet<>();
-  private Optional<Long> epoch = Optional.empty();
-  private int staleAccepted;
-  private int accepted;
-  private int epochsNotAbove;
-  private int unconditional;
+  private Optional<Long> currentEpoch = Optional.empty();
+  private int staleActions;
+  private int currentActions;
+  private int nonIncreasingEpochs;
+  private int unconditionalAcquisitions;
 
   /** Takes in what was carried out, in its order. */
-  void written(Transaction txn) {
-    for (Change change : txn.changes()) {
-      if (change instanceof Change.Put put && put.key().equals(RoleCluster.HOLDER)) {
-        long fresh = put.value().path("epoch").asLong();
-        boolean above = epoch.map(last -> fresh > last).orElse(true);
-        epochsNotAbove += above && epochs.add(fresh) ? 0 : 1;
-        epoch = Optional.of(fresh);
-        unconditional += isConditional(txn) ? 0 : 1;
-      } else if (change instanceof Change.Put put && put.key().equals(RoleCluster.ACTION)) {
-        boolean current = Optional.of(put.value().path("epoch").asLong()).equals(epoch);
-        accepted += current ? 1 : 0;
-        staleAccepted += current ? 0 : 1;
+  void committed(Transaction transaction) {
+    for (Change change : transaction.changes()) {
+      if (change instanceof Change.Put put && put.key().equals(RoleCluster.HOLDER_KEY)) {
+        long newEpoch = put.value().path("epoch").asLong();
+        boolean higher = currentEpoch.map(last -> newEpoch > last).orElse(true);
+        nonIncreasingEpochs += higher && epochs.add(newEpoch) ? 0 : 1;
+        currentEpoch = Optional.of(newEpoch);
+        unconditionalAcquisitions += isConditional(transaction) ? 0 : 1;
+      } else if (change instanceof Change.Put put && put.key().equals(RoleCluster.ACTION_KEY)) {
+        boolean current = Optional.of(put.value().path("epoch").asLong()).equals(currentEpoch);
+        currentActions += current ? 1 : 0;
+        staleActions += current ? 0 : 1;
       }
     }
   }
@@ -39,40 +39,43 @@
    * A try that is carried out late must fail: on the holder's record while another one holds the
    * duty, and on the epochs' record when that one has come and gone meanwhile.
    */
-  private static boolean isConditional(Transaction txn) {
-    boolean nobodyHolds =
-        txn.conditions().stream()
-            .anyMatch(c -> c.key().equals(RoleCluster.HOLDER) && c.modRevision() == 0);
-    boolean sameEpochs =
-        txn.conditions().stream().anyMatch(c -> c.key().equals(RoleCluster.EPOCHS));
-    return nobodyHolds && sameEpochs;
+  private static boolean isConditional(Transaction transaction) {
+    boolean requiresNoHolder =
+        transaction.conditions().stream()
+            .anyMatch(
+                condition ->
+                    condition.key().equals(RoleCluster.HOLDER_KEY) && condition.modRevision() == 0);
+    boolean requiresSameEpochRecord =
+        transaction.conditions().stream()
+            .anyMatch(condition -> condition.key().equals(RoleCluster.EPOCH_KEY));
+    return requiresNoHolder && requiresSameEpochRecord;
   }
 
   /** Holders whose record was written without both conditions. */
-  int unconditional() {
-    return unconditional;
+  int unconditionalAcquisitions() {
+    return unconditionalAcquisitions;
   }
 
   /** The epoch of the last holder. */
-  Optional<Long> epoch() {
-    return epoch;
+  Optional<Long> currentEpoch() {
+    return currentEpoch;
   }
 
-  int holders() {
+  int acquisitions() {
     return epochs.size();
   }
 
-  int accepted() {
-    return accepted;
+  int currentActions() {
+    return currentActions;
   }
 
   /** Actions of a former holder that were carried out after the next one's record stood. */
-  int staleAccepted() {
-    return staleAccepted;
+  int staleActions() {
+    return staleActions;
   }
 
   /** Holders whose epoch was not above all earlier ones. */
-  int epochsNotAbove() {
-    return epochsNotAbove;
+  int nonIncreasingEpochs() {
+    return nonIncreasingEpochs;
   }
 }
--- a/src/test/java/org/ploverspindle/sim/RoleCluster.java
+++ b/src/test/java/org/ploverspindle/sim/RoleCluster.java
@@ -25,27 +25,27 @@
  * state service, where each write that is carried out is held against a {@link ReferenceRole}.
  */
 final class RoleCluster {
-  static final int MEMBERS = 3;
+  static final int CONTROLLERS = 3;
   static final LeaseTiming TIMING = new LeaseTiming(3_000, 2_940);
-  static final String HOLDER = Keys.PREFIX + "duty/test";
-  static final String EPOCHS = Keys.PREFIX + "duty/test/epoch";
-  static final String ACTION = Keys.PREFIX + "act";
+  static final String HOLDER_KEY = Keys.PREFIX + "duty/test";
+  static final String EPOCH_KEY = Keys.PREFIX + "duty/test/epoch";
+  static final String ACTION_KEY = Keys.PREFIX + "act";
 
-  private static final long TICK_MS = 150;
-  private static final long ACT_MS = 200;
-  private static final int CHECK_TO_SEND_MS = 60;
-  private static final long LOOK_MS = 20;
+  private static final long TICK_INTERVAL_MS = 150;
+  private static final long ACTION_INTERVAL_MS = 200;
+  private static final int MAX_SEND_DELAY_MS = 60;
+  private static final long CHECK_INTERVAL_MS = 20;
 
   final SimClock clock = new SimClock();
   final Random random;
   final SimNetwork network;
   final SimStateStore state;
   final SimStateAccess access;
-  final ReferenceRole plain = new ReferenceRole();
+  final ReferenceRole referenceRole = new ReferenceRole();
   private final boolean fenced;
-  private final List<Member> members = new ArrayList<>();
-  private final List<String> wrong = new ArrayList<>();
-  private int refused;
+  private final List<Controller> controllers = new ArrayList<>();
+  private final List<String> falseHolders = new ArrayList<>();
+  private int refusedActions;
 
   RoleCluster(long seed, boolean fenced) {
     this.random = new Random(seed);
@@ -53,56 +53,58 @@
     this.network = new SimNetwork(clock, random);
     this.state = new SimStateStore(clock, new Settings.StateLimits(400, 200, 8, 12));
     this.access = new SimStateAccess(clock, random, network, state, false);
-    state.onWrite(plain::written);
-    for (int i = 0; i < MEMBERS; i++) {
-      members.add(new Member(i));
+    state.onWrite(referenceRole::committed);
+    for (int i = 0; i < CONTROLLERS; i++) {
+      controllers.add(new Controller(i));
     }
-    look();
+    checkCertainHolder();
   }
 
-  Member member(int index) {
-    return members.get(index);
+  Controller controller(int index) {
+    return controllers.get(index);
   }
 
   /** The member that holds the duty as far as it knows; there may be more than one. */
-  Optional<Member> holder() {
-    return members.stream()
-        .filter(m -> !m.process.isDead() && m.duty.held().isPresent())
+  Optional<Controller> holder() {
+    return controllers.stream()
+        .filter(controller -> !controller.process.isDead() && controller.role.held().isPresent())
         .findFirst();
   }
 
   /** What members with a right clock believed and was not so. */
-  List<String> wrong() {
-    return wrong;
+  List<String> falseHolders() {
+    return falseHolders;
   }
 
   /** Writes that were refused since another one holds the duty. */
-  int refused() {
-    return refused;
+  int refusedActions() {
+    return refusedActions;
   }
 
   /** Ends the member's process, unless it is away already, and starts another one. */
-  void crash(int index, long backAfterMs) {
-    if (members.get(index).process.isDead()) {
+  void crash(int index, long restartAfterMs) {
+    if (controllers.get(index).process.isDead()) {
       return;
     }
-    members.get(index).process.kill();
-    clock.after(backAfterMs, () -> members.set(index, new Member(index)));
+    controllers.get(index).process.kill();
+    clock.after(restartAfterMs, () -> controllers.set(index, new Controller(index)));
   }
 
   /** Who is sure to hold the duty, by a clock that is right, does hold it in the plain model. */
-  private void look() {
-    Optional<Long> epoch = state.containsKey(HOLDER) ? plain.epoch() : Optional.empty();
-    for (Member member : members) {
-      boolean runs = !member.process.isDead() && !member.process.isFrozen();
-      if (runs && !member.jumped && member.duty.isCertainlyHeld()) {
-        Optional<Long> believed = member.duty.held().map(HeldRole::epoch);
-        if (!believed.equals(epoch)) {
-          wrong.add("at " + clock.nowMs() + " " + believed + " is sure, and " + epoch + " holds");
+  private void checkCertainHolder() {
+    Optional<Long> epoch =
+        state.containsKey(HOLDER_KEY) ? referenceRole.currentEpoch() : Optional.empty();
+    for (Controller controller : controllers) {
+      boolean runs = !controller.process.isDead() && !controller.process.isFrozen();
+      if (runs && !controller.clockJumped && controller.role.isCertainlyHeld()) {
+        Optional<Long> believedEpoch = controller.role.held().map(HeldRole::epoch);
+        if (!believedEpoch.equals(epoch)) {
+          falseHolders.add(
+              "at " + clock.nowMs() + " " + believedEpoch + " is sure, and " + epoch + " holds");
         }
       }
     }
-    clock.after(LOOK_MS, this::look);
+    clock.after(CHECK_INTERVAL_MS, this::checkCertainHolder);
   }
 
   /** The records of the duty that is tested. */
@@ -114,12 +116,12 @@
 
     @Override
     public String holderKey() {
-      return HOLDER;
+      return HOLDER_KEY;
     }
 
     @Override
     public String epochKey() {
-      return EPOCHS;
+      return EPOCH_KEY;
     }
 
     @Override
@@ -160,19 +162,19 @@
   }
 
   /** One process of a member. */
-  final class Member implements RoleLease.Listener {
+  final class Controller implements RoleLease.Listener {
     final SimClock.Process process;
-    final RoleLease duty;
-    final List<HeldRole> terms = new ArrayList<>();
+    final RoleLease role;
+    final List<HeldRole> acquiredRoles = new ArrayList<>();
     private final StateStore store;
-    private boolean jumped;
-    private boolean quiet;
+    private boolean clockJumped;
+    private boolean silent;
 
-    Member(int index) {
+    Controller(int index) {
       process = clock.new Process(random.nextInt(1_000_000), 1 + random.nextInt(10) / 20_000.0, 0);
       store = access.client(index, new SimLink(clock, network, index, process));
       Replica replica = new Replica(process, store, Keys.PREFIX, 300);
-      duty =
+      role =
           new RoleLease(
               process,
               store,
@@ -181,46 +183,47 @@
               new RoleLease.Candidacy(SimLink.controllerName(index), new Records(), TIMING),
               this);
       process.schedule(0, replica::start);
-      process.scheduleWithFixedDelay(TICK_MS, duty::tick);
-      process.scheduleWithFixedDelay(ACT_MS, this::act);
+      process.scheduleWithFixedDelay(TICK_INTERVAL_MS, role::tick);
+      process.scheduleWithFixedDelay(ACTION_INTERVAL_MS, this::sendActionIfHeld);
     }
 
     /** Its steady clock jumps: its own check is worth nothing for a while. */
-    void jump(long byMs) {
-      jumped = true;
+    void jumpClock(long byMs) {
+      clockJumped = true;
       process.jumpClock(byMs);
     }
 
     /** From now on it sends nothing. */
-    void keepQuiet() {
-      quiet = true;
+    void stopSending() {
+      silent = true;
     }
 
     /** Checks, and sends a moment later: the process may stand still in between. */
-    private void act() {
-      if (!quiet && duty.isCertainlyHeld()) {
-        HeldRole held = duty.held().orElseThrow();
-        process.schedule(random.nextInt(CHECK_TO_SEND_MS), () -> send(held));
+    private void sendActionIfHeld() {
+      if (!silent && role.isCertainlyHeld()) {
+        HeldRole held = role.held().orElseThrow();
+        process.schedule(random.nextInt(MAX_SEND_DELAY_MS), () -> sendAction(held));
       }
     }
 
-    private void send(HeldRole held) {
+    private void sendAction(HeldRole held) {
       List<Condition> conditions =
-          fenced ? List.of(new Condition(HOLDER, held.modRevision())) : List.of();
+          fenced ? List.of(new Condition(HOLDER_KEY, held.modRevision())) : List.of();
       store.commit(
           new StateStore.Transaction(
-              conditions, List.of(new Change.Put(ACTION, Cbor.map().put("epoch", held.epoch())))),
+              conditions,
+              List.of(new Change.Put(ACTION_KEY, Cbor.map().put("epoch", held.epoch())))),
           result -> {
             if (result instanceof TransactionResult.Conflict) {
-              refused++;
-              duty.end("a write was refused");
+              refusedActions++;
+              role.end("a write was refused");
             }
           });
     }
 
     @Override
     public void acquired(HeldRole held) {
-      terms.add(held);
+      acquiredRoles.add(held);
     }
 
     @Override
