--- a/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
+++ b/src/test/java/org/ploverspindle/sim/FencedStoreTest.java
@@ -15,7 +15,10 @@
 import org.ploverspindle.state.StateStore.Change;
 import org.ploverspindle.state.StateStore.Condition;
 
-/** What counts as refused for a newer holder's sake, and what does not. */
+/**
+ * Guards against wrong counts of writes refused by fencing: only a write whose condition on the
+ * holder record fails is counted, not one that fails on another key.
+ */
 class FencedStoreTest {
   private static final String OTHER_KEY = Keys.PREFIX + "k";
 
@@ -45,7 +48,10 @@
             rejections);
     write(store, Keys.LEADER, 2);
     write(store, OTHER_KEY, 99);
-    assertEquals(0, rejections.count(Kind.STATE_WRITE), "it stands, or another key is in its way");
+    assertEquals(
+        0,
+        rejections.count(Kind.STATE_WRITE),
+        "one write was committed, the other failed on another key");
     write(store, Keys.LEADER, 1);
     assertEquals(1, rejections.count(Kind.STATE_WRITE));
     assertEquals("refused state_writes=1 worker_commands=0", rejections.summary());
--- a/src/test/java/org/ploverspindle/sim/LeadershipStatusTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeadershipStatusTest.java
@@ -8,7 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What {@code status} tells of the lead, asked of who leads and of another controller. */
+/**
+ * The leadership part of {@code status}, as answered by the leader and by another controller.
+ * Guards against figures that are missing, or that a controller shows of a role that it does not
+ * hold.
+ */
 class LeadershipStatusTest {
   private static final long PHASE_MS = 20_000;
 
@@ -28,7 +32,9 @@
     String before = status(cluster, first);
     assertTrue(before.contains("duty=lead holder=n" + first + " epoch=1 held_s=1"), before);
     assertTrue(before.contains(" renewal_ms(n=") && !before.contains(" renewal_ms(n=0 "), before);
-    assertTrue(before.contains(" vacant_ms(n=0 "), "nobody led before: " + before);
+    assertTrue(
+        before.contains(" vacant_ms(n=0 "),
+        "the first leader saw a time without a leader: " + before);
 
     cluster.crash(first, 60_000);
     cluster.clock.runUntil(2 * PHASE_MS);
@@ -39,7 +45,8 @@
     int third = 3 - first - second;
     String follower = status(cluster, third);
     assertTrue(follower.contains("duty=lead holder=n" + second + " epoch=1048577"), follower);
-    assertFalse(follower.contains("held_s="), "it does not lead: " + follower);
+    assertFalse(
+        follower.contains("held_s="), "a controller that does not lead shows held_s: " + follower);
   }
 
   @Test
--- a/src/test/java/org/ploverspindle/sim/ReferenceRole.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceRole.java
@@ -7,8 +7,9 @@
 import org.ploverspindle.state.StateStore.Transaction;
 
 /**
- * A duty as the state service sees it: who holds it is who wrote the record last. No clocks, no
- * leases; it counts what must never be accepted.
+ * Reference model of a role as the state service sees it: the holder is the controller whose holder
+ * record was committed last. It has no clocks and no leases. It counts the commits that must never
+ * happen.
  */
 final class ReferenceRole {
   private final Set<Long> epochs = new HashSet<>();
@@ -18,7 +19,7 @@
   private int nonIncreasingEpochs;
   private int unconditionalAcquisitions;
 
-  /** Takes in what was carried out, in its order. */
+  /** Applies a committed transaction. To be called in the order of the commits. */
   void committed(Transaction transaction) {
     for (Change change : transaction.changes()) {
       if (change instanceof Change.Put put && put.key().equals(RoleCluster.HOLDER_KEY)) {
@@ -36,8 +37,10 @@
   }
 
   /**
-   * A try that is carried out late must fail: on the holder's record while another one holds the
-   * duty, and on the epochs' record when that one has come and gone meanwhile.
+   * Does the transaction that acquires the role have both conditions that make it fail if it is
+   * executed late? The condition on the holder record fails while another controller holds the
+   * role. The condition on the epoch record fails if another one has acquired and lost it in the
+   * meantime.
    */
   private static boolean isConditional(Transaction transaction) {
     boolean requiresNoHolder =
@@ -51,12 +54,12 @@
     return requiresNoHolder && requiresSameEpochRecord;
   }
 
-  /** Holders whose record was written without both conditions. */
+  /** How many acquisitions were committed without both conditions. */
   int unconditionalAcquisitions() {
     return unconditionalAcquisitions;
   }
 
-  /** The epoch of the last holder. */
+  /** The epoch of the last holder, even if it has lost the role. */
   Optional<Long> currentEpoch() {
     return currentEpoch;
   }
@@ -69,12 +72,12 @@
     return currentActions;
   }
 
-  /** Actions of a former holder that were carried out after the next one's record stood. */
+  /** How many actions of a former holder were committed after the next holder's record. */
   int staleActions() {
     return staleActions;
   }
 
-  /** Holders whose epoch was not above all earlier ones. */
+  /** How many acquisitions had an epoch that was not above all earlier ones. */
   int nonIncreasingEpochs() {
     return nonIncreasingEpochs;
   }
--- a/src/test/java/org/ploverspindle/sim/RoleCluster.java
+++ b/src/test/java/org/ploverspindle/sim/RoleCluster.java
@@ -21,8 +21,8 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
- * Controllers that want one duty and write under it again and again, against the stand-in of the
- * state service, where each write that is carried out is held against a {@link ReferenceRole}.
+ * Controllers that compete for one role and write under it at a fixed interval, on the simulated
+ * state service. Each transaction that is committed is applied to a {@link ReferenceRole}.
  */
 final class RoleCluster {
   static final int CONTROLLERS = 3;
@@ -64,24 +64,27 @@
     return controllers.get(index);
   }
 
-  /** The member that holds the duty as far as it knows; there may be more than one. */
+  /** The first controller that holds the role as far as it knows; others may believe so too. */
   Optional<Controller> holder() {
     return controllers.stream()
         .filter(controller -> !controller.process.isDead() && controller.role.held().isPresent())
         .findFirst();
   }
 
-  /** What members with a right clock believed and was not so. */
+  /**
+   * Descriptions of the cases in which a controller was certain to hold the role and the reference
+   * model had another holder or none. Controllers whose clock jumped are not checked.
+   */
   List<String> falseHolders() {
     return falseHolders;
   }
 
-  /** Writes that were refused since another one holds the duty. */
+  /** How many actions the state service refused because the holder record had changed. */
   int refusedActions() {
     return refusedActions;
   }
 
-  /** Ends the member's process, unless it is away already, and starts another one. */
+  /** Kills the process of a controller and starts a new one later; does nothing if it is dead. */
   void crash(int index, long restartAfterMs) {
     if (controllers.get(index).process.isDead()) {
       return;
@@ -90,7 +93,10 @@
     clock.after(restartAfterMs, () -> controllers.set(index, new Controller(index)));
   }
 
-  /** Who is sure to hold the duty, by a clock that is right, does hold it in the plain model. */
+  /**
+   * Compares each running controller that is certain to hold the role with the reference model.
+   * Controllers whose clock jumped are left out: the certainty relies on a steady clock.
+   */
   private void checkCertainHolder() {
     Optional<Long> epoch =
         state.containsKey(HOLDER_KEY) ? referenceRole.currentEpoch() : Optional.empty();
@@ -100,14 +106,20 @@
         Optional<Long> believedEpoch = controller.role.held().map(HeldRole::epoch);
         if (!believedEpoch.equals(epoch)) {
           falseHolders.add(
-              "at " + clock.nowMs() + " " + believedEpoch + " is sure, and " + epoch + " holds");
+              "at "
+                  + clock.nowMs()
+                  + " "
+                  + believedEpoch
+                  + " is certain to hold the role, reference model: "
+                  + epoch
+                  + " is the holder's epoch");
         }
       }
     }
     clock.after(CHECK_INTERVAL_MS, this::checkCertainHolder);
   }
 
-  /** The records of the duty that is tested. */
+  /** The stored records of the tested role. */
   static final class Records implements RoleRecords {
     @Override
     public String name() {
@@ -161,7 +173,7 @@
     }
   }
 
-  /** One process of a member. */
+  /** One process of a controller; a restart creates another instance. */
   final class Controller implements RoleLease.Listener {
     final SimClock.Process process;
     final RoleLease role;
@@ -187,18 +199,21 @@
       process.scheduleWithFixedDelay(ACTION_INTERVAL_MS, this::sendActionIfHeld);
     }
 
-    /** Its steady clock jumps: its own check is worth nothing for a while. */
+    /** Jumps the steady clock of the process, so that its certainty can be wrong for a while. */
     void jumpClock(long byMs) {
       clockJumped = true;
       process.jumpClock(byMs);
     }
 
-    /** From now on it sends nothing. */
+    /** From now on the controller sends no actions; it still renews its lease. */
     void stopSending() {
       silent = true;
     }
 
-    /** Checks, and sends a moment later: the process may stand still in between. */
+    /**
+     * Checks that the role is certainly held, and sends an action under it after a random delay:
+     * the process may be frozen between the check and the send.
+     */
     private void sendActionIfHeld() {
       if (!silent && role.isCertainlyHeld()) {
         HeldRole held = role.held().orElseThrow();
--- a/src/test/java/org/ploverspindle/sim/RoleLeaseTest.java
+++ b/src/test/java/org/ploverspindle/sim/RoleLeaseTest.java
@@ -14,7 +14,10 @@
 import org.ploverspindle.leases.LeaseTiming;
 import org.ploverspindle.net.Cbor;
 
-/** One duty, three controllers: who holds it, and what a former holder can still do. */
+/**
+ * Three controllers compete for one role. Guards against actions of a former holder that are still
+ * committed after it was replaced, and against a role that stays without a holder.
+ */
 class RoleLeaseTest {
   private static final long ACQUIRED_BY_MS = 8_000;
   private static final int RANDOM_FAULT_COUNT = 30;
@@ -22,9 +25,9 @@
   private static RoleCluster clusterWithHolder(long seed, boolean fenced) {
     RoleCluster cluster = new RoleCluster(seed, fenced);
     cluster.clock.runUntil(ACQUIRED_BY_MS);
-    assertTrue(cluster.holder().isPresent(), "somebody holds the duty");
+    assertTrue(cluster.holder().isPresent(), "no controller holds the role");
     assertEquals(
-        1, cluster.referenceRole.acquisitions(), "equal members do not take it from each other");
+        1, cluster.referenceRole.acquisitions(), "acquisitions of the role without a fault");
     return cluster;
   }
 
@@ -37,16 +40,19 @@
   }
 
   private static void assertNoViolation(RoleCluster cluster) {
-    assertEquals(0, cluster.referenceRole.staleActions(), "actions of former holders");
-    assertEquals(0, cluster.referenceRole.nonIncreasingEpochs(), "epochs that were used before");
+    assertEquals(0, cluster.referenceRole.staleActions(), "committed actions of former holders");
+    assertEquals(
+        0,
+        cluster.referenceRole.nonIncreasingEpochs(),
+        "epochs that are not above all earlier ones");
     assertEquals(
         0,
         cluster.referenceRole.unconditionalAcquisitions(),
-        "tries that could be carried out late");
+        "acquisitions that could be committed late");
     assertEquals(List.of(), cluster.falseHolders());
   }
 
-  /** In each step something else goes wrong, at times two things at once. */
+  /** Injects a random fault every 4 s on average; a fault may last until after the next one. */
   private static void scheduleRandomFaults(RoleCluster cluster) {
     for (int i = 0; i < RANDOM_FAULT_COUNT; i++) {
       cluster.clock.after(
@@ -70,7 +76,7 @@
       case 4 -> cluster.network.setUnansweredWrites(0.2, cluster.random.nextBoolean());
       case 5 -> holdPacketsOf(cluster, index, durationMs);
       case 6 -> outage(cluster, durationMs);
-      default -> controller.role.release("told to");
+      default -> controller.role.release("release requested");
     }
   }
 
@@ -88,7 +94,7 @@
     cluster.clock.after(durationMs, () -> cluster.state.setOutage(false));
   }
 
-  /** Seed 512 gives the duty up between the moment it is taken and the read that follows. */
+  /** Seed 512 releases the role between its acquisition and the read that follows it. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 512})
   void randomFaultsLetNoFormerHolderActAndLeaveTheRoleHeld(long seed) {
@@ -98,13 +104,15 @@
     assertNoViolation(cluster);
     assertTrue(
         cluster.referenceRole.acquisitions() > 5,
-        cluster.referenceRole.acquisitions() + " holders");
+        cluster.referenceRole.acquisitions() + " acquisitions");
     int actionsBefore = cluster.referenceRole.currentActions();
     cluster.clock.runUntil(cluster.clock.nowMs() + 5_000);
-    assertTrue(cluster.referenceRole.currentActions() > actionsBefore, "the duty is carried out");
+    assertTrue(
+        cluster.referenceRole.currentActions() > actionsBefore,
+        "no action was committed within 5 s after the faults");
   }
 
-  /** The counter counts: without the condition former holders' actions are accepted. */
+  /** Shows that stale actions are detected: without fencing, some of them are committed. */
   @Test
   void withoutFencingFormerHoldersActAndAreCounted() {
     int staleActions = 0;
@@ -114,7 +122,7 @@
       cluster.clock.runUntil(ACQUIRED_BY_MS + RANDOM_FAULT_COUNT * 4_000L);
       staleActions += cluster.referenceRole.staleActions();
     }
-    assertTrue(staleActions > 0, "a counter that never counts shows nothing");
+    assertTrue(staleActions > 0, "no action of a former holder was committed without fencing");
   }
 
   @ParameterizedTest
@@ -134,11 +142,14 @@
     cluster.clock.runUntil(ACQUIRED_BY_MS + 30_000);
     assertTrue(
         cluster.referenceRole.acquisitions() >= 3,
-        cluster.referenceRole.acquisitions() + " holders");
+        cluster.referenceRole.acquisitions() + " acquisitions");
     assertNoViolation(cluster);
   }
 
-  /** Its clock says that the lease lives on: only the receiver can refuse what it sends. */
+  /**
+   * By the former holder's clock, which jumps back by 60 s, its lease is still valid. Only the
+   * state service can refuse the actions that it sends.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void actionsOfAFormerHolderWhoseClockJumpedBackAreRefused(long seed) {
@@ -148,14 +159,19 @@
     holdPacketsOf(cluster, index, 9_000);
     cluster.clock.after(1_000, () -> former.jumpClock(-60_000));
     cluster.clock.runUntil(ACQUIRED_BY_MS + 8_900);
-    assertTrue(former.role.isCertainlyHeld(), "it believes that it holds the duty");
+    assertTrue(
+        former.role.isCertainlyHeld(), "the former holder must still be certain of the role");
     assertEquals(2, cluster.referenceRole.acquisitions());
     cluster.clock.runUntil(ACQUIRED_BY_MS + 20_000);
-    assertTrue(cluster.refusedActions() > 0, "it was refused");
+    assertTrue(cluster.refusedActions() > 0, "no action was refused");
     assertNoViolation(cluster);
   }
 
-  /** Its record is attached to a lease that is not renewed any more, and goes within moments. */
+  /**
+   * For 60 s no transaction is answered, and all are executed late. An acquisition may be committed
+   * after its controller replaced the lease. Its record is attached to a lease that is not renewed
+   * any more, and is removed soon, so the controller must not take it for the role.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void acquisitionCommittedUnderAnEarlierLeaseIsNotTakenForTheRole(long seed) {
@@ -169,7 +185,10 @@
     assertTrue(cluster.holder().isPresent());
   }
 
-  /** It would act on what it believes as soon as its lease were renewed. */
+  /**
+   * A former holder that still believed in the role would act as soon as its lease were renewed. It
+   * must learn of the loss without a refused action of its own.
+   */
   @Test
   void formerHolderThatSendsNothingLearnsThatItLostTheRole() {
     RoleCluster cluster = clusterWithHolder(11, true);
@@ -178,7 +197,7 @@
     cluster.clock.after(500, () -> former.process.freeze(2 * RoleCluster.TIMING.ttlMs()));
     cluster.clock.runUntil(ACQUIRED_BY_MS + 4 * RoleCluster.TIMING.ttlMs());
     assertTrue(former.role.held().isEmpty());
-    assertEquals(0, cluster.refusedActions(), "it had sent nothing");
+    assertEquals(0, cluster.refusedActions(), "actions refused although none was sent");
     assertNoViolation(cluster);
   }
 
@@ -190,14 +209,19 @@
     assertFalse(holder.role.isCertainlyHeld());
   }
 
-  /** It was carried out, so the lease lives; but nobody may count on that. */
+  /**
+   * The state service renews the lease, and only the response is lost. A holder must not rely on a
+   * renewal that was not answered.
+   */
   @Test
   void renewalsWithoutAResponseDoNotExtendTheCertainRole() {
     RoleCluster cluster = clusterWithHolder(5, true);
     RoleCluster.Controller holder = cluster.holder().orElseThrow();
     cluster.network.dropResponsesFrom(SimStateAccess.STATE, true);
     cluster.clock.runUntil(ACQUIRED_BY_MS + RoleCluster.TIMING.ttlMs());
-    assertFalse(holder.role.isCertainlyHeld(), "the last answered renewal is too old");
+    assertFalse(
+        holder.role.isCertainlyHeld(),
+        "certain of the role although its last answered renewal is too old");
     cluster.network.dropResponsesFrom(SimStateAccess.STATE, false);
     cluster.clock.runUntil(ACQUIRED_BY_MS + 15_000);
     assertNoViolation(cluster);
@@ -210,7 +234,9 @@
     RoleCluster.Controller holder = cluster.holder().orElseThrow();
     outage(cluster, 4 * RoleCluster.TIMING.ttlMs());
     cluster.clock.runUntil(ACQUIRED_BY_MS + 2 * RoleCluster.TIMING.ttlMs());
-    assertFalse(holder.role.isCertainlyHeld(), "it can't know that nobody else holds it");
+    assertFalse(
+        holder.role.isCertainlyHeld(),
+        "a holder without renewals for two lease times is certain of the role");
     cluster.clock.runUntil(ACQUIRED_BY_MS + 6 * RoleCluster.TIMING.ttlMs());
     assertTrue(holder.role.isCertainlyHeld());
     assertEquals(1, cluster.referenceRole.acquisitions());
@@ -226,7 +252,10 @@
     assertNoViolation(cluster);
   }
 
-  /** The record of its former process is not its own, and need not run out. */
+  /**
+   * A restarted controller does not take the record of its former process for its own. It ends the
+   * lease of that record, so nobody has to wait until it expires.
+   */
   @Test
   void roleOfARestartedHolderIsHeldWithANewEpochBeforeItsOldLeaseExpires() {
     RoleCluster cluster = clusterWithHolder(8, true);
