--- a/src/test/java/org/ploverspindle/sim/PipelineTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineTest.java
@@ -170,6 +170,10 @@
     return cluster;
   }
 
+  /**
+   * A job with a deadline cannot meet it if the best-effort job that it depends on waits behind
+   * normal jobs. The dependency is therefore placed as urgently as its dependent requires.
+   */
   @Test
   void bestEffortStepRunsBeforeNormalJobsWhenItsDependentHasADeadline() {
     SimulatedCluster clusterWithoutDependent = busyCluster();
@@ -195,6 +199,7 @@
     assertEquals(List.of(), cluster.checker.broken());
   }
 
+  /** The deadline of a cancelled dependent must no longer put its dependency before other jobs. */
   @Test
   void stepLosesPrecedenceWhenItsDependentWithADeadlineIsCancelled() {
     SimulatedCluster cluster = busyCluster();
@@ -222,6 +227,7 @@
 
   // ---- dependents start without avoidable delay
 
+  /** Guards against time that is lost between the steps of a pipeline of 12 jobs. */
   @Test
   void dependentStartsWithinAHeartbeatIntervalAndAnImagePull() {
     SimulatedCluster cluster = new SimulatedCluster(8, CONTROLLERS, 14, List.of("a"));
@@ -246,6 +252,10 @@
     }
   }
 
+  /**
+   * The leader knows from heartbeats that a dependency is done. It must not wait until it reads its
+   * own completion record from the state service, which refuses all reads here.
+   */
   @Test
   void dependentStartsOnTimeWhenReadsOfTheStateServiceAreRefused() {
     SimulatedCluster cluster = new SimulatedCluster(8, CONTROLLERS, 14, List.of("a"));
@@ -267,6 +277,7 @@
 
   // ---- blocked jobs
 
+  /** Guards against machines and cores that are kept for a job whose dependency still runs. */
   @Test
   void blockedJobNeitherUsesItsTeamsLimitNorCausesProvisioning() {
     SimulatedCluster cluster = new SimulatedCluster(9, CONTROLLERS, 14, List.of("a"));
@@ -299,6 +310,7 @@
 
   // ---- failover
 
+  /** The leader is killed every 11 s: each new leader derives anew which jobs are ready. */
   @Test
   void pipelineCompletesInOrderAcrossRepeatedFailovers() {
     SimulatedCluster cluster = new SimulatedCluster(10, CONTROLLERS, 14, List.of("a"));
--- a/src/test/java/org/ploverspindle/sim/RoleLeaseTest.java
+++ b/src/test/java/org/ploverspindle/sim/RoleLeaseTest.java
@@ -201,6 +201,7 @@
     assertNoViolation(cluster);
   }
 
+  /** After a forward jump of 10 s the lease seems expired, so the holder must stop acting. */
   @Test
   void holderWhoseClockJumpsForwardIsNotCertainOfTheRole() {
     RoleCluster cluster = clusterWithHolder(4, true);
@@ -228,6 +229,10 @@
     assertTrue(cluster.holder().isPresent());
   }
 
+  /**
+   * During a simulated outage no lease expires, but the holder cannot know that and must not be
+   * certain of the role. After the outage it goes on without a new acquisition.
+   */
   @Test
   void outageLongerThanTheLeaseLeavesTheRoleWithItsHolder() {
     RoleCluster cluster = clusterWithHolder(6, true);
@@ -267,6 +272,7 @@
     assertNoViolation(cluster);
   }
 
+  /** A guessed epoch could have been used before, and fencing would not refuse its former user. */
   @Test
   void roleWithAMalformedEpochRecordIsNotAcquired() {
     RoleCluster cluster = new RoleCluster(9, true);
