--- a/src/test/java/org/ploverspindle/sim/FaultScenario.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenario.java
@@ -23,7 +23,7 @@
 
 /** One simulated day, in which one combination of faults is provoked. */
 final class FaultScenario {
-  static final int NODES = 3;
+  static final int CONTROLLERS = 3;
   static final long RECOVERY_MS = 110_000;
 
   /** Report, lease and cancellation times of the operators' deployments. */
@@ -37,11 +37,11 @@
 
   final SimulatedCluster cluster;
   final Random random;
-  final boolean oddSeed;
+  final boolean isOddSeed;
   final long leaseMs;
-  final long cancelMs;
+  final long cancellationMs;
   private final Map<String, BooleanSupplier> evidence = new LinkedHashMap<>();
-  private final Map<String, Long> noted = new HashMap<>();
+  private final Map<String, Long> recorded = new HashMap<>();
   long faultsEndMs;
 
   FaultScenario(long seed, String deployment, double limit) {
@@ -50,7 +50,7 @@
         new SimulatedCluster(
             seed,
             new SimulatedCluster.Deployment(
-                NODES,
+                CONTROLLERS,
                 14,
                 List.of("a", "b"),
                 limits,
@@ -61,56 +61,56 @@
                     new Settings.Team("blue", 8, limit, 0, 0)),
                 new Policy(3, 8, 15, 0, 100, 20, Map.of())));
     this.random = new Random(seed * 31 + 7);
-    this.oddSeed = seed % 2 == 1;
+    this.isOddSeed = seed % 2 == 1;
     this.leaseMs = Math.round(limits.leaseS() * 1000);
-    this.cancelMs = Math.round(limits.cancelS() * 1000);
+    this.cancellationMs = Math.round(limits.cancelS() * 1000);
   }
 
-  void at(long atMs, Runnable work) {
-    cluster.clock.after(atMs - cluster.clock.nowMs(), work);
+  void at(long atMs, Runnable action) {
+    cluster.clock.after(atMs - cluster.clock.nowMs(), action);
   }
 
   /** From then on, again and again until the other time. */
-  void every(long fromMs, long untilMs, long periodMs, Runnable work) {
-    for (long t = fromMs; t < untilMs; t += periodMs) {
-      at(t, work);
+  void repeat(long fromMs, long untilMs, long periodMs, Runnable action) {
+    for (long timeMs = fromMs; timeMs < untilMs; timeMs += periodMs) {
+      at(timeMs, action);
     }
   }
 
-  void note(String name, LongSupplier value) {
-    noted.put(name, value.getAsLong());
+  void record(String name, LongSupplier value) {
+    recorded.put(name, value.getAsLong());
   }
 
-  void increase(String name, long more) {
-    noted.merge(name, more, Long::sum);
+  void increase(String name, long amount) {
+    recorded.merge(name, amount, Long::sum);
   }
 
-  long noted(String name) {
-    return noted.getOrDefault(name, 0L);
+  long recorded(String name) {
+    return recorded.getOrDefault(name, 0L);
   }
 
   /** Evidence that the combination of faults occurred; it must hold at the end. */
-  void mustOccur(String what, BooleanSupplier proof) {
-    evidence.put(what, proof);
+  void requireEvidence(String description, BooleanSupplier occurred) {
+    evidence.put(description, occurred);
   }
 
-  void leaderMustChange(long by) {
-    mustOccur("the lead changed", () -> cluster.termCount() - noted("terms") >= by);
+  void requireLeaderChanges(long minimum) {
+    requireEvidence("the lead changed", () -> cluster.termCount() - recorded("terms") >= minimum);
   }
 
-  JobSpec job(String team, int tasks, double cores, double runS) {
+  JobSpec job(String team, int tasks, double cores, double runtimeS) {
     JobSpecBuilder job =
         JobSpecBuilder.job(cluster.newUid())
             .team(team)
             .tasks(tasks)
             .cores(cores)
             .image("image", 0.1)
-            .expectedS(runS);
+            .expectedS(runtimeS);
     return (cores >= 4 ? job.types("small") : job).build();
   }
 
   /** The same job with constraints on zones; an empty zone is any. */
-  JobSpec bound(JobSpec spec, String zone, boolean oneZone, boolean spreadOverZones) {
+  JobSpec withZoneConstraints(JobSpec spec, String zone, boolean oneZone, boolean spreadOverZones) {
     return JobSpecBuilder.from(spec)
         .zone(zone.isEmpty() ? Optional.empty() : Optional.of(zone))
         .oneZone(oneZone)
@@ -119,7 +119,7 @@
   }
 
   /** The same job with a high priority and a deadline. */
-  JobSpec urgent(JobSpec spec) {
+  JobSpec withHighPriorityAndDeadline(JobSpec spec) {
     return JobSpecBuilder.from(spec)
         .jobClass("pressing")
         .priority(Priority.HIGH)
@@ -128,16 +128,17 @@
   }
 
   /** Both teams' jobs, one after another. */
-  void jobs(long fromMs, long spacingMs, int count, int tasks, double cores, double runS) {
+  void submitJobs(
+      long fromMs, long spacingMs, int count, int tasks, double cores, double runtimeS) {
     for (int i = 0; i < count; i++) {
       String team = i % 2 == 0 ? "red" : "blue";
-      at(fromMs + i * spacingMs, () -> cluster.submitAndPoll(job(team, tasks, cores, runS)));
+      at(fromMs + i * spacingMs, () -> cluster.submitAndPoll(job(team, tasks, cores, runtimeS)));
     }
   }
 
-  void crashLeader(long backAfterMs) {
+  void crashLeader(long restartDelayMs) {
     if (cluster.leader() >= 0) {
-      cluster.crash(cluster.leader(), backAfterMs);
+      cluster.crash(cluster.leader(), restartDelayMs);
       increase("crashes", 1);
     }
   }
@@ -149,9 +150,9 @@
   void crashLeaderAndPartitionSomeWorkers() {
     List<SimWorker> busy = busyWorkers();
     for (int i = 0; i < busy.size(); i += 2) {
-      SimWorker x = busy.get(i);
-      partition(x, true);
-      cluster.clock.after(leaseMs, () -> partition(x, false));
+      SimWorker worker = busy.get(i);
+      partition(worker, true);
+      cluster.clock.after(leaseMs, () -> partition(worker, false));
     }
     crashLeader(50);
   }
@@ -160,40 +161,45 @@
   List<SimWorker> busyWorkers() {
     Set<String> hosts = new HashSet<>();
     cluster.checker.running().forEach(uid -> hosts.addAll(cluster.checker.hostsOf(uid)));
-    return cluster.cloud.workers().stream().filter(x -> hosts.contains(x.host())).toList();
+    return cluster.cloud.workers().stream()
+        .filter(worker -> hosts.contains(worker.host()))
+        .toList();
   }
 
   /** No controller reaches the machine, nor it any of them; what is sent comes at the end. */
-  int partition(SimWorker x, boolean now) {
+  int partition(SimWorker worker, boolean active) {
     int delivered = 0;
-    for (int i = 0; i < NODES; i++) {
-      delivered += cluster.network.holdPackets("n" + i, x.host(), now);
+    for (int i = 0; i < CONTROLLERS; i++) {
+      delivered += cluster.network.holdPackets("n" + i, worker.host(), active);
     }
     return delivered;
   }
 
   /** Of all controllers the machine reaches that one only. */
-  void partitionFromAllBut(SimWorker x, int node, boolean now) {
-    for (int i = 0; i < NODES; i++) {
-      if (i != node) {
-        cluster.network.holdPackets("n" + i, x.host(), now);
+  void partitionFromAllBut(SimWorker worker, int controller, boolean active) {
+    for (int i = 0; i < CONTROLLERS; i++) {
+      if (i != controller) {
+        cluster.network.holdPackets("n" + i, worker.host(), active);
       }
     }
   }
 
   /** All other machines that are up do not reach the controller, and can't tell it of a new one. */
-  void partitionOthersFrom(int node, List<SimWorker> all, long forMs) {
+  void partitionAllExcept(int controller, List<SimWorker> excluded, long durationMs) {
     List<SimWorker> others =
-        cluster.cloud.workers().stream().filter(x -> !all.contains(x)).toList();
-    others.forEach(x -> cluster.network.holdPackets("n" + node, x.host(), true));
+        cluster.cloud.workers().stream().filter(worker -> !excluded.contains(worker)).toList();
+    others.forEach(worker -> cluster.network.holdPackets("n" + controller, worker.host(), true));
     cluster.clock.after(
-        forMs, () -> others.forEach(x -> cluster.network.holdPackets("n" + node, x.host(), false)));
+        durationMs,
+        () ->
+            others.forEach(
+                worker -> cluster.network.holdPackets("n" + controller, worker.host(), false)));
   }
 
   /** Running jobs with a task on one of the machines. */
-  List<String> jobsOn(List<SimWorker> machines) {
+  List<String> runningJobsOn(List<SimWorker> machines) {
     Set<String> hosts = new HashSet<>();
-    machines.forEach(x -> hosts.add(x.host()));
+    machines.forEach(worker -> hosts.add(worker.host()));
     return cluster.checker.running().stream()
         .filter(uid -> cluster.checker.hostsOf(uid).stream().anyMatch(hosts::contains))
         .toList();
@@ -202,7 +208,7 @@
   /** One combination of faults, played in one scenario for each deployment. */
   interface Combination {
     /** Schedules the faults, and says by which evidence they occurred. */
-    void play(FaultScenario scenario);
+    void schedule(FaultScenario scenario);
 
     /** The cores that each team may use at once; 0 for no limit. */
     default double teamLimit() {
@@ -211,15 +217,15 @@
   }
 
   /** Each combination with each deployment's timing, and a seed for each. */
-  static Stream<Arguments> each(Combination[] combinations) {
-    List<Arguments> all = new ArrayList<>();
+  static Stream<Arguments> combinationsByDeployment(Combination[] combinations) {
+    List<Arguments> arguments = new ArrayList<>();
     for (Combination combination : combinations) {
       long seed = 1;
       for (String deployment : deployments()) {
-        all.add(Arguments.of(combination, deployment, seed++));
+        arguments.add(Arguments.of(combination, deployment, seed++));
       }
     }
-    return all.stream();
+    return arguments.stream();
   }
 
   static List<String> deployments() {
@@ -227,19 +233,19 @@
   }
 
   /** Fails if a rule broke, if an accepted job never began, or if the faults did not occur. */
-  static void assertRulesHold(Combination combination, String deployment, long seed) {
+  static void assertInvariantsHold(Combination combination, String deployment, long seed) {
     FaultScenario scenario = new FaultScenario(seed, deployment, combination.teamLimit());
     SimulatedCluster cluster = scenario.cluster;
-    combination.play(scenario);
+    combination.schedule(scenario);
     scenario.at(scenario.faultsEndMs, cluster::faultsEnded);
     cluster.clock.runUntil(scenario.faultsEndMs + RECOVERY_MS);
     assertEquals(List.of(), cluster.checker.broken());
     assertEquals(0, cluster.checker.neverBegun(), "accepted jobs never began");
-    List<String> missing =
+    List<String> missingEvidence =
         scenario.evidence.entrySet().stream()
-            .filter(e -> !e.getValue().getAsBoolean())
-            .map(e -> e.getKey() + " " + scenario.noted)
+            .filter(entry -> !entry.getValue().getAsBoolean())
+            .map(entry -> entry.getKey() + " " + scenario.recorded)
             .toList();
-    assertEquals(List.of(), missing, "did not occur");
+    assertEquals(List.of(), missingEvidence, "did not occur");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/FaultScenarioTest.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenarioTest.java
@@ -16,12 +16,13 @@
   }
 
   Stream<Arguments> scenarios() {
-    return FaultScenario.each(combinations);
+    return FaultScenario.combinationsByDeployment(combinations);
   }
 
   @ParameterizedTest(name = "{0}, {1}, seed {2}")
   @MethodSource("scenarios")
-  void rulesHoldIn(FaultScenario.Combination combination, String deployment, long seed) {
-    FaultScenario.assertRulesHold(combination, deployment, seed);
+  void invariantsHoldInEachFaultCombination(
+      FaultScenario.Combination combination, String deployment, long seed) {
+    FaultScenario.assertInvariantsHold(combination, deployment, seed);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/Faults.java
+++ b/src/test/java/org/ploverspindle/sim/Faults.java
@@ -5,189 +5,203 @@
 
 /** The troubles that a day may hold, each for a while; two of them may meet. */
 enum Faults {
-  CRASH {
+  CONTROLLER_CRASH {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.crash(leaderOrAny(w, r), 100 + r.nextInt(4_000));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.crash(randomControllerFavoringLeader(cluster, random), 100 + random.nextInt(4_000));
     }
   },
-  ALL_CRASH {
+  ALL_CONTROLLERS_CRASH {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      for (int i = 0; i < w.controllerCount; i++) {
-        w.crash(i, 100 + r.nextInt((int) forMs));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      for (int i = 0; i < cluster.controllerCount; i++) {
+        cluster.crash(i, 100 + random.nextInt((int) durationMs));
       }
     }
   },
-  PAUSE {
+  CONTROLLER_PAUSE {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.freeze(leaderOrAny(w, r), forMs);
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.freeze(randomControllerFavoringLeader(cluster, random), durationMs);
     }
   },
   STATE_OUTAGE {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.state.setOutage(true);
-      w.clock.after(forMs, () -> w.state.setOutage(false));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.state.setOutage(true);
+      cluster.clock.after(durationMs, () -> cluster.state.setOutage(false));
     }
   },
   CLOUD_OUTAGE {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.cloud.setOutage(true);
-      w.clock.after(forMs, () -> w.cloud.setOutage(false));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.cloud.setOutage(true);
+      cluster.clock.after(durationMs, () -> cluster.cloud.setOutage(false));
     }
   },
-  SLOW_LINKS {
+  DELAYED_REQUESTS {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.network.setLateRequestShare(0.05 + r.nextDouble() * 0.2);
-      w.clock.after(forMs, () -> w.network.setLateRequestShare(0));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.network.setLateRequestShare(0.05 + random.nextDouble() * 0.2);
+      cluster.clock.after(durationMs, () -> cluster.network.setLateRequestShare(0));
     }
   },
-  MACHINES_CUT {
+  WORKERS_PARTITIONED {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      for (SimWorker x : some(w, r)) {
-        for (int i = 0; i < w.controllerCount; i++) {
-          String node = "n" + i;
-          w.network.holdPackets(node, x.host(), true);
-          w.clock.after(forMs, () -> w.network.holdPackets(node, x.host(), false));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      for (SimWorker worker : randomWorkers(cluster, random)) {
+        for (int i = 0; i < cluster.controllerCount; i++) {
+          String controller = "n" + i;
+          cluster.network.holdPackets(controller, worker.host(), true);
+          cluster.clock.after(
+              durationMs, () -> cluster.network.holdPackets(controller, worker.host(), false));
         }
       }
     }
   },
-  MACHINES_DIE {
+  MACHINE_FAILURES {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      some(w, r).forEach(x -> w.cloud.fail(x.host()));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      randomWorkers(cluster, random).forEach(worker -> cluster.cloud.fail(worker.host()));
     }
   },
-  MACHINES_RECALLED {
+  SPOT_NOTICES {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      some(w, r).forEach(SimWorker::giveSpotNotice);
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      randomWorkers(cluster, random).forEach(SimWorker::giveSpotNotice);
     }
   },
-  MACHINES_HANG {
+  UNRESPONSIVE_WORKERS {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      some(w, r).forEach(x -> x.hang(forMs));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      randomWorkers(cluster, random).forEach(worker -> worker.hang(durationMs));
     }
   },
-  MACHINE_DEAF {
+  MESSAGES_TO_WORKERS_DROPPED {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      for (SimWorker x : some(w, r)) {
-        w.network.dropInbound(x.host(), true);
-        w.clock.after(forMs, () -> w.network.dropInbound(x.host(), false));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      for (SimWorker worker : randomWorkers(cluster, random)) {
+        cluster.network.dropInbound(worker.host(), true);
+        cluster.clock.after(durationMs, () -> cluster.network.dropInbound(worker.host(), false));
       }
     }
   },
-  MACHINE_MUTE {
+  WORKER_REQUESTS_DROPPED {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      for (SimWorker x : some(w, r)) {
-        w.network.dropRequestsFrom(x.host(), true);
-        w.clock.after(forMs, () -> w.network.dropRequestsFrom(x.host(), false));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      for (SimWorker worker : randomWorkers(cluster, random)) {
+        cluster.network.dropRequestsFrom(worker.host(), true);
+        cluster.clock.after(
+            durationMs, () -> cluster.network.dropRequestsFrom(worker.host(), false));
       }
     }
   },
-  LATE_WRITES {
+  UNANSWERED_TRANSACTIONS_DELAYED {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      lateWrites(w, 0.05 + r.nextDouble() * 0.4, false, forMs);
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      leaveTransactionsUnanswered(cluster, 0.05 + random.nextDouble() * 0.4, false, durationMs);
     }
   },
-  WRITES_AT_ONCE {
+  UNANSWERED_TRANSACTIONS_EXECUTED {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      lateWrites(w, 0.05 + r.nextDouble() * 0.4, true, forMs);
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      leaveTransactionsUnanswered(cluster, 0.05 + random.nextDouble() * 0.4, true, durationMs);
     }
   },
-  LATE_REPORTS {
+  STALE_HEARTBEATS {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      lateReports(w, 0.1 + r.nextDouble() * 0.5, false, forMs);
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      replayHeartbeats(cluster, 0.1 + random.nextDouble() * 0.5, false, durationMs);
     }
   },
-  REPORTS_FOR_NEXT {
+  STALE_HEARTBEATS_FOR_NEXT_LEADER {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      lateReports(w, 0.1 + r.nextDouble() * 0.5, true, forMs);
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      replayHeartbeats(cluster, 0.1 + random.nextDouble() * 0.5, true, durationMs);
       // Without a next leader there is nothing to it.
-      w.clock.after(forMs / 2, () -> w.crash(leaderOrAny(w, r), 100 + r.nextInt(3_000)));
+      cluster.clock.after(
+          durationMs / 2,
+          () ->
+              cluster.crash(
+                  randomControllerFavoringLeader(cluster, random), 100 + random.nextInt(3_000)));
     }
   },
-  NODE_CUT_HOLD {
+  CONTROLLER_PARTITIONED_PACKETS_HELD {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.partitionController(leaderOrAny(w, r), SimulatedCluster.PartitionMode.HOLD_PACKETS, forMs);
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.partitionController(
+          randomControllerFavoringLeader(cluster, random),
+          SimulatedCluster.PartitionMode.HOLD_PACKETS,
+          durationMs);
     }
   },
-  NODE_CUT_REFUSE {
+  CONTROLLER_PARTITIONED_REQUESTS_REFUSED {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.partitionController(
-          leaderOrAny(w, r), SimulatedCluster.PartitionMode.REFUSE_REQUESTS, forMs);
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.partitionController(
+          randomControllerFavoringLeader(cluster, random),
+          SimulatedCluster.PartitionMode.REFUSE_REQUESTS,
+          durationMs);
     }
   },
-  CANCEL_NOW {
+  CANCELLATIONS {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.cancelRunning(1 + r.nextInt(6), r.nextBoolean() ? 0 : forMs);
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.cancelRunning(1 + random.nextInt(6), random.nextBoolean() ? 0 : durationMs);
     }
   },
-  CANCEL_AT_END {
+  CANCELLATIONS_AT_COMPLETION {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.setCancelAtEndShare(0.5);
-      w.clock.after(forMs, () -> w.setCancelAtEndShare(0));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.setCancelAtEndShare(0.5);
+      cluster.clock.after(durationMs, () -> cluster.setCancelAtEndShare(0));
     }
   },
-  ODD_REQUESTS {
+  INVALID_REQUESTS {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.setInvalidRequests(true);
-      w.clock.after(forMs, () -> w.setInvalidRequests(false));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.setInvalidRequests(true);
+      cluster.clock.after(durationMs, () -> cluster.setInvalidRequests(false));
     }
   },
-  CLOSE_LOOKS {
+  REQUEST_BURSTS {
     @Override
-    void begin(SimulatedCluster w, Random r, long forMs) {
-      w.setRequestBursts(true);
-      w.clock.after(forMs, () -> w.setRequestBursts(false));
+    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.setRequestBursts(true);
+      cluster.clock.after(durationMs, () -> cluster.setRequestBursts(false));
     }
   };
 
   /** Begins at once, and ends by itself within the time, but for what it does to processes. */
-  abstract void begin(SimulatedCluster w, Random r, long forMs);
+  abstract void begin(SimulatedCluster cluster, Random random, long durationMs);
 
   /** Mostly the leader: with another one there is little to it. */
-  private static int leaderOrAny(SimulatedCluster w, Random r) {
-    int leader = w.leader();
-    return leader >= 0 && r.nextInt(4) > 0 ? leader : r.nextInt(w.controllerCount);
+  private static int randomControllerFavoringLeader(SimulatedCluster cluster, Random random) {
+    int leader = cluster.leader();
+    return leader >= 0 && random.nextInt(4) > 0 ? leader : random.nextInt(cluster.controllerCount);
   }
 
   /** One machine, or about half of them. */
-  private static List<SimWorker> some(SimulatedCluster w, Random r) {
-    List<SimWorker> all = w.cloud.workers().stream().filter(x -> !x.isTerminated()).toList();
-    if (all.isEmpty()) {
-      return all;
-    }
-    return r.nextBoolean()
-        ? List.of(all.get(r.nextInt(all.size())))
-        : all.stream().filter(x -> r.nextBoolean()).toList();
+  private static List<SimWorker> randomWorkers(SimulatedCluster cluster, Random random) {
+    List<SimWorker> running =
+        cluster.cloud.workers().stream().filter(worker -> !worker.isTerminated()).toList();
+    if (running.isEmpty()) {
+      return running;
+    }
+    return random.nextBoolean()
+        ? List.of(running.get(random.nextInt(running.size())))
+        : running.stream().filter(worker -> random.nextBoolean()).toList();
   }
 
-  private static void lateWrites(SimulatedCluster w, double share, boolean atOnce, long forMs) {
-    w.network.setUnansweredWrites(share, atOnce);
-    w.clock.after(forMs, () -> w.network.setUnansweredWrites(0, false));
+  private static void leaveTransactionsUnanswered(
+      SimulatedCluster cluster, double share, boolean immediate, long durationMs) {
+    cluster.network.setUnansweredWrites(share, immediate);
+    cluster.clock.after(durationMs, () -> cluster.network.setUnansweredWrites(0, false));
   }
 
-  private static void lateReports(SimulatedCluster w, double share, boolean forNext, long forMs) {
-    w.network.setHeartbeatReplay(share, forNext);
-    w.clock.after(forMs, () -> w.network.setHeartbeatReplay(0, false));
+  private static void replayHeartbeats(
+      SimulatedCluster cluster, double share, boolean atNextTerm, long durationMs) {
+    cluster.network.setHeartbeatReplay(share, atNextTerm);
+    cluster.clock.after(durationMs, () -> cluster.network.setHeartbeatReplay(0, false));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
@@ -10,35 +10,36 @@
   private enum Combinations implements FaultScenario.Combination {
     TEN_LEADER_CHANGES_INCLUDING_ONE_DURING_AN_OUTAGE {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.jobs(3_000, 4_000, 30, 4, 1, 25);
-        scenario.at(30_000, () -> scenario.note("terms", cluster::termCount));
-        long[] seen = {0};
-        scenario.every(
+        scenario.submitJobs(3_000, 4_000, 30, 4, 1, 25);
+        scenario.at(30_000, () -> scenario.record("terms", cluster::termCount));
+        long[] lastTerm = {0};
+        scenario.repeat(
             30_000,
             150_000,
             1_000,
             () -> {
               boolean nearOutage =
                   cluster.clock.nowMs() >= 73_000 && cluster.clock.nowMs() < 96_000;
-              if (!nearOutage && cluster.leader() >= 0 && cluster.termCount() > seen[0]) {
-                seen[0] = cluster.termCount();
+              if (!nearOutage && cluster.leader() >= 0 && cluster.termCount() > lastTerm[0]) {
+                lastTerm[0] = cluster.termCount();
                 cluster.clock.after(
                     scenario.random.nextInt(1_500),
                     () -> scenario.crashLeader(200 + scenario.random.nextInt(3_000)));
               }
             });
-        scenario.every(33_000, 150_000, 9_000, () -> cluster.cancelRunning(1, 0));
+        scenario.repeat(33_000, 150_000, 9_000, () -> cluster.cancelRunning(1, 0));
         scenario.at(80_000, () -> cluster.state.setOutage(true));
         // Whoever leads by then, or is back by then, ends inside the outage.
-        scenario.every(81_000, 94_000, 500, () -> crashDuringOutage(scenario));
+        scenario.repeat(81_000, 94_000, 500, () -> crashDuringOutage(scenario));
         scenario.at(95_000, () -> cluster.state.setOutage(false));
         scenario.faultsEndMs = 152_000;
-        scenario.mustOccur(
-            "ten changes", () -> cluster.termCount() - scenario.noted("terms") >= 10);
-        scenario.mustOccur("one inside the outage", () -> scenario.noted("crashes in outage") >= 1);
-        scenario.mustOccur("cancellations", () -> cluster.checker.cancelledWhileOn() >= 3);
+        scenario.requireEvidence(
+            "ten changes", () -> cluster.termCount() - scenario.recorded("terms") >= 10);
+        scenario.requireEvidence(
+            "one inside the outage", () -> scenario.recorded("crashes in outage") >= 1);
+        scenario.requireEvidence("cancellations", () -> cluster.checker.cancelledWhileOn() >= 3);
       }
 
       private void crashDuringOutage(FaultScenario scenario) {
@@ -51,23 +52,23 @@
 
     REPEATED_FAILOVER_THEN_ALL_CRASH_AND_ONE_RESTARTS {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.jobs(3_000, 2_500, 30, 4, 1, 30);
-        scenario.at(29_000, () -> scenario.note("terms", cluster::termCount));
+        scenario.submitJobs(3_000, 2_500, 30, 4, 1, 30);
+        scenario.at(29_000, () -> scenario.record("terms", cluster::termCount));
         for (int i = 0; i < 4; i++) {
           scenario.at(
               30_000 + i * 8_000, () -> scenario.crashLeader(150 + scenario.random.nextInt(700)));
         }
-        scenario.every(31_000, 90_000, 8_000, () -> cluster.cancelRunning(1, 0));
-        int first = scenario.random.nextInt(FaultScenario.NODES);
+        scenario.repeat(31_000, 90_000, 8_000, () -> cluster.cancelRunning(1, 0));
+        int restartsFirst = scenario.random.nextInt(FaultScenario.CONTROLLERS);
         scenario.at(
             66_000,
             () -> {
-              for (int i = 0; i < FaultScenario.NODES; i++) {
+              for (int i = 0; i < FaultScenario.CONTROLLERS; i++) {
                 cluster.crash(
                     i,
-                    i == first
+                    i == restartsFirst
                         ? 100 + scenario.random.nextInt(850)
                         : 14_000 + scenario.random.nextInt(3_000));
               }
@@ -75,23 +76,25 @@
         scenario.at(
             79_000,
             () ->
-                scenario.note(
-                    "alone", () -> cluster.leader() == first && aloneAlive(cluster) ? 1 : 0));
+                scenario.record(
+                    "alone",
+                    () -> cluster.leader() == restartsFirst && isOnlyOneAlive(cluster) ? 1 : 0));
         scenario.at(
             95_000,
             () -> {
-              for (int i = 0; i < FaultScenario.NODES; i++) {
+              for (int i = 0; i < FaultScenario.CONTROLLERS; i++) {
                 cluster.crash(i, 50 + scenario.random.nextInt(900));
               }
             });
         scenario.faultsEndMs = 104_000;
-        scenario.leaderMustChange(5);
-        scenario.mustOccur("one returned and led alone", () -> scenario.noted("alone") == 1);
+        scenario.requireLeaderChanges(5);
+        scenario.requireEvidence(
+            "one returned and led alone", () -> scenario.recorded("alone") == 1);
       }
 
-      private boolean aloneAlive(SimulatedCluster cluster) {
+      private boolean isOnlyOneAlive(SimulatedCluster cluster) {
         int alive = 0;
-        for (int i = 0; i < FaultScenario.NODES; i++) {
+        for (int i = 0; i < FaultScenario.CONTROLLERS; i++) {
           alive += cluster.isAlive(i) ? 1 : 0;
         }
         return alive == 1;
@@ -100,88 +103,94 @@
 
     ALL_CONTROLLERS_DOWN_LONGER_THAN_A_LEASE {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.jobs(3_000, 1_000, 14, 3, 1, 120);
+        scenario.submitJobs(3_000, 1_000, 14, 3, 1, 120);
         AgentEpochs[] epochs = new AgentEpochs[1];
-        long awayMs = scenario.leaseMs + 3_000 + scenario.random.nextInt(9_000);
-        scenario.at(44_000, () -> scenario.note("terms", cluster::termCount));
+        long downtimeMs = scenario.leaseMs + 3_000 + scenario.random.nextInt(9_000);
+        scenario.at(44_000, () -> scenario.record("terms", cluster::termCount));
         scenario.at(44_000, () -> cluster.cancelRunning(3, 0));
         scenario.at(
             45_000,
             () -> {
               epochs[0] = new AgentEpochs(scenario.busyWorkers());
-              for (int i = 0; i < FaultScenario.NODES; i++) {
-                cluster.crash(i, awayMs + scenario.random.nextInt(2_000));
+              for (int i = 0; i < FaultScenario.CONTROLLERS; i++) {
+                cluster.crash(i, downtimeMs + scenario.random.nextInt(2_000));
               }
             });
         scenario.at(
-            45_000 + awayMs - 100, () -> scenario.note("ended", () -> epochs[0].expiredCount()));
-        scenario.faultsEndMs = 45_000 + awayMs + 8_000;
-        scenario.leaderMustChange(1);
-        scenario.mustOccur("agent epochs ended", () -> scenario.noted("ended") >= 3);
-        scenario.mustOccur("cancelled just before", () -> cluster.checker.cancelledWhileOn() >= 1);
+            45_000 + downtimeMs - 100,
+            () -> scenario.record("ended", () -> epochs[0].expiredCount()));
+        scenario.faultsEndMs = 45_000 + downtimeMs + 8_000;
+        scenario.requireLeaderChanges(1);
+        scenario.requireEvidence("agent epochs ended", () -> scenario.recorded("ended") >= 3);
+        scenario.requireEvidence(
+            "cancelled just before", () -> cluster.checker.cancelledWhileOn() >= 1);
       }
     },
 
     TRANSACTIONS_EXECUTED_AFTER_NEWER_ONES {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.jobs(3_000, 1_500, 50, 3, 1, 12);
+        scenario.submitJobs(3_000, 1_500, 50, 3, 1, 12);
         scenario.at(20_000, () -> cluster.network.setUnansweredWrites(0.35, false));
-        scenario.at(20_000, () -> scenario.note("terms", cluster::termCount));
-        scenario.every(25_000, 80_000, 6_000, () -> cluster.cancelRunning(1, 0));
+        scenario.at(20_000, () -> scenario.record("terms", cluster::termCount));
+        scenario.repeat(25_000, 80_000, 6_000, () -> cluster.cancelRunning(1, 0));
         scenario.at(
             45_000 + scenario.random.nextInt(5_000), scenario::crashLeaderAndPartitionSomeWorkers);
         scenario.at(
             65_000 + scenario.random.nextInt(5_000), scenario::crashLeaderAndPartitionSomeWorkers);
         scenario.at(85_000, () -> cluster.network.setUnansweredWrites(0, false));
         scenario.faultsEndMs = 100_000;
-        scenario.leaderMustChange(1);
-        scenario.mustOccur(
+        scenario.requireLeaderChanges(1);
+        scenario.requireEvidence(
             "overtaken transactions", () -> cluster.stateAccess.reorderedWrites() >= 5);
       }
     },
 
     LEADER_CRASH_RIGHT_AFTER_STARTS_ON_NEW_MACHINES_WITH_DELAYED_WRITES {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         cluster.cloud.setBootTimeFactor("small", 0.2);
         cluster.cloud.setBootTimeFactor("large", 0.2);
         cluster.network.setUnansweredWrites(0.45, false);
-        scenario.at(1_000, () -> scenario.note("terms", cluster::termCount));
+        scenario.at(1_000, () -> scenario.record("terms", cluster::termCount));
         for (int i = 0; i < 3; i++) {
-          burst(scenario, 12_000 + i * 25_000, 8 + 20 * i);
+          crashLeaderAfterFirstStart(scenario, 12_000 + i * 25_000, 8 + 20 * i);
         }
         scenario.at(90_000, () -> cluster.network.setUnansweredWrites(0, false));
         scenario.faultsEndMs = 95_000;
-        scenario.leaderMustChange(2);
-        scenario.mustOccur("writes lagged", () -> cluster.stateAccess.reorderedWrites() >= 1);
-        scenario.mustOccur("ended right after work began there", () -> scenario.noted("met") >= 2);
+        scenario.requireLeaderChanges(2);
+        scenario.requireEvidence("writes lagged", () -> cluster.stateAccess.reorderedWrites() >= 1);
+        scenario.requireEvidence(
+            "ended right after work began there", () -> scenario.recorded("met") >= 2);
       }
 
-      private void burst(FaultScenario scenario, long atMs, int tasks) {
+      private void crashLeaderAfterFirstStart(FaultScenario scenario, long atMs, int tasks) {
         SimulatedCluster cluster = scenario.cluster;
-        Set<String> before = new HashSet<>();
+        Set<String> existingMachines = new HashSet<>();
         scenario.at(
             atMs,
             () -> {
-              cluster.cloud.workers().forEach(x -> before.add(x.host()));
-              cluster.submitAndPoll(scenario.urgent(scenario.job("red", tasks / 2, 2, 30)));
-              cluster.submitAndPoll(scenario.urgent(scenario.job("blue", tasks, 2, 30)));
+              cluster.cloud.workers().forEach(worker -> existingMachines.add(worker.host()));
+              cluster.submitAndPoll(
+                  scenario.withHighPriorityAndDeadline(scenario.job("red", tasks / 2, 2, 30)));
+              cluster.submitAndPoll(
+                  scenario.withHighPriorityAndDeadline(scenario.job("blue", tasks, 2, 30)));
             });
-        boolean[] ended = {false};
-        scenario.every(
+        boolean[] crashed = {false};
+        scenario.repeat(
             atMs + 100,
             atMs + 20_000,
             50,
             () -> {
-              boolean begun =
-                  scenario.busyWorkers().stream().anyMatch(x -> !before.contains(x.host()));
-              if (!ended[0] && begun && cluster.leader() >= 0) {
-                ended[0] = true;
+              boolean startedOnNewMachine =
+                  scenario.busyWorkers().stream()
+                      .anyMatch(worker -> !existingMachines.contains(worker.host()));
+              if (!crashed[0] && startedOnNewMachine && cluster.leader() >= 0) {
+                crashed[0] = true;
                 scenario.increase("met", 1);
                 cluster.clock.after(
                     scenario.random.nextInt(150), scenario::crashLeaderAndPartitionSomeWorkers);
@@ -206,7 +215,7 @@
     "large Athens, 27"
   })
   void unansweredTransactionsAreNotTakenAsCommitted(String deployment, long seed) {
-    FaultScenario.assertRulesHold(
+    FaultScenario.assertInvariantsHold(
         Combinations.TRANSACTIONS_EXECUTED_AFTER_NEWER_ONES, deployment, seed);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
@@ -44,9 +44,9 @@
 
 /** One leader's returns, step by step, beside a state service and a cloud that answer or do not. */
 class MachineTerminationsTest {
-  private static final long KEEP_MS = 7_000;
-  private static final long SOON_MS = 200;
-  private static final String EARLIER = Keys.termination("1-1");
+  private static final long RECORD_RETENTION_MS = 7_000;
+  private static final long RESPONSE_MS = 200;
+  private static final String EARLIER_RECORD = Keys.termination("1-1");
 
   private final SimClock clock = new SimClock();
   private final SimClock.Process process = clock.new Process(0, 1, 0);
@@ -56,22 +56,22 @@
   private final List<List<String>> requests = new ArrayList<>();
   private final List<Placement> lost = new ArrayList<>();
   private Replica replica;
-  private MachineRegistry fleet;
+  private MachineRegistry registry;
   private HeartbeatHandler handler;
-  private MachineTerminations returns;
+  private MachineTerminations terminations;
   private boolean cloudAnswers = true;
   private boolean mayDecide = true;
   private Term term;
 
   @BeforeEach
-  void lead() {
+  void startTerm() {
     state.preload(Keys.LEADER, Cbor.map().put("member", "n0"));
     StateStore store =
         new SimStateAccess(clock, new Random(2), network, state, false)
             .client(0, new SimLink(clock, network, 0, process));
     replica = new Replica(process, store, Keys.PREFIX, 700);
     replica.start();
-    clock.runUntil(SOON_MS);
+    clock.runUntil(RESPONSE_MS);
     term =
         new Term(
             2 * Term.TOKENS_PER_TERM,
@@ -82,31 +82,33 @@
     catalogue.update(List.of(new MachineType("t", size, 40, 1, 1, 0.4, 30, List.of("a"))));
     TeamUsage teams = new TeamUsage(List.of(new Settings.Team("blue", 0, 0, 0, 0)));
     Settings.WorkerLimits workers = new Settings.WorkerLimits(3, 14, 39);
-    fleet = new MachineRegistry(catalogue, teams, SafetyTiming.of(workers, 1), term);
-    handler = NoOpHeartbeatListener.heartbeatHandler(fleet, term);
-    TokenBucket plenty = new TokenBucket(process, 1_000, 1_000);
-    returns =
+    registry = new MachineRegistry(catalogue, teams, SafetyTiming.of(workers, 1), term);
+    handler = NoOpHeartbeatListener.heartbeatHandler(registry, term);
+    TokenBucket unlimitedBudget = new TokenBucket(process, 1_000, 1_000);
+    terminations =
         new MachineTerminations(
             process,
-            fleet,
+            registry,
             new HeartbeatTimeout(3, term.startMs(), term::startMs),
             new TerminationRecordWriter(
-                new LeaderWriter(store, replica, plenty, term), term.fencingToken(), 8_192),
+                new LeaderWriter(store, replica, unlimitedBudget, term),
+                term.fencingToken(),
+                8_192),
             new TerminationSender(
-                process, this::release, () -> mayDecide, new RetryDelay(new Random(3), 700, 600)),
-            KEEP_MS,
+                process, this::terminate, () -> mayDecide, new RetryDelay(new Random(3), 700, 600)),
+            RECORD_RETENTION_MS,
             lost::addAll);
-    process.scheduleWithFixedDelay(1_000, () -> returns.advance());
+    process.scheduleWithFixedDelay(1_000, () -> terminations.advance());
   }
 
-  private void release(List<String> hosts, Consumer<Boolean> then) {
+  private void terminate(List<String> hosts, Consumer<Boolean> onResult) {
     requests.add(hosts);
     boolean answer = cloudAnswers;
-    process.schedule(50, () -> then.accept(answer));
+    process.schedule(50, () -> onResult.accept(answer));
   }
 
-  private Machine report(String host, int tally) {
-    Heartbeat report =
+  private Machine heartbeat(String host, int sequence) {
+    Heartbeat heartbeat =
         new Heartbeat(
             host,
             "",
@@ -114,12 +116,12 @@
             "a",
             true,
             1,
-            tally,
+            sequence,
             term.fencingToken(),
             OptionalDouble.empty(),
             List.of());
-    handler.handle(report, clock.nowMs());
-    return fleet.get(host).orElseThrow();
+    handler.handle(heartbeat, clock.nowMs());
+    return registry.get(host).orElseThrow();
   }
 
   /** A task that is recorded on the machine, and saves its progress when it is told to stop. */
@@ -141,35 +143,35 @@
             0,
             1);
     Placement placement = new Placement(job, 0, 9, machine, 1, phase);
-    fleet.addPlacement(placement);
+    registry.addPlacement(placement);
     return placement;
   }
 
-  private void run(long forMs) {
-    clock.runUntil(clock.nowMs() + forMs);
+  private void run(long durationMs) {
+    clock.runUntil(clock.nowMs() + durationMs);
   }
 
   private void inherit(String... hosts) {
     ObjectNode value = Cbor.map();
     List.of(hosts).forEach(value.putArray("hosts")::add);
-    state.preload(EARLIER, value);
+    state.preload(EARLIER_RECORD, value);
     replica.readBarrier(read -> {});
-    run(SOON_MS);
-    replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inheritTermination);
+    run(RESPONSE_MS);
+    replica.withPrefix(Keys.TERMINATIONS).values().forEach(terminations::inheritTermination);
   }
 
   @Test
-  void theCloudIsAskedOnceTheRecordStandsAndTheRecordOutlivesTheAnswer() {
-    Machine machine = report("i-1", 1);
-    returns.beginTermination(List.of(machine));
+  void cloudIsAskedOnlyAfterRecordIsDurableAndRecordIsKeptAfterResponse() {
+    Machine machine = heartbeat("i-1", 1);
+    terminations.beginTermination(List.of(machine));
     assertTrue(
         machine.isTerminating() && !machine.isSchedulable(clock.nowMs(), 9_000),
         "from the sending on");
     assertEquals(List.of(), requests);
-    run(SOON_MS);
+    run(RESPONSE_MS);
     assertEquals(List.of(List.of("i-1")), requests);
-    assertTrue(fleet.wasTerminated("i-1"));
-    run(KEEP_MS - 2 * SOON_MS);
+    assertTrue(registry.wasTerminated("i-1"));
+    run(RECORD_RETENTION_MS - 2 * RESPONSE_MS);
     assertEquals(1, state.keyCount(Keys.TERMINATIONS), "a list may still show the machine");
     run(4_000);
     assertEquals(0, state.keyCount(Keys.TERMINATIONS));
@@ -177,10 +179,10 @@
   }
 
   @Test
-  void aRecordWithoutAnAnswerKeepsTheMachineOutOfWorkAndTheCloudUnasked() {
-    Machine machine = report("i-1", 1);
+  void unansweredRecordKeepsMachineUnschedulableAndSendsNothingWithoutLeadership() {
+    Machine machine = heartbeat("i-1", 1);
     network.setUnansweredWrites(1, false);
-    returns.beginTermination(List.of(machine));
+    terminations.beginTermination(List.of(machine));
     network.setUnansweredWrites(0, false);
     mayDecide = false;
     run(20_000);
@@ -193,43 +195,43 @@
   }
 
   @Test
-  void nothingIsSentWhileItIsNotKnownWhetherTheRecordStands() {
+  void nothingIsSentWhileOutcomeOfRecordIsUnknown() {
     network.setUnansweredWrites(1, false);
-    returns.beginTermination(List.of(report("i-1", 1)));
+    terminations.beginTermination(List.of(heartbeat("i-1", 1)));
     run(1_900);
     assertEquals(List.of(), requests);
     network.setUnansweredWrites(0, false);
     state.setOutage(true);
     run(60_000);
     assertEquals(List.of(), requests);
-    assertTrue(returns.isStalled());
+    assertTrue(terminations.isStalled());
     state.setOutage(false);
     run(3_000);
     assertEquals(List.of(List.of("i-1")), requests);
   }
 
   @Test
-  void aSuccessorCompletesTheReturnAndNoListBringsTheMachineBack() {
+  void inheritedTerminationIsRepeatedUntilConfirmedAndMachinesAreNotAdoptedAgain() {
     cloudAnswers = false;
     inherit("i-1", "i-2");
-    assertTrue(report("i-1", 1).isDecommissioning(), "also one that was not known before");
+    assertTrue(heartbeat("i-1", 1).isDecommissioning(), "also one that was not known before");
     run(10_000);
     assertTrue(requests.size() > 3, "repeated until it is answered: " + requests.size());
-    assertTrue(returns.summary().contains("inherited=2"), returns.summary());
+    assertTrue(terminations.summary().contains("inherited=2"), terminations.summary());
     cloudAnswers = true;
     run(3_000);
-    assertTrue(fleet.adopt("i-1", "t", "a", true, clock.nowMs()).isEmpty());
-    assertTrue(fleet.adopt("i-2", "t", "a", true, clock.nowMs()).isEmpty());
-    run(KEEP_MS + 3_000);
+    assertTrue(registry.adopt("i-1", "t", "a", true, clock.nowMs()).isEmpty());
+    assertTrue(registry.adopt("i-2", "t", "a", true, clock.nowMs()).isEmpty());
+    run(RECORD_RETENTION_MS + 3_000);
     assertEquals(0, state.keyCount(Keys.TERMINATIONS));
   }
 
   /** It was taken for gone, and reports again between the record and the release. */
   @Test
-  void nothingIsLaunchedOnAMachineThatReportsAgainAfterItsReturnBegan() {
-    Placement placement = place(report("i-1", 1), Placement.Phase.READY);
-    returns.beginTermination(List.of(placement.machine()));
-    Heartbeat again =
+  void heartbeatAfterTerminationBeganLaunchesNothing() {
+    Placement placement = place(heartbeat("i-1", 1), Placement.Phase.READY);
+    terminations.beginTermination(List.of(placement.machine()));
+    Heartbeat repeatedHeartbeat =
         new Heartbeat(
             "i-1",
             "",
@@ -241,60 +243,60 @@
             term.fencingToken(),
             OptionalDouble.empty(),
             List.of());
-    assertEquals(List.of(), handler.handle(again, clock.nowMs()).commands());
+    assertEquals(List.of(), handler.handle(repeatedHeartbeat, clock.nowMs()).commands());
     assertTrue(placement.machine().isEmpty(), "it was never sent");
-    run(SOON_MS);
+    run(RESPONSE_MS);
     assertEquals(List.of(List.of("i-1")), requests);
   }
 
   /** A version that does not know the records led in between and placed a task. */
   @Test
-  void aMachineWithTasksIsDrainedFirstAndGoesAtOnceWhenItIsSilent() {
-    Placement placement = place(report("i-1", 1));
+  void machineWithTasksIsDrainedBeforeTerminationUnlessUnresponsive() {
+    Placement placement = place(heartbeat("i-1", 1));
     inherit("i-1");
     run(2_000);
     assertEquals(List.of(), requests);
     assertTrue(placement.isStopping() && placement.gracePeriodS() > 2, "it saves first");
-    fleet.removePlacement(placement, clock.nowMs());
+    registry.removePlacement(placement, clock.nowMs());
     run(2_000);
     assertEquals(List.of(List.of("i-1")), requests);
 
-    Placement onSilent = place(report("i-2", 1));
+    Placement onUnresponsive = place(heartbeat("i-2", 1));
     run(8_000);
-    returns.beginTermination(List.of(onSilent.machine()));
+    terminations.beginTermination(List.of(onUnresponsive.machine()));
     run(2_000);
     assertEquals(List.of("i-2"), requests.get(1));
-    assertEquals(List.of(onSilent), lost);
+    assertEquals(List.of(onUnresponsive), lost);
   }
 
   /** Nothing is placed by guess on machines that it may name, and it is left as it is. */
   @Test
-  void aRecordThatCantBeReadKeepsMachinesOfEarlierTermsOutOfWorkForAWhile() {
-    Machine before = report("i-1", 1);
-    state.preload(EARLIER, Cbor.map().put("hosts", "i-1"));
+  void unreadableRecordQuarantinesMachinesOfEarlierTerms() {
+    Machine ofEarlierTerm = heartbeat("i-1", 1);
+    state.preload(EARLIER_RECORD, Cbor.map().put("hosts", "i-1"));
     replica.readBarrier(read -> {});
-    run(SOON_MS);
-    replica.withPrefix(Keys.TERMINATIONS).values().forEach(returns::inheritTermination);
-    Machine ours = report("i-9", 1);
-    ours.endQuarantine();
-    assertFalse(before.isSchedulable(clock.nowMs(), 9_000));
-    assertFalse(report("i-2", 1).isSchedulable(clock.nowMs(), 9_000));
-    assertTrue(ours.isSchedulable(clock.nowMs(), 9_000), "rented in this term");
+    run(RESPONSE_MS);
+    replica.withPrefix(Keys.TERMINATIONS).values().forEach(terminations::inheritTermination);
+    Machine ofThisTerm = heartbeat("i-9", 1);
+    ofThisTerm.endQuarantine();
+    assertFalse(ofEarlierTerm.isSchedulable(clock.nowMs(), 9_000));
+    assertFalse(heartbeat("i-2", 1).isSchedulable(clock.nowMs(), 9_000));
+    assertTrue(ofThisTerm.isSchedulable(clock.nowMs(), 9_000), "rented in this term");
     run(310_000);
-    assertTrue(report("i-1", 2).isSchedulable(clock.nowMs(), 9_000));
+    assertTrue(heartbeat("i-1", 2).isSchedulable(clock.nowMs(), 9_000));
     assertEquals(List.of(), requests);
     assertEquals(1, state.keyCount(Keys.TERMINATIONS));
   }
 
   @Test
-  void recordsBeyondLimitsThatFellAreHalvedAndEveryMachineGoesOnce() {
+  void recordsAboveLoweredLimitsAreSplitAndEachMachineIsTerminatedOnce() {
     List<Machine> machines =
-        IntStream.range(0, 150).mapToObj(i -> report("i-" + (1_000 + i), 1)).toList();
+        IntStream.range(0, 150).mapToObj(i -> heartbeat("i-" + (1_000 + i), 1)).toList();
     state.setLimits(new Settings.StateLimits(1_000, 1_000, 0.25, 12));
-    returns.beginTermination(machines);
+    terminations.beginTermination(machines);
     run(10_000);
     assertTrue(state.refusedAsTooLarge() > 0);
     assertEquals(150, requests.stream().mapToInt(List::size).sum());
-    assertEquals(0, fleet.all().size());
+    assertEquals(0, registry.all().size());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
@@ -11,43 +11,45 @@
   private enum Combinations implements FaultScenario.Combination {
     ZONE_WITH_A_CONTROLLER_PARTITIONED_LONGER_THAN_A_LEASE {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.jobs(3_000, 1_000, 10, 6, 1, 160);
+        scenario.submitJobs(3_000, 1_000, 10, 6, 1, 160);
         scenario.at(45_000, () -> partitionLeader(scenario));
-        scenario.faultsEndMs = 45_000 + scenario.cancelMs + 15_000;
-        scenario.mustOccur("tasks in the zone", () -> scenario.noted("busy") >= 1);
-        scenario.mustOccur("agent epochs ended there", () -> scenario.noted("ended") >= 1);
-        scenario.mustOccur("cancelled meanwhile", () -> cluster.checker.cancelledWhileOn() >= 1);
+        scenario.faultsEndMs = 45_000 + scenario.cancellationMs + 15_000;
+        scenario.requireEvidence("tasks in the zone", () -> scenario.recorded("busy") >= 1);
+        scenario.requireEvidence("agent epochs ended there", () -> scenario.recorded("ended") >= 1);
+        scenario.requireEvidence(
+            "cancelled meanwhile", () -> cluster.checker.cancelledWhileOn() >= 1);
       }
 
       private void partitionLeader(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         // Its controller leads, or another one.
-        int inside =
-            scenario.oddSeed
+        int controllerInZone =
+            scenario.isOddSeed
                 ? Math.max(0, cluster.leader())
-                : (cluster.leader() + 1) % FaultScenario.NODES;
-        List<SimWorker> zone =
-            cluster.cloud.workers().stream().filter(x -> x.zone().equals("b")).toList();
+                : (cluster.leader() + 1) % FaultScenario.CONTROLLERS;
+        List<SimWorker> workersInZone =
+            cluster.cloud.workers().stream().filter(worker -> worker.zone().equals("b")).toList();
         AgentEpochs epochs =
-            new AgentEpochs(scenario.busyWorkers().stream().filter(zone::contains).toList());
-        scenario.note("busy", epochs::workerCount);
-        List<String> there = scenario.jobsOn(zone);
-        partitionZone(scenario, inside, zone, true);
-        for (int i = 0; i < Math.min(3, there.size()); i++) {
-          int n = i;
+            new AgentEpochs(
+                scenario.busyWorkers().stream().filter(workersInZone::contains).toList());
+        scenario.record("busy", epochs::workerCount);
+        List<String> jobsInZone = scenario.runningJobsOn(workersInZone);
+        partitionZone(scenario, controllerInZone, workersInZone, true);
+        for (int i = 0; i < Math.min(3, jobsInZone.size()); i++) {
+          int index = i;
           cluster.clock.after(
-              500 + scenario.random.nextInt(6_000), () -> cluster.cancel(there.get(n), 0));
+              500 + scenario.random.nextInt(6_000), () -> cluster.cancel(jobsInZone.get(index), 0));
         }
         cluster.clock.after(
             // With the leader inside, its workers keep their leases for as long as it may answer.
-            (scenario.oddSeed ? scenario.cancelMs : scenario.leaseMs)
+            (scenario.isOddSeed ? scenario.cancellationMs : scenario.leaseMs)
                 + 6_000
                 + scenario.random.nextInt(6_000),
             () -> {
-              scenario.note("ended", epochs::expiredCount);
-              partitionZone(scenario, inside, zone, false);
+              scenario.record("ended", epochs::expiredCount);
+              partitionZone(scenario, controllerInZone, workersInZone, false);
             });
       }
     },
@@ -55,37 +57,38 @@
     /** Returned machines end their tasks before others start: here none can be returned. */
     ZONE_WITH_THE_LEADER_PARTITIONED_DURING_A_CLOUD_OUTAGE {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.jobs(3_000, 1_000, 6, 4, 1, 160);
+        scenario.submitJobs(3_000, 1_000, 6, 4, 1, 160);
         // Their machines have room again when the tasks of the zone are given up.
-        scenario.jobs(3_500, 1_000, 12, 6, 1, 42);
+        scenario.submitJobs(3_500, 1_000, 12, 6, 1, 42);
         scenario.at(45_000, () -> partition(scenario));
-        scenario.faultsEndMs = 45_000 + scenario.cancelMs + 15_000;
-        scenario.leaderMustChange(1);
-        scenario.mustOccur("tasks in the zone", () -> scenario.noted("busy") >= 1);
-        scenario.mustOccur("agent epochs ended there", () -> scenario.noted("ended") >= 1);
-        scenario.mustOccur(
-            "started elsewhere", () -> cluster.checker.starts() > scenario.noted("starts"));
+        scenario.faultsEndMs = 45_000 + scenario.cancellationMs + 15_000;
+        scenario.requireLeaderChanges(1);
+        scenario.requireEvidence("tasks in the zone", () -> scenario.recorded("busy") >= 1);
+        scenario.requireEvidence("agent epochs ended there", () -> scenario.recorded("ended") >= 1);
+        scenario.requireEvidence(
+            "started elsewhere", () -> cluster.checker.starts() > scenario.recorded("starts"));
       }
 
       private void partition(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         int leader = Math.max(0, cluster.leader());
-        List<SimWorker> zone =
-            cluster.cloud.workers().stream().filter(x -> x.zone().equals("b")).toList();
+        List<SimWorker> workersInZone =
+            cluster.cloud.workers().stream().filter(worker -> worker.zone().equals("b")).toList();
         AgentEpochs epochs =
-            new AgentEpochs(scenario.busyWorkers().stream().filter(zone::contains).toList());
-        scenario.note("terms", cluster::termCount);
-        scenario.note("busy", epochs::workerCount);
-        scenario.note("starts", cluster.checker::starts);
-        partitionZone(scenario, leader, zone, true);
+            new AgentEpochs(
+                scenario.busyWorkers().stream().filter(workersInZone::contains).toList());
+        scenario.record("terms", cluster::termCount);
+        scenario.record("busy", epochs::workerCount);
+        scenario.record("starts", cluster.checker::starts);
+        partitionZone(scenario, leader, workersInZone, true);
         cluster.cloud.setOutage(true);
         cluster.clock.after(
-            scenario.cancelMs + 6_000 + scenario.random.nextInt(6_000),
+            scenario.cancellationMs + 6_000 + scenario.random.nextInt(6_000),
             () -> {
-              scenario.note("ended", epochs::expiredCount);
-              partitionZone(scenario, leader, zone, false);
+              scenario.record("ended", epochs::expiredCount);
+              partitionZone(scenario, leader, workersInZone, false);
               cluster.cloud.setOutage(false);
             });
       }
@@ -93,73 +96,78 @@
 
     LEADER_PARTITIONED_FROM_STATE_AND_PEERS_BUT_NOT_FROM_WORKERS {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.jobs(3_000, 1_000, 14, 3, 1, 250);
+        scenario.submitJobs(3_000, 1_000, 14, 3, 1, 250);
         scenario.at(50_000, () -> partitionLeader(scenario));
-        scenario.faultsEndMs = 50_000 + scenario.cancelMs + 22_000;
-        scenario.mustOccur("two led at once", () -> scenario.noted("both") == 1);
-        scenario.mustOccur(
-            "cancelled through the new one", () -> scenario.noted("told by the new one") >= 4);
+        scenario.faultsEndMs = 50_000 + scenario.cancellationMs + 22_000;
+        scenario.requireEvidence("two led at once", () -> scenario.recorded("both") == 1);
+        scenario.requireEvidence(
+            "cancelled through the new one", () -> scenario.recorded("told by the new one") >= 4);
       }
 
       private void partitionLeader(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        int old = Math.max(0, cluster.leader());
-        long lasting = scenario.cancelMs + 12_000;
+        int oldLeader = Math.max(0, cluster.leader());
+        long durationMs = scenario.cancellationMs + 12_000;
         cluster.partitionController(
-            old,
-            scenario.oddSeed
+            oldLeader,
+            scenario.isOddSeed
                 ? SimulatedCluster.PartitionMode.HOLD_PACKETS
                 : SimulatedCluster.PartitionMode.REFUSE_REQUESTS,
-            lasting);
+            durationMs);
         // Beside, some of the machines have no way to the others: nobody tells them of a new one.
         List<SimWorker> busy = scenario.busyWorkers();
-        List<SimWorker> stay = busy.subList(0, busy.size() / 2 + 1);
-        stay.forEach(x -> scenario.partitionFromAllBut(x, old, true));
+        List<SimWorker> reachingOldLeaderOnly = busy.subList(0, busy.size() / 2 + 1);
+        reachingOldLeaderOnly.forEach(
+            worker -> scenario.partitionFromAllBut(worker, oldLeader, true));
         cluster.clock.after(
-            lasting, () -> stay.forEach(x -> scenario.partitionFromAllBut(x, old, false)));
-        scenario.partitionOthersFrom(old, stay, lasting);
+            durationMs,
+            () ->
+                reachingOldLeaderOnly.forEach(
+                    worker -> scenario.partitionFromAllBut(worker, oldLeader, false)));
+        scenario.partitionAllExcept(oldLeader, reachingOldLeaderOnly, durationMs);
         // Nor can anybody return them, or rent one that would tell the old leader of the new one.
         cluster.cloud.setOutage(true);
-        cluster.clock.after(lasting, () -> cluster.cloud.setOutage(false));
-        List<String> jobs = scenario.jobsOn(stay);
-        int[] others = {-1};
-        for (long t = 200; t < 15_000; t += 200) {
+        cluster.clock.after(durationMs, () -> cluster.cloud.setOutage(false));
+        List<String> jobs = scenario.runningJobsOn(reachingOldLeaderOnly);
+        int[] newLeader = {-1};
+        for (long offsetMs = 200; offsetMs < 15_000; offsetMs += 200) {
           cluster.clock.after(
-              t,
+              offsetMs,
               () -> {
-                int next = nextLeader(cluster, old);
-                if (others[0] < 0 && next >= 0) {
-                  others[0] = next;
-                  scenario.note("both", () -> cluster.isLeading(old) ? 1 : 0);
-                  cancelThrough(scenario, next, jobs);
+                int candidate = nextLeader(cluster, oldLeader);
+                if (newLeader[0] < 0 && candidate >= 0) {
+                  newLeader[0] = candidate;
+                  scenario.record("both", () -> cluster.isLeading(oldLeader) ? 1 : 0);
+                  cancelThrough(scenario, candidate, jobs);
                 }
               });
         }
       }
 
-      private void cancelThrough(FaultScenario scenario, int node, List<String> jobs) {
+      private void cancelThrough(FaultScenario scenario, int controller, List<String> jobs) {
         SimulatedCluster cluster = scenario.cluster;
-        int before = cluster.checker.cancelledWhileOn();
+        int cancelledBefore = cluster.checker.cancelledWhileOn();
         jobs.forEach(
             uid ->
                 cluster.clock.after(
                     scenario.random.nextInt(1_500),
                     () -> {
                       cluster.checker.cancelAsked(uid);
-                      cluster.cancelAt(node, uid);
+                      cluster.cancelAt(controller, uid);
                     }));
         cluster.clock.after(
             3_000,
             () ->
-                scenario.note(
-                    "told by the new one", () -> cluster.checker.cancelledWhileOn() - before));
+                scenario.record(
+                    "told by the new one",
+                    () -> cluster.checker.cancelledWhileOn() - cancelledBefore));
       }
 
-      private int nextLeader(SimulatedCluster cluster, int old) {
-        for (int i = 0; i < FaultScenario.NODES; i++) {
-          if (i != old && cluster.isLeading(i)) {
+      private int nextLeader(SimulatedCluster cluster, int oldLeader) {
+        for (int i = 0; i < FaultScenario.CONTROLLERS; i++) {
+          if (i != oldLeader && cluster.isLeading(i)) {
             return i;
           }
         }
@@ -169,51 +177,53 @@
 
     ZONE_BOUND_JOBS_LOSE_MACHINES {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        List<String> bound = new ArrayList<>();
+        List<String> zoneBoundJobs = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-          int n = i;
-          scenario.at(3_000 + i * 1_000, () -> bound.add(submit(scenario, n)));
+          int index = i;
+          scenario.at(3_000 + i * 1_000, () -> zoneBoundJobs.add(submit(scenario, index)));
         }
-        scenario.at(40_000, () -> loseMachines(scenario, bound));
-        scenario.at(40_300, () -> scenario.note("terms", cluster::termCount));
+        scenario.at(40_000, () -> loseMachines(scenario, zoneBoundJobs));
+        scenario.at(40_300, () -> scenario.record("terms", cluster::termCount));
         scenario.at(40_500 + scenario.random.nextInt(2_000), () -> scenario.crashLeader(3_000));
-        scenario.at(75_000, () -> loseMachines(scenario, bound));
+        scenario.at(75_000, () -> loseMachines(scenario, zoneBoundJobs));
         scenario.faultsEndMs = 95_000;
-        scenario.leaderMustChange(1);
-        scenario.mustOccur("bound jobs lost machines", () -> scenario.noted("lost") >= 4);
-        scenario.mustOccur(
-            "they ran to their end", () -> bound.stream().allMatch(cluster.checker::isDone));
+        scenario.requireLeaderChanges(1);
+        scenario.requireEvidence("bound jobs lost machines", () -> scenario.recorded("lost") >= 4);
+        scenario.requireEvidence(
+            "they ran to their end",
+            () -> zoneBoundJobs.stream().allMatch(cluster.checker::isDone));
       }
 
-      private String submit(FaultScenario scenario, int n) {
-        JobSpec plain = scenario.job(n % 2 == 0 ? "red" : "blue", n % 3 == 0 ? 1 : 5, 1, 45);
+      private String submit(FaultScenario scenario, int index) {
+        JobSpec plain =
+            scenario.job(index % 2 == 0 ? "red" : "blue", index % 3 == 0 ? 1 : 5, 1, 45);
         JobSpec spec =
-            switch (n % 4) {
-              case 0 -> scenario.bound(plain, "a", false, false);
-              case 1 -> scenario.bound(plain, "b", true, false);
-              case 2 -> scenario.bound(plain, "", true, false);
-              default -> scenario.bound(plain, "", false, true);
+            switch (index % 4) {
+              case 0 -> scenario.withZoneConstraints(plain, "a", false, false);
+              case 1 -> scenario.withZoneConstraints(plain, "b", true, false);
+              case 2 -> scenario.withZoneConstraints(plain, "", true, false);
+              default -> scenario.withZoneConstraints(plain, "", false, true);
             };
         scenario.cluster.submitAndPoll(spec);
         return spec.uid();
       }
 
       /** Half of their machines: some die, some are taken back with a notice. */
-      private void loseMachines(FaultScenario scenario, List<String> bound) {
+      private void loseMachines(FaultScenario scenario, List<String> zoneBoundJobs) {
         Set<String> hosts = new HashSet<>();
-        bound.forEach(uid -> hosts.addAll(scenario.cluster.checker.hostsOf(uid)));
-        List<SimWorker> theirs =
+        zoneBoundJobs.forEach(uid -> hosts.addAll(scenario.cluster.checker.hostsOf(uid)));
+        List<SimWorker> hostingJobs =
             scenario.cluster.cloud.workers().stream()
-                .filter(x -> hosts.contains(x.host()))
+                .filter(worker -> hosts.contains(worker.host()))
                 .toList();
-        for (int i = 0; i < theirs.size(); i += 2) {
-          scenario.increase("lost", scenario.jobsOn(List.of(theirs.get(i))).size());
+        for (int i = 0; i < hostingJobs.size(); i += 2) {
+          scenario.increase("lost", scenario.runningJobsOn(List.of(hostingJobs.get(i))).size());
           if (i % 4 == 0) {
-            scenario.cluster.cloud.fail(theirs.get(i).host());
+            scenario.cluster.cloud.fail(hostingJobs.get(i).host());
           } else {
-            theirs.get(i).giveSpotNotice();
+            hostingJobs.get(i).giveSpotNotice();
           }
         }
       }
@@ -221,46 +231,57 @@
 
     LEADER_CRASH_WHILE_WORKERS_ARE_UNREACHABLE_OR_GET_NO_ANSWERS {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.jobs(3_000, 1_000, 8, 1, 4, 250);
+        scenario.submitJobs(3_000, 1_000, 8, 1, 4, 250);
         scenario.at(50_000, () -> partitionWorkers(scenario));
-        scenario.faultsEndMs = 50_000 + scenario.cancelMs + 25_000;
-        scenario.leaderMustChange(1);
-        scenario.mustOccur("unreached", () -> scenario.noted("unreached") >= 3);
-        scenario.mustOccur("deaf", () -> scenario.noted("deaf") >= 2);
-        scenario.mustOccur(
-            "begun elsewhere", () -> cluster.checker.starts() > scenario.noted("starts"));
+        scenario.faultsEndMs = 50_000 + scenario.cancellationMs + 25_000;
+        scenario.requireLeaderChanges(1);
+        scenario.requireEvidence("unreached", () -> scenario.recorded("unreached") >= 3);
+        scenario.requireEvidence("deaf", () -> scenario.recorded("deaf") >= 2);
+        scenario.requireEvidence(
+            "begun elsewhere", () -> cluster.checker.starts() > scenario.recorded("starts"));
       }
 
       private void partitionWorkers(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        int old = Math.max(0, cluster.leader());
+        int oldLeader = Math.max(0, cluster.leader());
         List<SimWorker> busy = scenario.busyWorkers();
-        List<SimWorker> unreached = busy.subList(0, busy.size() / 2);
-        List<SimWorker> deaf = busy.subList(busy.size() / 2, busy.size() * 3 / 4);
-        scenario.note("terms", cluster::termCount);
-        scenario.note("starts", cluster.checker::starts);
-        scenario.note("unreached", unreached::size);
-        scenario.note("deaf", deaf::size);
-        long lasting = scenario.cancelMs + 12_000;
-        if (scenario.oddSeed) {
+        List<SimWorker> unreachable = busy.subList(0, busy.size() / 2);
+        List<SimWorker> withoutResponses = busy.subList(busy.size() / 2, busy.size() * 3 / 4);
+        scenario.record("terms", cluster::termCount);
+        scenario.record("starts", cluster.checker::starts);
+        scenario.record("unreached", unreachable::size);
+        scenario.record("deaf", withoutResponses::size);
+        long durationMs = scenario.cancellationMs + 12_000;
+        if (scenario.isOddSeed) {
           // The old leader goes on answering them as long as it may: none but it reaches them.
-          cluster.partitionController(old, SimulatedCluster.PartitionMode.REFUSE_REQUESTS, lasting);
-          unreached.forEach(x -> scenario.partitionFromAllBut(x, old, true));
-          scenario.partitionOthersFrom(old, unreached, lasting);
+          cluster.partitionController(
+              oldLeader, SimulatedCluster.PartitionMode.REFUSE_REQUESTS, durationMs);
+          unreachable.forEach(worker -> scenario.partitionFromAllBut(worker, oldLeader, true));
+          scenario.partitionAllExcept(oldLeader, unreachable, durationMs);
           cluster.clock.after(
-              lasting, () -> unreached.forEach(x -> scenario.partitionFromAllBut(x, old, false)));
+              durationMs,
+              () ->
+                  unreachable.forEach(
+                      worker -> scenario.partitionFromAllBut(worker, oldLeader, false)));
         } else {
-          unreached.forEach(x -> scenario.partition(x, true));
-          cluster.clock.after(lasting, () -> unreached.forEach(x -> scenario.partition(x, false)));
-          cluster.clock.after(scenario.random.nextInt(1_000), () -> cluster.crash(old, 2_000));
+          unreachable.forEach(worker -> scenario.partition(worker, true));
+          cluster.clock.after(
+              durationMs, () -> unreachable.forEach(worker -> scenario.partition(worker, false)));
+          cluster.clock.after(
+              scenario.random.nextInt(1_000), () -> cluster.crash(oldLeader, 2_000));
         }
         cluster.clock.after(
             scenario.random.nextInt(3_000),
-            () -> deaf.forEach(x -> cluster.network.dropInbound(x.host(), true)));
+            () ->
+                withoutResponses.forEach(
+                    worker -> cluster.network.dropInbound(worker.host(), true)));
         cluster.clock.after(
-            lasting, () -> deaf.forEach(x -> cluster.network.dropInbound(x.host(), false)));
+            durationMs,
+            () ->
+                withoutResponses.forEach(
+                    worker -> cluster.network.dropInbound(worker.host(), false)));
       }
     };
   }
@@ -271,18 +292,18 @@
 
   /** The zone's workers reach that controller only, and nothing else reaches it. */
   private static void partitionZone(
-      FaultScenario scenario, int inside, List<SimWorker> zone, boolean now) {
-    String node = "n" + inside;
-    scenario.cluster.network.holdPackets(node, SimulatedCluster.STATE, now);
-    scenario.cluster.network.holdPackets(node, SimulatedCluster.CLOUD, now);
-    for (int i = 0; i < FaultScenario.NODES; i++) {
-      if (i != inside) {
-        scenario.cluster.network.holdPackets(node, "n" + i, now);
+      FaultScenario scenario, int controllerInZone, List<SimWorker> workersInZone, boolean active) {
+    String controller = "n" + controllerInZone;
+    scenario.cluster.network.holdPackets(controller, SimulatedCluster.STATE, active);
+    scenario.cluster.network.holdPackets(controller, SimulatedCluster.CLOUD, active);
+    for (int i = 0; i < FaultScenario.CONTROLLERS; i++) {
+      if (i != controllerInZone) {
+        scenario.cluster.network.holdPackets(controller, "n" + i, active);
       }
     }
-    zone.forEach(x -> scenario.partitionFromAllBut(x, inside, now));
+    workersInZone.forEach(worker -> scenario.partitionFromAllBut(worker, controllerInZone, active));
     scenario.cluster.cloud.workers().stream()
-        .filter(x -> !zone.contains(x))
-        .forEach(x -> scenario.cluster.network.holdPackets(node, x.host(), now));
+        .filter(worker -> !workersInZone.contains(worker))
+        .forEach(worker -> scenario.cluster.network.holdPackets(controller, worker.host(), active));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
@@ -19,7 +19,7 @@
   private enum Combinations implements FaultScenario.Combination {
     TEAM_AT_ITS_LIMIT_LEADER_CHANGE_UNREACHABLE_WORKERS_AND_CANCELLATIONS {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         for (int i = 0; i < 4; i++) {
           scenario.at(3_000 + i * 300, () -> cluster.submitAndPoll(scenario.job("red", 1, 4, 260)));
@@ -34,86 +34,90 @@
                 cluster.submitAndPoll(spec);
               });
         }
-        scenario.at(50_000, () -> makeUnreachable(scenario));
-        scenario.faultsEndMs = 50_000 + scenario.cancelMs + 25_000;
-        scenario.leaderMustChange(1);
-        scenario.mustOccur("at its limit", () -> scenario.noted("red") == 16);
-        scenario.mustOccur("machines that can't be asked", () -> scenario.noted("unasked") >= 2);
-        scenario.mustOccur("a cancellation", () -> cluster.checker.cancelledWhileOn() >= 2);
-        scenario.mustOccur(
+        scenario.at(50_000, () -> partitionWorkersAndCrashLeader(scenario));
+        scenario.faultsEndMs = 50_000 + scenario.cancellationMs + 25_000;
+        scenario.requireLeaderChanges(1);
+        scenario.requireEvidence("at its limit", () -> scenario.recorded("red") == 16);
+        scenario.requireEvidence(
+            "machines that can't be asked", () -> scenario.recorded("unasked") >= 2);
+        scenario.requireEvidence("a cancellation", () -> cluster.checker.cancelledWhileOn() >= 2);
+        scenario.requireEvidence(
             "its room is used then",
-            () -> waiting.stream().anyMatch(u -> cluster.checker.isDone(u)));
+            () -> waiting.stream().anyMatch(uid -> cluster.checker.isDone(uid)));
       }
 
-      private void makeUnreachable(FaultScenario scenario) {
+      private void partitionWorkersAndCrashLeader(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.note("red", () -> Math.round(cluster.checker.coresInUse("red")));
-        scenario.note("terms", cluster::termCount);
+        scenario.record("red", () -> Math.round(cluster.checker.coresInUse("red")));
+        scenario.record("terms", cluster::termCount);
         List<SimWorker> busy = scenario.busyWorkers();
-        List<SimWorker> cut = busy.subList(0, Math.max(0, busy.size() - 1));
-        scenario.note("unasked", cut::size);
-        List<String> first = scenario.jobsOn(cut);
-        cut.forEach(x -> scenario.partition(x, true));
-        long lasting = 4_000 + scenario.random.nextInt((int) scenario.leaseMs + 10_000);
-        cluster.clock.after(lasting, () -> cut.forEach(x -> scenario.partition(x, false)));
+        List<SimWorker> partitioned = busy.subList(0, Math.max(0, busy.size() - 1));
+        scenario.record("unasked", partitioned::size);
+        List<String> onPartitioned = scenario.runningJobsOn(partitioned);
+        partitioned.forEach(worker -> scenario.partition(worker, true));
+        long durationMs = 4_000 + scenario.random.nextInt((int) scenario.leaseMs + 10_000);
+        cluster.clock.after(
+            durationMs, () -> partitioned.forEach(worker -> scenario.partition(worker, false)));
         cluster.clock.after(scenario.random.nextInt(1_000), () -> scenario.crashLeader(2_000));
         // One of a machine that nobody can ask, one of a machine that answers.
-        List<String> other =
-            cluster.checker.running().stream().filter(u -> !first.contains(u)).toList();
-        first.stream()
+        List<String> onReachable =
+            cluster.checker.running().stream().filter(uid -> !onPartitioned.contains(uid)).toList();
+        onPartitioned.stream()
             .limit(1)
             .forEach(
-                u ->
+                uid ->
                     cluster.clock.after(
-                        500 + scenario.random.nextInt(7_000), () -> cluster.cancel(u, 0)));
-        other.stream()
+                        500 + scenario.random.nextInt(7_000), () -> cluster.cancel(uid, 0)));
+        onReachable.stream()
             .limit(1)
             .forEach(
-                u ->
+                uid ->
                     cluster.clock.after(
-                        500 + scenario.random.nextInt(7_000), () -> cluster.cancel(u, 0)));
+                        500 + scenario.random.nextInt(7_000), () -> cluster.cancel(uid, 0)));
       }
     },
 
     EVERY_TEAM_AT_ITS_LIMIT_CANCELLATIONS_ON_LOST_WORKERS_AND_LEADER_CHANGE {
       @Override
-      public void play(FaultScenario scenario) {
+      public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.jobs(3_000, 300, 8, 1, 4, 260);
-        scenario.jobs(44_000, 300, 8, 1, 4, 20);
-        scenario.at(50_000, () -> cancelOnLostWorkers(scenario));
-        scenario.faultsEndMs = 50_000 + scenario.cancelMs + 25_000;
-        scenario.leaderMustChange(1);
-        scenario.mustOccur(
-            "every team at its limit", () -> scenario.noted("red") + scenario.noted("blue") == 32);
-        scenario.mustOccur("cancelled", () -> cluster.checker.cancelledWhileOn() >= 4);
-        scenario.mustOccur(
-            "hung and cut", () -> scenario.noted("hung") >= 2 && scenario.noted("cut") >= 2);
+        scenario.submitJobs(3_000, 300, 8, 1, 4, 260);
+        scenario.submitJobs(44_000, 300, 8, 1, 4, 20);
+        scenario.at(50_000, () -> cancelOnFailedWorkers(scenario));
+        scenario.faultsEndMs = 50_000 + scenario.cancellationMs + 25_000;
+        scenario.requireLeaderChanges(1);
+        scenario.requireEvidence(
+            "every team at its limit",
+            () -> scenario.recorded("red") + scenario.recorded("blue") == 32);
+        scenario.requireEvidence("cancelled", () -> cluster.checker.cancelledWhileOn() >= 4);
+        scenario.requireEvidence(
+            "hung and cut", () -> scenario.recorded("hung") >= 2 && scenario.recorded("cut") >= 2);
       }
 
-      private void cancelOnLostWorkers(FaultScenario scenario) {
+      private void cancelOnFailedWorkers(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.note("red", () -> Math.round(cluster.checker.coresInUse("red")));
-        scenario.note("blue", () -> Math.round(cluster.checker.coresInUse("blue")));
-        scenario.note("terms", cluster::termCount);
+        scenario.record("red", () -> Math.round(cluster.checker.coresInUse("red")));
+        scenario.record("blue", () -> Math.round(cluster.checker.coresInUse("blue")));
+        scenario.record("terms", cluster::termCount);
         List<SimWorker> busy = new ArrayList<>(scenario.busyWorkers());
         Collections.shuffle(busy, scenario.random);
-        long lasting = 5_000 + scenario.random.nextInt((int) scenario.cancelMs);
+        long durationMs = 5_000 + scenario.random.nextInt((int) scenario.cancellationMs);
         for (int i = 0; i < Math.min(5, busy.size()); i++) {
-          SimWorker x = busy.get(i);
+          SimWorker worker = busy.get(i);
           scenario
-              .jobsOn(List.of(x))
+              .runningJobsOn(List.of(worker))
               .forEach(
-                  u ->
+                  uid ->
                       cluster.clock.after(
-                          scenario.random.nextInt(200), () -> cluster.cancel(u, 0)));
+                          scenario.random.nextInt(200), () -> cluster.cancel(uid, 0)));
           if (i % 2 == 0) {
             scenario.increase("cut", 1);
-            cluster.clock.after(scenario.random.nextInt(200), () -> scenario.partition(x, true));
-            cluster.clock.after(lasting, () -> scenario.partition(x, false));
+            cluster.clock.after(
+                scenario.random.nextInt(200), () -> scenario.partition(worker, true));
+            cluster.clock.after(durationMs, () -> scenario.partition(worker, false));
           } else {
             scenario.increase("hung", 1);
-            cluster.clock.after(scenario.random.nextInt(200), () -> x.hang(lasting));
+            cluster.clock.after(scenario.random.nextInt(200), () -> worker.hang(durationMs));
           }
         }
         cluster.clock.after(scenario.random.nextInt(3_000), () -> scenario.crashLeader(2_000));
@@ -131,13 +135,13 @@
   }
 
   static Stream<Arguments> deploymentsAndSeeds() {
-    List<Arguments> all = new ArrayList<>();
+    List<Arguments> arguments = new ArrayList<>();
     for (String deployment : FaultScenario.deployments()) {
       for (long seed = 1; seed <= 2; seed++) {
-        all.add(Arguments.of(deployment, seed));
+        arguments.add(Arguments.of(deployment, seed));
       }
     }
-    return all.stream();
+    return arguments.stream();
   }
 
   /**
@@ -148,45 +152,46 @@
    */
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("deploymentsAndSeeds")
-  void anAttemptThatGoesOnAfterItsTaskIsDoneCountsForTheNextLeader(String deployment, long seed) {
+  void attemptOfCompletedTaskCountsTowardsTeamLimitAfterFailover(String deployment, long seed) {
     FaultScenario scenario = new FaultScenario(seed, deployment, TEAM_LIMIT_CORES);
     SimulatedCluster cluster = scenario.cluster;
-    int tasks = scenario.oddSeed ? 1 : 2;
+    int tasks = scenario.isOddSeed ? 1 : 2;
     JobSpec job = scenario.job("red", tasks, 4, 70);
     scenario.at(3_000, () -> cluster.submitAndPoll(job));
-    submitOthers(scenario, tasks);
+    submitOtherJobs(scenario, tasks);
     List<SimWorker> completedOn = new ArrayList<>();
-    List<SimWorker> first = new ArrayList<>();
-    List<SimWorker> again = new ArrayList<>();
-    scenario.every(
+    List<SimWorker> initiallyOn = new ArrayList<>();
+    List<SimWorker> restartedOn = new ArrayList<>();
+    scenario.repeat(
         20_000,
         230_000,
         25,
         () -> {
-          List<SimWorker> on = machinesOf(cluster, job.uid());
-          if (first.isEmpty() && on.size() == tasks) {
-            first.addAll(on);
-          } else if (completedOn.isEmpty() && !first.isEmpty() && on.size() < tasks) {
-            first.removeAll(on);
-            completedOn.addAll(first);
-            completedOn.forEach(x -> scenario.partition(x, true));
+          List<SimWorker> current = workersOf(cluster, job.uid());
+          if (initiallyOn.isEmpty() && current.size() == tasks) {
+            initiallyOn.addAll(current);
+          } else if (completedOn.isEmpty() && !initiallyOn.isEmpty() && current.size() < tasks) {
+            initiallyOn.removeAll(current);
+            completedOn.addAll(initiallyOn);
+            completedOn.forEach(worker -> scenario.partition(worker, true));
             // Of two tasks the other one begins again as well, so that the job is not yet done.
-            on.forEach(x -> cluster.cloud.reclaim(x.host()));
-          } else if (again.isEmpty() && !completedOn.isEmpty() && on.size() == tasks) {
-            again.addAll(on);
-            cluster.clock.after(2_500, () -> deliverDelayedReports(scenario, completedOn, again));
+            current.forEach(worker -> cluster.cloud.reclaim(worker.host()));
+          } else if (restartedOn.isEmpty() && !completedOn.isEmpty() && current.size() == tasks) {
+            restartedOn.addAll(current);
+            cluster.clock.after(
+                2_500, () -> deliverDelayedHeartbeats(scenario, completedOn, restartedOn));
           }
         });
     scenario.at(260_000, cluster::faultsEnded);
     cluster.clock.runUntil(260_000 + FaultScenario.RECOVERY_MS);
     assertEquals(List.of(), cluster.checker.broken());
-    assertTrue(scenario.noted("arrived") >= 1, "held reports arrived");
-    assertTrue(cluster.termCount() > scenario.noted("terms"), "the lead changed");
-    assertEquals(16, scenario.noted("red"), "at its limit, with what goes on");
+    assertTrue(scenario.recorded("arrived") >= 1, "held reports arrived");
+    assertTrue(cluster.termCount() > scenario.recorded("terms"), "the lead changed");
+    assertEquals(16, scenario.recorded("red"), "at its limit, with what goes on");
     assertTrue(cluster.checker.isDone(job.uid()));
   }
 
-  private static void submitOthers(FaultScenario scenario, int tasks) {
+  private static void submitOtherJobs(FaultScenario scenario, int tasks) {
     SimulatedCluster cluster = scenario.cluster;
     for (int i = tasks; i < 4; i++) {
       scenario.at(4_000 + i * 300, () -> cluster.submitAndPoll(scenario.job("red", 1, 4, 400)));
@@ -196,25 +201,30 @@
     }
   }
 
-  private static List<SimWorker> machinesOf(SimulatedCluster cluster, String uid) {
+  private static List<SimWorker> workersOf(SimulatedCluster cluster, String uid) {
     List<String> hosts = cluster.checker.hostsOf(uid);
-    return cluster.cloud.workers().stream().filter(x -> hosts.contains(x.host())).toList();
+    return cluster.cloud.workers().stream()
+        .filter(worker -> hosts.contains(worker.host()))
+        .toList();
   }
 
-  private static void deliverDelayedReports(
-      FaultScenario scenario, List<SimWorker> completedOn, List<SimWorker> again) {
-    again.forEach(x -> scenario.partition(x, true));
+  private static void deliverDelayedHeartbeats(
+      FaultScenario scenario, List<SimWorker> completedOn, List<SimWorker> restartedOn) {
+    restartedOn.forEach(worker -> scenario.partition(worker, true));
     scenario.cluster.clock.after(
         100,
-        () -> completedOn.forEach(x -> scenario.increase("arrived", scenario.partition(x, false))));
+        () ->
+            completedOn.forEach(
+                worker -> scenario.increase("arrived", scenario.partition(worker, false))));
     scenario.cluster.clock.after(
         1_000,
         () -> {
-          scenario.note("red", () -> Math.round(scenario.cluster.checker.coresInUse("red")));
-          scenario.note("terms", scenario.cluster::termCount);
+          scenario.record("red", () -> Math.round(scenario.cluster.checker.coresInUse("red")));
+          scenario.record("terms", scenario.cluster::termCount);
           scenario.crashLeader(50);
         });
     scenario.cluster.clock.after(
-        scenario.leaseMs + 9_000, () -> again.forEach(x -> scenario.partition(x, false)));
+        scenario.leaseMs + 9_000,
+        () -> restartedOn.forEach(worker -> scenario.partition(worker, false)));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
@@ -23,8 +23,8 @@
  * looks for room; then what the former leader had sent, or still sends, arrives.
  */
 class TerminationFaultsTest {
-  private static final int NODES = 3;
-  private static final int MACHINES = 10;
+  private static final int CONTROLLERS = 3;
+  private static final int MACHINE_LIMIT = 10;
   private static final int WAVES = 10;
   private static final long WAVE_MS = 70_000;
   private static final long PAUSE_MS = 9_000;
@@ -39,36 +39,36 @@
     /** The release was executed and its answer has not been taken. */
     PAUSED_BEFORE_ANSWER,
     /** The record stands, and the process ends and is back within a second. */
-    ENDED_BEFORE_SEND,
+    CRASHED_BEFORE_SEND,
     /**
      * The record gets no answer and is carried out late; its leader is paused after reading back.
      */
-    RECORDED_LATE,
+    RECORD_EXECUTED_LATE,
     /**
      * The record stands; the leader's clock jumps back, so that it believes in a lease that ends.
      */
-    CLOCK_BACK
+    CLOCK_JUMPED_BACK
   }
 
   /** A day of waves, with a fault at some of the returns. */
-  private static final class Day {
+  private static final class Scenario {
     final SimulatedCluster cluster;
     final Map<Step, Integer> faults = new EnumMap<>(Step.class);
     private final Random random;
     private final List<Step> steps;
-    private long quietUntilMs = 20_000;
+    private long nextFaultFromMs = 20_000;
 
-    Day(long seed, List<Step> steps) {
-      this.cluster = new SimulatedCluster(seed, NODES, MACHINES, List.of("a"));
+    Scenario(long seed, List<Step> steps) {
+      this.cluster = new SimulatedCluster(seed, CONTROLLERS, MACHINE_LIMIT, List.of("a"));
       this.random = new Random(seed);
       this.steps = steps;
       cluster.cloud.stopBootFailures();
       for (int wave = 0; wave < WAVES; wave++) {
         cluster.clock.after(3_000 + wave * WAVE_MS, () -> submit(6));
       }
-      cluster.onTransactionSent(this::sent);
-      cluster.state.onWrite(this::written);
-      cluster.terminations.whenExecuted(this::released);
+      cluster.onTransactionSent(this::transactionSent);
+      cluster.state.onWrite(this::transactionExecuted);
+      cluster.terminations.onExecuted(this::terminationExecuted);
     }
 
     private void submit(int jobs) {
@@ -78,86 +78,90 @@
     }
 
     /** The next fault, if there was none for a while. */
-    private Optional<Step> next() {
-      if (cluster.clock.nowMs() < quietUntilMs || cluster.clock.nowMs() > WAVES * WAVE_MS) {
+    private Optional<Step> nextFault() {
+      if (cluster.clock.nowMs() < nextFaultFromMs || cluster.clock.nowMs() > WAVES * WAVE_MS) {
         return Optional.empty();
       }
       return Optional.of(steps.get(random.nextInt(steps.size())));
     }
 
-    private void happens(Step step) {
-      quietUntilMs = cluster.clock.nowMs() + PAUSE_MS * 3 / 2;
+    private void recordFault(Step step) {
+      nextFaultFromMs = cluster.clock.nowMs() + PAUSE_MS * 3 / 2;
       faults.merge(step, 1, Integer::sum);
       // The successor leads by then, and would use whatever machine it takes for its own.
       cluster.clock.after(PAUSE_MS / 2, () -> submit(8));
     }
 
-    private static boolean isReturn(Transaction txn) {
-      return txn.changes().stream()
-          .anyMatch(c -> c instanceof Change.Put && c.key().startsWith(Keys.TERMINATIONS));
+    private static boolean recordsTermination(Transaction transaction) {
+      return transaction.changes().stream()
+          .anyMatch(
+              change -> change instanceof Change.Put && change.key().startsWith(Keys.TERMINATIONS));
     }
 
-    private void sent(Transaction txn) {
+    private void transactionSent(Transaction transaction) {
       int leader = cluster.leader();
-      if (!isReturn(txn) || leader < 0 || !next().equals(Optional.of(Step.RECORDED_LATE))) {
+      if (!recordsTermination(transaction)
+          || leader < 0
+          || !nextFault().equals(Optional.of(Step.RECORD_EXECUTED_LATE))) {
         return;
       }
-      happens(Step.RECORDED_LATE);
-      holdCloud(leader);
+      recordFault(Step.RECORD_EXECUTED_LATE);
+      holdCloudPackets(leader);
       cluster.network.setUnansweredWrites(1, false);
       cluster.clock.after(1, () -> cluster.network.setUnansweredWrites(0, false));
       cluster.clock.after(3_000, () -> cluster.freeze(leader, PAUSE_MS - 3_000));
     }
 
-    private void written(Transaction txn) {
+    private void transactionExecuted(Transaction transaction) {
       int leader = cluster.leader();
-      Optional<Step> step = isReturn(txn) && leader >= 0 ? next() : Optional.empty();
+      Optional<Step> step =
+          recordsTermination(transaction) && leader >= 0 ? nextFault() : Optional.empty();
       if (step.isEmpty()
           || step.get() == Step.PAUSED_BEFORE_ANSWER
-          || step.get() == Step.RECORDED_LATE) {
+          || step.get() == Step.RECORD_EXECUTED_LATE) {
         return;
       }
-      happens(step.get());
+      recordFault(step.get());
       switch (step.get()) {
         case PAUSED_AFTER_SEND -> {
-          holdCloud(leader);
+          holdCloudPackets(leader);
           cluster.clock.after(500, () -> cluster.freeze(leader, PAUSE_MS - 500));
         }
-        case CLOCK_BACK -> {
-          holdCloud(leader);
-          cluster.clock.after(100, () -> turnClockBack(leader));
+        case CLOCK_JUMPED_BACK -> {
+          holdCloudPackets(leader);
+          cluster.clock.after(100, () -> turnClockBackWithoutStateService(leader));
         }
-        case ENDED_BEFORE_SEND -> cluster.crash(leader, 600);
+        case CRASHED_BEFORE_SEND -> cluster.crash(leader, 600);
         default -> cluster.freeze(leader, PAUSE_MS);
       }
     }
 
-    private void holdCloud(int node) {
-      hold(node, SimulatedCluster.CLOUD);
+    private void holdCloudPackets(int controller) {
+      holdLink(controller, SimulatedCluster.CLOUD);
     }
 
     /** It hears nothing of its lease from now on, and counts on it for longer than it lasts. */
-    private void turnClockBack(int node) {
-      cluster.process(node).jumpClock(-CLOCK_JUMP_MS);
-      hold(node, SimulatedCluster.STATE);
+    private void turnClockBackWithoutStateService(int controller) {
+      cluster.process(controller).jumpClock(-CLOCK_JUMP_MS);
+      holdLink(controller, SimulatedCluster.STATE);
     }
 
     /** What goes between the two is held back, and delivered after the pause. */
-    private void hold(int node, String other) {
-      String name = SimLink.controllerName(node);
+    private void holdLink(int controller, String other) {
+      String name = SimLink.controllerName(controller);
       cluster.network.holdPackets(name, other, true);
       cluster.clock.after(PAUSE_MS, () -> cluster.network.holdPackets(name, other, false));
     }
 
-    private void released(TerminationHistory.Release release) {
-      Optional<Step> step = next();
-      if (step.equals(Optional.of(Step.PAUSED_BEFORE_ANSWER)) && !release.stale()) {
-        happens(step.get());
+    private void terminationExecuted(TerminationHistory.TerminationRequest request) {
+      Optional<Step> step = nextFault();
+      if (step.equals(Optional.of(Step.PAUSED_BEFORE_ANSWER)) && !request.stale()) {
+        recordFault(step.get());
         cluster.freeze(cluster.leader(), PAUSE_MS);
       }
     }
 
-    Day play() {
+    Scenario run() {
       long endMs = WAVES * WAVE_MS + 40_000;
       cluster.clock.runUntil(endMs);
       cluster.faultsEnded();
@@ -171,54 +175,56 @@
     }
   }
 
-  private static void assertKept(Day day, String what) {
-    SimulatedCluster cluster = day.cluster;
-    assertEquals(List.of(), cluster.terminations.withTasks(), what);
-    assertEquals(List.of(), cluster.checker.broken(), what);
-    assertEquals(0, cluster.checker.neverBegun(), what);
+  private static void assertInvariantsHold(Scenario scenario, String context) {
+    SimulatedCluster cluster = scenario.cluster;
+    assertEquals(List.of(), cluster.terminations.withTasks(), context);
+    assertEquals(List.of(), cluster.checker.broken(), context);
+    assertEquals(0, cluster.checker.neverBegun(), context);
     assertEquals(
-        0, cluster.cloud.machineCount(), what + ": machines that are idle and not returned");
-    assertEquals(0, cluster.state.keyCount(Keys.TERMINATIONS), what + ": records that are left");
+        0, cluster.cloud.machineCount(), context + ": machines that are idle and not returned");
+    assertEquals(0, cluster.state.keyCount(Keys.TERMINATIONS), context + ": records that are left");
   }
 
   @ParameterizedTest
   @EnumSource(Step.class)
-  void noMachineWithTasksIsReturnedByWhoeverWasDisturbedAtThisStep(Step step) {
-    int stale = 0;
+  void leaderDisturbedAtStepTerminatesNoMachineWithTasks(Step step) {
+    int staleRequests = 0;
     for (long seed = 1; seed <= 4; seed++) {
-      Day day = new Day(seed, List.of(step)).play();
-      String what = step + ", seed " + seed + ": " + day.faults;
-      assertKept(day, what);
-      assertTrue(day.faultCount() >= 3, what);
-      assertTrue(day.cluster.termCount() > 3, what + " " + day.cluster.termCount() + " terms");
-      stale += day.cluster.terminations.stale().size();
-    }
-    if (step == Step.PAUSED_AFTER_SEND || step == Step.CLOCK_BACK) {
-      assertTrue(stale >= 4, stale + " requests of former leaders were executed");
+      Scenario scenario = new Scenario(seed, List.of(step)).run();
+      String context = step + ", seed " + seed + ": " + scenario.faults;
+      assertInvariantsHold(scenario, context);
+      assertTrue(scenario.faultCount() >= 3, context);
+      assertTrue(
+          scenario.cluster.termCount() > 3,
+          context + " " + scenario.cluster.termCount() + " terms");
+      staleRequests += scenario.cluster.terminations.stale().size();
+    }
+    if (step == Step.PAUSED_AFTER_SEND || step == Step.CLOCK_JUMPED_BACK) {
+      assertTrue(staleRequests >= 4, staleRequests + " requests of former leaders were executed");
     }
   }
 
   /** Successors are disturbed in turn, while answers of the state service are lost. */
   @ParameterizedTest
   @CsvSource({"11", "12", "13", "14", "15", "16", "17", "18"})
-  void stepsAndLostAnswersMixed(long seed) {
-    Day day = new Day(seed, List.of(Step.values()));
-    day.cluster.network.setUnansweredWrites(0.1, seed % 2 == 0);
-    day.cluster.clock.after(
-        WAVES * WAVE_MS, () -> day.cluster.network.setUnansweredWrites(0, false));
-    day.play();
-    assertKept(day, "seed " + seed + ": " + day.faults);
-    assertTrue(day.faultCount() >= 3, "seed " + seed + ": " + day.faults);
+  void mixedStepsAndLostResponsesTerminateNoMachineWithTasks(long seed) {
+    Scenario scenario = new Scenario(seed, List.of(Step.values()));
+    scenario.cluster.network.setUnansweredWrites(0.1, seed % 2 == 0);
+    scenario.cluster.clock.after(
+        WAVES * WAVE_MS, () -> scenario.cluster.network.setUnansweredWrites(0, false));
+    scenario.run();
+    assertInvariantsHold(scenario, "seed " + seed + ": " + scenario.faults);
+    assertTrue(scenario.faultCount() >= 3, "seed " + seed + ": " + scenario.faults);
   }
 
   /** The counter counts: without the records a former leader ends machines that have work. */
   @Test
-  void withoutRecordsMachinesWithTasksAreReturnedAndCounted() {
+  void lostTerminationRecordsLetMachinesWithTasksBeTerminated() {
     int withTasks = 0;
     for (long seed = 1; seed <= 4; seed++) {
-      Day day = new Day(seed, List.of(Step.PAUSED_AFTER_SEND));
-      day.cluster.state.loseWritesUnder(Keys.TERMINATIONS);
-      withTasks += day.play().cluster.terminations.withTasks().size();
+      Scenario scenario = new Scenario(seed, List.of(Step.PAUSED_AFTER_SEND));
+      scenario.cluster.state.loseWritesUnder(Keys.TERMINATIONS);
+      withTasks += scenario.run().cluster.terminations.withTasks().size();
     }
     assertTrue(withTasks > 0, "a counter that never counts shows nothing");
   }
--- a/src/test/java/org/ploverspindle/sim/TerminationHistory.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationHistory.java
@@ -11,48 +11,58 @@
    * A request that was executed.
    *
    * @param stale whoever asked did not hold the lead at that moment
-   * @param ended machines that were there and are gone now
+   * @param terminated machines that were there and are gone now
    * @param withTasks those of them that had tasks
    */
-  record Release(long atMs, String by, boolean stale, List<String> ended, List<String> withTasks) {}
+  record TerminationRequest(
+      long atMs,
+      String controller,
+      boolean stale,
+      List<String> terminated,
+      List<String> withTasks) {}
 
   private final SimClock clock;
   private final Supplier<String> leader;
-  private final List<Release> releases = new ArrayList<>();
-  private Consumer<Release> executed = release -> {};
+  private final List<TerminationRequest> requests = new ArrayList<>();
+  private Consumer<TerminationRequest> executionListener = request -> {};
 
   TerminationHistory(SimClock clock, Supplier<String> leader) {
     this.clock = clock;
     this.leader = leader;
   }
 
-  void whenExecuted(Consumer<Release> then) {
-    executed = then;
+  void onExecuted(Consumer<TerminationRequest> listener) {
+    executionListener = listener;
   }
 
-  void add(String by, List<String> ended, List<String> withTasks) {
-    Release release =
-        new Release(clock.nowMs(), by, !by.equals(leader.get()), ended, List.copyOf(withTasks));
-    releases.add(release);
-    executed.accept(release);
+  void add(String controller, List<String> terminated, List<String> withTasks) {
+    TerminationRequest request =
+        new TerminationRequest(
+            clock.nowMs(),
+            controller,
+            !controller.equals(leader.get()),
+            terminated,
+            List.copyOf(withTasks));
+    requests.add(request);
+    executionListener.accept(request);
   }
 
-  /** Requests that ended a machine on which there were tasks. */
-  List<Release> withTasks() {
-    return releases.stream().filter(release -> !release.withTasks().isEmpty()).toList();
+  /** Requests that terminated a machine on which there were tasks. */
+  List<TerminationRequest> withTasks() {
+    return requests.stream().filter(request -> !request.withTasks().isEmpty()).toList();
   }
 
   /** Requests of controllers that did not lead any more. */
-  List<Release> stale() {
-    return releases.stream().filter(Release::stale).toList();
+  List<TerminationRequest> stale() {
+    return requests.stream().filter(TerminationRequest::stale).toList();
   }
 
   int count() {
-    return releases.size();
+    return requests.size();
   }
 
   /** Machines that went back. */
-  int ended() {
-    return releases.stream().mapToInt(release -> release.ended().size()).sum();
+  int terminatedMachineCount() {
+    return requests.stream().mapToInt(request -> request.terminated().size()).sum();
   }
 }
