--- a/src/test/java/org/ploverspindle/sim/FaultScenario.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenario.java
@@ -21,12 +21,15 @@
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
-/** One simulated day, in which one combination of faults is provoked. */
+/** One simulated day on which one combination of faults is injected. */
 final class FaultScenario {
   static final int CONTROLLERS = 3;
   static final long RECOVERY_MS = 110_000;
 
-  /** Report, lease and cancellation times of the operators' deployments. */
+  /**
+   * Heartbeat interval, worker lease and cancellation time of each operator's deployment, in
+   * seconds.
+   */
   private static final Map<String, Settings.WorkerLimits> TIMINGS =
       new LinkedHashMap<>(
           Map.of(
@@ -70,7 +73,7 @@
     cluster.clock.after(atMs - cluster.clock.nowMs(), action);
   }
 
-  /** From then on, again and again until the other time. */
+  /** Runs the action every {@code periodMs} from {@code fromMs} until before {@code untilMs}. */
   void repeat(long fromMs, long untilMs, long periodMs, Runnable action) {
     for (long timeMs = fromMs; timeMs < untilMs; timeMs += periodMs) {
       at(timeMs, action);
@@ -89,13 +92,13 @@
     return recorded.getOrDefault(name, 0L);
   }
 
-  /** Evidence that the combination of faults occurred; it must hold at the end. */
+  /** Adds a condition that shows that the faults occurred. It is evaluated when the day is over. */
   void requireEvidence(String description, BooleanSupplier occurred) {
     evidence.put(description, occurred);
   }
 
   void requireLeaderChanges(long minimum) {
-    requireEvidence("the lead changed", () -> cluster.termCount() - recorded("terms") >= minimum);
+    requireEvidence("the leader changed", () -> cluster.termCount() - recorded("terms") >= minimum);
   }
 
   JobSpec job(String team, int tasks, double cores, double runtimeS) {
@@ -109,7 +112,7 @@
     return (cores >= 4 ? job.types("small") : job).build();
   }
 
-  /** The same job with constraints on zones; an empty zone is any. */
+  /** Returns the job with zone constraints. An empty zone allows any zone. */
   JobSpec withZoneConstraints(JobSpec spec, String zone, boolean oneZone, boolean spreadOverZones) {
     return JobSpecBuilder.from(spec)
         .zone(zone.isEmpty() ? Optional.empty() : Optional.of(zone))
@@ -118,7 +121,7 @@
         .build();
   }
 
-  /** The same job with a high priority and a deadline. */
+  /** Returns the job with high priority and a deadline of 30 s. */
   JobSpec withHighPriorityAndDeadline(JobSpec spec) {
     return JobSpecBuilder.from(spec)
         .jobClass("pressing")
@@ -127,7 +130,7 @@
         .build();
   }
 
-  /** Both teams' jobs, one after another. */
+  /** Submits jobs one after another, alternating between the two teams. */
   void submitJobs(
       long fromMs, long spacingMs, int count, int tasks, double cores, double runtimeS) {
     for (int i = 0; i < count; i++) {
@@ -144,8 +147,9 @@
   }
 
   /**
-   * The leader is back at once, and every second machine with tasks can't be asked what is there:
-   * the next leader has nothing but the records.
+   * Crashes the leader, which restarts after 50 ms, and partitions every second worker with tasks
+   * for the duration of a lease. For these workers the next leader knows the tasks from the records
+   * only.
    */
   void crashLeaderAndPartitionSomeWorkers() {
     List<SimWorker> busy = busyWorkers();
@@ -157,7 +161,7 @@
     crashLeader(50);
   }
 
-  /** The machines that tasks of running jobs are on, in the order of their jobs. */
+  /** Returns the workers that have tasks of running jobs, in the order of the cloud's workers. */
   List<SimWorker> busyWorkers() {
     Set<String> hosts = new HashSet<>();
     cluster.checker.running().forEach(uid -> hosts.addAll(cluster.checker.hostsOf(uid)));
@@ -166,7 +170,12 @@
         .toList();
   }
 
-  /** No controller reaches the machine, nor it any of them; what is sent comes at the end. */
+  /**
+   * Begins or ends a partition between the worker and all controllers. Packets sent meanwhile are
+   * delivered when it ends.
+   *
+   * @return how many packets are delivered now
+   */
   int partition(SimWorker worker, boolean active) {
     int delivered = 0;
     for (int i = 0; i < CONTROLLERS; i++) {
@@ -175,7 +184,7 @@
     return delivered;
   }
 
-  /** Of all controllers the machine reaches that one only. */
+  /** Begins or ends a partition between the worker and all controllers but the given one. */
   void partitionFromAllBut(SimWorker worker, int controller, boolean active) {
     for (int i = 0; i < CONTROLLERS; i++) {
       if (i != controller) {
@@ -184,7 +193,10 @@
     }
   }
 
-  /** All other machines that are up do not reach the controller, and can't tell it of a new one. */
+  /**
+   * Partitions the controller from all present workers but the excluded ones, so that none of these
+   * can inform it of a higher term.
+   */
   void partitionAllExcept(int controller, List<SimWorker> excluded, long durationMs) {
     List<SimWorker> others =
         cluster.cloud.workers().stream().filter(worker -> !excluded.contains(worker)).toList();
@@ -196,7 +208,7 @@
                 worker -> cluster.network.holdPackets("n" + controller, worker.host(), false)));
   }
 
-  /** Running jobs with a task on one of the machines. */
+  /** Returns the uids of running jobs that have a task on one of the machines. */
   List<String> runningJobsOn(List<SimWorker> machines) {
     Set<String> hosts = new HashSet<>();
     machines.forEach(worker -> hosts.add(worker.host()));
@@ -205,18 +217,21 @@
         .toList();
   }
 
-  /** One combination of faults, played in one scenario for each deployment. */
+  /** A combination of faults. A scenario runs it with the timing of each deployment. */
   interface Combination {
-    /** Schedules the faults, and says by which evidence they occurred. */
+    /** Schedules jobs and faults, and adds the evidence by which the faults occurred. */
     void schedule(FaultScenario scenario);
 
-    /** The cores that each team may use at once; 0 for no limit. */
+    /** Returns how many cores each team may use at once, or 0 for no limit. */
     default double teamLimit() {
       return 0;
     }
   }
 
-  /** Each combination with each deployment's timing, and a seed for each. */
+  /**
+   * Returns each combination with each deployment's timing. The seed is the position of the
+   * deployment in the sorted list, from 1.
+   */
   static Stream<Arguments> combinationsByDeployment(Combination[] combinations) {
     List<Arguments> arguments = new ArrayList<>();
     for (Combination combination : combinations) {
@@ -232,7 +247,10 @@
     return TIMINGS.keySet().stream().sorted().toList();
   }
 
-  /** Fails if a rule broke, if an accepted job never began, or if the faults did not occur. */
+  /**
+   * Runs the combination and fails if an invariant was violated, if an accepted job that nobody
+   * cancelled never started, or if evidence of the faults is missing.
+   */
   static void assertInvariantsHold(Combination combination, String deployment, long seed) {
     FaultScenario scenario = new FaultScenario(seed, deployment, combination.teamLimit());
     SimulatedCluster cluster = scenario.cluster;
@@ -240,12 +258,12 @@
     scenario.at(scenario.faultsEndMs, cluster::faultsEnded);
     cluster.clock.runUntil(scenario.faultsEndMs + RECOVERY_MS);
     assertEquals(List.of(), cluster.checker.broken());
-    assertEquals(0, cluster.checker.neverBegun(), "accepted jobs never began");
+    assertEquals(0, cluster.checker.neverBegun(), "accepted jobs that never started");
     List<String> missingEvidence =
         scenario.evidence.entrySet().stream()
             .filter(entry -> !entry.getValue().getAsBoolean())
-            .map(entry -> entry.getKey() + " " + scenario.recorded)
+            .map(entry -> entry.getKey() + ", recorded: " + scenario.recorded)
             .toList();
-    assertEquals(List.of(), missingEvidence, "did not occur");
+    assertEquals(List.of(), missingEvidence, "evidence missing for these faults");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/FaultScenarioTest.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenarioTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Plays each of a class's combinations of faults once with the times of each deployment. */
+/** Runs each of the subclass's combinations of faults once with the timing of each deployment. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 abstract class FaultScenarioTest {
   private final FaultScenario.Combination[] combinations;
--- a/src/test/java/org/ploverspindle/sim/Faults.java
+++ b/src/test/java/org/ploverspindle/sim/Faults.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** The troubles that a day may hold, each for a while; two of them may meet. */
+/** Faults that a simulated day may inject, each for a limited time. Two of them may overlap. */
 enum Faults {
   CONTROLLER_CRASH {
     @Override
@@ -118,7 +118,7 @@
     @Override
     void begin(SimulatedCluster cluster, Random random, long durationMs) {
       replayHeartbeats(cluster, 0.1 + random.nextDouble() * 0.5, true, durationMs);
-      // Without a next leader there is nothing to it.
+      // The copies arrive only when another controller takes over, so the leader has to crash.
       cluster.clock.after(
           durationMs / 2,
           () ->
@@ -172,16 +172,25 @@
     }
   };
 
-  /** Begins at once, and ends by itself within the time, but for what it does to processes. */
+  /**
+   * Injects the fault now and ends it after {@code durationMs}. Crashed controllers, failed
+   * machines and machines with a spot notice don't recover when it ends.
+   */
   abstract void begin(SimulatedCluster cluster, Random random, long durationMs);
 
-  /** Mostly the leader: with another one there is little to it. */
+  /**
+   * Picks the leader in three of four cases and otherwise any controller, as a fault of a
+   * controller that does not lead has little effect. Without a leader it picks any controller.
+   */
   private static int randomControllerFavoringLeader(SimulatedCluster cluster, Random random) {
     int leader = cluster.leader();
     return leader >= 0 && random.nextInt(4) > 0 ? leader : random.nextInt(cluster.controllerCount);
   }
 
-  /** One machine, or about half of them. */
+  /**
+   * Returns one worker whose machine is not terminated, or, as often, about half of them. The list
+   * is empty if there are none.
+   */
   private static List<SimWorker> randomWorkers(SimulatedCluster cluster, Random random) {
     List<SimWorker> running =
         cluster.cloud.workers().stream().filter(worker -> !worker.isTerminated()).toList();
--- a/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
@@ -5,7 +5,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Repeated changes of the leader, also with all controllers down and with delayed writes. */
+/**
+ * Guards against tasks that run twice, jobs that are lost and cancellations that are forgotten when
+ * the leader changes repeatedly: during an outage of the state service, after a crash of all
+ * controllers, and while transactions are executed late and without a response.
+ */
 class LeaderChangeFaultsTest extends FaultScenarioTest {
   private enum Combinations implements FaultScenario.Combination {
     TEN_LEADER_CHANGES_INCLUDING_ONE_DURING_AN_OUTAGE {
@@ -31,21 +35,25 @@
             });
         scenario.repeat(33_000, 150_000, 9_000, () -> cluster.cancelRunning(1, 0));
         scenario.at(80_000, () -> cluster.state.setOutage(true));
-        // Whoever leads by then, or is back by then, ends inside the outage.
+        // Any controller that leads during the outage, also a restarted one, crashes within 500 ms.
         scenario.repeat(81_000, 94_000, 500, () -> crashDuringOutage(scenario));
         scenario.at(95_000, () -> cluster.state.setOutage(false));
         scenario.faultsEndMs = 152_000;
         scenario.requireEvidence(
-            "ten changes", () -> cluster.termCount() - scenario.recorded("terms") >= 10);
+            "at least ten leader changes",
+            () -> cluster.termCount() - scenario.recorded("terms") >= 10);
         scenario.requireEvidence(
-            "one inside the outage", () -> scenario.recorded("crashes in outage") >= 1);
-        scenario.requireEvidence("cancellations", () -> cluster.checker.cancelledWhileOn() >= 3);
+            "at least one leader crash during the outage",
+            () -> scenario.recorded("crashes during outage") >= 1);
+        scenario.requireEvidence(
+            "at least three cancellations of running jobs",
+            () -> cluster.checker.cancelledWhileOn() >= 3);
       }
 
       private void crashDuringOutage(FaultScenario scenario) {
         if (scenario.cluster.leader() >= 0) {
           scenario.crashLeader(1_000);
-          scenario.increase("crashes in outage", 1);
+          scenario.increase("crashes during outage", 1);
         }
       }
     },
@@ -77,7 +85,7 @@
             79_000,
             () ->
                 scenario.record(
-                    "alone",
+                    "led alone",
                     () -> cluster.leader() == restartsFirst && isOnlyOneAlive(cluster) ? 1 : 0));
         scenario.at(
             95_000,
@@ -89,7 +97,8 @@
         scenario.faultsEndMs = 104_000;
         scenario.requireLeaderChanges(5);
         scenario.requireEvidence(
-            "one returned and led alone", () -> scenario.recorded("alone") == 1);
+            "the controller that restarted first led alone",
+            () -> scenario.recorded("led alone") == 1);
       }
 
       private boolean isOnlyOneAlive(SimulatedCluster cluster) {
@@ -120,12 +129,14 @@
             });
         scenario.at(
             45_000 + downtimeMs - 100,
-            () -> scenario.record("ended", () -> epochs[0].expiredCount()));
+            () -> scenario.record("ended epochs", () -> epochs[0].expiredCount()));
         scenario.faultsEndMs = 45_000 + downtimeMs + 8_000;
         scenario.requireLeaderChanges(1);
-        scenario.requireEvidence("agent epochs ended", () -> scenario.recorded("ended") >= 3);
         scenario.requireEvidence(
-            "cancelled just before", () -> cluster.checker.cancelledWhileOn() >= 1);
+            "at least three worker epochs ended", () -> scenario.recorded("ended epochs") >= 3);
+        scenario.requireEvidence(
+            "a running job was cancelled before the crash",
+            () -> cluster.checker.cancelledWhileOn() >= 1);
       }
     },
 
@@ -145,7 +156,8 @@
         scenario.faultsEndMs = 100_000;
         scenario.requireLeaderChanges(1);
         scenario.requireEvidence(
-            "overtaken transactions", () -> cluster.stateAccess.reorderedWrites() >= 5);
+            "at least five transactions were executed after newer ones",
+            () -> cluster.stateAccess.reorderedWrites() >= 5);
       }
     },
 
@@ -163,9 +175,12 @@
         scenario.at(90_000, () -> cluster.network.setUnansweredWrites(0, false));
         scenario.faultsEndMs = 95_000;
         scenario.requireLeaderChanges(2);
-        scenario.requireEvidence("writes lagged", () -> cluster.stateAccess.reorderedWrites() >= 1);
         scenario.requireEvidence(
-            "ended right after work began there", () -> scenario.recorded("met") >= 2);
+            "a transaction was executed after a newer one",
+            () -> cluster.stateAccess.reorderedWrites() >= 1);
+        scenario.requireEvidence(
+            "at least two leader crashes after starts on new machines",
+            () -> scenario.recorded("crashes after starts") >= 2);
       }
 
       private void crashLeaderAfterFirstStart(FaultScenario scenario, long atMs, int tasks) {
@@ -191,7 +206,7 @@
                       .anyMatch(worker -> !existingMachines.contains(worker.host()));
               if (!crashed[0] && startedOnNewMachine && cluster.leader() >= 0) {
                 crashed[0] = true;
-                scenario.increase("met", 1);
+                scenario.increase("crashes after starts", 1);
                 cluster.clock.after(
                     scenario.random.nextInt(150), scenario::crashLeaderAndPartitionSomeWorkers);
               }
@@ -204,7 +219,7 @@
     super(Combinations.values());
   }
 
-  /** Seeds on which tasks run twice if an unanswered transaction is taken as committed. */
+  /** On these seeds tasks run twice if a transaction without a response is taken as committed. */
   @ParameterizedTest(name = "{0}, seed {1}")
   @CsvSource({
     "Athens, 9",
--- a/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/MachineTerminationsTest.java
@@ -42,7 +42,11 @@
 import org.ploverspindle.state.StateStore;
 import org.ploverspindle.state.TokenBucket;
 
-/** One leader's returns, step by step, beside a state service and a cloud that answer or do not. */
+/**
+ * Guards against machines that are terminated without a durable record, used again after their
+ * termination began, or never terminated. One leader runs against a simulated state service and a
+ * stub of the cloud, either of which may leave requests without a response.
+ */
 class MachineTerminationsTest {
   private static final long RECORD_RETENTION_MS = 7_000;
   private static final long RESPONSE_MS = 200;
@@ -124,7 +128,10 @@
     return registry.get(host).orElseThrow();
   }
 
-  /** A task that is recorded on the machine, and saves its progress when it is told to stop. */
+  /**
+   * Adds a placement that the records of an earlier term show on the machine. Its task saves a
+   * checkpoint when it is stopped.
+   */
   private Placement place(Machine machine) {
     return place(machine, Placement.Phase.RECOVERED);
   }
@@ -166,13 +173,16 @@
     terminations.beginTermination(List.of(machine));
     assertTrue(
         machine.isTerminating() && !machine.isSchedulable(clock.nowMs(), 9_000),
-        "from the sending on");
+        "unschedulable from the moment the record is sent");
     assertEquals(List.of(), requests);
     run(RESPONSE_MS);
     assertEquals(List.of(List.of("i-1")), requests);
     assertTrue(registry.wasTerminated("i-1"));
     run(RECORD_RETENTION_MS - 2 * RESPONSE_MS);
-    assertEquals(1, state.keyCount(Keys.TERMINATIONS), "a list may still show the machine");
+    assertEquals(
+        1,
+        state.keyCount(Keys.TERMINATIONS),
+        "the record is kept while a list may still show the machine");
     run(4_000);
     assertEquals(0, state.keyCount(Keys.TERMINATIONS));
     assertEquals(1, requests.size());
@@ -186,9 +196,10 @@
     network.setUnansweredWrites(0, false);
     mayDecide = false;
     run(20_000);
-    assertEquals(1, state.keyCount(Keys.TERMINATIONS), "it was carried out late");
+    assertEquals(
+        1, state.keyCount(Keys.TERMINATIONS), "the unanswered transaction was executed late");
     assertTrue(machine.isTerminating());
-    assertEquals(List.of(), requests, "nothing is sent without a sure lead");
+    assertEquals(List.of(), requests, "nothing is sent to the cloud without certain leadership");
     mayDecide = true;
     run(3_000);
     assertEquals(List.of(List.of("i-1")), requests);
@@ -214,9 +225,13 @@
   void inheritedTerminationIsRepeatedUntilConfirmedAndMachinesAreNotAdoptedAgain() {
     cloudAnswers = false;
     inherit("i-1", "i-2");
-    assertTrue(heartbeat("i-1", 1).isDecommissioning(), "also one that was not known before");
+    assertTrue(
+        heartbeat("i-1", 1).isDecommissioning(),
+        "a machine that was unknown when the record was inherited is decommissioning");
     run(10_000);
-    assertTrue(requests.size() > 3, "repeated until it is answered: " + requests.size());
+    assertTrue(
+        requests.size() > 3,
+        "requests until the cloud confirms, more than 3 expected: " + requests.size());
     assertTrue(terminations.summary().contains("inherited=2"), terminations.summary());
     cloudAnswers = true;
     run(3_000);
@@ -226,7 +241,10 @@
     assertEquals(0, state.keyCount(Keys.TERMINATIONS));
   }
 
-  /** It was taken for gone, and reports again between the record and the release. */
+  /**
+   * Guards against a launch on a machine that is being terminated: it was considered lost, and
+   * sends a heartbeat after its termination began and before the cloud is asked.
+   */
   @Test
   void heartbeatAfterTerminationBeganLaunchesNothing() {
     Placement placement = place(heartbeat("i-1", 1), Placement.Phase.READY);
@@ -244,19 +262,25 @@
             OptionalDouble.empty(),
             List.of());
     assertEquals(List.of(), handler.handle(repeatedHeartbeat, clock.nowMs()).commands());
-    assertTrue(placement.machine().isEmpty(), "it was never sent");
+    assertTrue(placement.machine().isEmpty(), "the placement that was never sent is removed");
     run(RESPONSE_MS);
     assertEquals(List.of(List.of("i-1")), requests);
   }
 
-  /** A version that does not know the records led in between and placed a task. */
+  /**
+   * A version that does not know termination records may lead in between and place a task on a
+   * machine that is to be terminated. The task may save a checkpoint first. A machine without
+   * heartbeats is terminated at once.
+   */
   @Test
   void machineWithTasksIsDrainedBeforeTerminationUnlessUnresponsive() {
     Placement placement = place(heartbeat("i-1", 1));
     inherit("i-1");
     run(2_000);
     assertEquals(List.of(), requests);
-    assertTrue(placement.isStopping() && placement.gracePeriodS() > 2, "it saves first");
+    assertTrue(
+        placement.isStopping() && placement.gracePeriodS() > 2,
+        "the task has time to save a checkpoint");
     registry.removePlacement(placement, clock.nowMs());
     run(2_000);
     assertEquals(List.of(List.of("i-1")), requests);
@@ -269,7 +293,10 @@
     assertEquals(List.of(onUnresponsive), lost);
   }
 
-  /** Nothing is placed by guess on machines that it may name, and it is left as it is. */
+  /**
+   * An unreadable record may name any machine of an earlier term, so that none of these gets tasks
+   * for the time within which a delayed request may still be executed. The record is kept.
+   */
   @Test
   void unreadableRecordQuarantinesMachinesOfEarlierTerms() {
     Machine ofEarlierTerm = heartbeat("i-1", 1);
@@ -281,7 +308,7 @@
     ofThisTerm.endQuarantine();
     assertFalse(ofEarlierTerm.isSchedulable(clock.nowMs(), 9_000));
     assertFalse(heartbeat("i-2", 1).isSchedulable(clock.nowMs(), 9_000));
-    assertTrue(ofThisTerm.isSchedulable(clock.nowMs(), 9_000), "rented in this term");
+    assertTrue(ofThisTerm.isSchedulable(clock.nowMs(), 9_000), "provisioned in this term");
     run(310_000);
     assertTrue(heartbeat("i-1", 2).isSchedulable(clock.nowMs(), 9_000));
     assertEquals(List.of(), requests);
--- a/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
@@ -6,7 +6,11 @@
 import java.util.Set;
 import org.ploverspindle.model.JobSpec;
 
-/** Partitions and lost machines together with a change of the leader. */
+/**
+ * Guards against tasks that run twice and cancellations that come too late when network partitions
+ * or lost machines coincide with a change of the leader, so that two controllers may consider
+ * themselves leader or workers can't be reached.
+ */
 class PartitionFaultsTest extends FaultScenarioTest {
   private enum Combinations implements FaultScenario.Combination {
     ZONE_WITH_A_CONTROLLER_PARTITIONED_LONGER_THAN_A_LEASE {
@@ -16,15 +20,17 @@
         scenario.submitJobs(3_000, 1_000, 10, 6, 1, 160);
         scenario.at(45_000, () -> partitionLeader(scenario));
         scenario.faultsEndMs = 45_000 + scenario.cancellationMs + 15_000;
-        scenario.requireEvidence("tasks in the zone", () -> scenario.recorded("busy") >= 1);
-        scenario.requireEvidence("agent epochs ended there", () -> scenario.recorded("ended") >= 1);
         scenario.requireEvidence(
-            "cancelled meanwhile", () -> cluster.checker.cancelledWhileOn() >= 1);
+            "tasks ran in the zone", () -> scenario.recorded("workers with tasks") >= 1);
+        scenario.requireEvidence(
+            "worker epochs ended in the zone", () -> scenario.recorded("ended epochs") >= 1);
+        scenario.requireEvidence(
+            "a running job was cancelled", () -> cluster.checker.cancelledWhileOn() >= 1);
       }
 
       private void partitionLeader(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        // Its controller leads, or another one.
+        // With an odd seed the partitioned controller leads, with an even seed another one does.
         int controllerInZone =
             scenario.isOddSeed
                 ? Math.max(0, cluster.leader())
@@ -34,7 +40,7 @@
         AgentEpochs epochs =
             new AgentEpochs(
                 scenario.busyWorkers().stream().filter(workersInZone::contains).toList());
-        scenario.record("busy", epochs::workerCount);
+        scenario.record("workers with tasks", epochs::workerCount);
         List<String> jobsInZone = scenario.runningJobsOn(workersInZone);
         partitionZone(scenario, controllerInZone, workersInZone, true);
         for (int i = 0; i < Math.min(3, jobsInZone.size()); i++) {
@@ -43,32 +49,38 @@
               500 + scenario.random.nextInt(6_000), () -> cluster.cancel(jobsInZone.get(index), 0));
         }
         cluster.clock.after(
-            // With the leader inside, its workers keep their leases for as long as it may answer.
+            // A partitioned leader renews the leases of its workers for as long as it may respond.
             (scenario.isOddSeed ? scenario.cancellationMs : scenario.leaseMs)
                 + 6_000
                 + scenario.random.nextInt(6_000),
             () -> {
-              scenario.record("ended", epochs::expiredCount);
+              scenario.record("ended epochs", epochs::expiredCount);
               partitionZone(scenario, controllerInZone, workersInZone, false);
             });
       }
     },
 
-    /** Returned machines end their tasks before others start: here none can be returned. */
+    /**
+     * Terminating a machine would end its tasks before they start elsewhere. During the outage of
+     * the cloud no machine can be terminated, so that only leases end them.
+     */
     ZONE_WITH_THE_LEADER_PARTITIONED_DURING_A_CLOUD_OUTAGE {
       @Override
       public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         scenario.submitJobs(3_000, 1_000, 6, 4, 1, 160);
-        // Their machines have room again when the tasks of the zone are given up.
+        // These jobs end in time to leave room for the restarted tasks of the partitioned zone.
         scenario.submitJobs(3_500, 1_000, 12, 6, 1, 42);
         scenario.at(45_000, () -> partition(scenario));
         scenario.faultsEndMs = 45_000 + scenario.cancellationMs + 15_000;
         scenario.requireLeaderChanges(1);
-        scenario.requireEvidence("tasks in the zone", () -> scenario.recorded("busy") >= 1);
-        scenario.requireEvidence("agent epochs ended there", () -> scenario.recorded("ended") >= 1);
         scenario.requireEvidence(
-            "started elsewhere", () -> cluster.checker.starts() > scenario.recorded("starts"));
+            "tasks ran in the zone", () -> scenario.recorded("workers with tasks") >= 1);
+        scenario.requireEvidence(
+            "worker epochs ended in the zone", () -> scenario.recorded("ended epochs") >= 1);
+        scenario.requireEvidence(
+            "tasks started after the partition began",
+            () -> cluster.checker.starts() > scenario.recorded("starts"));
       }
 
       private void partition(FaultScenario scenario) {
@@ -80,14 +92,14 @@
             new AgentEpochs(
                 scenario.busyWorkers().stream().filter(workersInZone::contains).toList());
         scenario.record("terms", cluster::termCount);
-        scenario.record("busy", epochs::workerCount);
+        scenario.record("workers with tasks", epochs::workerCount);
         scenario.record("starts", cluster.checker::starts);
         partitionZone(scenario, leader, workersInZone, true);
         cluster.cloud.setOutage(true);
         cluster.clock.after(
             scenario.cancellationMs + 6_000 + scenario.random.nextInt(6_000),
             () -> {
-              scenario.record("ended", epochs::expiredCount);
+              scenario.record("ended epochs", epochs::expiredCount);
               partitionZone(scenario, leader, workersInZone, false);
               cluster.cloud.setOutage(false);
             });
@@ -101,9 +113,11 @@
         scenario.submitJobs(3_000, 1_000, 14, 3, 1, 250);
         scenario.at(50_000, () -> partitionLeader(scenario));
         scenario.faultsEndMs = 50_000 + scenario.cancellationMs + 22_000;
-        scenario.requireEvidence("two led at once", () -> scenario.recorded("both") == 1);
         scenario.requireEvidence(
-            "cancelled through the new one", () -> scenario.recorded("told by the new one") >= 4);
+            "two controllers led at once", () -> scenario.recorded("two leaders") == 1);
+        scenario.requireEvidence(
+            "at least four cancellations confirmed by the new leader",
+            () -> scenario.recorded("confirmed by the new leader") >= 4);
       }
 
       private void partitionLeader(FaultScenario scenario) {
@@ -116,7 +130,7 @@
                 ? SimulatedCluster.PartitionMode.HOLD_PACKETS
                 : SimulatedCluster.PartitionMode.REFUSE_REQUESTS,
             durationMs);
-        // Beside, some of the machines have no way to the others: nobody tells them of a new one.
+        // Some workers reach the old leader only, so that nothing informs them of the new one.
         List<SimWorker> busy = scenario.busyWorkers();
         List<SimWorker> reachingOldLeaderOnly = busy.subList(0, busy.size() / 2 + 1);
         reachingOldLeaderOnly.forEach(
@@ -127,7 +141,8 @@
                 reachingOldLeaderOnly.forEach(
                     worker -> scenario.partitionFromAllBut(worker, oldLeader, false)));
         scenario.partitionAllExcept(oldLeader, reachingOldLeaderOnly, durationMs);
-        // Nor can anybody return them, or rent one that would tell the old leader of the new one.
+        // The cloud outage keeps the new leader from terminating these machines, and prevents the
+        // provisioning of a machine that would inform the old leader of the new one.
         cluster.cloud.setOutage(true);
         cluster.clock.after(durationMs, () -> cluster.cloud.setOutage(false));
         List<String> jobs = scenario.runningJobsOn(reachingOldLeaderOnly);
@@ -139,7 +154,7 @@
                 int candidate = nextLeader(cluster, oldLeader);
                 if (newLeader[0] < 0 && candidate >= 0) {
                   newLeader[0] = candidate;
-                  scenario.record("both", () -> cluster.isLeading(oldLeader) ? 1 : 0);
+                  scenario.record("two leaders", () -> cluster.isLeading(oldLeader) ? 1 : 0);
                   cancelThrough(scenario, candidate, jobs);
                 }
               });
@@ -161,7 +176,7 @@
             3_000,
             () ->
                 scenario.record(
-                    "told by the new one",
+                    "confirmed by the new leader",
                     () -> cluster.checker.cancelledWhileOn() - cancelledBefore));
       }
 
@@ -190,9 +205,11 @@
         scenario.at(75_000, () -> loseMachines(scenario, zoneBoundJobs));
         scenario.faultsEndMs = 95_000;
         scenario.requireLeaderChanges(1);
-        scenario.requireEvidence("bound jobs lost machines", () -> scenario.recorded("lost") >= 4);
         scenario.requireEvidence(
-            "they ran to their end",
+            "at least four losses of a machine by jobs with zone constraints",
+            () -> scenario.recorded("lost machines") >= 4);
+        scenario.requireEvidence(
+            "all jobs with zone constraints are done",
             () -> zoneBoundJobs.stream().allMatch(cluster.checker::isDone));
       }
 
@@ -210,7 +227,7 @@
         return spec.uid();
       }
 
-      /** Half of their machines: some die, some are taken back with a notice. */
+      /** Half of the machines of these jobs fail or get a spot notice, in turn. */
       private void loseMachines(FaultScenario scenario, List<String> zoneBoundJobs) {
         Set<String> hosts = new HashSet<>();
         zoneBoundJobs.forEach(uid -> hosts.addAll(scenario.cluster.checker.hostsOf(uid)));
@@ -219,7 +236,8 @@
                 .filter(worker -> hosts.contains(worker.host()))
                 .toList();
         for (int i = 0; i < hostingJobs.size(); i += 2) {
-          scenario.increase("lost", scenario.runningJobsOn(List.of(hostingJobs.get(i))).size());
+          scenario.increase(
+              "lost machines", scenario.runningJobsOn(List.of(hostingJobs.get(i))).size());
           if (i % 4 == 0) {
             scenario.cluster.cloud.fail(hostingJobs.get(i).host());
           } else {
@@ -237,10 +255,14 @@
         scenario.at(50_000, () -> partitionWorkers(scenario));
         scenario.faultsEndMs = 50_000 + scenario.cancellationMs + 25_000;
         scenario.requireLeaderChanges(1);
-        scenario.requireEvidence("unreached", () -> scenario.recorded("unreached") >= 3);
-        scenario.requireEvidence("deaf", () -> scenario.recorded("deaf") >= 2);
         scenario.requireEvidence(
-            "begun elsewhere", () -> cluster.checker.starts() > scenario.recorded("starts"));
+            "at least three workers were unreachable", () -> scenario.recorded("unreachable") >= 3);
+        scenario.requireEvidence(
+            "at least two workers got no responses",
+            () -> scenario.recorded("without responses") >= 2);
+        scenario.requireEvidence(
+            "tasks started after the partition began",
+            () -> cluster.checker.starts() > scenario.recorded("starts"));
       }
 
       private void partitionWorkers(FaultScenario scenario) {
@@ -251,11 +273,11 @@
         List<SimWorker> withoutResponses = busy.subList(busy.size() / 2, busy.size() * 3 / 4);
         scenario.record("terms", cluster::termCount);
         scenario.record("starts", cluster.checker::starts);
-        scenario.record("unreached", unreachable::size);
-        scenario.record("deaf", withoutResponses::size);
+        scenario.record("unreachable", unreachable::size);
+        scenario.record("without responses", withoutResponses::size);
         long durationMs = scenario.cancellationMs + 12_000;
         if (scenario.isOddSeed) {
-          // The old leader goes on answering them as long as it may: none but it reaches them.
+          // Only the old leader reaches these workers. It responds to them for as long as it may.
           cluster.partitionController(
               oldLeader, SimulatedCluster.PartitionMode.REFUSE_REQUESTS, durationMs);
           unreachable.forEach(worker -> scenario.partitionFromAllBut(worker, oldLeader, true));
@@ -290,7 +312,10 @@
     super(Combinations.values());
   }
 
-  /** The zone's workers reach that controller only, and nothing else reaches it. */
+  /**
+   * Begins or ends a partition in which the zone's workers reach only the given controller, and it
+   * reaches neither the state service, the cloud, the other controllers nor any other worker.
+   */
   private static void partitionZone(
       FaultScenario scenario, int controllerInZone, List<SimWorker> workersInZone, boolean active) {
     String controller = "n" + controllerInZone;
--- a/src/test/java/org/ploverspindle/sim/StaleHeartbeatFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/StaleHeartbeatFaultsTest.java
@@ -2,7 +2,11 @@
 
 import java.util.List;
 
-/** Reports that arrive late, after or during a change of the leader. */
+/**
+ * Guards against tasks that are lost or run twice because a leader takes a stale heartbeat for a
+ * current one: copies arrive as a leader takes over, or heartbeats are held back until the next
+ * leader has started tasks.
+ */
 class StaleHeartbeatFaultsTest extends FaultScenarioTest {
   private enum Combinations implements FaultScenario.Combination {
     STALE_HEARTBEATS_ARRIVE_AS_A_LEADER_TAKES_OVER {
@@ -22,7 +26,8 @@
         scenario.faultsEndMs = 112_000;
         scenario.requireLeaderChanges(4);
         scenario.requireEvidence(
-            "old reports came then", () -> cluster.heartbeatDelivery.replaysDelivered() >= 40);
+            "at least 40 stale heartbeats were delivered",
+            () -> cluster.heartbeatDelivery.replaysDelivered() >= 40);
       }
     },
 
@@ -36,9 +41,10 @@
         scenario.faultsEndMs = 45_000 + scenario.cancellationMs + 30_000;
         scenario.requireLeaderChanges(1);
         scenario.requireEvidence(
-            "the new leader had acted",
+            "the new leader started tasks before the heartbeats arrived",
             () -> scenario.recorded("starts") > 0 && scenario.recorded("acted") >= 1);
-        scenario.requireEvidence("held reports arrived", () -> scenario.recorded("arrived") >= 3);
+        scenario.requireEvidence(
+            "at least three delayed packets arrived", () -> scenario.recorded("arrived") >= 3);
       }
 
       private void delayHeartbeats(FaultScenario scenario) {
@@ -49,7 +55,8 @@
         scenario.record("terms", cluster::termCount);
         cluster.clock.after(
             1_000 + scenario.random.nextInt(3_000), () -> scenario.crashLeader(2_000));
-        // While their leases last, and after they ran out and their tasks began elsewhere.
+        // With an odd seed the heartbeats arrive 20 to 24 s after the partition began, with an even
+        // seed after the leases have expired and the tasks have started elsewhere.
         long durationMs = scenario.isOddSeed ? 17_000 : scenario.cancellationMs + 8_000;
         boolean[] newLeaderSeen = {false};
         scenario.repeat(
--- a/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
@@ -12,7 +12,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.ploverspindle.model.JobSpec;
 
-/** Teams at their limits while workers are lost, jobs are cancelled, and the leader changes. */
+/**
+ * Guards against a team exceeding its limit, and against room that stays unused, when the leader
+ * changes while attempts of the team run on workers that the next leader can't reach, or their jobs
+ * are cancelled meanwhile.
+ */
 class TeamLimitFaultsTest extends FaultScenarioTest {
   private static final double TEAM_LIMIT_CORES = 16;
 
@@ -37,29 +41,32 @@
         scenario.at(50_000, () -> partitionWorkersAndCrashLeader(scenario));
         scenario.faultsEndMs = 50_000 + scenario.cancellationMs + 25_000;
         scenario.requireLeaderChanges(1);
-        scenario.requireEvidence("at its limit", () -> scenario.recorded("red") == 16);
         scenario.requireEvidence(
-            "machines that can't be asked", () -> scenario.recorded("unasked") >= 2);
-        scenario.requireEvidence("a cancellation", () -> cluster.checker.cancelledWhileOn() >= 2);
+            "the team used its limit of 16 cores", () -> scenario.recorded("red cores") == 16);
         scenario.requireEvidence(
-            "its room is used then",
+            "at least two workers were unreachable", () -> scenario.recorded("unreachable") >= 2);
+        scenario.requireEvidence(
+            "at least two cancellations of running jobs",
+            () -> cluster.checker.cancelledWhileOn() >= 2);
+        scenario.requireEvidence(
+            "a waiting job ran once there was room",
             () -> waiting.stream().anyMatch(uid -> cluster.checker.isDone(uid)));
       }
 
       private void partitionWorkersAndCrashLeader(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.record("red", () -> Math.round(cluster.checker.coresInUse("red")));
+        scenario.record("red cores", () -> Math.round(cluster.checker.coresInUse("red")));
         scenario.record("terms", cluster::termCount);
         List<SimWorker> busy = scenario.busyWorkers();
         List<SimWorker> partitioned = busy.subList(0, Math.max(0, busy.size() - 1));
-        scenario.record("unasked", partitioned::size);
+        scenario.record("unreachable", partitioned::size);
         List<String> onPartitioned = scenario.runningJobsOn(partitioned);
         partitioned.forEach(worker -> scenario.partition(worker, true));
         long durationMs = 4_000 + scenario.random.nextInt((int) scenario.leaseMs + 10_000);
         cluster.clock.after(
             durationMs, () -> partitioned.forEach(worker -> scenario.partition(worker, false)));
         cluster.clock.after(scenario.random.nextInt(1_000), () -> scenario.crashLeader(2_000));
-        // One of a machine that nobody can ask, one of a machine that answers.
+        // Cancels one job on a partitioned worker and one on a reachable worker.
         List<String> onReachable =
             cluster.checker.running().stream().filter(uid -> !onPartitioned.contains(uid)).toList();
         onPartitioned.stream()
@@ -87,17 +94,20 @@
         scenario.faultsEndMs = 50_000 + scenario.cancellationMs + 25_000;
         scenario.requireLeaderChanges(1);
         scenario.requireEvidence(
-            "every team at its limit",
-            () -> scenario.recorded("red") + scenario.recorded("blue") == 32);
-        scenario.requireEvidence("cancelled", () -> cluster.checker.cancelledWhileOn() >= 4);
+            "both teams together used their limits of 32 cores",
+            () -> scenario.recorded("red cores") + scenario.recorded("blue cores") == 32);
+        scenario.requireEvidence(
+            "at least four cancellations of running jobs",
+            () -> cluster.checker.cancelledWhileOn() >= 4);
         scenario.requireEvidence(
-            "hung and cut", () -> scenario.recorded("hung") >= 2 && scenario.recorded("cut") >= 2);
+            "at least two workers unresponsive and two partitioned",
+            () -> scenario.recorded("unresponsive") >= 2 && scenario.recorded("partitioned") >= 2);
       }
 
       private void cancelOnFailedWorkers(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
-        scenario.record("red", () -> Math.round(cluster.checker.coresInUse("red")));
-        scenario.record("blue", () -> Math.round(cluster.checker.coresInUse("blue")));
+        scenario.record("red cores", () -> Math.round(cluster.checker.coresInUse("red")));
+        scenario.record("blue cores", () -> Math.round(cluster.checker.coresInUse("blue")));
         scenario.record("terms", cluster::termCount);
         List<SimWorker> busy = new ArrayList<>(scenario.busyWorkers());
         Collections.shuffle(busy, scenario.random);
@@ -111,12 +121,12 @@
                       cluster.clock.after(
                           scenario.random.nextInt(200), () -> cluster.cancel(uid, 0)));
           if (i % 2 == 0) {
-            scenario.increase("cut", 1);
+            scenario.increase("partitioned", 1);
             cluster.clock.after(
                 scenario.random.nextInt(200), () -> scenario.partition(worker, true));
             cluster.clock.after(durationMs, () -> scenario.partition(worker, false));
           } else {
-            scenario.increase("hung", 1);
+            scenario.increase("unresponsive", 1);
             cluster.clock.after(scenario.random.nextInt(200), () -> worker.hang(durationMs));
           }
         }
@@ -145,10 +155,12 @@
   }
 
   /**
-   * A worker is partitioned just as a task completes there, and its report of that is delayed;
-   * after its lease the task starts again elsewhere. Then the report arrives while the second
-   * worker is unreachable, and the leader crashes: the task is done, but its second attempt still
-   * runs and counts for its team, which is at its limit with more to run.
+   * Guards against a team exceeding its limit after a failover because the attempt of a completed
+   * task is not counted. A worker is partitioned just as a task completes there, so that the
+   * heartbeat with the completion is delayed. After the lease of that worker the task starts again
+   * elsewhere. Then the delayed heartbeat arrives while the second worker is unreachable, and the
+   * leader crashes. The task is done, but its second attempt still runs and counts towards the
+   * team, which is at its limit and has more jobs waiting.
    */
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("deploymentsAndSeeds")
@@ -174,7 +186,7 @@
             initiallyOn.removeAll(current);
             completedOn.addAll(initiallyOn);
             completedOn.forEach(worker -> scenario.partition(worker, true));
-            // Of two tasks the other one begins again as well, so that the job is not yet done.
+            // Of two tasks the other one is restarted as well, so that the job is not yet done.
             current.forEach(worker -> cluster.cloud.reclaim(worker.host()));
           } else if (restartedOn.isEmpty() && !completedOn.isEmpty() && current.size() == tasks) {
             restartedOn.addAll(current);
@@ -185,9 +197,10 @@
     scenario.at(260_000, cluster::faultsEnded);
     cluster.clock.runUntil(260_000 + FaultScenario.RECOVERY_MS);
     assertEquals(List.of(), cluster.checker.broken());
-    assertTrue(scenario.recorded("arrived") >= 1, "held reports arrived");
-    assertTrue(cluster.termCount() > scenario.recorded("terms"), "the lead changed");
-    assertEquals(16, scenario.recorded("red"), "at its limit, with what goes on");
+    assertTrue(scenario.recorded("arrived") >= 1, "no delayed packet was delivered");
+    assertTrue(cluster.termCount() > scenario.recorded("terms"), "the leader did not change");
+    assertEquals(
+        16, scenario.recorded("red cores"), "cores of the team in use, with the second attempt");
     assertTrue(cluster.checker.isDone(job.uid()));
   }
 
@@ -219,7 +232,8 @@
     scenario.cluster.clock.after(
         1_000,
         () -> {
-          scenario.record("red", () -> Math.round(scenario.cluster.checker.coresInUse("red")));
+          scenario.record(
+              "red cores", () -> Math.round(scenario.cluster.checker.coresInUse("red")));
           scenario.record("terms", scenario.cluster::termCount);
           scenario.crashLeader(50);
         });
--- a/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
@@ -18,9 +18,11 @@
 import org.ploverspindle.state.StateStore.Transaction;
 
 /**
- * Three controllers return machines between waves of work, and whoever leads is paused past its
- * lease, or ended, at a named step of a return. Work comes while it is away, so that its successor
- * looks for room; then what the former leader had sent, or still sends, arrives.
+ * Guards against a former leader terminating a machine that its successor uses. Three controllers
+ * terminate machines between waves of jobs. At a given step of a termination the leader pauses for
+ * longer than its lease, crashes, or counts on an expired lease. More jobs are submitted meanwhile,
+ * so that the successor needs machines. Then requests that the former leader has sent, or still
+ * sends, reach the cloud.
  */
 class TerminationFaultsTest {
   private static final int CONTROLLERS = 3;
@@ -30,27 +32,32 @@
   private static final long PAUSE_MS = 9_000;
   private static final long CLOCK_JUMP_MS = 30_000;
 
-  /** Where in a return its leader is disturbed. */
+  /** The step of a termination at which its leader is disturbed. */
   enum Step {
-    /** The record stands and its answer has not been taken. */
+    /** The leader pauses once the record is durable, before it processes the response. */
     PAUSED_BEFORE_SEND,
-    /** The release has left the leader, which is sure of its lead then, and arrives much later. */
+    /**
+     * The leader sends the request to the cloud while it is certain of its leadership, and pauses
+     * 500 ms after the record became durable. The request arrives after the pause.
+     */
     PAUSED_AFTER_SEND,
-    /** The release was executed and its answer has not been taken. */
+    /** The cloud executes the request, and the leader pauses before it processes the response. */
     PAUSED_BEFORE_ANSWER,
-    /** The record stands, and the process ends and is back within a second. */
+    /** The leader crashes once the record is durable, and restarts after 600 ms. */
     CRASHED_BEFORE_SEND,
     /**
-     * The record gets no answer and is carried out late; its leader is paused after reading back.
+     * The transaction with the record gets no response and is executed late. The leader pauses 3 s
+     * after it was sent, when it has read back the outcome.
      */
     RECORD_EXECUTED_LATE,
     /**
-     * The record stands; the leader's clock jumps back, so that it believes in a lease that ends.
+     * The leader's clock jumps back 100 ms after the record became durable, so that the leader
+     * counts on a lease that has expired.
      */
     CLOCK_JUMPED_BACK
   }
 
-  /** A day of waves, with a fault at some of the returns. */
+  /** A simulated day with waves of jobs and a fault at some of the terminations. */
   private static final class Scenario {
     final SimulatedCluster cluster;
     final Map<Step, Integer> faults = new EnumMap<>(Step.class);
@@ -77,7 +84,10 @@
       }
     }
 
-    /** The next fault, if there was none for a while. */
+    /**
+     * Returns a random step for the next fault, or empty before {@code nextFaultFromMs} and after
+     * the last wave.
+     */
     private Optional<Step> nextFault() {
       if (cluster.clock.nowMs() < nextFaultFromMs || cluster.clock.nowMs() > WAVES * WAVE_MS) {
         return Optional.empty();
@@ -88,7 +98,7 @@
     private void recordFault(Step step) {
       nextFaultFromMs = cluster.clock.nowMs() + PAUSE_MS * 3 / 2;
       faults.merge(step, 1, Integer::sum);
-      // The successor leads by then, and would use whatever machine it takes for its own.
+      // By then a successor leads, and places these tasks on any machine that it takes for usable.
       cluster.clock.after(PAUSE_MS / 2, () -> submit(8));
     }
 
@@ -140,13 +150,16 @@
       holdLink(controller, SimulatedCluster.CLOUD);
     }
 
-    /** It hears nothing of its lease from now on, and counts on it for longer than it lasts. */
+    /**
+     * Turns the controller's clock back and holds its packets to and from the state service, so
+     * that it neither renews its lease nor learns of its end, and counts on it for too long.
+     */
     private void turnClockBackWithoutStateService(int controller) {
       cluster.process(controller).jumpClock(-CLOCK_JUMP_MS);
       holdLink(controller, SimulatedCluster.STATE);
     }
 
-    /** What goes between the two is held back, and delivered after the pause. */
+    /** Holds all packets between the controller and the host, and delivers them after the pause. */
     private void holdLink(int controller, String other) {
       String name = SimLink.controllerName(controller);
       cluster.network.holdPackets(name, other, true);
@@ -181,8 +194,11 @@
     assertEquals(List.of(), cluster.checker.broken(), context);
     assertEquals(0, cluster.checker.neverBegun(), context);
     assertEquals(
-        0, cluster.cloud.machineCount(), context + ": machines that are idle and not returned");
-    assertEquals(0, cluster.state.keyCount(Keys.TERMINATIONS), context + ": records that are left");
+        0, cluster.cloud.machineCount(), context + ": idle machines that were not terminated");
+    assertEquals(
+        0,
+        cluster.state.keyCount(Keys.TERMINATIONS),
+        context + ": termination records that were not removed");
   }
 
   @ParameterizedTest
@@ -200,11 +216,16 @@
       staleRequests += scenario.cluster.terminations.stale().size();
     }
     if (step == Step.PAUSED_AFTER_SEND || step == Step.CLOCK_JUMPED_BACK) {
-      assertTrue(staleRequests >= 4, staleRequests + " requests of former leaders were executed");
+      assertTrue(
+          staleRequests >= 4,
+          staleRequests + " requests of former leaders were executed, at least 4 expected");
     }
   }
 
-  /** Successors are disturbed in turn, while answers of the state service are lost. */
+  /**
+   * Any leader, successors included, is disturbed at random steps, while a tenth of the
+   * transactions gets no response.
+   */
   @ParameterizedTest
   @CsvSource({"11", "12", "13", "14", "15", "16", "17", "18"})
   void mixedStepsAndLostResponsesTerminateNoMachineWithTasks(long seed) {
@@ -217,7 +238,10 @@
     assertTrue(scenario.faultCount() >= 3, "seed " + seed + ": " + scenario.faults);
   }
 
-  /** The counter counts: without the records a former leader ends machines that have work. */
+  /**
+   * Shows that {@link TerminationHistory#withTasks} detects the failure: when termination records
+   * are lost, a former leader terminates machines that have tasks.
+   */
   @Test
   void lostTerminationRecordsLetMachinesWithTasksBeTerminated() {
     int withTasks = 0;
@@ -226,6 +250,8 @@
       scenario.cluster.state.loseWritesUnder(Keys.TERMINATIONS);
       withTasks += scenario.run().cluster.terminations.withTasks().size();
     }
-    assertTrue(withTasks > 0, "a counter that never counts shows nothing");
+    assertTrue(
+        withTasks > 0,
+        "no machine with tasks was terminated although termination records were lost");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/TerminationHistory.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationHistory.java
@@ -5,14 +5,18 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The cloud's side of returns: who asked for what, whether it led then, and what was lost. */
+/**
+ * The termination requests that the cloud executed: which controller sent each, whether it led at
+ * that moment, and which machines were terminated.
+ */
 final class TerminationHistory {
   /**
-   * A request that was executed.
+   * An executed termination request.
    *
-   * @param stale whoever asked did not hold the lead at that moment
-   * @param terminated machines that were there and are gone now
-   * @param withTasks those of them that had tasks
+   * @param controller the controller that sent the request
+   * @param stale whether that controller was not the leader when the request was executed
+   * @param terminated the machines that the request terminated
+   * @param withTasks those of the terminated machines that had tasks
    */
   record TerminationRequest(
       long atMs,
@@ -47,12 +51,12 @@
     executionListener.accept(request);
   }
 
-  /** Requests that terminated a machine on which there were tasks. */
+  /** Returns the requests that terminated a machine with tasks. */
   List<TerminationRequest> withTasks() {
     return requests.stream().filter(request -> !request.withTasks().isEmpty()).toList();
   }
 
-  /** Requests of controllers that did not lead any more. */
+  /** Returns the requests of controllers that did not lead when they were executed. */
   List<TerminationRequest> stale() {
     return requests.stream().filter(TerminationRequest::stale).toList();
   }
@@ -61,7 +65,7 @@
     return requests.size();
   }
 
-  /** Machines that went back. */
+  /** Returns how many machines were terminated by request. */
   int terminatedMachineCount() {
     return requests.stream().mapToInt(request -> request.terminated().size()).sum();
   }
