--- a/src/test/java/org/ploverspindle/sim/CancellationDelayTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationDelayTest.java
@@ -20,73 +20,78 @@
  * between is ordered after a confirmed cancellation.
  */
 class CancellationDelayTest {
-  private static final int NODES = 3;
-  private static final int FROM_MS = 60_000;
-  private static final int JOBS = 120;
-  private static final int EVERY_MS = 430;
-  private static final long GIVE_UP_MS = 5_000;
+  private static final int CONTROLLERS = 3;
+  private static final int START_MS = 60_000;
+  private static final int JOB_COUNT = 120;
+  private static final int INTERVAL_MS = 430;
+  private static final long MAX_WAIT_MS = 5_000;
 
   /** Measured where no hint is lost: 35 to 37 ms. */
-  private static final long MOST_MS = 45;
+  private static final long MAX_DELAY_MS = 45;
 
   /** Measured on 24 seeds where no hint is lost: 10 to 16 ms; with one hint after it, 24 to 26. */
-  private static final long MEDIAN_MS = 18;
+  private static final long MAX_MEDIAN_MS = 18;
 
   /** Measured on 24 seeds where three hints in ten are lost: 13 to 22 ms; before, 27 and 28. */
-  private static final long MEDIAN_WITH_LOST_HINTS_MS = 24;
+  private static final long MAX_MEDIAN_WITH_LOST_HINTS_MS = 24;
 
   /** Measured: 123 to 355 ms. The leader reads within twice 200 ms without a hint. */
-  private static final long MOST_WITHOUT_HINT_MS = 400;
+  private static final long MAX_DELAY_WITHOUT_HINT_MS = 400;
 
   /** Of all kinds, with what goes on beside. Measured: 7.8 to 8.9. */
-  private static final double MOST_REQUESTS = 9.2;
+  private static final double MAX_REQUESTS = 9.2;
 
-  private final List<Long> byLeaderMs = new ArrayList<>();
-  private final List<Long> byOthersMs = new ArrayList<>();
-  private SimulatedCluster w;
+  private final List<Long> leaderDelaysMs = new ArrayList<>();
+  private final List<Long> otherDelaysMs = new ArrayList<>();
+  private SimulatedCluster cluster;
 
   @ParameterizedTest
   @CsvSource({"0,1", "0,2", "0,3", "0,4", "0.3,1", "0.3,2", "0.3,3", "0.3,4", "1,1", "1,2"})
-  void theLeaderKnowsSoonOfWhatWasConfirmed(double lostHints, long seed) {
-    w = new SimulatedCluster(seed, site());
-    w.network.setLostPeerMessageShare(lostHints);
+  void leaderLearnsOfConfirmedCancellationWithinLimit(double lostHints, long seed) {
+    cluster = new SimulatedCluster(seed, deployment());
+    cluster.network.setLostPeerMessageShare(lostHints);
     List<String> uids = new ArrayList<>();
-    for (int i = 0; i < JOBS; i++) {
-      int n = i;
-      w.clock.after(5_000 + i * 400L, () -> uids.add(submit()));
-      w.clock.after(FROM_MS + n * EVERY_MS, () -> cancel(uids.get(n), n % NODES));
+    for (int i = 0; i < JOB_COUNT; i++) {
+      int index = i;
+      cluster.clock.after(5_000 + i * 400L, () -> uids.add(submit()));
+      cluster.clock.after(
+          START_MS + index * INTERVAL_MS, () -> cancel(uids.get(index), index % CONTROLLERS));
     }
-    double[] askedBefore = {0};
-    double[] askedAfter = {0};
-    w.clock.after(FROM_MS, () -> askedBefore[0] = w.state.requestLimiter.requestCount());
-    w.clock.after(
-        FROM_MS + JOBS * EVERY_MS, () -> askedAfter[0] = w.state.requestLimiter.requestCount());
-    w.clock.runUntil(FROM_MS + JOBS * EVERY_MS + 30_000);
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(JOBS, byLeaderMs.size() + byOthersMs.size());
-    assertTrue(byLeaderMs.size() >= JOBS / 4 && byOthersMs.size() >= JOBS / 2);
-    String what = "through the leader " + byLeaderMs + ", through others " + byOthersMs;
-    double perCancellation = (askedAfter[0] - askedBefore[0]) / JOBS;
-    assertEquals(0, longest(byLeaderMs), what);
-    assertTrue(longest(byOthersMs) <= (lostHints > 0 ? MOST_WITHOUT_HINT_MS : MOST_MS), what);
-    long mostMedianMs = lostHints > 0 ? MEDIAN_WITH_LOST_HINTS_MS : MEDIAN_MS;
-    assertTrue(lostHints == 1 || median(byOthersMs) <= mostMedianMs, what);
+    double[] requestsBefore = {0};
+    double[] requestsAfter = {0};
+    cluster.clock.after(
+        START_MS, () -> requestsBefore[0] = cluster.state.requestLimiter.requestCount());
+    cluster.clock.after(
+        START_MS + JOB_COUNT * INTERVAL_MS,
+        () -> requestsAfter[0] = cluster.state.requestLimiter.requestCount());
+    cluster.clock.runUntil(START_MS + JOB_COUNT * INTERVAL_MS + 30_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(JOB_COUNT, leaderDelaysMs.size() + otherDelaysMs.size());
+    assertTrue(leaderDelaysMs.size() >= JOB_COUNT / 4 && otherDelaysMs.size() >= JOB_COUNT / 2);
+    String delays = "through the leader " + leaderDelaysMs + ", through others " + otherDelaysMs;
+    double requestsEach = (requestsAfter[0] - requestsBefore[0]) / JOB_COUNT;
+    assertEquals(0, longest(leaderDelaysMs), delays);
+    assertTrue(
+        longest(otherDelaysMs) <= (lostHints > 0 ? MAX_DELAY_WITHOUT_HINT_MS : MAX_DELAY_MS),
+        delays);
+    long maxMedianMs = lostHints > 0 ? MAX_MEDIAN_WITH_LOST_HINTS_MS : MAX_MEDIAN_MS;
+    assertTrue(lostHints == 1 || median(otherDelaysMs) <= maxMedianMs, delays);
     assertEquals(
-        0, w.state.requestLimiter.refusedCount(), "requests beyond the state service's rate");
-    assertTrue(perCancellation <= MOST_REQUESTS, perCancellation + " requests for a cancellation");
+        0, cluster.state.requestLimiter.refusedCount(), "requests beyond the state service's rate");
+    assertTrue(requestsEach <= MAX_REQUESTS, requestsEach + " requests for a cancellation");
   }
 
-  private static long longest(List<Long> ms) {
-    return ms.stream().mapToLong(x -> x).max().orElse(0);
+  private static long longest(List<Long> delaysMs) {
+    return delaysMs.stream().mapToLong(delayMs -> delayMs).max().orElse(0);
   }
 
-  private static long median(List<Long> ms) {
-    return ms.stream().sorted().toList().get(ms.size() / 2);
+  private static long median(List<Long> delaysMs) {
+    return delaysMs.stream().sorted().toList().get(delaysMs.size() / 2);
   }
 
-  private static SimulatedCluster.Deployment site() {
+  private static SimulatedCluster.Deployment deployment() {
     return new SimulatedCluster.Deployment(
-        NODES,
+        CONTROLLERS,
         14,
         List.of("a"),
         new Settings.WorkerLimits(3, 14, 39),
@@ -98,28 +103,29 @@
 
   private String submit() {
     JobSpec spec =
-        JobSpecFixtures.batch(w.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
-    w.submitAndPoll(spec);
+        JobSpecFixtures.batch(cluster.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
+    cluster.submitAndPoll(spec);
     return spec.uid();
   }
 
-  private void cancel(String uid, int node) {
-    w.checker.cancelAsked(uid);
-    w.cancelAt(node, uid, answer -> confirmed(uid, node, answer));
+  private void cancel(String uid, int controller) {
+    cluster.checker.cancelAsked(uid);
+    cluster.cancelAt(controller, uid, answer -> confirmed(uid, controller, answer));
   }
 
-  private void confirmed(String uid, int node, ApiResponse answer) {
+  private void confirmed(String uid, int controller, ApiResponse answer) {
     assertEquals(200, answer.status());
-    int leader = w.leader();
-    awaitKnown(leader, uid, w.clock.nowMs(), leader == node ? byLeaderMs : byOthersMs);
+    int leader = cluster.leader();
+    awaitKnown(
+        leader, uid, cluster.clock.nowMs(), leader == controller ? leaderDelaysMs : otherDelaysMs);
   }
 
   private void awaitKnown(int leader, String uid, long confirmedMs, List<Long> delaysMs) {
-    long delayMs = w.clock.nowMs() - confirmedMs;
-    if (w.showsCancelled(leader, uid) || delayMs > GIVE_UP_MS) {
+    long delayMs = cluster.clock.nowMs() - confirmedMs;
+    if (cluster.showsCancelled(leader, uid) || delayMs > MAX_WAIT_MS) {
       delaysMs.add(delayMs);
     } else {
-      w.clock.after(1, () -> awaitKnown(leader, uid, confirmedMs, delaysMs));
+      cluster.clock.after(1, () -> awaitKnown(leader, uid, confirmedMs, delaysMs));
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
@@ -11,11 +11,11 @@
 /** Cancellations and ends of tasks that meet each other, or a change of the leader. */
 class CancellationRaceTest extends UserFaultsDay {
   /** Less than a leader whose writes fail keeps the lead, and about a report period. */
-  private static final int UNRECORDED_FOR_MS = 4_500;
+  private static final int WRITES_REFUSED_MS = 4_500;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void tasksOfSmallJobsEndFarApartAcrossLeaderChanges(long seed) {
+  void completedTasksOfPartlyDoneJobsAreNotRepeatedAfterLeaderCrashes(long seed) {
     startCluster(seed, 3);
     for (int i = 0; i < 10; i++) {
       int tasks = 2 + i % 2;
@@ -23,19 +23,19 @@
       cluster.clock.after(
           4_000 + i * 1_500, () -> submit("blue", Priority.NORMAL, tasks, 12, 9 + seed % 3));
     }
-    Set<String> across = new HashSet<>();
+    Set<String> partlyDoneAtCrash = new HashSet<>();
     for (int at = 30_000; at <= 78_000; at += 12_000) {
       cluster.clock.after(
           at,
           () -> {
             submitted.stream()
                 .filter(uid -> cluster.checker.tasksDone(uid) > 0 && !cluster.checker.isDone(uid))
-                .forEach(across::add);
+                .forEach(partlyDoneAtCrash::add);
             cluster.crash(Math.max(0, cluster.leader()), 400);
           });
     }
     runAndCheckRules(100_000, 200_000);
-    assertAtLeast("jobs with a task done and one to go at a change", 2, across.size());
+    assertAtLeast("jobs with a task done and one to go at a change", 2, partlyDoneAtCrash.size());
     assertAtLeast("terms", 4, cluster.termCount());
     assertEquals(10, cluster.checker.jobsDone());
     assertEquals(25, cluster.checker.starts(), "what was done is not done again");
@@ -47,7 +47,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void leadersCrashBeforeCompletionsAreRecorded(long seed) {
+  void completionsUnrecordedAtLeaderCrashAreNotRepeated(long seed) {
     startCluster(seed, 14);
     jobs(4_000, 100, 700, Priority.NORMAL, 2, 9);
     int[] unrecorded = {0};
@@ -66,7 +66,7 @@
     int before = tasksDone();
     cluster.setRefused(leader, SimulatedCluster.RequestKind.WRITES, true);
     cluster.clock.after(
-        UNRECORDED_FOR_MS,
+        WRITES_REFUSED_MS,
         () -> {
           unrecorded[0] += tasksDone() - before;
           cluster.crash(leader, 400);
@@ -81,46 +81,47 @@
   /** The service's latency leaves time for the end to be recorded before the cancellation is. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void cancellationRacesWithTheEndOfTheLastTaskWhileTheStateServiceIsSlow(long seed) {
+  void cancellationAtLastCompletionHoldsInvariantsWhileStateServiceIsSlow(long seed) {
     startCluster(seed, 14);
     cluster.setCancelAtEndShare(0.6);
     cluster.clock.after(FROM_MS, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 300));
     cluster.clock.after(80_000, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 0));
     jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
-    long over = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
+    long ended = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
     assertAtLeast("done", 20, cluster.checker.jobsDone());
-    assertAtLeast("cancelled though all its tasks had ended", 5, over - cluster.checker.jobsDone());
+    assertAtLeast(
+        "cancelled though all its tasks had ended", 5, ended - cluster.checker.jobsDone());
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void cancellationRacesWithTheEndOfTheLastTask(long seed) {
+  void cancellationAtLastCompletionHoldsInvariants(long seed) {
     startCluster(seed, 14);
     cluster.setCancelAtEndShare(0.6);
     cluster.setRequestBursts(true);
     jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
-    long aborted = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
+    long ended = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
     assertAtLeast("done", 20, cluster.checker.jobsDone());
     assertAtLeast(
-        "cancelled though all its tasks had ended", 5, aborted - cluster.checker.jobsDone());
+        "cancelled though all its tasks had ended", 5, ended - cluster.checker.jobsDone());
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void jobsAreCancelledDuringLeaderChanges(long seed) {
+  void cancellationsDuringLeaderChangesHoldInvariants(long seed) {
     startCluster(seed, 14);
     jobs(4_000, 40, 700, Priority.NORMAL, 2, 250);
     for (int round = 0; round < 2; round++) {
       int at = 36_000 + round * 30_000;
       cancellations(at - 1_500, 12, 500);
-      boolean cut = (round + seed) % 2 == 0;
+      boolean isPartitioned = (round + seed) % 2 == 0;
       cluster.clock.after(
           at,
           () -> {
             int leader = Math.max(0, cluster.leader());
-            if (cut) {
+            if (isPartitioned) {
               cluster.partitionController(
                   leader, SimulatedCluster.PartitionMode.REFUSE_REQUESTS, 20_000);
             } else {
--- a/src/test/java/org/ploverspindle/sim/CutControllerTest.java
+++ b/src/test/java/org/ploverspindle/sim/CutControllerTest.java
@@ -20,131 +20,143 @@
  * One controller that lacks something that the others have, or that stood still: who leads then.
  */
 class CutControllerTest {
-  private static final int NODES = 3;
+  private static final int CONTROLLERS = 3;
 
-  private static SimulatedCluster busy(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, NODES, 14, List.of("a"));
+  private static SimulatedCluster clusterWithJobs(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, CONTROLLERS, 14, List.of("a"));
     for (int i = 0; i < 120; i++) {
-      w.clock.after(
+      cluster.clock.after(
           3_000 + i * 1_000,
-          () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 4, 1, 5, 0)));
+          () ->
+              cluster.submitAndPoll(
+                  DayEndCriteriaTest.job(cluster, "a", Priority.HIGH, 4, 1, 5, 0)));
     }
-    return w;
+    return cluster;
   }
 
-  private static void assertServed(SimulatedCluster w) {
-    w.clock.after(135_000, w::faultsEnded);
-    w.clock.runUntil(400_000);
-    w.checker.endOfDay();
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(120, w.checker.jobsDone());
+  private static void assertAllJobsComplete(SimulatedCluster cluster) {
+    cluster.clock.after(135_000, cluster::faultsEnded);
+    cluster.clock.runUntil(400_000);
+    cluster.checker.endOfDay();
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(120, cluster.checker.jobsDone());
   }
 
-  private static int leaderOf(SimulatedCluster w) {
-    assertTrue(w.leader() >= 0, "somebody leads");
-    return w.leader();
+  private static int leaderOf(SimulatedCluster cluster) {
+    assertTrue(cluster.leader() >= 0, "somebody leads");
+    return cluster.leader();
   }
 
   @ParameterizedTest
   @EnumSource(SimulatedCluster.RequestKind.class)
-  void aLeaderThatTheStateServiceRefusesAloneIsReplacedSoon(SimulatedCluster.RequestKind kind) {
-    SimulatedCluster w = busy(3);
+  void leaderRefusedByStateServiceIsReplacedOnceWithinFifteenSeconds(
+      SimulatedCluster.RequestKind kind) {
+    SimulatedCluster cluster = clusterWithJobs(3);
     int[] refused = new int[1];
-    w.clock.after(
+    cluster.clock.after(
         40_000,
         () -> {
-          refused[0] = leaderOf(w);
-          w.setRefused(refused[0], kind, true);
+          refused[0] = leaderOf(cluster);
+          cluster.setRefused(refused[0], kind, true);
         });
-    w.clock.after(55_000, () -> assertNotEquals(refused[0], leaderOf(w), "another one leads"));
+    cluster.clock.after(
+        55_000, () -> assertNotEquals(refused[0], leaderOf(cluster), "another one leads"));
     long[] terms = new long[1];
-    w.clock.after(55_000, () -> terms[0] = w.termCount());
-    w.clock.after(100_000, () -> assertEquals(terms[0], w.termCount(), "the lead does not wander"));
-    w.clock.after(110_000, () -> w.setRefused(refused[0], kind, false));
-    assertServed(w);
+    cluster.clock.after(55_000, () -> terms[0] = cluster.termCount());
+    cluster.clock.after(
+        100_000, () -> assertEquals(terms[0], cluster.termCount(), "the lead does not wander"));
+    cluster.clock.after(110_000, () -> cluster.setRefused(refused[0], kind, false));
+    assertAllJobsComplete(cluster);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
-  void aControllerThatAloneCannotReadSendsItsUsersToTheOthers(int node) {
-    SimulatedCluster w = busy(4);
-    w.clock.after(40_000, () -> w.setRefused(node, SimulatedCluster.RequestKind.READS, true));
+  void controllerWhoseReadsAreRefusedIsNotReadyAndAnswers503(int controller) {
+    SimulatedCluster cluster = clusterWithJobs(4);
+    cluster.clock.after(
+        40_000, () -> cluster.setRefused(controller, SimulatedCluster.RequestKind.READS, true));
     List<ApiResponse> answers = new ArrayList<>();
-    long[] cameMs = new long[1];
-    w.clock.after(
+    long[] latencyMs = new long[1];
+    cluster.clock.after(
         48_000,
         () -> {
-          assertFalse(w.isReady(node), "it is taken out of the users' way");
-          long askedMs = w.clock.nowMs();
-          w.query(
-              node,
+          assertFalse(cluster.isReady(controller), "it is taken out of the users' way");
+          long sentMs = cluster.clock.nowMs();
+          cluster.query(
+              controller,
               "run-000099",
-              a -> {
-                answers.add(a);
-                cameMs[0] = w.clock.nowMs() - askedMs;
+              answer -> {
+                answers.add(answer);
+                latencyMs[0] = cluster.clock.nowMs() - sentMs;
               });
         });
-    w.clock.after(60_000, () -> w.setRefused(node, SimulatedCluster.RequestKind.READS, false));
-    w.clock.after(64_000, () -> assertTrue(w.isReady(node), "and is back"));
-    w.clock.runUntil(50_000);
+    cluster.clock.after(
+        60_000, () -> cluster.setRefused(controller, SimulatedCluster.RequestKind.READS, false));
+    cluster.clock.after(64_000, () -> assertTrue(cluster.isReady(controller), "and is back"));
+    cluster.clock.runUntil(50_000);
     assertEquals(503, answers.get(0).status());
     assertTrue(answers.get(0).retryAfterS() > 0);
-    assertEquals(0, cameMs[0], "told at once");
-    assertServed(w);
+    assertEquals(0, latencyMs[0], "told at once");
+    assertAllJobsComplete(cluster);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void controllersThatAreDownForAMinuteInTurnAlsoInMidElection(long seed) {
-    SimulatedCluster w = busy(seed);
-    w.clock.after(
+  void jobsCompleteWhenControllersCrashInTurnAndDuringElection(long seed) {
+    SimulatedCluster cluster = clusterWithJobs(seed);
+    cluster.clock.after(
         30_000,
         () -> {
-          int first = leaderOf(w);
-          w.crash(first, 70_000);
-          w.clock.after(2_800, () -> w.crash((first + 1) % NODES, 300));
+          int first = leaderOf(cluster);
+          cluster.crash(first, 70_000);
+          cluster.clock.after(2_800, () -> cluster.crash((first + 1) % CONTROLLERS, 300));
         });
-    w.clock.after(105_000, () -> w.crash(leaderOf(w), 20_000));
-    w.clock.after(50_000, () -> assertTrue(w.leader() >= 0, "two are enough"));
-    assertServed(w);
+    cluster.clock.after(105_000, () -> cluster.crash(leaderOf(cluster), 20_000));
+    cluster.clock.after(50_000, () -> assertTrue(cluster.leader() >= 0, "two are enough"));
+    assertAllJobsComplete(cluster);
   }
 
   @Test
-  void inAnOutageOfTheStateServiceAllStayReady() {
-    SimulatedCluster w = busy(5);
-    w.clock.after(40_000, () -> w.state.setOutage(true));
-    w.clock.after(
+  void allControllersStayReadyDuringStateServiceOutage() {
+    SimulatedCluster cluster = clusterWithJobs(5);
+    cluster.clock.after(40_000, () -> cluster.state.setOutage(true));
+    cluster.clock.after(
         52_000,
         () -> {
-          for (int i = 0; i < NODES; i++) {
-            assertTrue(w.isReady(i), "nobody would be any better");
+          for (int i = 0; i < CONTROLLERS; i++) {
+            assertTrue(cluster.isReady(i), "nobody would be any better");
           }
-          w.state.setOutage(false);
+          cluster.state.setOutage(false);
         });
-    assertServed(w);
+    assertAllJobsComplete(cluster);
   }
 
   /** Stands still from a fraction of a second to minutes, leaders and others, also several. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void controllersThatStandStillSayAndDoNothingStale(long seed) {
-    SimulatedCluster w = busy(seed);
-    Random r = new Random(seed);
+  void pausedControllersViolateNoInvariant(long seed) {
+    SimulatedCluster cluster = clusterWithJobs(seed);
+    Random random = new Random(seed);
     int[] pauses = {200, 900, 2_500, 4_000, 7_000, 15_000, 25_000, 60_000};
-    for (int t = 15_000; t < 120_000; t += 4_000 + r.nextInt(9_000)) {
-      boolean leader = r.nextBoolean();
-      int forMs = Math.min(pauses[r.nextInt(pauses.length)], 130_000 - t);
-      w.clock.after(t, () -> w.freeze(leader && w.leader() >= 0 ? w.leader() : 1, forMs));
-      if (r.nextInt(3) == 0) {
-        int uid = r.nextInt(100);
-        w.clock.after(
-            t + r.nextInt(3_000), () -> w.cancel(String.format(Locale.ROOT, "run-%06d", uid), 0));
+    for (int atMs = 15_000; atMs < 120_000; atMs += 4_000 + random.nextInt(9_000)) {
+      boolean pauseLeader = random.nextBoolean();
+      int durationMs = Math.min(pauses[random.nextInt(pauses.length)], 130_000 - atMs);
+      cluster.clock.after(
+          atMs,
+          () ->
+              cluster.freeze(
+                  pauseLeader && cluster.leader() >= 0 ? cluster.leader() : 1, durationMs));
+      if (random.nextInt(3) == 0) {
+        int jobNumber = random.nextInt(100);
+        cluster.clock.after(
+            atMs + random.nextInt(3_000),
+            () -> cluster.cancel(String.format(Locale.ROOT, "run-%06d", jobNumber), 0));
       }
     }
-    w.clock.after(135_000, w::faultsEnded);
-    w.clock.runUntil(400_000);
-    w.checker.endOfDay();
-    assertEquals(List.of(), w.checker.broken());
-    assertTrue(w.checker.jobsDone() >= 100, w.checker.jobsDone() + " done");
+    cluster.clock.after(135_000, cluster::faultsEnded);
+    cluster.clock.runUntil(400_000);
+    cluster.checker.endOfDay();
+    assertEquals(List.of(), cluster.checker.broken());
+    assertTrue(cluster.checker.jobsDone() >= 100, cluster.checker.jobsDone() + " done");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/DirectStopTest.java
+++ b/src/test/java/org/ploverspindle/sim/DirectStopTest.java
@@ -17,8 +17,8 @@
 class DirectStopTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void tasksOfACancelledJobAreStoppedBeforeTheirMachinesReport(long seed) {
-    SimulatedCluster w =
+  void tasksOfCancelledJobsEndWithinOneSecond(long seed) {
+    SimulatedCluster cluster =
         new SimulatedCluster(
             seed,
             new SimulatedCluster.Deployment(
@@ -33,33 +33,33 @@
                 new Policy(3, 8, 15, 0, 100, 20, Map.of())));
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      w.clock.after(
+      cluster.clock.after(
           3_000 + i * 500,
           () -> {
-            JobSpec job = DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 2, 4, 200, 0);
+            JobSpec job = DayEndCriteriaTest.job(cluster, "a", Priority.NORMAL, 2, 4, 200, 0);
             jobs.add(job);
-            w.submitAndPoll(job);
+            cluster.submitAndPoll(job);
           });
     }
-    int[] machines = new int[1];
-    w.clock.after(
+    int[] machinesWithTasks = new int[1];
+    cluster.clock.after(
         60_000,
         () -> {
           for (JobSpec job : jobs) {
-            machines[0] += w.checker.hostsOf(job.uid()).size();
-            w.cancel(job.uid(), 0);
+            machinesWithTasks[0] += cluster.checker.hostsOf(job.uid()).size();
+            cluster.cancel(job.uid(), 0);
           }
         });
     // A report comes 3.75 to 6.25 s after the one before.
-    w.clock.after(
+    cluster.clock.after(
         61_000,
         () -> {
-          List<String> on = new ArrayList<>();
-          jobs.forEach(job -> on.addAll(w.checker.hostsOf(job.uid())));
-          assertEquals(List.of(), on);
+          List<String> stillRunningOn = new ArrayList<>();
+          jobs.forEach(job -> stillRunningOn.addAll(cluster.checker.hostsOf(job.uid())));
+          assertEquals(List.of(), stillRunningOn);
         });
-    w.clock.runUntil(70_000);
-    assertTrue(machines[0] >= 8, machines[0] + " machines had tasks");
-    assertEquals(List.of(), w.checker.broken());
+    cluster.clock.runUntil(70_000);
+    assertTrue(machinesWithTasks[0] >= 8, machinesWithTasks[0] + " machines had tasks");
+    assertEquals(List.of(), cluster.checker.broken());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
@@ -20,77 +20,84 @@
  * held up on their way and carried out late: the node's other cancellations do not wait for them.
  */
 class LostCancellationsTest {
-  private static final int NODES = 3;
-  private static final int FROM_MS = 25_000;
-  private static final int JOBS = 60;
-  private static final int EVERY_MS = 250;
+  private static final int CONTROLLERS = 3;
+  private static final int START_MS = 25_000;
+  private static final int JOB_COUNT = 60;
+  private static final int INTERVAL_MS = 250;
 
   /**
    * The timeout of a request to the state service is 2,500 ms. Measured: 428 ms when what is
    * unanswered stands, 1,284 ms when it must be written again, at times more than once.
    */
-  private static final long MOST_MS = 500;
+  private static final long MAX_LATENCY_MS = 500;
 
-  private static final long MOST_WRITTEN_AGAIN_MS = 1_500;
+  private static final long MAX_REWRITE_LATENCY_MS = 1_500;
 
   /** Without a loss none takes longer. */
-  private static final long PROMPT_MS = 250;
+  private static final long LOSS_FREE_LATENCY_MS = 250;
 
-  private final List<Long> tookMs = new ArrayList<>();
+  private final List<Long> latenciesMs = new ArrayList<>();
   private final Set<String> confirmed = new HashSet<>();
-  private int asked;
+  private int sent;
   private int refused;
 
   @ParameterizedTest
   @CsvSource({"true,1", "true,2", "true,3", "true,4", "false,1", "false,2", "false,3", "false,4"})
-  void oneWithoutAnAnswerDoesNotHoldBackTheOthers(boolean carriedOutAtOnce, long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, NODES, 10, List.of("a"));
+  void unansweredCancellationDoesNotDelayOthers(boolean immediate, long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, CONTROLLERS, 10, List.of("a"));
     Random random = new Random(seed);
     List<String> uids = new ArrayList<>();
-    for (int i = 0; i < JOBS; i++) {
-      w.clock.after(5_000 + i * 200L, () -> uids.add(submit(w)));
+    for (int i = 0; i < JOB_COUNT; i++) {
+      cluster.clock.after(5_000 + i * 200L, () -> uids.add(submit(cluster)));
     }
-    w.clock.after(FROM_MS, () -> w.network.setUnansweredWrites(0.25, carriedOutAtOnce));
-    for (int i = 0; i < JOBS; i++) {
-      int n = i;
-      w.clock.after(
-          FROM_MS + n * EVERY_MS,
-          () -> cancel(w, uids.get(n), (Math.max(0, w.leader()) + 1 + random.nextInt(2)) % NODES));
+    cluster.clock.after(START_MS, () -> cluster.network.setUnansweredWrites(0.25, immediate));
+    for (int i = 0; i < JOB_COUNT; i++) {
+      int index = i;
+      cluster.clock.after(
+          START_MS + index * INTERVAL_MS,
+          () ->
+              cancel(
+                  cluster,
+                  uids.get(index),
+                  (Math.max(0, cluster.leader()) + 1 + random.nextInt(2)) % CONTROLLERS));
     }
-    int endMs = FROM_MS + JOBS * EVERY_MS;
-    w.clock.after(endMs, () -> w.network.setUnansweredWrites(0, true));
-    w.clock.after(endMs + 20_000, w::faultsEnded);
-    w.clock.runUntil(endMs + 90_000);
-    assertEquals(List.of(), w.checker.broken());
-    long longestMs = tookMs.stream().mapToLong(t -> t).max().orElse(0);
-    String what = tookMs.size() + " of " + asked + " confirmed, " + refused + " refused, " + tookMs;
-    assertEquals(JOBS, asked);
-    assertEquals(JOBS, tookMs.size() + refused, what);
-    assertTrue(tookMs.stream().filter(t -> t > PROMPT_MS).count() >= 5, "answers lost: " + what);
-    assertTrue(longestMs <= (carriedOutAtOnce ? MOST_MS : MOST_WRITTEN_AGAIN_MS), what);
-    assertEquals(0, refused, what);
+    int endMs = START_MS + JOB_COUNT * INTERVAL_MS;
+    cluster.clock.after(endMs, () -> cluster.network.setUnansweredWrites(0, true));
+    cluster.clock.after(endMs + 20_000, cluster::faultsEnded);
+    cluster.clock.runUntil(endMs + 90_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    long longestMs = latenciesMs.stream().mapToLong(ms -> ms).max().orElse(0);
+    String summary =
+        latenciesMs.size() + " of " + sent + " confirmed, " + refused + " refused, " + latenciesMs;
+    assertEquals(JOB_COUNT, sent);
+    assertEquals(JOB_COUNT, latenciesMs.size() + refused, summary);
+    assertTrue(
+        latenciesMs.stream().filter(ms -> ms > LOSS_FREE_LATENCY_MS).count() >= 5,
+        "answers lost: " + summary);
+    assertTrue(longestMs <= (immediate ? MAX_LATENCY_MS : MAX_REWRITE_LATENCY_MS), summary);
+    assertEquals(0, refused, summary);
   }
 
-  private static String submit(SimulatedCluster w) {
+  private static String submit(SimulatedCluster cluster) {
     JobSpec spec =
-        JobSpecFixtures.batch(w.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
-    w.submitAndPoll(spec);
+        JobSpecFixtures.batch(cluster.newUid(), "c", "blue", Priority.NORMAL, 1, 1, 0.1, 300, 0);
+    cluster.submitAndPoll(spec);
     return spec.uid();
   }
 
-  private void cancel(SimulatedCluster w, String uid, int node) {
-    asked++;
-    long askedMs = w.clock.nowMs();
-    w.checker.cancelAsked(uid);
-    w.cancelAt(node, uid, answer -> answered(w, uid, askedMs, answer));
+  private void cancel(SimulatedCluster cluster, String uid, int controller) {
+    sent++;
+    long sentMs = cluster.clock.nowMs();
+    cluster.checker.cancelAsked(uid);
+    cluster.cancelAt(controller, uid, answer -> answered(cluster, uid, sentMs, answer));
   }
 
-  private void answered(SimulatedCluster w, String uid, long askedMs, ApiResponse answer) {
+  private void answered(SimulatedCluster cluster, String uid, long sentMs, ApiResponse answer) {
     if (answer.status() != 200) {
       refused++;
-      w.cancel(uid, 0);
+      cluster.cancel(uid, 0);
     } else if (confirmed.add(uid)) {
-      tookMs.add(w.clock.nowMs() - askedMs);
+      latenciesMs.add(cluster.clock.nowMs() - sentMs);
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
@@ -24,163 +24,171 @@
  * overlap and the state service lowers its limits. A seed that ever failed stays here by name.
  */
 class PipelineFaultsTest {
-  private static final int NODES = 3;
-  private static final Settings.StateLimits NEXT = new Settings.StateLimits(200, 15, 2, 4);
+  private static final int CONTROLLERS = 3;
+  private static final Settings.StateLimits LOWERED_LIMITS =
+      new Settings.StateLimits(200, 15, 2, 4);
 
-  private static SimulatedCluster.Deployment site(Settings.StateLimits now) {
-    SimulatedCluster.Deployment s = SimulatedCluster.Deployment.small(NODES, 14, List.of("a", "b"));
+  private static SimulatedCluster.Deployment deployment(Settings.StateLimits stateLimits) {
+    SimulatedCluster.Deployment small =
+        SimulatedCluster.Deployment.small(CONTROLLERS, 14, List.of("a", "b"));
     return new SimulatedCluster.Deployment(
-        s.controllerCount(),
-        s.capacity(),
-        s.zones(),
-        s.workers(),
-        now,
-        s.cloud(),
-        s.teams(),
-        s.policy());
+        small.controllerCount(),
+        small.capacity(),
+        small.zones(),
+        small.workers(),
+        stateLimits,
+        small.cloud(),
+        small.teams(),
+        small.policy());
   }
 
   /** A day, and what came about in it. */
   static final class Day {
     final SimulatedCluster w;
-    private final Random r;
+    private final Random random;
     private final List<String> steps = new ArrayList<>();
-    private final List<String> lasts = new ArrayList<>();
+    private final List<String> finalSteps = new ArrayList<>();
     private final Set<String> cancelled = new HashSet<>();
-    private final Set<String> naming = new HashSet<>();
-    private boolean fell;
-    private int outagesAfterTheWord;
+    private final Set<String> dependentsOfCancelled = new HashSet<>();
+    private boolean limitsLowered;
+    private int outagesAfterAbort;
 
     private Day(long seed) {
       w =
           new SimulatedCluster(
-              seed, site(new Settings.StateLimits(200, 60, 8, 12, Optional.of(NEXT))));
-      r = new Random(seed * 31 + 7);
+              seed,
+              deployment(new Settings.StateLimits(200, 60, 8, 12, Optional.of(LOWERED_LIMITS))));
+      random = new Random(seed * 31 + 7);
       for (int i = 0; i < 24; i++) {
-        w.clock.after(3_000 + r.nextInt(150_000), this::ordinary);
+        w.clock.after(3_000 + random.nextInt(150_000), this::submitIndependentJob);
       }
       for (int i = 0; i < 14; i++) {
-        w.clock.after(3_000 + r.nextInt(120_000), this::pipeline);
+        w.clock.after(3_000 + random.nextInt(120_000), this::submitPipeline);
       }
       Faults[] all = Faults.values();
       for (int i = 0; i < 7; i++) {
         InvariantsTest.playPair(
             w,
-            r,
-            all[r.nextInt(all.length)],
-            all[r.nextInt(all.length)],
-            10_000 + r.nextInt(190_000));
+            random,
+            all[random.nextInt(all.length)],
+            all[random.nextInt(all.length)],
+            10_000 + random.nextInt(190_000));
       }
       for (int i = 0; i < 4; i++) {
-        w.clock.after(20_000 + r.nextInt(160_000), this::outageAfterTheWord);
+        w.clock.after(20_000 + random.nextInt(160_000), this::cancelStepThenOutage);
       }
-      w.clock.after(30_000 + r.nextInt(190_000), this::crashesWithinAMoment);
+      w.clock.after(30_000 + random.nextInt(190_000), this::crashControllersWithinOneSecond);
       w.clock.after(
-          20_000 + r.nextInt(200_000),
+          20_000 + random.nextInt(200_000),
           () -> {
-            w.state.setLimits(NEXT);
-            fell = true;
+            w.state.setLimits(LOWERED_LIMITS);
+            limitsLowered = true;
           });
       w.clock.after(240_000, w::faultsEnded);
       w.clock.runUntil(480_000);
       w.checker.endOfDay();
     }
 
-    private void ordinary() {
-      JobSpec spec = InvariantsTest.job(w.newUid(), r);
+    private void submitIndependentJob() {
+      JobSpec spec = InvariantsTest.job(w.newUid(), random);
       w.submitAndPoll(spec);
-      if (spec.expectedS() == 0 || r.nextInt(4) == 0) {
-        w.clock.after(2_000 + r.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
+      if (spec.expectedS() == 0 || random.nextInt(4) == 0) {
+        w.clock.after(2_000 + random.nextInt(40_000), () -> w.cancel(spec.uid(), 0));
       }
     }
 
-    private JobSpec step(boolean small, List<String> awaits) {
-      return RandomPipelineSteps.step(w.newUid(), "step-", small ? 1 : 6, r, awaits);
+    private JobSpec step(boolean small, List<String> dependencies) {
+      return RandomPipelineSteps.step(w.newUid(), "step-", small ? 1 : 6, random, dependencies);
     }
 
     /** For each step the numbers of the steps before it that it awaits. */
-    private List<List<Integer>> form() {
-      List<List<Integer>> form = new ArrayList<>();
-      form.add(List.of());
-      switch (r.nextInt(4)) {
+    private List<List<Integer>> shape() {
+      List<List<Integer>> shape = new ArrayList<>();
+      shape.add(List.of());
+      switch (random.nextInt(4)) {
         case 0 -> {
-          int length = 2 + r.nextInt(7);
+          int length = 2 + random.nextInt(7);
           for (int i = 1; i < length; i++) {
-            form.add(List.of(i - 1));
+            shape.add(List.of(i - 1));
           }
         }
         case 1 -> {
-          int diamonds = 1 + r.nextInt(2);
-          for (int d = 0; d < diamonds; d++) {
-            int from = form.size() - 1;
-            form.add(List.of(from));
-            form.add(List.of(from));
-            form.add(List.of(from + 1, from + 2));
+          int diamonds = 1 + random.nextInt(2);
+          for (int diamond = 0; diamond < diamonds; diamond++) {
+            int from = shape.size() - 1;
+            shape.add(List.of(from));
+            shape.add(List.of(from));
+            shape.add(List.of(from + 1, from + 2));
           }
         }
         case 2 -> {
-          int width = 6 + r.nextInt(20);
+          int width = 6 + random.nextInt(20);
           List<Integer> branches = new ArrayList<>();
           for (int i = 1; i <= width; i++) {
-            form.add(List.of(0));
+            shape.add(List.of(0));
             branches.add(i);
           }
-          form.add(branches);
+          shape.add(branches);
         }
         default -> {
-          int length = 3 + r.nextInt(4);
+          int length = 3 + random.nextInt(4);
           for (int i = 1; i < length; i++) {
-            List<Integer> some = new ArrayList<>();
+            List<Integer> stepDependencies = new ArrayList<>();
             for (int k = 0; k < i; k++) {
-              if (r.nextInt(3) > 0) {
-                some.add(k);
+              if (random.nextInt(3) > 0) {
+                stepDependencies.add(k);
               }
             }
-            form.add(some.isEmpty() ? List.of(i - 1) : some);
+            shape.add(stepDependencies.isEmpty() ? List.of(i - 1) : stepDependencies);
           }
         }
       }
-      return form;
+      return shape;
     }
 
-    private void pipeline() {
-      List<List<Integer>> form = form();
-      boolean lastLate = r.nextInt(3) == 0;
-      int cancelAt =
-          r.nextInt(3) > 0 ? -1 : List.of(0, form.size() / 2, form.size() - 1).get(r.nextInt(3));
-      submit(form, new ArrayList<>(), lastLate, cancelAt);
+    private void submitPipeline() {
+      List<List<Integer>> shape = shape();
+      boolean finalStepWaits = random.nextInt(3) == 0;
+      int cancelledStep =
+          random.nextInt(3) > 0
+              ? -1
+              : List.of(0, shape.size() / 2, shape.size() - 1).get(random.nextInt(3));
+      submit(shape, new ArrayList<>(), finalStepWaits, cancelledStep);
     }
 
     /** Each as soon as those that it awaits are accepted; the last perhaps once they are over. */
     private void submit(
-        List<List<Integer>> form, List<String> uids, boolean lastLate, int cancelAt) {
+        List<List<Integer>> shape, List<String> uids, boolean finalStepWaits, int cancelledStep) {
       int i = uids.size();
-      List<String> awaits = new ArrayList<>(form.get(i).stream().map(uids::get).toList());
-      boolean accepted = awaits.stream().allMatch(w.checker::isAccepted);
-      boolean over = awaits.stream().noneMatch(u -> w.checker.finalWord(u).isEmpty());
-      boolean last = i == form.size() - 1;
-      if (!accepted || last && lastLate && !over) {
-        w.clock.after(300, () -> submit(form, uids, lastLate, cancelAt));
+      List<String> dependencies = new ArrayList<>(shape.get(i).stream().map(uids::get).toList());
+      boolean accepted = dependencies.stream().allMatch(w.checker::isAccepted);
+      boolean dependenciesEnded =
+          dependencies.stream().noneMatch(uid -> w.checker.finalWord(uid).isEmpty());
+      boolean isFinalStep = i == shape.size() - 1;
+      if (!accepted || isFinalStep && finalStepWaits && !dependenciesEnded) {
+        w.clock.after(300, () -> submit(shape, uids, finalStepWaits, cancelledStep));
         return;
       }
-      List<String> gone = cancelled.stream().filter(w.checker::isAccepted).sorted().toList();
-      if (r.nextInt(25) == 0 && !gone.isEmpty()) {
-        awaits.add(gone.get(r.nextInt(gone.size())));
+      List<String> cancelledAndAccepted =
+          cancelled.stream().filter(w.checker::isAccepted).sorted().toList();
+      if (random.nextInt(25) == 0 && !cancelledAndAccepted.isEmpty()) {
+        dependencies.add(cancelledAndAccepted.get(random.nextInt(cancelledAndAccepted.size())));
       }
-      JobSpec spec = step(form.size() > 10, awaits);
-      if (awaits.stream().anyMatch(cancelled::contains)) {
-        naming.add(spec.uid());
+      JobSpec spec = step(shape.size() > 10, dependencies);
+      if (dependencies.stream().anyMatch(cancelled::contains)) {
+        dependentsOfCancelled.add(spec.uid());
       }
       w.submitAndPoll(spec);
       steps.add(spec.uid());
       uids.add(spec.uid());
-      if (i == cancelAt) {
-        w.clock.after(200 + r.nextInt(40_000), () -> cancel(spec.uid()));
+      if (i == cancelledStep) {
+        w.clock.after(200 + random.nextInt(40_000), () -> cancel(spec.uid()));
       }
-      if (last) {
-        lasts.add(spec.uid());
+      if (isFinalStep) {
+        finalSteps.add(spec.uid());
       } else {
-        w.clock.after(20 + r.nextInt(400), () -> submit(form, uids, lastLate, cancelAt));
+        w.clock.after(
+            20 + random.nextInt(400), () -> submit(shape, uids, finalStepWaits, cancelledStep));
       }
     }
 
@@ -192,71 +200,75 @@
     /**
      * A step is cancelled, another job names it at that moment, and after the word all goes out.
      */
-    private void outageAfterTheWord() {
-      List<String> open =
+    private void cancelStepThenOutage() {
+      List<String> unfinished =
           steps.stream()
-              .filter(u -> w.checker.isAccepted(u) && w.checker.finalWord(u).isEmpty())
+              .filter(uid -> w.checker.isAccepted(uid) && w.checker.finalWord(uid).isEmpty())
               .toList();
-      if (open.isEmpty()) {
+      if (unfinished.isEmpty()) {
         return;
       }
-      String uid = open.get(r.nextInt(open.size()));
-      boolean leaderCrashes = r.nextBoolean();
-      int outMs = 500 + r.nextInt(9_000);
+      String uid = unfinished.get(random.nextInt(unfinished.size()));
+      boolean leaderCrashes = random.nextBoolean();
+      int outageMs = 500 + random.nextInt(9_000);
       cancel(uid);
       w.clock.after(
-          r.nextInt(40),
+          random.nextInt(40),
           () -> {
             JobSpec spec = step(true, List.of(uid));
-            naming.add(spec.uid());
+            dependentsOfCancelled.add(spec.uid());
             steps.add(spec.uid());
             w.submitAndPoll(spec);
           });
-      awaitWord(uid, 2_000, outMs, leaderCrashes);
+      beginOutageOnceAborted(uid, 2_000, outageMs, leaderCrashes);
     }
 
-    private void awaitWord(String uid, int tries, int outMs, boolean leaderCrashes) {
+    private void beginOutageOnceAborted(
+        String uid, int attemptsLeft, int outageMs, boolean leaderCrashes) {
       if (w.checker.finalWord(uid).isEmpty()) {
-        if (tries > 0) {
-          w.clock.after(5, () -> awaitWord(uid, tries - 1, outMs, leaderCrashes));
+        if (attemptsLeft > 0) {
+          w.clock.after(
+              5, () -> beginOutageOnceAborted(uid, attemptsLeft - 1, outageMs, leaderCrashes));
         }
         return;
       }
-      outagesAfterTheWord++;
+      outagesAfterAbort++;
       w.state.setOutage(true);
-      w.clock.after(outMs, () -> w.state.setOutage(false));
+      w.clock.after(outageMs, () -> w.state.setOutage(false));
       if (leaderCrashes) {
-        w.crash(Math.max(0, w.leader()), 50 + r.nextInt(2_000));
+        w.crash(Math.max(0, w.leader()), 50 + random.nextInt(2_000));
       }
     }
 
-    private void crashesWithinAMoment() {
+    private void crashControllersWithinOneSecond() {
       for (int i = 0; i < 4; i++) {
-        w.clock.after(r.nextInt(900), () -> w.crash(r.nextInt(NODES), 20 + r.nextInt(300)));
+        w.clock.after(
+            random.nextInt(900),
+            () -> w.crash(random.nextInt(CONTROLLERS), 20 + random.nextInt(300)));
       }
     }
 
-    private long withWord(Collection<String> uids, String word) {
-      return uids.stream().filter(u -> w.checker.finalWord(u).equals(word)).count();
+    private long countWithOutcome(Collection<String> uids, String outcome) {
+      return uids.stream().filter(uid -> w.checker.finalWord(uid).equals(outcome)).count();
     }
 
     @Override
     public String toString() {
-      return withWord(lasts, "done")
+      return countWithOutcome(finalSteps, "done")
           + " pipelines done of "
-          + lasts.size()
+          + finalSteps.size()
           + ", "
-          + withWord(cancelled, "aborted")
+          + countWithOutcome(cancelled, "aborted")
           + " steps cancelled, "
-          + withWord(steps, "aborted")
+          + countWithOutcome(steps, "aborted")
           + " aborted, "
-          + withWord(naming, "aborted")
+          + countWithOutcome(dependentsOfCancelled, "aborted")
           + " named one, "
-          + outagesAfterTheWord
+          + outagesAfterAbort
           + " outages after the word, "
           + w.checker.starts()
           + " starts, limits fell: "
-          + fell
+          + limitsLowered
           + ", too large: "
           + w.state.refusedAsTooLarge()
           + ", never begun: "
@@ -270,95 +282,103 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 98, 243, 379, 549})
-  void rulesHoldForPipelinesWhereTroublesMeetAndLimitsFall(long seed) {
+  void invariantsHoldForPipelinesUnderOverlappingFaultsAndLoweredLimits(long seed) {
     Day day = play(seed);
     String what = "seed " + seed + ": " + day;
     assertEquals(List.of(), day.w.checker.broken(), what);
     assertEquals(0, day.w.checker.neverBegun(), what);
     assertEquals(0, day.w.state.refusedAsTooLarge(), what);
-    assertTrue(day.fell && day.w.checker.starts() > 80, what);
+    assertTrue(day.limitsLowered && day.w.checker.starts() > 80, what);
     // How many are cancelled is drawn by the seed; each of the others is done, and each has its
     // word.
-    long done = day.withWord(day.lasts, "done");
+    long done = day.countWithOutcome(day.finalSteps, "done");
     assertTrue(done >= 1, what);
-    assertEquals(day.lasts.size(), done + day.withWord(day.lasts, "aborted"), what);
-    assertTrue(day.withWord(day.cancelled, "aborted") >= 1, what);
-    assertTrue(day.withWord(day.steps, "aborted") > day.withWord(day.cancelled, "aborted"), what);
-    assertTrue(day.withWord(day.naming, "aborted") >= 1 && day.outagesAfterTheWord > 0, what);
+    assertEquals(
+        day.finalSteps.size(), done + day.countWithOutcome(day.finalSteps, "aborted"), what);
+    assertTrue(day.countWithOutcome(day.cancelled, "aborted") >= 1, what);
+    assertTrue(
+        day.countWithOutcome(day.steps, "aborted") > day.countWithOutcome(day.cancelled, "aborted"),
+        what);
+    assertTrue(
+        day.countWithOutcome(day.dependentsOfCancelled, "aborted") >= 1
+            && day.outagesAfterAbort > 0,
+        what);
   }
 
   // ---- a thousand
 
   /** At every node the word on all of them, put and answered at this moment. */
-  private static void assertAllAborted(SimulatedCluster w, List<String> uids, String when) {
+  private static void assertAllAborted(SimulatedCluster cluster, List<String> uids, String when) {
     List<String> wrong = new ArrayList<>();
-    int[] heard = {0};
-    for (int i = 0; i < NODES; i++) {
-      int node = i;
+    int[] answerCount = {0};
+    for (int i = 0; i < CONTROLLERS; i++) {
+      int controller = i;
       for (String uid : uids) {
-        w.query(
-            node,
+        cluster.query(
+            controller,
             uid,
-            a -> {
-              heard[0]++;
-              String body = new String(a.body(), StandardCharsets.ISO_8859_1);
-              if (a.status() != 200 || !body.contains("aborted")) {
-                wrong.add(uid + " at " + node + ": " + a.status());
+            answer -> {
+              answerCount[0]++;
+              String body = new String(answer.body(), StandardCharsets.ISO_8859_1);
+              if (answer.status() != 200 || !body.contains("aborted")) {
+                wrong.add(uid + " at " + controller + ": " + answer.status());
               }
             });
       }
     }
-    w.clock.runUntil(w.clock.nowMs() + 300);
+    cluster.clock.runUntil(cluster.clock.nowMs() + 300);
     assertEquals(List.of(), wrong, when);
-    assertEquals(NODES * uids.size(), heard[0], when);
+    assertEquals(CONTROLLERS * uids.size(), answerCount[0], when);
   }
 
   @ParameterizedTest
   @CsvSource({"WIDE,false", "WIDE,true", "DEEP,false", "DEEP,true"})
-  void aThousandJobsAreAbortedWithTheFirst(String form, boolean outAndNewLeader) {
-    Settings.StateLimits wide = new Settings.StateLimits(2_000, 900, 2, 4);
-    SimulatedCluster w = new SimulatedCluster(21, site(wide));
+  void thousandDependentsAreAbortedWithFirstJob(String shape, boolean outageAndLeaderCrash) {
+    Settings.StateLimits highWriteLimits = new Settings.StateLimits(2_000, 900, 2, 4);
+    SimulatedCluster cluster = new SimulatedCluster(21, deployment(highWriteLimits));
     JobSpec first =
-        JobSpecFixtures.batch(w.newUid(), "first", "blue", Priority.NORMAL, 2, 1, 0.1, 9_000, 0);
-    w.clock.after(3_000, () -> w.submitAndPoll(first));
-    w.clock.runUntil(6_000);
+        JobSpecFixtures.batch(
+            cluster.newUid(), "first", "blue", Priority.NORMAL, 2, 1, 0.1, 9_000, 0);
+    cluster.clock.after(3_000, () -> cluster.submitAndPoll(first));
+    cluster.clock.runUntil(6_000);
     List<String> uids = new ArrayList<>();
     while (uids.size() < 1_000) {
-      String before =
-          form.equals("DEEP") && !uids.isEmpty() ? uids.get(uids.size() - 1) : first.uid();
-      if (w.checker.isAccepted(before)) {
+      String dependency =
+          shape.equals("DEEP") && !uids.isEmpty() ? uids.get(uids.size() - 1) : first.uid();
+      if (cluster.checker.isAccepted(dependency)) {
         JobSpec spec =
             JobSpecFixtures.withDependencies(
-                JobSpecFixtures.batch(w.newUid(), "step", "blue", Priority.HIGH, 1, 1, 0.1, 5, 0),
-                before);
-        w.submitAndPoll(spec);
+                JobSpecFixtures.batch(
+                    cluster.newUid(), "step", "blue", Priority.HIGH, 1, 1, 0.1, 5, 0),
+                dependency);
+        cluster.submitAndPoll(spec);
         uids.add(spec.uid());
       }
-      w.clock.runUntil(w.clock.nowMs() + 10);
+      cluster.clock.runUntil(cluster.clock.nowMs() + 10);
     }
-    for (int i = 0; i < 60 && !uids.stream().allMatch(w.checker::isAccepted); i++) {
-      w.clock.runUntil(w.clock.nowMs() + 1_000);
+    for (int i = 0; i < 60 && !uids.stream().allMatch(cluster.checker::isAccepted); i++) {
+      cluster.clock.runUntil(cluster.clock.nowMs() + 1_000);
     }
-    assertTrue(uids.stream().allMatch(w.checker::isAccepted));
-    w.clock.runUntil(w.clock.nowMs() + 3_000);
-    assertTrue(w.checker.begunMs(first.uid()) >= 0 && w.leader() >= 0);
-    w.cancel(first.uid(), 0);
-    while (w.checker.finalWord(first.uid()).isEmpty()) {
-      w.clock.runUntil(w.clock.nowMs() + 1);
+    assertTrue(uids.stream().allMatch(cluster.checker::isAccepted));
+    cluster.clock.runUntil(cluster.clock.nowMs() + 3_000);
+    assertTrue(cluster.checker.begunMs(first.uid()) >= 0 && cluster.leader() >= 0);
+    cluster.cancel(first.uid(), 0);
+    while (cluster.checker.finalWord(first.uid()).isEmpty()) {
+      cluster.clock.runUntil(cluster.clock.nowMs() + 1);
     }
-    long toldMs = w.clock.nowMs();
-    long terms = w.termCount();
-    if (outAndNewLeader) {
-      w.state.setOutage(true);
-      w.clock.after(9_000, () -> w.state.setOutage(false));
-      w.crash(w.leader(), 1_000);
+    long abortedMs = cluster.clock.nowMs();
+    long termsBefore = cluster.termCount();
+    if (outageAndLeaderCrash) {
+      cluster.state.setOutage(true);
+      cluster.clock.after(9_000, () -> cluster.state.setOutage(false));
+      cluster.crash(cluster.leader(), 1_000);
     }
-    w.clock.runUntil(toldMs + 19_600);
-    assertAllAborted(w, uids, "within cancel_s of the word");
-    w.clock.runUntil(toldMs + 60_000);
-    assertEquals(outAndNewLeader, w.termCount() > terms);
-    assertAllAborted(w, uids, "also later");
-    assertTrue(uids.stream().allMatch(u -> w.checker.begunMs(u) < 0), "none starts");
-    assertEquals(List.of(), w.checker.broken());
+    cluster.clock.runUntil(abortedMs + 19_600);
+    assertAllAborted(cluster, uids, "within cancel_s of the word");
+    cluster.clock.runUntil(abortedMs + 60_000);
+    assertEquals(outageAndLeaderCrash, cluster.termCount() > termsBefore);
+    assertAllAborted(cluster, uids, "also later");
+    assertTrue(uids.stream().allMatch(uid -> cluster.checker.begunMs(uid) < 0), "none starts");
+    assertEquals(List.of(), cluster.checker.broken());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
+++ b/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
@@ -23,7 +23,7 @@
  * time soon after the first.
  */
 class StateOutageCancellationTest {
-  private static final int NODES = 3;
+  private static final int CONTROLLERS = 3;
 
   /** What the state service refuses to the leader alone before it is out for all. */
   private static final List<Set<SimulatedCluster.RequestKind>> REFUSED =
@@ -41,28 +41,28 @@
           "large Athens", new Settings.WorkerLimits(5, 26.5, 51.5),
           "large Kosice", new Settings.WorkerLimits(5, 26.5, 56.5));
 
-  static Stream<Arguments> gaps() {
-    List<Arguments> all = new ArrayList<>();
+  static Stream<Arguments> deploymentsRefusalsAndSeeds() {
+    List<Arguments> arguments = new ArrayList<>();
     for (String deployment : TIMINGS.keySet().stream().sorted().toList()) {
       for (Set<SimulatedCluster.RequestKind> refused : REFUSED) {
         for (long seed = 1; seed <= 3; seed++) {
-          all.add(Arguments.of(deployment, refused, seed));
+          arguments.add(Arguments.of(deployment, refused, seed));
         }
       }
     }
-    return all.stream();
+    return arguments.stream();
   }
 
   @ParameterizedTest
-  @MethodSource("gaps")
-  void whatWasCancelledInTheGapIsGoneInTime(
+  @MethodSource("deploymentsRefusalsAndSeeds")
+  void cancellationsUnknownToRefusedLeaderEndInTimeDuringOutage(
       String deployment, Set<SimulatedCluster.RequestKind> refused, long seed) {
     Settings.WorkerLimits limits = TIMINGS.get(deployment);
-    SimulatedCluster w =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             seed,
             new SimulatedCluster.Deployment(
-                NODES,
+                CONTROLLERS,
                 14,
                 List.of("a"),
                 limits,
@@ -71,51 +71,53 @@
                 List.of(
                     new Settings.Team("red", 8, 0, 0, 0), new Settings.Team("blue", 8, 0, 0, 0)),
                 new Policy(3, 8, 15, 0, 100, 20, Map.of())));
-    Random r = new Random(seed);
-    long outMs = Math.round(limits.cancelS() * 1000) + 12_000;
-    long gapMs = 70_000;
+    Random random = new Random(seed);
+    long outageMs = Math.round(limits.cancelS() * 1000) + 12_000;
+    long refusalStartMs = 70_000;
     for (int round = 0; round < 2; round++) {
       List<String> running = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
-        w.clock.after(
-            gapMs - 45_000 + i * 1_000 - w.clock.nowMs(),
+        cluster.clock.after(
+            refusalStartMs - 45_000 + i * 1_000 - cluster.clock.nowMs(),
             () -> {
               // Well longer than the outage: nothing of it ends by itself in time.
-              var spec = DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 4, 1, 250, 0);
+              var spec = DayEndCriteriaTest.job(cluster, "a", Priority.NORMAL, 4, 1, 250, 0);
               running.add(spec.uid());
-              w.submitAndPoll(spec);
+              cluster.submitAndPoll(spec);
             });
       }
-      w.clock.after(gapMs, () -> gap(w, refused, outMs));
-      w.clock.after(
-          gapMs - 1_500,
+      cluster.clock.after(
+          refusalStartMs, () -> refuseLeaderThenStopService(cluster, refused, outageMs));
+      cluster.clock.after(
+          refusalStartMs - 1_500,
           () -> {
             // From just before the leader's last answered read to the service's end.
             for (String uid : running) {
-              if (r.nextInt(5) > 0) {
-                w.clock.after(r.nextInt(3_400), () -> w.cancel(uid, 0));
+              if (random.nextInt(5) > 0) {
+                cluster.clock.after(random.nextInt(3_400), () -> cluster.cancel(uid, 0));
               }
             }
           });
-      gapMs += 2_000 + outMs + 23_000 + 40_000;
+      refusalStartMs += 2_000 + outageMs + 23_000 + 40_000;
     }
-    long overMs = gapMs;
-    w.clock.after(overMs, w::faultsEnded);
-    w.clock.runUntil(overMs + 120_000);
-    assertEquals(List.of(), w.checker.broken());
+    long faultsEndMs = refusalStartMs;
+    cluster.clock.after(faultsEndMs, cluster::faultsEnded);
+    cluster.clock.runUntil(faultsEndMs + 120_000);
+    assertEquals(List.of(), cluster.checker.broken());
     assertTrue(
-        w.checker.cancelledWhileOn() >= 8,
-        "cancelled while tasks were on machines: " + w.checker.cancelledWhileOn());
+        cluster.checker.cancelledWhileOn() >= 8,
+        "cancelled while tasks were on machines: " + cluster.checker.cancelledWhileOn());
   }
 
-  private static void gap(
-      SimulatedCluster w, Set<SimulatedCluster.RequestKind> refused, long outMs) {
-    int leader = w.leader();
+  private static void refuseLeaderThenStopService(
+      SimulatedCluster cluster, Set<SimulatedCluster.RequestKind> refused, long outageMs) {
+    int leader = cluster.leader();
     if (leader >= 0) {
-      refused.forEach(kind -> w.setRefused(leader, kind, true));
-      w.clock.after(14_000, () -> refused.forEach(kind -> w.setRefused(leader, kind, false)));
+      refused.forEach(kind -> cluster.setRefused(leader, kind, true));
+      cluster.clock.after(
+          14_000, () -> refused.forEach(kind -> cluster.setRefused(leader, kind, false)));
     }
-    w.clock.after(2_000, () -> w.state.setOutage(true));
-    w.clock.after(2_000 + outMs, () -> w.state.setOutage(false));
+    cluster.clock.after(2_000, () -> cluster.state.setOutage(true));
+    cluster.clock.after(2_000 + outageMs, () -> cluster.state.setOutage(false));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/WorkerFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/WorkerFaultsTest.java
@@ -11,7 +11,7 @@
 class WorkerFaultsTest extends UserFaultsDay {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void workersReachNoControllerWhileDirectCommandsArrive(long seed) {
+  void workersWithoutHeartbeatsExecuteDirectCommandsAndInvariantsHold(long seed) {
     startCluster(seed, 8);
     jobs(4_000, 75, 1_000, Priority.HIGH, 2, 9);
     // Longer than a lease: they are on those machines until it runs out.
@@ -19,16 +19,16 @@
     int unreachableMs = (int) (timing(seed).leaseS() * 1_500);
     Set<String> unreachable = new HashSet<>();
     for (int round = 0; round < 2; round++) {
-      boolean all = round == 1;
+      boolean allWorkers = round == 1;
       cluster.clock.after(
           20_000 + round * (unreachableMs + 8_000),
           () -> {
-            for (SimWorker x : cluster.cloud.workers()) {
-              if (!x.isTerminated() && (all || random.nextInt(3) == 0)) {
-                unreachable.add(x.host());
-                cluster.network.dropRequestsFrom(x.host(), true);
+            for (SimWorker worker : cluster.cloud.workers()) {
+              if (!worker.isTerminated() && (allWorkers || random.nextInt(3) == 0)) {
+                unreachable.add(worker.host());
+                cluster.network.dropRequestsFrom(worker.host(), true);
                 cluster.clock.after(
-                    unreachableMs, () -> cluster.network.dropRequestsFrom(x.host(), false));
+                    unreachableMs, () -> cluster.network.dropRequestsFrom(worker.host(), false));
               }
             }
           });
@@ -47,13 +47,13 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void directCommandsAreDelayedAndTheWorkerResumes(long seed) {
+  void delayedDirectCommandsAreExecutedWithoutViolatingInvariants(long seed) {
     startCluster(seed, 8);
     jobs(4_000, 110, 600, Priority.HIGH, 1, 15);
     cluster.network.setDelayedCommandShare(0.7);
     cluster.clock.after(80_000, () -> cluster.network.setDelayedCommandShare(0));
     for (int at = FROM_MS; at < 70_000; at += 3_000) {
-      cluster.clock.after(at, () -> cluster.cloud.workers().forEach(this::delay));
+      cluster.clock.after(at, () -> cluster.cloud.workers().forEach(this::delayWorkerOrItsPackets));
     }
     cancellations(FROM_MS + 4_000, 20, 2_500);
     cluster.clock.after(40_000, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
@@ -63,40 +63,41 @@
   }
 
   /** It stands still, or what goes between it and the leader is held back, for some seconds. */
-  private void delay(SimWorker x) {
+  private void delayWorkerOrItsPackets(SimWorker worker) {
     int leader = cluster.leader();
-    if (x.isTerminated() || leader < 0 || random.nextInt(2) > 0) {
+    if (worker.isTerminated() || leader < 0 || random.nextInt(2) > 0) {
       return;
     }
-    int forMs = 1_600 + random.nextInt(6_000);
+    int durationMs = 1_600 + random.nextInt(6_000);
     if (random.nextBoolean()) {
-      x.hang(forMs);
+      worker.hang(durationMs);
     } else {
-      cluster.network.holdPackets("n" + leader, x.host(), true);
-      cluster.clock.after(forMs, () -> cluster.network.holdPackets("n" + leader, x.host(), false));
+      cluster.network.holdPackets("n" + leader, worker.host(), true);
+      cluster.clock.after(
+          durationMs, () -> cluster.network.holdPackets("n" + leader, worker.host(), false));
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void staleReportsArriveAfterNewerOnes(long seed) {
+  void staleHeartbeatsAfterNewerOnesViolateNoInvariant(long seed) {
     startCluster(seed, 8);
     cluster.network.setHeartbeatReplay(0.5, false);
     jobs(4_000, 60, 1_100, Priority.HIGH, 3, 12);
     int lostAnswersMs = (int) (timing(seed).leaseS() * 1_300);
-    int[] sessions = {0};
+    int[] interruptedWorkers = {0};
     for (int at = 20_000; at < 70_000; at += 12_000) {
       cluster.clock.after(
           at,
           () -> {
-            List<SimWorker> all =
-                cluster.cloud.workers().stream().filter(x -> !x.isTerminated()).toList();
-            if (!all.isEmpty()) {
-              SimWorker x = all.get(random.nextInt(all.size()));
-              sessions[0]++;
-              cluster.network.dropInbound(x.host(), true);
+            List<SimWorker> running =
+                cluster.cloud.workers().stream().filter(worker -> !worker.isTerminated()).toList();
+            if (!running.isEmpty()) {
+              SimWorker worker = running.get(random.nextInt(running.size()));
+              interruptedWorkers[0]++;
+              cluster.network.dropInbound(worker.host(), true);
               cluster.clock.after(
-                  lostAnswersMs, () -> cluster.network.dropInbound(x.host(), false));
+                  lostAnswersMs, () -> cluster.network.dropInbound(worker.host(), false));
             }
           });
     }
@@ -105,7 +106,7 @@
     cluster.clock.after(100_000, () -> cluster.network.setHeartbeatReplay(0, false));
     runAndCheckRules(100_000, 220_000);
     assertAtLeast("old reports", 50, cluster.heartbeatDelivery.replaysToLeader());
-    assertAtLeast("sessions ended", 3, sessions[0]);
+    assertAtLeast("sessions ended", 3, interruptedWorkers[0]);
     assertAtLeast("cancelled while on", 5, cluster.checker.cancelledWhileOn());
   }
 }
