--- a/src/test/java/org/ploverspindle/sim/CancellationDelayTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationDelayTest.java
@@ -16,8 +16,9 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * How long after a user's acknowledgement the leader knows of a cancellation: what it orders in
- * between is ordered after a confirmed cancellation.
+ * Limits the time from the acknowledgement of a cancellation to a user until the leader knows of
+ * it. Within that time the leader may still start tasks of the cancelled job. A controller that is
+ * about to acknowledge a cancellation sends the leader a hint to read.
  */
 class CancellationDelayTest {
   private static final int CONTROLLERS = 3;
@@ -26,19 +27,31 @@
   private static final int INTERVAL_MS = 430;
   private static final long MAX_WAIT_MS = 5_000;
 
-  /** Measured where no hint is lost: 35 to 37 ms. */
+  /** Longest delay while no hint is lost. Measured: 35 to 37 ms. */
   private static final long MAX_DELAY_MS = 45;
 
-  /** Measured on 24 seeds where no hint is lost: 10 to 16 ms; with one hint after it, 24 to 26. */
+  /**
+   * Median while no hint is lost. Measured on 24 seeds: 10 to 16 ms. With a single hint, sent after
+   * the cancellation is committed, it was 24 to 26 ms.
+   */
   private static final long MAX_MEDIAN_MS = 18;
 
-  /** Measured on 24 seeds where three hints in ten are lost: 13 to 22 ms; before, 27 and 28. */
+  /**
+   * Median while three in ten hints are lost. Measured on 24 seeds: 13 to 22 ms. With the single
+   * hint it was 27 and 28 ms.
+   */
   private static final long MAX_MEDIAN_WITH_LOST_HINTS_MS = 24;
 
-  /** Measured: 123 to 355 ms. The leader reads within twice 200 ms without a hint. */
+  /**
+   * Longest delay if the hints may be lost. Measured: 123 to 355 ms. Without a hint the leader
+   * reads within twice 200 ms.
+   */
   private static final long MAX_DELAY_WITHOUT_HINT_MS = 400;
 
-  /** Of all kinds, with what goes on beside. Measured: 7.8 to 8.9. */
+  /**
+   * Requests of all kinds to the state service per cancellation, including those of everything else
+   * that runs meanwhile. Measured: 7.8 to 8.9.
+   */
   private static final double MAX_REQUESTS = 9.2;
 
   private final List<Long> leaderDelaysMs = new ArrayList<>();
@@ -78,7 +91,9 @@
     assertTrue(lostHints == 1 || median(otherDelaysMs) <= maxMedianMs, delays);
     assertEquals(
         0, cluster.state.requestLimiter.refusedCount(), "requests beyond the state service's rate");
-    assertTrue(requestsEach <= MAX_REQUESTS, requestsEach + " requests for a cancellation");
+    assertTrue(
+        requestsEach <= MAX_REQUESTS,
+        requestsEach + " requests to the state service per cancellation");
   }
 
   private static long longest(List<Long> delaysMs) {
--- a/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
@@ -8,9 +8,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.model.Priority;
 
-/** Cancellations and ends of tasks that meet each other, or a change of the leader. */
+/**
+ * Guards against completed tasks that run again, and against cancellations that are lost, when
+ * cancellations and completions race with each other or with a change of the leader.
+ */
 class CancellationRaceTest extends UserFaultsDay {
-  /** Less than a leader whose writes fail keeps the lead, and about a report period. */
+  /**
+   * Shorter than the time for which a leader with failing writes keeps the leadership, and about a
+   * heartbeat interval.
+   */
   private static final int WRITES_REFUSED_MS = 4_500;
 
   @ParameterizedTest
@@ -19,7 +25,7 @@
     startCluster(seed, 3);
     for (int i = 0; i < 10; i++) {
       int tasks = 2 + i % 2;
-      // A machine has room for one task, so that they run one after another.
+      // A machine has room for one task only, so that the tasks of a job run one after another.
       cluster.clock.after(
           4_000 + i * 1_500, () -> submit("blue", Priority.NORMAL, tasks, 12, 9 + seed % 3));
     }
@@ -35,15 +41,18 @@
           });
     }
     runAndCheckRules(100_000, 200_000);
-    assertAtLeast("jobs with a task done and one to go at a change", 2, partlyDoneAtCrash.size());
+    assertAtLeast(
+        "jobs that were partly done when the leader crashed", 2, partlyDoneAtCrash.size());
     assertAtLeast("terms", 4, cluster.termCount());
     assertEquals(10, cluster.checker.jobsDone());
-    assertEquals(25, cluster.checker.starts(), "what was done is not done again");
+    assertEquals(
+        25, cluster.checker.starts(), "starts of tasks, without repetition of completed ones");
   }
 
   /**
-   * The leader receives reports of completed tasks while its writes are refused, and crashes before
-   * it could record them: until then the worker is the only record, and must not be told to forget.
+   * The leader receives heartbeats with completed tasks while its writes are refused, and crashes
+   * before it has recorded them. Until they are recorded only the worker knows of the completions,
+   * and the leader must not command it to forget them.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
@@ -55,10 +64,11 @@
       cluster.clock.after(at, () -> crashWithUnrecordedCompletions(unrecorded));
     }
     runAndCheckRules(80_000, 120_000);
-    assertAtLeast("tasks completed while nothing could be recorded", 5, unrecorded[0]);
+    assertAtLeast("tasks completed while writes were refused", 5, unrecorded[0]);
     assertAtLeast("terms", 4, cluster.termCount());
     assertEquals(100, cluster.checker.jobsDone());
-    assertEquals(200, cluster.checker.starts(), "what was done is not done again");
+    assertEquals(
+        200, cluster.checker.starts(), "starts of tasks, without repetition of completed ones");
   }
 
   private void crashWithUnrecordedCompletions(int[] unrecorded) {
@@ -78,7 +88,10 @@
     return submitted.stream().mapToInt(cluster.checker::tasksDone).sum();
   }
 
-  /** The service's latency leaves time for the end to be recorded before the cancellation is. */
+  /**
+   * Messages to and from the state service take up to 300 ms, which leaves time for the completion
+   * to be recorded before the cancellation.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void cancellationAtLastCompletionHoldsInvariantsWhileStateServiceIsSlow(long seed) {
@@ -89,9 +102,9 @@
     jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
     long ended = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
-    assertAtLeast("done", 20, cluster.checker.jobsDone());
+    assertAtLeast("jobs done", 20, cluster.checker.jobsDone());
     assertAtLeast(
-        "cancelled though all its tasks had ended", 5, ended - cluster.checker.jobsDone());
+        "jobs cancelled although all their tasks had ended", 5, ended - cluster.checker.jobsDone());
   }
 
   @ParameterizedTest
@@ -103,9 +116,9 @@
     jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
     long ended = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
-    assertAtLeast("done", 20, cluster.checker.jobsDone());
+    assertAtLeast("jobs done", 20, cluster.checker.jobsDone());
     assertAtLeast(
-        "cancelled though all its tasks had ended", 5, ended - cluster.checker.jobsDone());
+        "jobs cancelled although all their tasks had ended", 5, ended - cluster.checker.jobsDone());
   }
 
   @ParameterizedTest
@@ -132,6 +145,7 @@
     long cancelMs = (long) (timing(seed).cancelS() * 1_000);
     runAndCheckRules(90_000, (int) cancelMs + 20_000);
     assertAtLeast("terms", 3, cluster.termCount());
-    assertAtLeast("cancelled while on", 12, cluster.checker.cancelledWhileOn());
+    assertAtLeast(
+        "cancellations of jobs with tasks on machines", 12, cluster.checker.cancelledWhileOn());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/CutControllerTest.java
+++ b/src/test/java/org/ploverspindle/sim/CutControllerTest.java
@@ -17,7 +17,9 @@
 import org.ploverspindle.model.Priority;
 
 /**
- * One controller that lacks something that the others have, or that stood still: who leads then.
+ * Guards against a cluster without a working leader, and against stale answers, when one controller
+ * alone is refused by the state service, crashes or pauses, and when the state service has an
+ * outage.
  */
 class CutControllerTest {
   private static final int CONTROLLERS = 3;
@@ -43,7 +45,7 @@
   }
 
   private static int leaderOf(SimulatedCluster cluster) {
-    assertTrue(cluster.leader() >= 0, "somebody leads");
+    assertTrue(cluster.leader() >= 0, "no controller leads");
     return cluster.leader();
   }
 
@@ -60,11 +62,16 @@
           cluster.setRefused(refused[0], kind, true);
         });
     cluster.clock.after(
-        55_000, () -> assertNotEquals(refused[0], leaderOf(cluster), "another one leads"));
+        55_000,
+        () ->
+            assertNotEquals(
+                refused[0],
+                leaderOf(cluster),
+                "the controller that the state service refuses still leads"));
     long[] terms = new long[1];
     cluster.clock.after(55_000, () -> terms[0] = cluster.termCount());
     cluster.clock.after(
-        100_000, () -> assertEquals(terms[0], cluster.termCount(), "the lead does not wander"));
+        100_000, () -> assertEquals(terms[0], cluster.termCount(), "the leadership changed again"));
     cluster.clock.after(110_000, () -> cluster.setRefused(refused[0], kind, false));
     assertAllJobsComplete(cluster);
   }
@@ -80,7 +87,8 @@
     cluster.clock.after(
         48_000,
         () -> {
-          assertFalse(cluster.isReady(controller), "it is taken out of the users' way");
+          assertFalse(
+              cluster.isReady(controller), "a controller that can't read must not be ready");
           long sentMs = cluster.clock.nowMs();
           cluster.query(
               controller,
@@ -92,11 +100,16 @@
         });
     cluster.clock.after(
         60_000, () -> cluster.setRefused(controller, SimulatedCluster.RequestKind.READS, false));
-    cluster.clock.after(64_000, () -> assertTrue(cluster.isReady(controller), "and is back"));
+    cluster.clock.after(
+        64_000,
+        () ->
+            assertTrue(
+                cluster.isReady(controller),
+                "the controller is not ready 4 s after its reads work again"));
     cluster.clock.runUntil(50_000);
     assertEquals(503, answers.get(0).status());
     assertTrue(answers.get(0).retryAfterS() > 0);
-    assertEquals(0, latencyMs[0], "told at once");
+    assertEquals(0, latencyMs[0], "latency of the answer 503, in ms");
     assertAllJobsComplete(cluster);
   }
 
@@ -112,7 +125,8 @@
           cluster.clock.after(2_800, () -> cluster.crash((first + 1) % CONTROLLERS, 300));
         });
     cluster.clock.after(105_000, () -> cluster.crash(leaderOf(cluster), 20_000));
-    cluster.clock.after(50_000, () -> assertTrue(cluster.leader() >= 0, "two are enough"));
+    cluster.clock.after(
+        50_000, () -> assertTrue(cluster.leader() >= 0, "two of three controllers elect a leader"));
     assertAllJobsComplete(cluster);
   }
 
@@ -124,14 +138,17 @@
         52_000,
         () -> {
           for (int i = 0; i < CONTROLLERS; i++) {
-            assertTrue(cluster.isReady(i), "nobody would be any better");
+            assertTrue(cluster.isReady(i), "in an outage for all, every controller stays ready");
           }
           cluster.state.setOutage(false);
         });
     assertAllJobsComplete(cluster);
   }
 
-  /** Stands still from a fraction of a second to minutes, leaders and others, also several. */
+  /**
+   * The leader or controller 1 pauses for 0.2 to 60 s, several times, also both at once, while jobs
+   * are cancelled. A paused controller must not act on stale state afterwards.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void pausedControllersViolateNoInvariant(long seed) {
@@ -157,6 +174,8 @@
     cluster.clock.runUntil(400_000);
     cluster.checker.endOfDay();
     assertEquals(List.of(), cluster.checker.broken());
-    assertTrue(cluster.checker.jobsDone() >= 100, cluster.checker.jobsDone() + " done");
+    assertTrue(
+        cluster.checker.jobsDone() >= 100,
+        cluster.checker.jobsDone() + " jobs done, at least 100 expected");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/DirectStopTest.java
+++ b/src/test/java/org/ploverspindle/sim/DirectStopTest.java
@@ -13,7 +13,10 @@
 import org.ploverspindle.policy.Policy;
 import org.ploverspindle.settings.Settings;
 
-/** Cancelled tasks do not run on for nobody until their machines happen to report. */
+/**
+ * Guards against tasks of cancelled jobs that run on until the next heartbeat of their machine. The
+ * leader stops them by direct commands.
+ */
 class DirectStopTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -50,7 +53,7 @@
             cluster.cancel(job.uid(), 0);
           }
         });
-    // A report comes 3.75 to 6.25 s after the one before.
+    // Heartbeats are 3.75 to 6.25 s apart, so that after 1 s most workers have not sent one.
     cluster.clock.after(
         61_000,
         () -> {
@@ -59,7 +62,9 @@
           assertEquals(List.of(), stillRunningOn);
         });
     cluster.clock.runUntil(70_000);
-    assertTrue(machinesWithTasks[0] >= 8, machinesWithTasks[0] + " machines had tasks");
+    assertTrue(
+        machinesWithTasks[0] >= 8,
+        machinesWithTasks[0] + " machines had tasks, at least 8 expected");
     assertEquals(List.of(), cluster.checker.broken());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
@@ -16,8 +16,9 @@
 import org.ploverspindle.model.Priority;
 
 /**
- * The state service's answers to a node's cancellations are lost, at times, or the transactions are
- * held up on their way and carried out late: the node's other cancellations do not wait for them.
+ * Guards against one cancellation that waits for the state service delaying the other cancellations
+ * at the same controller. A quarter of the transactions gets no response, and they are executed
+ * either at once or late.
  */
 class LostCancellationsTest {
   private static final int CONTROLLERS = 3;
@@ -26,14 +27,18 @@
   private static final int INTERVAL_MS = 250;
 
   /**
-   * The timeout of a request to the state service is 2,500 ms. Measured: 428 ms when what is
-   * unanswered stands, 1,284 ms when it must be written again, at times more than once.
+   * Longest latency when unanswered transactions are executed at once. Measured: 428 ms. The
+   * timeout of a request to the state service is 2,500 ms.
    */
   private static final long MAX_LATENCY_MS = 500;
 
+  /**
+   * Longest latency when a transaction has to be written again, sometimes more than once. Measured:
+   * 1,284 ms.
+   */
   private static final long MAX_REWRITE_LATENCY_MS = 1_500;
 
-  /** Without a loss none takes longer. */
+  /** Longest latency of a cancellation whose transaction gets a response. */
   private static final long LOSS_FREE_LATENCY_MS = 250;
 
   private final List<Long> latenciesMs = new ArrayList<>();
@@ -73,7 +78,7 @@
     assertEquals(JOB_COUNT, latenciesMs.size() + refused, summary);
     assertTrue(
         latenciesMs.stream().filter(ms -> ms > LOSS_FREE_LATENCY_MS).count() >= 5,
-        "answers lost: " + summary);
+        "at least 5 cancellations without a response expected: " + summary);
     assertTrue(longestMs <= (immediate ? MAX_LATENCY_MS : MAX_REWRITE_LATENCY_MS), summary);
     assertEquals(0, refused, summary);
   }
--- a/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
@@ -20,8 +20,10 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * Pipelines of all forms among other jobs, cancelled at any place, while pairs of all troubles
- * overlap and the state service lowers its limits. A seed that ever failed stays here by name.
+ * Guards against dependents that start too early, are lost or are not aborted with a cancelled
+ * step. Pipelines of several shapes run among other jobs and are cancelled at any step, while pairs
+ * of faults overlap and the limits of the state service are lowered. Each seed that ever failed
+ * stays in the list.
  */
 class PipelineFaultsTest {
   private static final int CONTROLLERS = 3;
@@ -42,7 +44,7 @@
         small.policy());
   }
 
-  /** A day, and what came about in it. */
+  /** A simulated day, with the jobs and faults that occurred on it. */
   static final class Day {
     final SimulatedCluster w;
     private final Random random;
@@ -101,7 +103,7 @@
       return RandomPipelineSteps.step(w.newUid(), "step-", small ? 1 : 6, random, dependencies);
     }
 
-    /** For each step the numbers of the steps before it that it awaits. */
+    /** Returns for each step of a pipeline the indices of the earlier steps that it depends on. */
     private List<List<Integer>> shape() {
       List<List<Integer>> shape = new ArrayList<>();
       shape.add(List.of());
@@ -156,7 +158,10 @@
       submit(shape, new ArrayList<>(), finalStepWaits, cancelledStep);
     }
 
-    /** Each as soon as those that it awaits are accepted; the last perhaps once they are over. */
+    /**
+     * Submits each step as soon as its dependencies are accepted. With {@code finalStepWaits} the
+     * final step is submitted only when its dependencies are done or aborted.
+     */
     private void submit(
         List<List<Integer>> shape, List<String> uids, boolean finalStepWaits, int cancelledStep) {
       int i = uids.size();
@@ -198,7 +203,9 @@
     }
 
     /**
-     * A step is cancelled, another job names it at that moment, and after the word all goes out.
+     * Cancels a step and submits a dependent of it within 40 ms. When the user is told that the
+     * step is aborted, an outage of the state service begins, and in half of the cases the leader
+     * crashes.
      */
     private void cancelStepThenOutage() {
       List<String> unfinished =
@@ -259,19 +266,19 @@
           + finalSteps.size()
           + ", "
           + countWithOutcome(cancelled, "aborted")
-          + " steps cancelled, "
+          + " cancelled steps aborted, "
           + countWithOutcome(steps, "aborted")
-          + " aborted, "
+          + " steps aborted in total, "
           + countWithOutcome(dependentsOfCancelled, "aborted")
-          + " named one, "
+          + " dependents of cancelled steps aborted, "
           + outagesAfterAbort
-          + " outages after the word, "
+          + " outages after an abort, "
           + w.checker.starts()
-          + " starts, limits fell: "
+          + " starts, limits lowered: "
           + limitsLowered
-          + ", too large: "
+          + ", requests refused as too large: "
           + w.state.refusedAsTooLarge()
-          + ", never begun: "
+          + ", accepted jobs that never started: "
           + w.checker.neverBegun();
     }
   }
@@ -289,8 +296,7 @@
     assertEquals(0, day.w.checker.neverBegun(), what);
     assertEquals(0, day.w.state.refusedAsTooLarge(), what);
     assertTrue(day.limitsLowered && day.w.checker.starts() > 80, what);
-    // How many are cancelled is drawn by the seed; each of the others is done, and each has its
-    // word.
+    // The seed decides how many pipelines are cancelled. Each final step must be done or aborted.
     long done = day.countWithOutcome(day.finalSteps, "done");
     assertTrue(done >= 1, what);
     assertEquals(
@@ -305,9 +311,11 @@
         what);
   }
 
-  // ---- a thousand
+  // ---- a thousand dependents
 
-  /** At every node the word on all of them, put and answered at this moment. */
+  /**
+   * Polls every controller for each job now, and expects an answer with "aborted" within 300 ms.
+   */
   private static void assertAllAborted(SimulatedCluster cluster, List<String> uids, String when) {
     List<String> wrong = new ArrayList<>();
     int[] answerCount = {0};
@@ -374,11 +382,13 @@
       cluster.crash(cluster.leader(), 1_000);
     }
     cluster.clock.runUntil(abortedMs + 19_600);
-    assertAllAborted(cluster, uids, "within cancel_s of the word");
+    assertAllAborted(cluster, uids, "within cancel_s of the abort");
     cluster.clock.runUntil(abortedMs + 60_000);
     assertEquals(outageAndLeaderCrash, cluster.termCount() > termsBefore);
-    assertAllAborted(cluster, uids, "also later");
-    assertTrue(uids.stream().allMatch(uid -> cluster.checker.begunMs(uid) < 0), "none starts");
+    assertAllAborted(cluster, uids, "60 s after the abort");
+    assertTrue(
+        uids.stream().allMatch(uid -> cluster.checker.begunMs(uid) < 0),
+        "a dependent of the aborted job started");
     assertEquals(List.of(), cluster.checker.broken());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
+++ b/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
@@ -17,15 +17,16 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * The state service refuses the leader alone, another controller confirms cancellations, and then
- * the state service is out for all, longer than a cancellation may take, while the workers go on
- * reporting to that leader: what it can't know of must end with their leases. Twice, the second
- * time soon after the first.
+ * Guards against tasks of cancelled jobs that run on because the leader can't learn of the
+ * cancellation. The state service refuses requests of the leader alone while another controller
+ * acknowledges cancellations. Then it has an outage for all controllers, 12 s longer than a
+ * cancellation may take, while the workers send heartbeats to that leader. The tasks must end in
+ * time with the worker leases. This happens twice, the second time soon after the first.
  */
 class StateOutageCancellationTest {
   private static final int CONTROLLERS = 3;
 
-  /** What the state service refuses to the leader alone before it is out for all. */
+  /** The kinds of requests that the state service refuses to the leader before the outage. */
   private static final List<Set<SimulatedCluster.RequestKind>> REFUSED =
       List.of(
           Set.of(SimulatedCluster.RequestKind.values()),
@@ -33,7 +34,10 @@
           Set.of(SimulatedCluster.RequestKind.LEASES),
           Set.of(SimulatedCluster.RequestKind.WRITES));
 
-  /** Report, lease and cancellation times of the operators' deployments. */
+  /**
+   * Heartbeat interval, worker lease and cancellation time of each operator's deployment, in
+   * seconds.
+   */
   private static final Map<String, Settings.WorkerLimits> TIMINGS =
       Map.of(
           "Athens", new Settings.WorkerLimits(3, 14, 39),
@@ -80,7 +84,8 @@
         cluster.clock.after(
             refusalStartMs - 45_000 + i * 1_000 - cluster.clock.nowMs(),
             () -> {
-              // Well longer than the outage: nothing of it ends by itself in time.
+              // These tasks run for much longer than the outage, so that none completes before its
+              // end.
               var spec = DayEndCriteriaTest.job(cluster, "a", Priority.NORMAL, 4, 1, 250, 0);
               running.add(spec.uid());
               cluster.submitAndPoll(spec);
@@ -91,7 +96,8 @@
       cluster.clock.after(
           refusalStartMs - 1_500,
           () -> {
-            // From just before the leader's last answered read to the service's end.
+            // The cancellations begin just before the leader's last read with a response, 1.5 s
+            // before the refusals, and end 0.1 s before the outage.
             for (String uid : running) {
               if (random.nextInt(5) > 0) {
                 cluster.clock.after(random.nextInt(3_400), () -> cluster.cancel(uid, 0));
@@ -106,7 +112,8 @@
     assertEquals(List.of(), cluster.checker.broken());
     assertTrue(
         cluster.checker.cancelledWhileOn() >= 8,
-        "cancelled while tasks were on machines: " + cluster.checker.cancelledWhileOn());
+        "cancellations of jobs with tasks on machines, at least 8 expected: "
+            + cluster.checker.cancelledWhileOn());
   }
 
   private static void refuseLeaderThenStopService(
--- a/src/test/java/org/ploverspindle/sim/WorkerFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/WorkerFaultsTest.java
@@ -7,14 +7,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.model.Priority;
 
-/** Workers whose heartbeats or commands are lost or late, while users submit and cancel. */
+/**
+ * Guards against tasks that are lost or run twice and cancellations that come too late when
+ * heartbeats, responses or direct commands of workers are lost or delayed while users submit and
+ * cancel.
+ */
 class WorkerFaultsTest extends UserFaultsDay {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void workersWithoutHeartbeatsExecuteDirectCommandsAndInvariantsHold(long seed) {
     startCluster(seed, 8);
     jobs(4_000, 75, 1_000, Priority.HIGH, 2, 9);
-    // Longer than a lease: they are on those machines until it runs out.
+    // These tasks run for longer than a worker lease, so that the end of a lease stops them.
     jobs(4_500, 10, 1_500, Priority.HIGH, 2, 60);
     int unreachableMs = (int) (timing(seed).leaseS() * 1_500);
     Set<String> unreachable = new HashSet<>();
@@ -37,12 +41,13 @@
         32_000 + unreachableMs, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
     cancellations(24_000, 10, 4_000);
     runAndCheckRules(30_000 + 2 * unreachableMs + 8_000, 120_000);
-    assertAtLeast("machines that reached no controller", 2, unreachable.size());
+    assertAtLeast("workers that reached no controller", 2, unreachable.size());
     assertAtLeast(
-        "launches that reached them directly",
+        "direct commands executed by workers that reached no controller",
         1,
         cluster.directCommands.executedWithRequestsDropped());
-    assertAtLeast("cancelled while on", 2, cluster.checker.cancelledWhileOn());
+    assertAtLeast(
+        "cancellations of jobs with tasks on machines", 2, cluster.checker.cancelledWhileOn());
   }
 
   @ParameterizedTest
@@ -58,11 +63,18 @@
     cancellations(FROM_MS + 4_000, 20, 2_500);
     cluster.clock.after(40_000, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
     runAndCheckRules(80_000, 120_000);
-    assertAtLeast("launches carried out late", 5, cluster.directCommands.executedAfterTimeout());
-    assertAtLeast("cancelled while on", 8, cluster.checker.cancelledWhileOn());
+    assertAtLeast(
+        "direct commands executed after their timeout",
+        5,
+        cluster.directCommands.executedAfterTimeout());
+    assertAtLeast(
+        "cancellations of jobs with tasks on machines", 8, cluster.checker.cancelledWhileOn());
   }
 
-  /** It stands still, or what goes between it and the leader is held back, for some seconds. */
+  /**
+   * In half of the cases makes the worker unresponsive, or holds the packets between it and the
+   * leader, for 1.6 to 7.6 s.
+   */
   private void delayWorkerOrItsPackets(SimWorker worker) {
     int leader = cluster.leader();
     if (worker.isTerminated() || leader < 0 || random.nextInt(2) > 0) {
@@ -105,8 +117,11 @@
     cancellations(24_000, 12, 4_000);
     cluster.clock.after(100_000, () -> cluster.network.setHeartbeatReplay(0, false));
     runAndCheckRules(100_000, 220_000);
-    assertAtLeast("old reports", 50, cluster.heartbeatDelivery.replaysToLeader());
-    assertAtLeast("sessions ended", 3, interruptedWorkers[0]);
-    assertAtLeast("cancelled while on", 5, cluster.checker.cancelledWhileOn());
+    assertAtLeast(
+        "stale heartbeats that reached a leader", 50, cluster.heartbeatDelivery.replaysToLeader());
+    assertAtLeast(
+        "workers whose responses were dropped for longer than a lease", 3, interruptedWorkers[0]);
+    assertAtLeast(
+        "cancellations of jobs with tasks on machines", 5, cluster.checker.cancelledWhileOn());
   }
 }
