--- a/src/test/java/org/ploverspindle/sim/FaultScenario.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenario.java
@@ -194,8 +194,8 @@
   }
 
   /**
-   * Partitions the controller from all present workers but the excluded ones, so that none of these
-   * can inform it of a higher term.
+   * Partitions the controller from all present workers but the excluded ones, so that only the
+   * excluded ones can inform it of a higher term.
    */
   void partitionAllExcept(int controller, List<SimWorker> excluded, long durationMs) {
     List<SimWorker> others =
--- a/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
@@ -53,7 +53,7 @@
     private final Set<String> cancelled = new HashSet<>();
     private final Set<String> dependentsOfCancelled = new HashSet<>();
     private boolean limitsLowered;
-    private int outagesAfterAbort;
+    private int outagesAfterFinalOutcome;
 
     private Day(long seed) {
       w =
@@ -203,9 +203,9 @@
     }
 
     /**
-     * Cancels a step and submits a dependent of it within 40 ms. When the user is told that the
-     * step is aborted, an outage of the state service begins, and in half of the cases the leader
-     * crashes.
+     * Cancels a step and submits a dependent of it within 40 ms. Once users are told that the step
+     * is aborted or done, an outage of the state service begins, and in half of the cases the
+     * leader crashes.
      */
     private void cancelStepThenOutage() {
       List<String> unfinished =
@@ -227,19 +227,19 @@
             steps.add(spec.uid());
             w.submitAndPoll(spec);
           });
-      beginOutageOnceAborted(uid, 2_000, outageMs, leaderCrashes);
+      beginOutageOnceEnded(uid, 2_000, outageMs, leaderCrashes);
     }
 
-    private void beginOutageOnceAborted(
-        String uid, int attemptsLeft, int outageMs, boolean leaderCrashes) {
+    private void beginOutageOnceEnded(
+        String uid, int checksLeft, int outageMs, boolean leaderCrashes) {
       if (w.checker.finalWord(uid).isEmpty()) {
-        if (attemptsLeft > 0) {
+        if (checksLeft > 0) {
           w.clock.after(
-              5, () -> beginOutageOnceAborted(uid, attemptsLeft - 1, outageMs, leaderCrashes));
+              5, () -> beginOutageOnceEnded(uid, checksLeft - 1, outageMs, leaderCrashes));
         }
         return;
       }
-      outagesAfterAbort++;
+      outagesAfterFinalOutcome++;
       w.state.setOutage(true);
       w.clock.after(outageMs, () -> w.state.setOutage(false));
       if (leaderCrashes) {
@@ -271,8 +271,8 @@
           + " steps aborted in total, "
           + countWithOutcome(dependentsOfCancelled, "aborted")
           + " dependents of cancelled steps aborted, "
-          + outagesAfterAbort
-          + " outages after an abort, "
+          + outagesAfterFinalOutcome
+          + " outages after a final outcome, "
           + w.checker.starts()
           + " starts, limits lowered: "
           + limitsLowered
@@ -291,24 +291,24 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 98, 243, 379, 549})
   void invariantsHoldForPipelinesUnderOverlappingFaultsAndLoweredLimits(long seed) {
     Day day = play(seed);
-    String what = "seed " + seed + ": " + day;
-    assertEquals(List.of(), day.w.checker.broken(), what);
-    assertEquals(0, day.w.checker.neverBegun(), what);
-    assertEquals(0, day.w.state.refusedAsTooLarge(), what);
-    assertTrue(day.limitsLowered && day.w.checker.starts() > 80, what);
+    String context = "seed " + seed + ": " + day;
+    assertEquals(List.of(), day.w.checker.broken(), context);
+    assertEquals(0, day.w.checker.neverBegun(), context);
+    assertEquals(0, day.w.state.refusedAsTooLarge(), context);
+    assertTrue(day.limitsLowered && day.w.checker.starts() > 80, context);
     // The seed decides how many pipelines are cancelled. Each final step must be done or aborted.
     long done = day.countWithOutcome(day.finalSteps, "done");
-    assertTrue(done >= 1, what);
+    assertTrue(done >= 1, context);
     assertEquals(
-        day.finalSteps.size(), done + day.countWithOutcome(day.finalSteps, "aborted"), what);
-    assertTrue(day.countWithOutcome(day.cancelled, "aborted") >= 1, what);
+        day.finalSteps.size(), done + day.countWithOutcome(day.finalSteps, "aborted"), context);
+    assertTrue(day.countWithOutcome(day.cancelled, "aborted") >= 1, context);
     assertTrue(
         day.countWithOutcome(day.steps, "aborted") > day.countWithOutcome(day.cancelled, "aborted"),
-        what);
+        context);
     assertTrue(
         day.countWithOutcome(day.dependentsOfCancelled, "aborted") >= 1
-            && day.outagesAfterAbort > 0,
-        what);
+            && day.outagesAfterFinalOutcome > 0,
+        context);
   }
 
   // ---- a thousand dependents
