--- a/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
@@ -8,46 +8,55 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.model.Priority;
 
-/** Cancellations and ends of tasks that meet each other, or a change of the leader. */
+/**
+ * Guards against completed tasks that run again, and against cancellations that are lost, when
+ * cancellations and completions race with each other or with a change of the leader.
+ */
 class CancellationRaceTest extends UserFaultsDay {
-  /** Less than a leader whose writes fail keeps the lead, and about a report period. */
-  private static final int UNRECORDED_FOR_MS = 4_500;
+  /**
+   * Shorter than the time for which a leader with failing writes keeps the leadership, and about a
+   * heartbeat interval.
+   */
+  private static final int WRITES_REFUSED_MS = 4_500;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void tasksOfSmallJobsEndFarApartAcrossLeaderChanges(long seed) {
+  void completedTasksOfPartlyDoneJobsAreNotRepeatedAfterLeaderCrashes(long seed) {
     startCluster(seed, 3);
     for (int i = 0; i < 10; i++) {
       int tasks = 2 + i % 2;
-      // A machine has room for one task, so that they run one after another.
+      // A machine has room for one task only, so that the tasks of a job run one after another.
       cluster.clock.after(
           4_000 + i * 1_500, () -> submit("blue", Priority.NORMAL, tasks, 12, 9 + seed % 3));
     }
-    Set<String> across = new HashSet<>();
+    Set<String> partlyDoneAtCrash = new HashSet<>();
     for (int at = 30_000; at <= 78_000; at += 12_000) {
       cluster.clock.after(
           at,
           () -> {
             submitted.stream()
                 .filter(uid -> cluster.checker.tasksDone(uid) > 0 && !cluster.checker.isDone(uid))
-                .forEach(across::add);
+                .forEach(partlyDoneAtCrash::add);
             cluster.crash(Math.max(0, cluster.leader()), 400);
           });
     }
     runAndCheckRules(100_000, 200_000);
-    assertAtLeast("jobs with a task done and one to go at a change", 2, across.size());
+    assertAtLeast(
+        "jobs that were partly done when the leader crashed", 2, partlyDoneAtCrash.size());
     assertAtLeast("terms", 4, cluster.termCount());
     assertEquals(10, cluster.checker.jobsDone());
-    assertEquals(25, cluster.checker.starts(), "what was done is not done again");
+    assertEquals(
+        25, cluster.checker.starts(), "starts of tasks, without repetition of completed ones");
   }
 
   /**
-   * The leader receives reports of completed tasks while its writes are refused, and crashes before
-   * it could record them: until then the worker is the only record, and must not be told to forget.
+   * The leader receives heartbeats with completed tasks while its writes are refused, and crashes
+   * before it has recorded them. Until they are recorded only the worker knows of the completions,
+   * and the leader must not command it to forget them.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void leadersCrashBeforeCompletionsAreRecorded(long seed) {
+  void completionsUnrecordedAtLeaderCrashAreNotRepeated(long seed) {
     startCluster(seed, 14);
     jobs(4_000, 100, 700, Priority.NORMAL, 2, 9);
     int[] unrecorded = {0};
@@ -55,10 +64,11 @@
       cluster.clock.after(at, () -> crashWithUnrecordedCompletions(unrecorded));
     }
     runAndCheckRules(80_000, 120_000);
-    assertAtLeast("tasks completed while nothing could be recorded", 5, unrecorded[0]);
+    assertAtLeast("tasks completed while writes were refused", 5, unrecorded[0]);
     assertAtLeast("terms", 4, cluster.termCount());
     assertEquals(100, cluster.checker.jobsDone());
-    assertEquals(200, cluster.checker.starts(), "what was done is not done again");
+    assertEquals(
+        200, cluster.checker.starts(), "starts of tasks, without repetition of completed ones");
   }
 
   private void crashWithUnrecordedCompletions(int[] unrecorded) {
@@ -66,7 +76,7 @@
     int before = tasksDone();
     cluster.setRefused(leader, SimulatedCluster.RequestKind.WRITES, true);
     cluster.clock.after(
-        UNRECORDED_FOR_MS,
+        WRITES_REFUSED_MS,
         () -> {
           unrecorded[0] += tasksDone() - before;
           cluster.crash(leader, 400);
@@ -78,49 +88,53 @@
     return submitted.stream().mapToInt(cluster.checker::tasksDone).sum();
   }
 
-  /** The service's latency leaves time for the end to be recorded before the cancellation is. */
+  /**
+   * Messages to and from the state service take up to 300 ms, which leaves time for the completion
+   * to be recorded before the cancellation.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void cancellationRacesWithTheEndOfTheLastTaskWhileTheStateServiceIsSlow(long seed) {
+  void cancellationAtLastCompletionHoldsInvariantsWhileStateServiceIsSlow(long seed) {
     startCluster(seed, 14);
     cluster.setCancelAtEndShare(0.6);
     cluster.clock.after(FROM_MS, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 300));
     cluster.clock.after(80_000, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 0));
     jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
-    long over = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
-    assertAtLeast("done", 20, cluster.checker.jobsDone());
-    assertAtLeast("cancelled though all its tasks had ended", 5, over - cluster.checker.jobsDone());
+    long ended = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
+    assertAtLeast("jobs done", 20, cluster.checker.jobsDone());
+    assertAtLeast(
+        "jobs cancelled although all their tasks had ended", 5, ended - cluster.checker.jobsDone());
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void cancellationRacesWithTheEndOfTheLastTask(long seed) {
+  void cancellationAtLastCompletionHoldsInvariants(long seed) {
     startCluster(seed, 14);
     cluster.setCancelAtEndShare(0.6);
     cluster.setRequestBursts(true);
     jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
-    long aborted = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
-    assertAtLeast("done", 20, cluster.checker.jobsDone());
+    long ended = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
+    assertAtLeast("jobs done", 20, cluster.checker.jobsDone());
     assertAtLeast(
-        "cancelled though all its tasks had ended", 5, aborted - cluster.checker.jobsDone());
+        "jobs cancelled although all their tasks had ended", 5, ended - cluster.checker.jobsDone());
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void jobsAreCancelledDuringLeaderChanges(long seed) {
+  void cancellationsDuringLeaderChangesHoldInvariants(long seed) {
     startCluster(seed, 14);
     jobs(4_000, 40, 700, Priority.NORMAL, 2, 250);
     for (int round = 0; round < 2; round++) {
       int at = 36_000 + round * 30_000;
       cancellations(at - 1_500, 12, 500);
-      boolean cut = (round + seed) % 2 == 0;
+      boolean isPartitioned = (round + seed) % 2 == 0;
       cluster.clock.after(
           at,
           () -> {
             int leader = Math.max(0, cluster.leader());
-            if (cut) {
+            if (isPartitioned) {
               cluster.partitionController(
                   leader, SimulatedCluster.PartitionMode.REFUSE_REQUESTS, 20_000);
             } else {
@@ -131,6 +145,7 @@
     long cancelMs = (long) (timing(seed).cancelS() * 1_000);
     runAndCheckRules(90_000, (int) cancelMs + 20_000);
     assertAtLeast("terms", 3, cluster.termCount());
-    assertAtLeast("cancelled while on", 12, cluster.checker.cancelledWhileOn());
+    assertAtLeast(
+        "cancellations of jobs with tasks on machines", 12, cluster.checker.cancelledWhileOn());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
+++ b/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
@@ -17,15 +17,16 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * The state service refuses the leader alone, another controller confirms cancellations, and then
- * the state service is out for all, longer than a cancellation may take, while the workers go on
- * reporting to that leader: what it can't know of must end with their leases. Twice, the second
- * time soon after the first.
+ * Guards against tasks of cancelled jobs that run on because the leader can't learn of the
+ * cancellation. The state service refuses requests of the leader alone while another controller
+ * acknowledges cancellations. Then it has an outage for all controllers, 12 s longer than a
+ * cancellation may take, while the workers send heartbeats to that leader. The tasks must end in
+ * time with the worker leases. This happens twice, the second time soon after the first.
  */
 class StateOutageCancellationTest {
-  private static final int NODES = 3;
+  private static final int CONTROLLERS = 3;
 
-  /** What the state service refuses to the leader alone before it is out for all. */
+  /** The kinds of requests that the state service refuses to the leader before the outage. */
   private static final List<Set<SimulatedCluster.RequestKind>> REFUSED =
       List.of(
           Set.of(SimulatedCluster.RequestKind.values()),
@@ -33,7 +34,10 @@
           Set.of(SimulatedCluster.RequestKind.LEASES),
           Set.of(SimulatedCluster.RequestKind.WRITES));
 
-  /** Report, lease and cancellation times of the operators' deployments. */
+  /**
+   * Heartbeat interval, worker lease and cancellation time of each operator's deployment, in
+   * seconds.
+   */
   private static final Map<String, Settings.WorkerLimits> TIMINGS =
       Map.of(
           "Athens", new Settings.WorkerLimits(3, 14, 39),
@@ -41,28 +45,28 @@
           "large Athens", new Settings.WorkerLimits(5, 26.5, 51.5),
           "large Kosice", new Settings.WorkerLimits(5, 26.5, 56.5));
 
-  static Stream<Arguments> gaps() {
-    List<Arguments> all = new ArrayList<>();
+  static Stream<Arguments> deploymentsRefusalsAndSeeds() {
+    List<Arguments> arguments = new ArrayList<>();
     for (String deployment : TIMINGS.keySet().stream().sorted().toList()) {
       for (Set<SimulatedCluster.RequestKind> refused : REFUSED) {
         for (long seed = 1; seed <= 3; seed++) {
-          all.add(Arguments.of(deployment, refused, seed));
+          arguments.add(Arguments.of(deployment, refused, seed));
         }
       }
     }
-    return all.stream();
+    return arguments.stream();
   }
 
   @ParameterizedTest
-  @MethodSource("gaps")
-  void whatWasCancelledInTheGapIsGoneInTime(
+  @MethodSource("deploymentsRefusalsAndSeeds")
+  void cancellationsUnknownToRefusedLeaderEndInTimeDuringOutage(
       String deployment, Set<SimulatedCluster.RequestKind> refused, long seed) {
     Settings.WorkerLimits limits = TIMINGS.get(deployment);
-    SimulatedCluster w =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             seed,
             new SimulatedCluster.Deployment(
-                NODES,
+                CONTROLLERS,
                 14,
                 List.of("a"),
                 limits,
@@ -71,51 +75,56 @@
                 List.of(
                     new Settings.Team("red", 8, 0, 0, 0), new Settings.Team("blue", 8, 0, 0, 0)),
                 new Policy(3, 8, 15, 0, 100, 20, Map.of())));
-    Random r = new Random(seed);
-    long outMs = Math.round(limits.cancelS() * 1000) + 12_000;
-    long gapMs = 70_000;
+    Random random = new Random(seed);
+    long outageMs = Math.round(limits.cancelS() * 1000) + 12_000;
+    long refusalStartMs = 70_000;
     for (int round = 0; round < 2; round++) {
       List<String> running = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
-        w.clock.after(
-            gapMs - 45_000 + i * 1_000 - w.clock.nowMs(),
+        cluster.clock.after(
+            refusalStartMs - 45_000 + i * 1_000 - cluster.clock.nowMs(),
             () -> {
-              // Well longer than the outage: nothing of it ends by itself in time.
-              var spec = DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 4, 1, 250, 0);
+              // These tasks run for much longer than the outage, so that none completes before its
+              // end.
+              var spec = DayEndCriteriaTest.job(cluster, "a", Priority.NORMAL, 4, 1, 250, 0);
               running.add(spec.uid());
-              w.submitAndPoll(spec);
+              cluster.submitAndPoll(spec);
             });
       }
-      w.clock.after(gapMs, () -> gap(w, refused, outMs));
-      w.clock.after(
-          gapMs - 1_500,
+      cluster.clock.after(
+          refusalStartMs, () -> refuseLeaderThenStopService(cluster, refused, outageMs));
+      cluster.clock.after(
+          refusalStartMs - 1_500,
           () -> {
-            // From just before the leader's last answered read to the service's end.
+            // The cancellations begin just before the leader's last read with a response, 1.5 s
+            // before the refusals, and end 0.1 s before the outage.
             for (String uid : running) {
-              if (r.nextInt(5) > 0) {
-                w.clock.after(r.nextInt(3_400), () -> w.cancel(uid, 0));
+              if (random.nextInt(5) > 0) {
+                cluster.clock.after(random.nextInt(3_400), () -> cluster.cancel(uid, 0));
               }
             }
           });
-      gapMs += 2_000 + outMs + 23_000 + 40_000;
+      refusalStartMs += 2_000 + outageMs + 23_000 + 40_000;
     }
-    long overMs = gapMs;
-    w.clock.after(overMs, w::faultsEnded);
-    w.clock.runUntil(overMs + 120_000);
-    assertEquals(List.of(), w.checker.broken());
+    long faultsEndMs = refusalStartMs;
+    cluster.clock.after(faultsEndMs, cluster::faultsEnded);
+    cluster.clock.runUntil(faultsEndMs + 120_000);
+    assertEquals(List.of(), cluster.checker.broken());
     assertTrue(
-        w.checker.cancelledWhileOn() >= 8,
-        "cancelled while tasks were on machines: " + w.checker.cancelledWhileOn());
+        cluster.checker.cancelledWhileOn() >= 8,
+        "cancellations of jobs with tasks on machines, at least 8 expected: "
+            + cluster.checker.cancelledWhileOn());
   }
 
-  private static void gap(
-      SimulatedCluster w, Set<SimulatedCluster.RequestKind> refused, long outMs) {
-    int leader = w.leader();
+  private static void refuseLeaderThenStopService(
+      SimulatedCluster cluster, Set<SimulatedCluster.RequestKind> refused, long outageMs) {
+    int leader = cluster.leader();
     if (leader >= 0) {
-      refused.forEach(kind -> w.setRefused(leader, kind, true));
-      w.clock.after(14_000, () -> refused.forEach(kind -> w.setRefused(leader, kind, false)));
+      refused.forEach(kind -> cluster.setRefused(leader, kind, true));
+      cluster.clock.after(
+          14_000, () -> refused.forEach(kind -> cluster.setRefused(leader, kind, false)));
     }
-    w.clock.after(2_000, () -> w.state.setOutage(true));
-    w.clock.after(2_000 + outMs, () -> w.state.setOutage(false));
+    cluster.clock.after(2_000, () -> cluster.state.setOutage(true));
+    cluster.clock.after(2_000 + outageMs, () -> cluster.state.setOutage(false));
   }
 }
