--- a/src/test/java/org/ploverspindle/sim/FleetLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/FleetLimitsTest.java
@@ -13,15 +13,15 @@
 
 /** Limits that a small fleet never meets, each at a fleet that would meet it. */
 class FleetLimitsTest {
-  private static final int NODES = 3;
-  private static final int PER_CLAIM = 50;
+  private static final int CONTROLLERS = 3;
+  private static final int MACHINES_PER_INTENT = 50;
   private static final double LEASE_S = 26.5;
 
   private static SimulatedCluster cluster(long seed, int machines, double cloudCallsPerS) {
     return new SimulatedCluster(
         seed,
         new SimulatedCluster.Deployment(
-            NODES,
+            CONTROLLERS,
             2 * machines,
             List.of("a"),
             new Settings.WorkerLimits(5, LEASE_S, 51.5),
@@ -32,9 +32,9 @@
   }
 
   /** Machines that no controller has rented: only reports and the list tell of them. */
-  private static void rentedBefore(SimulatedCluster cluster, int machines) {
-    for (int i = 0; i < machines / PER_CLAIM; i++) {
-      cluster.cloud.provision("earlier-" + i, "small", "a", false, PER_CLAIM);
+  private static void provisionUnrecordedMachines(SimulatedCluster cluster, int machines) {
+    for (int i = 0; i < machines / MACHINES_PER_INTENT; i++) {
+      cluster.cloud.provision("earlier-" + i, "small", "a", false, MACHINES_PER_INTENT);
     }
   }
 
@@ -43,22 +43,24 @@
    * cloud allows two calls at once, and the list was begun anew with the first page for ever.
    */
   @Test
-  void aListOfManyPagesIsReadFromACloudThatAllowsOneCallASecond() {
+  void machineListOfManyPagesIsReadAtOneCloudCallPerSecond() {
     SimulatedCluster cluster = cluster(5, 4_400, 1);
-    rentedBefore(cluster, 4_400);
+    provisionUnrecordedMachines(cluster, 4_400);
     // The list lags: the first leader reads an empty one. The next one meets all machines.
     cluster.clock.after(
-        15_000, () -> IntStream.range(0, NODES).forEach(node -> cluster.crash(node, 500)));
+        15_000, () -> IntStream.range(0, CONTROLLERS).forEach(i -> cluster.crash(i, 500)));
     // It fits on no machine that there is.
     var job = DayEndCriteriaTest.job(cluster, "wide", Priority.HIGH, 2, 12, 5, 0);
     cluster.clock.after(20_000, () -> cluster.submitAndPoll(job));
     // Each controller asks for the machine types at its start.
     cluster.clock.runUntil(25_000);
-    long atStart = cluster.cloud.requestLimiter.refusedCount();
+    long refusedAtStart = cluster.cloud.requestLimiter.refusedCount();
     cluster.clock.runUntil(150_000);
     assertEquals(List.of(), cluster.checker.broken());
     assertTrue(cluster.checker.isDone(job.uid()), "a machine was rented for it");
     assertEquals(
-        atStart, cluster.cloud.requestLimiter.refusedCount(), "calls beyond the cloud's rate");
+        refusedAtStart,
+        cluster.cloud.requestLimiter.refusedCount(),
+        "calls beyond the cloud's rate");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
+++ b/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
@@ -19,165 +19,180 @@
 
 /** Long leases and many machines: what a small fleet forgives costs a large one its day. */
 class FleetSizeTest {
-  private static final Settings.WorkerLimits SLOW_REPORTS =
+  private static final Settings.WorkerLimits LONG_WORKER_LEASES =
       new Settings.WorkerLimits(5, 26.5, 51.5);
 
-  private static SimulatedCluster.Deployment site(int nodes, int capacity, List<String> zones) {
-    return site(nodes, capacity, zones, 8, 0);
+  private static SimulatedCluster.Deployment deployment(
+      int controllers, int capacity, List<String> zones) {
+    return deployment(controllers, capacity, zones, 8, 0);
   }
 
-  private static SimulatedCluster.Deployment site(
-      int nodes, int capacity, List<String> zones, double listLagS, int poolMin) {
+  private static SimulatedCluster.Deployment deployment(
+      int controllers, int capacity, List<String> zones, double listLagS, int minPool) {
     return new SimulatedCluster.Deployment(
-        nodes,
+        controllers,
         capacity,
         zones,
-        SLOW_REPORTS,
+        LONG_WORKER_LEASES,
         new Settings.StateLimits(120, 35, 8, 12),
         new Settings.CloudLimits(8, listLagS),
         List.of(new Settings.Team("red", 8, 24, 0, 0), new Settings.Team("blue", 8, 0, 0, 0)),
-        new Policy(3, 30, 60, poolMin, Policy.UNBOUNDED, 30, Map.of()));
+        new Policy(3, 30, 60, minPool, Policy.UNBOUNDED, 30, Map.of()));
   }
 
   /** Three controllers, and machines that run one job's 80 tasks for 100 s. */
-  private static SimulatedCluster busyFleet(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, site(3, 60, List.of("a")));
-    w.clock.after(
+  private static SimulatedCluster busyCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, deployment(3, 60, List.of("a")));
+    cluster.clock.after(
         3_000,
-        () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 80, 4, 100, 0)));
-    return w;
+        () ->
+            cluster.submitAndPoll(
+                DayEndCriteriaTest.job(cluster, "a", Priority.NORMAL, 80, 4, 100, 0)));
+    return cluster;
   }
 
-  private static int leaderOf(SimulatedCluster w) {
-    assertTrue(w.leader() >= 0, "somebody leads");
-    return w.leader();
+  private static int requireLeader(SimulatedCluster cluster) {
+    assertTrue(cluster.leader() >= 0, "somebody leads");
+    return cluster.leader();
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aLeaderThatNoMachineReachesIsReplacedBeforeAnyLeaseEnds(long seed) {
-    SimulatedCluster w = busyFleet(seed);
-    w.clock.after(
+  void leaderUnreachableByWorkersIsReplacedBeforeAnyWorkerLeaseExpires(long seed) {
+    SimulatedCluster cluster = busyCluster(seed);
+    cluster.clock.after(
         60_000,
         () -> {
-          int leader = leaderOf(w);
-          w.cloud.workers().forEach(x -> w.network.partition("n" + leader, x.host(), true));
-          w.clock.after(
+          int leader = requireLeader(cluster);
+          cluster
+              .cloud
+              .workers()
+              .forEach(worker -> cluster.network.partition("n" + leader, worker.host(), true));
+          cluster.clock.after(
               45_000,
               () ->
-                  w.cloud
+                  cluster
+                      .cloud
                       .workers()
-                      .forEach(x -> w.network.partition("n" + leader, x.host(), false)));
+                      .forEach(
+                          worker -> cluster.network.partition("n" + leader, worker.host(), false)));
         });
-    w.clock.runUntil(400_000);
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(1, w.checker.jobsDone());
-    assertEquals(80, w.checker.starts(), "each task began once: no lease ended");
+    cluster.clock.runUntil(400_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(1, cluster.checker.jobsDone());
+    assertEquals(80, cluster.checker.starts(), "each task began once: no lease ended");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aLeaderWhoseAnswersAreAllLostIsReplacedAndTheFleetKept(long seed) {
-    SimulatedCluster w = busyFleet(seed);
+  void leaderWhoseResponsesAreLostIsReplacedWithoutTerminations(long seed) {
+    SimulatedCluster cluster = busyCluster(seed);
     int[] machines = new int[1];
-    w.clock.after(
+    cluster.clock.after(
         60_000,
         () -> {
-          machines[0] = w.cloud.workers().size();
-          int leader = leaderOf(w);
-          w.network.dropResponsesFrom("n" + leader, true);
-          w.clock.after(50_000, () -> w.network.dropResponsesFrom("n" + leader, false));
+          machines[0] = cluster.cloud.workers().size();
+          int leader = requireLeader(cluster);
+          cluster.network.dropResponsesFrom("n" + leader, true);
+          cluster.clock.after(50_000, () -> cluster.network.dropResponsesFrom("n" + leader, false));
         });
-    w.clock.runUntil(100_000);
+    cluster.clock.runUntil(100_000);
     assertTrue(
-        w.cloud.machineCount() >= machines[0], "no machine was returned for what we did not hear");
-    w.clock.runUntil(400_000);
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(80, w.checker.starts(), "each task began once: no lease ended");
+        cluster.cloud.machineCount() >= machines[0],
+        "no machine was returned for what we did not hear");
+    cluster.clock.runUntil(400_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(80, cluster.checker.starts(), "each task began once: no lease ended");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aLeaderThatStoodStillForLongerThanALeaseKeepsTheFleet(long seed) {
-    SimulatedCluster w = busyFleet(seed);
+  void leaderPausedLongerThanAWorkerLeaseTerminatesNoMachine(long seed) {
+    SimulatedCluster cluster = busyCluster(seed);
     int[] machines = new int[1];
-    w.clock.after(
+    cluster.clock.after(
         60_000,
         () -> {
-          machines[0] = w.cloud.workers().size();
-          w.freeze(leaderOf(w), 32_500);
+          machines[0] = cluster.cloud.workers().size();
+          cluster.freeze(requireLeader(cluster), 32_500);
         });
-    w.clock.runUntil(100_000);
+    cluster.clock.runUntil(100_000);
     assertTrue(
-        w.cloud.machineCount() >= machines[0], "no machine was returned on timers that came late");
-    w.clock.runUntil(400_000);
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(80, w.checker.starts(), "each task began once: no lease ended");
+        cluster.cloud.machineCount() >= machines[0],
+        "no machine was returned on timers that came late");
+    cluster.clock.runUntil(400_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(80, cluster.checker.starts(), "each task began once: no lease ended");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void shortPausesOfTheLeaderCostNoLeadAndNoTask(long seed) {
-    SimulatedCluster w = busyFleet(seed);
+  void shortLeaderPausesCostNeitherLeadershipNorTasks(long seed) {
+    SimulatedCluster cluster = busyCluster(seed);
     int[] first = new int[1];
-    w.clock.after(59_000, () -> first[0] = leaderOf(w));
-    for (int t = 60_000; t < 100_000; t += 4_000) {
-      w.clock.after(t, () -> w.freeze(first[0], 1_800));
+    cluster.clock.after(59_000, () -> first[0] = requireLeader(cluster));
+    for (int atMs = 60_000; atMs < 100_000; atMs += 4_000) {
+      cluster.clock.after(atMs, () -> cluster.freeze(first[0], 1_800));
     }
-    w.clock.after(105_000, () -> assertEquals(first[0], leaderOf(w)));
-    w.clock.runUntil(400_000);
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(1, w.checker.jobsDone());
-    assertEquals(80, w.checker.starts(), "no machine was taken for silent");
+    cluster.clock.after(105_000, () -> assertEquals(first[0], requireLeader(cluster)));
+    cluster.clock.runUntil(400_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(1, cluster.checker.jobsDone());
+    assertEquals(80, cluster.checker.starts(), "no machine was taken for silent");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aLeaderThatOnlyItsWorkersReachLosesThemToTheNextOneSoon(long seed) {
-    SimulatedCluster w = busyFleet(seed);
+  void workersOfAPartitionedLeaderSoonFollowTheNextLeader(long seed) {
+    SimulatedCluster cluster = busyCluster(seed);
     JobSpec[] next = new JobSpec[1];
-    w.clock.after(
+    cluster.clock.after(
         60_000,
         () -> {
-          int leader = leaderOf(w);
-          w.network.partition("n" + leader, SimulatedCluster.STATE, true);
-          IntStream.range(0, 3).forEach(i -> w.network.partition("n" + leader, "n" + i, true));
+          int leader = requireLeader(cluster);
+          cluster.network.partition("n" + leader, SimulatedCluster.STATE, true);
+          IntStream.range(0, 3)
+              .forEach(i -> cluster.network.partition("n" + leader, "n" + i, true));
         });
-    w.clock.after(
+    cluster.clock.after(
         64_000,
         () -> {
-          next[0] = DayEndCriteriaTest.job(w, "b", Priority.HIGH, 4, 1, 5, 0);
-          w.submitAndPoll(next[0]);
+          next[0] = DayEndCriteriaTest.job(cluster, "b", Priority.HIGH, 4, 1, 5, 0);
+          cluster.submitAndPoll(next[0]);
         });
-    w.clock.runUntil(300_000);
-    assertEquals(List.of(), w.checker.broken());
-    long begun = w.checker.begunMs(next[0].uid());
+    cluster.clock.runUntil(300_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    long begun = cluster.checker.begunMs(next[0].uid());
     assertTrue(begun >= 0 && begun <= 80_000, "the next leader's first job began at " + begun);
     // One task may have given way to the pressing job.
-    int starts = w.checker.starts();
+    int starts = cluster.checker.starts();
     assertTrue(starts >= 84 && starts <= 85, "each task began once, no lease ended: " + starts);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void tasksOfMachinesTakenWithoutNoticeStartAgainBeforeTheLeaseWouldEnd(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, site(3, 60, List.of("a"), 3, 20));
-    w.clock.after(
+  void tasksOfReclaimedMachinesRestartBeforeTheWorkerLeaseExpires(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, deployment(3, 60, List.of("a"), 3, 20));
+    cluster.clock.after(
         3_000,
-        () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 60, 4, 200, 0)));
+        () ->
+            cluster.submitAndPoll(
+                DayEndCriteriaTest.job(cluster, "a", Priority.NORMAL, 60, 4, 200, 0)));
     int[] before = new int[2];
-    w.clock.after(
+    cluster.clock.after(
         90_000,
         () -> {
-          before[0] = w.checker.starts();
-          List<SimWorker> all = List.copyOf(w.cloud.workers());
-          all.subList(0, all.size() / 2).forEach(x -> w.cloud.reclaim(x.host()));
+          before[0] = cluster.checker.starts();
+          List<SimWorker> workers = List.copyOf(cluster.cloud.workers());
+          workers
+              .subList(0, workers.size() / 2)
+              .forEach(worker -> cluster.cloud.reclaim(worker.host()));
         });
-    w.clock.after(108_000, () -> before[1] = w.checker.starts());
-    w.clock.runUntil(500_000);
-    assertEquals(List.of(), w.checker.broken());
+    cluster.clock.after(108_000, () -> before[1] = cluster.checker.starts());
+    cluster.clock.runUntil(500_000);
+    assertEquals(List.of(), cluster.checker.broken());
     assertEquals(60, before[0]);
-    int again = w.checker.starts() - before[0];
+    int again = cluster.checker.starts() - before[0];
     assertTrue(
         again >= 20 && before[1] - before[0] >= again / 2,
         before[1] - before[0] + " of " + again + " had started again after 18 s");
@@ -194,157 +209,181 @@
     "9, 5, 150, 40, 64, 24, 30",
     "13, 2, 400, 120, 16, 12, 3"
   })
-  void settingsOfAnySizeStartAndServe(
-      int nodes, int zones, double rps, double writeRps, double valueKb, int txnOps, double calls) {
-    List<String> names = IntStream.range(0, zones).mapToObj(z -> "zone-" + z).toList();
+  void deploymentsOfAnySizeCompleteTheirJobs(
+      int controllers,
+      int zones,
+      double requestsPerS,
+      double changesPerS,
+      double valueKb,
+      int changesPerTransaction,
+      double cloudCallsPerS) {
+    List<String> zoneNames = IntStream.range(0, zones).mapToObj(i -> "zone-" + i).toList();
     List<Settings.Team> teams = new ArrayList<>();
-    IntStream.range(0, 30).forEach(t -> teams.add(new Settings.Team("team-" + t, 0, 0, 0, 0)));
+    IntStream.range(0, 30).forEach(i -> teams.add(new Settings.Team("team-" + i, 0, 0, 0, 0)));
     teams.add(new Settings.Team("blue", 0, 0, 0, 0));
-    SimulatedCluster w =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             17,
             new SimulatedCluster.Deployment(
-                nodes,
+                controllers,
                 120,
-                names,
-                SLOW_REPORTS,
-                new Settings.StateLimits(rps, writeRps, valueKb, txnOps),
-                new Settings.CloudLimits(calls, 4),
+                zoneNames,
+                LONG_WORKER_LEASES,
+                new Settings.StateLimits(requestsPerS, changesPerS, valueKb, changesPerTransaction),
+                new Settings.CloudLimits(cloudCallsPerS, 4),
                 teams,
                 Policy.DEFAULT));
     for (int i = 0; i < 40; i++) {
-      w.clock.after(
+      cluster.clock.after(
           3_000 + 1_000 * i,
-          () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 20, 1, 5, 0)));
+          () ->
+              cluster.submitAndPoll(
+                  DayEndCriteriaTest.job(cluster, "a", Priority.HIGH, 20, 1, 5, 0)));
     }
-    w.clock.after(60_000, () -> w.crash(leaderOf(w), 500));
-    w.clock.runUntil(300_000);
-    w.checker.endOfDay();
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(40, w.checker.jobsDone());
+    cluster.clock.after(60_000, () -> cluster.crash(requireLeader(cluster), 500));
+    cluster.clock.runUntil(300_000);
+    cluster.checker.endOfDay();
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(40, cluster.checker.jobsDone());
   }
 
   @Test
-  void aFleetOfSeventeenHundredKeepsTheRulesThroughLossesATakeoverAndARestartOfAll() {
-    int nodes = 7;
-    SimulatedCluster w = new SimulatedCluster(11, site(nodes, 1_700, List.of("a", "b", "c")));
-    Random r = new Random(11);
+  void rulesHoldOnSeventeenHundredMachinesThroughPartitionsAndRestarts() {
+    int controllers = 7;
+    SimulatedCluster cluster =
+        new SimulatedCluster(11, deployment(controllers, 1_700, List.of("a", "b", "c")));
+    Random random = new Random(11);
     for (int i = 0; i < 1_500; i++) {
-      int at = i < 400 ? 3_000 : 3_000 + r.nextInt(200_000);
-      w.clock.after(
-          at,
+      int atMs = i < 400 ? 3_000 : 3_000 + random.nextInt(200_000);
+      cluster.clock.after(
+          atMs,
           () -> {
-            boolean pressing = r.nextInt(3) == 0;
-            int tasks = r.nextInt(50) == 0 ? 500 : 1 + r.nextInt(30);
-            w.submitAndPoll(
+            boolean urgent = random.nextInt(3) == 0;
+            int tasks = random.nextInt(50) == 0 ? 500 : 1 + random.nextInt(30);
+            cluster.submitAndPoll(
                 DayEndCriteriaTest.job(
-                    w,
-                    pressing ? "urgent" : "plain",
-                    pressing ? Priority.HIGH : Priority.NORMAL,
+                    cluster,
+                    urgent ? "urgent" : "plain",
+                    urgent ? Priority.HIGH : Priority.NORMAL,
                     tasks,
-                    1 + r.nextInt(4),
-                    5 + r.nextInt(40),
-                    60 + r.nextInt(120)));
+                    1 + random.nextInt(4),
+                    5 + random.nextInt(40),
+                    60 + random.nextInt(120)));
           });
     }
-    List<SimWorker> silent = new ArrayList<>();
-    w.clock.after(
+    List<SimWorker> partitioned = new ArrayList<>();
+    cluster.clock.after(
         90_000,
         () -> {
-          List<SimWorker> all = w.cloud.workers();
-          assertTrue(all.size() > 500, all.size() + " machines are up");
-          silent.addAll(all.stream().filter(x -> r.nextInt(4) == 0).toList());
-          cut(w, silent, nodes, true);
+          List<SimWorker> workers = cluster.cloud.workers();
+          assertTrue(workers.size() > 500, workers.size() + " machines are up");
+          partitioned.addAll(workers.stream().filter(worker -> random.nextInt(4) == 0).toList());
+          setPartitioned(cluster, partitioned, controllers, true);
         });
-    w.clock.after(
+    cluster.clock.after(
         85_000,
         () -> {
           // Copies of reports come late, requests are executed late, their answers lost.
-          w.network.setDelayedCopyShare(0.05);
-          w.network.setLateRequestShare(0.02);
+          cluster.network.setDelayedCopyShare(0.05);
+          cluster.network.setLateRequestShare(0.02);
         });
-    w.clock.after(95_000, () -> w.crash(leaderOf(w), 3_000));
-    w.clock.after(130_000, () -> cut(w, silent, nodes, false));
-    w.clock.after(150_000, () -> IntStream.range(0, nodes).forEach(n -> w.crash(n, 100 + 400 * n)));
-    w.clock.after(
+    cluster.clock.after(95_000, () -> cluster.crash(requireLeader(cluster), 3_000));
+    cluster.clock.after(130_000, () -> setPartitioned(cluster, partitioned, controllers, false));
+    cluster.clock.after(
+        150_000,
+        () -> IntStream.range(0, controllers).forEach(i -> cluster.crash(i, 100 + 400 * i)));
+    cluster.clock.after(
         160_000,
         () -> {
-          w.network.setDelayedCopyShare(0);
-          w.network.setLateRequestShare(0);
-          w.faultsEnded();
+          cluster.network.setDelayedCopyShare(0);
+          cluster.network.setLateRequestShare(0);
+          cluster.faultsEnded();
         });
-    w.clock.runUntil(360_000);
-    w.checker.endOfDay();
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(0, w.checker.neverBegun());
-    assertTrue(w.checker.jobsDone() >= 1_490, w.checker.jobsDone() + " jobs done");
+    cluster.clock.runUntil(360_000);
+    cluster.checker.endOfDay();
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(0, cluster.checker.neverBegun());
+    assertTrue(cluster.checker.jobsDone() >= 1_490, cluster.checker.jobsDone() + " jobs done");
     assertTrue(
-        w.state.requestLimiter.refusedCount() < 0.02 * w.state.requestLimiter.requestCount(),
+        cluster.state.requestLimiter.refusedCount()
+            < 0.02 * cluster.state.requestLimiter.requestCount(),
         "state requests");
     assertTrue(
-        w.state.changeLimiter.refusedCount() < 0.02 * w.state.changeLimiter.requestCount(),
+        cluster.state.changeLimiter.refusedCount()
+            < 0.02 * cluster.state.changeLimiter.requestCount(),
         "state changes");
-    assertEquals(0, w.cloud.requestLimiter.refusedCount(), "cloud calls stay below their rate");
+    assertEquals(
+        0, cluster.cloud.requestLimiter.refusedCount(), "cloud calls stay below their rate");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aFleetThatComesUpAtOnceIsNoReasonToGiveTheLeadUp(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, site(7, 400, List.of("a"), 8, 300));
+  void leaderIsKeptWhenAllMachinesStartAtOnce(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, deployment(7, 400, List.of("a"), 8, 300));
     // They ask any controller first, and most of them ask others before they find the leader.
-    w.cloud.setBootTimeFactor("small", 0.05);
-    w.cloud.setBootTimeFactor("large", 0.05);
-    w.clock.after(
+    cluster.cloud.setBootTimeFactor("small", 0.05);
+    cluster.cloud.setBootTimeFactor("large", 0.05);
+    cluster.clock.after(
         3_000,
-        () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 200, 4, 30, 0)));
+        () ->
+            cluster.submitAndPoll(
+                DayEndCriteriaTest.job(cluster, "a", Priority.NORMAL, 200, 4, 30, 0)));
     int[] first = new int[1];
-    w.clock.after(8_000, () -> first[0] = leaderOf(w));
-    w.clock.runUntil(120_000);
-    assertEquals(first[0], leaderOf(w), "the first leader leads on");
-    assertEquals(1, w.termCount());
-    assertEquals(1, w.checker.jobsDone());
+    cluster.clock.after(8_000, () -> first[0] = requireLeader(cluster));
+    cluster.clock.runUntil(120_000);
+    assertEquals(first[0], requireLeader(cluster), "the first leader leads on");
+    assertEquals(1, cluster.termCount());
+    assertEquals(1, cluster.checker.jobsDone());
   }
 
   @Test
-  void aTypeThatTheCloudHasGivenUpDoesNotStopOtherRentals() {
-    SimulatedCluster w = new SimulatedCluster(9, site(3, 60, List.of("a")));
-    w.cloud.rejectType("large");
+  void rejectedMachineTypeDoesNotStopOtherProvisioning() {
+    SimulatedCluster cluster = new SimulatedCluster(9, deployment(3, 60, List.of("a")));
+    cluster.cloud.rejectType("large");
     for (int i = 0; i < 20; i++) {
-      w.clock.after(
+      cluster.clock.after(
           3_000 + i * 3_000,
-          () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.NORMAL, 20, 2, 10, 60)));
+          () ->
+              cluster.submitAndPoll(
+                  DayEndCriteriaTest.job(cluster, "a", Priority.NORMAL, 20, 2, 10, 60)));
     }
-    w.clock.runUntil(200_000);
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(20, w.checker.jobsDone());
+    cluster.clock.runUntil(200_000);
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(20, cluster.checker.jobsDone());
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whereMachinesOfATypeNeverComeOthersAreRentedAndThoseReturned(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, site(3, 200, List.of("a")));
+  void machinesThatNeverBootAreReplacedByAnotherTypeAndTerminated(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, deployment(3, 200, List.of("a")));
     for (int i = 0; i < 60; i++) {
-      w.clock.after(
+      cluster.clock.after(
           3_000 + i * 4_000,
-          () -> w.submitAndPoll(DayEndCriteriaTest.job(w, "a", Priority.HIGH, 20, 2, 10, 60)));
+          () ->
+              cluster.submitAndPoll(
+                  DayEndCriteriaTest.job(cluster, "a", Priority.HIGH, 20, 2, 10, 60)));
     }
-    w.cloud.setBootTimeFactor("small", 0);
-    w.cloud.setBootTimeFactor("large", 1);
-    w.clock.after(150_000, () -> w.cloud.setBootTimeFactor("small", 1));
-    w.clock.runUntil(400_000);
-    w.checker.endOfDay();
-    assertEquals(List.of(), w.checker.broken());
-    assertEquals(60, w.checker.jobsDone());
+    cluster.cloud.setBootTimeFactor("small", 0);
+    cluster.cloud.setBootTimeFactor("large", 1);
+    cluster.clock.after(150_000, () -> cluster.cloud.setBootTimeFactor("small", 1));
+    cluster.clock.runUntil(400_000);
+    cluster.checker.endOfDay();
+    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(60, cluster.checker.jobsDone());
     assertTrue(
-        w.cloud.provisionedCount() <= 160,
-        w.cloud.provisionedCount() + " machines were rented in all");
+        cluster.cloud.provisionedCount() <= 160,
+        cluster.cloud.provisionedCount() + " machines were rented in all");
     assertEquals(
-        0, w.cloud.machineCount() - w.cloud.workers().size(), "none is left that never came");
+        0,
+        cluster.cloud.machineCount() - cluster.cloud.workers().size(),
+        "none is left that never came");
   }
 
-  private static void cut(SimulatedCluster w, List<SimWorker> workers, int nodes, boolean now) {
-    for (SimWorker x : workers) {
-      IntStream.range(0, nodes).forEach(i -> w.network.partition("n" + i, x.host(), now));
+  private static void setPartitioned(
+      SimulatedCluster cluster, List<SimWorker> workers, int controllers, boolean active) {
+    for (SimWorker worker : workers) {
+      IntStream.range(0, controllers)
+          .forEach(i -> cluster.network.partition("n" + i, worker.host(), active));
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/IdleCapacityCheck.java
+++ b/src/test/java/org/ploverspindle/sim/IdleCapacityCheck.java
@@ -22,25 +22,25 @@
  */
 final class IdleCapacityCheck {
   /** No job waits so long beside a machine that has room for it. */
-  private static final long WAIT_MS = 90_000;
+  private static final long MAX_WAIT_MS = 90_000;
 
   /** A resource without a limit. */
   private static final double UNLIMITED = 1e12;
 
   /** A machine that is up, and whether it can still do what is asked of it. */
-  private record Offer(Place place, Resources size, BooleanSupplier sound) {}
+  private record Machine(Place place, Resources size, BooleanSupplier usable) {}
 
   private final SimClock clock;
   private final Settings settings;
-  private final Map<String, Offer> offers = new LinkedHashMap<>();
+  private final Map<String, Machine> machines = new LinkedHashMap<>();
 
   IdleCapacityCheck(SimClock clock, Settings settings) {
     this.clock = clock;
     this.settings = settings;
   }
 
-  void machineUp(Place place, Resources size, BooleanSupplier sound) {
-    offers.put(place.host(), new Offer(place, size, sound));
+  void machineUp(Place place, Resources size, BooleanSupplier usable) {
+    machines.put(place.host(), new Machine(place, size, usable));
   }
 
   void check(
@@ -51,45 +51,46 @@
     Map<String, Resources> usedByTeam = new HashMap<>();
     for (ObservedJob job : jobs) {
       Resources task = job.spec.perTask();
-      for (Place place : job.on.values()) {
+      for (Place place : job.placesByTask.values()) {
         used.merge(place.host(), task, Resources::plus);
         usedByTeam.merge(job.spec.team(), task, Resources::plus);
       }
     }
-    List<Offer> sound = offers.values().stream().filter(o -> o.sound().getAsBoolean()).toList();
+    List<Machine> usable =
+        machines.values().stream().filter(machine -> machine.usable().getAsBoolean()).toList();
     for (ObservedJob job : jobs) {
       boolean waits =
           job.acceptedMs <= clock.nowMs()
               && mayRun.test(job)
-              && job.finalWord.isEmpty()
-              && job.done.size() + job.on.size() < job.spec.tasks();
+              && job.finalStatus.isEmpty()
+              && job.completedTasks.size() + job.placesByTask.size() < job.spec.tasks();
       if (!waits || !isBelowLimit(job.spec, usedByTeam)) {
-        job.roomSinceMs.clear();
+        job.roomSinceMsByHost.clear();
         continue;
       }
-      noteRoom(job, sound, used);
+      updateRoom(job, usable, used);
       reportIdleRoom(job, report);
     }
   }
 
-  private void noteRoom(ObservedJob job, List<Offer> sound, Map<String, Resources> used) {
+  private void updateRoom(ObservedJob job, List<Machine> usable, Map<String, Resources> used) {
     Set<String> withRoom = new HashSet<>();
-    for (Offer offer : sound) {
-      String host = offer.place().host();
-      Resources left = offer.size().minus(used.getOrDefault(host, Resources.NONE));
-      if (job.mayBeOn(offer.place()) && job.spec.perTask().fitsIn(left)) {
+    for (Machine machine : usable) {
+      String host = machine.place().host();
+      Resources free = machine.size().minus(used.getOrDefault(host, Resources.NONE));
+      if (job.allowsPlace(machine.place()) && job.spec.perTask().fitsIn(free)) {
         withRoom.add(host);
-        job.roomSinceMs.putIfAbsent(host, clock.nowMs());
+        job.roomSinceMsByHost.putIfAbsent(host, clock.nowMs());
       }
     }
-    job.roomSinceMs.keySet().retainAll(withRoom);
+    job.roomSinceMsByHost.keySet().retainAll(withRoom);
   }
 
   private void reportIdleRoom(ObservedJob job, BiConsumer<Rule, String> report) {
-    for (Map.Entry<String, Long> room : job.roomSinceMs.entrySet()) {
-      if (clock.nowMs() - room.getValue() > WAIT_MS) {
+    for (Map.Entry<String, Long> room : job.roomSinceMsByHost.entrySet()) {
+      if (clock.nowMs() - room.getValue() > MAX_WAIT_MS) {
         report.accept(Rule.IDLE_ROOM, job.spec.uid() + " waits beside " + room.getKey());
-        job.roomSinceMs.clear();
+        job.roomSinceMsByHost.clear();
         return;
       }
     }
@@ -97,12 +98,12 @@
 
   private boolean isBelowLimit(JobSpec spec, Map<String, Resources> usedByTeam) {
     Settings.Team team = settings.team(spec.team()).orElseThrow();
-    Resources then = usedByTeam.getOrDefault(spec.team(), Resources.NONE).plus(spec.perTask());
+    Resources withTask = usedByTeam.getOrDefault(spec.team(), Resources.NONE).plus(spec.perTask());
     Resources limit =
         Resources.offered(
             team.maxCores() > 0 ? team.maxCores() : UNLIMITED,
             team.maxAccelerators() > 0 ? team.maxAccelerators() : UNLIMITED,
             UNLIMITED);
-    return then.fitsIn(limit);
+    return withTask.fitsIn(limit);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/InvalidRequests.java
+++ b/src/test/java/org/ploverspindle/sim/InvalidRequests.java
@@ -14,7 +14,7 @@
  */
 final class InvalidRequests {
   /** None of these may be null, so none may be left out. */
-  private static final List<String> NEEDED =
+  private static final List<String> REQUIRED_FIELDS =
       List.of(
           "jobclass",
           "owner",
@@ -33,124 +33,125 @@
           "save_every_s",
           "save_cost_s");
 
-  private static final int SPACING_MS = 250;
+  private static final int MEAN_INTERVAL_MS = 250;
 
-  private final SimulatedCluster w;
+  private final SimulatedCluster cluster;
   private final Random random;
-  private boolean on;
-  private int counter;
+  private boolean active;
+  private int uidCount;
 
-  InvalidRequests(SimulatedCluster world) {
-    this.w = world;
+  InvalidRequests(SimulatedCluster cluster) {
+    this.cluster = cluster;
     this.random = new Random(7);
   }
 
-  void play(boolean now) {
-    if (now && !on) {
-      w.clock.after(SPACING_MS, this::next);
+  void play(boolean enable) {
+    if (enable && !active) {
+      cluster.clock.after(MEAN_INTERVAL_MS, this::sendAndScheduleNext);
     }
-    on = now;
+    active = enable;
   }
 
-  private void next() {
-    if (!on) {
+  private void sendAndScheduleNext() {
+    if (!active) {
       return;
     }
-    one();
-    w.clock.after(random.nextInt(2 * SPACING_MS), this::next);
+    sendRandomRequest();
+    cluster.clock.after(random.nextInt(2 * MEAN_INTERVAL_MS), this::sendAndScheduleNext);
   }
 
   private String freshUid() {
-    return String.format(Locale.ROOT, "run-%06d", 800_000 + counter++);
+    return String.format(Locale.ROOT, "run-%06d", 800_000 + uidCount++);
   }
 
-  private void atAllNodes(IntConsumer request) {
-    for (int i = 0; i < w.controllerCount; i++) {
+  private void atAllControllers(IntConsumer request) {
+    for (int i = 0; i < cluster.controllerCount; i++) {
       request.accept(i);
     }
   }
 
-  private ObjectNode good(String uid) {
+  private ObjectNode validBody(String uid) {
     byte[] body = SimulatedCluster.encode(InvariantsTest.job(uid, random));
     return Cbor.readMap(body).orElseThrow();
   }
 
   /** What is wrong with a submission. */
-  private record Mistake(byte[] body, int status, String why) {}
+  private record InvalidSubmission(byte[] body, int status, String reason) {}
 
-  private Mistake lacking(String uid) {
-    String field = NEEDED.get(random.nextInt(NEEDED.size()));
-    ObjectNode body = good(uid);
+  private InvalidSubmission withoutRequiredField(String uid) {
+    String field = REQUIRED_FIELDS.get(random.nextInt(REQUIRED_FIELDS.size()));
+    ObjectNode body = validBody(uid);
     body.remove(field);
-    return new Mistake(Cbor.write(body), 400, "lacks " + field);
+    return new InvalidSubmission(Cbor.write(body), 400, "lacks " + field);
   }
 
-  private Mistake hopeless(String uid) {
-    ObjectNode body = good(uid);
-    int which = random.nextInt(5);
-    switch (which) {
+  private InvalidSubmission unsatisfiable(String uid) {
+    ObjectNode body = validBody(uid);
+    int demand = random.nextInt(5);
+    switch (demand) {
       case 0 -> body.put("cores", 17.0);
       case 1 -> body.put("owner", "nobody");
       case 2 -> body.putArray("flavours").add("huge");
       case 3 -> body.put("mem_gb", 65.0);
       default -> body.put("site", "nowhere");
     }
-    return new Mistake(Cbor.write(body), 422, "can never run, " + which);
+    return new InvalidSubmission(Cbor.write(body), 422, "can never run, " + demand);
   }
 
-  private Mistake mistake(String uid) {
-    return random.nextBoolean() ? lacking(uid) : hopeless(uid);
+  private InvalidSubmission randomInvalidSubmission(String uid) {
+    return random.nextBoolean() ? withoutRequiredField(uid) : unsatisfiable(uid);
   }
 
-  private String any(List<String> uids) {
+  private String randomOrEmpty(List<String> uids) {
     return uids.isEmpty() ? "" : uids.get(random.nextInt(uids.size()));
   }
 
-  private void one() {
-    String unfinished = any(w.checker.unfinished());
-    String done = any(w.checker.toldDone());
+  private void sendRandomRequest() {
+    String unfinished = randomOrEmpty(cluster.checker.unfinished());
+    String done = randomOrEmpty(cluster.checker.toldDone());
     String known = random.nextBoolean() || done.isEmpty() ? unfinished : done;
     switch (random.nextInt(8)) {
-      case 0 -> repeat(unfinished);
-      case 1 -> repeat(done);
+      case 0 -> resubmit(unfinished);
+      case 1 -> resubmit(done);
       case 2 -> {
         if (!done.isEmpty()) {
-          atAllNodes(i -> w.cancelAt(i, done));
+          atAllControllers(i -> cluster.cancelAt(i, done));
         }
       }
-      case 3, 4 -> refused(freshUid());
+      case 3, 4 -> submitInvalidThenQuery(freshUid());
       case 5 -> {
         // The id counts, whatever else the body says.
         if (!known.isEmpty()) {
-          byte[] body = mistake(known).body();
-          atAllNodes(i -> w.submitAt(i, known, body));
+          byte[] body = randomInvalidSubmission(known).body();
+          atAllControllers(i -> cluster.submitAt(i, known, body));
         }
       }
       case 6 -> {
         String uid = freshUid();
-        w.checker.neverAcceptable(uid, 404, "only asked about");
-        atAllNodes(i -> w.cancelAt(i, uid));
-        atAllNodes(i -> w.queryAt(i, uid));
+        cluster.checker.expectRefusal(uid, 404, "only asked about");
+        atAllControllers(i -> cluster.cancelAt(i, uid));
+        atAllControllers(i -> cluster.queryAt(i, uid));
       }
       default -> {
         String uid = freshUid();
-        w.checker.neverAcceptable(uid, 400, "not a map");
-        atAllNodes(i -> w.submitAt(i, uid, uid.getBytes(StandardCharsets.UTF_8)));
+        cluster.checker.expectRefusal(uid, 400, "not a map");
+        atAllControllers(i -> cluster.submitAt(i, uid, uid.getBytes(StandardCharsets.UTF_8)));
       }
     }
   }
 
-  private void repeat(String uid) {
+  private void resubmit(String uid) {
     if (!uid.isEmpty()) {
-      atAllNodes(i -> w.submitAt(i, uid, SimulatedCluster.encode(w.spec(uid))));
+      atAllControllers(i -> cluster.submitAt(i, uid, SimulatedCluster.encode(cluster.spec(uid))));
     }
   }
 
   /** Whoever is refused asks all the same: nobody may know such a job. */
-  private void refused(String uid) {
-    Mistake m = mistake(uid);
-    w.checker.neverAcceptable(uid, m.status(), m.why());
-    atAllNodes(i -> w.submitAt(i, uid, m.body()));
-    w.clock.after(random.nextInt(6_000), () -> atAllNodes(i -> w.queryAt(i, uid)));
+  private void submitInvalidThenQuery(String uid) {
+    InvalidSubmission submission = randomInvalidSubmission(uid);
+    cluster.checker.expectRefusal(uid, submission.status(), submission.reason());
+    atAllControllers(i -> cluster.submitAt(i, uid, submission.body()));
+    cluster.clock.after(
+        random.nextInt(6_000), () -> atAllControllers(i -> cluster.queryAt(i, uid)));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/InvariantChecker.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantChecker.java
@@ -34,7 +34,7 @@
     ORPHANED
   }
 
-  record Broken(Rule rule, long atMs, String what) {}
+  record Violation(Rule rule, long atMs, String description) {}
 
   record Place(String host, String type, String zone, boolean spot) {}
 
@@ -43,9 +43,9 @@
    * before the word was in flight, and is no fault as long as it is gone in time; one that was
    * ordered after it is what the protocol forbids.
    */
-  record LateStart(String uid, int task, long orderedAfterMs, long startedAfterMs) {
-    boolean orderedAfterTheWord() {
-      return orderedAfterMs > 0;
+  record LateStart(String uid, int task, long commandSentAfterMs, long startedAfterMs) {
+    boolean isCommandSentAfterConfirmation() {
+      return commandSentAfterMs > 0;
     }
   }
 
@@ -56,18 +56,18 @@
   private final Settings settings;
   private final ObservedJobs jobs = new ObservedJobs();
 
-  private final List<Broken> broken = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
   private final List<LateStart> lateStarts = new ArrayList<>();
   private final IdleCapacityCheck idleCapacity;
   private final UnknownJobAnswers unknownJobs = new UnknownJobAnswers(this::report);
   private int starts;
   private int cancelledWhileOn;
-  private long troublesOverMs = -1;
-  private Consumer<String> lastTaskEnded = uid -> {};
-  private Consumer<Start> taskStarted = start -> {};
+  private long faultsEndedMs = -1;
+  private Consumer<String> lastTaskListener = uid -> {};
+  private Consumer<Start> startListener = start -> {};
 
   /** A job about which nothing is answered for this long once all is well counts as forgotten. */
-  private static final long UNANSWERED_MS = 75_000;
+  private static final long MAX_UNANSWERED_MS = 75_000;
 
   InvariantChecker(SimClock clock, Settings settings) {
     this.clock = clock;
@@ -75,8 +75,8 @@
     this.idleCapacity = new IdleCapacityCheck(clock, settings);
   }
 
-  List<Broken> broken() {
-    return broken;
+  List<Violation> broken() {
+    return violations;
   }
 
   int starts() {
@@ -90,24 +90,24 @@
   /**
    * A machine is up.
    *
-   * @param sound whether it can still do what is asked of it
+   * @param usable whether it can still do what is asked of it
    */
-  void machineUp(Place place, Resources size, BooleanSupplier sound) {
-    idleCapacity.machineUp(place, size, sound);
+  void machineUp(Place place, Resources size, BooleanSupplier usable) {
+    idleCapacity.machineUp(place, size, usable);
   }
 
   long jobsDone() {
-    return jobs.all().stream().filter(j -> j.finalWord.equals("done")).count();
+    return jobs.all().stream().filter(job -> job.finalStatus.equals("done")).count();
   }
 
-  private void report(Rule rule, String what) {
-    broken.add(new Broken(rule, clock.nowMs(), what));
+  private void report(Rule rule, String description) {
+    violations.add(new Violation(rule, clock.nowMs(), description));
   }
 
   void submitted(JobSpec spec) {
-    ObservedJob seen = new ObservedJob(spec);
-    seen.submittedMs = clock.nowMs();
-    jobs.add(seen);
+    ObservedJob job = new ObservedJob(spec);
+    job.submittedMs = clock.nowMs();
+    jobs.add(job);
   }
 
   /** A user's own submission of the job, which names only jobs known as accepted, is answered. */
@@ -118,34 +118,34 @@
   }
 
   /** Nobody submits a job of this id in a form that can be accepted: it is to be refused so. */
-  void neverAcceptable(String uid, int status, String why) {
-    unknownJobs.refuse(uid, status, why);
+  void expectRefusal(String uid, int status, String reason) {
+    unknownJobs.expectRefusal(uid, status, reason);
   }
 
   void troublesAreOver() {
-    troublesOverMs = clock.nowMs();
-    jobs.all().forEach(j -> j.askedSinceMs = -1);
+    faultsEndedMs = clock.nowMs();
+    jobs.all().forEach(job -> job.unansweredSinceMs = -1);
   }
 
   /** A user asks about a job; the question may go unanswered. */
   void asked(String uid) {
     ObservedJob job = jobs.get(uid);
-    if (job != null && job.askedSinceMs < 0) {
-      job.askedSinceMs = clock.nowMs();
+    if (job != null && job.unansweredSinceMs < 0) {
+      job.unansweredSinceMs = clock.nowMs();
     }
   }
 
-  private void lookForUnanswered() {
-    if (troublesOverMs < 0) {
+  private void checkUnansweredPolls() {
+    if (faultsEndedMs < 0) {
       return;
     }
     for (ObservedJob job : jobs.all()) {
       if (job.acceptedMs <= clock.nowMs()
-          && !job.cancelAsked
-          && job.askedSinceMs >= 0
-          && clock.nowMs() - Math.max(troublesOverMs, job.askedSinceMs) > UNANSWERED_MS) {
+          && !job.cancellationRequested
+          && job.unansweredSinceMs >= 0
+          && clock.nowMs() - Math.max(faultsEndedMs, job.unansweredSinceMs) > MAX_UNANSWERED_MS) {
         report(Rule.UNANSWERED, job.spec.uid());
-        job.askedSinceMs = -1;
+        job.unansweredSinceMs = -1;
       }
     }
   }
@@ -165,7 +165,7 @@
 
   /** When its last task completed; far off until then. */
   long doneMs(String uid) {
-    return jobs.get(uid).doneMs;
+    return jobs.get(uid).completedMs;
   }
 
   boolean isAccepted(String uid) {
@@ -174,21 +174,21 @@
 
   /** The last word on it, once there is one: done or aborted. */
   String finalWord(String uid) {
-    return jobs.get(uid).finalWord;
+    return jobs.get(uid).finalStatus;
   }
 
   /** When the job's first task began, or -1. */
   long begunMs(String uid) {
-    return jobs.get(uid).begunMs;
+    return jobs.get(uid).firstStartMs;
   }
 
   /** How many of its tasks have completed. */
   int tasksDone(String uid) {
-    return jobs.get(uid).done.size();
+    return jobs.get(uid).completedTasks.size();
   }
 
   boolean isDone(String uid) {
-    return jobs.get(uid).allDone();
+    return jobs.get(uid).isComplete();
   }
 
   /** Accepted jobs that nobody cancelled and that have not begun. */
@@ -196,26 +196,26 @@
     return jobs.neverBegun();
   }
 
-  private boolean isToldLongAgo(ObservedJob cancelled) {
-    return cancelled.cancelToldMs >= 0
-        && clock.nowMs() - cancelled.cancelToldMs > settings.workers().cancelS() * 1000;
+  private boolean isCancellationOverdue(ObservedJob cancelled) {
+    return cancelled.cancellationConfirmedMs >= 0
+        && clock.nowMs() - cancelled.cancellationConfirmedMs > settings.workers().cancelS() * 1000;
   }
 
   void cancelAsked(String uid) {
     ObservedJob job = jobs.get(uid);
     if (job != null) {
-      job.cancelAsked = true;
+      job.cancellationRequested = true;
     }
   }
 
   /** To be run whenever a task begins to be on a machine. */
-  void whenATaskStarts(Consumer<Start> then) {
-    taskStarted = then;
+  void whenATaskStarts(Consumer<Start> listener) {
+    startListener = listener;
   }
 
   /** To be run whenever the last task of a job has completed. */
-  void whenALastTaskEnds(Consumer<String> then) {
-    lastTaskEnded = then;
+  void whenALastTaskEnds(Consumer<String> listener) {
+    lastTaskListener = listener;
   }
 
   /** Jobs of which something is on a machine, and that nobody has asked to cancel. */
@@ -235,24 +235,25 @@
 
   /** The machines that tasks of the job are on. */
   List<String> hostsOf(String uid) {
-    return jobs.get(uid).on.values().stream().map(Place::host).distinct().toList();
+    return jobs.get(uid).placesByTask.values().stream().map(Place::host).distinct().toList();
   }
 
   /** A task that was on a machine goes on after the machine stood still. */
   void goesOn(String uid, int task, Place place) {
     ObservedJob job = jobs.get(uid);
-    Place other = job.on.putIfAbsent(task, place);
-    if (other != null && !other.equals(place)) {
-      report(Rule.RAN_TWICE, uid + "/" + task + " goes on on " + place + " while on " + other);
+    Place otherPlace = job.placesByTask.putIfAbsent(task, place);
+    if (otherPlace != null && !otherPlace.equals(place)) {
+      report(Rule.RAN_TWICE, uid + "/" + task + " goes on on " + place + " while on " + otherPlace);
     }
-    if (isCancelledTooLong(job)) {
+    if (isStopOverdue(job)) {
       report(Rule.RAN_CANCELLED, uid + "/" + task + " goes on on " + place);
     }
   }
 
   /** It, or a job that it needs. */
-  private boolean isCancelledTooLong(ObservedJob job) {
-    return isToldLongAgo(job) || jobs.neededBy(job).stream().anyMatch(this::isToldLongAgo);
+  private boolean isStopOverdue(ObservedJob job) {
+    return isCancellationOverdue(job)
+        || jobs.dependenciesOf(job).stream().anyMatch(this::isCancellationOverdue);
   }
 
   /** A task begins to be on a machine, by an order that was given just now. */
@@ -263,42 +264,43 @@
   /**
    * A task begins to be on a machine: it has its image.
    *
-   * @param orderedMs when a controller gave the order that it starts by
+   * @param commandSentMs when a controller gave the order that it starts by
    */
-  void starts(String uid, int task, Place place, long orderedMs) {
+  void starts(String uid, int task, Place place, long commandSentMs) {
     starts++;
-    taskStarted.accept(new Start(uid, task, orderedMs, clock.nowMs()));
+    startListener.accept(new Start(uid, task, commandSentMs, clock.nowMs()));
     ObservedJob job = jobs.get(uid);
-    job.begunMs = job.begunMs < 0 ? clock.nowMs() : job.begunMs;
-    Place other = job.on.get(task);
-    if (other != null) {
-      report(Rule.RAN_TWICE, uid + "/" + task + " starts on " + place + " while on " + other);
+    job.firstStartMs = job.firstStartMs < 0 ? clock.nowMs() : job.firstStartMs;
+    Place otherPlace = job.placesByTask.get(task);
+    if (otherPlace != null) {
+      report(Rule.RAN_TWICE, uid + "/" + task + " starts on " + place + " while on " + otherPlace);
     }
-    if (!jobs.neededBy(job).stream().allMatch(ObservedJob::allDone)) {
+    if (!jobs.dependenciesOf(job).stream().allMatch(ObservedJob::isComplete)) {
       report(Rule.TOO_EARLY, uid + "/" + task + " starts before what it needs is done");
     }
-    job.roomSinceMs.clear();
-    if (!job.mayBeOn(place)) {
+    job.roomSinceMsByHost.clear();
+    if (!job.allowsPlace(place)) {
       report(Rule.WRONG_PLACE, uid + "/" + task + " on " + place);
     }
-    job.on.put(task, place);
-    if (job.cancelToldMs >= 0) {
-      long told = job.cancelToldMs;
-      lateStarts.add(new LateStart(uid, task, orderedMs - told, clock.nowMs() - told));
+    job.placesByTask.put(task, place);
+    if (job.cancellationConfirmedMs >= 0) {
+      long confirmedMs = job.cancellationConfirmedMs;
+      lateStarts.add(
+          new LateStart(uid, task, commandSentMs - confirmedMs, clock.nowMs() - confirmedMs));
     }
-    if (isCancelledTooLong(job)) {
+    if (isStopOverdue(job)) {
       report(Rule.RAN_CANCELLED, uid + "/" + task + " starts");
     }
     checkLimit(job.spec.team());
   }
 
   private void checkLimit(String team) {
-    Settings.Team t = settings.team(team).orElseThrow();
-    if (t.maxCores() <= 0) {
+    Settings.Team teamSettings = settings.team(team).orElseThrow();
+    if (teamSettings.maxCores() <= 0) {
       return;
     }
     double cores = coresInUse(team);
-    if (cores > t.maxCores() + 1e-6) {
+    if (cores > teamSettings.maxCores() + 1e-6) {
       report(Rule.QUOTA, team + " uses " + cores);
     }
   }
@@ -311,28 +313,28 @@
   void leaves(String uid, int task, Place place) {
     ObservedJob job = jobs.get(uid);
     if (job != null) {
-      job.on.remove(task, place);
+      job.placesByTask.remove(task, place);
     }
   }
 
   void completes(String uid, int task) {
     ObservedJob job = jobs.get(uid);
-    if (job.done.add(task) && job.allDone()) {
-      job.doneMs = Math.min(job.doneMs, clock.nowMs());
-      lastTaskEnded.accept(uid);
+    if (job.completedTasks.add(task) && job.isComplete()) {
+      job.completedMs = Math.min(job.completedMs, clock.nowMs());
+      lastTaskListener.accept(uid);
     }
   }
 
   /** Looked at now and then: whatever is on a machine too long after its cancellation. */
   void look() {
-    lookForUnanswered();
-    if (troublesOverMs >= 0) {
+    checkUnansweredPolls();
+    if (faultsEndedMs >= 0) {
       idleCapacity.check(jobs.all(), jobs::mayRun, this::report);
     }
     for (ObservedJob job : jobs.all()) {
-      if (!job.on.isEmpty() && !job.runsOnReported && isCancelledTooLong(job)) {
-        report(Rule.RAN_CANCELLED, job.spec.uid() + " is still on " + job.on.values());
-        job.runsOnReported = true;
+      if (!job.placesByTask.isEmpty() && !job.overdueReported && isStopOverdue(job)) {
+        report(Rule.RAN_CANCELLED, job.spec.uid() + " is still on " + job.placesByTask.values());
+        job.overdueReported = true;
       }
     }
   }
@@ -352,41 +354,42 @@
       report(Rule.FORGOTTEN, uid + " is answered " + status);
     }
     if (status == 200 || status == 201) {
-      job.askedSinceMs = -1;
+      job.unansweredSinceMs = -1;
       job.acceptedMs = Math.min(job.acceptedMs, clock.nowMs());
       checkState(job, state, askedMs);
-      noteState(job, state);
+      recordState(job, state);
     }
   }
 
   private void checkState(ObservedJob job, String state, long askedMs) {
     String uid = job.spec.uid();
-    if ((askedMs >= job.finalMs || isFinal(state) && !job.finalWord.isEmpty())
-        && !job.finalWord.equals(state)) {
-      report(Rule.WENT_BACK, uid + " was " + job.finalWord + " and is " + state);
+    if ((askedMs >= job.finalStatusMs || isFinal(state) && !job.finalStatus.isEmpty())
+        && !job.finalStatus.equals(state)) {
+      report(Rule.WENT_BACK, uid + " was " + job.finalStatus + " and is " + state);
     }
-    if (!isFinal(state) && jobs.neededBy(job).stream().anyMatch(this::isToldLongAgo)) {
+    if (!isFinal(state)
+        && jobs.dependenciesOf(job).stream().anyMatch(this::isCancellationOverdue)) {
       report(
           Rule.ORPHANED, uid + " is called " + state + " after a job that it needs is cancelled");
     }
     if (state.equals("aborted")
-        && !job.cancelAsked
-        && jobs.neededBy(job).stream().noneMatch(ObservedJob::isCancelled)) {
+        && !job.cancellationRequested
+        && jobs.dependenciesOf(job).stream().noneMatch(ObservedJob::isCancelled)) {
       report(Rule.WENT_BACK, uid + " is called cancelled, which nobody asked for");
     }
-    if (state.equals("done") && job.done.size() < job.spec.tasks()) {
-      report(Rule.NOT_DONE, uid + " with " + job.done.size() + " of " + job.spec.tasks());
+    if (state.equals("done") && job.completedTasks.size() < job.spec.tasks()) {
+      report(Rule.NOT_DONE, uid + " with " + job.completedTasks.size() + " of " + job.spec.tasks());
     }
   }
 
-  private void noteState(ObservedJob job, String state) {
+  private void recordState(ObservedJob job, String state) {
     if (isFinal(state)) {
-      job.finalWord = state;
-      job.finalMs = Math.min(job.finalMs, clock.nowMs());
+      job.finalStatus = state;
+      job.finalStatusMs = Math.min(job.finalStatusMs, clock.nowMs());
     }
-    if (state.equals("aborted") && job.cancelToldMs < 0) {
-      job.cancelToldMs = clock.nowMs();
-      cancelledWhileOn += job.on.isEmpty() ? 0 : 1;
+    if (state.equals("aborted") && job.cancellationConfirmedMs < 0) {
+      job.cancellationConfirmedMs = clock.nowMs();
+      cancelledWhileOn += job.placesByTask.isEmpty() ? 0 : 1;
     }
   }
 
--- a/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
@@ -11,9 +11,9 @@
 
 /** The checker must report each rule when it is broken, and nothing when none is. */
 class InvariantCheckerTest {
-  private static final InvariantChecker.Place A =
+  private static final InvariantChecker.Place ZONE_A =
       new InvariantChecker.Place("i-1", "small", "a", false);
-  private static final InvariantChecker.Place B =
+  private static final InvariantChecker.Place ZONE_B =
       new InvariantChecker.Place("i-2", "small", "b", false);
 
   private final SimClock clock = new SimClock();
@@ -35,115 +35,115 @@
         .build();
   }
 
-  private void only(InvariantChecker.Rule rule) {
+  private void assertOnlyViolation(InvariantChecker.Rule rule) {
     assertEquals(
-        List.of(rule), checker.broken().stream().map(InvariantChecker.Broken::rule).toList());
+        List.of(rule), checker.broken().stream().map(InvariantChecker.Violation::rule).toList());
   }
 
   @Test
-  void reportsNothingOnAnOrderlyJob() {
+  void jobThatRunsEachTaskOnceIsNotReported() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.told("run-1", 201, "queued", true, clock.nowMs());
     for (int task = 0; task < 2; task++) {
-      checker.starts("run-1", task, A);
+      checker.starts("run-1", task, ZONE_A);
       checker.completes("run-1", task);
-      checker.leaves("run-1", task, A);
+      checker.leaves("run-1", task, ZONE_A);
     }
     checker.told("run-1", 200, "done", false, clock.nowMs());
     assertEquals(List.of(), checker.broken());
   }
 
   @Test
-  void reportsATaskThatRunsTwice() {
+  void taskOnTwoMachinesIsReportedAsRanTwice() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.starts("run-1", 0, A);
-    checker.starts("run-1", 0, B);
-    only(InvariantChecker.Rule.RAN_TWICE);
+    checker.starts("run-1", 0, ZONE_A);
+    checker.starts("run-1", 0, ZONE_B);
+    assertOnlyViolation(InvariantChecker.Rule.RAN_TWICE);
   }
 
   @Test
-  void reportsAnExceededLimit() {
+  void teamAboveItsCoreLimitIsReportedAsQuota() {
     checker.submitted(spec("run-1", 20, false, false));
-    checker.starts("run-1", 0, A);
-    checker.starts("run-1", 1, A);
-    only(InvariantChecker.Rule.QUOTA);
+    checker.starts("run-1", 0, ZONE_A);
+    checker.starts("run-1", 1, ZONE_A);
+    assertOnlyViolation(InvariantChecker.Rule.QUOTA);
   }
 
   @Test
-  void reportsWrongPlaces() {
+  void oneZoneJobInTwoZonesIsReportedAsWrongPlace() {
     checker.submitted(spec("run-1", 1, true, false));
-    checker.starts("run-1", 0, A);
-    checker.starts("run-1", 1, B);
-    only(InvariantChecker.Rule.WRONG_PLACE);
+    checker.starts("run-1", 0, ZONE_A);
+    checker.starts("run-1", 1, ZONE_B);
+    assertOnlyViolation(InvariantChecker.Rule.WRONG_PLACE);
   }
 
   @Test
-  void reportsTasksThatAreNotApart() {
+  void spreadJobInOneZoneIsReportedAsWrongPlace() {
     checker.submitted(spec("run-1", 1, false, true));
-    checker.starts("run-1", 0, A);
-    checker.starts("run-1", 1, A);
-    only(InvariantChecker.Rule.WRONG_PLACE);
+    checker.starts("run-1", 0, ZONE_A);
+    checker.starts("run-1", 1, ZONE_A);
+    assertOnlyViolation(InvariantChecker.Rule.WRONG_PLACE);
   }
 
   @Test
-  void reportsSpotWhereItIsNotAllowed() {
+  void spotMachineForAJobWithoutSpotIsReportedAsWrongPlace() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.starts("run-1", 0, new InvariantChecker.Place("i-3", "small", "a", true));
-    only(InvariantChecker.Rule.WRONG_PLACE);
+    assertOnlyViolation(InvariantChecker.Rule.WRONG_PLACE);
   }
 
   @Test
-  void reportsACancelledJobThatRunsOn() {
+  void taskRunningAfterTheCancellationTimeIsReportedAsRanCancelled() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.starts("run-1", 0, A);
+    checker.starts("run-1", 0, ZONE_A);
     checker.cancelAsked("run-1");
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
     clock.runUntil(20_001);
     checker.look();
-    only(InvariantChecker.Rule.RAN_CANCELLED);
+    assertOnlyViolation(InvariantChecker.Rule.RAN_CANCELLED);
   }
 
   @Test
-  void reportsAForgottenJob() {
+  void notFoundAnswerForAnAcceptedJobIsReportedAsForgotten() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.told("run-1", 201, "queued", true, clock.nowMs());
     clock.runUntil(5);
     checker.told("run-1", 404, "", false, clock.nowMs());
-    only(InvariantChecker.Rule.FORGOTTEN);
+    assertOnlyViolation(InvariantChecker.Rule.FORGOTTEN);
   }
 
   @Test
-  void reportsAnInventedJob() {
+  void answerForAJobNeverSubmittedIsReportedAsInvented() {
     checker.told("run-9", 200, "queued", false, clock.nowMs());
-    only(InvariantChecker.Rule.INVENTED);
+    assertOnlyViolation(InvariantChecker.Rule.INVENTED);
   }
 
   @Test
-  void reportsDoneTooEarly() {
+  void doneWithIncompleteTasksIsReportedAsNotDone() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.completes("run-1", 0);
     checker.told("run-1", 200, "done", false, clock.nowMs());
-    only(InvariantChecker.Rule.NOT_DONE);
+    assertOnlyViolation(InvariantChecker.Rule.NOT_DONE);
   }
 
   @Test
-  void reportsAnOlderAnswer() {
+  void runningAfterAbortedIsReportedAsWentBack() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.cancelAsked("run-1");
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
     checker.told("run-1", 200, "running", false, clock.nowMs());
-    only(InvariantChecker.Rule.WENT_BACK);
+    assertOnlyViolation(InvariantChecker.Rule.WENT_BACK);
   }
 
   @Test
-  void reportsACancellationNobodyAskedFor() {
+  void abortedWithoutACancellationIsReportedAsWentBack() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
-    only(InvariantChecker.Rule.WENT_BACK);
+    assertOnlyViolation(InvariantChecker.Rule.WENT_BACK);
   }
 
   @Test
-  void reportsAJobOfWhichNoQuestionIsAnswered() {
+  void pollsWithoutAnAnswerAreReportedAsUnanswered() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.told("run-1", 201, "queued", true, clock.nowMs());
     clock.runUntil(10_000);
@@ -154,17 +154,17 @@
     assertEquals(List.of(), checker.broken());
     clock.runUntil(86_000);
     checker.look();
-    only(InvariantChecker.Rule.UNANSWERED);
+    assertOnlyViolation(InvariantChecker.Rule.UNANSWERED);
   }
 
   @Test
-  void anAnswerEndsTheTimeWithoutOne() {
+  void anAnswerRestartsTheUnansweredTime() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.told("run-1", 201, "queued", true, clock.nowMs());
     checker.troublesAreOver();
-    for (int t = 1; t <= 4; t++) {
+    for (int minute = 1; minute <= 4; minute++) {
       checker.asked("run-1");
-      clock.runUntil(60_000 * t);
+      clock.runUntil(60_000 * minute);
       checker.told("run-1", 200, "queued", false, clock.nowMs());
       checker.look();
     }
@@ -172,12 +172,12 @@
   }
 
   @Test
-  void reportsAClassOfWhichTooLittleIsServed() {
+  void classServedLessThanHalfIsReportedAsStarved() {
     for (String uid : List.of("run-1", "run-2", "run-3")) {
       checker.submitted(spec(uid, 1, false, false));
       checker.told(uid, 201, "queued", true, clock.nowMs());
-      checker.starts(uid, 0, A);
-      checker.leaves(uid, 0, A);
+      checker.starts(uid, 0, ZONE_A);
+      checker.leaves(uid, 0, ZONE_A);
     }
     checker.completes("run-1", 0);
     checker.completes("run-1", 1);
@@ -187,70 +187,71 @@
             InvariantChecker.Rule.STARVED,
             InvariantChecker.Rule.STARVED,
             InvariantChecker.Rule.STARVED),
-        checker.broken().stream().map(InvariantChecker.Broken::rule).toList(),
+        checker.broken().stream().map(InvariantChecker.Violation::rule).toList(),
         "its class, its team, and its largest");
   }
 
   @Test
-  void reportsALargestJobThatBeginsTooLate() {
+  void largestJobThatStartsTooLateIsReportedAsStarved() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.told("run-1", 201, "queued", true, clock.nowMs());
     clock.runUntil(240_001);
     for (int task = 0; task < 2; task++) {
-      checker.starts("run-1", task, A);
+      checker.starts("run-1", task, ZONE_A);
       checker.completes("run-1", task);
     }
     checker.endOfDay();
-    only(InvariantChecker.Rule.STARVED);
+    assertOnlyViolation(InvariantChecker.Rule.STARVED);
   }
 
-  private void accepted(JobSpec spec) {
+  private void submitAccepted(JobSpec spec) {
     checker.submitted(spec);
     checker.told(spec.uid(), 201, "queued", true, clock.nowMs());
   }
 
-  private void lookForSeconds(int seconds) {
+  private void checkEverySecond(int seconds) {
     for (int i = 0; i < seconds; i++) {
       clock.runUntil(clock.nowMs() + 1_000);
       checker.look();
     }
   }
 
-  private static void up(InvariantChecker checker, InvariantChecker.Place place, double cores) {
+  private static void machineUp(
+      InvariantChecker checker, InvariantChecker.Place place, double cores) {
     checker.machineUp(place, Resources.offered(cores, 0, 16), () -> true);
   }
 
   @Test
-  void reportsAJobThatWaitsBesideRoom() {
-    accepted(spec("run-1", 2, false, false));
-    up(checker, A, 4);
+  void jobWaitingBesideAnIdleMachineIsReportedAsIdleRoom() {
+    submitAccepted(spec("run-1", 2, false, false));
+    machineUp(checker, ZONE_A, 4);
     checker.troublesAreOver();
-    lookForSeconds(91);
+    checkEverySecond(91);
     assertEquals(List.of(), checker.broken());
-    lookForSeconds(1);
-    only(InvariantChecker.Rule.IDLE_ROOM);
+    checkEverySecond(1);
+    assertOnlyViolation(InvariantChecker.Rule.IDLE_ROOM);
   }
 
   @Test
-  void reportsTheTasksThatWaitBesideRoomWhileOthersRun() {
-    accepted(spec("run-1", 2, false, false));
-    up(checker, A, 4);
-    checker.starts("run-1", 0, A);
+  void taskWaitingBesideRoomWhileAnotherRunsIsReportedAsIdleRoom() {
+    submitAccepted(spec("run-1", 2, false, false));
+    machineUp(checker, ZONE_A, 4);
+    checker.starts("run-1", 0, ZONE_A);
     checker.troublesAreOver();
-    lookForSeconds(95);
-    only(InvariantChecker.Rule.IDLE_ROOM);
+    checkEverySecond(95);
+    assertOnlyViolation(InvariantChecker.Rule.IDLE_ROOM);
   }
 
   /** No room, a full machine, the wrong zone, a limit that is reached, or a start now and then. */
   @Test
-  void jobsThatCannotBeginOrDoAreNotLeftWaiting() {
-    up(checker, A, 4);
-    accepted(spec("run-1", 5, false, false));
-    accepted(spec("run-2", 3, true, false));
-    up(checker, B, 2);
-    checker.starts("run-2", 0, A);
-    accepted(spec("run-3", 1, false, true));
-    checker.starts("run-3", 0, B);
+  void jobsWithoutUsableRoomOrWithAllTasksRunningAreNotReported() {
+    machineUp(checker, ZONE_A, 4);
+    submitAccepted(spec("run-1", 5, false, false));
+    submitAccepted(spec("run-2", 3, true, false));
+    machineUp(checker, ZONE_B, 2);
+    checker.starts("run-2", 0, ZONE_A);
+    submitAccepted(spec("run-3", 1, false, true));
+    checker.starts("run-3", 0, ZONE_B);
     checker.machineUp(
         new InvariantChecker.Place("i-4", "small", "b", false),
         Resources.offered(4, 0, 16),
@@ -259,46 +260,46 @@
         new InvariantChecker.Place("i-5", "small", "b", true),
         Resources.offered(4, 0, 16),
         () -> true);
-    checker.starts("run-3", 1, A);
+    checker.starts("run-3", 1, ZONE_A);
     checker.troublesAreOver();
-    lookForSeconds(200);
+    checkEverySecond(200);
     assertEquals(List.of(), checker.broken());
   }
 
   @Test
-  void aTeamAtItsLimitIsNotLeftWaiting() {
-    InvariantChecker.Place c = new InvariantChecker.Place("i-6", "large", "a", false);
-    checker.machineUp(c, Resources.offered(30, 0, 64), () -> true);
-    accepted(spec("run-1", 13, false, false));
-    checker.starts("run-1", 0, c);
+  void waitingJobOfATeamAtItsLimitIsNotReported() {
+    InvariantChecker.Place largeMachine = new InvariantChecker.Place("i-6", "large", "a", false);
+    checker.machineUp(largeMachine, Resources.offered(30, 0, 64), () -> true);
+    submitAccepted(spec("run-1", 13, false, false));
+    checker.starts("run-1", 0, largeMachine);
     checker.troublesAreOver();
-    lookForSeconds(200);
+    checkEverySecond(200);
     assertEquals(List.of(), checker.broken());
   }
 
   @Test
-  void startsNowAndThenAreNoWaiting() {
-    accepted(spec("run-1", 1, false, false));
-    up(checker, A, 4);
+  void jobWithAStartEveryMinuteIsNotReported() {
+    submitAccepted(spec("run-1", 1, false, false));
+    machineUp(checker, ZONE_A, 4);
     checker.troublesAreOver();
     for (int i = 0; i < 4; i++) {
-      lookForSeconds(60);
-      checker.starts("run-1", 0, A);
-      checker.leaves("run-1", 0, A);
+      checkEverySecond(60);
+      checker.starts("run-1", 0, ZONE_A);
+      checker.leaves("run-1", 0, ZONE_A);
     }
     assertEquals(List.of(), checker.broken());
   }
 
   @Test
-  void countsStartsAfterAConfirmedCancellationByWhenTheyWereOrdered() {
-    accepted(spec("run-1", 1, false, false));
+  void startsAfterAConfirmedCancellationAreListedWithTheirCommandTimes() {
+    submitAccepted(spec("run-1", 1, false, false));
     checker.cancelAsked("run-1");
     clock.runUntil(1_000);
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
     assertEquals(List.of(), checker.lateStarts());
     clock.runUntil(3_000);
-    checker.starts("run-1", 0, A, 900);
-    checker.starts("run-1", 1, A, 1_500);
+    checker.starts("run-1", 0, ZONE_A, 900);
+    checker.starts("run-1", 1, ZONE_A, 1_500);
     assertEquals(
         List.of(
             new InvariantChecker.LateStart("run-1", 0, -100, 2_000),
@@ -307,94 +308,94 @@
     assertEquals(
         List.of(false, true),
         checker.lateStarts().stream()
-            .map(InvariantChecker.LateStart::orderedAfterTheWord)
+            .map(InvariantChecker.LateStart::isCommandSentAfterConfirmation)
             .toList());
     assertEquals(List.of(), checker.broken(), "both may still be gone in time");
   }
 
   @Test
-  void reportsACancelledTaskThatGoesOnAfterItsMachineHung() {
-    accepted(spec("run-1", 1, false, false));
-    checker.starts("run-1", 0, A);
+  void cancelledTaskResumedAfterAHangIsReportedAsRanCancelled() {
+    submitAccepted(spec("run-1", 1, false, false));
+    checker.starts("run-1", 0, ZONE_A);
     checker.cancelAsked("run-1");
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
     clock.runUntil(6_000);
-    checker.leaves("run-1", 0, A);
+    checker.leaves("run-1", 0, ZONE_A);
     clock.runUntil(20_001);
     checker.look();
     assertEquals(List.of(), checker.broken(), "its lease is over");
-    checker.goesOn("run-1", 0, A);
-    only(InvariantChecker.Rule.RAN_CANCELLED);
+    checker.goesOn("run-1", 0, ZONE_A);
+    assertOnlyViolation(InvariantChecker.Rule.RAN_CANCELLED);
   }
 
   @Test
-  void reportsATaskThatGoesOnWhereItIsNoLonger() {
-    accepted(spec("run-1", 1, false, false));
-    checker.starts("run-1", 0, A);
-    checker.leaves("run-1", 0, A);
-    checker.starts("run-1", 0, B);
-    checker.goesOn("run-1", 0, B);
+  void taskResumedWhileOnAnotherMachineIsReportedAsRanTwice() {
+    submitAccepted(spec("run-1", 1, false, false));
+    checker.starts("run-1", 0, ZONE_A);
+    checker.leaves("run-1", 0, ZONE_A);
+    checker.starts("run-1", 0, ZONE_B);
+    checker.goesOn("run-1", 0, ZONE_B);
     assertEquals(List.of(), checker.broken());
-    checker.goesOn("run-1", 0, A);
-    only(InvariantChecker.Rule.RAN_TWICE);
+    checker.goesOn("run-1", 0, ZONE_A);
+    assertOnlyViolation(InvariantChecker.Rule.RAN_TWICE);
   }
 
   @Test
-  void reportsWhatCanNeverRunAndIsAcceptedAllTheSame() {
-    checker.neverAcceptable("run-1", 422, "fits no machine");
+  void acceptedJobThatCanNeverRunIsReportedAsWronglyAccepted() {
+    checker.expectRefusal("run-1", 422, "fits no machine");
     checker.told("run-1", 422, "", true, clock.nowMs());
     checker.told("run-1", 503, "", true, clock.nowMs());
     checker.told("run-1", 404, "", false, clock.nowMs());
     assertEquals(List.of(), checker.broken());
     checker.told("run-1", 201, "queued", true, clock.nowMs());
-    only(InvariantChecker.Rule.WRONGLY_ACCEPTED);
+    assertOnlyViolation(InvariantChecker.Rule.WRONGLY_ACCEPTED);
   }
 
   @Test
-  void reportsTheWrongRefusal() {
-    checker.neverAcceptable("run-1", 400, "lacks a field");
+  void refusalWithAnotherStatusIsReportedAsWrongStatus() {
+    checker.expectRefusal("run-1", 400, "lacks a field");
     checker.told("run-1", 422, "", true, clock.nowMs());
-    only(InvariantChecker.Rule.WRONG_STATUS);
+    assertOnlyViolation(InvariantChecker.Rule.WRONG_STATUS);
   }
 
   /** The second job awaits the first. */
-  private void pipeline() {
+  private void submitPipeline() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.submitted(JobSpecFixtures.withDependencies(spec("run-2", 1, false, false), "run-1"));
     checker.submitted(JobSpecFixtures.withDependencies(spec("run-3", 1, false, false), "run-2"));
     List.of("run-1", "run-2", "run-3")
-        .forEach(u -> checker.told(u, 201, "queued", true, clock.nowMs()));
+        .forEach(uid -> checker.told(uid, 201, "queued", true, clock.nowMs()));
   }
 
-  private void completes(String uid) {
+  private void runToCompletion(String uid) {
     for (int task = 0; task < 2; task++) {
-      checker.starts(uid, task, A);
+      checker.starts(uid, task, ZONE_A);
       checker.completes(uid, task);
-      checker.leaves(uid, task, A);
+      checker.leaves(uid, task, ZONE_A);
     }
   }
 
   @Test
-  void reportsNothingOnAnOrderlyPipeline() {
-    pipeline();
-    List.of("run-1", "run-2", "run-3").forEach(this::completes);
+  void pipelineRunInDependencyOrderIsNotReported() {
+    submitPipeline();
+    List.of("run-1", "run-2", "run-3").forEach(this::runToCompletion);
     assertEquals(List.of(), checker.broken());
   }
 
   @Test
-  void reportsATaskThatStartsBeforeWhatItNeedsIsDone() {
-    pipeline();
-    checker.starts("run-1", 0, A);
+  void startBeforeADependencyIsDoneIsReportedAsTooEarly() {
+    submitPipeline();
+    checker.starts("run-1", 0, ZONE_A);
     checker.completes("run-1", 0);
-    checker.starts("run-2", 0, A);
-    only(InvariantChecker.Rule.TOO_EARLY);
+    checker.starts("run-2", 0, ZONE_A);
+    assertOnlyViolation(InvariantChecker.Rule.TOO_EARLY);
   }
 
   /** Started too early as well: what is asked here is that it also counts as running on. */
   @Test
-  void reportsATaskThatRunsOnAfterAJobBeforeItsJobWasCancelled() {
-    pipeline();
-    checker.starts("run-3", 0, A);
+  void taskRunningAfterItsDependencyWasCancelledIsReportedAsRanCancelled() {
+    submitPipeline();
+    checker.starts("run-3", 0, ZONE_A);
     checker.cancelAsked("run-1");
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
     clock.runUntil(20_000);
@@ -404,21 +405,21 @@
     checker.look();
     assertEquals(
         List.of(InvariantChecker.Rule.TOO_EARLY, InvariantChecker.Rule.RAN_CANCELLED),
-        checker.broken().stream().map(InvariantChecker.Broken::rule).toList());
+        checker.broken().stream().map(InvariantChecker.Violation::rule).toList());
   }
 
   @Test
-  void reportsAUsersOwnSubmissionThatIsRefusedForGood() {
+  void finalRefusalOfAnAcceptableSubmissionIsReportedAsWrongStatus() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.submissionTold("run-1", 503);
     assertEquals(List.of(), checker.broken());
     checker.submissionTold("run-1", 422);
-    only(InvariantChecker.Rule.WRONG_STATUS);
+    assertOnlyViolation(InvariantChecker.Rule.WRONG_STATUS);
   }
 
   @Test
-  void reportsAnOrphanOfAnyDepthOnceItsTimeIsOver() {
-    pipeline();
+  void indirectDependentNotAbortedInTimeIsReportedAsOrphaned() {
+    submitPipeline();
     checker.cancelAsked("run-1");
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
     clock.runUntil(20_000);
@@ -426,27 +427,27 @@
     assertEquals(List.of(), checker.broken());
     clock.runUntil(20_001);
     checker.told("run-3", 200, "queued", false, clock.nowMs());
-    only(InvariantChecker.Rule.ORPHANED);
+    assertOnlyViolation(InvariantChecker.Rule.ORPHANED);
   }
 
   @Test
-  void whatNeedsACancelledJobIsAbortedAndNothingElse() {
-    pipeline();
+  void abortedDependencyOfACancelledJobIsReportedAsWentBack() {
+    submitPipeline();
     checker.cancelAsked("run-2");
     checker.told("run-2", 200, "aborted", false, clock.nowMs());
     checker.told("run-3", 200, "aborted", false, clock.nowMs());
     assertEquals(List.of(), checker.broken());
     checker.told("run-1", 200, "aborted", false, clock.nowMs());
-    only(InvariantChecker.Rule.WENT_BACK);
+    assertOnlyViolation(InvariantChecker.Rule.WENT_BACK);
   }
 
   @Test
-  void reportsAnAbortionAfterACancellationThatWasAnsweredDone() {
-    pipeline();
-    completes("run-1");
+  void abortedDependentOfAJobAnsweredDoneIsReportedAsWentBack() {
+    submitPipeline();
+    runToCompletion("run-1");
     checker.cancelAsked("run-1");
     checker.told("run-1", 200, "done", false, clock.nowMs());
     checker.told("run-2", 200, "aborted", false, clock.nowMs());
-    only(InvariantChecker.Rule.WENT_BACK);
+    assertOnlyViolation(InvariantChecker.Rule.WENT_BACK);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/InvariantsSweep.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantsSweep.java
@@ -13,45 +13,50 @@
  */
 class InvariantsSweep {
   private static final int SEEDS = Integer.getInteger("seeds", 100);
-  private static final int FIRST = Integer.getInteger("first", 1);
+  private static final int FIRST_SEED = Integer.getInteger("first", 1);
 
-  private static void sweep(int first, int seeds, LongFunction<SimulatedCluster> play) {
+  private static void assertRulesHoldForSeeds(
+      int first, int seeds, LongFunction<SimulatedCluster> simulate) {
     List<String> failed = new ArrayList<>();
     for (long seed = first; seed < first + seeds; seed++) {
-      SimulatedCluster w = play.apply(seed);
-      if (!w.checker.broken().isEmpty()) {
-        failed.add(seed + ": " + w.checker.broken().get(0));
-      } else if (w.checker.neverBegun() > 0) {
-        failed.add(seed + ": " + w.checker.neverBegun() + " accepted jobs never began");
+      SimulatedCluster cluster = simulate.apply(seed);
+      if (!cluster.checker.broken().isEmpty()) {
+        failed.add(seed + ": " + cluster.checker.broken().get(0));
+      } else if (cluster.checker.neverBegun() > 0) {
+        failed.add(seed + ": " + cluster.checker.neverBegun() + " accepted jobs never began");
       }
     }
     assertEquals(List.of(), failed);
   }
 
   @Test
-  void manySeeds() {
-    sweep(FIRST, SEEDS, seed -> InvariantsTest.play(seed, 14));
+  void rulesHoldUnderRandomFaults() {
+    assertRulesHoldForSeeds(
+        FIRST_SEED, SEEDS, seed -> InvariantsTest.simulateRandomFaults(seed, 14));
   }
 
   @Test
-  void manySeedsOfPairs() {
-    sweep(FIRST, SEEDS, seed -> InvariantsTest.playPairs(seed, 9));
+  void rulesHoldUnderOverlappingFaults() {
+    assertRulesHoldForSeeds(
+        FIRST_SEED, SEEDS, seed -> InvariantsTest.simulateOverlappingFaults(seed, 9));
   }
 
   @Test
-  void manySeedsOfPipelines() {
-    sweep(FIRST, SEEDS, seed -> PipelineFaultsTest.play(seed).w);
+  void rulesHoldForPipelinesUnderFaults() {
+    assertRulesHoldForSeeds(FIRST_SEED, SEEDS, seed -> PipelineFaultsTest.play(seed).w);
   }
 
   /** Each trouble with each, by its number: first, then second, with the seed given. */
   @Test
-  void everyMeeting() {
-    Faults[] all = Faults.values();
-    sweep(
+  void rulesHoldForEveryPairOfFaults() {
+    Faults[] faults = Faults.values();
+    assertRulesHoldForSeeds(
         0,
-        all.length * all.length,
-        n ->
-            InvariantsTest.playMeeting(
-                FIRST, all[(int) n / all.length], all[(int) n % all.length]));
+        faults.length * faults.length,
+        pair ->
+            InvariantsTest.simulateRepeatedFaultPair(
+                FIRST_SEED,
+                faults[(int) pair / faults.length],
+                faults[(int) pair % faults.length]));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/LargeFleetDayTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeFleetDayTest.java
@@ -25,22 +25,22 @@
 class LargeFleetDayTest {
   private static final Logger LOG = LoggerFactory.getLogger(LargeFleetDayTest.class);
 
-  private static final int NODES = 5;
+  private static final int CONTROLLERS = 5;
   private static final List<String> ZONES = List.of("a", "b", "c", "d");
-  private static final String CUT_ZONE = "b";
+  private static final String PARTITIONED_ZONE = "b";
   private static final double LEASE_S = 26.5;
-  private static final long UP_BY_MS = 60_000;
-  private static final long LEADER_ENDS_MS = 64_000;
-  private static final long LED_AGAIN_BY_MS = 80_000;
-  private static final long CUT_MS = 85_000;
-  private static final long CUT_FOR_MS = 40_000;
-  private static final long LOAD_ENDS_MS = 90_000;
-  private static final long DAY_ENDS_MS = 230_000;
+  private static final long MACHINES_UP_BY_MS = 60_000;
+  private static final long LEADER_CRASH_MS = 64_000;
+  private static final long NEXT_LEADER_BY_MS = 80_000;
+  private static final long PARTITION_START_MS = 85_000;
+  private static final long PARTITION_DURATION_MS = 40_000;
+  private static final long LOAD_END_MS = 90_000;
+  private static final long DAY_END_MS = 230_000;
   private static final double NANOS_PER_MS = 1e6;
 
-  private static SimulatedCluster.Deployment site(int machines) {
+  private static SimulatedCluster.Deployment deployment(int machines) {
     return new SimulatedCluster.Deployment(
-        NODES,
+        CONTROLLERS,
         machines,
         ZONES,
         new Settings.WorkerLimits(5, LEASE_S, 51.5),
@@ -52,34 +52,36 @@
 
   @ParameterizedTest
   @CsvSource({"4000, 21", "6000, 22"})
-  void aFleetOfThousandsServesThroughAChangeOfLeaderAndTheLossOfAZone(int machines, long seed) {
-    SimulatedCluster cluster = new SimulatedCluster(seed, site(machines));
-    load(cluster, machines, seed);
-    List<SimWorker> cutOff = new ArrayList<>();
-    cluster.clock.after(LEADER_ENDS_MS, () -> cluster.crash(cluster.leader(), 3_000));
+  void thousandsOfMachinesServeThroughALeaderChangeAndAZonePartition(int machines, long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, deployment(machines));
+    submitLoad(cluster, machines, seed);
+    List<SimWorker> partitioned = new ArrayList<>();
+    cluster.clock.after(LEADER_CRASH_MS, () -> cluster.crash(cluster.leader(), 3_000));
     cluster.clock.after(
-        CUT_MS,
+        PARTITION_START_MS,
         () -> {
           cluster.cloud.workers().stream()
-              .filter(worker -> worker.zone().equals(CUT_ZONE))
-              .forEach(cutOff::add);
-          cut(cluster, cutOff, true);
+              .filter(worker -> worker.zone().equals(PARTITIONED_ZONE))
+              .forEach(partitioned::add);
+          setPartitioned(cluster, partitioned, true);
         });
-    cluster.clock.after(CUT_MS + CUT_FOR_MS, () -> cut(cluster, cutOff, false));
-    cluster.clock.after(CUT_MS + CUT_FOR_MS + 5_000, cluster::faultsEnded);
-    cluster.clock.runUntil(UP_BY_MS);
-    int up = cluster.cloud.workers().size();
-    assertTrue(up >= machines * 9 / 10, up + " machines are up");
-    cluster.clock.runUntil(LED_AGAIN_BY_MS);
+    cluster.clock.after(
+        PARTITION_START_MS + PARTITION_DURATION_MS,
+        () -> setPartitioned(cluster, partitioned, false));
+    cluster.clock.after(PARTITION_START_MS + PARTITION_DURATION_MS + 5_000, cluster::faultsEnded);
+    cluster.clock.runUntil(MACHINES_UP_BY_MS);
+    int machinesUp = cluster.cloud.workers().size();
+    assertTrue(machinesUp >= machines * 9 / 10, machinesUp + " machines are up");
+    cluster.clock.runUntil(NEXT_LEADER_BY_MS);
     int startsBefore = cluster.checker.starts();
-    cluster.clock.runUntil(CUT_MS);
+    cluster.clock.runUntil(PARTITION_START_MS);
     assertTrue(cluster.checker.starts() > startsBefore, "the next leader starts tasks");
-    cluster.clock.runUntil(DAY_ENDS_MS);
+    cluster.clock.runUntil(DAY_END_MS);
     cluster.checker.endOfDay();
     log(machines, cluster);
     assertEquals(List.of(), cluster.checker.broken());
     assertEquals(0, cluster.checker.neverBegun());
-    assertTrue(cutOff.size() > machines / 8, cutOff.size() + " machines were cut off");
+    assertTrue(partitioned.size() > machines / 8, partitioned.size() + " machines were cut off");
     assertEquals(2, cluster.termCount(), "leaders change once, for the one that ended");
     assertEquals(
         0, cluster.cloud.requestLimiter.refusedCount(), "cloud calls stay below their rate");
@@ -87,13 +89,13 @@
   }
 
   /** Jobs that keep most of the machines busy. */
-  private static void load(SimulatedCluster cluster, int machines, long seed) {
+  private static void submitLoad(SimulatedCluster cluster, int machines, long seed) {
     Random random = new Random(seed);
     int jobs = machines / 8;
     for (int i = 0; i < jobs; i++) {
       boolean early = i < jobs * 3 / 4;
-      long atMs = 3_000 + random.nextInt(early ? 20_000 : (int) LOAD_ENDS_MS);
-      Priority urgency = random.nextInt(3) == 0 ? Priority.HIGH : Priority.NORMAL;
+      long atMs = 3_000 + random.nextInt(early ? 20_000 : (int) LOAD_END_MS);
+      Priority priority = random.nextInt(3) == 0 ? Priority.HIGH : Priority.NORMAL;
       int tasks = 10 + random.nextInt(30);
       int cores = 4 + random.nextInt(9);
       int seconds = 20 + random.nextInt(40);
@@ -101,28 +103,29 @@
           atMs,
           () ->
               cluster.submitAndPoll(
-                  DayEndCriteriaTest.job(cluster, "c", urgency, tasks, cores, seconds, 200)));
+                  DayEndCriteriaTest.job(cluster, "c", priority, tasks, cores, seconds, 200)));
     }
   }
 
-  private static void cut(SimulatedCluster cluster, List<SimWorker> workers, boolean now) {
+  private static void setPartitioned(
+      SimulatedCluster cluster, List<SimWorker> workers, boolean active) {
     for (SimWorker worker : workers) {
-      IntStream.range(0, NODES)
-          .forEach(i -> cluster.network.partition("n" + i, worker.host(), now));
+      IntStream.range(0, CONTROLLERS)
+          .forEach(i -> cluster.network.partition("n" + i, worker.host(), active));
     }
   }
 
   private static void log(int machines, SimulatedCluster cluster) {
-    Histogram reports = cluster.heartbeatDelivery.handlingNanos();
+    Histogram heartbeats = cluster.heartbeatDelivery.handlingNanos();
     LOG.info(
         "{} machines: {} starts, {} jobs done, {} reports; a report takes {} ms (median), {} ms"
             + " (99 %); changes a second at most {}, state requests {}, cloud calls {}",
         machines,
         cluster.checker.starts(),
         cluster.checker.jobsDone(),
-        reports.getTotalCount(),
-        reports.getValueAtPercentile(50) / NANOS_PER_MS,
-        reports.getValueAtPercentile(99) / NANOS_PER_MS,
+        heartbeats.getTotalCount(),
+        heartbeats.getValueAtPercentile(50) / NANOS_PER_MS,
+        heartbeats.getValueAtPercentile(99) / NANOS_PER_MS,
         cluster.state.changeLimiter.peakPerSecond(),
         cluster.state.requestLimiter.requestCount(),
         cluster.cloud.requestLimiter.requestCount());
--- a/src/test/java/org/ploverspindle/sim/ObservedJob.java
+++ b/src/test/java/org/ploverspindle/sim/ObservedJob.java
@@ -13,37 +13,38 @@
   final JobSpec spec;
   long acceptedMs = Long.MAX_VALUE;
   long submittedMs;
-  long begunMs = -1;
-  long askedSinceMs = -1;
-  boolean cancelAsked;
-  long cancelToldMs = -1;
-  boolean runsOnReported;
-  String finalWord = "";
-  long finalMs = Long.MAX_VALUE;
-  final Set<Integer> done = new HashSet<>();
-  long doneMs = Long.MAX_VALUE;
-  final Map<Integer, Place> on = new LinkedHashMap<>();
-  final Map<String, Long> roomSinceMs = new HashMap<>();
+  long firstStartMs = -1;
+  long unansweredSinceMs = -1;
+  boolean cancellationRequested;
+  long cancellationConfirmedMs = -1;
+  boolean overdueReported;
+  String finalStatus = "";
+  long finalStatusMs = Long.MAX_VALUE;
+  final Set<Integer> completedTasks = new HashSet<>();
+  long completedMs = Long.MAX_VALUE;
+  final Map<Integer, Place> placesByTask = new LinkedHashMap<>();
+  final Map<String, Long> roomSinceMsByHost = new HashMap<>();
 
   ObservedJob(JobSpec spec) {
     this.spec = spec;
   }
 
-  boolean allDone() {
-    return done.size() == spec.tasks();
+  boolean isComplete() {
+    return completedTasks.size() == spec.tasks();
   }
 
   /** Its user asked to cancel it, and was not told that it is done already. */
   boolean isCancelled() {
-    return cancelAsked && !finalWord.equals("done");
+    return cancellationRequested && !finalStatus.equals("done");
   }
 
   /** By the job's demands and where its other tasks are now. */
-  boolean mayBeOn(Place place) {
+  boolean allowsPlace(Place place) {
     boolean typeOk = spec.types().map(types -> types.contains(place.type())).orElse(true);
     boolean zoneOk = spec.zone().map(zone -> zone.equals(place.zone())).orElse(true);
-    long sameZone = on.values().stream().filter(at -> at.zone().equals(place.zone())).count();
-    boolean oneZoneOk = !spec.oneZone() || sameZone == on.size();
+    long sameZone =
+        placesByTask.values().stream().filter(at -> at.zone().equals(place.zone())).count();
+    boolean oneZoneOk = !spec.oneZone() || sameZone == placesByTask.size();
     boolean spreadOk = !spec.spreadOverZones() || sameZone < (spec.tasks() + 1) / 2;
     return typeOk && zoneOk && oneZoneOk && spreadOk && (spec.spot() || !place.spot());
   }
--- a/src/test/java/org/ploverspindle/sim/ObservedJobs.java
+++ b/src/test/java/org/ploverspindle/sim/ObservedJobs.java
@@ -28,53 +28,54 @@
   }
 
   /** All jobs that it needs, directly or through others. */
-  Set<ObservedJob> neededBy(ObservedJob job) {
-    Set<ObservedJob> needed = new LinkedHashSet<>();
-    Deque<ObservedJob> open = new ArrayDeque<>(List.of(job));
-    while (!open.isEmpty()) {
-      for (String uid : open.poll().spec.dependencies()) {
+  Set<ObservedJob> dependenciesOf(ObservedJob job) {
+    Set<ObservedJob> dependencies = new LinkedHashSet<>();
+    Deque<ObservedJob> pending = new ArrayDeque<>(List.of(job));
+    while (!pending.isEmpty()) {
+      for (String uid : pending.poll().spec.dependencies()) {
         ObservedJob dependency = jobs.get(uid);
-        if (dependency != null && needed.add(dependency)) {
-          open.add(dependency);
+        if (dependency != null && dependencies.add(dependency)) {
+          pending.add(dependency);
         }
       }
     }
-    return needed;
+    return dependencies;
   }
 
   /** Nobody cancelled it or what it needs, and all that it needs is done. */
   boolean mayRun(ObservedJob job) {
-    return !job.cancelAsked
-        && neededBy(job).stream().allMatch(needed -> needed.allDone() && !needed.isCancelled());
+    return !job.cancellationRequested
+        && dependenciesOf(job).stream()
+            .allMatch(dependency -> dependency.isComplete() && !dependency.isCancelled());
   }
 
   /** When the last job that it needs had its last task done, or when it was submitted. */
   long readyMs(ObservedJob job) {
-    return neededBy(job).stream()
-        .mapToLong(needed -> needed.doneMs)
+    return dependenciesOf(job).stream()
+        .mapToLong(dependency -> dependency.completedMs)
         .reduce(job.submittedMs, Math::max);
   }
 
   /** Accepted jobs that nobody cancelled and that have not begun. */
   long neverBegun() {
     return jobs.values().stream()
-        .filter(job -> job.acceptedMs < Long.MAX_VALUE && mayRun(job) && job.begunMs < 0)
+        .filter(job -> job.acceptedMs < Long.MAX_VALUE && mayRun(job) && job.firstStartMs < 0)
         .count();
   }
 
   /** Jobs of which something is on a machine, and that nobody has asked to cancel. */
   List<String> running() {
-    return uids(job -> !job.on.isEmpty() && !job.cancelAsked);
+    return uids(job -> !job.placesByTask.isEmpty() && !job.cancellationRequested);
   }
 
   /** Jobs that a user was told to be accepted and not to be over. */
   List<String> unfinished(long nowMs) {
-    return uids(job -> job.acceptedMs <= nowMs && job.finalWord.isEmpty());
+    return uids(job -> job.acceptedMs <= nowMs && job.finalStatus.isEmpty());
   }
 
   /** Jobs that a user was told to be done. */
   List<String> toldDone() {
-    return uids(job -> job.finalWord.equals("done"));
+    return uids(job -> job.finalStatus.equals("done"));
   }
 
   private List<String> uids(Predicate<ObservedJob> filter) {
@@ -86,7 +87,7 @@
     double cores = 0;
     for (ObservedJob job : jobs.values()) {
       if (job.spec.team().equals(team)) {
-        cores += job.on.size() * job.spec.cores();
+        cores += job.placesByTask.size() * job.spec.cores();
       }
     }
     return cores;
--- a/src/test/java/org/ploverspindle/sim/ServiceCheck.java
+++ b/src/test/java/org/ploverspindle/sim/ServiceCheck.java
@@ -23,7 +23,7 @@
     ToLongFunction<ObservedJob> readyMs,
     BiConsumer<Rule, String> report) {
   /** The largest jobs of a class are to begin within this. */
-  private static final long BEGIN_MS = 240_000;
+  private static final long MAX_START_DELAY_MS = 240_000;
 
   void check(Collection<ObservedJob> jobs) {
     Map<String, List<ObservedJob>> groups = new LinkedHashMap<>();
@@ -40,22 +40,23 @@
       groups.computeIfAbsent("team " + job.spec.team(), k -> new ArrayList<>()).add(job);
       if (job.spec.tasks() * 2 >= largest.get(jobClass)) {
         groups.computeIfAbsent("largest of " + jobClass, k -> new ArrayList<>()).add(job);
-        checkBegun(job);
+        checkStartDelay(job);
       }
     }
-    groups.forEach(this::checkServed);
+    groups.forEach(this::checkServedShare);
   }
 
-  private void checkBegun(ObservedJob job) {
-    if (job.begunMs < 0 || job.begunMs - readyMs.applyAsLong(job) > BEGIN_MS) {
-      report.accept(Rule.STARVED, job.spec.uid() + ", one of the largest, began at " + job.begunMs);
+  private void checkStartDelay(ObservedJob job) {
+    if (job.firstStartMs < 0 || job.firstStartMs - readyMs.applyAsLong(job) > MAX_START_DELAY_MS) {
+      report.accept(
+          Rule.STARVED, job.spec.uid() + ", one of the largest, began at " + job.firstStartMs);
     }
   }
 
-  private void checkServed(String name, List<ObservedJob> members) {
+  private void checkServedShare(String name, List<ObservedJob> members) {
     long served =
         members.stream()
-            .filter(job -> job.spec.expectedS() > 0 ? job.allDone() : job.begunMs >= 0)
+            .filter(job -> job.spec.expectedS() > 0 ? job.isComplete() : job.firstStartMs >= 0)
             .count();
     if (served * 2 < members.size()) {
       report.accept(Rule.STARVED, name + ": " + served + " of " + members.size() + " served");
--- a/src/test/java/org/ploverspindle/sim/UnknownJobAnswers.java
+++ b/src/test/java/org/ploverspindle/sim/UnknownJobAnswers.java
@@ -7,7 +7,7 @@
 
 /** What users may be answered about ids under which nobody submitted an acceptable job. */
 final class UnknownJobAnswers {
-  private record Refusal(int status, String why) {}
+  private record Refusal(int status, String reason) {}
 
   private static final Refusal NOT_FOUND = new Refusal(404, "nobody submitted it");
 
@@ -19,17 +19,17 @@
   }
 
   /** A submission under this id is to be refused with the status. */
-  void refuse(String uid, int status, String why) {
-    refusals.put(uid, new Refusal(status, why));
+  void expectRefusal(String uid, int status, String reason) {
+    refusals.put(uid, new Refusal(status, reason));
   }
 
   void check(String uid, int status, boolean submission) {
     Refusal refusal = refusals.getOrDefault(uid, NOT_FOUND);
-    String what = uid + " (" + refusal.why + ") is answered " + status;
+    String description = uid + " (" + refusal.reason + ") is answered " + status;
     if (status == 200 || status == 201) {
-      report.accept(submission ? Rule.WRONGLY_ACCEPTED : Rule.INVENTED, what);
+      report.accept(submission ? Rule.WRONGLY_ACCEPTED : Rule.INVENTED, description);
     } else if (!isRetryable(status) && status != (submission ? refusal.status : 404)) {
-      report.accept(Rule.WRONG_STATUS, what);
+      report.accept(Rule.WRONG_STATUS, description);
     }
   }
 
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -72,17 +72,17 @@
       replica.start();
     }
 
-    private <T> void call(Supplier<T> execute, T refused, T none, Consumer<T> then) {
-      boolean[] over = {false};
+    private <T> void call(Supplier<T> execute, T refused, T unknown, Consumer<T> then) {
+      boolean[] answered = {false};
       Consumer<T> once =
           t -> {
-            if (!over[0]) {
-              over[0] = true;
+            if (!answered[0]) {
+              answered[0] = true;
               process.schedule(0, () -> then.accept(t));
             }
           };
-      clock.after(TIMEOUT_MS, () -> once.accept(none));
-      Runnable work =
+      clock.after(TIMEOUT_MS, () -> once.accept(unknown));
+      Runnable request =
           () -> {
             T result = !cut && state.admitsRequest() ? execute.get() : refused;
             if (random.nextDouble() >= lossShare) {
@@ -90,7 +90,7 @@
             }
           };
       boolean late = random.nextDouble() < lossShare / 2;
-      clock.after(late ? 2_000 + random.nextInt(6_000) : 1 + random.nextInt(8), work);
+      clock.after(late ? 2_000 + random.nextInt(6_000) : 1 + random.nextInt(8), request);
     }
 
     @Override
@@ -109,9 +109,9 @@
     }
 
     @Override
-    public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
+    public void readChanges(String prefix, long revision, Consumer<ChangesResult> then) {
       ChangesResult failed = new ChangesResult.Failed();
-      call(() -> state.readChanges(prefix, ledger), failed, failed, then);
+      call(() -> state.readChanges(prefix, revision), failed, failed, then);
     }
 
     @Override
@@ -120,12 +120,12 @@
     }
 
     @Override
-    public void renewLease(long hold, Consumer<Renewal> then) {
+    public void renewLease(long lease, Consumer<Renewal> then) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public void closeLease(long hold) {
+    public void closeLease(long lease) {
       throw new UnsupportedOperationException();
     }
   }
@@ -165,19 +165,19 @@
   }
 
   /** A process of the node that knows nothing yet. */
-  void restart(int i) {
-    if (i < nodes.size()) {
-      nodes.get(i).process.kill();
-      nodes.set(i, new Node(i, settings));
+  void restart(int node) {
+    if (node < nodes.size()) {
+      nodes.get(node).process.kill();
+      nodes.set(node, new Node(node, settings));
     } else {
-      nodes.add(new Node(i, settings));
+      nodes.add(new Node(node, settings));
     }
   }
 
   TransactionResult applied(Transaction txn) {
     TransactionResult result = state.commit(txn);
     if (result instanceof TransactionResult.Committed) {
-      txn.changes().forEach(this::checkListStands);
+      txn.changes().forEach(this::checkDependencyListWritten);
       changes += txn.changes().size();
       txn.changes().forEach(c -> written.add(c.key()));
     }
@@ -185,7 +185,7 @@
   }
 
   /** A job may be seen by anybody as soon as it is written: its list must be there before. */
-  private void checkListStands(Change change) {
+  private void checkDependencyListWritten(Change change) {
     if (change instanceof Change.Put put && put.key().startsWith(Keys.JOB_BATCHES)) {
       for (JsonNode job : put.value()) {
         if (JobRecord.storedDependencies(job)
@@ -219,17 +219,17 @@
     }
   }
 
-  static JobSpec job(String uid, List<String> awaits) {
+  static JobSpec job(String uid, List<String> dependencies) {
     JobSpec spec = JobSpecFixtures.batch(uid, "c", "blue", Priority.NORMAL, 1, 1, 1, 10, 0);
-    return JobSpecFixtures.withDependencies(spec, awaits.toArray(String[]::new));
+    return JobSpecFixtures.withDependencies(spec, dependencies.toArray(String[]::new));
   }
 
-  static ObjectNode body(String uid, List<String> awaits) {
-    return Cbor.readMap(SimulatedCluster.encode(job(uid, awaits))).orElseThrow();
+  static ObjectNode body(String uid, List<String> dependencies) {
+    return Cbor.readMap(SimulatedCluster.encode(job(uid, dependencies))).orElseThrow();
   }
 
-  void submit(int node, String uid, List<String> awaits, Consumer<Heard> then) {
-    nodes.get(node).requests.submit(Cbor.write(body(uid, awaits)), heard(then));
+  void submit(int node, String uid, List<String> dependencies, Consumer<Heard> then) {
+    nodes.get(node).requests.submit(Cbor.write(body(uid, dependencies)), heard(then));
   }
 
   void poll(int node, String uid, Consumer<Heard> then) {
@@ -261,8 +261,8 @@
     return heard.get(0);
   }
 
-  Heard submit(int node, String uid, List<String> awaits) {
-    return wait(then -> submit(node, uid, awaits, then));
+  Heard submit(int node, String uid, List<String> dependencies) {
+    return wait(then -> submit(node, uid, dependencies, then));
   }
 
   Heard poll(int node, String uid) {
--- a/src/test/java/org/ploverspindle/sim/UserFaultsDay.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsDay.java
@@ -18,7 +18,7 @@
  * lease and cancellation times of one deployment.
  */
 abstract class UserFaultsDay {
-  static final int NODES = 3;
+  static final int CONTROLLERS = 3;
   static final int FROM_MS = 12_000;
 
   /**
@@ -42,19 +42,19 @@
     startCluster(seed, capacity, 0);
   }
 
-  void startCluster(long seed, int capacity, double redCores) {
+  void startCluster(long seed, int capacity, double redMaxCores) {
     cluster =
         new SimulatedCluster(
             seed,
             new SimulatedCluster.Deployment(
-                NODES,
+                CONTROLLERS,
                 capacity,
                 List.of("a"),
                 timing(seed),
                 new Settings.StateLimits(120, 35, 8, 12),
                 new Settings.CloudLimits(20, 3),
                 List.of(
-                    new Settings.Team("red", 8, redCores, 0, 0),
+                    new Settings.Team("red", 8, redMaxCores, 0, 0),
                     new Settings.Team("blue", 8, 0, 0, 0)),
                 new Policy(3, 8, 15, 0, 100, 20, Map.of())));
   }
@@ -63,19 +63,19 @@
     return TIMINGS.get((int) (seed % TIMINGS.size()));
   }
 
-  String submit(String team, Priority urgency, int tasks, double cores, double runS) {
+  String submit(String team, Priority priority, int tasks, double cores, double runS) {
     JobSpec spec =
         JobSpecFixtures.batch(
-            cluster.newUid(), "c-" + urgency, team, urgency, tasks, cores, 0.1, runS, 0);
+            cluster.newUid(), "c-" + priority, team, priority, tasks, cores, 0.1, runS, 0);
     submitted.add(spec.uid());
     cluster.submitAndPoll(spec);
     return spec.uid();
   }
 
   /** One job after another, at a spacing. */
-  void jobs(int fromMs, int count, int everyMs, Priority urgency, int tasks, double runS) {
+  void jobs(int fromMs, int count, int everyMs, Priority priority, int tasks, double runS) {
     for (int i = 0; i < count; i++) {
-      cluster.clock.after(fromMs + i * everyMs, () -> submit("blue", urgency, tasks, 1, runS));
+      cluster.clock.after(fromMs + i * everyMs, () -> submit("blue", priority, tasks, 1, runS));
     }
   }
 
@@ -97,18 +97,18 @@
     cluster.clock.after(faultsEndMs, cluster::faultsEnded);
     cluster.clock.runUntil(faultsEndMs + recoveryMs);
     assertEquals(List.of(), cluster.checker.broken());
-    long lateMs =
+    long maxCommandSentAfterMs =
         cluster.checker.lateStarts().stream()
-            .mapToLong(InvariantChecker.LateStart::orderedAfterMs)
+            .mapToLong(InvariantChecker.LateStart::commandSentAfterMs)
             .max()
             .orElse(0);
     assertTrue(
-        lateMs <= MAX_START_AFTER_CANCELLATION_MS,
-        "ordered " + lateMs + " ms after a confirmed cancellation");
+        maxCommandSentAfterMs <= MAX_START_AFTER_CANCELLATION_MS,
+        "ordered " + maxCommandSentAfterMs + " ms after a confirmed cancellation");
     assertEquals(0, cluster.checker.neverBegun(), "accepted jobs that never began");
   }
 
-  static void assertAtLeast(String what, long least, long found) {
-    assertTrue(found >= least, what + ": " + found + ", at least " + least + " expected");
+  static void assertAtLeast(String quantity, long minimum, long actual) {
+    assertTrue(actual >= minimum, quantity + ": " + actual + ", at least " + minimum + " expected");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
@@ -15,7 +15,7 @@
 class UserFaultsTest extends UserFaultsDay {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void writesWithLostAnswersAreReadByOtherControllers(long seed) {
+  void rulesHoldWhenCommittedWritesGetNoResponse(long seed) {
     startCluster(seed, 10);
     cluster.clock.after(FROM_MS, () -> cluster.network.setUnansweredWrites(0.3, true));
     cluster.clock.after(FROM_MS, () -> cluster.setRequestBursts(true));
@@ -31,7 +31,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void overloadOverSlowLinks(long seed) {
+  void overloadWithLateRequestsIsServedInTheEnd(long seed) {
     startCluster(seed, 4, 6);
     cluster.clock.after(FROM_MS, () -> cluster.network.setLateRequestShare(0.15));
     jobs(FROM_MS, 20, 1_500, Priority.NORMAL, 4, 15);
@@ -65,10 +65,10 @@
     "REFUSES_THE_LEADER, 3",
     "REFUSES_THE_LEADER, 4"
   })
-  void stateServiceDegradesThenFailsDuringCancellationsAndPolls(
+  void cancellationsHoldThroughADegradedStateServiceAndItsOutage(
       StateServiceFault fault, long seed) {
     startCluster(seed, 14);
-    int outMs = (int) (timing(seed).cancelS() * 1_000) + 12_000;
+    int outageMs = (int) (timing(seed).cancelS() * 1_000) + 12_000;
     jobs(4_000, 20, 700, Priority.NORMAL, 3, 200);
     jobs(4_500, 30, 900, Priority.NORMAL, 1, 6);
     cluster.setRequestBursts(true);
@@ -76,8 +76,8 @@
     // Up to the very end of the service.
     cancellations(30_500, 22, 400);
     cluster.clock.after(39_000, () -> cluster.state.setOutage(true));
-    cluster.clock.after(39_000 + outMs, () -> cluster.state.setOutage(false));
-    runAndCheckRules(39_000 + outMs, 60_000);
+    cluster.clock.after(39_000 + outageMs, () -> cluster.state.setOutage(false));
+    runAndCheckRules(39_000 + outageMs, 60_000);
     assertAtLeast("cancelled while on", 4, cluster.checker.cancelledWhileOn());
     assertAtLeast("questions not answered", 20, cluster.users.responseCount(503));
   }
@@ -97,7 +97,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void fourOneTaskJobsASecondWithAQuarterCancelled(long seed) {
+  void fourOneTaskJobsPerSecondStayWithinTheStateServiceRates(long seed) {
     startCluster(seed, 14);
     int count = 480;
     for (int i = 0; i < count; i++) {
@@ -146,7 +146,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void pollsAtAllNodesWithinMillisecondsOfEachAnswer(long seed) {
+  void rulesHoldWhenAllControllersArePolledRightAfterEachAnswer(long seed) {
     startCluster(seed, 14);
     cluster.setRequestBursts(true);
     jobs(FROM_MS, 60, 800, Priority.NORMAL, 1, 5);
@@ -162,16 +162,16 @@
     String uid = submit("blue", Priority.NORMAL, 1, 1, 6);
     ObjectNode body = Cbor.readMap(SimulatedCluster.encode(cluster.spec(uid))).orElseThrow();
     body.remove("cores");
-    byte[] lacking = Cbor.write(body);
+    byte[] bodyWithoutCores = Cbor.write(body);
     for (int i = 0; i < 40; i++) {
-      int node = i % NODES;
-      cluster.clock.after(i * 3L, () -> cluster.submitAt(node, uid, lacking));
+      int node = i % CONTROLLERS;
+      cluster.clock.after(i * 3L, () -> cluster.submitAt(node, uid, bodyWithoutCores));
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void invalidInputAtAllNodes(long seed) {
+  void invalidRequestsAtAllControllersAreRefused(long seed) {
     startCluster(seed, 14);
     cluster.setInvalidRequests(true);
     cluster.setRequestBursts(true);
