--- a/src/test/java/org/ploverspindle/sim/DayEndCriteriaTest.java
+++ b/src/test/java/org/ploverspindle/sim/DayEndCriteriaTest.java
@@ -107,6 +107,10 @@
         "the job, due to start by 250000 ms, first started at " + begun);
   }
 
+  /**
+   * Two machines send heartbeats but receive nothing, one for 30 s and the other for good. Guards
+   * against a leader that keeps on placing tasks on them because their heartbeats still arrive.
+   */
   @Test
   void unreachableMachinesGetFewLaunchesAndTheirTasksRunElsewhere() {
     SimulatedCluster cluster = new SimulatedCluster(6, CONTROLLERS, 14, List.of("a"));
@@ -165,6 +169,11 @@
     assertEquals(100, cluster.checker.jobsDone());
   }
 
+  /**
+   * Guards against a leader that keeps its workers' leases alive while a network partition
+   * separates it from the state service and the other controllers, so that it can't learn of
+   * cancellations.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void leaderReachedOnlyByWorkersDoesNotKeepACancelledJobRunning(long seed) {
--- a/src/test/java/org/ploverspindle/sim/InvariantChecker.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantChecker.java
@@ -337,29 +337,29 @@
    * Checks an answer to a user's submission, poll or cancellation. A request sent before another
    * answer arrived may be answered with an older status.
    *
-   * @param askedMs when the request was sent
+   * @param sentMs when the request was sent
    */
-  void told(String uid, int status, String state, boolean submission, long askedMs) {
+  void told(String uid, int status, String state, boolean submission, long sentMs) {
     ObservedJob job = jobs.get(uid);
     if (job == null) {
       unknownJobs.check(uid, status, submission);
       return;
     }
-    if (askedMs >= job.acceptedMs
+    if (sentMs >= job.acceptedMs
         && (status == 404 || submission && (status == 400 || status == 422))) {
       report(Rule.FORGOTTEN, uid + ", an accepted job, is answered " + status);
     }
     if (status == 200 || status == 201) {
       job.unansweredSinceMs = -1;
       job.acceptedMs = Math.min(job.acceptedMs, clock.nowMs());
-      checkState(job, state, askedMs);
+      checkState(job, state, sentMs);
       recordState(job, state);
     }
   }
 
-  private void checkState(ObservedJob job, String state, long askedMs) {
+  private void checkState(ObservedJob job, String state, long sentMs) {
     String uid = job.spec.uid();
-    if ((askedMs >= job.finalStatusMs || isFinal(state) && !job.finalStatus.isEmpty())
+    if ((sentMs >= job.finalStatusMs || isFinal(state) && !job.finalStatus.isEmpty())
         && !job.finalStatus.equals(state)) {
       report(Rule.WENT_BACK, uid + " was answered " + job.finalStatus + " and then " + state);
     }
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -247,13 +247,13 @@
   }
 
   Consumer<ApiResponse> heard(Consumer<Heard> then) {
-    long askedMs = clock.nowMs();
+    long sentMs = clock.nowMs();
     return response ->
         then.accept(
             new Heard(
                 response.status(),
                 Cbor.readMap(response.body()).orElseThrow().path("status").asText(),
-                clock.nowMs() - askedMs));
+                clock.nowMs() - sentMs));
   }
 
   /** Sends a request and advances the clock until its response arrives, for at most 10 s. */
