--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -36,11 +36,11 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 
-/** The users' side of several nodes over one state service; nobody leads. */
+/** The user API of several controllers over one state service, without a leader. */
 final class UserApiCluster {
   private static final long TIMEOUT_MS = 2_500;
 
-  /** One node's users' side. */
+  /** The user API of one controller, with its own connection to the state service. */
   final class Node implements StateStore {
     final SimClock.Process process = clock.new Process(random.nextInt(1_000_000), 1, 0);
     final Replica replica = new Replica(process, this, Keys.PREFIX, 700);
@@ -67,22 +67,22 @@
                   new NoOpLeaderNotifier()),
               catalogue,
               settings);
-      // What a node of seven has of sixty requests a second.
+      // The share of one of seven controllers at 60 requests per second, as ms between reads.
       replica.setReadInterval(220);
       replica.start();
     }
 
-    private <T> void call(Supplier<T> execute, T refused, T none, Consumer<T> then) {
-      boolean[] over = {false};
+    private <T> void call(Supplier<T> execute, T refused, T unknown, Consumer<T> then) {
+      boolean[] answered = {false};
       Consumer<T> once =
-          t -> {
-            if (!over[0]) {
-              over[0] = true;
-              process.schedule(0, () -> then.accept(t));
+          result -> {
+            if (!answered[0]) {
+              answered[0] = true;
+              process.schedule(0, () -> then.accept(result));
             }
           };
-      clock.after(TIMEOUT_MS, () -> once.accept(none));
-      Runnable work =
+      clock.after(TIMEOUT_MS, () -> once.accept(unknown));
+      Runnable request =
           () -> {
             T result = !cut && state.admitsRequest() ? execute.get() : refused;
             if (random.nextDouble() >= lossShare) {
@@ -90,7 +90,7 @@
             }
           };
       boolean late = random.nextDouble() < lossShare / 2;
-      clock.after(late ? 2_000 + random.nextInt(6_000) : 1 + random.nextInt(8), work);
+      clock.after(late ? 2_000 + random.nextInt(6_000) : 1 + random.nextInt(8), request);
     }
 
     @Override
@@ -109,9 +109,9 @@
     }
 
     @Override
-    public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
+    public void readChanges(String prefix, long revision, Consumer<ChangesResult> then) {
       ChangesResult failed = new ChangesResult.Failed();
-      call(() -> state.readChanges(prefix, ledger), failed, failed, then);
+      call(() -> state.readChanges(prefix, revision), failed, failed, then);
     }
 
     @Override
@@ -120,17 +120,17 @@
     }
 
     @Override
-    public void renewLease(long hold, Consumer<Renewal> then) {
+    public void renewLease(long lease, Consumer<Renewal> then) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public void closeLease(long hold) {
+    public void closeLease(long lease) {
       throw new UnsupportedOperationException();
     }
   }
 
-  /** An answer, with how long it took. */
+  /** A response: its HTTP status, the job status in it, and the ms from request to response. */
   record Heard(int status, String state, long tookMs) {}
 
   final SimClock clock = new SimClock();
@@ -139,7 +139,12 @@
   final List<Node> nodes = new ArrayList<>();
   final Set<String> written = new HashSet<>();
   private final Settings settings;
+
+  /**
+   * Share of responses that are lost; half that share of the requests is executed 2 to 8 s late.
+   */
   double lossShare;
+
   int changes;
 
   UserApiCluster(long seed, int count, Settings.StateLimits limits) {
@@ -164,28 +169,28 @@
     pass(2_000);
   }
 
-  /** A process of the node that knows nothing yet. */
-  void restart(int i) {
-    if (i < nodes.size()) {
-      nodes.get(i).process.kill();
-      nodes.set(i, new Node(i, settings));
+  /** Starts a process of the controller, with an empty replica, in place of the former if any. */
+  void restart(int node) {
+    if (node < nodes.size()) {
+      nodes.get(node).process.kill();
+      nodes.set(node, new Node(node, settings));
     } else {
-      nodes.add(new Node(i, settings));
+      nodes.add(new Node(node, settings));
     }
   }
 
   TransactionResult applied(Transaction txn) {
     TransactionResult result = state.commit(txn);
     if (result instanceof TransactionResult.Committed) {
-      txn.changes().forEach(this::checkListStands);
+      txn.changes().forEach(this::checkDependencyListWritten);
       changes += txn.changes().size();
-      txn.changes().forEach(c -> written.add(c.key()));
+      txn.changes().forEach(change -> written.add(change.key()));
     }
     return result;
   }
 
-  /** A job may be seen by anybody as soon as it is written: its list must be there before. */
-  private void checkListStands(Change change) {
+  /** Every controller can read a job once it is written: its dependency list must come first. */
+  private void checkDependencyListWritten(Change change) {
     if (change instanceof Change.Put put && put.key().startsWith(Keys.JOB_BATCHES)) {
       for (JsonNode job : put.value()) {
         if (JobRecord.storedDependencies(job)
@@ -193,7 +198,8 @@
           for (int i = 0; i < list.parts(); i++) {
             String part = Keys.dependencies(list.name(), i);
             if (!written.contains(part)) {
-              throw new IllegalStateException("a job is written before " + part);
+              throw new IllegalStateException(
+                  "a job is written before this part of its dependency list: " + part);
             }
           }
         }
@@ -205,7 +211,7 @@
     clock.runUntil(clock.nowMs() + ms);
   }
 
-  /** As a leader writes it. */
+  /** Writes the job's completion with the conditions that a leader uses. */
   void done(String uid) {
     TransactionResult result =
         applied(
@@ -215,21 +221,21 @@
                     new Condition(Keys.cancellation(uid), 0)),
                 List.of(new Change.Put(Keys.completion(uid), Cbor.map().put("tasks", 1)))));
     if (!(result instanceof TransactionResult.Committed)) {
-      throw new IllegalStateException(uid + " is not done: " + result);
+      throw new IllegalStateException(uid + ": its completion was not committed: " + result);
     }
   }
 
-  static JobSpec job(String uid, List<String> awaits) {
+  static JobSpec job(String uid, List<String> dependencies) {
     JobSpec spec = JobSpecFixtures.batch(uid, "c", "blue", Priority.NORMAL, 1, 1, 1, 10, 0);
-    return JobSpecFixtures.withDependencies(spec, awaits.toArray(String[]::new));
+    return JobSpecFixtures.withDependencies(spec, dependencies.toArray(String[]::new));
   }
 
-  static ObjectNode body(String uid, List<String> awaits) {
-    return Cbor.readMap(SimulatedCluster.encode(job(uid, awaits))).orElseThrow();
+  static ObjectNode body(String uid, List<String> dependencies) {
+    return Cbor.readMap(SimulatedCluster.encode(job(uid, dependencies))).orElseThrow();
   }
 
-  void submit(int node, String uid, List<String> awaits, Consumer<Heard> then) {
-    nodes.get(node).requests.submit(Cbor.write(body(uid, awaits)), heard(then));
+  void submit(int node, String uid, List<String> dependencies, Consumer<Heard> then) {
+    nodes.get(node).requests.submit(Cbor.write(body(uid, dependencies)), heard(then));
   }
 
   void poll(int node, String uid, Consumer<Heard> then) {
@@ -241,16 +247,16 @@
   }
 
   Consumer<ApiResponse> heard(Consumer<Heard> then) {
-    long askedMs = clock.nowMs();
-    return a ->
+    long sentMs = clock.nowMs();
+    return response ->
         then.accept(
             new Heard(
-                a.status(),
-                Cbor.readMap(a.body()).orElseThrow().path("status").asText(),
-                clock.nowMs() - askedMs));
+                response.status(),
+                Cbor.readMap(response.body()).orElseThrow().path("status").asText(),
+                clock.nowMs() - sentMs));
   }
 
-  /** Lets time pass until the answer is there. */
+  /** Sends a request and advances the clock until its response arrives, for at most 10 s. */
   Heard wait(Consumer<Consumer<Heard>> ask) {
     List<Heard> heard = new ArrayList<>();
     ask.accept(heard::add);
@@ -261,8 +267,8 @@
     return heard.get(0);
   }
 
-  Heard submit(int node, String uid, List<String> awaits) {
-    return wait(then -> submit(node, uid, awaits, then));
+  Heard submit(int node, String uid, List<String> dependencies) {
+    return wait(then -> submit(node, uid, dependencies, then));
   }
 
   Heard poll(int node, String uid) {
