--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
@@ -25,7 +25,7 @@
 import org.ploverspindle.progress.ProgressWriter;
 import org.ploverspindle.progress.RecordedProgress;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.StoredJob;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SnapshotRecord;
@@ -44,12 +44,12 @@
   static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 200, 16, 24);
 
   /** Well over the time that clearings wait for a record that goes out for other reasons. */
-  static final long QUIET_MS = 8_000;
+  static final long LONGER_THAN_FLUSH_DELAY_MS = 8_000;
 
   /** Well under it. */
-  static final long SHORT_MS = 400;
+  static final long SHORTER_THAN_FLUSH_DELAY_MS = 400;
 
-  enum Fate {
+  enum Outcome {
     ANSWERED,
     /** Executed, but not answered. */
     ANSWER_LOST,
@@ -62,12 +62,12 @@
   final SimClock clock = new SimClock();
   final SimStateStore state = new SimStateStore(clock, LIMITS);
   final Random random = new Random(7);
-  double faults;
-  Fate nextFate = Fate.ANSWERED;
-  long lateMs = 3_000;
+  double faultProbability;
+  Outcome nextOutcome = Outcome.ANSWERED;
+  long executionDelayMs = 3_000;
   long terms;
   long attempts;
-  int transactions;
+  int transactionCount;
   final List<TransactionResult> lateResults = new ArrayList<>();
 
   final class FaultyStateClient extends StubStateStore {
@@ -78,16 +78,18 @@
       this.process = process;
     }
 
-    private Fate fate() {
-      Fate fate = nextFate;
-      nextFate = Fate.ANSWERED;
-      return random.nextDouble() < faults ? Fate.values()[1 + random.nextInt(3)] : fate;
+    private Outcome takeOutcome() {
+      Outcome outcome = nextOutcome;
+      nextOutcome = Outcome.ANSWERED;
+      return random.nextDouble() < faultProbability
+          ? Outcome.values()[1 + random.nextInt(3)]
+          : outcome;
     }
 
     @Override
     public void commit(Transaction transaction, Consumer<TransactionResult> then) {
-      transactions++;
-      switch (fate()) {
+      transactionCount++;
+      switch (takeOutcome()) {
         case ANSWERED ->
             clock.after(
                 3,
@@ -100,7 +102,7 @@
           process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
         }
         case LATE -> {
-          clock.after(lateMs, () -> lateResults.add(state.commit(transaction)));
+          clock.after(executionDelayMs, () -> lateResults.add(state.commit(transaction)));
           process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
         }
         case LOST -> process.schedule(300, () -> then.accept(new TransactionResult.Unknown()));
@@ -114,7 +116,7 @@
 
   long newTerm() {
     long before =
-        Optional.ofNullable(LowerLimitsTest.all(state).get(Keys.LEADER))
+        Optional.ofNullable(LowerLimitsTest.allEntries(state).get(Keys.LEADER))
             .map(Entry::modRevision)
             .orElse(0L);
     TransactionResult result =
@@ -151,52 +153,56 @@
                   LIMITS.maxChangesPerTransaction(),
                   LIMITS.maxValueBytes()),
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
-              m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
+              machine -> new SnapshotRecord.MachineInfo(machine.host(), "type-16", "zone-a", true),
               this);
       recorded = new RecordedProgress(replica, writer);
     }
 
-    Job accept(Kind kind) {
+    Job accept(StoredJob stored) {
       Job job =
           new Job(
               JobSpecFixtures.batch(
-                  kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
+                  stored.uid(), "c", "t", Priority.NORMAL, stored.tasks(), 1, 0, 10, 0),
               0,
-              kind.chunk(),
+              stored.shardSize(),
               0,
               new BitSet(),
               -1,
               1);
-      jobs.put(kind.uid(), job);
+      jobs.put(stored.uid(), job);
       return job;
     }
 
     /** Restores a job from the records: recorded placements are presumed to be running. */
-    Job takeOver(Kind kind, boolean cancelled) {
-      Job job = accept(kind);
+    Job takeOver(StoredJob stored, boolean cancelled) {
+      Job job = accept(stored);
       if (cancelled) {
         job.cancel();
       }
       RecordedProgress.RecordedStatuses read = recorded.of(job);
       read.completed().stream().forEach(job::markCompleted);
-      read.placements().values().forEach(l -> place(job, l.task(), l.attempt(), l.machine().id()));
+      read.placements()
+          .values()
+          .forEach(
+              placement ->
+                  place(job, placement.task(), placement.attempt(), placement.machine().id()));
       if (cancelled) {
         recordEnds(job);
       }
       return job;
     }
 
-    private void place(Job job, int task, long attempt, String host) {
+    private void place(Job job, int task, long attempt, String machineId) {
       Machine machine =
           machines.computeIfAbsent(
-              host, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
+              machineId, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
       job.addPlacement(new Placement(job, task, attempt, machine, 3, Placement.Phase.RECOVERED));
     }
 
     void place(Job job, int... tasks) {
-      for (int t : tasks) {
-        place(job, t, (terms << 40) + ++attempts, "i-" + (100_000 + random.nextInt(50)));
-        writer.taskChanged(job, t);
+      for (int task : tasks) {
+        place(job, task, (terms << 40) + ++attempts, "i-" + (100_000 + random.nextInt(50)));
+        writer.taskChanged(job, task);
       }
     }
 
@@ -206,13 +212,13 @@
     }
 
     /** The placements of these tasks are proven to have ended. */
-    void ended(Job job, int... tasks) {
-      for (int t : tasks) {
-        job.removePlacement(job.activePlacement(t));
+    void endPlacements(Job job, int... tasks) {
+      for (int task : tasks) {
+        job.removePlacement(job.activePlacement(task));
         if (job.cancelled()) {
           recordEnds(job);
         } else {
-          writer.taskChanged(job, t);
+          writer.taskChanged(job, task);
         }
       }
     }
@@ -225,7 +231,7 @@
       }
     }
 
-    void end() {
+    void stop() {
       writer.close();
       process.kill();
     }
@@ -244,33 +250,33 @@
     }
   }
 
-  static final Kind CANCELLED = new Kind("run-cancelled", 6, 4);
-  static final Kind OTHER = new Kind("run-other", 2_000, 50);
+  static final StoredJob CANCELLED_JOB = new StoredJob("run-cancelled", 6, 4);
+  static final StoredJob OTHER_JOB = new StoredJob("run-other", 2_000, 50);
 
   /** The tasks that are recorded as placed, by the reference reader. */
-  Set<Integer> recordedPlacements(Kind kind) {
-    String[] read = ReferenceProgressRecords.read(LowerLimitsTest.all(state), kind);
-    Set<Integer> live = new TreeSet<>();
-    for (int t = 0; t < read.length; t++) {
-      if (read[t].startsWith("live")) {
-        live.add(t);
+  Set<Integer> recordedPlacements(StoredJob stored) {
+    String[] statuses = ReferenceProgressRecords.read(LowerLimitsTest.allEntries(state), stored);
+    Set<Integer> placed = new TreeSet<>();
+    for (int task = 0; task < statuses.length; task++) {
+      if (statuses[task].startsWith("live")) {
+        placed.add(task);
       }
     }
-    return live;
+    return placed;
   }
 
   /** A leader that takes over now finds exactly these tasks placed. */
-  void assertNextLeaderCounts(Kind kind, Set<Integer> tasks) {
-    assertEquals(tasks, recordedPlacements(kind));
+  void assertNextLeaderFindsPlaced(StoredJob stored, Set<Integer> tasks) {
+    assertEquals(tasks, recordedPlacements(stored));
     Leader reader = new Leader();
-    assertEquals(tasks, reader.recorded.of(reader.accept(kind)).placements().keySet());
-    reader.end();
+    assertEquals(tasks, reader.recorded.of(reader.accept(stored)).placements().keySet());
+    reader.stop();
   }
 
-  Job placedAndCancelled(Leader leader, Kind kind, int... tasks) {
-    Job job = leader.accept(kind);
+  Job placeAndCancel(Leader leader, StoredJob stored, int... tasks) {
+    Job job = leader.accept(stored);
     leader.place(job, tasks);
-    runFor(SHORT_MS);
+    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
     leader.cancel(job);
     return job;
   }
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ploverspindle.cluster.Job;
 import org.ploverspindle.cluster.Placement;
-import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.StoredJob;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.StateStore.TransactionResult;
 
@@ -26,218 +26,218 @@
  */
 class CancelledPlacementsTest extends CancelledPlacementsScenario {
   @Test
-  void endsRideOnTheNextRecordAndTakeNoTransactionOfTheirOwn() {
+  void endsOfCancelledPlacementsAreWrittenWithTheNextRecord() {
     Leader leader = new Leader();
-    Job other = leader.accept(OTHER);
-    Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
-    leader.ended(job, 0, 1, 5);
-    runFor(SHORT_MS);
-    assertEquals(1, transactions);
-    assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED));
+    Job other = leader.accept(OTHER_JOB);
+    Job job = placeAndCancel(leader, CANCELLED_JOB, 0, 1, 5);
+    leader.endPlacements(job, 0, 1, 5);
+    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
+    assertEquals(1, transactionCount);
+    assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED_JOB));
     leader.place(other, 0);
-    runFor(SHORT_MS);
-    assertEquals(2, transactions);
-    assertEquals(Set.of(), recordedPlacements(CANCELLED));
-    runFor(3 * QUIET_MS);
-    assertEquals(2, transactions, "nothing is left to say");
-    leader.end();
-    assertNextLeaderCounts(CANCELLED, Set.of());
+    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
+    assertEquals(2, transactionCount);
+    assertEquals(Set.of(), recordedPlacements(CANCELLED_JOB));
+    runFor(3 * LONGER_THAN_FLUSH_DELAY_MS);
+    assertEquals(2, transactionCount, "nothing is left to say");
+    leader.stop();
+    assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
 
   @Test
-  void whenNothingElseIsWrittenOneTransactionSaysAllEnds() {
+  void endsOfCancelledPlacementsShareOneTransactionWhenNothingElseIsWritten() {
     Leader leader = new Leader();
-    List<Kind> kinds = new ArrayList<>();
+    List<StoredJob> storedJobs = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      Kind kind = new Kind("run-" + i, 6, 4);
-      kinds.add(kind);
-      Job job = placedAndCancelled(leader, kind, 0, 5);
-      leader.ended(job, 0, 5);
+      StoredJob stored = new StoredJob("run-" + i, 6, 4);
+      storedJobs.add(stored);
+      Job job = placeAndCancel(leader, stored, 0, 5);
+      leader.endPlacements(job, 0, 5);
       runFor(20);
     }
-    int before = transactions;
-    runFor(QUIET_MS);
-    assertTrue(transactions - before <= 1, transactions - before + " transactions");
-    kinds.forEach(k -> assertEquals(Set.of(), recordedPlacements(k), k.uid()));
+    int before = transactionCount;
+    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    assertTrue(transactionCount - before <= 1, transactionCount - before + " transactions");
+    storedJobs.forEach(k -> assertEquals(Set.of(), recordedPlacements(k), k.uid()));
   }
 
   @Test
-  void nothingIsSaidToHaveEndedBeforeItsProof() {
+  void cancelledPlacementStaysRecordedUntilItsEndIsProven() {
     Leader leader = new Leader();
-    Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
-    runFor(QUIET_MS);
-    assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED));
-    leader.ended(job, 1);
-    runFor(QUIET_MS);
-    leader.end();
-    assertNextLeaderCounts(CANCELLED, Set.of(0, 5));
+    Job job = placeAndCancel(leader, CANCELLED_JOB, 0, 1, 5);
+    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED_JOB));
+    leader.endPlacements(job, 1);
+    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    leader.stop();
+    assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of(0, 5));
   }
 
   /** Its machine took the job's last task to its end just as the job was cancelled. */
   @Test
-  void anEndThatWasAboutToBeWrittenIsCleared() {
+  void unwrittenCompletionIsClearedOnceTheJobIsCancelled() {
     Leader leader = new Leader();
-    Job job = leader.accept(CANCELLED);
+    Job job = leader.accept(CANCELLED_JOB);
     leader.place(job, 0, 1);
-    runFor(SHORT_MS);
-    nextFate = Fate.LOST;
+    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
+    nextOutcome = Outcome.LOST;
     job.markCompleted(1);
-    leader.ended(job, 1);
+    leader.endPlacements(job, 1);
     runFor(100);
     leader.cancel(job);
-    leader.ended(job, 0);
-    runFor(QUIET_MS);
-    assertEquals(Set.of(), recordedPlacements(CANCELLED));
+    leader.endPlacements(job, 0);
+    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    assertEquals(Set.of(), recordedPlacements(CANCELLED_JOB));
   }
 
   @Test
-  void aLeaderEndsBetweenTheProofAndTheWrite() {
+  void endsProvenButNotWrittenAreProvenAgainByTheNextLeader() {
     Leader first = new Leader();
-    Job job = placedAndCancelled(first, CANCELLED, 0, 1, 5);
-    first.ended(job, 0, 1, 5);
+    Job job = placeAndCancel(first, CANCELLED_JOB, 0, 1, 5);
+    first.endPlacements(job, 0, 1, 5);
     runFor(100);
-    first.end();
+    first.stop();
     Leader second = new Leader();
-    Job again = second.takeOver(CANCELLED, true);
+    Job again = second.takeOver(CANCELLED_JOB, true);
     assertEquals(
         3, again.activePlacements().size(), "what nothing durable says is not taken for granted");
-    second.ended(again, 0, 1, 5);
-    runFor(QUIET_MS);
-    second.end();
-    assertNextLeaderCounts(CANCELLED, Set.of());
+    second.endPlacements(again, 0, 1, 5);
+    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    second.stop();
+    assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"ANSWER_LOST", "LATE", "LOST"})
-  void theWriteIsLateOrItsAnswerLost(String fate) {
+  void endsAreRecordedWhenTheWriteIsLateLostOrUnanswered(String outcome) {
     Leader leader = new Leader();
-    Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
-    leader.ended(job, 0, 1, 5);
-    nextFate = Fate.valueOf(fate);
-    runFor(3 * QUIET_MS);
+    Job job = placeAndCancel(leader, CANCELLED_JOB, 0, 1, 5);
+    leader.endPlacements(job, 0, 1, 5);
+    nextOutcome = Outcome.valueOf(outcome);
+    runFor(3 * LONGER_THAN_FLUSH_DELAY_MS);
     assertTrue(!leader.deposed);
-    leader.end();
-    assertNextLeaderCounts(CANCELLED, Set.of());
+    leader.stop();
+    assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
 
   /** The placements' own record comes late, after they are gone and said to be. */
   @Test
-  void theRecordOfThePlacementsComesLate() {
+  void lateRecordOfEndedPlacementsIsCleared() {
     Leader leader = new Leader();
-    Job other = leader.accept(OTHER);
-    Job job = leader.accept(CANCELLED);
-    nextFate = Fate.LATE;
-    lateMs = 2_000;
+    Job other = leader.accept(OTHER_JOB);
+    Job job = leader.accept(CANCELLED_JOB);
+    nextOutcome = Outcome.LATE;
+    executionDelayMs = 2_000;
     leader.place(job, 0, 1, 5);
     runFor(100);
     leader.cancel(job);
-    leader.ended(job, 0, 1, 5);
+    leader.endPlacements(job, 0, 1, 5);
     // Soon after it is known that nobody knows of the first one.
     runFor(900);
     leader.place(other, 0);
     runFor(5_000);
     assertEquals(1, lateResults.size());
-    runFor(2 * QUIET_MS);
-    leader.end();
-    assertNextLeaderCounts(CANCELLED, Set.of());
+    runFor(2 * LONGER_THAN_FLUSH_DELAY_MS);
+    leader.stop();
+    assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
 
   @Test
-  void aLateWriteOfADeposedLeaderSaysNothing() {
+  void lateWriteOfADeposedLeaderIsRejected() {
     Leader first = new Leader();
-    Job job = placedAndCancelled(first, CANCELLED, 0, 1);
-    first.ended(job, 0, 1);
-    nextFate = Fate.LATE;
-    lateMs = 4_000;
+    Job job = placeAndCancel(first, CANCELLED_JOB, 0, 1);
+    first.endPlacements(job, 0, 1);
+    nextOutcome = Outcome.LATE;
+    executionDelayMs = 4_000;
     runFor(5_100);
-    first.end();
+    first.stop();
     Leader second = new Leader();
     runFor(6_000);
     assertEquals(1, lateResults.size());
     assertTrue(lateResults.get(0) instanceof TransactionResult.Conflict, lateResults.toString());
-    second.end();
-    assertNextLeaderCounts(CANCELLED, Set.of(0, 1));
+    second.stop();
+    assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of(0, 1));
   }
 
   /** Ends so many tasks of the other job, each in a record of its own. */
-  private void records(Leader leader, Job other, int count) {
+  private void writeRecords(Leader leader, Job other, int count) {
     for (int i = 0; i < count; i++) {
       int task = other.pendingTasks().next(0);
       leader.place(other, task);
       runFor(30);
       other.markCompleted(task);
-      leader.ended(other, task);
+      leader.endPlacements(other, task);
       runFor(30);
     }
   }
 
   @Test
-  void aCheckpointIsRemovedOnlyWithTheRecordThatSaysWhatItHid() {
+  void snapshotIsRemovedOnlyOnceTheLogHoldsTheEnds() {
     Leader leader = new Leader();
-    Job other = leader.accept(OTHER);
-    Job job = leader.accept(CANCELLED);
+    Job other = leader.accept(OTHER_JOB);
+    Job job = leader.accept(CANCELLED_JOB);
     leader.place(job, 0, 1, 5);
-    runFor(SHORT_MS);
+    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
     // Its slot's turn is near: the placements are in checkpoints, and older records still stand.
-    records(leader, other, 110);
-    assertTrue(hasSnapshot(CANCELLED));
-    assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED));
+    writeRecords(leader, other, 110);
+    assertTrue(hasSnapshot(CANCELLED_JOB));
+    assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED_JOB));
     leader.cancel(job);
-    leader.ended(job, 0, 1, 5);
+    leader.endPlacements(job, 0, 1, 5);
     for (int i = 0; i < 300; i++) {
       runFor(10);
-      if (!hasSnapshot(CANCELLED)) {
-        assertEquals(Set.of(), recordedPlacements(CANCELLED));
+      if (!hasSnapshot(CANCELLED_JOB)) {
+        assertEquals(Set.of(), recordedPlacements(CANCELLED_JOB));
       }
     }
-    assertTrue(!hasSnapshot(CANCELLED));
-    leader.end();
-    assertNextLeaderCounts(CANCELLED, Set.of());
+    assertTrue(!hasSnapshot(CANCELLED_JOB));
+    leader.stop();
+    assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
 
   /** A burst leaves no room for the ends in its transaction, while there are changes left in it. */
   @Test
-  void aCheckpointStaysUntilThereIsRoomToSayWhatItHides() {
+  void snapshotStaysUntilTheLogRecordHasRoomForTheEnds() {
     Leader leader = new Leader();
-    Job other = leader.accept(OTHER);
-    Map<Kind, Job> jobs = new LinkedHashMap<>();
+    Job other = leader.accept(OTHER_JOB);
+    Map<StoredJob, Job> jobs = new LinkedHashMap<>();
     for (int i = 0; i < 12; i++) {
-      Kind kind = new Kind("run-cancelled-" + i, 6, 6);
-      jobs.put(kind, leader.accept(kind));
-      leader.place(jobs.get(kind), 0, 2, 5);
+      StoredJob stored = new StoredJob("run-cancelled-" + i, 6, 6);
+      jobs.put(stored, leader.accept(stored));
+      leader.place(jobs.get(stored), 0, 2, 5);
     }
-    runFor(SHORT_MS);
-    records(leader, other, 110);
+    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
+    writeRecords(leader, other, 110);
     jobs.keySet().forEach(k -> assertTrue(hasSnapshot(k)));
-    Job burst = leader.accept(new Kind("run-burst", 6_000, 160));
+    Job burst = leader.accept(new StoredJob("run-burst", 6_000, 160));
     leader.place(burst, IntStream.range(0, 6_000).toArray());
     jobs.values().forEach(leader::cancel);
-    jobs.values().forEach(job -> leader.ended(job, 0, 2, 5));
+    jobs.values().forEach(job -> leader.endPlacements(job, 0, 2, 5));
     for (int i = 0; i < 300; i++) {
       runFor(10);
-      for (Kind kind : jobs.keySet()) {
-        assertTrue(hasSnapshot(kind) || recordedPlacements(kind).isEmpty(), kind.uid());
+      for (StoredJob stored : jobs.keySet()) {
+        assertTrue(hasSnapshot(stored) || recordedPlacements(stored).isEmpty(), stored.uid());
       }
     }
     jobs.keySet().forEach(k -> assertTrue(!hasSnapshot(k)));
   }
 
-  private boolean hasSnapshot(Kind kind) {
-    return LowerLimitsTest.all(state).keySet().stream()
-        .anyMatch(k -> k.startsWith(Keys.snapshotsOf(kind.uid())));
+  private boolean hasSnapshot(StoredJob stored) {
+    return LowerLimitsTest.allEntries(state).keySet().stream()
+        .anyMatch(k -> k.startsWith(Keys.snapshotsOf(stored.uid())));
   }
 
   @Test
-  void theLogForgetsThemOnceNothingOlderStands() {
+  void logNoLongerNamesACancelledJobOnceItsPlacementsAreOverwritten() {
     Leader leader = new Leader();
-    Job other = leader.accept(OTHER);
-    Job job = placedAndCancelled(leader, CANCELLED, 0, 1, 5);
-    leader.ended(job, 0, 1, 5);
-    records(leader, other, 260);
-    assertEquals(Set.of(), recordedPlacements(CANCELLED));
+    Job other = leader.accept(OTHER_JOB);
+    Job job = placeAndCancel(leader, CANCELLED_JOB, 0, 1, 5);
+    leader.endPlacements(job, 0, 1, 5);
+    writeRecords(leader, other, 260);
+    assertEquals(Set.of(), recordedPlacements(CANCELLED_JOB));
     boolean mentioned =
-        LowerLimitsTest.all(state).values().stream()
-            .anyMatch(e -> e.value().toString().contains(CANCELLED.uid()));
+        LowerLimitsTest.allEntries(state).values().stream()
+            .anyMatch(e -> e.value().toString().contains(CANCELLED_JOB.uid()));
     assertTrue(!mentioned, "a record speaks of it");
   }
 
@@ -248,55 +248,55 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void whatIsReadIsWhatWasProven(long seed) {
+  void readPlacementsAreThoseNotProvenEnded(long seed) {
     random.setSeed(seed);
-    Map<Kind, Boolean> cancelled = new LinkedHashMap<>();
-    int named = 0;
+    Map<StoredJob, Boolean> cancelled = new LinkedHashMap<>();
+    int jobCount = 0;
     for (int term = 0; term < 6; term++) {
-      faults = 0;
+      faultProbability = 0;
       Leader leader = new Leader();
-      Map<Kind, Job> leads = new LinkedHashMap<>();
-      cancelled.forEach((k, c) -> leads.put(k, leader.takeOver(k, c)));
-      faults = random.nextInt(3) * 0.12;
+      Map<StoredJob, Job> ledJobs = new LinkedHashMap<>();
+      cancelled.forEach((k, c) -> ledJobs.put(k, leader.takeOver(k, c)));
+      faultProbability = random.nextInt(3) * 0.12;
       for (int i = 0; i < 600; i++) {
-        if (leads.size() < 12 || random.nextInt(25) == 0) {
-          Kind kind = new Kind("run-" + ++named, 1 + random.nextInt(60), 20);
-          cancelled.put(kind, false);
-          leads.put(kind, leader.accept(kind));
+        if (ledJobs.size() < 12 || random.nextInt(25) == 0) {
+          StoredJob stored = new StoredJob("run-" + ++jobCount, 1 + random.nextInt(60), 20);
+          cancelled.put(stored, false);
+          ledJobs.put(stored, leader.accept(stored));
         }
-        List<Kind> kinds = List.copyOf(leads.keySet());
-        Kind kind = kinds.get(random.nextInt(kinds.size()));
-        step(leader, leads.get(kind), kind, cancelled);
+        List<StoredJob> storedJobs = List.copyOf(ledJobs.keySet());
+        StoredJob stored = storedJobs.get(random.nextInt(storedJobs.size()));
+        step(leader, ledJobs.get(stored), stored, cancelled);
         runFor(20);
       }
-      faults = 0;
-      runFor(2 * QUIET_MS);
+      faultProbability = 0;
+      runFor(2 * LONGER_THAN_FLUSH_DELAY_MS);
       assertEquals(0, leader.writer.backlog(), "still to be written");
-      for (Map.Entry<Kind, Job> e : leads.entrySet()) {
-        Set<Integer> live = new TreeSet<>();
-        e.getValue().activePlacements().forEach(p -> live.add(p.task()));
-        assertEquals(live, recordedPlacements(e.getKey()), e.getKey() + " after term " + term);
+      for (Map.Entry<StoredJob, Job> e : ledJobs.entrySet()) {
+        Set<Integer> placed = new TreeSet<>();
+        e.getValue().activePlacements().forEach(p -> placed.add(p.task()));
+        assertEquals(placed, recordedPlacements(e.getKey()), e.getKey() + " after term " + term);
       }
       assertTrue(!leader.deposed);
-      leader.end();
+      leader.stop();
     }
     assertTrue(cancelled.containsValue(true));
   }
 
-  private void step(Leader leader, Job job, Kind kind, Map<Kind, Boolean> cancelled) {
-    int what = random.nextInt(100);
-    if (what < 4 && !job.cancelled() && !job.activePlacements().isEmpty()) {
-      cancelled.put(kind, true);
+  private void step(Leader leader, Job job, StoredJob stored, Map<StoredJob, Boolean> cancelled) {
+    int action = random.nextInt(100);
+    if (action < 4 && !job.cancelled() && !job.activePlacements().isEmpty()) {
+      cancelled.put(stored, true);
       leader.cancel(job);
-    } else if (what < 55 && !job.pendingTasks().isEmpty()) {
+    } else if (action < 55 && !job.pendingTasks().isEmpty()) {
       leader.place(job, job.pendingTasks().next(0));
     } else if (!job.activePlacements().isEmpty()) {
       Placement placement = job.activePlacements().iterator().next();
       // One task stays, so that the job is not done: its end is another matter.
-      if (!job.cancelled() && job.completedTasks().size() + 1 < kind.tasks()) {
+      if (!job.cancelled() && job.completedTasks().size() + 1 < stored.tasks()) {
         job.markCompleted(placement.task());
       }
-      leader.ended(job, placement.task());
+      leader.endPlacements(job, placement.task());
     }
   }
 }
--- a/src/test/java/org/ploverspindle/sim/FixtureStore.java
+++ b/src/test/java/org/ploverspindle/sim/FixtureStore.java
@@ -13,7 +13,7 @@
 record FixtureStore(JsonNode records) implements StateStore {
   static final String HEAD_F659783 = "/head-f659783-records.json";
   static final String PRODUCTION = "/production-records.json";
-  private static final long LEDGER = 7;
+  private static final long REVISION = 7;
 
   static JsonNode fixture(String resource) throws IOException {
     try (var in = FixtureStore.class.getResourceAsStream(resource)) {
@@ -23,7 +23,7 @@
 
   List<Entry> entries() {
     return records.properties().stream()
-        .map(e -> new Entry(e.getKey(), e.getValue(), LEDGER))
+        .map(e -> new Entry(e.getKey(), e.getValue(), REVISION))
         .sorted(Comparator.comparing(Entry::key))
         .toList();
   }
@@ -34,23 +34,23 @@
 
   @Override
   public void readPage(String prefix, String after, int size, Consumer<PageResult> then) {
-    then.accept(new PageResult.Page(under(prefix), false, LEDGER));
+    then.accept(new PageResult.Page(under(prefix), false, REVISION));
   }
 
   @Override
-  public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
-    then.accept(new ChangesResult.Changes(LEDGER, List.of()));
+  public void readChanges(String prefix, long revision, Consumer<ChangesResult> then) {
+    then.accept(new ChangesResult.Changes(REVISION, List.of()));
   }
 
   @Override
-  public void commit(Transaction txn, Consumer<TransactionResult> then) {}
+  public void commit(Transaction transaction, Consumer<TransactionResult> then) {}
 
   @Override
   public void openLease(long ttlMs, Consumer<Optional<Long>> then) {}
 
   @Override
-  public void renewLease(long hold, Consumer<Renewal> then) {}
+  public void renewLease(long lease, Consumer<Renewal> then) {}
 
   @Override
-  public void closeLease(long hold) {}
+  public void closeLease(long lease) {}
 }
--- a/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
@@ -32,35 +32,35 @@
 class LargeJobUnderLowerLimitsTest {
   private static final Logger LOG = LoggerFactory.getLogger(LargeJobUnderLowerLimitsTest.class);
   private static final int TASKS = 100_000;
-  private static final int NODES = 7;
-  private static final int CHUNK = 17;
-  private static final int CHUNKS = (TASKS + CHUNK - 1) / CHUNK;
-  private static final double TASK_S = 4;
-  private static final int SMALL_EVERY_MS = 2_000;
-  private static final int LOOK_EVERY_MS = 20;
-  private static final int CANCEL_MS = 39_000;
+  private static final int CONTROLLERS = 7;
+  private static final int SHARD_SIZE = 17;
+  private static final int SHARDS = (TASKS + SHARD_SIZE - 1) / SHARD_SIZE;
+  private static final double TASK_DURATION_S = 4;
+  private static final int SMALL_JOB_INTERVAL_MS = 2_000;
+  private static final int POLL_INTERVAL_MS = 20;
+  private static final int CANCELLATION_LIMIT_MS = 39_000;
   private static final int LOADING_MS = 3_000;
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(60, 15, 2, 12);
 
   private final SimulatedCluster cluster;
   private final JobSpec large;
-  private final List<JobSpec> small = new ArrayList<>();
-  private final List<JobSpec> unrecorded = new ArrayList<>();
+  private final List<JobSpec> smallJobs = new ArrayList<>();
+  private final List<JobSpec> withoutCompletionRecord = new ArrayList<>();
   private boolean enoughSmallJobs;
-  private final List<InvariantChecker.Start> starts = new ArrayList<>();
+  private final List<InvariantChecker.Start> largeJobStarts = new ArrayList<>();
 
   /** How long ends of other jobs took to be recorded, by when they came. */
-  private final List<long[]> endDelays = new ArrayList<>();
+  private final List<long[]> completionDelays = new ArrayList<>();
 
   LargeJobUnderLowerLimitsTest() {
     cluster =
         new SimulatedCluster(
             1,
             new SimulatedCluster.Deployment(
-                NODES,
+                CONTROLLERS,
                 120,
                 List.of("a"),
-                new Settings.WorkerLimits(3, 14, CANCEL_MS / 1_000.0),
+                new Settings.WorkerLimits(3, 14, CANCELLATION_LIMIT_MS / 1_000.0),
                 LIMITS,
                 new Settings.CloudLimits(6, 8),
                 List.of(
@@ -69,21 +69,29 @@
                 new Policy(3, 30, 60, 0, Policy.UNBOUNDED, 30, Map.of())));
     large =
         JobSpecFixtures.batch(
-            cluster.newUid(), "large", "red", Priority.NORMAL, TASKS, 0.25, 0.1, TASK_S, 0);
+            cluster.newUid(),
+            "large",
+            "red",
+            Priority.NORMAL,
+            TASKS,
+            0.25,
+            0.1,
+            TASK_DURATION_S,
+            0);
     cluster.checker.whenATaskStarts(
         start -> {
           if (start.uid().equals(large.uid())) {
-            starts.add(start);
+            largeJobStarts.add(start);
           }
         });
-    lookForEnds();
+    pollCompletions();
   }
 
   /** What stands in the state service, and what was asked of it. */
   private record Usage(
       long atMs,
-      int checkpoints,
-      long checkpointBytes,
+      int snapshots,
+      long snapshotBytes,
       int keys,
       long bytes,
       long requests,
@@ -100,8 +108,8 @@
           refused - before.refused,
           changes - before.changes,
           pages - before.pages,
-          checkpoints,
-          checkpointBytes / 1_024,
+          snapshots,
+          snapshotBytes / 1_024,
           keys,
           bytes / 1_024);
     }
@@ -111,7 +119,7 @@
     SimStateStore state = cluster.state;
     return new Usage(
         cluster.clock.nowMs(),
-        checkpoints(),
+        snapshotCount(),
         state.sizeInBytes(Keys.SNAPSHOTS),
         state.keyCount(Keys.PREFIX),
         state.sizeInBytes(Keys.PREFIX),
@@ -122,33 +130,33 @@
   }
 
   /** From now on another job comes every so often, until they are enough. */
-  private void smallJobs() {
+  private void submitSmallJobs() {
     if (enoughSmallJobs) {
       return;
     }
-    JobSpec s = DayEndCriteriaTest.job(cluster, "small", Priority.HIGH, 4, 1, 5, 60);
-    small.add(s);
-    unrecorded.add(s);
-    cluster.submitAndPoll(s);
-    cluster.clock.after(SMALL_EVERY_MS, this::smallJobs);
+    JobSpec job = DayEndCriteriaTest.job(cluster, "small", Priority.HIGH, 4, 1, 5, 60);
+    smallJobs.add(job);
+    withoutCompletionRecord.add(job);
+    cluster.submitAndPoll(job);
+    cluster.clock.after(SMALL_JOB_INTERVAL_MS, this::submitSmallJobs);
   }
 
-  private void lookForEnds() {
-    for (Iterator<JobSpec> it = unrecorded.iterator(); it.hasNext(); ) {
-      JobSpec s = it.next();
-      if (cluster.state.containsKey(Keys.completion(s.uid()))) {
-        long endedMs = cluster.checker.doneMs(s.uid());
-        endDelays.add(new long[] {endedMs, cluster.clock.nowMs() - endedMs});
-        it.remove();
+  private void pollCompletions() {
+    for (Iterator<JobSpec> jobs = withoutCompletionRecord.iterator(); jobs.hasNext(); ) {
+      JobSpec job = jobs.next();
+      if (cluster.state.containsKey(Keys.completion(job.uid()))) {
+        long endedMs = cluster.checker.doneMs(job.uid());
+        completionDelays.add(new long[] {endedMs, cluster.clock.nowMs() - endedMs});
+        jobs.remove();
       }
     }
-    cluster.clock.after(LOOK_EVERY_MS, this::lookForEnds);
+    cluster.clock.after(POLL_INTERVAL_MS, this::pollCompletions);
   }
 
   /** The median and the longest time until an end that came in this time was recorded. */
-  private long[] endDelayMs(long fromMs, long untilMs) {
+  private long[] completionDelayMs(long fromMs, long untilMs) {
     List<Long> delays =
-        endDelays.stream()
+        completionDelays.stream()
             .filter(d -> d[0] >= fromMs && d[0] < untilMs)
             .map(d -> d[1])
             .sorted()
@@ -157,54 +165,56 @@
     return new long[] {delays.get(delays.size() / 2), delays.get(delays.size() - 1)};
   }
 
-  private static String text(long[] delay) {
+  private static String delayText(long[] delay) {
     return "median " + delay[0] + " ms, longest " + delay[1] + " ms";
   }
 
-  private static void measured(String what, String figures) {
+  private static void logMeasured(String what, String figures) {
     LOG.info("{}: {}", what, figures);
   }
 
-  private void run(long forMs) {
+  private void runFor(long forMs) {
     cluster.clock.runUntil(cluster.clock.nowMs() + forMs);
   }
 
-  private long runUntil(BooleanSupplier test, long mostMs) {
+  private long runUntil(BooleanSupplier condition, long maxMs) {
     long fromMs = cluster.clock.nowMs();
-    while (!test.getAsBoolean()) {
-      assertTrue(cluster.clock.nowMs() - fromMs < mostMs, "not within " + mostMs + " ms");
-      run(LOOK_EVERY_MS);
+    while (!condition.getAsBoolean()) {
+      assertTrue(cluster.clock.nowMs() - fromMs < maxMs, "not within " + maxMs + " ms");
+      runFor(POLL_INTERVAL_MS);
     }
     return cluster.clock.nowMs() - fromMs;
   }
 
-  private int checkpoints() {
+  private int snapshotCount() {
     return cluster.state.keyCount(Keys.SNAPSHOTS);
   }
 
-  private void assertWithinTheRules(long refusedAtFirst) {
+  private void assertRulesAndRatesKept(long refusedWhileLoading) {
     enoughSmallJobs = true;
-    run(60_000);
+    runFor(60_000);
     cluster.checker.endOfDay();
     assertEquals(List.of(), cluster.checker.broken());
     assertEquals(0, cluster.state.refusedAsTooLarge(), "refused for their size");
     assertEquals(0, cluster.state.changeLimiter.refusedCount(), "changes stay below the rate");
     assertEquals(
-        refusedAtFirst, cluster.state.requestLimiter.refusedCount(), "requests below the rate");
-    small.forEach(s -> assertTrue(cluster.checker.isDone(s.uid()), s.uid()));
+        refusedWhileLoading,
+        cluster.state.requestLimiter.refusedCount(),
+        "requests below the rate");
+    smallJobs.forEach(s -> assertTrue(cluster.checker.isDone(s.uid()), s.uid()));
   }
 
   /** All its tasks but the last ones are done, and each chunk has its checkpoint. */
-  private void accepted(int toDo) {
+  private void preloadLargeJob(int pendingTasks) {
     cluster.state.preload(
-        Keys.JOBS + large.uid(), new JobRecord(large, 1_800_000_000_000L, CHUNK).encode());
-    int done = TASKS - toDo;
-    for (int chunk = 0; chunk * CHUNK < done; chunk++) {
-      BitSet tasks = new BitSet();
-      tasks.set(chunk * CHUNK, Math.min(done, (chunk + 1) * CHUNK));
+        Keys.JOBS + large.uid(), new JobRecord(large, 1_800_000_000_000L, SHARD_SIZE).encode());
+    int done = TASKS - pendingTasks;
+    for (int shard = 0; shard * SHARD_SIZE < done; shard++) {
+      BitSet completed = new BitSet();
+      completed.set(shard * SHARD_SIZE, Math.min(done, (shard + 1) * SHARD_SIZE));
       cluster.state.preload(
-          Keys.snapshot(large.uid(), chunk),
-          new SnapshotRecord(tasks, List.of(), 0, 0).encode(done, 0));
+          Keys.snapshot(large.uid(), shard),
+          new SnapshotRecord(completed, List.of(), 0, 0).encode(done, 0));
     }
     cluster.submitAndPoll(large);
     for (int task = 0; task < done; task++) {
@@ -213,59 +223,59 @@
   }
 
   @Test
-  void isAcceptedRecoveredMidwayAndCancelled() {
-    cluster.clock.after(3_000, this::smallJobs);
-    run(30_000);
+  void largeJobIsAcceptedThenRecoveredByANewLeaderThenCancelled() {
+    cluster.clock.after(3_000, this::submitSmallJobs);
+    runFor(30_000);
     Usage before = usage();
     cluster.submitAndPoll(large);
     runUntil(() -> cluster.checker.isAccepted(large.uid()), 2_000);
-    measured("accepted after", usage().since(before));
-    runUntil(() -> !starts.isEmpty(), 20_000);
-    measured("first start after", usage().since(before));
-    assertEquals(CHUNK, SnapshotRecord.shardSizeFor(LIMITS.maxValueBytes()));
+    logMeasured("accepted after", usage().since(before));
+    runUntil(() -> !largeJobStarts.isEmpty(), 20_000);
+    logMeasured("first start after", usage().since(before));
+    assertEquals(SHARD_SIZE, SnapshotRecord.shardSizeFor(LIMITS.maxValueBytes()));
 
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= 10_000, 60_000);
-    measured("10,000 tasks done after", usage().since(before));
+    logMeasured("10,000 tasks done after", usage().since(before));
     takeOver();
-    run(15_000);
+    runFor(15_000);
     Usage cancel = usage();
-    cancel();
-    long removed = runUntil(() -> checkpoints() == 0, 60_000);
-    measured("its keys removed after", removed + " ms; " + usage().since(cancel));
-    assertWithinTheRules(0);
+    cancelLargeJob();
+    long removed = runUntil(() -> snapshotCount() == 0, 60_000);
+    logMeasured("its keys removed after", removed + " ms; " + usage().since(cancel));
+    assertRulesAndRatesKept(0);
   }
 
   @Test
-  void isRecoveredFromACheckpointOfEachChunkFinishedAndItsKeysRemoved() {
-    accepted(5_000);
+  void largeJobWithASnapshotOfEachShardIsRecoveredFinishedAndItsKeysRemoved() {
+    preloadLargeJob(5_000);
     Usage begin = usage();
-    cluster.clock.after(3_000, this::smallJobs);
+    cluster.clock.after(3_000, this::submitSmallJobs);
     runUntil(() -> cluster.leader() >= 0, 20_000);
-    measured("led after", usage().since(begin));
+    logMeasured("led after", usage().since(begin));
     long refused = refusedWhileAllLoad();
-    measured("loaded by all after", usage().since(begin));
-    runUntil(() -> !starts.isEmpty(), 30_000);
-    measured("first start after", usage().since(begin));
+    logMeasured("loaded by all after", usage().since(begin));
+    runUntil(() -> !largeJobStarts.isEmpty(), 30_000);
+    logMeasured("first start after", usage().since(begin));
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= TASKS - 2_500, 60_000);
     takeOver();
     runUntil(() -> cluster.checker.isDone(large.uid()), 120_000);
     runUntil(() -> cluster.state.containsKey(Keys.completion(large.uid())), 20_000);
     Usage done = usage();
-    measured("done after", done.since(begin));
-    removed(done);
-    assertWithinTheRules(refused);
+    logMeasured("done after", done.since(begin));
+    awaitKeyRemoval(done);
+    assertRulesAndRatesKept(refused);
   }
 
   @Test
-  void isCancelledWithACheckpointOfEachChunkBesideOtherJobs() {
-    accepted(20_000);
-    cluster.clock.after(3_000, this::smallJobs);
+  void cancelledLargeJobWithASnapshotOfEachShardDelaysOtherJobsLittle() {
+    preloadLargeJob(20_000);
+    cluster.clock.after(3_000, this::submitSmallJobs);
     long refused = refusedWhileAllLoad();
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= TASKS - 15_000, 60_000);
     Usage cancel = usage();
-    cancel();
-    removed(cancel);
-    assertWithinTheRules(refused);
+    cancelLargeJob();
+    awaitKeyRemoval(cancel);
+    assertRulesAndRatesKept(refused);
   }
 
   /** The leader ends, and another leads and starts tasks. */
@@ -273,48 +283,51 @@
     Usage crash = usage();
     cluster.crash(cluster.leader(), 3_000);
     long leadsMs = runUntil(() -> cluster.leader() >= 0, 30_000);
-    int known = starts.size();
-    long startsMs = runUntil(() -> anyOrderedAfter(known, crash.atMs()), 30_000);
-    measured("a new leader after", leadsMs + " ms, its first start " + startsMs + " ms");
-    measured("the takeover", usage().since(crash));
+    int startsBefore = largeJobStarts.size();
+    long startsMs = runUntil(() -> anyOrderedAfter(startsBefore, crash.atMs()), 30_000);
+    logMeasured("a new leader after", leadsMs + " ms, its first start " + startsMs + " ms");
+    logMeasured("the takeover", usage().since(crash));
     assertTrue(leadsMs + startsMs < 20_000, "first start " + startsMs + " ms after the takeover");
     int pages = cluster.state.pagesRead() - crash.pages();
-    assertTrue(pages <= CHUNKS / 500 + 2, pages + " pages were read by the node that came back");
+    assertTrue(pages <= SHARDS / 500 + 2, pages + " pages were read by the node that came back");
   }
 
   /** All nodes begin at once and read all keys: for these seconds alone requests are refused. */
   private long refusedWhileAllLoad() {
-    runUntil(() -> IntStream.range(0, NODES).allMatch(cluster::isReady), 20_000);
-    run(LOADING_MS);
+    runUntil(() -> IntStream.range(0, CONTROLLERS).allMatch(cluster::isReady), 20_000);
+    runFor(LOADING_MS);
     return cluster.state.requestLimiter.refusedCount();
   }
 
-  private boolean anyOrderedAfter(int known, long orderedMs) {
-    return starts.subList(known, starts.size()).stream().anyMatch(s -> s.orderedMs() > orderedMs);
+  private boolean anyOrderedAfter(int startsBefore, long orderedMs) {
+    return largeJobStarts.subList(startsBefore, largeJobStarts.size()).stream()
+        .anyMatch(s -> s.orderedMs() > orderedMs);
   }
 
-  private void cancel() {
+  private void cancelLargeJob() {
     cluster.cancel(large.uid(), 0);
-    long toldMs = runUntil(() -> cluster.checker.finalWord(large.uid()).equals("aborted"), 2_000);
-    long goneMs = runUntil(() -> cluster.checker.hostsOf(large.uid()).isEmpty(), CANCEL_MS);
-    measured("aborted after", toldMs + " ms, all tasks gone " + goneMs + " ms later");
+    long abortedMs =
+        runUntil(() -> cluster.checker.finalWord(large.uid()).equals("aborted"), 2_000);
+    long endedMs =
+        runUntil(() -> cluster.checker.hostsOf(large.uid()).isEmpty(), CANCELLATION_LIMIT_MS);
+    logMeasured("aborted after", abortedMs + " ms, all tasks gone " + endedMs + " ms later");
   }
 
   /** Its keys are removed by and by; what that does to others. */
-  private void removed(Usage from) {
-    while (checkpoints() > 0) {
-      assertTrue(cluster.clock.nowMs() - from.atMs() < 800_000, checkpoints() + " are left");
-      run(1_000);
+  private void awaitKeyRemoval(Usage from) {
+    while (snapshotCount() > 0) {
+      assertTrue(cluster.clock.nowMs() - from.atMs() < 800_000, snapshotCount() + " are left");
+      runFor(1_000);
     }
     Usage removed = usage();
-    measured("its keys removed after", removed.since(from));
-    run(60_000);
-    long[] during = endDelayMs(from.atMs(), removed.atMs());
-    long[] later = endDelayMs(removed.atMs() + 5_000, cluster.clock.nowMs());
-    measured("ends of other jobs recorded meanwhile", text(during));
-    measured("ends of other jobs recorded afterwards", text(later));
+    logMeasured("its keys removed after", removed.since(from));
+    runFor(60_000);
+    long[] during = completionDelayMs(from.atMs(), removed.atMs());
+    long[] later = completionDelayMs(removed.atMs() + 5_000, cluster.clock.nowMs());
+    logMeasured("ends of other jobs recorded meanwhile", delayText(during));
+    logMeasured("ends of other jobs recorded afterwards", delayText(later));
     assertTrue(during[1] < 8_000, "an end was recorded after " + during[1] + " ms");
-    double perSecond = from.checkpoints() * 1_000.0 / (removed.atMs() - from.atMs());
+    double perSecond = from.snapshots() * 1_000.0 / (removed.atMs() - from.atMs());
     assertTrue(perSecond > 7, perSecond + " keys were removed a second");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
@@ -27,7 +27,7 @@
 import org.ploverspindle.progress.ProgressWriter;
 import org.ploverspindle.progress.RecordedProgress;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.StoredJob;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.Replica;
 import org.ploverspindle.state.SnapshotRecord;
@@ -44,83 +44,83 @@
  * hold.
  */
 abstract class LowerLimitsScenario {
-  static final Settings.StateLimits OLD = new Settings.StateLimits(1000, 60, 16, 24);
+  static final Settings.StateLimits HIGHER = new Settings.StateLimits(1000, 60, 16, 24);
   static final long AGENT_EPOCH = 3;
-  static final Settings.StateLimits LOW = new Settings.StateLimits(1000, 40, 2, 4);
+  static final Settings.StateLimits LOWER = new Settings.StateLimits(1000, 40, 2, 4);
 
   final SimClock clock = new SimClock();
-  final SimStateStore state = new SimStateStore(clock, OLD);
-  final Map<Kind, Truth> jobs = new LinkedHashMap<>();
+  final SimStateStore state = new SimStateStore(clock, HIGHER);
+  final Map<StoredJob, PossibleStatuses> jobs = new LinkedHashMap<>();
   Random random = new Random(1);
-  double faults;
+  double faultProbability;
   long terms;
   int jobCount;
   long attempts;
-  int machines = 300;
+  int machineCount = 300;
 
   /**
    * The statuses that may be recorded for each task: the last confirmed one, and all later ones.
    */
-  static final class Truth {
-    final List<List<String>> possible = new ArrayList<>();
+  static final class PossibleStatuses {
+    final List<List<String>> byTask = new ArrayList<>();
     private boolean terminal;
 
-    Truth(int tasks) {
-      for (int t = 0; t < tasks; t++) {
-        possible.add(new ArrayList<>(List.of(ReferenceProgressRecords.WAITING)));
+    PossibleStatuses(int tasks) {
+      for (int task = 0; task < tasks; task++) {
+        byTask.add(new ArrayList<>(List.of(ReferenceProgressRecords.WAITING)));
       }
     }
 
-    void confirmed(int task, String state) {
-      List<String> states = possible.get(task);
-      int at = states.lastIndexOf(state);
-      if (at > 0) {
-        states.subList(0, at).clear();
+    void confirm(int task, String status) {
+      List<String> statuses = byTask.get(task);
+      int position = statuses.lastIndexOf(status);
+      if (position > 0) {
+        statuses.subList(0, position).clear();
       }
     }
 
     void setRecorded(String[] recorded) {
-      for (int t = 0; t < recorded.length; t++) {
-        possible.set(t, new ArrayList<>(List.of(recorded[t])));
+      for (int task = 0; task < recorded.length; task++) {
+        byTask.set(task, new ArrayList<>(List.of(recorded[task])));
       }
     }
   }
 
-  static SortedMap<String, Entry> all(SimStateStore state) {
-    SortedMap<String, Entry> all = new TreeMap<>();
+  static SortedMap<String, Entry> allEntries(SimStateStore state) {
+    SortedMap<String, Entry> entries = new TreeMap<>();
     ((PageResult.Page) state.readPage(Keys.PREFIX, "", 1_000_000))
         .entries()
-        .forEach(e -> all.put(e.key(), e));
-    return all;
+        .forEach(e -> entries.put(e.key(), e));
+    return entries;
   }
 
   /** Reaches the state service with faults; asserts that nothing exceeds the lower limits. */
   final class FaultyStateClient extends StubStateStore {
     private final SimClock.Process process;
-    private final boolean bounded;
-    int refused;
+    private final boolean assertsLimits;
+    int refusedAsTooLarge;
 
-    FaultyStateClient(SimClock.Process process, boolean bounded) {
+    FaultyStateClient(SimClock.Process process, boolean assertsLimits) {
       super(clock, state, process);
       this.process = process;
-      this.bounded = bounded;
+      this.assertsLimits = assertsLimits;
     }
 
     @Override
     public void commit(Transaction transaction, Consumer<TransactionResult> then) {
-      if (bounded) {
+      if (assertsLimits) {
         assertTrue(
-            transaction.changes().size() <= LOW.maxChangesPerTransaction(),
+            transaction.changes().size() <= LOWER.maxChangesPerTransaction(),
             "changes " + transaction.changes().size());
         assertTrue(
-            transaction.conditions().size() <= 4 * LOW.maxChangesPerTransaction(), "conditions");
-        for (Change c : transaction.changes()) {
-          int bytes = c instanceof Change.Put put ? put.value().toString().length() : 0;
-          assertTrue(bytes <= LOW.maxValueBytes(), c.key() + " has " + bytes + " bytes");
+            transaction.conditions().size() <= 4 * LOWER.maxChangesPerTransaction(), "conditions");
+        for (Change change : transaction.changes()) {
+          int bytes = change instanceof Change.Put put ? put.value().toString().length() : 0;
+          assertTrue(bytes <= LOWER.maxValueBytes(), change.key() + " has " + bytes + " bytes");
         }
       }
-      double fate = random.nextDouble();
-      if (fate < faults) {
+      double draw = random.nextDouble();
+      if (draw < faultProbability) {
         int kind = random.nextInt(3);
         if (kind > 0) {
           clock.after(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.commit(transaction));
@@ -131,7 +131,8 @@
             1 + random.nextInt(10),
             () -> {
               TransactionResult result = state.commit(transaction);
-              refused += result instanceof TransactionResult.Refused r && r.status() == 400 ? 1 : 0;
+              refusedAsTooLarge +=
+                  result instanceof TransactionResult.Refused r && r.status() == 400 ? 1 : 0;
               process.schedule(1 + random.nextInt(10), () -> then.accept(result));
             });
       }
@@ -140,26 +141,27 @@
 
   long newTerm() {
     long before =
-        Optional.ofNullable(all(state).get(Keys.LEADER)).map(Entry::modRevision).orElse(0L);
+        Optional.ofNullable(allEntries(state).get(Keys.LEADER)).map(Entry::modRevision).orElse(0L);
     TransactionResult result =
         state.commit(
             new Transaction(
                 List.of(new Condition(Keys.LEADER, before)),
                 List.of(new Change.Put(Keys.LEADER, Cbor.map().put("term", ++terms)))));
-    if (result instanceof TransactionResult.Committed c) {
-      return c.revision();
+    if (result instanceof TransactionResult.Committed committed) {
+      return committed.revision();
     }
     clock.runUntil(clock.nowMs() + 100);
     return newTerm();
   }
 
-  Kind accept(int chunk) {
-    Kind job = new Kind(String.format("run-%06d", ++jobCount), 1 + random.nextInt(400), chunk);
-    jobs.put(job, new Truth(job.tasks()));
+  StoredJob accept(int shardSize) {
+    StoredJob job =
+        new StoredJob(String.format("run-%06d", ++jobCount), 1 + random.nextInt(400), shardSize);
+    jobs.put(job, new PossibleStatuses(job.tasks()));
     return job;
   }
 
-  void cancelled(Kind job) {
+  void putCancellation(StoredJob job) {
     jobs.get(job).terminal = true;
     while (!(state.commit(
             new Transaction(
@@ -169,31 +171,31 @@
     }
   }
 
-  List<Kind> unfinished() {
+  List<StoredJob> nonTerminalJobs() {
     return jobs.keySet().stream().filter(j -> !jobs.get(j).terminal).toList();
   }
 
   /**
    * Asserts that each recorded status is possible, and makes the recorded ones the only possible.
    */
-  Map<Kind, String[]> takeOver() {
-    SortedMap<String, Entry> all = all(state);
-    Map<Kind, String[]> recorded = new LinkedHashMap<>();
-    for (Kind job : unfinished()) {
-      Truth truth = jobs.get(job);
-      if (all.containsKey(Keys.completion(job.uid()))) {
-        truth.possible.forEach(
-            m -> assertTrue(m.contains(ReferenceProgressRecords.DONE), job + " is not done"));
-        truth.terminal = true;
+  Map<StoredJob, String[]> takeOver() {
+    SortedMap<String, Entry> entries = allEntries(state);
+    Map<StoredJob, String[]> recorded = new LinkedHashMap<>();
+    for (StoredJob job : nonTerminalJobs()) {
+      PossibleStatuses possible = jobs.get(job);
+      if (entries.containsKey(Keys.completion(job.uid()))) {
+        possible.byTask.forEach(
+            s -> assertTrue(s.contains(ReferenceProgressRecords.DONE), job + " is not done"));
+        possible.terminal = true;
         continue;
       }
-      String[] read = ReferenceProgressRecords.read(all, job);
+      String[] read = ReferenceProgressRecords.read(entries, job);
       for (int t = 0; t < read.length; t++) {
         assertTrue(
-            truth.possible.get(t).contains(read[t]),
-            job + "/" + t + " is recorded as " + read[t] + ", not " + truth.possible.get(t));
+            possible.byTask.get(t).contains(read[t]),
+            job + "/" + t + " is recorded as " + read[t] + ", not " + possible.byTask.get(t));
       }
-      truth.setRecorded(read);
+      possible.setRecorded(read);
       recorded.put(job, read);
     }
     return recorded;
@@ -204,13 +206,13 @@
     private final SimClock.Process process = clock.new Process(0, 1, 0);
     final FaultyStateClient client;
     private final ProgressWriter writer;
-    final Map<Kind, Job> leads = new LinkedHashMap<>();
+    final Map<StoredJob, Job> ledJobs = new LinkedHashMap<>();
     private final Map<String, Machine> machinesById = new HashMap<>();
     boolean deposed;
 
-    WritingLeader(Settings.StateLimits limits, boolean bounded) {
+    WritingLeader(Settings.StateLimits limits, boolean assertsLimits) {
       long leaderRevision = newTerm();
-      client = new FaultyStateClient(process, bounded);
+      client = new FaultyStateClient(process, assertsLimits);
       Replica replica = new Replica(process, client, Keys.PREFIX, 700);
       replica.start();
       clock.runUntil(clock.nowMs() + 1_000);
@@ -221,20 +223,20 @@
               new ProgressWriter.StateAccess(
                   client,
                   replica,
-                  new TokenBucket(process, LOW.changesPerS() * 0.65, LOW.changesPerS() * 0.4),
+                  new TokenBucket(process, LOWER.changesPerS() * 0.65, LOWER.changesPerS() * 0.4),
                   limits.maxChangesPerTransaction(),
                   limits.maxValueBytes()),
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
-              m -> new SnapshotRecord.MachineInfo(m.host(), "type-16", "zone-a", true),
+              machine -> new SnapshotRecord.MachineInfo(machine.host(), "type-16", "zone-a", true),
               this);
       RecordedProgress recorded = new RecordedProgress(replica, writer);
-      takeOver().forEach((kind, expected) -> restore(kind, expected, recorded));
+      takeOver().forEach((stored, expected) -> restore(stored, expected, recorded));
     }
 
-    private void restore(Kind kind, String[] expected, RecordedProgress recorded) {
-      Job job = add(kind);
+    private void restore(StoredJob stored, String[] expected, RecordedProgress recorded) {
+      Job job = addJob(stored);
       RecordedProgress.RecordedStatuses read = recorded.of(job);
-      assertArrayEquals(expected, texts(kind, read), kind.toString());
+      assertArrayEquals(expected, statusTexts(stored, read), stored.toString());
       read.completed().stream().forEach(job::markCompleted);
       for (SnapshotRecord.RecordedPlacement placement : read.placements().values()) {
         job.addPlacement(
@@ -251,80 +253,81 @@
       }
     }
 
-    Job add(Kind kind) {
+    Job addJob(StoredJob stored) {
       Job job =
           new Job(
               JobSpecFixtures.batch(
-                  kind.uid(), "c", "t", Priority.NORMAL, kind.tasks(), 1, 0, 10, 0),
+                  stored.uid(), "c", "t", Priority.NORMAL, stored.tasks(), 1, 0, 10, 0),
               0,
-              kind.chunk(),
+              stored.shardSize(),
               0,
               new BitSet(),
               -1,
               1);
-      leads.put(kind, job);
+      ledJobs.put(stored, job);
       return job;
     }
 
-    private String[] texts(Kind kind, RecordedProgress.RecordedStatuses read) {
-      String[] texts = new String[kind.tasks()];
+    private String[] statusTexts(StoredJob stored, RecordedProgress.RecordedStatuses read) {
+      String[] texts = new String[stored.tasks()];
       Arrays.fill(texts, ReferenceProgressRecords.WAITING);
       read.placements()
           .forEach(
-              (t, l) ->
-                  texts[t] =
-                      ReferenceProgressRecords.live(l.attempt(), l.machine().id(), l.agentEpoch()));
-      read.completed().stream().forEach(t -> texts[t] = ReferenceProgressRecords.DONE);
+              (task, placement) ->
+                  texts[task] =
+                      ReferenceProgressRecords.liveStatus(
+                          placement.attempt(), placement.machine().id(), placement.agentEpoch()));
+      read.completed().stream().forEach(task -> texts[task] = ReferenceProgressRecords.DONE);
       return texts;
     }
 
     private Machine machine(String id) {
       return machinesById.computeIfAbsent(
-          id, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
+          id, machineId -> new Machine(machineId, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
     }
 
     /** A random job is cancelled, or some of its tasks are placed, or one of them ends. */
-    void step(boolean placing) {
-      List<Kind> kinds = List.copyOf(leads.keySet());
-      if (kinds.isEmpty()) {
+    void step(boolean mayPlace) {
+      List<StoredJob> storedJobs = List.copyOf(ledJobs.keySet());
+      if (storedJobs.isEmpty()) {
         return;
       }
-      Kind kind = kinds.get(random.nextInt(kinds.size()));
-      Job job = leads.get(kind);
-      int what = random.nextInt(100);
-      if (what == 0 && placing && random.nextInt(4) == 0) {
-        cancel(kind, job);
-      } else if (what < 60 && placing) {
-        place(kind, job);
+      StoredJob stored = storedJobs.get(random.nextInt(storedJobs.size()));
+      Job job = ledJobs.get(stored);
+      int action = random.nextInt(100);
+      if (action == 0 && mayPlace && random.nextInt(4) == 0) {
+        cancel(stored, job);
+      } else if (action < 60 && mayPlace) {
+        place(stored, job);
       } else {
-        endOne(kind, job);
+        endOnePlacement(stored, job);
       }
     }
 
-    private void cancel(Kind kind, Job job) {
+    private void cancel(StoredJob stored, Job job) {
       job.cancel();
       List.copyOf(job.activePlacements()).forEach(job::removePlacement);
       writer.jobTerminated(job);
-      leads.remove(kind);
-      cancelled(kind);
+      ledJobs.remove(stored);
+      putCancellation(stored);
     }
 
-    private void place(Kind kind, Job job) {
-      String host = "i-" + (100_000 + random.nextInt(machines));
-      int most = random.nextInt(60) == 0 ? 60 : 1 + random.nextInt(3);
-      for (int i = 0; i < most && !job.pendingTasks().isEmpty(); i++) {
-        int next = job.pendingTasks().next(random.nextInt(kind.tasks()));
+    private void place(StoredJob stored, Job job) {
+      String host = "i-" + (100_000 + random.nextInt(machineCount));
+      int maxPlacements = random.nextInt(60) == 0 ? 60 : 1 + random.nextInt(3);
+      for (int i = 0; i < maxPlacements && !job.pendingTasks().isEmpty(); i++) {
+        int next = job.pendingTasks().next(random.nextInt(stored.tasks()));
         int task = next < 0 ? job.pendingTasks().next(0) : next;
         long attempt = (terms << 40) + ++attempts;
         job.addPlacement(
             new Placement(job, task, attempt, machine(host), AGENT_EPOCH, Placement.Phase.INTENT));
-        String status = ReferenceProgressRecords.live(attempt, host, AGENT_EPOCH);
-        jobs.get(kind).possible.get(task).add(status);
+        String status = ReferenceProgressRecords.liveStatus(attempt, host, AGENT_EPOCH);
+        jobs.get(stored).byTask.get(task).add(status);
         writer.taskChanged(job, task);
       }
     }
 
-    private void endOne(Kind kind, Job job) {
+    private void endOnePlacement(StoredJob stored, Job job) {
       List<Placement> launched =
           job.activePlacements().stream()
               .filter(placement -> placement.phase() != Placement.Phase.INTENT)
@@ -339,37 +342,37 @@
       }
       job.removePlacement(ended);
       String status = done ? ReferenceProgressRecords.DONE : ReferenceProgressRecords.WAITING;
-      jobs.get(kind).possible.get(ended.task()).add(status);
+      jobs.get(stored).byTask.get(ended.task()).add(status);
       writer.taskChanged(job, ended.task());
     }
 
     /** Without faults, everything that is pending is written within a minute. */
     void settle() {
-      faults = 0;
+      faultProbability = 0;
       for (int i = 0; i < 60 && (i < 3 || writer.backlog() > 0); i++) {
         clock.runUntil(clock.nowMs() + 1_000);
       }
       clock.runUntil(clock.nowMs() + 5_000);
       assertEquals(0, writer.backlog(), "still to be written");
-      unfinished()
-          .forEach(j -> jobs.get(j).possible.forEach(m -> m.subList(0, m.size() - 1).clear()));
+      nonTerminalJobs()
+          .forEach(j -> jobs.get(j).byTask.forEach(s -> s.subList(0, s.size() - 1).clear()));
     }
 
-    void end() {
+    void stop() {
       writer.close();
       process.kill();
     }
 
     @Override
     public void placementsRecorded(List<Placement> placements) {
-      for (Placement at : placements) {
-        leads.forEach(
-            (kind, job) -> {
-              if (job == at.job() && job.activePlacement(at.task()) == at) {
-                String text =
-                    ReferenceProgressRecords.live(
-                        at.attempt(), at.machine().host(), at.agentEpoch());
-                jobs.get(kind).confirmed(at.task(), text);
+      for (Placement placement : placements) {
+        ledJobs.forEach(
+            (stored, job) -> {
+              if (job == placement.job() && job.activePlacement(placement.task()) == placement) {
+                String status =
+                    ReferenceProgressRecords.liveStatus(
+                        placement.attempt(), placement.machine().host(), placement.agentEpoch());
+                jobs.get(stored).confirm(placement.task(), status);
               }
             });
       }
@@ -377,14 +380,14 @@
 
     @Override
     public void completionRecorded(Job job) {
-      leads
+      ledJobs
           .entrySet()
           .removeIf(
-              e -> {
-                if (e.getValue() == job) {
-                  jobs.get(e.getKey()).terminal = true;
+              entry -> {
+                if (entry.getValue() == job) {
+                  jobs.get(entry.getKey()).terminal = true;
                 }
-                return e.getValue() == job;
+                return entry.getValue() == job;
               });
     }
 
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -15,7 +15,7 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.model.Priority;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.StoredJob;
 import org.ploverspindle.state.Keys;
 import org.ploverspindle.state.SnapshotRecord;
 
@@ -28,75 +28,82 @@
 class LowerLimitsTest extends LowerLimitsScenario {
   /** A term of the version in production; after the limits fall all its writes are refused. */
   private void earlierVersionLeads(int steps) {
-    ReferenceProgressRecords.OldWriter old =
-        new ReferenceProgressRecords.OldWriter(
-            state, newTerm(), OLD.maxValueBytes(), OLD.maxChangesPerTransaction());
-    takeOver().forEach(old::knows);
+    ReferenceProgressRecords.EarlierVersionWriter writer =
+        new ReferenceProgressRecords.EarlierVersionWriter(
+            state, newTerm(), HIGHER.maxValueBytes(), HIGHER.maxChangesPerTransaction());
+    takeOver().forEach(writer::addJob);
     for (int i = 0; i < steps; i++) {
-      List<Kind> kinds = List.copyOf(old.jobs());
-      if (kinds.size() < 15) {
-        Kind job = accept(SnapshotRecord.shardSizeFor(OLD.maxValueBytes()));
+      List<StoredJob> storedJobs = List.copyOf(writer.jobs());
+      if (storedJobs.size() < 15) {
+        StoredJob job = accept(SnapshotRecord.shardSizeFor(HIGHER.maxValueBytes()));
         String[] waiting = new String[job.tasks()];
         Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
-        old.knows(job, waiting);
+        writer.addJob(job, waiting);
         continue;
       }
-      Kind job = kinds.get(random.nextInt(kinds.size()));
+      StoredJob job = storedJobs.get(random.nextInt(storedJobs.size()));
       if (random.nextInt(300) == 0) {
-        old.over(job);
-        cancelled(job);
+        writer.removeJob(job);
+        putCancellation(job);
         continue;
       }
       // Some bursts, whose records are larger than a value may be after the limits fall.
       int changedTasks = random.nextInt(12) == 0 ? 250 : 3;
-      for (int k = 0; k < changedTasks; k++) {
-        changeTask(old, job, random.nextInt(job.tasks()));
+      for (int change = 0; change < changedTasks; change++) {
+        changeTask(writer, job, random.nextInt(job.tasks()));
       }
       clock.runUntil(clock.nowMs() + 60);
-      if (old.write() && old.clean()) {
-        old.jobs()
-            .forEach(j -> jobs.get(j).possible.forEach(m -> m.subList(0, m.size() - 1).clear()));
+      if (writer.write() && writer.allWritten()) {
+        writer
+            .jobs()
+            .forEach(
+                j ->
+                    jobs.get(j)
+                        .byTask
+                        .forEach(statuses -> statuses.subList(0, statuses.size() - 1).clear()));
       }
     }
   }
 
-  private void changeTask(ReferenceProgressRecords.OldWriter old, Kind job, int task) {
-    String before = old.state(job)[task];
+  private void changeTask(
+      ReferenceProgressRecords.EarlierVersionWriter writer, StoredJob job, int task) {
+    String before = writer.statuses(job)[task];
     if (before.equals(ReferenceProgressRecords.DONE)) {
       return;
     }
-    String host = "i-" + (100_000 + random.nextInt(machines));
-    String now;
+    String machineId = "i-" + (100_000 + random.nextInt(machineCount));
+    String after;
     if (before.equals(ReferenceProgressRecords.WAITING)) {
-      now = ReferenceProgressRecords.live((terms << 40) + ++attempts, host, AGENT_EPOCH);
+      after =
+          ReferenceProgressRecords.liveStatus((terms << 40) + ++attempts, machineId, AGENT_EPOCH);
     } else if (random.nextInt(3) > 0) {
-      now = ReferenceProgressRecords.DONE;
+      after = ReferenceProgressRecords.DONE;
     } else {
-      now = ReferenceProgressRecords.WAITING;
+      after = ReferenceProgressRecords.WAITING;
     }
-    old.now(job, task, now);
-    jobs.get(job).possible.get(task).add(now);
+    writer.setStatus(job, task, after);
+    jobs.get(job).byTask.get(task).add(after);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void whoeverTakesOverReadsWhatWasRecorded(long seed) {
+  void newLeaderReadsWhatWasRecordedBeforeAndAfterTheLimitsFall(long seed) {
     random = new Random(seed);
-    machines = seed % 2 == 0 ? 40 : 700;
+    machineCount = seed % 2 == 0 ? 40 : 700;
     for (int term = 0; term < 8; term++) {
       if (term == 5) {
-        state.setLimits(LOW);
+        state.setLimits(LOWER);
       }
       if (term == 0 || random.nextInt(3) == 0) {
         earlierVersionLeads(150 + random.nextInt(500));
         continue;
       }
-      WritingLeader leader = new WritingLeader(LOW, true);
-      faults = random.nextInt(3) * 0.1;
+      WritingLeader leader = new WritingLeader(LOWER, true);
+      faultProbability = random.nextInt(3) * 0.1;
       int steps = 500 + random.nextInt(3_000);
       for (int i = 0; i < steps; i++) {
-        if (leader.leads.size() < 15) {
-          leader.add(accept(SnapshotRecord.shardSizeFor(LOW.maxValueBytes())));
+        if (leader.ledJobs.size() < 15) {
+          leader.addJob(accept(SnapshotRecord.shardSizeFor(LOWER.maxValueBytes())));
         }
         leader.step(true);
         clock.runUntil(clock.nowMs() + 12);
@@ -104,14 +111,14 @@
       if (random.nextBoolean()) {
         leader.settle();
       }
-      assertEquals(0, leader.client.refused, "refused for their size");
+      assertEquals(0, leader.client.refusedAsTooLarge, "refused for their size");
       assertTrue(!leader.deposed);
-      leader.end();
+      leader.stop();
     }
     takeOver();
   }
 
-  private static SimulatedCluster.Deployment siteWithLimits(Settings.StateLimits limits) {
+  private static SimulatedCluster.Deployment deploymentWithLimits(Settings.StateLimits limits) {
     SimulatedCluster.Deployment small = SimulatedCluster.Deployment.small(3, 30, List.of("a", "b"));
     return new SimulatedCluster.Deployment(
         small.controllerCount(),
@@ -126,28 +133,30 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void controllersGoOnWhenTheLimitsFall(long seed) {
-    Settings.StateLimits next = new Settings.StateLimits(80, 20, 2, 4);
+  void controllersFinishAllJobsAfterTheLimitsFall(long seed) {
+    Settings.StateLimits lowerLimits = new Settings.StateLimits(80, 20, 2, 4);
     SimulatedCluster cluster =
         new SimulatedCluster(
-            seed, siteWithLimits(new Settings.StateLimits(200, 60, 8, 12, Optional.of(next))));
-    List<String> unknown = new ArrayList<>(List.of("large"));
+            seed,
+            deploymentWithLimits(
+                new Settings.StateLimits(200, 60, 8, 12, Optional.of(lowerLimits))));
+    List<String> typesWithUnknownNames = new ArrayList<>(List.of("large"));
     for (int i = 0; i < 200; i++) {
-      unknown.add("type-that-the-cloud-does-not-name-" + i);
+      typesWithUnknownNames.add("type-that-the-cloud-does-not-name-" + i);
     }
     for (int i = 0; i < 120; i++) {
       int tasks = 1 + cluster.random.nextInt(i % 10 == 0 ? 120 : 6);
-      boolean named = i % 7 == 0;
+      boolean restrictsTypes = i % 7 == 0;
       cluster.clock.after(
           3_000 + i * 1_000,
           () -> {
             JobSpec spec =
                 JobSpecFixtures.batch(
                     cluster.newUid(), "c", "blue", Priority.NORMAL, tasks, 0.5, 0.1, 5, 0);
-            cluster.submitAndPoll(named ? spec.withTypes(unknown) : spec);
+            cluster.submitAndPoll(restrictsTypes ? spec.withTypes(typesWithUnknownNames) : spec);
           });
     }
-    cluster.clock.after(50_000, () -> cluster.state.setLimits(next));
+    cluster.clock.after(50_000, () -> cluster.state.setLimits(lowerLimits));
     cluster.clock.after(60_000, () -> cluster.crash(cluster.leader(), 1_000));
     cluster.clock.after(90_000, () -> cluster.crash(cluster.leader(), 1_000));
     cluster.clock.after(130_000, cluster::faultsEnded);
@@ -160,69 +169,73 @@
 
   /** All slots hold records of the version in production, the oldest larger than a value may be. */
   @Test
-  void aRecordTooLargeToBeReplacedIsPassedOverUntilItHasMovedOn() {
+  void slotOfAnOversizedRecordIsReusedWithoutLosingItsPlacements() {
     random = new Random(9);
     fillAllSlotsByEarlierVersion();
-    state.setLimits(LOW);
+    state.setLimits(LOWER);
     for (int term = 0; term < 16; term++) {
-      WritingLeader leader = new WritingLeader(LOW, true);
+      WritingLeader leader = new WritingLeader(LOWER, true);
       // The first ones end before they have written all that it takes.
       for (int i = 0; i < (term < 12 ? 1 : 100); i++) {
         leader.step(true);
         clock.runUntil(clock.nowMs() + (term < 12 ? 10 + 2 * term : 100));
       }
-      assertEquals(0, leader.client.refused);
-      leader.end();
+      assertEquals(0, leader.client.refusedAsTooLarge);
+      leader.stop();
     }
     takeOver();
-    long sequence = all(state).get(Keys.progressLog(1)).value().path("n").asLong();
+    long sequence = allEntries(state).get(Keys.progressLog(1)).value().path("n").asLong();
     assertTrue(sequence > 257, "the slot of the large record holds " + sequence);
   }
 
   /** The oldest record holds the placements of all tasks of a large job. */
   private void fillAllSlotsByEarlierVersion() {
-    ReferenceProgressRecords.OldWriter old =
-        new ReferenceProgressRecords.OldWriter(
-            state, newTerm(), OLD.maxValueBytes(), OLD.maxChangesPerTransaction());
-    Kind large = new Kind("run-large", 260, SnapshotRecord.shardSizeFor(OLD.maxValueBytes()));
-    Kind other = new Kind("run-other", 400, SnapshotRecord.shardSizeFor(OLD.maxValueBytes()));
-    for (Kind job : List.of(large, other)) {
-      jobs.put(job, new Truth(job.tasks()));
+    ReferenceProgressRecords.EarlierVersionWriter writer =
+        new ReferenceProgressRecords.EarlierVersionWriter(
+            state, newTerm(), HIGHER.maxValueBytes(), HIGHER.maxChangesPerTransaction());
+    StoredJob large =
+        new StoredJob("run-large", 260, SnapshotRecord.shardSizeFor(HIGHER.maxValueBytes()));
+    StoredJob other =
+        new StoredJob("run-other", 400, SnapshotRecord.shardSizeFor(HIGHER.maxValueBytes()));
+    for (StoredJob job : List.of(large, other)) {
+      jobs.put(job, new PossibleStatuses(job.tasks()));
       String[] waiting = new String[job.tasks()];
       Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
-      old.knows(job, waiting);
+      writer.addJob(job, waiting);
     }
-    for (int t = 0; t < large.tasks(); t++) {
-      old.now(
+    for (int task = 0; task < large.tasks(); task++) {
+      writer.setStatus(
           large,
-          t,
-          ReferenceProgressRecords.live((1L << 40) + ++attempts, "i-" + (200_000 + t), 3));
+          task,
+          ReferenceProgressRecords.liveStatus((1L << 40) + ++attempts, "i-" + (200_000 + task), 3));
     }
     for (int i = 0; i < 256; i++) {
-      assertTrue(old.write());
-      old.now(other, i, ReferenceProgressRecords.live(++attempts, "i-" + (300_000 + i), 3));
+      assertTrue(writer.write());
+      writer.setStatus(
+          other, i, ReferenceProgressRecords.liveStatus(++attempts, "i-" + (300_000 + i), 3));
       clock.runUntil(clock.nowMs() + 60);
     }
-    for (Kind job : List.of(large, other)) {
-      jobs.get(job).setRecorded(old.state(job));
+    for (StoredJob job : List.of(large, other)) {
+      jobs.get(job).setRecorded(writer.statuses(job));
     }
-    jobs.get(other).possible.get(255).set(0, ReferenceProgressRecords.WAITING);
+    jobs.get(other).byTask.get(255).set(0, ReferenceProgressRecords.WAITING);
   }
 
   @Test
-  void aWriteThatIsRefusedForItsSizeIsMadeSmallerUntilOneIsTaken() {
-    state.setLimits(LOW);
-    WritingLeader leader = new WritingLeader(OLD, false);
+  void writeRefusedForItsSizeIsRetriedSmallerUntilAccepted() {
+    state.setLimits(LOWER);
+    WritingLeader leader = new WritingLeader(HIGHER, false);
     for (int i = 0; i < 12; i++) {
-      leader.add(accept(SnapshotRecord.shardSizeFor(OLD.maxValueBytes())));
+      leader.addJob(accept(SnapshotRecord.shardSizeFor(HIGHER.maxValueBytes())));
     }
     for (int i = 0; i < 900; i++) {
       leader.step(true);
     }
     leader.settle();
     assertTrue(
-        leader.client.refused > 0 && leader.client.refused < 8, leader.client.refused + " times");
-    leader.end();
+        leader.client.refusedAsTooLarge > 0 && leader.client.refusedAsTooLarge < 8,
+        leader.client.refusedAsTooLarge + " times");
+    leader.stop();
     takeOver();
   }
 }
--- a/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
@@ -24,7 +24,7 @@
 import org.ploverspindle.pipelines.Pipelines;
 import org.ploverspindle.progress.ProgressWriter;
 import org.ploverspindle.progress.RecordedProgress;
-import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.StoredJob;
 import org.ploverspindle.state.AcceptedJobIndex;
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
@@ -45,9 +45,9 @@
  */
 class MixedVersionFailoverTest extends MixedVersionScenario {
   /** A job is accepted about every so many steps, so that there are always some that wait. */
-  private static final int ACCEPT_EVERY = 12;
+  private static final int STEPS_PER_ACCEPTED_JOB = 12;
 
-  private static final int MOST_ENDS_A_STEP = 3;
+  private static final int MAX_ENDS_PER_STEP = 3;
 
   // ---- a leader of this version
 
@@ -57,7 +57,7 @@
     private final AcceptedJobIndex specs;
     private final Pipelines pipelines;
     private final ProgressWriter writer;
-    private final Map<String, Job> leads = new LinkedHashMap<>();
+    private final Map<String, Job> ledJobs = new LinkedHashMap<>();
     private final Set<String> everLed = new HashSet<>();
     private final Map<String, Machine> machinesById = new HashMap<>();
 
@@ -82,22 +82,22 @@
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
               machine -> new SnapshotRecord.MachineInfo(machine.host(), "type-16", "zone-a", true),
               this);
-      load(new RecordedProgress(replica, writer), takeOver(settledBefore));
+      restoreJobs(new RecordedProgress(replica, writer), takeOver(settledBefore));
     }
 
-    private void load(RecordedProgress recorded, Map<Truth, String[]> ready) {
-      ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.all(state));
-      truths.keySet().forEach(uid -> assertEquals(reference.status(uid), status(uid), uid));
+    private void restoreJobs(RecordedProgress recorded, Map<JobHistory, String[]> ready) {
+      ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.allEntries(state));
+      histories.keySet().forEach(uid -> assertEquals(reference.status(uid), status(uid), uid));
       ready.forEach(
-          (truth, expected) -> {
-            Job job = add(truth.kind.uid());
+          (history, expected) -> {
+            Job job = addJob(history.job.uid());
             RecordedProgress.RecordedStatuses read = recorded.of(job);
-            assertArrayEquals(expected, texts(truth.kind, read), truth.kind.uid());
+            assertArrayEquals(expected, statusTexts(history.job, read), history.job.uid());
             read.completed().stream().forEach(job::markCompleted);
             read.placements()
                 .forEach(
-                    (task, live) ->
-                        job.addPlacement(placement(job, live, Placement.Phase.RECOVERED)));
+                    (task, placement) ->
+                        job.addPlacement(newPlacement(job, placement, Placement.Phase.RECOVERED)));
             if (job.allTasksCompleted()) {
               writer.taskChanged(job, 0);
             }
@@ -114,93 +114,105 @@
       return pipelines.isBlocked(uid) ? ReferenceJobRecords.WAITING : ReferenceJobRecords.READY;
     }
 
-    private Job add(String uid) {
+    private Job addJob(String uid) {
       JobRecord record = JobRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
       Job job = new Job(record.spec(), 0, record.shardSize(), 0, new BitSet(), -1, 1);
-      leads.put(uid, job);
+      ledJobs.put(uid, job);
       everLed.add(uid);
       return job;
     }
 
-    private String[] texts(Kind kind, RecordedProgress.RecordedStatuses read) {
-      String[] texts = new String[kind.tasks()];
+    private String[] statusTexts(StoredJob job, RecordedProgress.RecordedStatuses read) {
+      String[] texts = new String[job.tasks()];
       Arrays.fill(texts, ReferenceProgressRecords.WAITING);
       read.placements()
           .forEach(
-              (t, l) ->
-                  texts[t] =
-                      ReferenceProgressRecords.live(l.attempt(), l.machine().id(), l.agentEpoch()));
+              (task, placement) ->
+                  texts[task] =
+                      ReferenceProgressRecords.liveStatus(
+                          placement.attempt(), placement.machine().id(), placement.agentEpoch()));
       read.completed().stream().forEach(task -> texts[task] = ReferenceProgressRecords.DONE);
       return texts;
     }
 
     private Machine machine(String id) {
       return machinesById.computeIfAbsent(
-          id, h -> new Machine(h, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
+          id, machineId -> new Machine(machineId, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
     }
 
-    private Placement placement(
-        Job job, SnapshotRecord.RecordedPlacement live, Placement.Phase phase) {
+    private Placement newPlacement(
+        Job job, SnapshotRecord.RecordedPlacement recorded, Placement.Phase phase) {
       return new Placement(
-          job, live.task(), live.attempt(), machine(live.machine().id()), live.agentEpoch(), phase);
+          job,
+          recorded.task(),
+          recorded.attempt(),
+          machine(recorded.machine().id()),
+          recorded.agentEpoch(),
+          phase);
     }
 
     void step() {
       for (String uid : specs.uids()) {
         if (!everLed.contains(uid) && status(uid).equals(ReferenceJobRecords.READY)) {
-          add(uid);
+          addJob(uid);
         }
       }
-      List<String> uids = List.copyOf(leads.keySet());
+      List<String> uids = List.copyOf(ledJobs.keySet());
       if (!uids.isEmpty()) {
         String uid = uids.get(random.nextInt(uids.size()));
         if (random.nextInt(5) < 3) {
-          place(uid, leads.get(uid));
+          place(uid, ledJobs.get(uid));
         } else {
-          end(uid, leads.get(uid));
+          endPlacements(uid, ledJobs.get(uid));
         }
       }
     }
 
     private void place(String uid, Job job) {
       if (!job.pendingTasks().isEmpty()) {
-        assertMayRun(uid);
+        assertReady(uid);
       }
       for (int i = random.nextInt(4); i >= 0 && !job.pendingTasks().isEmpty(); i--) {
         int task = job.pendingTasks().next(0);
-        SnapshotRecord.MachineInfo at = new SnapshotRecord.MachineInfo(newHost(), "", "", true);
-        SnapshotRecord.RecordedPlacement live =
-            new SnapshotRecord.RecordedPlacement(task, (terms << 40) + ++attempts, at, AGENT_EPOCH);
-        job.addPlacement(placement(job, live, Placement.Phase.INTENT));
-        truths
+        SnapshotRecord.MachineInfo machine =
+            new SnapshotRecord.MachineInfo(randomMachineId(), "", "", true);
+        SnapshotRecord.RecordedPlacement placement =
+            new SnapshotRecord.RecordedPlacement(
+                task, (terms << 40) + ++attempts, machine, AGENT_EPOCH);
+        job.addPlacement(newPlacement(job, placement, Placement.Phase.INTENT));
+        histories
             .get(uid)
-            .now(task, ReferenceProgressRecords.live(live.attempt(), at.id(), AGENT_EPOCH));
+            .setStatus(
+                task,
+                ReferenceProgressRecords.liveStatus(
+                    placement.attempt(), machine.id(), AGENT_EPOCH));
         writer.taskChanged(job, task);
       }
     }
 
-    private void end(String uid, Job job) {
-      List<Placement> there =
+    private void endPlacements(String uid, Job job) {
+      List<Placement> launched =
           job.activePlacements().stream()
-              .filter(x -> x.phase() != Placement.Phase.INTENT)
-              .limit(MOST_ENDS_A_STEP)
+              .filter(placement -> placement.phase() != Placement.Phase.INTENT)
+              .limit(MAX_ENDS_PER_STEP)
               .toList();
-      for (Placement at : there) {
+      for (Placement placement : launched) {
         boolean done = random.nextInt(5) > 0;
         if (done) {
-          job.markCompleted(at.task());
+          job.markCompleted(placement.task());
         }
-        job.removePlacement(at);
-        truths
+        job.removePlacement(placement);
+        histories
             .get(uid)
-            .now(
-                at.task(), done ? ReferenceProgressRecords.DONE : ReferenceProgressRecords.WAITING);
-        writer.taskChanged(job, at.task());
+            .setStatus(
+                placement.task(),
+                done ? ReferenceProgressRecords.DONE : ReferenceProgressRecords.WAITING);
+        writer.taskChanged(job, placement.task());
       }
     }
 
     void settle() {
-      faults = 0;
+      faultProbability = 0;
       for (int i = 0; i < 60 && (i < 3 || writer.backlog() > 0); i++) {
         clock.runUntil(clock.nowMs() + 1_000);
       }
@@ -218,7 +230,7 @@
 
     @Override
     public void completionRecorded(Job job) {
-      leads.remove(job.uid());
+      ledJobs.remove(job.uid());
     }
 
     @Override
@@ -227,95 +239,100 @@
     }
   }
 
-  private boolean thisVersionLeads(int steps, boolean settledBefore, boolean settles) {
-    faults = 0;
+  private boolean thisVersionLeads(
+      int steps, boolean settledBefore, boolean writesAllBeforeItStops) {
+    faultProbability = 0;
     ThisVersionLeader leader = new ThisVersionLeader(settledBefore);
-    faults = random.nextInt(3) * 0.1;
+    faultProbability = random.nextInt(3) * 0.1;
     for (int i = 0; i < steps; i++) {
-      if (random.nextInt(ACCEPT_EVERY) == 0) {
+      if (random.nextInt(STEPS_PER_ACCEPTED_JOB) == 0) {
         accept(random.nextBoolean());
       }
       leader.step();
       clock.runUntil(clock.nowMs() + 25);
     }
-    if (settles) {
+    if (writesAllBeforeItStops) {
       leader.settle();
     }
     leader.stop();
-    return settles;
+    return writesAllBeforeItStops;
   }
 
   // ---- a stand-in for a leader of the head as found
 
   private boolean earlierVersionLeads(int steps, boolean settledBefore) {
     long leaderRevision = newTerm();
-    ReferenceProgressRecords.OldWriter earlierVersion =
-        new ReferenceProgressRecords.OldWriter(
+    ReferenceProgressRecords.EarlierVersionWriter earlierVersion =
+        new ReferenceProgressRecords.EarlierVersionWriter(
             state, leaderRevision, LIMITS.maxValueBytes(), LIMITS.maxChangesPerTransaction());
     takeOver(settledBefore)
-        .forEach((truth, read) -> earlierVersion.knows(truth.kind, read.clone()));
+        .forEach((truth, read) -> earlierVersion.addJob(truth.job, read.clone()));
     boolean written = true;
     for (int i = 0; i < steps; i++) {
-      if (random.nextInt(ACCEPT_EVERY) == 0) {
+      if (random.nextInt(STEPS_PER_ACCEPTED_JOB) == 0) {
         accept(random.nextBoolean());
       }
-      learnReady(earlierVersion);
-      List<Kind> kinds = List.copyOf(earlierVersion.jobs());
-      if (!kinds.isEmpty()) {
-        earlierVersionStep(earlierVersion, kinds.get(random.nextInt(kinds.size())));
+      addReadyJobs(earlierVersion);
+      List<StoredJob> jobs = List.copyOf(earlierVersion.jobs());
+      if (!jobs.isEmpty()) {
+        earlierVersionStep(earlierVersion, jobs.get(random.nextInt(jobs.size())));
       }
       clock.runUntil(clock.nowMs() + 60);
       written = earlierVersion.write();
-      finish(earlierVersion, leaderRevision);
+      recordCompletions(earlierVersion, leaderRevision);
     }
-    return written && earlierVersion.clean();
+    return written && earlierVersion.allWritten();
   }
 
-  private void learnReady(ReferenceProgressRecords.OldWriter earlierVersion) {
-    ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.all(state));
+  private void addReadyJobs(ReferenceProgressRecords.EarlierVersionWriter earlierVersion) {
+    ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.allEntries(state));
     reference
         .jobs()
         .forEach(
             (uid, job) -> {
-              boolean known = earlierVersion.jobs().contains(job.kind());
+              boolean known = earlierVersion.jobs().contains(job.stored());
               if (!known && reference.status(uid).equals(ReferenceJobRecords.READY)) {
-                earlierVersion.knows(job.kind(), truths.get(uid).now.clone());
+                earlierVersion.addJob(job.stored(), histories.get(uid).statuses.clone());
               }
             });
   }
 
-  private void earlierVersionStep(ReferenceProgressRecords.OldWriter earlierVersion, Kind kind) {
+  private void earlierVersionStep(
+      ReferenceProgressRecords.EarlierVersionWriter earlierVersion, StoredJob job) {
     for (int i = random.nextInt(6); i >= 0; i--) {
-      int task = random.nextInt(kind.tasks());
-      String before = earlierVersion.state(kind)[task];
+      int task = random.nextInt(job.tasks());
+      String before = earlierVersion.statuses(job)[task];
       if (before.equals(ReferenceProgressRecords.DONE)) {
         continue;
       }
-      String now =
+      String status =
           random.nextInt(5) > 0 ? ReferenceProgressRecords.DONE : ReferenceProgressRecords.WAITING;
       if (before.equals(ReferenceProgressRecords.WAITING)) {
-        now = ReferenceProgressRecords.live((terms << 40) + ++attempts, newHost(), AGENT_EPOCH);
+        status =
+            ReferenceProgressRecords.liveStatus(
+                (terms << 40) + ++attempts, randomMachineId(), AGENT_EPOCH);
       }
-      earlierVersion.now(kind, task, now);
-      truths.get(kind.uid()).now(task, now);
+      earlierVersion.setStatus(job, task, status);
+      histories.get(job.uid()).setStatus(task, status);
     }
   }
 
   /** As documented: done and cancelled exclude each other, under the leader's key. */
-  private void finish(ReferenceProgressRecords.OldWriter earlierVersion, long leaderRevision) {
-    for (Kind kind : List.copyOf(earlierVersion.jobs())) {
-      if (Arrays.stream(earlierVersion.state(kind))
+  private void recordCompletions(
+      ReferenceProgressRecords.EarlierVersionWriter earlierVersion, long leaderRevision) {
+    for (StoredJob job : List.copyOf(earlierVersion.jobs())) {
+      if (Arrays.stream(earlierVersion.statuses(job))
           .allMatch(ReferenceProgressRecords.DONE::equals)) {
         Transaction transaction =
             new Transaction(
                 List.of(
                     new Condition("ps1/leader", leaderRevision),
-                    new Condition("ps1/c/" + kind.uid(), 0),
-                    new Condition("ps1/d/" + kind.uid(), 0)),
+                    new Condition("ps1/c/" + job.uid(), 0),
+                    new Condition("ps1/d/" + job.uid(), 0)),
                 List.of(
-                    new Change.Put("ps1/d/" + kind.uid(), Cbor.map().put("tasks", kind.tasks()))));
+                    new Change.Put("ps1/d/" + job.uid(), Cbor.map().put("tasks", job.tasks()))));
         if (commit(transaction) instanceof TransactionResult.Committed) {
-          earlierVersion.over(kind);
+          earlierVersion.removeJob(job);
         }
       }
     }
@@ -325,22 +342,22 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void anUpgradeHaltedHalfWayAndTurnedBackKeepsWhatWaits(long seed) throws Exception {
+  void jobsWithDependenciesSurviveAnUpgradeThatIsHaltedAndRolledBack(long seed) throws Exception {
     random = new Random(seed);
     startFromFixture();
     boolean settled = true;
-    for (int turn = 0; turn < 6; turn++) {
+    for (int term = 0; term < 6; term++) {
       settled =
-          turn % 2 == 0
+          term % 2 == 0
               ? thisVersionLeads(200 + random.nextInt(400), settled, random.nextBoolean())
               : earlierVersionLeads(60 + random.nextInt(150), settled);
-      cancelOne();
+      cancelRandomJob();
     }
     lastLeaderFinishesAll(settled);
   }
 
   private void lastLeaderFinishesAll(boolean settled) {
-    faults = 0;
+    faultProbability = 0;
     ThisVersionLeader last = new ThisVersionLeader(settled);
     for (int i = 0; i < 20_000 && (i % 50 > 0 || !allJobsAreTerminal()); i++) {
       last.step();
@@ -349,18 +366,19 @@
     last.settle();
     last.stop();
     takeOver(true);
-    ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.all(state));
-    assertEquals(List.of(), open(reference), "neither done nor aborted");
+    ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.allEntries(state));
+    assertEquals(List.of(), nonTerminalJobs(reference), "neither done nor aborted");
     long done =
-        truths.keySet().stream()
+        histories.keySet().stream()
             .filter(u -> reference.status(u).equals(ReferenceJobRecords.DONE))
             .count();
-    assertTrue(done >= 35 && done < truths.size(), done + " of " + truths.size() + " are done");
+    assertTrue(
+        done >= 35 && done < histories.size(), done + " of " + histories.size() + " are done");
     assertTrue(
         blockedAtTakeOver >= 20, blockedAtTakeOver + " jobs waited at the changes of leaders");
   }
 
   private boolean allJobsAreTerminal() {
-    return open(new ReferenceJobRecords(LowerLimitsTest.all(state))).isEmpty();
+    return nonTerminalJobs(new ReferenceJobRecords(LowerLimitsTest.allEntries(state))).isEmpty();
   }
 }
--- a/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
@@ -26,7 +26,7 @@
 import org.ploverspindle.model.Term;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.StoredJob;
 import org.ploverspindle.state.DependenciesRecord;
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
@@ -43,15 +43,15 @@
  */
 abstract class MixedVersionScenario {
   static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 60, 1, 6);
-  static final int CHUNK = SnapshotRecord.shardSizeFor(LIMITS.maxValueBytes());
+  static final int SHARD_SIZE = SnapshotRecord.shardSizeFor(LIMITS.maxValueBytes());
   static final long AGENT_EPOCH = 3;
 
   final SimClock clock = new SimClock();
   final SimStateStore state = new SimStateStore(clock, LIMITS);
-  final Map<String, Truth> truths = new TreeMap<>();
+  final Map<String, JobHistory> histories = new TreeMap<>();
   Random random = new Random(1);
   JsonNode specWithoutDependencies = Cbor.map();
-  double faults;
+  double faultProbability;
   long terms = 1;
   int jobCount;
   long attempts;
@@ -60,28 +60,28 @@
   int blockedAtTakeOver;
 
   /** A job with the present status of each task by its last leader, and all earlier ones. */
-  static final class Truth {
-    final Kind kind;
+  static final class JobHistory {
+    final StoredJob job;
     final List<String> dependencies;
-    final String[] now;
-    final List<Set<String>> ever = new ArrayList<>();
+    final String[] statuses;
+    final List<Set<String>> allStatuses = new ArrayList<>();
 
-    Truth(Kind kind, List<String> dependencies, String[] now) {
-      this.kind = kind;
+    JobHistory(StoredJob job, List<String> dependencies, String[] statuses) {
+      this.job = job;
       this.dependencies = dependencies;
-      this.now = now;
-      for (String task : now) {
-        ever.add(new HashSet<>(Set.of(task)));
+      this.statuses = statuses;
+      for (String status : statuses) {
+        allStatuses.add(new HashSet<>(Set.of(status)));
       }
     }
 
-    void now(int task, String text) {
-      now[task] = text;
-      ever.get(task).add(text);
+    void setStatus(int task, String status) {
+      statuses[task] = status;
+      allStatuses.get(task).add(status);
     }
 
-    void isRecorded(String[] recorded) {
-      System.arraycopy(recorded, 0, now, 0, recorded.length);
+    void setRecorded(String[] recorded) {
+      System.arraycopy(recorded, 0, statuses, 0, recorded.length);
     }
   }
 
@@ -114,7 +114,7 @@
 
     @Override
     public void commit(Transaction transaction, Consumer<TransactionResult> then) {
-      if (random.nextDouble() < faults) {
+      if (random.nextDouble() < faultProbability) {
         // Never executed, executed without an answer, or executed when the next leader may lead.
         int kind = random.nextInt(3);
         if (kind > 0) {
@@ -133,7 +133,7 @@
   }
 
   long newTerm() {
-    long before = LowerLimitsTest.all(state).get(Keys.LEADER).modRevision();
+    long before = LowerLimitsTest.allEntries(state).get(Keys.LEADER).modRevision();
     JsonNode leader =
         Cbor.map().put("member", "n0").put("token", 1 + terms++ * Term.TOKENS_PER_TERM);
     TransactionResult result =
@@ -153,62 +153,63 @@
     specWithoutDependencies =
         fixture.under("ps1/b/n1-1uy9swvfcl9p-16").get(0).value().path("prepare-1");
     assertTrue(specWithoutDependencies.isObject());
-    SortedMap<String, Entry> all = LowerLimitsTest.all(state);
-    ReferenceJobRecords reference = new ReferenceJobRecords(all);
+    SortedMap<String, Entry> entries = LowerLimitsTest.allEntries(state);
+    ReferenceJobRecords reference = new ReferenceJobRecords(entries);
     reference
         .jobs()
         .forEach(
             (uid, job) -> {
-              String[] now = ReferenceProgressRecords.read(all, job.kind());
+              String[] statuses = ReferenceProgressRecords.read(entries, job.stored());
               if (reference.status(uid).equals(ReferenceJobRecords.DONE)) {
-                Arrays.fill(now, ReferenceProgressRecords.DONE);
+                Arrays.fill(statuses, ReferenceProgressRecords.DONE);
               }
-              truths.put(uid, new Truth(job.kind(), job.awaits(), now));
+              histories.put(uid, new JobHistory(job.stored(), job.dependencies(), statuses));
             });
   }
 
   /** Jobs that are not terminal: those that a new one may depend on. */
-  List<String> open(ReferenceJobRecords reference) {
-    List<String> open = new ArrayList<>();
+  List<String> nonTerminalJobs(ReferenceJobRecords reference) {
+    List<String> uids = new ArrayList<>();
     for (String uid : reference.jobs().keySet()) {
       if (Set.of(ReferenceJobRecords.WAITING, ReferenceJobRecords.READY)
           .contains(reference.status(uid))) {
-        open.add(uid);
+        uids.add(uid);
       }
     }
-    return open;
+    return uids;
   }
 
   /** A controller of either version accepts a job, some with lists too long for its record. */
   void accept(boolean byEarlierVersion) {
-    ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.all(state));
-    List<String> open = open(reference);
+    ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.allEntries(state));
+    List<String> open = nonTerminalJobs(reference);
     Set<String> dependencies = new HashSet<>();
     for (int i = 1 + random.nextInt(3); i > 0 && !open.isEmpty(); i--) {
       dependencies.add(open.get(random.nextInt(open.size())));
     }
-    boolean isLong = random.nextInt(4) == 0;
-    if (isLong) {
+    boolean storedSeparately = random.nextInt(4) == 0;
+    if (storedSeparately) {
       // Those of the fixture from f659783, whose names fill a list in two parts.
-      truths.keySet().stream().filter(uid -> uid.startsWith("step")).forEach(dependencies::add);
+      histories.keySet().stream().filter(uid -> uid.startsWith("step")).forEach(dependencies::add);
     }
-    List<String> list = List.copyOf(dependencies);
+    List<String> dependencyList = List.copyOf(dependencies);
     String uid = String.format("job-%06d", ++jobCount);
     int tasks = 1 + random.nextInt(30);
     JsonNode spec =
         byEarlierVersion
-            ? acceptedByEarlierVersion(uid, tasks, list, isLong)
-            : acceptedByThisVersion(uid, tasks, list, isLong);
+            ? acceptedByEarlierVersion(uid, tasks, dependencyList, storedSeparately)
+            : acceptedByThisVersion(uid, tasks, dependencyList, storedSeparately);
     put("ps1/b/n2-test-" + jobCount, Cbor.map().set(uid, spec));
     String[] waiting = new String[tasks];
     Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
-    truths.put(uid, new Truth(new Kind(uid, tasks, CHUNK), list, waiting));
+    histories.put(
+        uid, new JobHistory(new StoredJob(uid, tasks, SHARD_SIZE), dependencyList, waiting));
   }
 
   JsonNode acceptedByEarlierVersion(
-      String uid, int tasks, List<String> dependencies, boolean isLong) {
+      String uid, int tasks, List<String> dependencies, boolean storedSeparately) {
     ObjectNode spec = ReferenceJobRecords.spec(specWithoutDependencies, tasks);
-    if (isLong) {
+    if (storedSeparately) {
       String name = uid + "-0123456789abcdef0123";
       int half = dependencies.size() / 2;
       List<List<String>> parts =
@@ -224,23 +225,25 @@
     return spec;
   }
 
-  JsonNode acceptedByThisVersion(String uid, int tasks, List<String> dependencies, boolean isLong) {
+  JsonNode acceptedByThisVersion(
+      String uid, int tasks, List<String> dependencies, boolean storedSeparately) {
     JobSpec spec =
         JobSpecFixtures.withDependencies(
             JobSpecFixtures.batch(uid, "class-0", "blue", Priority.NORMAL, tasks, 1, 1, 5, 0),
             dependencies.toArray(String[]::new));
-    JobRecord record = new JobRecord(spec, clock.nowMs(), CHUNK);
-    if (!isLong) {
+    JobRecord record = new JobRecord(spec, clock.nowMs(), SHARD_SIZE);
+    if (!storedSeparately) {
       return record.encode();
     }
-    DependenciesRecord list = DependenciesRecord.split(uid, dependencies, LIMITS.maxValueBytes());
-    IntStream.range(0, list.parts().size())
-        .forEach(part -> put(list.key(part), list.parts().get(part)));
-    return record.encode(list);
+    DependenciesRecord dependenciesRecord =
+        DependenciesRecord.split(uid, dependencies, LIMITS.maxValueBytes());
+    IntStream.range(0, dependenciesRecord.parts().size())
+        .forEach(part -> put(dependenciesRecord.key(part), dependenciesRecord.parts().get(part)));
+    return record.encode(dependenciesRecord);
   }
 
-  void cancelOne() {
-    List<String> open = open(new ReferenceJobRecords(LowerLimitsTest.all(state)));
+  void cancelRandomJob() {
+    List<String> open = nonTerminalJobs(new ReferenceJobRecords(LowerLimitsTest.allEntries(state)));
     if (open.size() > 12) {
       put("ps1/c/" + open.get(random.nextInt(open.size())), Cbor.map().put("at", 1_800_000_000L));
     }
@@ -251,48 +254,49 @@
   /**
    * Asserts that the records match what happened; returns the statuses of the jobs that may run.
    */
-  Map<Truth, String[]> takeOver(boolean settled) {
-    SortedMap<String, Entry> all = LowerLimitsTest.all(state);
-    ReferenceJobRecords reference = new ReferenceJobRecords(all);
-    assertEquals(truths.keySet(), reference.jobs().keySet());
-    Map<Truth, String[]> ready = new LinkedHashMap<>();
-    truths.forEach(
-        (uid, truth) -> {
-          assertEquals(truth.dependencies, reference.jobs().get(uid).awaits(), uid);
+  Map<JobHistory, String[]> takeOver(boolean settled) {
+    SortedMap<String, Entry> entries = LowerLimitsTest.allEntries(state);
+    ReferenceJobRecords reference = new ReferenceJobRecords(entries);
+    assertEquals(histories.keySet(), reference.jobs().keySet());
+    Map<JobHistory, String[]> ready = new LinkedHashMap<>();
+    histories.forEach(
+        (uid, history) -> {
+          assertEquals(history.dependencies, reference.jobs().get(uid).dependencies(), uid);
           String status = reference.status(uid);
-          String[] read = ReferenceProgressRecords.read(all, truth.kind);
+          String[] read = ReferenceProgressRecords.read(entries, history.job);
           if (status.equals(ReferenceJobRecords.DONE)) {
-            truth.ever.forEach(e -> assertTrue(e.contains(ReferenceProgressRecords.DONE), uid));
+            history.allStatuses.forEach(
+                e -> assertTrue(e.contains(ReferenceProgressRecords.DONE), uid));
           } else if (status.equals(ReferenceJobRecords.WAITING)) {
             blockedAtTakeOver++;
             assertTrue(Arrays.stream(read).allMatch(ReferenceProgressRecords.WAITING::equals), uid);
           } else if (status.equals(ReferenceJobRecords.READY)) {
-            assertHappened(truth, read);
+            assertStatusesWereHeld(history, read);
             if (settled) {
-              assertArrayEquals(truth.now, read, uid);
+              assertArrayEquals(history.statuses, read, uid);
             }
-            truth.isRecorded(read);
-            ready.put(truth, read);
+            history.setRecorded(read);
+            ready.put(history, read);
           }
         });
     return ready;
   }
 
-  static void assertHappened(Truth truth, String[] read) {
+  static void assertStatusesWereHeld(JobHistory history, String[] read) {
     for (int task = 0; task < read.length; task++) {
-      String what = truth.kind.uid() + "/" + task + " is recorded as " + read[task];
-      assertTrue(truth.ever.get(task).contains(read[task]), what);
+      String message = history.job.uid() + "/" + task + " is recorded as " + read[task];
+      assertTrue(history.allStatuses.get(task).contains(read[task]), message);
     }
   }
 
-  void assertMayRun(String uid) {
+  void assertReady(String uid) {
     assertEquals(
         ReferenceJobRecords.READY,
-        new ReferenceJobRecords(LowerLimitsTest.all(state)).status(uid),
+        new ReferenceJobRecords(LowerLimitsTest.allEntries(state)).status(uid),
         uid + " is placed");
   }
 
-  String newHost() {
+  String randomMachineId() {
     return "i-" + (100_000 + random.nextInt(60));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
@@ -58,28 +58,28 @@
  */
 class PipelineVersionRecordsTest {
   /** The value limit that the run had: its lists and chunks were cut for it. */
-  private static final int VALUE_BYTES = 1024;
+  private static final int MAX_VALUE_BYTES = 1024;
 
   private static final String ABSENT = "-";
 
   private final SimClock clock = new SimClock();
 
   /** The fixture's records as a controller of this version holds them. */
-  private final class Loaded {
+  private final class LoadedFixture {
     final FixtureStore store;
     final Replica replica;
     final AcceptedJobIndex specs;
     final Pipelines pipelines;
     final RecordedProgress progress;
 
-    Loaded(JsonNode records) {
+    LoadedFixture(JsonNode records) {
       SimClock.Process process = clock.new Process(0, 1, 0);
       store = new FixtureStore(records);
       replica = new Replica(process, store, Keys.PREFIX, 700);
       specs = new AcceptedJobIndex(replica);
       pipelines = new Pipelines(process, replica, specs);
       replica.start();
-      progress = new RecordedProgress(replica, silentWriter(process, store, replica));
+      progress = new RecordedProgress(replica, unusedWriter(process, store, replica));
     }
 
     JsonNode spec(String uid) {
@@ -87,12 +87,12 @@
     }
   }
 
-  private static ProgressWriter silentWriter(
+  private static ProgressWriter unusedWriter(
       SimClock.Process process, FixtureStore store, Replica replica) {
     return new ProgressWriter(
         process,
         new ProgressWriter.StateAccess(
-            store, replica, new TokenBucket(process, 1, 1), 4, VALUE_BYTES),
+            store, replica, new TokenBucket(process, 1, 1), 4, MAX_VALUE_BYTES),
         new Term(1, 7, 0),
         machine -> new SnapshotRecord.MachineInfo(machine.host(), "", "", true),
         new ProgressWriter.Listener() {
@@ -107,7 +107,7 @@
         });
   }
 
-  private static JsonNode head() throws IOException {
+  private static JsonNode headFixture() throws IOException {
     return FixtureStore.fixture(FixtureStore.HEAD_F659783);
   }
 
@@ -122,7 +122,7 @@
 
   // ---- the same meaning
 
-  private static String text(JobRecord record) {
+  private static String describe(JobRecord record) {
     JobSpec spec = record.spec();
     return String.join(
         " ",
@@ -150,25 +150,25 @@
         "" + record.shardSize());
   }
 
-  private static List<String> dependencies(Loaded loaded, String uid) {
+  private static List<String> dependencies(LoadedFixture loaded, String uid) {
     return JobRecord.storedDependencies(loaded.spec(uid))
-            instanceof JobRecord.StoredDependencies.Separate elsewhere
-        ? DependenciesRecord.read(loaded.replica, elsewhere).orElseThrow()
+            instanceof JobRecord.StoredDependencies.Separate separate
+        ? DependenciesRecord.read(loaded.replica, separate).orElseThrow()
         : JobRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec().dependencies();
   }
 
-  private static String status(Loaded loaded, String uid) {
-    if (loaded.replica.get(Keys.completion(uid)).isPresent()) {
+  private static String status(LoadedFixture fixture, String uid) {
+    if (fixture.replica.get(Keys.completion(uid)).isPresent()) {
       return "done";
     }
-    boolean cancelled = loaded.replica.get(Keys.cancellation(uid)).isPresent();
-    if (cancelled || loaded.pipelines.graph().isAborted(uid)) {
+    boolean cancelled = fixture.replica.get(Keys.cancellation(uid)).isPresent();
+    if (cancelled || fixture.pipelines.graph().isAborted(uid)) {
       return "aborted";
     }
-    return loaded.pipelines.isBlocked(uid) ? "waiting" : "ready";
+    return fixture.pipelines.isBlocked(uid) ? "waiting" : "ready";
   }
 
-  private static String text(SnapshotRecord.RecordedPlacement live) {
+  private static String describe(SnapshotRecord.RecordedPlacement live) {
     SnapshotRecord.MachineInfo host = live.machine();
     return String.join(
         " ",
@@ -180,35 +180,35 @@
         "" + live.agentEpoch());
   }
 
-  private static ObjectNode meaning(Loaded loaded, String uid) {
+  private static ObjectNode decodedJob(LoadedFixture loaded, String uid) {
     JobRecord record = JobRecord.decode(uid, loaded.spec(uid)).orElseThrow();
-    ObjectNode meaning = Cbor.map().put("spec", text(record));
+    ObjectNode decoded = Cbor.map().put("spec", describe(record));
     List<String> dependencies = dependencies(loaded, uid);
     if (!dependencies.isEmpty()) {
-      meaning.put("awaits", String.join(" ", dependencies));
+      decoded.put("awaits", String.join(" ", dependencies));
     }
-    meaning.put("status", status(loaded, uid));
+    decoded.put("status", status(loaded, uid));
     Job job = new Job(record.spec(), 0, record.shardSize(), 0, new BitSet(), 0, 2);
-    RecordedProgress.RecordedStatuses state = loaded.progress.of(job);
-    if (!state.completed().isEmpty()) {
-      meaning.put("done", state.completed().toString());
+    RecordedProgress.RecordedStatuses statuses = loaded.progress.of(job);
+    if (!statuses.completed().isEmpty()) {
+      decoded.put("done", statuses.completed().toString());
     }
-    if (!state.placements().isEmpty()) {
-      ObjectNode places = meaning.putObject("live");
-      state.placements().forEach((task, live) -> places.put("" + task, text(live)));
+    if (!statuses.placements().isEmpty()) {
+      ObjectNode placements = decoded.putObject("live");
+      statuses.placements().forEach((task, live) -> placements.put("" + task, describe(live)));
     }
-    return meaning;
+    return decoded;
   }
 
   @Test
-  void thisVersionReadsWhatThatVersionReads() throws Exception {
-    JsonNode fixture = head();
-    Loaded loaded = new Loaded(fixture.path("records"));
+  void recordsOfF659783AreReadAsThatVersionReadsThem() throws Exception {
+    JsonNode fixture = headFixture();
+    LoadedFixture loaded = new LoadedFixture(fixture.path("records"));
     Map<String, String> expected = new TreeMap<>();
     Map<String, String> read = new TreeMap<>();
     for (Map.Entry<String, JsonNode> job : fixture.path("jobs").properties()) {
       expected.put(job.getKey(), job.getValue().toString());
-      read.put(job.getKey(), meaning(loaded, job.getKey()).toString());
+      read.put(job.getKey(), decodedJob(loaded, job.getKey()).toString());
     }
     assertEquals(expected, read);
     assertEquals(loaded.specs.uids(), expected.keySet());
@@ -219,8 +219,8 @@
   }
 
   @Test
-  void theFixtureHoldsEveryKindOfRecord() throws Exception {
-    FixtureStore store = new FixtureStore(head().path("records"));
+  void fixtureHoldsEveryKindOfRecord() throws Exception {
+    FixtureStore store = new FixtureStore(headFixture().path("records"));
     for (String prefix :
         List.of(
             Keys.LEADER,
@@ -240,16 +240,16 @@
 
   // ---- the same bytes
 
-  private static void assertSpecsWrittenAlike(Loaded loaded) {
+  private static void assertSpecsEncodedIdentically(LoadedFixture loaded) {
     for (String uid : loaded.specs.uids()) {
       JsonNode stored = loaded.spec(uid);
       JobRecord record = JobRecord.decode(uid, stored).orElseThrow();
       if (JobRecord.storedDependencies(stored)
-          instanceof JobRecord.StoredDependencies.Separate elsewhere) {
+          instanceof JobRecord.StoredDependencies.Separate separate) {
         DependenciesRecord list =
-            DependenciesRecord.split(uid, dependencies(loaded, uid), VALUE_BYTES);
-        assertEquals(elsewhere.name(), list.name());
-        assertEquals(elsewhere.parts(), list.parts().size());
+            DependenciesRecord.split(uid, dependencies(loaded, uid), MAX_VALUE_BYTES);
+        assertEquals(separate.name(), list.name());
+        assertEquals(separate.parts(), list.parts().size());
         assertSameBytes(stored, record.encode(list), uid);
         for (int part = 0; part < list.parts().size(); part++) {
           String key = list.key(part);
@@ -262,18 +262,18 @@
     }
   }
 
-  private static void assertLogWrittenAlike(FixtureStore store) {
+  private static void assertLogEncodedIdentically(FixtureStore store) {
     for (Entry entry : store.under(Keys.PROGRESS_LOG)) {
       ProgressLogRecord record = ProgressLogRecord.decode(entry.value()).orElseThrow();
       ProgressLogRecord.Builder builder =
-          new ProgressLogRecord.Builder(record.sequence(), record.id(), VALUE_BYTES);
+          new ProgressLogRecord.Builder(record.sequence(), record.id(), MAX_VALUE_BYTES);
       record.deltas().forEach(delta -> assertTrue(builder.add(delta), entry.key()));
       assertEquals(Keys.progressLog(record.sequence()), entry.key());
       assertSameBytes(entry.value(), builder.value(), entry.key());
     }
   }
 
-  private static void assertCheckpointsWrittenAlike(FixtureStore store) {
+  private static void assertSnapshotsEncodedIdentically(FixtureStore store) {
     for (Entry entry : store.under(Keys.SNAPSHOTS)) {
       SnapshotRecord record = SnapshotRecord.decode(entry.value()).orElseThrow();
       JsonNode written =
@@ -283,7 +283,7 @@
     }
   }
 
-  private static void assertTypesWrittenAlike(FixtureStore store) {
+  private static void assertMachineTypesEncodedIdentically(FixtureStore store) {
     JsonNode stored = store.under(Keys.MACHINE_TYPES).get(0).value();
     List<MachineType> types = MachineTypesRecord.decode(stored).orElseThrow();
     assertSameBytes(stored, MachineTypesRecord.encode(types), Keys.MACHINE_TYPES);
@@ -291,17 +291,17 @@
 
   @ParameterizedTest
   @ValueSource(strings = {FixtureStore.HEAD_F659783, FixtureStore.PRODUCTION})
-  void whatIsReadIsWrittenAgainByteForByte(String resource) throws Exception {
-    Loaded loaded = new Loaded(FixtureStore.fixture(resource).path("records"));
-    assertSpecsWrittenAlike(loaded);
-    assertLogWrittenAlike(loaded.store);
-    assertCheckpointsWrittenAlike(loaded.store);
-    assertTypesWrittenAlike(loaded.store);
+  void storedRecordsAreEncodedAgainByteForByte(String resource) throws Exception {
+    LoadedFixture loaded = new LoadedFixture(FixtureStore.fixture(resource).path("records"));
+    assertSpecsEncodedIdentically(loaded);
+    assertLogEncodedIdentically(loaded.store);
+    assertSnapshotsEncodedIdentically(loaded.store);
+    assertMachineTypesEncodedIdentically(loaded.store);
   }
 
   @Test
-  void machineTypesInPartsAreWrittenAndReadAlike() throws Exception {
-    JsonNode parts = head().path("types_in_parts");
+  void machineTypesInPartsAreEncodedAndDecodedIdentically() throws Exception {
+    JsonNode parts = headFixture().path("types_in_parts");
     List<MachineType> types =
         IntStream.range(0, 7)
             .mapToObj(
@@ -316,17 +316,17 @@
                         30,
                         List.of("zone-a", "zone-b")))
             .toList();
-    List<Change.Put> puts = MachineTypesRecord.puts(types, VALUE_BYTES);
+    List<Change.Put> puts = MachineTypesRecord.puts(types, MAX_VALUE_BYTES);
     assertEquals(parts.size(), puts.size());
     for (Change.Put put : puts) {
       assertSameBytes(parts.path(put.key()), put.value(), put.key());
     }
-    assertEquals(Optional.of(types), MachineTypesRecord.read(new Loaded(parts).replica));
+    assertEquals(Optional.of(types), MachineTypesRecord.read(new LoadedFixture(parts).replica));
   }
 
   @Test
-  void valuesAndTransactionsGoOutInTheSameBytes() throws Exception {
-    JsonNode fixture = head();
+  void valuesAndTransactionsAreEncodedInTheSameBytes() throws Exception {
+    JsonNode fixture = headFixture();
     JsonNode records = fixture.path("records");
     for (Map.Entry<String, JsonNode> bytes : fixture.path("bytes").properties()) {
       JsonNode record = records.path(bytes.getKey());
@@ -334,29 +334,31 @@
       byte[] stored = HexFormat.of().parseHex(bytes.getValue().asText());
       assertEquals(record.toString(), Cbor.readMap(stored).orElseThrow().toString());
     }
-    Transaction txn =
+    Transaction transaction =
         new Transaction(
             List.of(new Condition(Keys.LEADER, 0), new Condition(Keys.TOKEN, 258)),
             List.of(
                 new Change.Put(Keys.LEADER, records.path(Keys.LEADER), Optional.of(9L)),
                 new Change.Put(Keys.TOKEN, records.path(Keys.TOKEN)),
                 new Change.Remove(Keys.provisioningIntent("r-1-1"))));
-    assertEquals(fixture.path("transaction").asText(), hex(HttpStateStore.encode(txn)));
+    assertEquals(fixture.path("transaction").asText(), hex(HttpStateStore.encode(transaction)));
   }
 
   // ---- the same form, where a record's content is not the test's to choose
 
   /** Names and types of the fields, in their order. */
-  private static String form(JsonNode value) {
-    Map<String, String> form = new LinkedHashMap<>();
+  private static String fieldTypes(JsonNode value) {
+    Map<String, String> types = new LinkedHashMap<>();
     for (Map.Entry<String, JsonNode> field : value.properties()) {
-      JsonNode v = field.getValue();
-      form.put(field.getKey(), v.isIntegralNumber() ? "COUNT" : v.getNodeType().name());
+      JsonNode fieldValue = field.getValue();
+      types.put(
+          field.getKey(),
+          fieldValue.isIntegralNumber() ? "COUNT" : fieldValue.getNodeType().name());
     }
-    return form.toString();
+    return types.toString();
   }
 
-  private static final List<String> FORMS =
+  private static final List<String> COMPARED_PREFIXES =
       List.of(
           Keys.LEADER,
           Keys.TOKEN,
@@ -365,24 +367,24 @@
           Keys.PROVISIONING_INTENTS,
           Keys.BOUNDS);
 
-  private static void addForm(String key, JsonNode value, Map<String, Set<String>> forms) {
-    for (String prefix : FORMS) {
+  private static void addFieldTypes(String key, JsonNode value, Map<String, Set<String>> types) {
+    for (String prefix : COMPARED_PREFIXES) {
       if (key.startsWith(prefix)) {
-        forms.computeIfAbsent(prefix, p -> new HashSet<>()).add(form(value));
+        types.computeIfAbsent(prefix, p -> new HashSet<>()).add(fieldTypes(value));
       }
     }
   }
 
-  private static Map<String, Set<String>> forms(String resource) throws IOException {
-    Map<String, Set<String>> forms = new TreeMap<>();
+  private static Map<String, Set<String>> fieldTypesByPrefix(String resource) throws IOException {
+    Map<String, Set<String>> types = new TreeMap<>();
     new FixtureStore(FixtureStore.fixture(resource).path("records"))
         .entries()
-        .forEach(e -> addForm(e.key(), e.value(), forms));
-    return forms;
+        .forEach(e -> addFieldTypes(e.key(), e.value(), types));
+    return types;
   }
 
   @Test
-  void leadersOfThisVersionWriteRecordsOfTheSameForm() throws Exception {
+  void leadersOfThisVersionWriteRecordsWithTheSameFieldsAndTypes() throws Exception {
     SimulatedCluster cluster = new SimulatedCluster(4, 3, 14, List.of("a", "b"));
     List<String> uids = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
@@ -396,37 +398,38 @@
     Map<String, Set<String>> now = new TreeMap<>();
     for (long t = 1_000; t < 60_000; t += 100) {
       cluster.clock.runUntil(t);
-      LowerLimitsTest.all(cluster.state).forEach((key, e) -> addForm(key, e.value(), now));
+      LowerLimitsTest.allEntries(cluster.state)
+          .forEach((key, e) -> addFieldTypes(key, e.value(), now));
     }
-    assertEquals(forms(FixtureStore.HEAD_F659783), now);
-    assertEquals(forms(FixtureStore.PRODUCTION), now);
+    assertEquals(fieldTypesByPrefix(FixtureStore.HEAD_F659783), now);
+    assertEquals(fieldTypesByPrefix(FixtureStore.PRODUCTION), now);
   }
 
   /** Jobs that await nothing must stay readable for the version that knows no pipelines. */
   @Test
-  void jobsThatAwaitNothingHaveProductionsForm() throws Exception {
+  void jobsWithoutDependenciesHaveTheFieldsOfTheVersionInProduction() throws Exception {
     Set<String> optional = Set.of("types", "zone", "due");
-    Set<List<String>> forms = new HashSet<>();
+    Set<List<String>> fieldLists = new HashSet<>();
     for (String resource : List.of(FixtureStore.PRODUCTION, FixtureStore.HEAD_F659783)) {
-      Loaded loaded = new Loaded(FixtureStore.fixture(resource).path("records"));
+      LoadedFixture loaded = new LoadedFixture(FixtureStore.fixture(resource).path("records"));
       for (String uid : loaded.specs.uids()) {
         if (dependencies(loaded, uid).isEmpty()) {
           JobRecord record = JobRecord.decode(uid, loaded.spec(uid)).orElseThrow();
           List<String> fields = new ArrayList<>();
           record.encode().fieldNames().forEachRemaining(fields::add);
           fields.removeAll(optional);
-          forms.add(fields);
+          fieldLists.add(fields);
         }
       }
     }
-    assertEquals(1, forms.size(), forms.toString());
+    assertEquals(1, fieldLists.size(), fieldLists.toString());
   }
 
   // ---- a cluster of this version goes on from them
 
-  private static final Settings.StateLimits LOWER = new Settings.StateLimits(120, 40, 1, 6);
+  private static final Settings.StateLimits LOWER_LIMITS = new Settings.StateLimits(120, 40, 1, 6);
 
-  private static final long NODES_START_MS = 5_000;
+  private static final long CONTROLLERS_START_MS = 5_000;
 
   private static SimulatedCluster clusterFrom(FixtureStore fixture) {
     SimulatedCluster.Deployment small = SimulatedCluster.Deployment.small(3, 30, List.of("a", "b"));
@@ -438,14 +441,14 @@
                 small.capacity(),
                 small.zones(),
                 small.workers(),
-                new Settings.StateLimits(200, 60, 8, 12, Optional.of(LOWER)),
+                new Settings.StateLimits(200, 60, 8, 12, Optional.of(LOWER_LIMITS)),
                 small.cloud(),
                 small.teams(),
                 small.policy()));
     IntStream.range(0, small.controllerCount())
-        .forEach(node -> cluster.crash(node, NODES_START_MS));
+        .forEach(node -> cluster.crash(node, CONTROLLERS_START_MS));
     // The leader that wrote them is gone: its lease ends, and the key with it.
-    long lease = cluster.state.openLease(2 * NODES_START_MS);
+    long lease = cluster.state.openLease(2 * CONTROLLERS_START_MS);
     for (Entry e : fixture.entries()) {
       Optional<Long> kept = e.key().equals(Keys.LEADER) ? Optional.of(lease) : Optional.empty();
       Change put = new Change.Put(e.key(), e.value(), kept);
@@ -454,12 +457,12 @@
       // Within the stand-in's rate of changes.
       cluster.clock.runUntil(cluster.clock.nowMs() + 20);
     }
-    assertTrue(cluster.clock.nowMs() < NODES_START_MS);
+    assertTrue(cluster.clock.nowMs() < CONTROLLERS_START_MS);
     return cluster;
   }
 
   /** The checker learns what had happened, and the jobs' users submit again and ask. */
-  private static void usersComeBack(SimulatedCluster cluster, Loaded loaded, JsonNode jobs) {
+  private static void resubmitAll(SimulatedCluster cluster, LoadedFixture loaded, JsonNode jobs) {
     for (Map.Entry<String, JsonNode> job : jobs.properties()) {
       String uid = job.getKey();
       JobSpec stored = JobRecord.decode(uid, loaded.spec(uid)).orElseThrow().spec();
@@ -479,16 +482,16 @@
       if (loaded.replica.get(Keys.cancellation(uid)).isPresent()) {
         cluster.checker.cancelAsked(uid);
       }
-      cluster.clock.after(NODES_START_MS, () -> cluster.submitAndPoll(spec));
+      cluster.clock.after(CONTROLLERS_START_MS, () -> cluster.submitAndPoll(spec));
     }
   }
 
   @Test
-  void aClusterGoesOnFromThem() throws Exception {
-    JsonNode fixture = head();
-    Loaded loaded = new Loaded(fixture.path("records"));
+  void clusterStartedFromTheRecordsFinishesTheirJobs() throws Exception {
+    JsonNode fixture = headFixture();
+    LoadedFixture loaded = new LoadedFixture(fixture.path("records"));
     SimulatedCluster cluster = clusterFrom(loaded.store);
-    usersComeBack(cluster, loaded, fixture.path("jobs"));
+    resubmitAll(cluster, loaded, fixture.path("jobs"));
     cluster.clock.runUntil(30_000);
     assertEquals(-1, cluster.checker.begunMs("mark-3"));
     assertEquals(-1, cluster.checker.begunMs("collect-7"));
@@ -498,9 +501,9 @@
     assertEquals(List.of(), cluster.checker.broken());
     long trainedMs = cluster.checker.doneMs("train-2");
     assertTrue(cluster.checker.begunMs("train-2") > 0);
-    for (String waited : List.of("mark-3", "collect-7")) {
-      assertTrue(cluster.checker.begunMs(waited) >= trainedMs, waited);
-      assertEquals("done", cluster.checker.finalWord(waited));
+    for (String dependent : List.of("mark-3", "collect-7")) {
+      assertTrue(cluster.checker.begunMs(dependent) >= trainedMs, dependent);
+      assertEquals("done", cluster.checker.finalWord(dependent));
     }
     for (String aborted : List.of("draft-4", "publish-5")) {
       assertEquals("aborted", cluster.checker.finalWord(aborted));
@@ -508,6 +511,7 @@
     }
     assertTrue(
         cluster.cloud.provisionedCount() >= 18, "what the claim asks for is learnt by its name");
-    assertTrue(!LowerLimitsTest.all(cluster.state).containsKey(Keys.provisioningIntent("r-1-97")));
+    assertTrue(
+        !LowerLimitsTest.allEntries(cluster.state).containsKey(Keys.provisioningIntent("r-1-97")));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -40,8 +40,8 @@
  * read from them itself. This version reads the same, and what it writes has the same form.
  */
 class ProductionRecordsTest {
-  private static final Set<String> OPTIONAL = Set.of("types", "zone", "due");
-  private static final Map<String, Pattern> TEXTS =
+  private static final Set<String> OPTIONAL_FIELDS = Set.of("types", "zone", "due");
+  private static final Map<String, Pattern> TEXT_PATTERNS =
       Map.of(
           "done", Pattern.compile("(\\d+(-\\d+)?(,\\d+(-\\d+)?)*)?"),
           "live", Pattern.compile("(\\d+:[0-9a-z]+:\\d+:\\d+(,\\d+:[0-9a-z]+:\\d+:\\d+)*)?"),
@@ -62,25 +62,25 @@
   }
 
   @Test
-  void thisVersionReadsThem() throws Exception {
+  void recordsOfTheVersionInProductionAreReadAsThatVersionReadsThem() throws Exception {
     JsonNode fixture = fixture();
     SimClock clock = new SimClock();
-    SimClock.Process p = clock.new Process(0, 1, 0);
+    SimClock.Process process = clock.new Process(0, 1, 0);
     StateStore store = new FixtureStore(fixture.path("records"));
-    Replica replica = new Replica(p, store, Keys.PREFIX, 700);
+    Replica replica = new Replica(process, store, Keys.PREFIX, 700);
     AcceptedJobIndex specs = new AcceptedJobIndex(replica);
     replica.start();
     String uid = fixture.path("job").asText();
-    JobRecord spec = JobRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
-    assertEquals("class-0", spec.spec().jobClass());
-    assertEquals(JobKind.BATCH, spec.spec().kind());
-    assertEquals(Priority.HIGH, spec.spec().priority());
-    assertEquals(6, spec.spec().tasks());
-    assertEquals(Optional.of("a"), spec.spec().zone());
-    assertEquals(Optional.empty(), spec.spec().types());
-    assertEquals(18.0, spec.spec().expectedS());
-    assertEquals(1800000084923L, spec.acceptedWallMs());
-    assertEquals(79, spec.shardSize());
+    JobRecord record = JobRecord.decode(uid, specs.get(uid).orElseThrow().value()).orElseThrow();
+    assertEquals("class-0", record.spec().jobClass());
+    assertEquals(JobKind.BATCH, record.spec().kind());
+    assertEquals(Priority.HIGH, record.spec().priority());
+    assertEquals(6, record.spec().tasks());
+    assertEquals(Optional.of("a"), record.spec().zone());
+    assertEquals(Optional.empty(), record.spec().types());
+    assertEquals(18.0, record.spec().expectedS());
+    assertEquals(1800000084923L, record.acceptedWallMs());
+    assertEquals(79, record.shardSize());
     List<String> zones = List.of("a", "b");
     assertEquals(
         List.of(
@@ -94,10 +94,10 @@
 
     ProgressWriter writer =
         new ProgressWriter(
-            p,
-            new ProgressWriter.StateAccess(store, replica, new TokenBucket(p, 1, 1), 4, 2048),
+            process,
+            new ProgressWriter.StateAccess(store, replica, new TokenBucket(process, 1, 1), 4, 2048),
             new Term(1, 7, 0),
-            m -> new SnapshotRecord.MachineInfo(m.host(), "", "", true),
+            worker -> new SnapshotRecord.MachineInfo(worker.host(), "", "", true),
             new ProgressWriter.Listener() {
               @Override
               public void placementsRecorded(List<Placement> placements) {}
@@ -108,25 +108,25 @@
               @Override
               public void deposed(String cause) {}
             });
-    Job job = new Job(spec.spec(), 0, spec.shardSize(), 0, new BitSet(), 0, 2);
-    RecordedProgress.RecordedStatuses state = new RecordedProgress(replica, writer).of(job);
-    assertEquals(fixture.path("done").asText(), state.completed().toString());
+    Job job = new Job(record.spec(), 0, record.shardSize(), 0, new BitSet(), 0, 2);
+    RecordedProgress.RecordedStatuses statuses = new RecordedProgress(replica, writer).of(job);
+    assertEquals(fixture.path("done").asText(), statuses.completed().toString());
     Map<String, String> live = new TreeMap<>();
-    state
+    statuses
         .placements()
         .forEach(
-            (t, l) -> {
-              SnapshotRecord.MachineInfo h = l.machine();
+            (task, placement) -> {
+              SnapshotRecord.MachineInfo machine = placement.machine();
               live.put(
-                  "" + t,
+                  "" + task,
                   String.join(
                       " ",
-                      "" + l.attempt(),
-                      h.id(),
-                      h.type(),
-                      h.zone(),
-                      "" + h.spot(),
-                      "" + l.agentEpoch()));
+                      "" + placement.attempt(),
+                      machine.id(),
+                      machine.type(),
+                      machine.zone(),
+                      "" + machine.spot(),
+                      "" + placement.agentEpoch()));
             });
     Map<String, String> expected = new TreeMap<>();
     fixture.path("live").properties().forEach(e -> expected.put(e.getKey(), e.getValue().asText()));
@@ -135,80 +135,86 @@
 
   // ---- forms
 
-  private static String kind(String key) {
+  private static String recordKind(String key) {
     return key.substring(Keys.PREFIX.length()).replaceAll("/.*", "");
   }
 
-  private static String type(JsonNode v) {
-    return v.isIntegralNumber() ? "count" : v.getNodeType().name().toLowerCase();
+  private static String typeName(JsonNode value) {
+    return value.isIntegralNumber() ? "count" : value.getNodeType().name().toLowerCase();
   }
 
   /** Names and types of the fields; what may be absent only where it is there. */
-  private static Set<String> form(String kind, JsonNode v) {
-    Set<String> form = new TreeSet<>();
-    for (Map.Entry<String, JsonNode> f : v.properties()) {
-      if (!kind.equals("b") || !OPTIONAL.contains(f.getKey())) {
-        form.add(f.getKey() + " " + type(f.getValue()));
+  private static Set<String> fieldTypes(String kind, JsonNode value) {
+    Set<String> types = new TreeSet<>();
+    for (Map.Entry<String, JsonNode> field : value.properties()) {
+      if (!kind.equals("b") || !OPTIONAL_FIELDS.contains(field.getKey())) {
+        types.add(field.getKey() + " " + typeName(field.getValue()));
       }
-      Pattern text = TEXTS.getOrDefault(kind + "/" + f.getKey(), TEXTS.get(f.getKey()));
-      for (JsonNode x : f.getValue().isArray() ? f.getValue() : List.of(f.getValue())) {
-        if (text != null && x.isTextual()) {
-          assertTrue(text.matcher(x.asText()).matches(), kind + " " + f.getKey() + " " + x);
+      Pattern pattern =
+          TEXT_PATTERNS.getOrDefault(
+              kind + "/" + field.getKey(), TEXT_PATTERNS.get(field.getKey()));
+      for (JsonNode element :
+          field.getValue().isArray() ? field.getValue() : List.of(field.getValue())) {
+        if (pattern != null && element.isTextual()) {
+          assertTrue(
+              pattern.matcher(element.asText()).matches(),
+              kind + " " + field.getKey() + " " + element);
         }
       }
     }
-    return form;
+    return types;
   }
 
-  private static void forms(String key, JsonNode v, Map<String, Set<Set<String>>> forms) {
-    String kind = kind(key);
+  private static void addRecord(String key, JsonNode value, Map<String, Set<Set<String>>> types) {
+    String kind = recordKind(key);
     if (kind.equals("b")) {
-      v.properties().forEach(e -> add("b", e.getValue(), forms));
+      value.properties().forEach(e -> addFieldTypes("b", e.getValue(), types));
     } else if (kind.equals("types")) {
-      v.path("types").forEach(t -> add("types", t, forms));
+      value.path("types").forEach(machineType -> addFieldTypes("types", machineType, types));
     } else {
-      add(kind, v, forms);
+      addFieldTypes(kind, value, types);
     }
   }
 
-  private static void add(String kind, JsonNode v, Map<String, Set<Set<String>>> forms) {
-    forms.computeIfAbsent(kind, k -> new java.util.HashSet<>()).add(form(kind, v));
+  private static void addFieldTypes(
+      String kind, JsonNode value, Map<String, Set<Set<String>>> types) {
+    types.computeIfAbsent(kind, k -> new java.util.HashSet<>()).add(fieldTypes(kind, value));
   }
 
   @Test
-  void whatThisVersionWritesHasTheSameForm() throws Exception {
+  void recordsOfThisVersionHaveTheFieldsAndTypesOfTheVersionInProduction() throws Exception {
     Map<String, Set<Set<String>>> production = new TreeMap<>();
     fixture()
         .path("records")
         .properties()
-        .forEach(e -> forms(e.getKey(), e.getValue(), production));
-    SimulatedCluster w = new SimulatedCluster(11, 3, 14, List.of("a", "b"));
+        .forEach(e -> addRecord(e.getKey(), e.getValue(), production));
+    SimulatedCluster cluster = new SimulatedCluster(11, 3, 14, List.of("a", "b"));
     Random random = new Random(5);
     for (int i = 0; i < 250; i++) {
-      w.clock.after(
+      cluster.clock.after(
           3_000 + i * 700L,
           () -> {
-            JobSpec s = InvariantsTest.job(w.newUid(), random);
-            w.submitAndPoll(s);
+            JobSpec spec = InvariantsTest.job(cluster.newUid(), random);
+            cluster.submitAndPoll(spec);
             if (random.nextInt(6) == 0) {
-              w.clock.after(8_000, () -> w.cancel(s.uid(), 0));
+              cluster.clock.after(8_000, () -> cluster.cancel(spec.uid(), 0));
             }
           });
     }
     Map<String, Set<Set<String>>> now = new TreeMap<>();
     Map<String, Long> seen = new HashMap<>();
-    for (long t = 5_000; t < 180_000; t += 500) {
-      w.clock.runUntil(t);
-      LowerLimitsTest.all(w.state)
+    for (long nowMs = 5_000; nowMs < 180_000; nowMs += 500) {
+      cluster.clock.runUntil(nowMs);
+      LowerLimitsTest.allEntries(cluster.state)
           .forEach(
               (key, e) -> {
                 if (!Long.valueOf(e.modRevision()).equals(seen.put(key, e.modRevision()))) {
-                  forms(key, e.value(), now);
+                  addRecord(key, e.value(), now);
                 }
               });
     }
     // Returns are recorded since; versions that don't know them pass over their keys.
-    assertEquals(Set.of(Set.of("hosts array")), now.remove(kind(Keys.TERMINATIONS)));
+    assertEquals(Set.of(Set.of("hosts array")), now.remove(recordKind(Keys.TERMINATIONS)));
     assertEquals(production, now);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ReferenceJobRecords.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceJobRecords.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.StoredJob;
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
@@ -22,36 +22,37 @@
   static final String DONE = "done";
 
   /** An accepted job as far as its place among others goes. */
-  record PlainJob(Kind kind, List<String> awaits) {}
+  record ReferenceJob(StoredJob stored, List<String> dependencies) {}
 
-  private final SortedMap<String, Entry> all;
-  private final Map<String, PlainJob> jobs = new TreeMap<>();
+  private final SortedMap<String, Entry> entries;
+  private final Map<String, ReferenceJob> jobs = new TreeMap<>();
   private final Map<String, String> statuses = new TreeMap<>();
 
-  ReferenceJobRecords(SortedMap<String, Entry> all) {
-    this.all = all;
-    for (Entry batch : all.subMap("ps1/b/", "ps1/b0").values()) {
+  ReferenceJobRecords(SortedMap<String, Entry> entries) {
+    this.entries = entries;
+    for (Entry batch : entries.subMap("ps1/b/", "ps1/b0").values()) {
       for (Map.Entry<String, JsonNode> job : batch.value().properties()) {
-        JsonNode v = job.getValue();
-        Kind kind = new Kind(job.getKey(), v.path("tasks").asInt(), v.path("chunk").asInt());
-        jobs.put(job.getKey(), new PlainJob(kind, awaits(v)));
+        JsonNode spec = job.getValue();
+        StoredJob stored =
+            new StoredJob(job.getKey(), spec.path("tasks").asInt(), spec.path("chunk").asInt());
+        jobs.put(job.getKey(), new ReferenceJob(stored, dependencies(spec)));
       }
     }
   }
 
-  Map<String, PlainJob> jobs() {
+  Map<String, ReferenceJob> jobs() {
     return jobs;
   }
 
-  private List<String> awaits(JsonNode spec) {
-    List<String> awaits = new ArrayList<>();
-    spec.path("awaits").forEach(uid -> awaits.add(uid.asText()));
-    JsonNode elsewhere = spec.path("awaits_in");
-    for (int part = 0; part < elsewhere.path("parts").asInt(); part++) {
-      String key = listKey(elsewhere.path("key").asText(), part);
-      awaits.addAll(List.of(all.get(key).value().path("ids").asText().split(",")));
+  private List<String> dependencies(JsonNode spec) {
+    List<String> dependencies = new ArrayList<>();
+    spec.path("awaits").forEach(uid -> dependencies.add(uid.asText()));
+    JsonNode separateList = spec.path("awaits_in");
+    for (int part = 0; part < separateList.path("parts").asInt(); part++) {
+      String key = listKey(separateList.path("key").asText(), part);
+      dependencies.addAll(List.of(entries.get(key).value().path("ids").asText().split(",")));
     }
-    return awaits;
+    return dependencies;
   }
 
   static String listKey(String name, int part) {
@@ -60,26 +61,27 @@
 
   /** A job is aborted with any job that it awaits, and ready once all of them are done. */
   String status(String uid) {
-    String known = statuses.get(uid);
-    String status = known == null ? workOut(uid) : known;
+    String cached = statuses.get(uid);
+    String status = cached == null ? computeStatus(uid) : cached;
     statuses.put(uid, status);
     return status;
   }
 
-  private String workOut(String uid) {
-    if (all.containsKey("ps1/d/" + uid)) {
+  private String computeStatus(String uid) {
+    if (entries.containsKey("ps1/d/" + uid)) {
       return DONE;
     }
-    List<String> before = jobs.get(uid).awaits().stream().map(this::status).toList();
-    if (all.containsKey("ps1/c/" + uid) || before.contains(ABORTED)) {
+    List<String> dependencyStatuses =
+        jobs.get(uid).dependencies().stream().map(this::status).toList();
+    if (entries.containsKey("ps1/c/" + uid) || dependencyStatuses.contains(ABORTED)) {
       return ABORTED;
     }
-    return before.stream().allMatch(DONE::equals) ? READY : WAITING;
+    return dependencyStatuses.stream().allMatch(DONE::equals) ? READY : WAITING;
   }
 
   /** A job's record in the form of one that awaits nothing. */
-  static ObjectNode spec(JsonNode awaitsNothing, int tasks) {
-    ObjectNode spec = awaitsNothing.deepCopy();
+  static ObjectNode spec(JsonNode withoutDependencies, int tasks) {
+    ObjectNode spec = withoutDependencies.deepCopy();
     return spec.put("tasks", tasks);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
@@ -33,142 +33,149 @@
   private static final int SLOTS = 256;
 
   /** A job as far as its records go. */
-  record Kind(String uid, int tasks, int chunk) {}
+  record StoredJob(String uid, int tasks, int shardSize) {}
 
   private ReferenceProgressRecords() {}
 
-  static String live(long attempt, String host, long tenure) {
-    return "live " + attempt + " " + host + " " + tenure;
+  static String liveStatus(long attempt, String machineId, long workerEpoch) {
+    return "live " + attempt + " " + machineId + " " + workerEpoch;
   }
 
   // ---- reading
 
-  private static List<Integer> numbers(String ranges) {
+  private static List<Integer> parseRanges(String ranges) {
     List<Integer> numbers = new ArrayList<>();
     for (String part : ranges.isEmpty() ? new String[0] : ranges.split(",")) {
       String[] ends = part.split("-");
-      for (int t = Integer.parseInt(ends[0]); t <= Integer.parseInt(ends[ends.length - 1]); t++) {
-        numbers.add(t);
+      for (int number = Integer.parseInt(ends[0]);
+          number <= Integer.parseInt(ends[ends.length - 1]);
+          number++) {
+        numbers.add(number);
       }
     }
     return numbers;
   }
 
-  private static Map<Integer, String> places(String text, JsonNode hosts) {
-    Map<Integer, String> places = new LinkedHashMap<>();
+  private static Map<Integer, String> parsePlacements(String text, JsonNode hosts) {
+    Map<Integer, String> placements = new LinkedHashMap<>();
     for (String part : text.isEmpty() ? new String[0] : text.split(",")) {
-      String[] f = part.split(":");
-      String host = hosts.path(Integer.parseInt(f[2])).asText().split(",")[0];
-      long attempt = Long.parseLong(f[1], 36);
-      for (int t : numbers(f[0])) {
-        places.put(t, live(attempt++, host, Long.parseLong(f[3])));
+      String[] fields = part.split(":");
+      String machineId = hosts.path(Integer.parseInt(fields[2])).asText().split(",")[0];
+      long attempt = Long.parseLong(fields[1], 36);
+      for (int task : parseRanges(fields[0])) {
+        placements.put(task, liveStatus(attempt++, machineId, Long.parseLong(fields[3])));
       }
     }
-    return places;
+    return placements;
   }
 
-  private static List<JsonNode> log(SortedMap<String, Entry> all) {
-    List<JsonNode> log = new ArrayList<>();
-    all.subMap("ps1/l/", "ps1/l0").values().forEach(e -> log.add(e.value()));
-    log.sort(Comparator.comparingLong(v -> v.path("n").asLong()));
-    return log;
+  private static List<JsonNode> logRecords(SortedMap<String, Entry> entries) {
+    List<JsonNode> records = new ArrayList<>();
+    entries.subMap("ps1/l/", "ps1/l0").values().forEach(e -> records.add(e.value()));
+    records.sort(Comparator.comparingLong(v -> v.path("n").asLong()));
+    return records;
   }
 
-  private static long upTo(SortedMap<String, Entry> all, Kind job, int chunk) {
-    Entry e = all.get(checkpointKey(job, chunk));
-    return e == null ? 0 : e.value().path("upto").asLong();
+  private static long snapshotSequence(SortedMap<String, Entry> entries, StoredJob job, int shard) {
+    Entry entry = entries.get(snapshotKey(job, shard));
+    return entry == null ? 0 : entry.value().path("upto").asLong();
   }
 
-  private static String checkpointKey(Kind job, int chunk) {
-    return "ps1/p/" + job.uid() + "/" + String.format(Locale.ROOT, "%05d", chunk);
+  private static String snapshotKey(StoredJob job, int shard) {
+    return "ps1/p/" + job.uid() + "/" + String.format(Locale.ROOT, "%05d", shard);
   }
 
   /** Every task's state, as a reader of the documented forms understands the records. */
-  static String[] read(SortedMap<String, Entry> all, Kind job) {
-    String[] state = new String[job.tasks()];
-    Arrays.fill(state, WAITING);
-    for (int chunk = 0; chunk * job.chunk() < job.tasks(); chunk++) {
-      Entry e = all.get(checkpointKey(job, chunk));
-      if (e != null) {
-        JsonNode v = e.value();
-        places(v.path("live").asText(), v.path("hosts")).forEach((t, place) -> state[t] = place);
-        numbers(v.path("done").asText()).forEach(t -> state[t] = DONE);
+  static String[] read(SortedMap<String, Entry> entries, StoredJob job) {
+    String[] statuses = new String[job.tasks()];
+    Arrays.fill(statuses, WAITING);
+    for (int shard = 0; shard * job.shardSize() < job.tasks(); shard++) {
+      Entry entry = entries.get(snapshotKey(job, shard));
+      if (entry != null) {
+        JsonNode snapshot = entry.value();
+        parsePlacements(snapshot.path("live").asText(), snapshot.path("hosts"))
+            .forEach((task, status) -> statuses[task] = status);
+        parseRanges(snapshot.path("done").asText()).forEach(task -> statuses[task] = DONE);
       }
     }
-    for (JsonNode record : log(all)) {
-      for (JsonNode line : record.path("jobs")) {
-        String[] f = line.asText().split("\\|", -1);
-        if (f[0].equals(job.uid())) {
-          Map<Integer, String> says = new HashMap<>(places(f[5], record.path("hosts")));
-          numbers(f[3]).forEach(t -> says.put(t, DONE));
-          numbers(f[4]).forEach(t -> says.put(t, WAITING));
-          says.forEach(
-              (t, now) -> {
-                boolean newer = record.path("n").asLong() > upTo(all, job, t / job.chunk());
-                if (newer && !state[t].equals(DONE)) {
-                  state[t] = now;
+    for (JsonNode logRecord : logRecords(entries)) {
+      for (JsonNode line : logRecord.path("jobs")) {
+        String[] fields = line.asText().split("\\|", -1);
+        if (fields[0].equals(job.uid())) {
+          Map<Integer, String> changes =
+              new HashMap<>(parsePlacements(fields[5], logRecord.path("hosts")));
+          parseRanges(fields[3]).forEach(task -> changes.put(task, DONE));
+          parseRanges(fields[4]).forEach(task -> changes.put(task, WAITING));
+          changes.forEach(
+              (task, status) -> {
+                boolean isNewer =
+                    logRecord.path("n").asLong()
+                        > snapshotSequence(entries, job, task / job.shardSize());
+                if (isNewer && !statuses[task].equals(DONE)) {
+                  statuses[task] = status;
                 }
               });
         }
       }
     }
-    return state;
+    return statuses;
   }
 
   // ---- writing, as the version in production does
 
   /** A leader of the version in production, one write at a time; what is refused stays to write. */
-  static final class OldWriter {
+  static final class EarlierVersionWriter {
     private final SimStateStore store;
-    private final long leaderStamp;
-    private final int valueBytes;
-    private final int txnOps;
-    private final Map<String, Kind> jobs = new HashMap<>();
-    private final Map<Kind, String[]> states = new HashMap<>();
-    private final Map<Kind, TreeSet<Integer>> dirty = new LinkedHashMap<>();
-    private int tries;
+    private final long leaderRevision;
+    private final int maxValueBytes;
+    private final int maxChangesPerTransaction;
+    private final Map<String, StoredJob> jobs = new HashMap<>();
+    private final Map<StoredJob, String[]> statusesByJob = new HashMap<>();
+    private final Map<StoredJob, TreeSet<Integer>> unwrittenTasks = new LinkedHashMap<>();
+    private int recordCount;
 
-    OldWriter(SimStateStore store, long leaderStamp, int valueBytes, int txnOps) {
+    EarlierVersionWriter(
+        SimStateStore store, long leaderRevision, int maxValueBytes, int maxChangesPerTransaction) {
       this.store = store;
-      this.leaderStamp = leaderStamp;
-      this.valueBytes = valueBytes;
-      this.txnOps = txnOps;
+      this.leaderRevision = leaderRevision;
+      this.maxValueBytes = maxValueBytes;
+      this.maxChangesPerTransaction = maxChangesPerTransaction;
     }
 
-    void knows(Kind job, String[] state) {
+    void addJob(StoredJob job, String[] statuses) {
       jobs.put(job.uid(), job);
-      states.put(job, state);
+      statusesByJob.put(job, statuses);
     }
 
-    void over(Kind job) {
+    void removeJob(StoredJob job) {
       jobs.remove(job.uid());
-      states.remove(job);
-      dirty.remove(job);
+      statusesByJob.remove(job);
+      unwrittenTasks.remove(job);
     }
 
-    Collection<Kind> jobs() {
+    Collection<StoredJob> jobs() {
       return jobs.values();
     }
 
-    String[] state(Kind job) {
-      return states.get(job);
+    String[] statuses(StoredJob job) {
+      return statusesByJob.get(job);
     }
 
-    void now(Kind job, int task, String state) {
-      states.get(job)[task] = state;
-      dirty.computeIfAbsent(job, j -> new TreeSet<>()).add(task);
+    void setStatus(StoredJob job, int task, String status) {
+      statusesByJob.get(job)[task] = status;
+      unwrittenTasks.computeIfAbsent(job, j -> new TreeSet<>()).add(task);
     }
 
-    boolean clean() {
-      return dirty.isEmpty();
+    boolean allWritten() {
+      return unwrittenTasks.isEmpty();
     }
 
-    private boolean write(SortedMap<String, Entry> all, List<Change> changes) {
+    private boolean write(SortedMap<String, Entry> entries, List<Change> changes) {
       List<Condition> conditions =
-          new ArrayList<>(List.of(new Condition("ps1/leader", leaderStamp)));
-      for (Change c : changes) {
-        Entry e = all.get(c.key());
-        conditions.add(new Condition(c.key(), e == null ? 0 : e.modRevision()));
+          new ArrayList<>(List.of(new Condition("ps1/leader", leaderRevision)));
+      for (Change change : changes) {
+        Entry entry = entries.get(change.key());
+        conditions.add(new Condition(change.key(), entry == null ? 0 : entry.modRevision()));
       }
       return store.commit(new Transaction(conditions, changes))
           instanceof TransactionResult.Committed;
@@ -176,128 +183,147 @@
 
     /** One record, after the checkpoints that its slot needs. False when the store refused. */
     boolean write() {
-      SortedMap<String, Entry> all = LowerLimitsTest.all(store);
-      long next = 1;
-      for (JsonNode record : log(all)) {
-        next = Math.max(next, record.path("n").asLong() + 1);
+      SortedMap<String, Entry> entries = LowerLimitsTest.allEntries(store);
+      long nextSequence = 1;
+      for (JsonNode logRecord : logRecords(entries)) {
+        nextSequence = Math.max(nextSequence, logRecord.path("n").asLong() + 1);
       }
-      Map<String, Change> checkpoints = new TreeMap<>();
-      for (JsonNode record : log(all)) {
-        long n = record.path("n").asLong();
-        for (JsonNode line : n <= next - SLOTS ? record.path("jobs") : Cbor.map()) {
-          String[] f = line.asText().split("\\|", -1);
-          Kind job = jobs.get(f[0]);
+      Map<String, Change> snapshots = new TreeMap<>();
+      for (JsonNode logRecord : logRecords(entries)) {
+        long sequence = logRecord.path("n").asLong();
+        for (JsonNode line :
+            sequence <= nextSequence - SLOTS ? logRecord.path("jobs") : Cbor.map()) {
+          String[] fields = line.asText().split("\\|", -1);
+          StoredJob job = jobs.get(fields[0]);
           if (job != null) {
-            List<Integer> tasks = new ArrayList<>(numbers(f[3]));
-            tasks.addAll(numbers(f[4]));
-            tasks.addAll(places(f[5], record.path("hosts")).keySet());
-            for (int t : tasks) {
-              int chunk = t / job.chunk();
-              if (n > upTo(all, job, chunk)) {
-                checkpoints.put(checkpointKey(job, chunk), checkpoint(job, chunk, next - 1));
+            List<Integer> tasks = new ArrayList<>(parseRanges(fields[3]));
+            tasks.addAll(parseRanges(fields[4]));
+            tasks.addAll(parsePlacements(fields[5], logRecord.path("hosts")).keySet());
+            for (int task : tasks) {
+              int shard = task / job.shardSize();
+              if (sequence > snapshotSequence(entries, job, shard)) {
+                snapshots.put(snapshotKey(job, shard), snapshot(job, shard, nextSequence - 1));
               }
             }
           }
         }
       }
       List<Change> changes = new ArrayList<>();
-      for (Change c : checkpoints.values()) {
-        changes.add(c);
-        if (changes.size() == txnOps || changes.size() * valueBytes > 24 * 1024) {
-          if (!write(all, changes)) {
+      for (Change change : snapshots.values()) {
+        changes.add(change);
+        if (changes.size() == maxChangesPerTransaction
+            || changes.size() * maxValueBytes > 24 * 1024) {
+          if (!write(entries, changes)) {
             return false;
           }
-          all = LowerLimitsTest.all(store);
+          entries = LowerLimitsTest.allEntries(store);
           changes.clear();
         }
       }
-      Map<Kind, TreeSet<Integer>> said = new LinkedHashMap<>();
+      Map<StoredJob, TreeSet<Integer>> writtenTasks = new LinkedHashMap<>();
       changes.add(
           new Change.Put(
-              "ps1/l/" + String.format(Locale.ROOT, "%03d", next % SLOTS), record(next, said)));
-      if (!write(all, changes)) {
+              "ps1/l/" + String.format(Locale.ROOT, "%03d", nextSequence % SLOTS),
+              logRecord(nextSequence, writtenTasks)));
+      if (!write(entries, changes)) {
         return false;
       }
-      said.forEach(
+      writtenTasks.forEach(
           (job, tasks) -> {
-            dirty.get(job).removeAll(tasks);
-            if (dirty.get(job).isEmpty()) {
-              dirty.remove(job);
+            unwrittenTasks.get(job).removeAll(tasks);
+            if (unwrittenTasks.get(job).isEmpty()) {
+              unwrittenTasks.remove(job);
             }
           });
       return true;
     }
 
-    private long count(Kind job, String prefix) {
-      return Arrays.stream(states.get(job)).filter(s -> s.startsWith(prefix)).count();
+    private long countStatuses(StoredJob job, String prefix) {
+      return Arrays.stream(statusesByJob.get(job)).filter(s -> s.startsWith(prefix)).count();
     }
 
-    private Change checkpoint(Kind job, int chunk, long upTo) {
+    private Change snapshot(StoredJob job, int shard, long lastSequence) {
       List<String> done = new ArrayList<>();
       List<String> live = new ArrayList<>();
-      Map<String, Integer> hosts = new LinkedHashMap<>();
-      String[] state = states.get(job);
-      int to = Math.min(job.tasks(), (chunk + 1) * job.chunk());
-      for (int t = chunk * job.chunk(); t < to; t++) {
-        String[] f = state[t].split(" ");
-        if (state[t].equals(DONE)) {
-          done.add("" + t);
-        } else if (f.length == 4) {
-          int host = hosts.computeIfAbsent(f[2], h -> hosts.size());
-          live.add(t + ":" + Long.toString(Long.parseLong(f[1]), 36) + ":" + host + ":" + f[3]);
+      Map<String, Integer> hostIndexes = new LinkedHashMap<>();
+      String[] statuses = statusesByJob.get(job);
+      int endTask = Math.min(job.tasks(), (shard + 1) * job.shardSize());
+      for (int task = shard * job.shardSize(); task < endTask; task++) {
+        String[] fields = statuses[task].split(" ");
+        if (statuses[task].equals(DONE)) {
+          done.add("" + task);
+        } else if (fields.length == 4) {
+          int hostIndex = hostIndexes.computeIfAbsent(fields[2], h -> hostIndexes.size());
+          live.add(
+              task
+                  + ":"
+                  + Long.toString(Long.parseLong(fields[1]), 36)
+                  + ":"
+                  + hostIndex
+                  + ":"
+                  + fields[3]);
         }
       }
-      ObjectNode v = Cbor.map();
-      v.put("n", done.size()).put("r", live.size()).put("upto", upTo);
-      v.put("done", String.join(",", done)).put("live", String.join(",", live));
-      ArrayNode names = v.putArray("hosts");
-      hosts.keySet().forEach(h -> names.add(h + ",type-16,zone-a,spot"));
-      v.put("job_done", count(job, DONE)).put("job_running", count(job, "live"));
-      return new Change.Put(checkpointKey(job, chunk), v);
+      ObjectNode value = Cbor.map();
+      value.put("n", done.size()).put("r", live.size()).put("upto", lastSequence);
+      value.put("done", String.join(",", done)).put("live", String.join(",", live));
+      ArrayNode hostArray = value.putArray("hosts");
+      hostIndexes.keySet().forEach(h -> hostArray.add(h + ",type-16,zone-a,spot"));
+      value
+          .put("job_done", countStatuses(job, DONE))
+          .put("job_running", countStatuses(job, "live"));
+      return new Change.Put(snapshotKey(job, shard), value);
     }
 
-    private ObjectNode record(long n, Map<Kind, TreeSet<Integer>> said) {
-      ObjectNode v = Cbor.map().put("n", n).put("id", "old." + ++tries);
-      v.putArray("kinds").add("type-16,zone-a,spot");
-      Map<String, Integer> hosts = new LinkedHashMap<>();
+    private ObjectNode logRecord(long sequence, Map<StoredJob, TreeSet<Integer>> writtenTasks) {
+      ObjectNode value = Cbor.map().put("n", sequence).put("id", "old." + ++recordCount);
+      value.putArray("kinds").add("type-16,zone-a,spot");
+      Map<String, Integer> hostIndexes = new LinkedHashMap<>();
       List<String> lines = new ArrayList<>();
       int bytes = 200;
-      for (Map.Entry<Kind, TreeSet<Integer>> e : dirty.entrySet()) {
+      for (Map.Entry<StoredJob, TreeSet<Integer>> entry : unwrittenTasks.entrySet()) {
         List<String> done = new ArrayList<>();
         List<String> cleared = new ArrayList<>();
         List<String> live = new ArrayList<>();
         bytes += 50;
-        for (int t : e.getValue()) {
+        for (int task : entry.getValue()) {
           bytes += 60;
-          if (bytes > valueBytes) {
+          if (bytes > maxValueBytes) {
             break;
           }
-          said.computeIfAbsent(e.getKey(), j -> new TreeSet<>()).add(t);
-          String[] f = states.get(e.getKey())[t].split(" ");
-          if (f.length == 4) {
-            int host = hosts.computeIfAbsent(f[2], h -> hosts.size());
-            live.add(t + ":" + Long.toString(Long.parseLong(f[1]), 36) + ":" + host + ":" + f[3]);
+          writtenTasks.computeIfAbsent(entry.getKey(), j -> new TreeSet<>()).add(task);
+          String[] fields = statusesByJob.get(entry.getKey())[task].split(" ");
+          if (fields.length == 4) {
+            int hostIndex = hostIndexes.computeIfAbsent(fields[2], h -> hostIndexes.size());
+            live.add(
+                task
+                    + ":"
+                    + Long.toString(Long.parseLong(fields[1]), 36)
+                    + ":"
+                    + hostIndex
+                    + ":"
+                    + fields[3]);
           } else {
-            (f[0].equals(DONE) ? done : cleared).add("" + t);
+            (fields[0].equals(DONE) ? done : cleared).add("" + task);
           }
         }
         lines.add(
             String.join(
                 "|",
-                e.getKey().uid(),
-                "" + count(e.getKey(), DONE),
-                "" + count(e.getKey(), "live"),
+                entry.getKey().uid(),
+                "" + countStatuses(entry.getKey(), DONE),
+                "" + countStatuses(entry.getKey(), "live"),
                 String.join(",", done),
                 String.join(",", cleared),
                 String.join(",", live)));
-        if (bytes > valueBytes) {
+        if (bytes > maxValueBytes) {
           break;
         }
       }
-      ArrayNode names = v.putArray("hosts");
-      hosts.keySet().forEach(h -> names.add(h + ",0"));
-      lines.forEach(v.putArray("jobs")::add);
-      return v;
+      ArrayNode hostArray = value.putArray("hosts");
+      hostIndexes.keySet().forEach(h -> hostArray.add(h + ",0"));
+      lines.forEach(value.putArray("jobs")::add);
+      return value;
     }
   }
 }
