--- a/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
@@ -25,9 +25,12 @@
 import org.ploverspindle.state.StateStore.Transaction;
 
 /**
- * Every team is at its limit with jobs that are cancelled; their tasks are proven gone, their
- * machines can be asked no more, and the leader ends. The next one has nothing but the records, and
- * must not hold the teams' limits for what its predecessor had proven gone.
+ * Guards against a new leader counting cores for placements that its predecessor had proven ended,
+ * which would keep teams from starting jobs within their limits.
+ *
+ * <p>Every team is at its limit when all its jobs are cancelled. Once their placements are proven
+ * ended, their machines become unreachable and the leader crashes, so that the next leader has only
+ * the stored records.
  */
 class CancelledLimitsTest {
   private static final Settings.WorkerLimits WORKERS = new Settings.WorkerLimits(5, 26.5, 56.5);
@@ -36,65 +39,73 @@
   private static final double TEAM_LIMIT_CORES = 12;
 
   /**
-   * From the leader's end: the next one's election, a rental and a boot. Whoever waits for the
-   * machines that can't be asked waits for a lease and the grace, both from its election on.
+   * The longest time from the crash of the leader until the later jobs begin: enough for an
+   * election, provisioning and a boot. A leader that waited for the unreachable machines would take
+   * longer, as it would wait for the worker lease and the grace, both counted from its election.
    */
   private static final long MAX_START_DELAY_MS = 40_000;
 
-  /** What happens around the cancellation. */
+  /** A fault at the time of the cancellation. */
   private enum FaultCase {
     NONE {
       @Override
-      long inject(Run d) {
+      long inject(Run run) {
         return 25_000;
       }
     },
 
-    /** The next leader proves it again, and says so. */
+    /** The next leader must prove the ends again, and record them. */
     LEADER_ENDS_BETWEEN_PROOF_AND_WRITE {
       @Override
-      long inject(Run d) {
-        d.cluster.clock.after(
+      long inject(Run run) {
+        run.cluster.clock.after(
             1_500,
             () -> {
-              d.termsBefore = d.cluster.termCount();
-              d.cluster.crash(d.cluster.leader(), 2_000);
+              run.termsBefore = run.cluster.termCount();
+              run.cluster.crash(run.cluster.leader(), 2_000);
             });
         return CANCELLATION_LIMIT_MS + 12_000;
       }
 
       @Override
-      void assertOccurred(Run d) {
-        assertTrue(d.cluster.termCount() >= d.termsBefore + 2, "two changes of the leader");
+      void assertOccurred(Run run) {
+        assertTrue(
+            run.cluster.termCount() >= run.termsBefore + 2,
+            "the leader changed fewer than two times");
       }
     },
 
     WRITES_LATE_OR_UNANSWERED {
       @Override
-      long inject(Run d) {
-        d.cluster.network.setUnansweredWrites(0.5, false);
-        d.cluster.clock.after(30_000, () -> d.cluster.network.setUnansweredWrites(0, false));
+      long inject(Run run) {
+        run.cluster.network.setUnansweredWrites(0.5, false);
+        run.cluster.clock.after(30_000, () -> run.cluster.network.setUnansweredWrites(0, false));
         return 50_000;
       }
     },
 
     MACHINES_PARTITIONED_OR_UNRESPONSIVE {
       @Override
-      long inject(Run d) {
-        for (int i = 0; i < d.workers.size(); i++) {
-          SimWorker x = d.workers.get(i);
+      long inject(Run run) {
+        for (int i = 0; i < run.workers.size(); i++) {
+          SimWorker worker = run.workers.get(i);
           if (i % 2 == 0) {
-            d.setPartitioned(x, true);
+            run.setPartitioned(worker, true);
           } else {
-            x.hang(CANCELLATION_LIMIT_MS);
+            worker.hang(CANCELLATION_LIMIT_MS);
           }
         }
-        // The leader resigns, as it reaches no machine, and the next one waits for them as well.
+        // The leader resigns because it reaches no machine, and the next leader waits for the
+        // machines as well. Both waits together take up to twice the cancellation limit.
         return 2 * CANCELLATION_LIMIT_MS + 15_000;
       }
     };
 
-    /** Returns after which time all is proven and written. */
+    /**
+     * Injects the fault.
+     *
+     * @return the time in ms from the cancellation by which all ends are proven and recorded
+     */
     abstract long inject(Run run);
 
     void assertOccurred(Run run) {}
@@ -146,7 +157,9 @@
       coresBefore = cluster.checker.coresInUse("red") + cluster.checker.coresInUse("blue");
       List<String> hosts = new ArrayList<>();
       cancelledJobs.forEach(j -> hosts.addAll(cluster.checker.hostsOf(j.uid())));
-      cluster.cloud.workers().stream().filter(x -> hosts.contains(x.host())).forEach(workers::add);
+      cluster.cloud.workers().stream()
+          .filter(worker -> hosts.contains(worker.host()))
+          .forEach(workers::add);
       cancelledJobs.forEach(j -> cluster.cancel(j.uid(), 0));
       return fault.inject(this);
     }
@@ -165,22 +178,24 @@
     cluster.clock.after(3_000, () -> run.submit(run.cancelledJobs, 400));
     cluster.clock.runUntil(50_000);
     long provenMs = 50_000 + run.cancelAll(fault);
-    assertEquals(2 * TEAM_LIMIT_CORES, run.coresBefore, "every team at its limit");
+    assertEquals(
+        2 * TEAM_LIMIT_CORES, run.coresBefore, "cores in use, with every team at its limit");
     cluster.clock.runUntil(provenMs);
     run.cancelledJobs.forEach(j -> assertEquals("aborted", cluster.checker.finalWord(j.uid())));
     run.cancelledJobs.forEach(
         j -> assertEquals(List.of(), recordedPlacements(cluster, j), j.uid()));
-    run.workers.forEach(x -> run.setPartitioned(x, true));
-    // A machine that never comes up would be waited for instead, which is not looked at here.
+    run.workers.forEach(worker -> run.setPartitioned(worker, true));
+    // The wait for a machine that fails to boot would delay the later jobs as well.
     cluster.cloud.stopBootFailures();
     cluster.crash(cluster.leader(), 2_000);
     run.submit(run.laterJobs, 10);
     cluster.clock.runUntil(provenMs + MAX_START_DELAY_MS);
     for (JobSpec job : run.laterJobs) {
       assertTrue(
-          cluster.checker.begunMs(job.uid()) >= 0, job.uid() + " waits for what is proven gone");
+          cluster.checker.begunMs(job.uid()) >= 0,
+          job.uid() + " has not begun, although all earlier placements are proven ended");
     }
-    run.workers.forEach(x -> run.setPartitioned(x, false));
+    run.workers.forEach(worker -> run.setPartitioned(worker, false));
     cluster.faultsEnded();
     cluster.clock.runUntil(provenMs + 150_000);
     assertEquals(List.of(), cluster.checker.broken());
@@ -195,18 +210,18 @@
         .toList();
   }
 
-  /** While jobs come and go, the ends of cancelled ones' placements ride on other writes. */
+  /** While jobs start and end, other writes include the ends of cancelled jobs' placements. */
   @Test
   void endsOfCancelledPlacementsTakeNoTransactionOfTheirOwnWhileJobsComeAndGo() {
     Run run = new Run(1);
     SimulatedCluster cluster = run.cluster;
     Random random = new Random(5);
-    int[] written = new int[2];
+    int[] writeCounts = new int[2];
     cluster.state.onWrite(
         transaction -> {
-          written[0] +=
+          writeCounts[0] +=
               transaction.changes().stream().anyMatch(CancelledLimitsTest::isProgress) ? 1 : 0;
-          written[1] += holdsOnlyEndsOfCancelledJobs(cluster, transaction) ? 1 : 0;
+          writeCounts[1] += holdsOnlyEndsOfCancelledJobs(cluster, transaction) ? 1 : 0;
         });
     for (int i = 0; i < 200; i++) {
       cluster.clock.after(
@@ -230,9 +245,9 @@
     cluster.clock.runUntil(203_000);
     assertTrue(
         cluster.checker.cancelledWhileOn() >= 30,
-        cluster.checker.cancelledWhileOn() + " cancelled");
-    assertTrue(written[0] > 150, written[0] + " written");
-    assertEquals(0, written[1]);
+        cluster.checker.cancelledWhileOn() + " jobs were cancelled while running, fewer than 30");
+    assertTrue(writeCounts[0] > 150, writeCounts[0] + " writes of progress, not more than 150");
+    assertEquals(0, writeCounts[1]);
     assertEquals(List.of(), cluster.checker.broken());
   }
 
@@ -240,7 +255,10 @@
     return change.key().startsWith(Keys.PROGRESS_LOG) || change.key().startsWith(Keys.SNAPSHOTS);
   }
 
-  /** Does it say nothing but that placements of cancelled jobs are gone? */
+  /**
+   * Returns whether the transaction holds only log records, and these only ends of placements of
+   * cancelled jobs.
+   */
   private static boolean holdsOnlyEndsOfCancelledJobs(
       SimulatedCluster cluster, Transaction transaction) {
     SortedMap<String, Entry> all = LowerLimitsTest.allEntries(cluster.state);
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
@@ -37,25 +37,31 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * Leaders that place and end tasks through a progress writer, on a simulated state service that may
- * lose or delay any transaction.
+ * Leaders that record placements and their ends through a progress writer, on a simulated state
+ * service that may lose or delay any transaction.
  */
 abstract class CancelledPlacementsScenario {
   static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 200, 16, 24);
 
-  /** Well over the time that clearings wait for a record that goes out for other reasons. */
-  static final long LONGER_THAN_FLUSH_DELAY_MS = 8_000;
+  /**
+   * Longer than the 5 s for which the ends of cancelled placements wait for a log record that is
+   * written for other reasons.
+   */
+  static final long LONGER_THAN_CLEARING_WAIT_MS = 8_000;
 
-  /** Well under it. */
-  static final long SHORTER_THAN_FLUSH_DELAY_MS = 400;
+  /**
+   * Shorter than the 5 s for which the ends of cancelled placements wait, and long enough for other
+   * progress to be written.
+   */
+  static final long SHORTER_THAN_CLEARING_WAIT_MS = 400;
 
   enum Outcome {
     ANSWERED,
-    /** Executed, but not answered. */
+    /** The transaction is executed after 3 ms, but not answered. */
     ANSWER_LOST,
-    /** Executed seconds later, and not answered. */
+    /** The transaction is executed after {@code executionDelayMs}, and not answered. */
     LATE,
-    /** Never executed. */
+    /** The transaction is never executed nor answered. */
     LOST
   }
 
@@ -127,7 +133,7 @@
     return ((TransactionResult.Committed) result).revision();
   }
 
-  /** A leader for one term, which places tasks and ends them. */
+  /** A leader of one term, which places tasks, ends their placements and cancels jobs. */
   final class Leader implements ProgressWriter.Listener {
     private final SimClock.Process process = clock.new Process(0, 1, 0);
     final ProgressWriter writer;
@@ -173,7 +179,7 @@
       return job;
     }
 
-    /** Restores a job from the records: recorded placements are presumed to be running. */
+    /** Restores a job from the records. Recorded placements are presumed to be running. */
     Job takeOver(StoredJob stored, boolean cancelled) {
       Job job = accept(stored);
       if (cancelled) {
@@ -211,7 +217,7 @@
       recordEnds(job);
     }
 
-    /** The placements of these tasks are proven to have ended. */
+    /** Ends the placements of these tasks, as if it had been proven that they have ended. */
     void endPlacements(Job job, int... tasks) {
       for (int task : tasks) {
         job.removePlacement(job.activePlacement(task));
@@ -253,7 +259,7 @@
   static final StoredJob CANCELLED_JOB = new StoredJob("run-cancelled", 6, 4);
   static final StoredJob OTHER_JOB = new StoredJob("run-other", 2_000, 50);
 
-  /** The tasks that are recorded as placed, by the reference reader. */
+  /** Returns the tasks that are recorded as placed, according to the reference reader. */
   Set<Integer> recordedPlacements(StoredJob stored) {
     String[] statuses = ReferenceProgressRecords.read(LowerLimitsTest.allEntries(state), stored);
     Set<Integer> placed = new TreeSet<>();
@@ -265,7 +271,7 @@
     return placed;
   }
 
-  /** A leader that takes over now finds exactly these tasks placed. */
+  /** Asserts that a leader which takes over now finds exactly these tasks recorded as placed. */
   void assertNextLeaderFindsPlaced(StoredJob stored, Set<Integer> tasks) {
     assertEquals(tasks, recordedPlacements(stored));
     Leader reader = new Leader();
@@ -276,7 +282,7 @@
   Job placeAndCancel(Leader leader, StoredJob stored, int... tasks) {
     Job job = leader.accept(stored);
     leader.place(job, tasks);
-    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
+    runFor(SHORTER_THAN_CLEARING_WAIT_MS);
     leader.cancel(job);
     return job;
   }
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -20,9 +20,9 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
- * Ends of cancelled jobs' placements are durably known, so that a new leader does not count them,
- * and none is said to have ended before its proof. The writer alone, on the stand-in for the state
- * service.
+ * Guards against a new leader counting placements of cancelled jobs whose ends an earlier leader
+ * had proven, and against an end being recorded before it is proven. The progress writer is tested
+ * alone, on the simulated state service.
  */
 class CancelledPlacementsTest extends CancelledPlacementsScenario {
   @Test
@@ -31,15 +31,15 @@
     Job other = leader.accept(OTHER_JOB);
     Job job = placeAndCancel(leader, CANCELLED_JOB, 0, 1, 5);
     leader.endPlacements(job, 0, 1, 5);
-    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
+    runFor(SHORTER_THAN_CLEARING_WAIT_MS);
     assertEquals(1, transactionCount);
     assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED_JOB));
     leader.place(other, 0);
-    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
+    runFor(SHORTER_THAN_CLEARING_WAIT_MS);
     assertEquals(2, transactionCount);
     assertEquals(Set.of(), recordedPlacements(CANCELLED_JOB));
-    runFor(3 * LONGER_THAN_FLUSH_DELAY_MS);
-    assertEquals(2, transactionCount, "nothing is left to say");
+    runFor(3 * LONGER_THAN_CLEARING_WAIT_MS);
+    assertEquals(2, transactionCount, "nothing is left to be written");
     leader.stop();
     assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
@@ -56,7 +56,7 @@
       runFor(20);
     }
     int before = transactionCount;
-    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    runFor(LONGER_THAN_CLEARING_WAIT_MS);
     assertTrue(transactionCount - before <= 1, transactionCount - before + " transactions");
     storedJobs.forEach(k -> assertEquals(Set.of(), recordedPlacements(k), k.uid()));
   }
@@ -65,28 +65,31 @@
   void cancelledPlacementStaysRecordedUntilItsEndIsProven() {
     Leader leader = new Leader();
     Job job = placeAndCancel(leader, CANCELLED_JOB, 0, 1, 5);
-    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    runFor(LONGER_THAN_CLEARING_WAIT_MS);
     assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED_JOB));
     leader.endPlacements(job, 1);
-    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    runFor(LONGER_THAN_CLEARING_WAIT_MS);
     leader.stop();
     assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of(0, 5));
   }
 
-  /** Its machine took the job's last task to its end just as the job was cancelled. */
+  /**
+   * A task completes and the write of its completion is lost. The job is cancelled before that is
+   * written again.
+   */
   @Test
   void unwrittenCompletionIsClearedOnceTheJobIsCancelled() {
     Leader leader = new Leader();
     Job job = leader.accept(CANCELLED_JOB);
     leader.place(job, 0, 1);
-    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
+    runFor(SHORTER_THAN_CLEARING_WAIT_MS);
     nextOutcome = Outcome.LOST;
     job.markCompleted(1);
     leader.endPlacements(job, 1);
     runFor(100);
     leader.cancel(job);
     leader.endPlacements(job, 0);
-    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    runFor(LONGER_THAN_CLEARING_WAIT_MS);
     assertEquals(Set.of(), recordedPlacements(CANCELLED_JOB));
   }
 
@@ -100,9 +103,11 @@
     Leader second = new Leader();
     Job again = second.takeOver(CANCELLED_JOB, true);
     assertEquals(
-        3, again.activePlacements().size(), "what nothing durable says is not taken for granted");
+        3,
+        again.activePlacements().size(),
+        "a placement is presumed running until its end is durable");
     second.endPlacements(again, 0, 1, 5);
-    runFor(LONGER_THAN_FLUSH_DELAY_MS);
+    runFor(LONGER_THAN_CLEARING_WAIT_MS);
     second.stop();
     assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
@@ -114,13 +119,15 @@
     Job job = placeAndCancel(leader, CANCELLED_JOB, 0, 1, 5);
     leader.endPlacements(job, 0, 1, 5);
     nextOutcome = Outcome.valueOf(outcome);
-    runFor(3 * LONGER_THAN_FLUSH_DELAY_MS);
+    runFor(3 * LONGER_THAN_CLEARING_WAIT_MS);
     assertTrue(!leader.deposed);
     leader.stop();
     assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
 
-  /** The placements' own record comes late, after they are gone and said to be. */
+  /**
+   * The record of the placements is stored only after they have ended and their job is cancelled.
+   */
   @Test
   void lateRecordOfEndedPlacementsIsCleared() {
     Leader leader = new Leader();
@@ -132,12 +139,12 @@
     runFor(100);
     leader.cancel(job);
     leader.endPlacements(job, 0, 1, 5);
-    // Soon after it is known that nobody knows of the first one.
+    // By now the writer knows that the record of the placements, which is late, is not yet stored.
     runFor(900);
     leader.place(other, 0);
     runFor(5_000);
     assertEquals(1, lateResults.size());
-    runFor(2 * LONGER_THAN_FLUSH_DELAY_MS);
+    runFor(2 * LONGER_THAN_CLEARING_WAIT_MS);
     leader.stop();
     assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
@@ -159,7 +166,10 @@
     assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of(0, 1));
   }
 
-  /** Ends so many tasks of the other job, each in a record of its own. */
+  /**
+   * Places and completes this many tasks of the other job, one after the other, so that each
+   * completion is written in a log record of its own.
+   */
   private void writeRecords(Leader leader, Job other, int count) {
     for (int i = 0; i < count; i++) {
       int task = other.pendingTasks().next(0);
@@ -177,8 +187,9 @@
     Job other = leader.accept(OTHER_JOB);
     Job job = leader.accept(CANCELLED_JOB);
     leader.place(job, 0, 1, 5);
-    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
-    // Its slot's turn is near: the placements are in checkpoints, and older records still stand.
+    runFor(SHORTER_THAN_CLEARING_WAIT_MS);
+    // The slot of the placements' record is reused soon. Therefore snapshots hold the placements
+    // already, while log records older than the snapshots still exist.
     writeRecords(leader, other, 110);
     assertTrue(hasSnapshot(CANCELLED_JOB));
     assertEquals(Set.of(0, 1, 5), recordedPlacements(CANCELLED_JOB));
@@ -195,7 +206,10 @@
     assertNextLeaderFindsPlaced(CANCELLED_JOB, Set.of());
   }
 
-  /** A burst leaves no room for the ends in its transaction, while there are changes left in it. */
+  /**
+   * A burst of 6,000 placements leaves no room for the ends in the log records of its transaction,
+   * though the transaction could take more changes, such as the removal of snapshots.
+   */
   @Test
   void snapshotStaysUntilTheLogRecordHasRoomForTheEnds() {
     Leader leader = new Leader();
@@ -206,7 +220,7 @@
       jobs.put(stored, leader.accept(stored));
       leader.place(jobs.get(stored), 0, 2, 5);
     }
-    runFor(SHORTER_THAN_FLUSH_DELAY_MS);
+    runFor(SHORTER_THAN_CLEARING_WAIT_MS);
     writeRecords(leader, other, 110);
     jobs.keySet().forEach(k -> assertTrue(hasSnapshot(k)));
     Job burst = leader.accept(new StoredJob("run-burst", 6_000, 160));
@@ -238,13 +252,13 @@
     boolean mentioned =
         LowerLimitsTest.allEntries(state).values().stream()
             .anyMatch(e -> e.value().toString().contains(CANCELLED_JOB.uid()));
-    assertTrue(!mentioned, "a record speaks of it");
+    assertTrue(!mentioned, "a record still names the cancelled job");
   }
 
   /**
-   * Terms with answers lost and writes late: at the end of each, all that was proven gone of
-   * cancelled jobs is read as gone, all that was not is read as there, and both stays so for the
-   * next ones while the log goes round.
+   * Six terms in which transactions are lost, late or not answered. At the end of each term exactly
+   * the placements that were not proven ended are read as placed, also of jobs that were cancelled
+   * in earlier terms, while all slots of the log are overwritten.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -270,8 +284,8 @@
         runFor(20);
       }
       faultProbability = 0;
-      runFor(2 * LONGER_THAN_FLUSH_DELAY_MS);
-      assertEquals(0, leader.writer.backlog(), "still to be written");
+      runFor(2 * LONGER_THAN_CLEARING_WAIT_MS);
+      assertEquals(0, leader.writer.backlog(), "backlog of progress after 16 s without faults");
       for (Map.Entry<StoredJob, Job> e : ledJobs.entrySet()) {
         Set<Integer> placed = new TreeSet<>();
         e.getValue().activePlacements().forEach(p -> placed.add(p.task()));
@@ -292,7 +306,7 @@
       leader.place(job, job.pendingTasks().next(0));
     } else if (!job.activePlacements().isEmpty()) {
       Placement placement = job.activePlacements().iterator().next();
-      // One task stays, so that the job is not done: its end is another matter.
+      // One task is never completed, so that no job completes: this test is not about completions.
       if (!job.cancelled() && job.completedTasks().size() + 1 < stored.tasks()) {
         job.markCompleted(placement.task());
       }
--- a/src/test/java/org/ploverspindle/sim/FixtureStore.java
+++ b/src/test/java/org/ploverspindle/sim/FixtureStore.java
@@ -9,7 +9,10 @@
 import java.util.function.Consumer;
 import org.ploverspindle.state.StateStore;
 
-/** A fixture's records, all read at once and in their keys' order; it takes no writes. */
+/**
+ * A state service that serves a fixture's records on a single page, ordered by key. Transactions
+ * and leases are ignored and never answered.
+ */
 record FixtureStore(JsonNode records) implements StateStore {
   static final String HEAD_F659783 = "/head-f659783-records.json";
   static final String PRODUCTION = "/production-records.json";
--- a/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
@@ -24,10 +24,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A job of 100,000 tasks where a value holds 2 KiB and a transaction 12 changes: its checkpoints
- * are thousands of keys, each of which costs a change to write and one to remove. It is accepted,
- * recovered, finished and cancelled within the published rates, beside other jobs. The figures are
- * logged at the level INFO; docs/design.md has them.
+ * Guards against a large job exceeding the rates of the state service, or delaying other jobs,
+ * under lower limits: 60 requests and 15 changes per second, 2 KiB per value and 12 changes per
+ * transaction.
+ *
+ * <p>The job's 100,000 tasks take thousands of snapshots, each a key that costs one change to write
+ * and one to remove. The job is accepted, recovered, finished and cancelled beside other jobs. The
+ * figures are logged at the level INFO; docs/design.md has them.
  */
 class LargeJobUnderLowerLimitsTest {
   private static final Logger LOG = LoggerFactory.getLogger(LargeJobUnderLowerLimitsTest.class);
@@ -49,7 +52,7 @@
   private boolean enoughSmallJobs;
   private final List<InvariantChecker.Start> largeJobStarts = new ArrayList<>();
 
-  /** How long ends of other jobs took to be recorded, by when they came. */
+  /** For each small job: when it completed, and how long the recording of that took, in ms. */
   private final List<long[]> completionDelays = new ArrayList<>();
 
   LargeJobUnderLowerLimitsTest() {
@@ -87,7 +90,7 @@
     pollCompletions();
   }
 
-  /** What stands in the state service, and what was asked of it. */
+  /** What the state service holds at a time, and the requests that it has received until then. */
   private record Usage(
       long atMs,
       int snapshots,
@@ -129,7 +132,7 @@
         state.pagesRead());
   }
 
-  /** From now on another job comes every so often, until they are enough. */
+  /** Submits a small job now and every 2 s from then on, until there are enough. */
   private void submitSmallJobs() {
     if (enoughSmallJobs) {
       return;
@@ -153,7 +156,10 @@
     cluster.clock.after(POLL_INTERVAL_MS, this::pollCompletions);
   }
 
-  /** The median and the longest time until an end that came in this time was recorded. */
+  /**
+   * Returns the median and the longest time in ms until the completion of a small job was recorded,
+   * for the jobs that completed in this span of time.
+   */
   private long[] completionDelayMs(long fromMs, long untilMs) {
     List<Long> delays =
         completionDelays.stream()
@@ -161,7 +167,7 @@
             .map(d -> d[1])
             .sorted()
             .toList();
-    assertTrue(delays.size() >= 5, delays.size() + " jobs ended");
+    assertTrue(delays.size() >= 5, delays.size() + " small jobs completed, fewer than 5");
     return new long[] {delays.get(delays.size() / 2), delays.get(delays.size() - 1)};
   }
 
@@ -180,7 +186,9 @@
   private long runUntil(BooleanSupplier condition, long maxMs) {
     long fromMs = cluster.clock.nowMs();
     while (!condition.getAsBoolean()) {
-      assertTrue(cluster.clock.nowMs() - fromMs < maxMs, "not within " + maxMs + " ms");
+      assertTrue(
+          cluster.clock.nowMs() - fromMs < maxMs,
+          "the condition was not met within " + maxMs + " ms");
       runFor(POLL_INTERVAL_MS);
     }
     return cluster.clock.nowMs() - fromMs;
@@ -195,16 +203,22 @@
     runFor(60_000);
     cluster.checker.endOfDay();
     assertEquals(List.of(), cluster.checker.broken());
-    assertEquals(0, cluster.state.refusedAsTooLarge(), "refused for their size");
-    assertEquals(0, cluster.state.changeLimiter.refusedCount(), "changes stay below the rate");
+    assertEquals(0, cluster.state.refusedAsTooLarge(), "writes refused for their size");
+    assertEquals(
+        0, cluster.state.changeLimiter.refusedCount(), "changes refused because of their rate");
     assertEquals(
         refusedWhileLoading,
         cluster.state.requestLimiter.refusedCount(),
-        "requests below the rate");
+        "requests refused because of their rate, including those while loading");
     smallJobs.forEach(s -> assertTrue(cluster.checker.isDone(s.uid()), s.uid()));
   }
 
-  /** All its tasks but the last ones are done, and each chunk has its checkpoint. */
+  /**
+   * Stores the large job with all tasks done but the last ones, and a snapshot for each shard that
+   * has a task done. Then submits and polls it.
+   *
+   * @param pendingTasks the number of tasks that are not done
+   */
   private void preloadLargeJob(int pendingTasks) {
     cluster.state.preload(
         Keys.JOBS + large.uid(), new JobRecord(large, 1_800_000_000_000L, SHARD_SIZE).encode());
@@ -278,7 +292,7 @@
     assertRulesAndRatesKept(refused);
   }
 
-  /** The leader ends, and another leads and starts tasks. */
+  /** Crashes the leader. Asserts that another one leads and starts tasks within 20 s. */
   private void takeOver() {
     Usage crash = usage();
     cluster.crash(cluster.leader(), 3_000);
@@ -289,10 +303,15 @@
     logMeasured("the takeover", usage().since(crash));
     assertTrue(leadsMs + startsMs < 20_000, "first start " + startsMs + " ms after the takeover");
     int pages = cluster.state.pagesRead() - crash.pages();
-    assertTrue(pages <= SHARDS / 500 + 2, pages + " pages were read by the node that came back");
+    assertTrue(pages <= SHARDS / 500 + 2, pages + " pages were read by the restarted controller");
   }
 
-  /** All nodes begin at once and read all keys: for these seconds alone requests are refused. */
+  /**
+   * Waits until all controllers, which start at the same time, have read all keys. Requests may be
+   * refused during this time only.
+   *
+   * @return the number of refused requests
+   */
   private long refusedWhileAllLoad() {
     runUntil(() -> IntStream.range(0, CONTROLLERS).allMatch(cluster::isReady), 20_000);
     runFor(LOADING_MS);
@@ -313,10 +332,15 @@
     logMeasured("aborted after", abortedMs + " ms, all tasks gone " + endedMs + " ms later");
   }
 
-  /** Its keys are removed by and by; what that does to others. */
+  /**
+   * Waits until all snapshots of the large job are removed. Asserts that this happens at more than
+   * 7 keys per second, and that completions of small jobs are meanwhile recorded within 8 s.
+   */
   private void awaitKeyRemoval(Usage from) {
     while (snapshotCount() > 0) {
-      assertTrue(cluster.clock.nowMs() - from.atMs() < 800_000, snapshotCount() + " are left");
+      assertTrue(
+          cluster.clock.nowMs() - from.atMs() < 800_000,
+          snapshotCount() + " snapshots are left after 800 s");
       runFor(1_000);
     }
     Usage removed = usage();
@@ -326,8 +350,9 @@
     long[] later = completionDelayMs(removed.atMs() + 5_000, cluster.clock.nowMs());
     logMeasured("ends of other jobs recorded meanwhile", delayText(during));
     logMeasured("ends of other jobs recorded afterwards", delayText(later));
-    assertTrue(during[1] < 8_000, "an end was recorded after " + during[1] + " ms");
+    assertTrue(
+        during[1] < 8_000, "the completion of a small job was recorded after " + during[1] + " ms");
     double perSecond = from.snapshots() * 1_000.0 / (removed.atMs() - from.atMs());
-    assertTrue(perSecond > 7, perSecond + " keys were removed a second");
+    assertTrue(perSecond > 7, perSecond + " keys were removed per second");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
@@ -40,8 +40,8 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * Jobs whose leaders write progress under limits that fall, with what the records of each task may
- * hold.
+ * Leaders that write the progress of jobs while the limits of the state service fall. For each task
+ * it keeps the statuses that the stored records may hold.
  */
 abstract class LowerLimitsScenario {
   static final Settings.StateLimits HIGHER = new Settings.StateLimits(1000, 60, 16, 24);
@@ -58,9 +58,7 @@
   long attempts;
   int machineCount = 300;
 
-  /**
-   * The statuses that may be recorded for each task: the last confirmed one, and all later ones.
-   */
+  /** For each task, the statuses that may be recorded: the last durable one and all later ones. */
   static final class PossibleStatuses {
     final List<List<String>> byTask = new ArrayList<>();
     private boolean terminal;
@@ -94,7 +92,7 @@
     return entries;
   }
 
-  /** Reaches the state service with faults; asserts that nothing exceeds the lower limits. */
+  /** Loses or delays some transactions; can assert that none exceeds the lower limits. */
   final class FaultyStateClient extends StubStateStore {
     private final SimClock.Process process;
     private final boolean assertsLimits;
@@ -111,9 +109,10 @@
       if (assertsLimits) {
         assertTrue(
             transaction.changes().size() <= LOWER.maxChangesPerTransaction(),
-            "changes " + transaction.changes().size());
+            "changes in a transaction: " + transaction.changes().size());
         assertTrue(
-            transaction.conditions().size() <= 4 * LOWER.maxChangesPerTransaction(), "conditions");
+            transaction.conditions().size() <= 4 * LOWER.maxChangesPerTransaction(),
+            "too many conditions in a transaction");
         for (Change change : transaction.changes()) {
           int bytes = change instanceof Change.Put put ? put.value().toString().length() : 0;
           assertTrue(bytes <= LOWER.maxValueBytes(), change.key() + " has " + bytes + " bytes");
@@ -176,7 +175,8 @@
   }
 
   /**
-   * Asserts that each recorded status is possible, and makes the recorded ones the only possible.
+   * Asserts that each recorded status is possible. From then on it is the only possible one.
+   * Returns the recorded statuses of all jobs that are neither done nor cancelled.
    */
   Map<StoredJob, String[]> takeOver() {
     SortedMap<String, Entry> entries = allEntries(state);
@@ -201,7 +201,7 @@
     return recorded;
   }
 
-  /** A leader of this version. */
+  /** A leader of this version, which writes progress. */
   final class WritingLeader implements ProgressWriter.Listener {
     private final SimClock.Process process = clock.new Process(0, 1, 0);
     final FaultyStateClient client;
@@ -286,7 +286,7 @@
           id, machineId -> new Machine(machineId, 0, 0, true, Resources.offered(16, 0, 64), 0, 0));
     }
 
-    /** A random job is cancelled, or some of its tasks are placed, or one of them ends. */
+    /** Cancels a random job, places some of its tasks or ends one of its placements. */
     void step(boolean mayPlace) {
       List<StoredJob> storedJobs = List.copyOf(ledJobs.keySet());
       if (storedJobs.isEmpty()) {
@@ -346,14 +346,14 @@
       writer.taskChanged(job, ended.task());
     }
 
-    /** Without faults, everything that is pending is written within a minute. */
+    /** Stops the faults, and asserts that all pending progress is written within 65 s. */
     void settle() {
       faultProbability = 0;
       for (int i = 0; i < 60 && (i < 3 || writer.backlog() > 0); i++) {
         clock.runUntil(clock.nowMs() + 1_000);
       }
       clock.runUntil(clock.nowMs() + 5_000);
-      assertEquals(0, writer.backlog(), "still to be written");
+      assertEquals(0, writer.backlog(), "backlog of progress after 65 s without faults");
       nonTerminalJobs()
           .forEach(j -> jobs.get(j).byTask.forEach(s -> s.subList(0, s.size() - 1).clear()));
     }
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -20,13 +20,19 @@
 import org.ploverspindle.state.SnapshotRecord;
 
 /**
- * Progress under limits that fall: leaders of this version and a stand-in for the one in production
- * alternate on jobs whose shards were made under the old limits, with answers lost and writes late.
- * Each new leader reads the same as the reference reader of the documented formats, and for every
- * task a status that is possible given what earlier leaders knew to be durable.
+ * Guards against progress being lost, misread or no longer written once the limits of the state
+ * service have fallen below what earlier records took.
+ *
+ * <p>Leaders of this version and simulated leaders of the version in production alternate on jobs
+ * whose shards were sized for the higher limits, while transactions are lost, late or not answered.
+ * Each new leader must read the same as the reference reader of the documented formats, and for
+ * every task a status that is possible given what earlier leaders knew to be durable.
  */
 class LowerLimitsTest extends LowerLimitsScenario {
-  /** A term of the version in production; after the limits fall all its writes are refused. */
+  /**
+   * Simulates a term of the version in production. After the limits have fallen, all its writes are
+   * refused.
+   */
   private void earlierVersionLeads(int steps) {
     ReferenceProgressRecords.EarlierVersionWriter writer =
         new ReferenceProgressRecords.EarlierVersionWriter(
@@ -47,7 +53,8 @@
         putCancellation(job);
         continue;
       }
-      // Some bursts, whose records are larger than a value may be after the limits fall.
+      // One step in 12 is a burst of 250 changes, whose record is larger than a value may be after
+      // the limits have fallen.
       int changedTasks = random.nextInt(12) == 0 ? 250 : 3;
       for (int change = 0; change < changedTasks; change++) {
         changeTask(writer, job, random.nextInt(job.tasks()));
@@ -111,7 +118,7 @@
       if (random.nextBoolean()) {
         leader.settle();
       }
-      assertEquals(0, leader.client.refusedAsTooLarge, "refused for their size");
+      assertEquals(0, leader.client.refusedAsTooLarge, "writes refused for their size");
       assertTrue(!leader.deposed);
       leader.stop();
     }
@@ -164,10 +171,14 @@
     cluster.checker.endOfDay();
     assertEquals(List.of(), cluster.checker.broken());
     assertEquals(120, cluster.checker.jobsDone());
-    assertEquals(0, cluster.state.refusedAsTooLarge(), "refused for their size");
+    assertEquals(0, cluster.state.refusedAsTooLarge(), "writes refused for their size");
   }
 
-  /** All slots hold records of the version in production, the oldest larger than a value may be. */
+  /**
+   * All 256 slots hold log records of the version in production, and the oldest of these is larger
+   * than a value may be under the lower limits. Its slot is skipped until leaders of this version
+   * have written its statuses elsewhere, and is then reused.
+   */
   @Test
   void slotOfAnOversizedRecordIsReusedWithoutLosingItsPlacements() {
     random = new Random(9);
@@ -175,7 +186,7 @@
     state.setLimits(LOWER);
     for (int term = 0; term < 16; term++) {
       WritingLeader leader = new WritingLeader(LOWER, true);
-      // The first ones end before they have written all that it takes.
+      // The first 12 leaders end before they have written all that the reuse of the slot takes.
       for (int i = 0; i < (term < 12 ? 1 : 100); i++) {
         leader.step(true);
         clock.runUntil(clock.nowMs() + (term < 12 ? 10 + 2 * term : 100));
@@ -185,10 +196,14 @@
     }
     takeOver();
     long sequence = allEntries(state).get(Keys.progressLog(1)).value().path("n").asLong();
-    assertTrue(sequence > 257, "the slot of the large record holds " + sequence);
+    assertTrue(
+        sequence > 257, "the slot of the oversized record holds sequence number " + sequence);
   }
 
-  /** The oldest record holds the placements of all tasks of a large job. */
+  /**
+   * Fills all 256 slots with log records. The oldest holds the placements of all 260 tasks of a
+   * large job.
+   */
   private void fillAllSlotsByEarlierVersion() {
     ReferenceProgressRecords.EarlierVersionWriter writer =
         new ReferenceProgressRecords.EarlierVersionWriter(
@@ -234,7 +249,7 @@
     leader.settle();
     assertTrue(
         leader.client.refusedAsTooLarge > 0 && leader.client.refusedAsTooLarge < 8,
-        leader.client.refusedAsTooLarge + " times");
+        leader.client.refusedAsTooLarge + " writes refused for their size");
     leader.stop();
     takeOver();
   }
--- a/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
@@ -37,19 +37,21 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * An upgrade from the version that first had pipelines (f659783) that is halted half way and turned
- * back, and begun again: leaders of this version and stand-ins for that one take turns on jobs that
- * wait for others, from the records that f659783 itself wrote. Both versions accept jobs all along.
- * Whoever takes over reads what a plain reader of the documented forms reads, nothing is placed
- * that waits by those forms, and in the end every job is done or aborted.
+ * Guards against jobs with dependencies being lost, or started too early, when an upgrade from
+ * f659783 (the first version with pipelines) is halted half way, rolled back and begun again.
+ *
+ * <p>Leaders of this version and simulated leaders of f659783 alternate on records that f659783
+ * itself wrote, while controllers of both versions accept jobs. Each new leader must read the same
+ * as the reference reader of the documented formats, no job is placed before its dependencies are
+ * done, and in the end every job is done or aborted.
  */
 class MixedVersionFailoverTest extends MixedVersionScenario {
-  /** A job is accepted about every so many steps, so that there are always some that wait. */
+  /** The mean number of steps between two accepted jobs, so that some jobs are always blocked. */
   private static final int STEPS_PER_ACCEPTED_JOB = 12;
 
   private static final int MAX_ENDS_PER_STEP = 3;
 
-  // ---- a leader of this version
+  // ---- Leader of this version
 
   private final class ThisVersionLeader implements ProgressWriter.Listener {
     private final SimClock.Process process = clock.new Process(0, 1, 0);
@@ -61,7 +63,7 @@
     private final Set<String> everLed = new HashSet<>();
     private final Map<String, Machine> machinesById = new HashMap<>();
 
-    ThisVersionLeader(boolean settledBefore) {
+    ThisVersionLeader(boolean recordsComplete) {
       long leaderRevision = newTerm();
       FaultyStateClient client = new FaultyStateClient(process);
       replica = new Replica(process, client, Keys.PREFIX, 200);
@@ -82,7 +84,7 @@
               new Term(1 + terms * Term.TOKENS_PER_TERM, leaderRevision, process.nowMs()),
               machine -> new SnapshotRecord.MachineInfo(machine.host(), "type-16", "zone-a", true),
               this);
-      restoreJobs(new RecordedProgress(replica, writer), takeOver(settledBefore));
+      restoreJobs(new RecordedProgress(replica, writer), takeOver(recordsComplete));
     }
 
     private void restoreJobs(RecordedProgress recorded, Map<JobHistory, String[]> ready) {
@@ -217,7 +219,7 @@
         clock.runUntil(clock.nowMs() + 1_000);
       }
       clock.runUntil(clock.nowMs() + 5_000);
-      assertEquals(0, writer.backlog(), "still to be written");
+      assertEquals(0, writer.backlog(), "backlog of progress after 65 s without faults");
     }
 
     void stop() {
@@ -240,9 +242,9 @@
   }
 
   private boolean thisVersionLeads(
-      int steps, boolean settledBefore, boolean writesAllBeforeItStops) {
+      int steps, boolean recordsComplete, boolean writesAllBeforeItStops) {
     faultProbability = 0;
-    ThisVersionLeader leader = new ThisVersionLeader(settledBefore);
+    ThisVersionLeader leader = new ThisVersionLeader(recordsComplete);
     faultProbability = random.nextInt(3) * 0.1;
     for (int i = 0; i < steps; i++) {
       if (random.nextInt(STEPS_PER_ACCEPTED_JOB) == 0) {
@@ -258,15 +260,15 @@
     return writesAllBeforeItStops;
   }
 
-  // ---- a stand-in for a leader of the head as found
+  // ---- Simulated leader of f659783
 
-  private boolean earlierVersionLeads(int steps, boolean settledBefore) {
+  private boolean earlierVersionLeads(int steps, boolean recordsComplete) {
     long leaderRevision = newTerm();
     ReferenceProgressRecords.EarlierVersionWriter earlierVersion =
         new ReferenceProgressRecords.EarlierVersionWriter(
             state, leaderRevision, LIMITS.maxValueBytes(), LIMITS.maxChangesPerTransaction());
-    takeOver(settledBefore)
-        .forEach((truth, read) -> earlierVersion.addJob(truth.job, read.clone()));
+    takeOver(recordsComplete)
+        .forEach((history, read) -> earlierVersion.addJob(history.job, read.clone()));
     boolean written = true;
     for (int i = 0; i < steps; i++) {
       if (random.nextInt(STEPS_PER_ACCEPTED_JOB) == 0) {
@@ -317,7 +319,10 @@
     }
   }
 
-  /** As documented: done and cancelled exclude each other, under the leader's key. */
+  /**
+   * Records the completion of each job whose tasks are all done, on the documented conditions: the
+   * leader's key is unchanged, and the job has neither a cancellation nor a completion.
+   */
   private void recordCompletions(
       ReferenceProgressRecords.EarlierVersionWriter earlierVersion, long leaderRevision) {
     for (StoredJob job : List.copyOf(earlierVersion.jobs())) {
@@ -338,27 +343,27 @@
     }
   }
 
-  // ---- turns
+  // ---- Alternating leaders
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void jobsWithDependenciesSurviveAnUpgradeThatIsHaltedAndRolledBack(long seed) throws Exception {
     random = new Random(seed);
     startFromFixture();
-    boolean settled = true;
+    boolean recordsComplete = true;
     for (int term = 0; term < 6; term++) {
-      settled =
+      recordsComplete =
           term % 2 == 0
-              ? thisVersionLeads(200 + random.nextInt(400), settled, random.nextBoolean())
-              : earlierVersionLeads(60 + random.nextInt(150), settled);
+              ? thisVersionLeads(200 + random.nextInt(400), recordsComplete, random.nextBoolean())
+              : earlierVersionLeads(60 + random.nextInt(150), recordsComplete);
       cancelRandomJob();
     }
-    lastLeaderFinishesAll(settled);
+    lastLeaderFinishesAll(recordsComplete);
   }
 
-  private void lastLeaderFinishesAll(boolean settled) {
+  private void lastLeaderFinishesAll(boolean recordsComplete) {
     faultProbability = 0;
-    ThisVersionLeader last = new ThisVersionLeader(settled);
+    ThisVersionLeader last = new ThisVersionLeader(recordsComplete);
     for (int i = 0; i < 20_000 && (i % 50 > 0 || !allJobsAreTerminal()); i++) {
       last.step();
       clock.runUntil(clock.nowMs() + 25);
@@ -367,7 +372,7 @@
     last.stop();
     takeOver(true);
     ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.allEntries(state));
-    assertEquals(List.of(), nonTerminalJobs(reference), "neither done nor aborted");
+    assertEquals(List.of(), nonTerminalJobs(reference), "jobs that are neither done nor aborted");
     long done =
         histories.keySet().stream()
             .filter(u -> reference.status(u).equals(ReferenceJobRecords.DONE))
@@ -375,7 +380,8 @@
     assertTrue(
         done >= 35 && done < histories.size(), done + " of " + histories.size() + " are done");
     assertTrue(
-        blockedAtTakeOver >= 20, blockedAtTakeOver + " jobs waited at the changes of leaders");
+        blockedAtTakeOver >= 20,
+        blockedAtTakeOver + " jobs were blocked at a takeover, summed over all terms");
   }
 
   private boolean allJobsAreTerminal() {
--- a/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
@@ -38,8 +38,9 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
- * Jobs that controllers of this version and of an earlier one accept into the same records, with
- * what happened to each of their tasks.
+ * Jobs that controllers of this version and of commit f659783 accept into the same state service.
+ * For each task it keeps the statuses that any leader has given it, so that the stored records can
+ * be compared with them.
  */
 abstract class MixedVersionScenario {
   static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 60, 1, 6);
@@ -59,7 +60,10 @@
   /** Jobs that were blocked on dependencies when a leader took over, summed over all terms. */
   int blockedAtTakeOver;
 
-  /** A job with the present status of each task by its last leader, and all earlier ones. */
+  /**
+   * The statuses of a job's tasks: the present ones as its last leader knew them, and for each task
+   * all that it has had.
+   */
   static final class JobHistory {
     final StoredJob job;
     final List<String> dependencies;
@@ -85,9 +89,9 @@
     }
   }
 
-  // ---- the state service
+  // ---- State service
 
-  /** Retries while the rate of changes is exceeded. */
+  /** Commits the transaction, and retries every 50 ms while the state service refuses it. */
   TransactionResult commit(Transaction transaction) {
     TransactionResult result = state.commit(transaction);
     while (result instanceof TransactionResult.Refused) {
@@ -103,7 +107,10 @@
     assertInstanceOf(TransactionResult.Committed.class, commit(transaction));
   }
 
-  /** The state service as a leader of this version reaches it: some answers are lost or late. */
+  /**
+   * Through this a leader of this version reaches the state service. With the fault probability, a
+   * transaction is lost, executed without an answer, or executed late.
+   */
   final class FaultyStateClient extends StubStateStore {
     private final SimClock.Process process;
 
@@ -115,7 +122,8 @@
     @Override
     public void commit(Transaction transaction, Consumer<TransactionResult> then) {
       if (random.nextDouble() < faultProbability) {
-        // Never executed, executed without an answer, or executed when the next leader may lead.
+        // Kind 0 is never executed, 1 is executed after 5 ms, and 2 after 400 ms to 4.4 s, when the
+        // next leader may already lead. None is answered with its result.
         int kind = random.nextInt(3);
         if (kind > 0) {
           clock.after(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.commit(transaction));
@@ -144,7 +152,7 @@
     return assertInstanceOf(TransactionResult.Committed.class, result).revision();
   }
 
-  // ---- jobs
+  // ---- Jobs
 
   void startFromFixture() throws IOException {
     JsonNode records = FixtureStore.fixture(FixtureStore.HEAD_F659783).path("records");
@@ -167,7 +175,7 @@
             });
   }
 
-  /** Jobs that are not terminal: those that a new one may depend on. */
+  /** Returns the jobs that are neither done nor aborted, on which a new job may depend. */
   List<String> nonTerminalJobs(ReferenceJobRecords reference) {
     List<String> uids = new ArrayList<>();
     for (String uid : reference.jobs().keySet()) {
@@ -179,17 +187,21 @@
     return uids;
   }
 
-  /** A controller of either version accepts a job, some with lists too long for its record. */
+  /**
+   * A controller of either version accepts a job that depends on up to three others. One job in
+   * four also depends on the fixture's jobs named "step", and its dependencies are stored in a list
+   * apart from its record.
+   */
   void accept(boolean byEarlierVersion) {
     ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.allEntries(state));
-    List<String> open = nonTerminalJobs(reference);
+    List<String> candidates = nonTerminalJobs(reference);
     Set<String> dependencies = new HashSet<>();
-    for (int i = 1 + random.nextInt(3); i > 0 && !open.isEmpty(); i--) {
-      dependencies.add(open.get(random.nextInt(open.size())));
+    for (int i = 1 + random.nextInt(3); i > 0 && !candidates.isEmpty(); i--) {
+      dependencies.add(candidates.get(random.nextInt(candidates.size())));
     }
     boolean storedSeparately = random.nextInt(4) == 0;
     if (storedSeparately) {
-      // Those of the fixture from f659783, whose names fill a list in two parts.
+      // The "step" jobs of the f659783 fixture: their names fill a list of two parts.
       histories.keySet().stream().filter(uid -> uid.startsWith("step")).forEach(dependencies::add);
     }
     List<String> dependencyList = List.copyOf(dependencies);
@@ -243,18 +255,25 @@
   }
 
   void cancelRandomJob() {
-    List<String> open = nonTerminalJobs(new ReferenceJobRecords(LowerLimitsTest.allEntries(state)));
-    if (open.size() > 12) {
-      put("ps1/c/" + open.get(random.nextInt(open.size())), Cbor.map().put("at", 1_800_000_000L));
+    List<String> candidates =
+        nonTerminalJobs(new ReferenceJobRecords(LowerLimitsTest.allEntries(state)));
+    if (candidates.size() > 12) {
+      put(
+          "ps1/c/" + candidates.get(random.nextInt(candidates.size())),
+          Cbor.map().put("at", 1_800_000_000L));
     }
   }
 
-  // ---- taking over
+  // ---- Takeover
 
   /**
-   * Asserts that the records match what happened; returns the statuses of the jobs that may run.
+   * Asserts that the stored records agree with the histories of all jobs.
+   *
+   * @param recordsComplete whether the last leader had written all its progress, so that each
+   *     recorded status must be the present one and not only one that the task has had
+   * @return the recorded statuses of the jobs that are ready to run
    */
-  Map<JobHistory, String[]> takeOver(boolean settled) {
+  Map<JobHistory, String[]> takeOver(boolean recordsComplete) {
     SortedMap<String, Entry> entries = LowerLimitsTest.allEntries(state);
     ReferenceJobRecords reference = new ReferenceJobRecords(entries);
     assertEquals(histories.keySet(), reference.jobs().keySet());
@@ -272,7 +291,7 @@
             assertTrue(Arrays.stream(read).allMatch(ReferenceProgressRecords.WAITING::equals), uid);
           } else if (status.equals(ReferenceJobRecords.READY)) {
             assertStatusesWereHeld(history, read);
-            if (settled) {
+            if (recordsComplete) {
               assertArrayEquals(history.statuses, read, uid);
             }
             history.setRecorded(read);
@@ -293,7 +312,7 @@
     assertEquals(
         ReferenceJobRecords.READY,
         new ReferenceJobRecords(LowerLimitsTest.allEntries(state)).status(uid),
-        uid + " is placed");
+        uid + " is placed although its dependencies are not all done");
   }
 
   String randomMachineId() {
--- a/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
@@ -51,20 +51,22 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * Records that commit f659783 (the first version with pipelines) wrote in a run of its own on the
- * stand-ins under lower limits, with what it read from them itself. This version reads the same,
- * and writes the same again, byte for byte: a rename in the code must not change what is stored,
- * since both versions lead in turn while an upgrade is halted or turned back.
+ * Guards against a change of the stored formats, such as by a rename in the code. Both versions
+ * lead in turn while an upgrade is halted or rolled back, so each must read what the other wrote.
+ *
+ * <p>The fixture holds records that commit f659783 (the first version with pipelines) wrote in a
+ * run on the simulated services under lower limits, and what f659783 read from them. This version
+ * must read the same from them and encode it again to the same bytes.
  */
 class PipelineVersionRecordsTest {
-  /** The value limit that the run had: its lists and chunks were cut for it. */
+  /** The value limit in the run of f659783, which sized the parts of lists and the shards. */
   private static final int MAX_VALUE_BYTES = 1024;
 
   private static final String ABSENT = "-";
 
   private final SimClock clock = new SimClock();
 
-  /** The fixture's records as a controller of this version holds them. */
+  /** A fixture's records, loaded by the replica and indexes of this version's controller. */
   private final class LoadedFixture {
     final FixtureStore store;
     final Replica replica;
@@ -120,7 +122,7 @@
     assertEquals(hex(expected), hex(written), key);
   }
 
-  // ---- the same meaning
+  // ---- Decoding
 
   private static String describe(JobRecord record) {
     JobSpec spec = record.spec();
@@ -238,7 +240,7 @@
     }
   }
 
-  // ---- the same bytes
+  // ---- Encoding
 
   private static void assertSpecsEncodedIdentically(LoadedFixture loaded) {
     for (String uid : loaded.specs.uids()) {
@@ -344,9 +346,9 @@
     assertEquals(fixture.path("transaction").asText(), hex(HttpStateStore.encode(transaction)));
   }
 
-  // ---- the same form, where a record's content is not the test's to choose
+  // ---- Names and types of fields, for records whose content a test cannot choose
 
-  /** Names and types of the fields, in their order. */
+  /** Returns the names and types of the record's fields, in their order. */
   private static String fieldTypes(JsonNode value) {
     Map<String, String> types = new LinkedHashMap<>();
     for (Map.Entry<String, JsonNode> field : value.properties()) {
@@ -405,7 +407,10 @@
     assertEquals(fieldTypesByPrefix(FixtureStore.PRODUCTION), now);
   }
 
-  /** Jobs that await nothing must stay readable for the version that knows no pipelines. */
+  /**
+   * The version in production knows no pipelines. It can read a job without dependencies only while
+   * that job's record has the fields that it knows.
+   */
   @Test
   void jobsWithoutDependenciesHaveTheFieldsOfTheVersionInProduction() throws Exception {
     Set<String> optional = Set.of("types", "zone", "due");
@@ -425,7 +430,7 @@
     assertEquals(1, fieldLists.size(), fieldLists.toString());
   }
 
-  // ---- a cluster of this version goes on from them
+  // ---- A cluster of this version, started from the records
 
   private static final Settings.StateLimits LOWER_LIMITS = new Settings.StateLimits(120, 40, 1, 6);
 
@@ -446,22 +451,26 @@
                 small.teams(),
                 small.policy()));
     IntStream.range(0, small.controllerCount())
-        .forEach(node -> cluster.crash(node, CONTROLLERS_START_MS));
-    // The leader that wrote them is gone: its lease ends, and the key with it.
+        .forEach(controller -> cluster.crash(controller, CONTROLLERS_START_MS));
+    // The leader that wrote the records is gone. Its key is kept by a lease of 10 s, which nobody
+    // renews.
     long lease = cluster.state.openLease(2 * CONTROLLERS_START_MS);
     for (Entry e : fixture.entries()) {
       Optional<Long> kept = e.key().equals(Keys.LEADER) ? Optional.of(lease) : Optional.empty();
       Change put = new Change.Put(e.key(), e.value(), kept);
       TransactionResult result = cluster.state.commit(new Transaction(List.of(), List.of(put)));
       assertInstanceOf(TransactionResult.Committed.class, result);
-      // Within the stand-in's rate of changes.
+      // 50 changes per second, below the limit of 60 of the simulated state service.
       cluster.clock.runUntil(cluster.clock.nowMs() + 20);
     }
     assertTrue(cluster.clock.nowMs() < CONTROLLERS_START_MS);
     return cluster;
   }
 
-  /** The checker learns what had happened, and the jobs' users submit again and ask. */
+  /**
+   * Tells the checker which jobs were submitted or cancelled and which of their tasks had been
+   * completed. Once the controllers have started, each user submits the job again and polls it.
+   */
   private static void resubmitAll(SimulatedCluster cluster, LoadedFixture loaded, JsonNode jobs) {
     for (Map.Entry<String, JsonNode> job : jobs.properties()) {
       String uid = job.getKey();
@@ -510,7 +519,8 @@
       assertEquals(-1, cluster.checker.begunMs(aborted));
     }
     assertTrue(
-        cluster.cloud.provisionedCount() >= 18, "what the claim asks for is learnt by its name");
+        cluster.cloud.provisionedCount() >= 18,
+        "the 18 machines of the provisioning intent r-1-97 were not provisioned");
     assertTrue(
         !LowerLimitsTest.allEntries(cluster.state).containsKey(Keys.provisioningIntent("r-1-97")));
   }
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -36,8 +36,11 @@
 import org.ploverspindle.state.TokenBucket;
 
 /**
- * Records that the version in production wrote in a run of its own on the stand-ins, with what it
- * read from them itself. This version reads the same, and what it writes has the same form.
+ * Guards against a change of the stored formats that the version in production could not read.
+ *
+ * <p>The fixture holds records that the version in production wrote in a run on the simulated
+ * services, and what it read from them. This version must read the same from them, and what it
+ * writes must have the same fields with the same types.
  */
 class ProductionRecordsTest {
   private static final Set<String> OPTIONAL_FIELDS = Set.of("types", "zone", "due");
@@ -133,7 +136,7 @@
     assertEquals(expected, live);
   }
 
-  // ---- forms
+  // ---- Names and types of fields
 
   private static String recordKind(String key) {
     return key.substring(Keys.PREFIX.length()).replaceAll("/.*", "");
@@ -143,7 +146,10 @@
     return value.isIntegralNumber() ? "count" : value.getNodeType().name().toLowerCase();
   }
 
-  /** Names and types of the fields; what may be absent only where it is there. */
+  /**
+   * Returns the names and types of the record's fields, without a job's optional fields. Asserts
+   * that texts with a known pattern match it.
+   */
   private static Set<String> fieldTypes(String kind, JsonNode value) {
     Set<String> types = new TreeSet<>();
     for (Map.Entry<String, JsonNode> field : value.properties()) {
@@ -201,7 +207,7 @@
             }
           });
     }
-    Map<String, Set<Set<String>>> now = new TreeMap<>();
+    Map<String, Set<Set<String>>> written = new TreeMap<>();
     Map<String, Long> seen = new HashMap<>();
     for (long nowMs = 5_000; nowMs < 180_000; nowMs += 500) {
       cluster.clock.runUntil(nowMs);
@@ -209,12 +215,13 @@
           .forEach(
               (key, e) -> {
                 if (!Long.valueOf(e.modRevision()).equals(seen.put(key, e.modRevision()))) {
-                  addRecord(key, e.value(), now);
+                  addRecord(key, e.value(), written);
                 }
               });
     }
-    // Returns are recorded since; versions that don't know them pass over their keys.
-    assertEquals(Set.of(Set.of("hosts array")), now.remove(recordKind(Keys.TERMINATIONS)));
-    assertEquals(production, now);
+    // Termination records were added after the version in production, which ignores keys of
+    // kinds that it does not know.
+    assertEquals(Set.of(Set.of("hosts array")), written.remove(recordKind(Keys.TERMINATIONS)));
+    assertEquals(production, written);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ReferenceJobRecords.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceJobRecords.java
@@ -12,8 +12,9 @@
 import org.ploverspindle.state.StateStore.Entry;
 
 /**
- * Accepted jobs and what they await by the documented forms alone, as the version that first had
- * pipelines (f659783) reads and writes them. Shares no code with either version.
+ * Reference reader of accepted jobs, their dependencies and their statuses, for the documented
+ * formats as f659783 (the first version with pipelines) reads and writes them. Shares no code with
+ * this version or f659783, so that a fault in their code does not go unnoticed.
  */
 final class ReferenceJobRecords {
   static final String WAITING = "waiting";
@@ -21,7 +22,7 @@
   static final String ABORTED = "aborted";
   static final String DONE = "done";
 
-  /** An accepted job as far as its place among others goes. */
+  /** An accepted job and the uids of the jobs on which it depends. */
   record ReferenceJob(StoredJob stored, List<String> dependencies) {}
 
   private final SortedMap<String, Entry> entries;
@@ -59,7 +60,10 @@
     return "ps1/a/" + name + "/" + String.format(Locale.ROOT, "%04d", part);
   }
 
-  /** A job is aborted with any job that it awaits, and ready once all of them are done. */
+  /**
+   * Returns the job's status. A job is aborted if it is cancelled or one of its dependencies is
+   * aborted, and ready once all its dependencies are done.
+   */
   String status(String uid) {
     String cached = statuses.get(uid);
     String status = cached == null ? computeStatus(uid) : cached;
@@ -79,7 +83,7 @@
     return dependencyStatuses.stream().allMatch(DONE::equals) ? READY : WAITING;
   }
 
-  /** A job's record in the form of one that awaits nothing. */
+  /** Returns a copy of the record of a job without dependencies, with this number of tasks. */
   static ObjectNode spec(JsonNode withoutDependencies, int tasks) {
     ObjectNode spec = withoutDependencies.deepCopy();
     return spec.put("tasks", tasks);
--- a/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
@@ -23,16 +23,19 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
- * The records of progress by their documented forms alone, read slowly and written as the version
- * in production does: log records of any size and whole checkpoints. Shares no code with either
- * version. A task's state is a text: "waiting", "done" or "live attempt host tenure".
+ * Reference reader of progress records in their documented formats, and a writer that works as the
+ * version in production does: log records of any size, and snapshots of whole shards. Shares no
+ * code with either version; the reader is simple and not fast.
+ *
+ * <p>A task's status is a text: "waiting", "done" or "live ATTEMPT MACHINE EPOCH", where EPOCH is
+ * the worker epoch.
  */
 final class ReferenceProgressRecords {
   static final String WAITING = "waiting";
   static final String DONE = "done";
   private static final int SLOTS = 256;
 
-  /** A job as far as its records go. */
+  /** What the progress records depend on: a job's uid, its number of tasks and its shard size. */
   record StoredJob(String uid, int tasks, int shardSize) {}
 
   private ReferenceProgressRecords() {}
@@ -41,7 +44,7 @@
     return "live " + attempt + " " + machineId + " " + workerEpoch;
   }
 
-  // ---- reading
+  // ---- Reader
 
   private static List<Integer> parseRanges(String ranges) {
     List<Integer> numbers = new ArrayList<>();
@@ -85,7 +88,10 @@
     return "ps1/p/" + job.uid() + "/" + String.format(Locale.ROOT, "%05d", shard);
   }
 
-  /** Every task's state, as a reader of the documented forms understands the records. */
+  /**
+   * Returns the status of each task. A snapshot's statuses are replaced by those of log records
+   * with a higher sequence number than the snapshot's; a task that is done stays done.
+   */
   static String[] read(SortedMap<String, Entry> entries, StoredJob job) {
     String[] statuses = new String[job.tasks()];
     Arrays.fill(statuses, WAITING);
@@ -121,9 +127,12 @@
     return statuses;
   }
 
-  // ---- writing, as the version in production does
+  // ---- Writer of the version in production
 
-  /** A leader of the version in production, one write at a time; what is refused stays to write. */
+  /**
+   * Writes progress as a leader of the version in production: one transaction at a time. Tasks
+   * whose write the state service refused are written again later.
+   */
   static final class EarlierVersionWriter {
     private final SimStateStore store;
     private final long leaderRevision;
@@ -181,7 +190,12 @@
           instanceof TransactionResult.Committed;
     }
 
-    /** One record, after the checkpoints that its slot needs. False when the store refused. */
+    /**
+     * Writes one log record. Before that, writes the snapshots of all shards of which the record
+     * that it replaces holds the latest statuses.
+     *
+     * @return false if a transaction was not committed
+     */
     boolean write() {
       SortedMap<String, Entry> entries = LowerLimitsTest.allEntries(store);
       long nextSequence = 1;
