--- a/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
@@ -96,7 +96,7 @@
           }
         }
         // The leader resigns because it reaches no machine, and the next leader waits for the
-        // machines as well. Both waits together take up to twice the cancellation limit.
+        // machines as well. The returned time covers both waits.
         return 2 * CANCELLATION_LIMIT_MS + 15_000;
       }
     };
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -270,7 +270,8 @@
       faultProbability = 0;
       Leader leader = new Leader();
       Map<StoredJob, Job> ledJobs = new LinkedHashMap<>();
-      cancelled.forEach((k, c) -> ledJobs.put(k, leader.takeOver(k, c)));
+      cancelled.forEach(
+          (stored, isCancelled) -> ledJobs.put(stored, leader.takeOver(stored, isCancelled)));
       faultProbability = random.nextInt(3) * 0.12;
       for (int i = 0; i < 600; i++) {
         if (ledJobs.size() < 12 || random.nextInt(25) == 0) {
--- a/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
@@ -292,7 +292,10 @@
     assertRulesAndRatesKept(refused);
   }
 
-  /** Crashes the leader. Asserts that another one leads and starts tasks within 20 s. */
+  /**
+   * Crashes the leader. Asserts that another one leads and starts tasks within 20 s, and that the
+   * restarted controller needs few pages to read all keys.
+   */
   private void takeOver() {
     Usage crash = usage();
     cluster.crash(cluster.leader(), 3_000);
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -30,8 +30,8 @@
  */
 class LowerLimitsTest extends LowerLimitsScenario {
   /**
-   * Simulates a term of the version in production. After the limits have fallen, all its writes are
-   * refused.
+   * Simulates a term of the version in production, which keeps writing in the sizes of the higher
+   * limits. After the limits have fallen, those of its writes that exceed them are refused.
    */
   private void earlierVersionLeads(int steps) {
     ReferenceProgressRecords.EarlierVersionWriter writer =
@@ -53,8 +53,8 @@
         putCancellation(job);
         continue;
       }
-      // One step in 12 is a burst of 250 changes, whose record is larger than a value may be after
-      // the limits have fallen.
+      // One step in 12 is a burst of up to 250 changes. Its record is larger than a value may be
+      // after the limits have fallen.
       int changedTasks = random.nextInt(12) == 0 ? 250 : 3;
       for (int change = 0; change < changedTasks; change++) {
         changeTask(writer, job, random.nextInt(job.tasks()));
--- a/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
@@ -189,8 +189,8 @@
 
   /**
    * A controller of either version accepts a job that depends on up to three others. One job in
-   * four also depends on the fixture's jobs named "step", and its dependencies are stored in a list
-   * apart from its record.
+   * four also depends on the fixture's "step" jobs, and its dependencies are stored in a list apart
+   * from its record.
    */
   void accept(boolean byEarlierVersion) {
     ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.allEntries(state));
--- a/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceProgressRecords.java
@@ -192,7 +192,7 @@
 
     /**
      * Writes one log record. Before that, writes the snapshots of all shards of which the record
-     * that it replaces holds the latest statuses.
+     * that it replaces holds statuses that are newer than the stored snapshot.
      *
      * @return false if a transaction was not committed
      */
