--- a/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
+++ b/src/main/java/org/ploverspindle/api/AcceptanceWriter.java
@@ -59,7 +59,7 @@
 
   AcceptanceWriter(
       Scheduler scheduler,
-      StateWrites writes,
+      StateWriteAccess writes,
       LinearizableReads reads,
       JobStatusReader statuses,
       DependencyCheck dependencyCheck,
--- a/src/main/java/org/ploverspindle/api/ApiResponse.java
+++ b/src/main/java/org/ploverspindle/api/ApiResponse.java
@@ -29,7 +29,7 @@
   }
 
   /** Returns a 200 with a line of text for operators. */
-  public static ApiResponse text(String line) {
+  public static ApiResponse operatorText(String line) {
     return of(StatusCodes.OK, ResponseCodec.encodeText(line));
   }
 
--- a/src/main/java/org/ploverspindle/api/CancellationService.java
+++ b/src/main/java/org/ploverspindle/api/CancellationService.java
@@ -21,7 +21,7 @@
    */
   CancellationService(
       Scheduler scheduler,
-      StateWrites writes,
+      StateWriteAccess writes,
       LinearizableReads reads,
       JobStatusReader statuses,
       int maxChanges) {
--- a/src/main/java/org/ploverspindle/api/Feasibility.java
+++ b/src/main/java/org/ploverspindle/api/Feasibility.java
@@ -24,7 +24,7 @@
    * Whether the machine types are known; before that, it can't be decided whether a job can run.
    */
   boolean areMachineTypesKnown() {
-    return catalogue.isKnown();
+    return catalogue.hasMachineTypes();
   }
 
   /** Returns why the job can never run, as a message for its user; empty if it can run. */
@@ -53,8 +53,8 @@
   }
 
   private static boolean fits(JobSpec spec, MachineType type) {
-    return spec.types().map(allowed -> allowed.contains(type.name())).orElse(true)
-        && spec.zone().map(zone -> type.zones().contains(zone)).orElse(true)
+    return spec.allowedTypes().map(allowed -> allowed.contains(type.name())).orElse(true)
+        && spec.requiredZone().map(zone -> type.zones().contains(zone)).orElse(true)
         && spec.perTask().fitsIn(type.size());
   }
 }
--- a/src/main/java/org/ploverspindle/api/StateWrites.java
+++ b/src/main/java/org/ploverspindle/api/StateWriteAccess.java
@@ -11,5 +11,5 @@
  *     uses the same prefix, nor did any earlier run of this one
  * @param leaderNotifier is notified of the writes
  */
-public record StateWrites(
+public record StateWriteAccess(
     StateStore store, TokenBucket budget, String recordNamePrefix, LeaderNotifier leaderNotifier) {}
--- a/src/main/java/org/ploverspindle/api/SubmissionEncoder.java
+++ b/src/main/java/org/ploverspindle/api/SubmissionEncoder.java
@@ -36,12 +36,13 @@
    */
   Submission encode(JobSpec spec, Consumer<ApiResponse> responder) {
     Submission submission = encodeUnfiltered(spec, responder);
-    if (fits(submission) || spec.types().isEmpty()) {
+    if (fits(submission) || spec.allowedTypes().isEmpty()) {
       return submission;
     }
     // No task can be placed on a machine type that the cloud does not have, so the names of such
     // types may be left out of the record: a long list of them is no reason to refuse the job.
-    List<String> knownTypes = spec.types().get().stream().filter(feasibility::isKnownType).toList();
+    List<String> knownTypes =
+        spec.allowedTypes().get().stream().filter(feasibility::isKnownType).toList();
     return encodeUnfiltered(spec.withTypes(knownTypes), responder);
   }
 
--- a/src/main/java/org/ploverspindle/api/UserRequests.java
+++ b/src/main/java/org/ploverspindle/api/UserRequests.java
@@ -25,7 +25,7 @@
   public UserRequests(
       Scheduler scheduler,
       JobViews views,
-      StateWrites writes,
+      StateWriteAccess writes,
       Catalogue catalogue,
       Settings settings) {
     LinearizableReads reads = new LinearizableReads(scheduler, views.replica());
@@ -52,7 +52,7 @@
   private static SubmissionService submissionService(
       Scheduler scheduler,
       JobViews views,
-      StateWrites writes,
+      StateWriteAccess writes,
       LinearizableReads reads,
       JobStatusReader statuses,
       Feasibility feasibility,
@@ -84,7 +84,7 @@
             scheduler,
             feasibility,
             maxValueBytes,
-            SnapshotRecord.shardSizeFor(limits.maxValueBytes()));
+            SnapshotRecord.maxShardSize(limits.maxValueBytes()));
     return new SubmissionService(
         reads,
         statuses,
--- a/src/main/java/org/ploverspindle/api/package-info.java
+++ b/src/main/java/org/ploverspindle/api/package-info.java
@@ -7,8 +7,8 @@
  * users and workers, the wire form of submissions ({@code SubmissionCodec}) and of responses
  * ({@code ResponseCodec}).
  *
- * <p>May depend on: {@code state}, {@code cluster}, {@code pipelines}, {@code model}, {@code net},
- * {@code eventloop}, {@code settings}. Does not know which controller leads: every controller
+ * <p>Allowed dependencies: {@code state}, {@code cluster}, {@code pipelines}, {@code model}, {@code
+ * net}, {@code eventloop}, {@code settings}. Does not know which controller leads: every controller
  * answers users.
  */
 package org.ploverspindle.api;
--- a/src/main/java/org/ploverspindle/cli/BoundsCommand.java
+++ b/src/main/java/org/ploverspindle/cli/BoundsCommand.java
@@ -73,7 +73,11 @@
         .getOut()
         .printf(
             "%s: min %d, max %d, held %d%s%n",
-            zone, bounds.min(), bounds.max(), group.held(), group.backedOff() ? " (backoff)" : "");
+            zone,
+            bounds.min(),
+            bounds.max(),
+            group.machineCount(),
+            group.backedOff() ? " (backoff)" : "");
   }
 
   private void check() {
--- a/src/main/java/org/ploverspindle/cli/CheckCommand.java
+++ b/src/main/java/org/ploverspindle/cli/CheckCommand.java
@@ -64,7 +64,7 @@
   private void printSummary(Settings settings, Policy checked) {
     Settings.StateLimits state = settings.effectiveStateLimits();
     PrintWriter out = spec.commandLine().getOut();
-    out.println("valid: " + settings.member() + ", " + checked);
+    out.println("valid: " + settings.controllerName() + ", " + checked);
     out.printf(
         Locale.ROOT,
         "state service: limits in effect are %s requests/s, %s changes/s, %s KiB per value,"
--- a/src/main/java/org/ploverspindle/cli/ControllerProcess.java
+++ b/src/main/java/org/ploverspindle/cli/ControllerProcess.java
@@ -48,7 +48,7 @@
             eventLoop,
             xnioWorker,
             settings.peerAddress(),
-            settings.members(),
+            settings.otherControllers(),
             this::handlePeerMessage);
     controller =
         new Controller(
@@ -60,7 +60,7 @@
                     httpClient(buffers, settings.cloud().toString(), sockets.cloud())),
                 new HttpWorkerClient(
                     address ->
-                        UndertowHttpClient.once(
+                        UndertowHttpClient.nonPersistent(
                             eventLoop, xnioWorker.getIoThread(), buffers, address)),
                 peerServer),
             settings,
--- a/src/main/java/org/ploverspindle/cli/Main.java
+++ b/src/main/java/org/ploverspindle/cli/Main.java
@@ -109,7 +109,10 @@
     new ControllerProcess(settings, policy, new SplittableRandom()).start();
     Logger log = LoggerFactory.getLogger(Main.class);
     LimitChecks.warnings(settings).forEach(warning -> log.warn("{}", warning));
-    log.info("controller started: member={} address={}", settings.member(), settings.userAddress());
+    log.info(
+        "controller started: member={} address={}",
+        settings.controllerName(),
+        settings.userAddress());
   }
 
   static CommandLine commandLine() {
--- a/src/main/java/org/ploverspindle/cloud/Autoscaler.java
+++ b/src/main/java/org/ploverspindle/cloud/Autoscaler.java
@@ -72,7 +72,7 @@
         List<ScaleOutPlanner.Candidate> candidates, List<MachineGroup> pending);
 
     /** Whether users have stopped submitting jobs. Idle machines are terminated sooner then. */
-    boolean isQuiet();
+    boolean haveSubmissionsStopped();
 
     /**
      * Returns a stateful predicate that is tested on one idle machine after another. It is true if
@@ -88,7 +88,7 @@
      * The time since which this leader has received heartbeats without a pause of its own process,
      * in milliseconds on the steady clock.
      */
-    long listeningSinceMs();
+    long receivingHeartbeatsSinceMs();
 
     /** Called with the placements that were removed when a machine's termination was confirmed. */
     void placementsLost(List<Placement> placements);
@@ -163,7 +163,9 @@
         new MachineTypesRefresh(cloud, catalogue, callBudget, writer, maxValueBytes);
     HeartbeatTimeout heartbeatTimeout =
         new HeartbeatTimeout(
-            settings.workers().heartbeatIntervalS(), term.startMs(), workload::listeningSinceMs);
+            settings.workers().heartbeatIntervalS(),
+            term.startMs(),
+            workload::receivingHeartbeatsSinceMs);
     this.terminations = newTerminations(cloud, heartbeatTimeout, retryDelay);
     this.scaleInPlanner = newScaleInPlanner();
     this.scaleOutRound = newScaleOutRound(limits);
@@ -237,7 +239,7 @@
     replica.withPrefix(Keys.TERMINATIONS).values().forEach(terminations::inheritTermination);
     replica.withPrefix(Keys.PROVISIONING_INTENTS).values().forEach(intents::inherit);
     hasInheritedFleet = !intents.isEmpty();
-    replica.withPrefix(Keys.BOUNDS).values().forEach(boundsRecords::inherit);
+    replica.withPrefix(Keys.POOL_BOUNDS).values().forEach(boundsRecords::inherit);
     periodicTasks.add(
         scheduler.scheduleWithFixedDelay(Math.round(policy.scanS() * MS_PER_S), this::scaleOut));
     periodicTasks.add(scheduler.scheduleWithFixedDelay(SCALE_IN_PERIOD_MS, scaleInPlanner::run));
@@ -259,14 +261,14 @@
    * Runs a scale-out round now instead of at its next period, if the list of machines has been read
    * and no machine exists or is requested.
    */
-  public void scaleOutSoon() {
+  public void scaleOutIfFleetIsEmpty() {
     if (listReader.hasReadList() && intents.isEmpty() && fleet.all().isEmpty()) {
       scaleOut();
     }
   }
 
   /** Counts and latencies of this term's terminations, as text for the status. */
-  public String scaleInStatus() {
+  public String terminationStatus() {
     return terminations.summary();
   }
 
--- a/src/main/java/org/ploverspindle/cloud/CandidateGroups.java
+++ b/src/main/java/org/ploverspindle/cloud/CandidateGroups.java
@@ -52,7 +52,7 @@
       boundsRecords.record(type, bounds);
       for (int zone = 0; zone < groups.size(); zone++) {
         if (catalogue.type(type).zones().contains(catalogue.zoneName(zone))) {
-          evaluateZone(type, zone, bounds.get(zone), groups.get(zone).held(), evaluation);
+          evaluateZone(type, zone, bounds.get(zone), groups.get(zone).machineCount(), evaluation);
         }
       }
     }
--- a/src/main/java/org/ploverspindle/cloud/CloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/CloudClient.java
@@ -13,7 +13,7 @@
 public interface CloudClient extends TerminationClient {
 
   /** The status of a machine in the cloud's list. */
-  enum HostStatus {
+  enum MachineStatus {
     BOOTING,
     RUNNING,
     FAILED
@@ -27,13 +27,13 @@
    *     known yet
    * @param ageS seconds from its provisioning until the list was made
    */
-  record Host(
+  record CloudMachine(
       String id,
       String address,
       String type,
       String zone,
       boolean spot,
-      HostStatus status,
+      MachineStatus status,
       double ageS) {}
 
   /**
@@ -41,16 +41,17 @@
    *
    * @param hasNext whether another page follows
    */
-  record HostPage(List<Host> hosts, boolean hasNext) {}
+  record MachinePage(List<CloudMachine> machines, boolean hasNext) {}
 
   /** The outcome of a provisioning request. */
   sealed interface ProvisionResult {
     /**
      * The request was executed.
      *
-     * @param hosts the names of the provisioned machines: as many as were requested, or fewer
+     * @param machineNames the names of the provisioned machines: as many as were requested, or
+     *     fewer
      */
-    record Provisioned(List<String> hosts) implements ProvisionResult {}
+    record Provisioned(List<String> machineNames) implements ProvisionResult {}
 
     /**
      * The cloud currently has no machine of the type left in the zone, spot or on-demand as
@@ -88,5 +89,5 @@
    *
    * @param after the last machine of the page before; empty for the first page
    */
-  void listMachines(String after, Consumer<Optional<HostPage>> callback);
+  void listMachines(String after, Consumer<Optional<MachinePage>> callback);
 }
--- a/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
+++ b/src/main/java/org/ploverspindle/cloud/HttpCloudClient.java
@@ -169,7 +169,7 @@
   }
 
   @Override
-  public void listMachines(String after, Consumer<Optional<HostPage>> callback) {
+  public void listMachines(String after, Consumer<Optional<MachinePage>> callback) {
     String path =
         "/rentals?page="
             + MACHINES_PER_PAGE
@@ -182,23 +182,23 @@
         result -> callback.accept(successBody(result).flatMap(HttpCloudClient::readPage)));
   }
 
-  private static Optional<HostPage> readPage(ObjectNode body) {
+  private static Optional<MachinePage> readPage(ObjectNode body) {
     if (!body.path("hosts").isArray()) {
       return Optional.empty();
     }
-    List<Host> hosts = new ArrayList<>();
-    body.path("hosts").forEach(node -> hosts.add(readHost(node)));
-    return Optional.of(new HostPage(hosts, body.path("has_next").asBoolean()));
+    List<CloudMachine> machines = new ArrayList<>();
+    body.path("hosts").forEach(node -> machines.add(readMachine(node)));
+    return Optional.of(new MachinePage(machines, body.path("has_next").asBoolean()));
   }
 
-  private static Host readHost(JsonNode node) {
-    HostStatus status =
+  private static CloudMachine readMachine(JsonNode node) {
+    MachineStatus status =
         switch (node.path("status").asText()) {
-          case "booting" -> HostStatus.BOOTING;
-          case "failed" -> HostStatus.FAILED;
-          default -> HostStatus.RUNNING;
+          case "booting" -> MachineStatus.BOOTING;
+          case "failed" -> MachineStatus.FAILED;
+          default -> MachineStatus.RUNNING;
         };
-    return new Host(
+    return new CloudMachine(
         node.path("uid").asText(),
         node.path("addr").asText(""),
         node.path("flavour").asText(),
--- a/src/main/java/org/ploverspindle/cloud/IdleMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/IdleMachines.java
@@ -70,8 +70,9 @@
       List<AdaptiveSizing.Group> groups =
           groupsByType.computeIfAbsent(machine.type(), pools::groups);
       TypeInZone group = new TypeInZone(machine.type(), machine.zone());
-      int held = groups.get(machine.zone()).held() - selectedCounts.getOrDefault(group, 0);
-      if (held <= pools.bounds(machine.type(), groups).get(machine.zone()).min()) {
+      int machineCount =
+          groups.get(machine.zone()).machineCount() - selectedCounts.getOrDefault(group, 0);
+      if (machineCount <= pools.bounds(machine.type(), groups).get(machine.zone()).min()) {
         return false;
       }
       selectedCounts.merge(group, 1, Integer::sum);
@@ -87,7 +88,9 @@
         return idleMs >= SCALE_IN_CANDIDATE_IDLE_MS;
       }
       double maxIdleS =
-          workload.isQuiet() ? Math.min(policy.idleS(), NO_SUBMISSIONS_IDLE_S) : policy.idleS();
+          workload.haveSubmissionsStopped()
+              ? Math.min(policy.idleS(), NO_SUBMISSIONS_IDLE_S)
+              : policy.idleS();
       // Although the machine is idle, pending tasks may need it: it may have come up only just now,
       // or their jobs may be delayed.
       return idleMs >= maxIdleS * MS_PER_S && !useful.test(machine) && surplus.test(machine);
--- a/src/main/java/org/ploverspindle/cloud/ListedMachines.java
+++ b/src/main/java/org/ploverspindle/cloud/ListedMachines.java
@@ -82,23 +82,29 @@
   }
 
   /** Adds a listed machine to the reading, and adds it to the registry or updates it there. */
-  void apply(MachineList list, CloudClient.Host host) {
-    list.hosts.add(host.id());
+  void apply(MachineList list, CloudClient.CloudMachine listedMachine) {
+    list.hosts.add(listedMachine.id());
     long nowMs = scheduler.nowMs();
     fleet
-        .adopt(host.id(), host.type(), host.zone(), host.spot(), nowMs)
-        .ifPresent(machine -> update(machine, host, nowMs));
+        .adopt(
+            listedMachine.id(),
+            listedMachine.type(),
+            listedMachine.zone(),
+            listedMachine.spot(),
+            nowMs)
+        .ifPresent(machine -> update(machine, listedMachine, nowMs));
   }
 
-  private static void update(Machine machine, CloudClient.Host host, long nowMs) {
-    machine.listedAt(nowMs);
-    if (host.status() == CloudClient.HostStatus.BOOTING && !machine.isUp()) {
+  private static void update(Machine machine, CloudClient.CloudMachine listedMachine, long nowMs) {
+    machine.recordListed(nowMs);
+    if (listedMachine.status() == CloudClient.MachineStatus.BOOTING && !machine.isUp()) {
       // The age refers to the time when the list was made, which has passed. Therefore the
       // resulting time is not earlier than the machine's provisioning.
-      machine.provisionedAt(nowMs - Math.round(host.ageS() * MS_PER_S));
+      machine.recordProvisioned(nowMs - Math.round(listedMachine.ageS() * MS_PER_S));
     }
-    machine.setAddressFromList(host.address());
-    if (host.status() == CloudClient.HostStatus.FAILED && !machine.isDecommissioning()) {
+    machine.setAddressFromList(listedMachine.address());
+    if (listedMachine.status() == CloudClient.MachineStatus.FAILED
+        && !machine.isDecommissioning()) {
       // The machine has failed by itself. It is terminated nevertheless, because the cloud's
       // confirmation proves that all tasks on it have ended.
       machine.markUnusable();
@@ -155,7 +161,7 @@
     long listedMs = machine.isListed() ? machine.listedSinceMs() : termStartMs + oldestListMs;
     boolean knownBefore =
         machine.isListed()
-            || machine.lastKnownAgentEpoch() > 0 && machine.knownSinceMs() <= termStartMs;
+            || machine.lastKnownWorkerEpoch() > 0 && machine.knownSinceMs() <= termStartMs;
     return knownBefore
         && requestedMs - listedMs > oldestListMs
         && heartbeatTimeout.isExpired(machine, nowMs);
--- a/src/main/java/org/ploverspindle/cloud/MachineListReader.java
+++ b/src/main/java/org/ploverspindle/cloud/MachineListReader.java
@@ -125,14 +125,14 @@
             response.ifPresentOrElse(page -> onPage(reading, page), () -> onPageFailed(reading)));
   }
 
-  private void onPage(Reading reading, CloudClient.HostPage page) {
+  private void onPage(Reading reading, CloudClient.MachinePage page) {
     reading.pages++;
     reading.retries = 0;
-    for (CloudClient.Host host : page.hosts()) {
-      reading.lastHost = host.id();
-      listed.apply(reading.list, host);
+    for (CloudClient.CloudMachine listedMachine : page.machines()) {
+      reading.lastHost = listedMachine.id();
+      listed.apply(reading.list, listedMachine);
     }
-    if (page.hasNext() && !page.hosts().isEmpty()) {
+    if (page.hasNext() && !page.machines().isEmpty()) {
       requestNextPage(reading);
     } else {
       completeReading(reading);
--- a/src/main/java/org/ploverspindle/cloud/PoolBoundsRecords.java
+++ b/src/main/java/org/ploverspindle/cloud/PoolBoundsRecords.java
@@ -45,7 +45,7 @@
   /** Inherits the group backoffs of a record that an earlier leader wrote. */
   void inherit(Entry entry) {
     lastValues.put(entry.key(), entry.value());
-    backoffs.inherit(entry, catalogue.typeIndex(entry.key().substring(Keys.BOUNDS.length())));
+    backoffs.inherit(entry, catalogue.typeIndex(entry.key().substring(Keys.POOL_BOUNDS.length())));
   }
 
   /**
@@ -61,7 +61,7 @@
       // without it, as after a long outage.
       return;
     }
-    String key = Keys.bounds(catalogue.type(type).name());
+    String key = Keys.poolBounds(catalogue.type(type).name());
     if (value.equals(lastValues.get(key)) || !writer.hasSpareBudget()) {
       return;
     }
--- a/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
+++ b/src/main/java/org/ploverspindle/cloud/ProvisioningIntents.java
@@ -172,7 +172,7 @@
 
   private void onResult(ProvisioningIntent intent, CloudClient.ProvisionResult result) {
     if (result instanceof CloudClient.ProvisionResult.Provisioned provisioned) {
-      onProvisioned(intent, provisioned.hosts());
+      onProvisioned(intent, provisioned.machineNames());
     } else if (result instanceof CloudClient.ProvisionResult.Malformed) {
       // A malformed request is not repeated: its intent would stay unanswered and delay all
       // scale-out.
@@ -223,7 +223,7 @@
   }
 
   private static void markProvisionedInThisTerm(Machine machine, ProvisioningIntent intent) {
-    machine.provisionedAt(intent.requestedMs());
+    machine.recordProvisioned(intent.requestedMs());
     machine.endQuarantine();
   }
 
--- a/src/main/java/org/ploverspindle/cluster/DirectCommands.java
+++ b/src/main/java/org/ploverspindle/cluster/DirectCommands.java
@@ -11,14 +11,14 @@
 public final class DirectCommands {
   /** Commands for one machine, valid only under the fencing token and in the worker epoch given. */
   public record Request(
-      String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
+      String address, long fencingToken, long workerEpoch, List<WorkerCommand> commands) {
     private static Optional<Request> of(Machine machine, CommandBatch batch) {
       if (batch.commands().isEmpty()) {
         return Optional.empty();
       }
       return Optional.of(
           new Request(
-              machine.address(), machine.fencingToken(), machine.agentEpoch(), batch.commands()));
+              machine.address(), machine.fencingToken(), machine.workerEpoch(), batch.commands()));
     }
   }
 
@@ -58,7 +58,7 @@
 
   private static boolean isLaunchable(Machine machine, Placement placement) {
     return placement.phase() == Placement.Phase.READY
-        && placement.agentEpoch() == machine.agentEpoch()
+        && placement.workerEpoch() == machine.workerEpoch()
         && placement.shouldRun()
         && !machine.isTerminating();
   }
@@ -76,8 +76,8 @@
     CommandBatch batch = new CommandBatch();
     for (Placement placement : machine.placements()) {
       if (placement.job().cancelled()
-          && !placement.neverSent()
-          && placement.agentEpoch() == machine.agentEpoch()) {
+          && !placement.isNeverSent()
+          && placement.workerEpoch() == machine.workerEpoch()) {
         batch.add(placement.stopCommand());
       }
     }
--- a/src/main/java/org/ploverspindle/cluster/Heartbeat.java
+++ b/src/main/java/org/ploverspindle/cluster/Heartbeat.java
@@ -7,7 +7,7 @@
  * A heartbeat of the worker on a machine. It lists all attempts on the machine at one moment.
  *
  * @param address where the worker receives direct commands; may be empty
- * @param agentEpoch the worker epoch: it starts at 1 and grows each time the worker lease expires,
+ * @param workerEpoch the worker epoch: it starts at 1 and grows each time the worker lease expires,
  *     which ends all tasks on the machine
  * @param sequence a number that grows with each heartbeat and each response to direct commands
  * @param fencingToken the highest fencing token that the worker has received
@@ -19,7 +19,7 @@
     String type,
     String zone,
     boolean spot,
-    long agentEpoch,
+    long workerEpoch,
     long sequence,
     long fencingToken,
     OptionalDouble spotNoticeS,
@@ -63,7 +63,9 @@
       boolean checkpointed) {}
 
   /** Whether this heartbeat was sent after the one with the given epoch and sequence number. */
-  public boolean isNewerThan(long otherAgentEpoch, long otherSequence) {
-    return agentEpoch != otherAgentEpoch ? agentEpoch > otherAgentEpoch : sequence > otherSequence;
+  public boolean isNewerThan(long otherWorkerEpoch, long otherSequence) {
+    return workerEpoch != otherWorkerEpoch
+        ? workerEpoch > otherWorkerEpoch
+        : sequence > otherSequence;
   }
 }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatCodec.java
@@ -152,9 +152,9 @@
 
   /** Encodes the body of a message with direct commands, valid only in the given worker epoch. */
   public static byte[] encodeDirectCommand(
-      long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
+      long fencingToken, long workerEpoch, List<WorkerCommand> commands) {
     return Cbor.write(
-        encode(Cbor.map().put("warrant", fencingToken).put("tenure", agentEpoch), commands));
+        encode(Cbor.map().put("warrant", fencingToken).put("tenure", workerEpoch), commands));
   }
 
   private static ObjectNode encode(ObjectNode body, List<WorkerCommand> commands) {
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatHandler.java
@@ -40,7 +40,7 @@
      * A task has completed on a machine on which this leader has no placement of it. The completion
      * counts like any other.
      */
-    void completedUnrecorded(Job job, int task);
+    void completedWithoutPlacement(Job job, int task);
 
     /** The phase of the placement has changed. */
     void phaseChanged(Placement placement);
@@ -138,7 +138,7 @@
     // A delayed heartbeat is older than the state that is already known. It is not evaluated,
     // because tasks that started after it was written would seem to be gone. It is answered,
     // because the worker lease could expire without a response.
-    if (machine.isUp() && !heartbeat.isNewerThan(machine.agentEpoch(), machine.lastSequence())) {
+    if (machine.isUp() && !heartbeat.isNewerThan(machine.workerEpoch(), machine.lastSequence())) {
       return List.of();
     }
     recordHeartbeat(machine, heartbeat, nowMs);
@@ -146,12 +146,12 @@
   }
 
   private void recordHeartbeat(Machine machine, Heartbeat heartbeat, long nowMs) {
-    boolean isNewEpoch = heartbeat.agentEpoch() > machine.agentEpoch();
+    boolean isNewEpoch = heartbeat.workerEpoch() > machine.workerEpoch();
     if (isNewEpoch && machine.isUp()) {
       // The worker lease expired although heartbeats arrive, so responses may not reach the worker.
       machine.markUnreachable(registry.nextFencingToken(), nowMs);
     }
-    machine.recordHeartbeat(heartbeat, nowMs, term.owns(heartbeat.fencingToken()));
+    machine.recordHeartbeat(heartbeat, nowMs, term.includes(heartbeat.fencingToken()));
     if (isNewEpoch) {
       endOlderEpochs(machine, nowMs);
     }
@@ -163,7 +163,7 @@
    */
   private void endOlderEpochs(Machine machine, long nowMs) {
     for (Placement placement : List.copyOf(machine.placements())) {
-      if (placement.agentEpoch() < machine.agentEpoch()) {
+      if (placement.workerEpoch() < machine.workerEpoch()) {
         missingTaskHandler.endWithoutExit(placement, nowMs);
       }
     }
@@ -173,7 +173,12 @@
   private HeartbeatContext newContext(
       Machine machine, Heartbeat heartbeat, boolean isDirectResponse, long nowMs) {
     return new HeartbeatContext(
-        registry, machine, heartbeat, term.owns(heartbeat.fencingToken()), isDirectResponse, nowMs);
+        registry,
+        machine,
+        heartbeat,
+        term.includes(heartbeat.fencingToken()),
+        isDirectResponse,
+        nowMs);
   }
 
   private List<WorkerCommand> evaluate(HeartbeatContext context) {
@@ -222,7 +227,7 @@
   }
 
   private static boolean isLastHeartbeat(Machine machine, Heartbeat heartbeat) {
-    return machine.agentEpoch() == heartbeat.agentEpoch()
+    return machine.workerEpoch() == heartbeat.workerEpoch()
         && machine.lastSequence() == heartbeat.sequence();
   }
 
@@ -276,7 +281,7 @@
           || !shouldRun && placement.hasPendingDirectLaunch()) {
         continue;
       }
-      if (!shouldRun || placement.agentEpoch() != heartbeat.agentEpoch()) {
+      if (!shouldRun || placement.workerEpoch() != heartbeat.workerEpoch()) {
         missingTaskHandler.endWithoutExit(placement, context.nowMs());
         continue;
       }
--- a/src/main/java/org/ploverspindle/cluster/HeartbeatState.java
+++ b/src/main/java/org/ploverspindle/cluster/HeartbeatState.java
@@ -2,7 +2,7 @@
 
 /** The first and the last heartbeat of one machine that arrived in this term. */
 final class HeartbeatState {
-  private long agentEpoch;
+  private long workerEpoch;
   private long lastSequence;
   private long firstHeartbeatMs = Machine.NEVER_MS;
   private long lastHeartbeatMs = Machine.NEVER_MS;
@@ -14,7 +14,7 @@
       firstHeartbeatMs = nowMs;
       isFirstUnobserved = true;
     }
-    agentEpoch = heartbeat.agentEpoch();
+    workerEpoch = heartbeat.workerEpoch();
     lastSequence = heartbeat.sequence();
     lastHeartbeatMs = nowMs;
     hasAcceptedToken |= hasTokenOfTerm;
@@ -24,8 +24,8 @@
     return lastHeartbeatMs >= 0;
   }
 
-  long agentEpoch() {
-    return agentEpoch;
+  long workerEpoch() {
+    return workerEpoch;
   }
 
   long lastSequence() {
--- a/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
+++ b/src/main/java/org/ploverspindle/cluster/HttpWorkerClient.java
@@ -29,7 +29,7 @@
   public void send(
       String address,
       long fencingToken,
-      long agentEpoch,
+      long workerEpoch,
       List<WorkerCommand> commands,
       Consumer<Optional<Heartbeat>> callback) {
     clients
@@ -37,7 +37,7 @@
         .send(
             "POST",
             "/do",
-            HeartbeatCodec.encodeDirectCommand(fencingToken, agentEpoch, commands),
+            HeartbeatCodec.encodeDirectCommand(fencingToken, workerEpoch, commands),
             TIMEOUT_MS,
             result -> callback.accept(heartbeat(result)));
   }
--- a/src/main/java/org/ploverspindle/cluster/Job.java
+++ b/src/main/java/org/ploverspindle/cluster/Job.java
@@ -24,7 +24,7 @@
   private final Resources perTask;
   private final int shardSize;
   private final int team;
-  private final BitSet types;
+  private final BitSet compatibleTypes;
   private final JobTasks tasks;
   private final JobDeadline deadline;
   private final ZoneConstraints zones;
@@ -37,7 +37,7 @@
   /**
    * @param shardSize number of tasks in each shard of the job's progress records
    * @param team index of the team in the settings
-   * @param types indexes of the machine types that the job allows and that a task fits on
+   * @param compatibleTypes indexes of the machine types that the job allows and that a task fits on
    * @param requiredZone index of the only allowed zone, or {@link #ANY_ZONE} (-1)
    */
   public Job(
@@ -45,14 +45,14 @@
       long acceptedWallMs,
       int shardSize,
       int team,
-      BitSet types,
+      BitSet compatibleTypes,
       int requiredZone,
       int zoneCount) {
     this.spec = spec;
     this.perTask = spec.perTask();
     this.shardSize = shardSize;
     this.team = team;
-    this.types = types;
+    this.compatibleTypes = compatibleTypes;
     this.tasks = new JobTasks(spec.tasks());
     this.deadline = new JobDeadline(spec, acceptedWallMs);
     this.zones = new ZoneConstraints(spec, requiredZone, zoneCount);
@@ -76,8 +76,8 @@
   }
 
   /** The indexes of the machine types that the job allows and that a task fits on. */
-  public BitSet types() {
-    return types;
+  public BitSet compatibleTypes() {
+    return compatibleTypes;
   }
 
   // Shards of the progress records.
@@ -114,7 +114,7 @@
    *
    * @param wallMs when the job became eligible to run
    */
-  public void markReady(long wallMs) {
+  public void markEligible(long wallMs) {
     blockedOnDependencies = false;
     deadline.setEligibleSince(wallMs);
   }
@@ -310,7 +310,7 @@
   // Cancellation, completion and quarantine.
 
   /** Records that the job's cancellation is durable. No task is started any more. */
-  public void cancel() {
+  public void markCancelled() {
     cancelled = true;
     tasks.clearPending();
   }
--- a/src/main/java/org/ploverspindle/cluster/JobTable.java
+++ b/src/main/java/org/ploverspindle/cluster/JobTable.java
@@ -79,14 +79,14 @@
     Optional<Job> job = newJob(record.get());
     job.ifPresent(added -> jobs.put(uid, added));
     if (cancelled) {
-      job.ifPresent(Job::cancel);
+      job.ifPresent(Job::markCancelled);
     }
     return job;
   }
 
   private Optional<Job> newJob(JobRecord record) {
     JobSpec spec = record.spec();
-    Optional<Integer> team = teams.index(spec.team());
+    Optional<Integer> team = teams.indexOf(spec.team());
     if (team.isEmpty()) {
       LOG.error(
           "job not run, the settings don't name its team: job={} team={}", spec.uid(), spec.team());
@@ -99,7 +99,7 @@
             record.shardSize(),
             team.get(),
             compatibleTypes(spec),
-            spec.zone().map(catalogue::zone).orElse(Job.ANY_ZONE),
+            spec.requiredZone().map(catalogue::zoneIndexOrAdd).orElse(Job.ANY_ZONE),
             catalogue.zoneCount()));
   }
 
@@ -108,7 +108,8 @@
     BitSet compatible = new BitSet();
     for (int index = 0; index < catalogue.types().size(); index++) {
       MachineType type = catalogue.type(index);
-      boolean isAllowed = spec.types().map(names -> names.contains(type.name())).orElse(true);
+      boolean isAllowed =
+          spec.allowedTypes().map(names -> names.contains(type.name())).orElse(true);
       if (isAllowed && spec.perTask().fitsIn(type.size())) {
         compatible.set(index);
       }
--- a/src/main/java/org/ploverspindle/cluster/Machine.java
+++ b/src/main/java/org/ploverspindle/cluster/Machine.java
@@ -131,15 +131,15 @@
   }
 
   /** The worker epoch of the last heartbeat; 0 if none has arrived in this term. */
-  public long agentEpoch() {
-    return heartbeats.agentEpoch();
+  public long workerEpoch() {
+    return heartbeats.workerEpoch();
   }
 
   /** The latest worker epoch that is known from a heartbeat or from the machine's placements. */
-  public long lastKnownAgentEpoch() {
-    long known = agentEpoch();
+  public long lastKnownWorkerEpoch() {
+    long known = workerEpoch();
     for (Placement placement : tasks.placements()) {
-      known = Math.max(known, placement.agentEpoch());
+      known = Math.max(known, placement.workerEpoch());
     }
     return known;
   }
@@ -204,8 +204,8 @@
   }
 
   /** Records that the machine was provisioned by this time. The earliest recorded time counts. */
-  public void provisionedAt(long atMs) {
-    lifecycle.provisionedAt(atMs);
+  public void recordProvisioned(long atMs) {
+    lifecycle.recordProvisioned(atMs);
   }
 
   /** The latest time at which the machine can have been provisioned; negative if not known. */
@@ -223,8 +223,8 @@
   }
 
   /** Records that the cloud's list names the machine. */
-  public void listedAt(long nowMs) {
-    lifecycle.listedAt(nowMs);
+  public void recordListed(long nowMs) {
+    lifecycle.recordListed(nowMs);
   }
 
   /** When a list first named the machine in this term; valid only if {@link #isListed}. */
--- a/src/main/java/org/ploverspindle/cluster/MachineLifecycle.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineLifecycle.java
@@ -34,7 +34,7 @@
   }
 
   /** Records that the machine was provisioned by this time. The earliest recorded time counts. */
-  void provisionedAt(long atMs) {
+  void recordProvisioned(long atMs) {
     provisionedSinceMs = provisionedSinceMs < 0 ? atMs : Math.min(provisionedSinceMs, atMs);
   }
 
@@ -46,7 +46,7 @@
     return listedSinceMs;
   }
 
-  void listedAt(long nowMs) {
+  void recordListed(long nowMs) {
     listedSinceMs = isListed ? listedSinceMs : nowMs;
     isListed = true;
   }
--- a/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
+++ b/src/main/java/org/ploverspindle/cluster/MachineRegistry.java
@@ -42,7 +42,7 @@
   private long quarantinedUntilMs = MachineLifecycle.NOT_QUARANTINED_MS;
 
   /** The last heartbeat of a machine that was forgotten. */
-  private record LastHeartbeat(long agentEpoch, long sequence) {}
+  private record LastHeartbeat(long workerEpoch, long sequence) {}
 
   public MachineRegistry(Catalogue catalogue, TeamUsage teams, SafetyTiming timing, Term term) {
     this.catalogue = catalogue;
@@ -191,7 +191,7 @@
   public void forget(Machine machine) {
     remove(machine);
     lastHeartbeatsOfForgotten.put(
-        machine.host(), new LastHeartbeat(machine.agentEpoch(), machine.lastSequence()));
+        machine.host(), new LastHeartbeat(machine.workerEpoch(), machine.lastSequence()));
   }
 
   private void remove(Machine machine) {
@@ -206,7 +206,7 @@
    */
   boolean isStale(Heartbeat heartbeat) {
     LastHeartbeat last = lastHeartbeatsOfForgotten.get(heartbeat.host());
-    return last != null && !heartbeat.isNewerThan(last.agentEpoch(), last.sequence());
+    return last != null && !heartbeat.isNewerThan(last.workerEpoch(), last.sequence());
   }
 
   /**
@@ -235,10 +235,10 @@
    */
   public long leaseExpiryMs(Machine machine) {
     long lastContactMs = machine.isUp() ? machine.lastHeartbeatMs() : machine.knownSinceMs();
-    long expiryMs = lastContactMs + timing.agentLeaseMs();
+    long expiryMs = lastContactMs + timing.workerLeaseMs();
     return machine.hasAcceptedToken()
         ? expiryMs
-        : Math.max(expiryMs, term.startMs() + timing.takeoverSilenceMs());
+        : Math.max(expiryMs, term.startMs() + timing.takeoverWaitMs());
   }
 
   /**
--- a/src/main/java/org/ploverspindle/cluster/MissingTaskHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/MissingTaskHandler.java
@@ -32,7 +32,7 @@
    * the launch must also have been received or lost before the heartbeat was written.
    */
   void handle(HeartbeatContext context, Placement placement) {
-    if (placement.neverSent()) {
+    if (placement.isNeverSent()) {
       if (placement.job().isTerminal()) {
         endWithoutExit(placement, context.nowMs());
       }
@@ -55,7 +55,7 @@
    * may still carry its launch.
    */
   private void handleWithoutDirectLaunch(HeartbeatContext context, Placement placement) {
-    if (placement.neverSent()) {
+    if (placement.isNeverSent()) {
       if (!placement.shouldRun()) {
         endWithoutExit(placement, context.nowMs());
       }
--- a/src/main/java/org/ploverspindle/cluster/Placement.java
+++ b/src/main/java/org/ploverspindle/cluster/Placement.java
@@ -34,7 +34,7 @@
   private final int task;
   private final long attempt;
   private final Machine machine;
-  private final long agentEpoch;
+  private final long workerEpoch;
   private Phase phase;
   private long sentSequence;
   private long directLaunchToken = NO_TOKEN;
@@ -46,15 +46,16 @@
   private long runningSinceMs = Machine.NEVER_MS;
 
   /**
-   * @param agentEpoch the worker epoch in which the task is to run; the task is gone in any later
+   * @param workerEpoch the worker epoch in which the task is to run; the task is gone in any later
    *     epoch
    */
-  public Placement(Job job, int task, long attempt, Machine machine, long agentEpoch, Phase phase) {
+  public Placement(
+      Job job, int task, long attempt, Machine machine, long workerEpoch, Phase phase) {
     this.job = job;
     this.task = task;
     this.attempt = attempt;
     this.machine = machine;
-    this.agentEpoch = agentEpoch;
+    this.workerEpoch = workerEpoch;
     this.phase = phase;
   }
 
@@ -74,8 +75,8 @@
     return machine;
   }
 
-  public long agentEpoch() {
-    return agentEpoch;
+  public long workerEpoch() {
+    return workerEpoch;
   }
 
   /**
@@ -122,7 +123,7 @@
   }
 
   /** Whether no launch can have reached the machine, and none can still reach it. */
-  public boolean neverSent() {
+  public boolean isNeverSent() {
     return (phase == Phase.INTENT || phase == Phase.READY) && !hasPendingDirectLaunch();
   }
 
@@ -200,7 +201,7 @@
    *
    * @param newGracePeriodS the grace period in seconds
    */
-  public void stop(double newGracePeriodS) {
+  public void requestStop(double newGracePeriodS) {
     gracePeriodS = isStopping ? Math.min(gracePeriodS, newGracePeriodS) : newGracePeriodS;
     isStopping = true;
   }
--- a/src/main/java/org/ploverspindle/cluster/ReportedTaskHandler.java
+++ b/src/main/java/org/ploverspindle/cluster/ReportedTaskHandler.java
@@ -111,7 +111,7 @@
       return true;
     }
     if (!job.completedTasks().contains(status.task())) {
-      listener.completedUnrecorded(job, status.task());
+      listener.completedWithoutPlacement(job, status.task());
     }
     return isDurablyCompleted.test(job, status.task());
   }
--- a/src/main/java/org/ploverspindle/cluster/TeamUsage.java
+++ b/src/main/java/org/ploverspindle/cluster/TeamUsage.java
@@ -35,7 +35,7 @@
   }
 
   /** The index of the team with this name; empty if the settings name no such team. */
-  public Optional<Integer> index(String name) {
+  public Optional<Integer> indexOf(String name) {
     for (int team = 0; team < teams.size(); team++) {
       if (teams.get(team).name().equals(name)) {
         return Optional.of(team);
@@ -78,8 +78,8 @@
   }
 
   /** Whether the team would stay within its guarantee if it used these resources in addition. */
-  public boolean withinGuarantee(int team, Resources additional) {
-    return guarantees(
+  public boolean isWithinGuarantee(int team, Resources additional) {
+    return guaranteeCovers(
         team,
         new Resources(
             usedCores[team] + additional.cores(),
@@ -88,7 +88,7 @@
   }
 
   /** Whether the team's guarantee covers these resources in total. */
-  public boolean guarantees(int team, Resources total) {
+  public boolean guaranteeCovers(int team, Resources total) {
     Settings.Team settings = teams.get(team);
     return isCovered(total.cores(), settings.guaranteedCores())
         && isCovered(total.accelerators(), settings.guaranteedAccelerators());
@@ -99,7 +99,7 @@
   }
 
   /** Thousandths of a core that the team may still use within its limit; empty without a limit. */
-  public OptionalLong coresWithinLimit(int team) {
+  public OptionalLong remainingCores(int team) {
     double limit = teams.get(team).maxCores();
     return limit <= 0
         ? OptionalLong.empty()
--- a/src/main/java/org/ploverspindle/cluster/WorkerClient.java
+++ b/src/main/java/org/ploverspindle/cluster/WorkerClient.java
@@ -17,7 +17,7 @@
   void send(
       String address,
       long fencingToken,
-      long agentEpoch,
+      long workerEpoch,
       List<WorkerCommand> commands,
       Consumer<Optional<Heartbeat>> callback);
 }
--- a/src/main/java/org/ploverspindle/controller/Controller.java
+++ b/src/main/java/org/ploverspindle/controller/Controller.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 import org.ploverspindle.api.ApiResponse;
 import org.ploverspindle.api.JobViews;
-import org.ploverspindle.api.StateWrites;
+import org.ploverspindle.api.StateWriteAccess;
 import org.ploverspindle.api.UserApi;
 import org.ploverspindle.api.UserRequests;
 import org.ploverspindle.cloud.CloudClient;
@@ -43,7 +43,7 @@
 
   private final Scheduler scheduler;
   private final Settings settings;
-  private final String member;
+  private final String controllerName;
   private final Peers peers;
   private final RequestRates requestRates;
   private final Replica replica;
@@ -74,16 +74,16 @@
     StateStore store = services.store();
     this.scheduler = scheduler;
     this.settings = settings;
-    this.member = settings.member();
+    this.controllerName = settings.controllerName();
     this.peers = services.peers();
     this.requestRates = new RequestRates(settings);
     this.replica = new Replica(scheduler, store, Keys.PREFIX, REPLICA_IDLE_READ_INTERVAL_MS);
     StateReachability stateReachability =
-        new StateReachability(scheduler, replica, store, peers, member);
+        new StateReachability(scheduler, replica, store, peers, controllerName);
     this.catalogue = new Catalogue(settings.zones());
     SafetyTiming timing = SafetyTiming.of(settings.workers(), settings.quota().cores());
     this.election =
-        new Election(scheduler, store, replica, random, timing, member, new TermEvents());
+        new Election(scheduler, store, replica, random, timing, controllerName, new TermEvents());
     this.acceptedJobs = new AcceptedJobIndex(replica);
     this.pipelines = new Pipelines(scheduler, replica, acceptedJobs);
     this.userRequests = newUserRequests(store, random);
@@ -97,22 +97,23 @@
             new LeaderContext.Configuration(settings, policy, timing, catalogue),
             rejections);
     this.heartbeatAdmission =
-        new HeartbeatAdmission(scheduler, timing, election, peers, member, () -> leader);
+        new HeartbeatAdmission(scheduler, timing, election, peers, controllerName, () -> leader);
     this.peerMessages = new PeerMessageHandler(replica, election, stateReachability, () -> leader);
     this.machineTypes = new MachineTypeLoader(scheduler, services.cloud(), replica, catalogue);
     this.readiness = newReadiness(stateReachability);
-    this.statusPage = new StatusPage(member, election, pipelines, rejections);
+    this.statusPage = new StatusPage(controllerName, election, pipelines, rejections);
   }
 
   private UserRequests newUserRequests(StateStore store, RandomGenerator random) {
     ProgressCounts counts = new ProgressCounts(replica);
-    String nonce = member + "-" + Long.toString(random.nextLong() >>> 1, Character.MAX_RADIX);
+    String nonce =
+        controllerName + "-" + Long.toString(random.nextLong() >>> 1, Character.MAX_RADIX);
     RoutingLeaderNotifier leaderNotifier =
-        new RoutingLeaderNotifier(replica, election, peers, member, () -> leader);
+        new RoutingLeaderNotifier(replica, election, peers, controllerName, () -> leader);
     return new UserRequests(
         scheduler,
         new JobViews(replica, acceptedJobs, pipelines, counts),
-        new StateWrites(
+        new StateWriteAccess(
             store, requestRates.acceptanceWriteBudget(scheduler), nonce, leaderNotifier),
         catalogue,
         settings);
@@ -185,7 +186,7 @@
       Leader elected = new Leader(leaderContext, term, election);
       leader = Optional.of(elected);
       elected.start();
-      peers.broadcast(new PeerMessage.Leading(member, term.fencingToken()));
+      peers.broadcast(new PeerMessage.Leading(controllerName, term.fencingToken()));
     }
 
     @Override
@@ -193,7 +194,7 @@
       replica.setReadInterval(requestRates.followerReadIntervalMs());
       leader.ifPresent(Leader::close);
       leader = Optional.empty();
-      peers.broadcast(new PeerMessage.Resigned(member, term.fencingToken()));
+      peers.broadcast(new PeerMessage.Resigned(controllerName, term.fencingToken()));
     }
   }
 
@@ -221,11 +222,11 @@
 
   @Override
   public void status(Consumer<ApiResponse> responder) {
-    responder.accept(ApiResponse.text(statusPage.render(isReady(), leader)));
+    responder.accept(ApiResponse.operatorText(statusPage.render(isReady(), leader)));
   }
 
   @Override
   public void explainJob(String uid, Consumer<ApiResponse> responder) {
-    responder.accept(ApiResponse.text(userRequests.explain(uid)));
+    responder.accept(ApiResponse.operatorText(userRequests.explain(uid)));
   }
 }
--- a/src/main/java/org/ploverspindle/controller/HeartbeatAdmission.java
+++ b/src/main/java/org/ploverspindle/controller/HeartbeatAdmission.java
@@ -32,12 +32,12 @@
   private final SafetyTiming timing;
   private final Election election;
   private final Peers peers;
-  private final String member;
+  private final String controllerName;
   private final Supplier<Optional<Leader>> localLeader;
   private int misdirectedCount;
 
   /**
-   * @param member the name of this controller
+   * @param controllerName the name of this controller
    * @param localLeader supplies the leader while this controller leads, and empty otherwise
    */
   HeartbeatAdmission(
@@ -45,13 +45,13 @@
       SafetyTiming timing,
       Election election,
       Peers peers,
-      String member,
+      String controllerName,
       Supplier<Optional<Leader>> localLeader) {
     this.scheduler = scheduler;
     this.timing = timing;
     this.election = election;
     this.peers = peers;
-    this.member = member;
+    this.controllerName = controllerName;
     this.localLeader = localLeader;
   }
 
@@ -75,8 +75,8 @@
     Optional<Leader> leader = localLeader.get();
     if (leader.isEmpty() || term.isEmpty()) {
       responder.accept(redirect(heartbeat));
-    } else if (term.get().isBefore(heartbeat.fencingToken())) {
-      election.deposed("a worker has seen a higher token");
+    } else if (term.get().isDeposedBy(heartbeat.fencingToken())) {
+      election.endTerm("a worker has seen a higher token");
       responder.accept(redirect(heartbeat));
     } else if (isConfirmationTooOld()) {
       responder.accept(ApiResponse.retryLater(HTTP_UNAVAILABLE, "the state is not known", 1));
@@ -108,7 +108,8 @@
    * has had responses from earlier leaders only, is not counted.
    */
   private ApiResponse redirect(Heartbeat heartbeat) {
-    Optional<String> otherLeader = election.leaderName().filter(name -> !name.equals(member));
+    Optional<String> otherLeader =
+        election.leaderName().filter(name -> !name.equals(controllerName));
     boolean hadLeaderResponse =
         election.leaderToken().map(token -> heartbeat.fencingToken() >= token).orElse(false);
     misdirectedCount += otherLeader.isPresent() && hadLeaderResponse ? 1 : 0;
@@ -125,7 +126,7 @@
     if (misdirectedCount == 0) {
       return;
     }
-    PeerMessage message = new PeerMessage.MisdirectedHeartbeats(member, misdirectedCount);
+    PeerMessage message = new PeerMessage.MisdirectedHeartbeats(controllerName, misdirectedCount);
     election.leaderName().ifPresent(leader -> peers.send(leader, message));
     misdirectedCount = 0;
   }
--- a/src/main/java/org/ploverspindle/controller/MachineTypeLoader.java
+++ b/src/main/java/org/ploverspindle/controller/MachineTypeLoader.java
@@ -25,14 +25,14 @@
   }
 
   boolean isLoaded() {
-    return catalogue.isKnown();
+    return catalogue.hasMachineTypes();
   }
 
   /**
    * Loads the types from the record that an earlier leader stored, unless they are known already.
    */
   void loadFromReplica() {
-    if (!catalogue.isKnown()) {
+    if (!catalogue.hasMachineTypes()) {
       MachineTypesRecord.read(replica).ifPresent(catalogue::update);
     }
   }
@@ -48,7 +48,7 @@
     cloud.listMachineTypes(
         types -> {
           types.ifPresent(catalogue::update);
-          if (catalogue.isKnown()) {
+          if (catalogue.hasMachineTypes()) {
             onLoaded.run();
           } else {
             scheduler.schedule(RETRY_DELAY_MS, () -> loadFromCloud(onLoaded));
--- a/src/main/java/org/ploverspindle/controller/PeerMessageHandler.java
+++ b/src/main/java/org/ploverspindle/controller/PeerMessageHandler.java
@@ -38,11 +38,13 @@
         replica.readBarrier(isRead -> {});
       }
     } else if (message instanceof PeerMessage.MisdirectedHeartbeats misdirected) {
-      localLeader.get().ifPresent(leader -> leader.misdirectedHeartbeats(misdirected.count()));
+      localLeader
+          .get()
+          .ifPresent(leader -> leader.recordMisdirectedHeartbeats(misdirected.count()));
     } else if (message instanceof PeerMessage.Leading leading) {
       election.observeToken(leading.token());
     } else if (message instanceof PeerMessage.ReachabilityProbe probe) {
-      stateReachability.replyToProbe(probe.member());
+      stateReachability.replyToProbe(probe.controllerName());
     } else if (message instanceof PeerMessage.ReachabilityReply) {
       stateReachability.handleReply();
     } else {
--- a/src/main/java/org/ploverspindle/controller/RoutingLeaderNotifier.java
+++ b/src/main/java/org/ploverspindle/controller/RoutingLeaderNotifier.java
@@ -19,23 +19,23 @@
   private final Replica replica;
   private final Election election;
   private final Peers peers;
-  private final String member;
+  private final String controllerName;
   private final Supplier<Optional<Leader>> localLeader;
 
   /**
-   * @param member the name of this controller
+   * @param controllerName the name of this controller
    * @param localLeader supplies the leader while this controller leads, and empty otherwise
    */
   RoutingLeaderNotifier(
       Replica replica,
       Election election,
       Peers peers,
-      String member,
+      String controllerName,
       Supplier<Optional<Leader>> localLeader) {
     this.replica = replica;
     this.election = election;
     this.peers = peers;
-    this.member = member;
+    this.controllerName = controllerName;
     this.localLeader = localLeader;
   }
 
@@ -71,6 +71,6 @@
   private void notifyRemoteLeader() {
     election
         .leaderName()
-        .ifPresent(leader -> peers.send(leader, new PeerMessage.StateChanged(member)));
+        .ifPresent(leader -> peers.send(leader, new PeerMessage.StateChanged(controllerName)));
   }
 }
--- a/src/main/java/org/ploverspindle/controller/StateReachability.java
+++ b/src/main/java/org/ploverspindle/controller/StateReachability.java
@@ -41,22 +41,22 @@
   private final Replica replica;
   private final StateStore store;
   private final Peers peers;
-  private final String member;
+  private final String controllerName;
   private final Set<String> probingMembers = new LinkedHashSet<>();
   private boolean replyPending;
   private OptionalLong lastProbeMs = OptionalLong.empty();
   private OptionalLong lastReplyMs = OptionalLong.empty();
 
   /**
-   * @param member the name of this controller
+   * @param controllerName the name of this controller
    */
   StateReachability(
-      Scheduler scheduler, Replica replica, StateStore store, Peers peers, String member) {
+      Scheduler scheduler, Replica replica, StateStore store, Peers peers, String controllerName) {
     this.scheduler = scheduler;
     this.replica = replica;
     this.store = store;
     this.peers = peers;
-    this.member = member;
+    this.controllerName = controllerName;
   }
 
   /** Returns how long ago the last answered read of the replica was sent, in milliseconds. */
@@ -75,7 +75,7 @@
     boolean isDue = lastProbeMs.isEmpty() || nowMs - lastProbeMs.getAsLong() >= PROBE_INTERVAL_MS;
     if ((isFailingToWrite || stalenessMs() > PROBE_AFTER_STALE_MS) && isDue) {
       lastProbeMs = OptionalLong.of(nowMs);
-      peers.broadcast(new PeerMessage.ReachabilityProbe(member));
+      peers.broadcast(new PeerMessage.ReachabilityProbe(controllerName));
     }
   }
 
@@ -108,7 +108,7 @@
   }
 
   private void replyToProbingMembers() {
-    PeerMessage reply = new PeerMessage.ReachabilityReply(member);
+    PeerMessage reply = new PeerMessage.ReachabilityReply(controllerName);
     probingMembers.forEach(probing -> peers.send(probing, reply));
   }
 
--- a/src/main/java/org/ploverspindle/controller/StatusPage.java
+++ b/src/main/java/org/ploverspindle/controller/StatusPage.java
@@ -8,13 +8,14 @@
 
 /** Renders the status page as text. Its keys are an interface: tools of operators read them. */
 final class StatusPage {
-  private final String member;
+  private final String controllerName;
   private final Election election;
   private final Pipelines pipelines;
   private final FencingRejections rejections;
 
-  StatusPage(String member, Election election, Pipelines pipelines, FencingRejections rejections) {
-    this.member = member;
+  StatusPage(
+      String controllerName, Election election, Pipelines pipelines, FencingRejections rejections) {
+    this.controllerName = controllerName;
     this.election = election;
     this.pipelines = pipelines;
     this.rejections = rejections;
@@ -28,7 +29,7 @@
    */
   String render(boolean ready, Optional<Leader> localLeader) {
     return "member="
-        + member
+        + controllerName
         + " ready="
         + ready
         + " leader="
--- a/src/main/java/org/ploverspindle/controller/package-info.java
+++ b/src/main/java/org/ploverspindle/controller/package-info.java
@@ -8,6 +8,6 @@
  * are divided. They also load the machine types, exchange hints with the other controllers and
  * render the status page. Owns: the lifecycle of these components.
  *
- * <p>May depend on: everything except {@code cli}.
+ * <p>Allowed dependencies: everything except {@code cli}.
  */
 package org.ploverspindle.controller;
--- a/src/main/java/org/ploverspindle/eventloop/TaskTimings.java
+++ b/src/main/java/org/ploverspindle/eventloop/WorkTimings.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 /** Measures how long the event loop was busy with each kind of work, for operators. */
-public final class TaskTimings {
+public final class WorkTimings {
   private static final long NANOS_PER_MS = 1_000_000;
 
   private static final class Timing {
--- a/src/main/java/org/ploverspindle/eventloop/package-info.java
+++ b/src/main/java/org/ploverspindle/eventloop/package-info.java
@@ -7,6 +7,6 @@
  * org.ploverspindle.eventloop.Scheduler Scheduler}, so that tests can replace it by a simulated
  * clock.
  *
- * <p>May depend on: nothing of this project.
+ * <p>Allowed dependencies: nothing of this project.
  */
 package org.ploverspindle.eventloop;
--- a/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
+++ b/src/main/java/org/ploverspindle/leadership/DelayedResponses.java
@@ -56,7 +56,7 @@
    */
   boolean shouldDelay(Machine machine, Heartbeat heartbeat, long nowMs) {
     return machine.lastSequence() == heartbeat.sequence()
-        && machine.agentEpoch() == heartbeat.agentEpoch()
+        && machine.workerEpoch() == heartbeat.workerEpoch()
         && machine.isSchedulable(nowMs, maxDelayMs)
         && machine.free().cores() > 0;
   }
@@ -108,6 +108,6 @@
 
   private static boolean hasCommand(Placement placement) {
     return placement.phase() == Placement.Phase.READY
-        || !placement.neverSent() && (placement.isStopping() || placement.job().isTerminal());
+        || !placement.isNeverSent() && (placement.isStopping() || placement.job().isTerminal());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
+++ b/src/main/java/org/ploverspindle/leadership/DirectCommandSender.java
@@ -93,10 +93,10 @@
   }
 
   /** Sends the machine its fencing token of this term, in a request without commands. */
-  void sendFencingToken(Machine machine, long agentEpoch) {
+  void sendFencingToken(Machine machine, long workerEpoch) {
     send(
         new DirectCommands.Request(
-            machine.address(), machine.fencingToken(), agentEpoch, List.of()));
+            machine.address(), machine.fencingToken(), workerEpoch, List.of()));
   }
 
   private void send(DirectCommands.Request command) {
@@ -104,7 +104,7 @@
     workers.send(
         command.address(),
         command.fencingToken(),
-        command.agentEpoch(),
+        command.workerEpoch(),
         command.commands(),
         response -> {
           inFlight--;
--- a/src/main/java/org/ploverspindle/leadership/Election.java
+++ b/src/main/java/org/ploverspindle/leadership/Election.java
@@ -57,7 +57,7 @@
   /**
    * Creates an election in which this controller takes part after {@link #start}.
    *
-   * @param member the name of this controller
+   * @param controllerName the name of this controller
    */
   public Election(
       Scheduler scheduler,
@@ -65,7 +65,7 @@
       Replica replica,
       RandomGenerator random,
       SafetyTiming timing,
-      String member,
+      String controllerName,
       Listener listener) {
     this.scheduler = scheduler;
     this.replica = replica;
@@ -79,7 +79,7 @@
             store,
             replica,
             random,
-            new RoleLease.Candidacy(member, new LeaderRecords(), leaseTiming),
+            new RoleLease.Candidacy(controllerName, new LeaderRecords(), leaseTiming),
             new LeaseEvents());
   }
 
@@ -96,7 +96,7 @@
 
   /** The name of the leader, this or another controller, according to the replica. */
   public Optional<String> leaderName() {
-    return leaderLease.holder().map(RoleHolder::member);
+    return leaderLease.holder().map(RoleHolder::controllerName);
   }
 
   /** The first fencing token of the term of the leader that the replica shows. */
@@ -114,7 +114,7 @@
    * replica was up to date.
    */
   public long lastConfirmedMs() {
-    return Math.min(leaderLease.lastRenewalMs(), replica.freshAsOfMs());
+    return Math.min(leaderLease.lastRenewalSentMs(), replica.freshAsOfMs());
   }
 
   /** Whether this controller observed so many new terms lately that leadership is unstable. */
@@ -146,8 +146,8 @@
    * replica shows the new leader.
    */
   public void observeToken(long token) {
-    if (term.isPresent() && term.get().isBefore(token)) {
-      deposed("another controller has a higher token");
+    if (term.isPresent() && term.get().isDeposedBy(token)) {
+      endTerm("another controller has a higher token");
     } else {
       replica.readBarrier(isRead -> {});
     }
@@ -156,8 +156,8 @@
   /**
    * Ends this controller's term on a sign that a newer leader exists, and reads the state service.
    */
-  public void deposed(String cause) {
-    leaderLease.end(cause);
+  public void endTerm(String cause) {
+    leaderLease.stopHolding(cause);
     replica.readBarrier(isRead -> {});
   }
 
@@ -180,7 +180,7 @@
   private final class LeaseEvents implements RoleLease.Listener {
     @Override
     public void acquired(HeldRole role) {
-      Term started = new Term(role.epoch(), role.modRevision(), role.sinceMs());
+      Term started = new Term(role.epoch(), role.modRevision(), role.heldSinceMs());
       LOG.info("leadership acquired: token={}", started.fencingToken());
       term = Optional.of(started);
       listener.elected(started);
--- a/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
+++ b/src/main/java/org/ploverspindle/leadership/FencedWorkerClient.java
@@ -28,16 +28,16 @@
   public void send(
       String address,
       long fencingToken,
-      long agentEpoch,
+      long workerEpoch,
       List<WorkerCommand> commands,
       Consumer<Optional<Heartbeat>> callback) {
     workers.send(
         address,
         fencingToken,
-        agentEpoch,
+        workerEpoch,
         commands,
         heartbeat -> {
-          if (heartbeat.isPresent() && term.isBefore(heartbeat.get().fencingToken())) {
+          if (heartbeat.isPresent() && term.isDeposedBy(heartbeat.get().fencingToken())) {
             rejections.add(FencingRejections.Kind.WORKER_COMMAND);
           }
           callback.accept(heartbeat);
--- a/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
+++ b/src/main/java/org/ploverspindle/leadership/FencingTokenBroadcast.java
@@ -75,10 +75,10 @@
       if (remaining == 0 || !commands.hasCapacity()) {
         return;
       }
-      long agentEpoch = machine.lastKnownAgentEpoch();
-      if (hasNotContactedThisLeader(machine) && agentEpoch > 0 && isDue(machine, nowMs)) {
+      long workerEpoch = machine.lastKnownWorkerEpoch();
+      if (hasNotContactedThisLeader(machine) && workerEpoch > 0 && isDue(machine, nowMs)) {
         lastSentMs.put(machine.host(), nowMs);
-        commands.sendFencingToken(machine, agentEpoch);
+        commands.sendFencingToken(machine, workerEpoch);
         remaining--;
       }
     }
--- a/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/HeartbeatIntake.java
@@ -6,7 +6,7 @@
 import org.ploverspindle.cluster.HeartbeatHandler;
 import org.ploverspindle.cluster.Machine;
 import org.ploverspindle.cluster.MachineRegistry;
-import org.ploverspindle.eventloop.TaskTimings;
+import org.ploverspindle.eventloop.WorkTimings;
 
 /** Processes heartbeats and responds to each of them, at once or after a short delay. */
 final class HeartbeatIntake {
@@ -16,7 +16,7 @@
   private final DelayedResponses delayedResponses;
   private final SpotDrain spotDrain;
   private final LeaderConnectivity connectivity;
-  private final TaskTimings timings;
+  private final WorkTimings timings;
 
   HeartbeatIntake(
       MachineRegistry machines,
@@ -25,7 +25,7 @@
       DelayedResponses delayedResponses,
       SpotDrain spotDrain,
       LeaderConnectivity connectivity,
-      TaskTimings timings) {
+      WorkTimings timings) {
     this.machines = machines;
     this.heartbeatHandler = heartbeatHandler;
     this.authority = authority;
--- a/src/main/java/org/ploverspindle/leadership/JobArrivals.java
+++ b/src/main/java/org/ploverspindle/leadership/JobArrivals.java
@@ -77,8 +77,8 @@
    * Makes the job eligible for placement, counted from the time at which its dependencies were
    * done, or from its acceptance if that time is not known.
    */
-  void markReady(Job job) {
-    job.markReady(pipelines.readyWallMs(job.uid()).orElse(job.acceptedWallMs()));
+  void markEligible(Job job) {
+    job.markEligible(pipelines.readyWallMs(job.uid()).orElse(job.acceptedWallMs()));
   }
 
   /**
@@ -86,7 +86,7 @@
    * the forecast: many jobs may become ready at once, and each of them changes what others inherit.
    */
   void becameReady(Job job) {
-    markReady(job);
+    markEligible(job);
     newlyReady.add(job);
     inheritance.changed();
   }
@@ -130,7 +130,7 @@
     int tasks = job.spec().tasks();
     Resources perTask = job.perTask();
     Resources allTasks = new Resources(perTask.cores() * tasks, perTask.accelerators() * tasks, 0);
-    return teams.guarantees(job.team(), allTasks) && job.deadlineS().isEmpty();
+    return teams.guaranteeCovers(job.team(), allTasks) && job.deadlineS().isEmpty();
   }
 
   /**
@@ -144,8 +144,8 @@
   }
 
   /** How many cores, in thousandths, are kept busy by work that arrives at the recent rate. */
-  double coresForRate(long wallMs) {
-    return forecast.coresForRate(estimates, wallMs);
+  double coresForArrivalRate(long wallMs) {
+    return forecast.coresForArrivalRate(estimates, wallMs);
   }
 
   /** Whether users have stopped submitting jobs. */
--- a/src/main/java/org/ploverspindle/leadership/JobCancellation.java
+++ b/src/main/java/org/ploverspindle/leadership/JobCancellation.java
@@ -39,7 +39,7 @@
     if (job.cancelled()) {
       return;
     }
-    job.cancel();
+    job.markCancelled();
     removeUnsentPlacements(job);
     LOG.info(
         "job cancelled: job={} active_placements={}", job.uid(), job.activePlacements().size());
@@ -51,7 +51,7 @@
   private void removeUnsentPlacements(Job job) {
     long nowMs = scheduler.nowMs();
     for (Placement placement : List.copyOf(job.activePlacements())) {
-      if (placement.neverSent()) {
+      if (placement.isNeverSent()) {
         machines.removePlacement(placement, nowMs);
       }
     }
--- a/src/main/java/org/ploverspindle/leadership/JobIntake.java
+++ b/src/main/java/org/ploverspindle/leadership/JobIntake.java
@@ -118,7 +118,7 @@
     if (!job.blockedOnDependencies()) {
       return;
     }
-    arrivals.markReady(job);
+    arrivals.markEligible(job);
     if (!job.isTerminal()) {
       writer.taskChanged(job, 0);
     }
--- a/src/main/java/org/ploverspindle/leadership/Leader.java
+++ b/src/main/java/org/ploverspindle/leadership/Leader.java
@@ -62,11 +62,11 @@
   public void start() {
     long nowMs = scheduler.nowMs();
     components.arrivals.loadRecentArrivals(acceptedJobs);
-    boolean logDamaged = components.recovery.restore(nowMs);
+    boolean hasUnreadableLogRecord = components.recovery.restore(nowMs);
     components.arrivals.update();
-    if (logDamaged) {
+    if (hasUnreadableLogRecord) {
       // Tasks that no record mentions may run until all worker leases of earlier terms expire.
-      components.rounds.notBefore(nowMs + timing.takeoverSilenceMs());
+      components.rounds.notBefore(nowMs + timing.takeoverWaitMs());
     }
     LOG.info(
         "term started: token={} jobs={} machines={}",
@@ -145,8 +145,8 @@
    *
    * @param count the heartbeats within about one second
    */
-  public void misdirectedHeartbeats(int count) {
-    components.connectivity.misdirectedHeartbeats(scheduler.nowMs(), count);
+  public void recordMisdirectedHeartbeats(int count) {
+    components.connectivity.recordMisdirectedHeartbeats(scheduler.nowMs(), count);
   }
 
   /**
--- a/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderComponents.java
@@ -12,7 +12,7 @@
 import org.ploverspindle.cluster.Placement;
 import org.ploverspindle.cluster.TeamUsage;
 import org.ploverspindle.eventloop.Scheduler;
-import org.ploverspindle.eventloop.TaskTimings;
+import org.ploverspindle.eventloop.WorkTimings;
 import org.ploverspindle.model.Catalogue;
 import org.ploverspindle.model.SafetyTiming;
 import org.ploverspindle.model.Term;
@@ -43,7 +43,7 @@
    * Added to the time without heartbeats after which tasks of earlier terms are proven gone, so
    * that the leader acts on this proof before it resigns.
    */
-  private static final long TAKEOVER_SILENCE_MARGIN_MS = 4_000;
+  private static final long TAKEOVER_WAIT_MARGIN_MS = 4_000;
 
   /** The longest delay of a response in seconds. The shorter of this and the next limit applies. */
   private static final double MAX_RESPONSE_DELAY_S = 2;
@@ -82,7 +82,7 @@
   private final HeartbeatHandler heartbeatHandler;
   private final Placer placer;
 
-  final TaskTimings timings = new TaskTimings();
+  final WorkTimings timings = new WorkTimings();
   final JobTable jobs;
   final MachineRegistry machines;
   final ProgressWriter writer;
@@ -247,7 +247,7 @@
 
   private LeaderConnectivity newConnectivity() {
     long minNoContactTimeoutMs =
-        election.isUnstable() ? timing.takeoverSilenceMs() + TAKEOVER_SILENCE_MARGIN_MS : 0;
+        election.isUnstable() ? timing.takeoverWaitMs() + TAKEOVER_WAIT_MARGIN_MS : 0;
     return new LeaderConnectivity(
         machines, term, settings, () -> autoscaler.isMachineListRead(), minNoContactTimeoutMs);
   }
@@ -308,7 +308,7 @@
   }
 
   private void schedulePendingTasks() {
-    autoscaler.scaleOutSoon();
+    autoscaler.scaleOutIfFleetIsEmpty();
     rounds.schedule();
   }
 
@@ -333,7 +333,7 @@
 
     @Override
     public void deposed(String cause) {
-      election.deposed(cause);
+      election.endTerm(cause);
     }
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderConnectivity.java
@@ -75,7 +75,7 @@
   private final MisdirectedHeartbeats misdirected;
   private long lastHeartbeatMs;
   private long lastCheckMs;
-  private long listeningSinceMs;
+  private long receivingHeartbeatsSinceMs;
   private int maxHeard;
 
   /**
@@ -102,7 +102,7 @@
     this.misdirected = new MisdirectedHeartbeats(machines, windowMs);
     this.lastHeartbeatMs = term.startMs();
     this.lastCheckMs = term.startMs();
-    this.listeningSinceMs = term.startMs();
+    this.receivingHeartbeatsSinceMs = term.startMs();
   }
 
   /** Records the arrival of a heartbeat, of whatever machine. */
@@ -114,13 +114,13 @@
    * Records how many heartbeats reached another controller although their machines had received
    * responses of this leader.
    */
-  void misdirectedHeartbeats(long nowMs, int heartbeats) {
+  void recordMisdirectedHeartbeats(long nowMs, int heartbeats) {
     misdirected.record(nowMs, heartbeats);
   }
 
   /** Since when this process has received heartbeats without a pause, on the steady clock. */
-  long listeningSinceMs() {
-    return listeningSinceMs;
+  long receivingHeartbeatsSinceMs() {
+    return receivingHeartbeatsSinceMs;
   }
 
   /**
@@ -133,12 +133,12 @@
    */
   Optional<String> resignationCause(long nowMs) {
     if (nowMs - lastCheckMs > PROCESS_PAUSE_MS) {
-      listeningSinceMs = nowMs;
+      receivingHeartbeatsSinceMs = nowMs;
       misdirected.clear();
     }
     lastCheckMs = nowMs;
     misdirected.update(nowMs);
-    if (isOnlyController || nowMs - listeningSinceMs < windowMs) {
+    if (isOnlyController || nowMs - receivingHeartbeatsSinceMs < windowMs) {
       return Optional.empty();
     }
     if (areResponsesLost(nowMs)) {
@@ -156,7 +156,7 @@
    * fencing token.
    */
   private boolean areResponsesLost(long nowMs) {
-    if (nowMs - listeningSinceMs < 2 * windowMs) {
+    if (nowMs - receivingHeartbeatsSinceMs < 2 * windowMs) {
       return false;
     }
     int misdirectedCount = misdirected.count();
--- a/src/main/java/org/ploverspindle/leadership/LeaderRecords.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderRecords.java
@@ -25,16 +25,16 @@
 
   @Override
   public String epochKey() {
-    return Keys.TOKEN;
+    return Keys.FENCING_TOKEN;
   }
 
   @Override
   public JsonNode encode(RoleHolder holder) {
     return Cbor.map()
-        .put("member", holder.member())
+        .put("member", holder.controllerName())
         .put("nonce", holder.nonce())
         .put("token", holder.epoch())
-        .put("hold", holder.lease());
+        .put("hold", holder.leaseId());
   }
 
   @Override
@@ -55,8 +55,8 @@
 
   /** Encodes the last token of the term that takes this epoch; the next term begins above it. */
   @Override
-  public JsonNode encodeEpochs(long taken) {
-    return Cbor.map().put("n", taken + Term.TOKENS_PER_TERM - 1);
+  public JsonNode encodeEpoch(long latestEpoch) {
+    return Cbor.map().put("n", latestEpoch + Term.TOKENS_PER_TERM - 1);
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
+++ b/src/main/java/org/ploverspindle/leadership/LeaderStatus.java
@@ -25,7 +25,7 @@
         machines.all().size(),
         up,
         placed,
-        writer.backlog(),
-        autoscaler.scaleInStatus());
+        writer.backlogSize(),
+        autoscaler.terminationStatus());
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/LeadershipStatus.java
+++ b/src/main/java/org/ploverspindle/leadership/LeadershipStatus.java
@@ -20,19 +20,19 @@
   public String toString() {
     Optional<RoleHolder> holder = lease.holder();
     return "duty=lead holder="
-        + holder.map(RoleHolder::member).orElse("none")
+        + holder.map(RoleHolder::controllerName).orElse("none")
         + holder.map(known -> " epoch=" + known.epoch()).orElse("")
         + lease.held().map(this::heldByThisController).orElse("")
-        + histogram(" renewal_ms", lease.renewalMs())
-        + histogram(" vacant_ms", lease.vacantMs());
+        + histogram(" renewal_ms", lease.renewalDurationsMs())
+        + histogram(" vacant_ms", lease.vacancyDurationsMs());
   }
 
   private String heldByThisController(HeldRole role) {
     return String.format(
         Locale.ROOT,
         " held_s=%.1f renewed_s_ago=%.1f",
-        (nowMs - role.sinceMs()) / MS_PER_S,
-        (nowMs - lease.lastRenewalMs()) / MS_PER_S);
+        (nowMs - role.heldSinceMs()) / MS_PER_S,
+        (nowMs - lease.lastRenewalSentMs()) / MS_PER_S);
   }
 
   private static String histogram(String name, Histogram values) {
--- a/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
+++ b/src/main/java/org/ploverspindle/leadership/PriorityInheritance.java
@@ -80,7 +80,7 @@
   private void compute() {
     Map<String, CriticalPath.EffectiveValues> byDeadline = computeInherited(spec -> 1);
     Map<String, CriticalPath.EffectiveValues> byLatestDeadline =
-        computeInherited(spec -> objectives.lastMultiple(spec.jobClass()));
+        computeInherited(spec -> objectives.largestDeadlineMultiple(spec.jobClass()));
     hasPipelines = !byDeadline.isEmpty();
     recordsByUid.keySet().retainAll(byDeadline.keySet());
     byDeadline.forEach((uid, inherited) -> inherit(uid, inherited, byLatestDeadline.get(uid)));
@@ -95,8 +95,8 @@
             job ->
                 job.inherit(
                     byDeadline.priority(),
-                    byDeadline.latestFinishMs(),
-                    byLatestDeadline.latestFinishMs()));
+                    byDeadline.latestFinishWallMs(),
+                    byLatestDeadline.latestFinishWallMs()));
   }
 
   /**
@@ -111,11 +111,12 @@
   private CriticalPath.OwnValues ownValues(
       JobRecord record, ToDoubleFunction<JobSpec> deadlineMultiple) {
     JobSpec spec = record.spec();
-    OptionalLong latestFinishMs =
+    OptionalLong latestFinishWallMs =
         spec.deadlineS().isPresent()
             ? OptionalLong.of(record.acceptedWallMs() + scaledDeadlineMs(spec, deadlineMultiple))
             : OptionalLong.empty();
-    return new CriticalPath.OwnValues(latestFinishMs, spec.priority(), estimates.runS(spec));
+    return new CriticalPath.OwnValues(
+        latestFinishWallMs, spec.priority(), estimates.estimatedRuntimeS(spec));
   }
 
   private static long scaledDeadlineMs(JobSpec spec, ToDoubleFunction<JobSpec> deadlineMultiple) {
--- a/src/main/java/org/ploverspindle/leadership/Recovery.java
+++ b/src/main/java/org/ploverspindle/leadership/Recovery.java
@@ -59,11 +59,11 @@
             job.uid());
         job.blockOnDependencies();
       } else if (graph.hasDependencies(job.uid())) {
-        arrivals.markReady(job);
+        arrivals.markEligible(job);
       }
-      restoreJob(job, recorded.of(job), nowMs);
+      restoreJob(job, recorded.statusesOf(job), nowMs);
     }
-    return recorded.logDamaged();
+    return recorded.hasUnreadableLogRecord();
   }
 
   private void restoreJob(Job job, RecordedProgress.RecordedStatuses recorded, long nowMs) {
@@ -96,7 +96,7 @@
             recorded.task(),
             recorded.attempt(),
             machine.get(),
-            recorded.agentEpoch(),
+            recorded.workerEpoch(),
             Placement.Phase.RECOVERED));
     // A late heartbeat may have shown that another attempt of the task completed.
     TaskProgress.stopIfDone(job, recorded.task());
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutDemand.java
@@ -48,7 +48,7 @@
   }
 
   @Override
-  public boolean isQuiet() {
+  public boolean haveSubmissionsStopped() {
     return arrivals.submissionsStopped();
   }
 
@@ -63,8 +63,8 @@
   }
 
   @Override
-  public long listeningSinceMs() {
-    return connectivity.listeningSinceMs();
+  public long receivingHeartbeatsSinceMs() {
+    return connectivity.receivingHeartbeatsSinceMs();
   }
 
   @Override
--- a/src/main/java/org/ploverspindle/leadership/ScaleOutRequests.java
+++ b/src/main/java/org/ploverspindle/leadership/ScaleOutRequests.java
@@ -70,7 +70,7 @@
                 placer.pendingJobs(nowMs, wallMs),
                 jobs.all(),
                 arrivals.expectedHighPriorityJob(),
-                arrivals.coresForRate(wallMs)),
+                arrivals.coresForArrivalRate(wallMs)),
             new ScaleOutPlanner.Supply(usable, pending, candidates),
             nowMs,
             wallMs);
@@ -93,7 +93,7 @@
     }
     expensive.sort(Comparator.comparingLong(machine -> -machine.free().cores()));
     for (Machine machine : expensive) {
-      machine.setScaleInCandidate(planner.isExpensiveSurplus(machine));
+      machine.setScaleInCandidate(planner.removeIfSurplus(machine));
     }
   }
 
--- a/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
+++ b/src/main/java/org/ploverspindle/leadership/SchedulingRounds.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 import java.util.function.BooleanSupplier;
 import org.ploverspindle.eventloop.Scheduler;
-import org.ploverspindle.eventloop.TaskTimings;
+import org.ploverspindle.eventloop.WorkTimings;
 import org.ploverspindle.placement.Placer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -25,7 +25,7 @@
   private final Scheduler scheduler;
   private final Placer placer;
   private final JobArrivals arrivals;
-  private final TaskTimings timings;
+  private final WorkTimings timings;
   private final BooleanSupplier isAuthoritative;
   private OptionalLong notBeforeMs = OptionalLong.empty();
   private long lastRoundDurationMs;
@@ -39,7 +39,7 @@
       Scheduler scheduler,
       Placer placer,
       JobArrivals arrivals,
-      TaskTimings timings,
+      WorkTimings timings,
       BooleanSupplier isAuthoritative) {
     this.scheduler = scheduler;
     this.placer = placer;
--- a/src/main/java/org/ploverspindle/leadership/SpotDrain.java
+++ b/src/main/java/org/ploverspindle/leadership/SpotDrain.java
@@ -62,12 +62,12 @@
     JobSpec spec = placement.job().spec();
     double checkpointS = spec.checkpointCostS();
     if (spec.isCheckpointed() && noticeS > checkpointS) {
-      placement.stop(
+      placement.requestStop(
           Math.max(
               checkpointS + CHECKPOINT_MARGIN_S,
               Math.min(noticeS, checkpointS * CHECKPOINT_GRACE_FACTOR)));
     } else if (remainingS > noticeS * STOP_WITHOUT_CHECKPOINT_RATIO) {
-      placement.stop(0);
+      placement.requestStop(0);
     }
   }
 
@@ -81,6 +81,6 @@
     }
     long runningSinceMs = placement.runningSinceMs();
     double elapsedS = runningSinceMs < 0 ? 0 : (nowMs - runningSinceMs) / MS_PER_S;
-    return estimates.runS(placement.job()) - elapsedS;
+    return estimates.estimatedRuntimeS(placement.job()) - elapsedS;
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/TaskOwners.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskOwners.java
@@ -31,7 +31,7 @@
 
   private Optional<HeartbeatHandler.TaskOwner> of(JobRecord record) {
     return teams
-        .index(record.spec().team())
+        .indexOf(record.spec().team())
         .map(team -> new HeartbeatHandler.TaskOwner(team, record.spec().perTask()));
   }
 }
--- a/src/main/java/org/ploverspindle/leadership/TaskProgress.java
+++ b/src/main/java/org/ploverspindle/leadership/TaskProgress.java
@@ -89,7 +89,7 @@
   static void stopIfDone(Job job, int task) {
     Placement placement = job.activePlacement(task);
     if (placement != null && job.completedTasks().contains(task)) {
-      placement.stop(0);
+      placement.requestStop(0);
     }
   }
 
@@ -97,13 +97,13 @@
   public void completed(Placement placement, long nowMs) {
     long runningSinceMs = placement.runningSinceMs();
     if (runningSinceMs >= 0) {
-      estimates.observed(placement.job(), (nowMs - runningSinceMs) / MS_PER_S);
+      estimates.recordRuntime(placement.job(), (nowMs - runningSinceMs) / MS_PER_S);
     }
-    completedUnrecorded(placement.job(), placement.task());
+    completedWithoutPlacement(placement.job(), placement.task());
   }
 
   @Override
-  public void completedUnrecorded(Job job, int task) {
+  public void completedWithoutPlacement(Job job, int task) {
     if (job.isTerminal()) {
       cleanUp(job);
       return;
--- a/src/main/java/org/ploverspindle/leases/HeldRole.java
+++ b/src/main/java/org/ploverspindle/leases/HeldRole.java
@@ -6,7 +6,7 @@
  * @param epoch the epoch of this holder, which is higher than the epochs of all earlier holders
  * @param modRevision the mod revision of the holder's record. Each write under the role is
  *     conditional on it, so that writes of a former holder fail however late they are executed.
- * @param sinceMs when this process first saw its own holder's record, in milliseconds on its
+ * @param heldSinceMs when this process first saw its own holder's record, in milliseconds on its
  *     monotonic clock
  */
-public record HeldRole(long epoch, long modRevision, long sinceMs) {}
+public record HeldRole(long epoch, long modRevision, long heldSinceMs) {}
--- a/src/main/java/org/ploverspindle/leases/RoleLease.java
+++ b/src/main/java/org/ploverspindle/leases/RoleLease.java
@@ -49,11 +49,11 @@
   /**
    * The candidacy of a controller for a role.
    *
-   * @param member the name of this controller
+   * @param controllerName the name of this controller
    * @param records the keys and the encoding of the role's records
    * @param timing the timing of the lease that the holder's record is attached to
    */
-  public record Candidacy(String member, RoleRecords records, LeaseTiming timing) {}
+  public record Candidacy(String controllerName, RoleRecords records, LeaseTiming timing) {}
 
   private final Scheduler scheduler;
   private final StateStore store;
@@ -61,10 +61,10 @@
   private final RandomGenerator random;
   private final StateLease lease;
   private final RoleRecords records;
-  private final String member;
+  private final String controllerName;
   private final String nonce;
   private final Listener listener;
-  private final Histogram vacantMs = new Histogram(MAX_RECORDED_VACANCY_MS, 2);
+  private final Histogram vacancyDurationsMs = new Histogram(MAX_RECORDED_VACANCY_MS, 2);
   private Optional<HeldRole> held = Optional.empty();
   private Optional<Long> vacantSinceMs = Optional.empty();
   private Optional<String> lastUnreadableKey = Optional.empty();
@@ -85,7 +85,7 @@
     this.random = random;
     this.lease = new StateLease(scheduler, store, candidacy.timing());
     this.records = candidacy.records();
-    this.member = candidacy.member();
+    this.controllerName = candidacy.controllerName();
     this.nonce = Long.toString(random.nextLong() >>> 1, Character.MAX_RADIX);
     this.listener = listener;
     replica.addListener(this::holderRecordChanged);
@@ -110,7 +110,7 @@
    * Returns when the last acknowledged request to open or renew the lease was sent, in milliseconds
    * on the monotonic clock.
    */
-  public long lastRenewalMs() {
+  public long lastRenewalSentMs() {
     return lease.lastRenewalSentMs();
   }
 
@@ -120,15 +120,15 @@
   }
 
   /** Returns the response times of acknowledged renewals of the lease, in milliseconds. */
-  public Histogram renewalMs() {
-    return lease.renewalMs();
+  public Histogram renewalDurationsMs() {
+    return lease.renewalDurationsMs();
   }
 
   /**
    * Returns the durations of the periods without a holder that this process saw, in milliseconds.
    */
-  public Histogram vacantMs() {
-    return vacantMs;
+  public Histogram vacancyDurationsMs() {
+    return vacancyDurationsMs;
   }
 
   /**
@@ -140,7 +140,7 @@
       return;
     }
     if (held.isPresent()) {
-      lease.renewIfDue(() -> end("the state lease ended"));
+      lease.renewIfDue(() -> stopHolding("the state lease ended"));
     } else if (isVacant()) {
       tryToAcquire();
     }
@@ -173,7 +173,7 @@
 
   private void acquire(long epoch, long epochModRevision, long leaseId) {
     acquiring = true;
-    JsonNode record = records.encode(new RoleHolder(member, nonce, epoch, leaseId));
+    JsonNode record = records.encode(new RoleHolder(controllerName, nonce, epoch, leaseId));
     store.commit(
         new StateStore.Transaction(
             List.of(
@@ -181,7 +181,7 @@
                 new Condition(records.epochKey(), epochModRevision)),
             List.of(
                 new Change.Put(records.holderKey(), record, Optional.of(leaseId)),
-                new Change.Put(records.epochKey(), records.encodeEpochs(epoch)))),
+                new Change.Put(records.epochKey(), records.encodeEpoch(epoch)))),
         result -> {
           if (result instanceof TransactionResult.NoSuchLease) {
             lease.discard();
@@ -204,7 +204,7 @@
     if (entry.isEmpty()) {
       vacantSinceMs = Optional.of(scheduler.nowMs());
       nextAttemptMs = scheduler.nowMs() + random.nextInt(FIRST_ATTEMPT_JITTER_MS);
-      end("the holder's record is gone");
+      stopHolding("the holder's record is gone");
       return;
     }
     vacantSinceMs.ifPresent(this::recordVacancy);
@@ -212,18 +212,18 @@
     Optional<RoleHolder> holder = records.decode(entry.get().value());
     if (holder.isEmpty()) {
       logUnreadable(key);
-      end("the holder's record is malformed");
+      stopHolding("the holder's record is malformed");
     } else if (isOwnRecord(holder.get())) {
       ownRecordWritten(entry.get().modRevision(), holder.get());
     } else {
       closeIfAbandoned(holder.get());
-      end("another controller holds the role: " + holder.get().member());
+      stopHolding("another controller holds the role: " + holder.get().controllerName());
     }
   }
 
   private void recordVacancy(long sinceMs) {
     long durationMs = Math.max(0, scheduler.nowMs() - sinceMs);
-    vacantMs.recordValue(Math.min(MAX_RECORDED_VACANCY_MS, durationMs));
+    vacancyDurationsMs.recordValue(Math.min(MAX_RECORDED_VACANCY_MS, durationMs));
   }
 
   /**
@@ -232,7 +232,8 @@
    * when that lease ends.
    */
   private boolean isOwnRecord(RoleHolder holder) {
-    return holder.nonce().equals(nonce) && lease.id().map(id -> id == holder.lease()).orElse(false);
+    return holder.nonce().equals(nonce)
+        && lease.id().map(id -> id == holder.leaseId()).orElse(false);
   }
 
   /**
@@ -241,8 +242,8 @@
    * controllers acquire the role without waiting for it to expire.
    */
   private void closeIfAbandoned(RoleHolder holder) {
-    if (holder.member().equals(member)) {
-      store.closeLease(holder.lease());
+    if (holder.controllerName().equals(controllerName)) {
+      store.closeLease(holder.leaseId());
     }
   }
 
@@ -250,11 +251,11 @@
     if (held.isPresent() && held.get().modRevision() == modRevision) {
       return;
     }
-    end("the holder's record was replaced");
+    stopHolding("the holder's record was replaced");
     HeldRole role = new HeldRole(ownRecord.epoch(), modRevision, scheduler.nowMs());
     // After a read that is sent now, the replica contains every write of earlier holders that was
     // executed. Their later writes fail, as they are conditional on the replaced holder's record.
-    replica.readBarrier(isRead -> confirmAcquired(role, ownRecord.lease(), isRead));
+    replica.readBarrier(isRead -> confirmAcquired(role, ownRecord.leaseId(), isRead));
   }
 
   /**
@@ -283,7 +284,7 @@
    * Stops holding the role in this process because it may have been lost. The holder's record stays
    * until its lease ends.
    */
-  public void end(String cause) {
+  public void stopHolding(String cause) {
     if (held.isPresent()) {
       HeldRole lostRole = held.get();
       held = Optional.empty();
@@ -297,7 +298,7 @@
    */
   public void release(String cause) {
     lease.close();
-    end(cause);
+    stopHolding(cause);
   }
 
   private void logUnreadable(String key) {
--- a/src/main/java/org/ploverspindle/leases/RoleRecords.java
+++ b/src/main/java/org/ploverspindle/leases/RoleRecords.java
@@ -21,7 +21,7 @@
   Optional<RoleHolder> decode(JsonNode record);
 
   /** Returns the stored form of the epoch record after this epoch was used for a holder. */
-  JsonNode encodeEpochs(long latestEpoch);
+  JsonNode encodeEpoch(long latestEpoch);
 
   /**
    * Returns an epoch that is higher than all epochs used so far; empty if the record is malformed.
--- a/src/main/java/org/ploverspindle/leases/StateLease.java
+++ b/src/main/java/org/ploverspindle/leases/StateLease.java
@@ -21,7 +21,7 @@
   private final Scheduler scheduler;
   private final StateStore store;
   private final LeaseTiming timing;
-  private final Histogram renewalMs = new Histogram(MAX_RECORDED_RENEWAL_MS, 2);
+  private final Histogram renewalDurationsMs = new Histogram(MAX_RECORDED_RENEWAL_MS, 2);
   private Optional<Long> id = Optional.empty();
   private long lastRenewalSentMs;
   private boolean requestInFlight;
@@ -109,7 +109,7 @@
           if (result == Renewal.RENEWED) {
             lastRenewalSentMs = Math.max(lastRenewalSentMs, requestSentMs);
             long durationMs = Math.max(0, scheduler.nowMs() - requestSentMs);
-            renewalMs.recordValue(Math.min(MAX_RECORDED_RENEWAL_MS, durationMs));
+            renewalDurationsMs.recordValue(Math.min(MAX_RECORDED_RENEWAL_MS, durationMs));
           } else if (result == Renewal.GONE) {
             id = Optional.empty();
             onExpired.run();
@@ -129,7 +129,7 @@
   }
 
   /** Returns the response times of acknowledged renewals, in milliseconds. */
-  Histogram renewalMs() {
-    return renewalMs;
+  Histogram renewalDurationsMs() {
+    return renewalDurationsMs;
   }
 }
--- a/src/main/java/org/ploverspindle/model/Catalogue.java
+++ b/src/main/java/org/ploverspindle/model/Catalogue.java
@@ -26,7 +26,7 @@
    *     order
    */
   public Catalogue(List<String> zonesInOrder) {
-    zonesInOrder.forEach(this::zone);
+    zonesInOrder.forEach(this::zoneIndexOrAdd);
   }
 
   /**
@@ -35,7 +35,7 @@
    */
   public void update(List<MachineType> listedTypes) {
     for (MachineType type : listedTypes) {
-      type.zones().forEach(this::zone);
+      type.zones().forEach(this::zoneIndexOrAdd);
       Integer existingIndex = typeIndex.get(type.name());
       if (existingIndex == null) {
         typeIndex.put(type.name(), types.size());
@@ -49,7 +49,7 @@
   /**
    * Whether at least one machine type is in the catalogue. Until then no placement can be decided.
    */
-  public boolean isKnown() {
+  public boolean hasMachineTypes() {
     return !types.isEmpty();
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** The index of the zone with this name. A zone that is not in the catalogue yet is added. */
-  public int zone(String name) {
+  public int zoneIndexOrAdd(String name) {
     return zoneIndex.computeIfAbsent(
         name,
         newName -> {
--- a/src/main/java/org/ploverspindle/model/JobSpec.java
+++ b/src/main/java/org/ploverspindle/model/JobSpec.java
@@ -16,8 +16,9 @@
  * @param cores processor cores per task
  * @param accelerators accelerators per task
  * @param memoryGb memory per task in GB
- * @param types the names of the machine types that the job may run on; if empty, it may run on all
- * @param zone the only zone in which the job may run; if empty, it may run in any zone
+ * @param allowedTypes the names of the machine types that the job may run on; if empty, it may run
+ *     on all
+ * @param requiredZone the only zone in which the job may run; if empty, it may run in any zone
  * @param oneZone whether all tasks must run in the same zone
  * @param spreadOverZones whether the tasks must be spread over zones
  * @param spot whether the job may run on spot machines
@@ -42,8 +43,8 @@
     double cores,
     double accelerators,
     double memoryGb,
-    Optional<List<String>> types,
-    Optional<String> zone,
+    Optional<List<String>> allowedTypes,
+    Optional<String> requiredZone,
     boolean oneZone,
     boolean spreadOverZones,
     boolean spot,
@@ -64,7 +65,7 @@
   }
 
   /** Returns a copy of this specification that allows only these machine types. */
-  public JobSpec withTypes(List<String> allowedTypes) {
+  public JobSpec withTypes(List<String> typeNames) {
     return new JobSpec(
         uid,
         jobClass,
@@ -75,8 +76,8 @@
         cores,
         accelerators,
         memoryGb,
-        Optional.of(allowedTypes),
-        zone,
+        Optional.of(typeNames),
+        requiredZone,
         oneZone,
         spreadOverZones,
         spot,
--- a/src/main/java/org/ploverspindle/model/SafetyTiming.java
+++ b/src/main/java/org/ploverspindle/model/SafetyTiming.java
@@ -10,10 +10,10 @@
  *     state service measures it
  * @param heartbeatGraceMs how long a leader may respond to heartbeats after it last confirmed its
  *     leadership and read the state; each response renews a worker lease
- * @param agentLeaseMs the time without a response after which a worker's lease has certainly
+ * @param workerLeaseMs the time without a response after which a worker's lease has certainly
  *     expired and the worker has stopped its tasks
  */
-public record SafetyTiming(long stateLeaseMs, long heartbeatGraceMs, long agentLeaseMs) {
+public record SafetyTiming(long stateLeaseMs, long heartbeatGraceMs, long workerLeaseMs) {
   /**
    * Upper bound of the ratio of the rates of two clocks. The rates may differ by 0.05 %; the bound
    * allows for four times as much.
@@ -27,7 +27,7 @@
   private static final double CANCEL_MARGIN_S = 2.5;
 
   /** Time in seconds by which a worker lease is assumed to outlast its configured duration. */
-  private static final double AGENT_LEASE_MARGIN_S = 0.3;
+  private static final double WORKER_LEASE_MARGIN_S = 0.3;
 
   /**
    * Lower bound of the time to live of a lease in the state service. A leader loses its leadership
@@ -59,19 +59,19 @@
    * @param cores the number of processor cores of this controller, possibly less than one
    */
   public static SafetyTiming of(Settings.WorkerLimits workerLimits, double cores) {
-    double agentLeaseS = workerLimits.leaseS() * MAX_CLOCK_RATE_RATIO + AGENT_LEASE_MARGIN_S;
+    double workerLeaseS = workerLimits.leaseS() * MAX_CLOCK_RATE_RATIO + WORKER_LEASE_MARGIN_S;
     // A leader does not know of a cancellation that is accepted right after it last read the state.
     // Until the grace ends, its responses renew worker leases. Grace and worker lease together must
     // therefore end within cancel_s after the cancellation.
     double graceS =
         Math.max(
-            0, (workerLimits.cancelS() - CANCEL_MARGIN_S) / MAX_CLOCK_RATE_RATIO - agentLeaseS);
+            0, (workerLimits.cancelS() - CANCEL_MARGIN_S) / MAX_CLOCK_RATE_RATIO - workerLeaseS);
     long stateLeaseMs =
         Math.min(
             MAX_STATE_LEASE_MS,
             MIN_STATE_LEASE_MS + Math.round(STATE_LEASE_ONE_CORE_ADDITION_MS / cores));
     return new SafetyTiming(
-        stateLeaseMs, Math.round(graceS * 1000), Math.round(agentLeaseS * 1000));
+        stateLeaseMs, Math.round(graceS * 1000), Math.round(workerLeaseS * 1000));
   }
 
   /**
@@ -86,8 +86,8 @@
    * How long after the start of its term a leader must assume that worker leases which an earlier
    * leader renewed are still valid, in milliseconds.
    */
-  public long takeoverSilenceMs() {
-    return Math.round((heartbeatGraceMs + agentLeaseMs) * MAX_CLOCK_RATE_RATIO)
+  public long takeoverWaitMs() {
+    return Math.round((heartbeatGraceMs + workerLeaseMs) * MAX_CLOCK_RATE_RATIO)
         + TAKEOVER_MARGIN_MS;
   }
 }
--- a/src/main/java/org/ploverspindle/model/Term.java
+++ b/src/main/java/org/ploverspindle/model/Term.java
@@ -18,12 +18,12 @@
   public static final long TOKENS_PER_TERM = 1L << 20;
 
   /** Whether the token is in the range of this term. */
-  public boolean owns(long token) {
+  public boolean includes(long token) {
     return token >= fencingToken && token < fencingToken + TOKENS_PER_TERM;
   }
 
   /** Whether the token is of a later term. If it is, this term has ended. */
-  public boolean isBefore(long token) {
+  public boolean isDeposedBy(long token) {
     return token >= fencingToken + TOKENS_PER_TERM;
   }
 }
--- a/src/main/java/org/ploverspindle/net/UndertowHttpClient.java
+++ b/src/main/java/org/ploverspindle/net/UndertowHttpClient.java
@@ -50,7 +50,7 @@
    * Creates a client for a single call, after which its connection is closed. It is meant for
    * targets that are too many to keep a connection open to each.
    */
-  public static UndertowHttpClient once(
+  public static UndertowHttpClient nonPersistent(
       Scheduler scheduler, XnioIoThread ioThread, ByteBufferPool buffers, String address) {
     URI target = targetUri(address);
     return new UndertowHttpClient(
--- a/src/main/java/org/ploverspindle/net/package-info.java
+++ b/src/main/java/org/ploverspindle/net/package-info.java
@@ -6,6 +6,6 @@
  * and writes CBOR trees. Owns: the connections to each target, and the bounded queue of requests
  * that wait for a connection. Does not interpret the requests.
  *
- * <p>May depend on: {@code eventloop}, on which outcomes are delivered.
+ * <p>Allowed dependencies: {@code eventloop}, on which outcomes are delivered.
  */
 package org.ploverspindle.net;
--- a/src/main/java/org/ploverspindle/peers/PeerCodec.java
+++ b/src/main/java/org/ploverspindle/peers/PeerCodec.java
@@ -66,7 +66,7 @@
   private static void writeBody(PeerMessage message, DataOutputStream out) throws IOException {
     out.writeByte(FORMAT_VERSION);
     out.writeByte(kind(message));
-    out.writeUTF(message.member());
+    out.writeUTF(message.controllerName());
     if (message instanceof PeerMessage.Leading leading) {
       out.writeLong(leading.token());
     } else if (message instanceof PeerMessage.Resigned resigned) {
--- a/src/main/java/org/ploverspindle/peers/PeerMessage.java
+++ b/src/main/java/org/ploverspindle/peers/PeerMessage.java
@@ -6,19 +6,19 @@
  */
 public sealed interface PeerMessage {
   /** Returns the name of the controller that sends the message. */
-  String member();
+  String controllerName();
 
   /** The sender leads under this fencing token. */
-  record Leading(String member, long token) implements PeerMessage {}
+  record Leading(String controllerName, long token) implements PeerMessage {}
 
   /**
    * The sender no longer leads: no controller need wait for its lease in the state service to
    * expire.
    */
-  record Resigned(String member, long token) implements PeerMessage {}
+  record Resigned(String controllerName, long token) implements PeerMessage {}
 
   /** The sender wrote a job or a cancellation that the leader should read soon. */
-  record StateChanged(String member) implements PeerMessage {}
+  record StateChanged(String controllerName) implements PeerMessage {}
 
   /**
    * Heartbeats reached the sender in the last second from workers that have had responses of the
@@ -27,14 +27,14 @@
    *
    * @param count the number of these heartbeats
    */
-  record MisdirectedHeartbeats(String member, int count) implements PeerMessage {}
+  record MisdirectedHeartbeats(String controllerName, int count) implements PeerMessage {}
 
   /** The sender can't use the state service and asks the other controllers whether they can. */
-  record ReachabilityProbe(String member) implements PeerMessage {}
+  record ReachabilityProbe(String controllerName) implements PeerMessage {}
 
   /**
    * The sender has recently read the state service, which has also processed a conditional
    * transaction of the sender.
    */
-  record ReachabilityReply(String member) implements PeerMessage {}
+  record ReachabilityReply(String controllerName) implements PeerMessage {}
 }
--- a/src/main/java/org/ploverspindle/peers/PeerServer.java
+++ b/src/main/java/org/ploverspindle/peers/PeerServer.java
@@ -51,7 +51,7 @@
       Scheduler scheduler,
       XnioWorker worker,
       Address listenAddress,
-      List<Settings.Member> members,
+      List<Settings.OtherController> otherControllers,
       Consumer<PeerMessage> listener) {
     this.scheduler = scheduler;
     this.worker = worker;
@@ -59,10 +59,11 @@
     this.listenAddress = listenAddress;
     // Each peer has one connection to this server, and a second one while the loss of the first has
     // not been noticed. Two more are spare.
-    this.maxConnections = 2 * members.size() + 2;
+    this.maxConnections = 2 * otherControllers.size() + 2;
     this.listener = listener;
-    members.forEach(
-        member -> clients.put(member.name(), new PeerClient(ioThread, member.address())));
+    otherControllers.forEach(
+        controller ->
+            clients.put(controller.name(), new PeerClient(ioThread, controller.address())));
   }
 
   /**
@@ -102,9 +103,9 @@
   }
 
   @Override
-  public void send(String member, PeerMessage message) {
+  public void send(String controllerName, PeerMessage message) {
     byte[] frame = PeerCodec.encode(message);
-    PeerClient client = clients.get(member);
+    PeerClient client = clients.get(controllerName);
     if (client != null) {
       ioThread.execute(() -> client.send(frame));
     }
--- a/src/main/java/org/ploverspindle/peers/Peers.java
+++ b/src/main/java/org/ploverspindle/peers/Peers.java
@@ -6,7 +6,7 @@
  */
 public interface Peers {
   /** Sends a message to one controller. A message to an unknown name is dropped. */
-  void send(String member, PeerMessage message);
+  void send(String controllerName, PeerMessage message);
 
   /** Sends a message to all other controllers. */
   void broadcast(PeerMessage message);
--- a/src/main/java/org/ploverspindle/peers/package-info.java
+++ b/src/main/java/org/ploverspindle/peers/package-info.java
@@ -6,6 +6,6 @@
  * the state service. The loss of a message can delay a reaction, but never makes a decision
  * incorrect. Owns: the peer connections, and the wire format with its version.
  *
- * <p>May depend on: {@code eventloop} and {@code settings}.
+ * <p>Allowed dependencies: {@code eventloop} and {@code settings}.
  */
 package org.ploverspindle.peers;
--- a/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
+++ b/src/main/java/org/ploverspindle/pipelines/CriticalPath.java
@@ -23,23 +23,23 @@
   /**
    * The values of a job without regard to its dependents.
    *
-   * @param latestFinishMs wall-clock time in milliseconds by which the job must finish because of
-   *     its own deadline; empty if it has none
+   * @param latestFinishWallMs wall-clock time in milliseconds by which the job must finish because
+   *     of its own deadline; empty if it has none
    * @param priority the priority with which the job was submitted
    * @param runS estimated run time of the job in seconds
    */
-  public record OwnValues(OptionalLong latestFinishMs, Priority priority, double runS) {}
+  public record OwnValues(OptionalLong latestFinishWallMs, Priority priority, double runS) {}
 
   /**
    * The values of a job that follow from its own values and from those of its unfinished direct and
    * indirect dependents.
    *
-   * @param latestFinishMs wall-clock time in milliseconds by which the job must finish, so that
+   * @param latestFinishWallMs wall-clock time in milliseconds by which the job must finish, so that
    *     neither its own deadline nor that of a dependent is missed; empty if none of these jobs has
    *     a deadline
    * @param priority the highest priority of these jobs
    */
-  public record EffectiveValues(OptionalLong latestFinishMs, Priority priority) {}
+  public record EffectiveValues(OptionalLong latestFinishWallMs, Priority priority) {}
 
   /** The latest finish of a job if neither the job nor any of its dependents has a deadline. */
   private static final double NO_LATEST_FINISH = Double.POSITIVE_INFINITY;
@@ -114,7 +114,9 @@
   private void computeVertex(Vertex vertex) {
     OwnValues own = ownValuesOf.apply(vertex.uid).orElse(NO_OWN_VALUES);
     double latestMs =
-        own.latestFinishMs().isPresent() ? own.latestFinishMs().getAsLong() : NO_LATEST_FINISH;
+        own.latestFinishWallMs().isPresent()
+            ? own.latestFinishWallMs().getAsLong()
+            : NO_LATEST_FINISH;
     Priority priority = own.priority();
     for (Vertex dependent : vertex.dependents) {
       if (isUnfinished(dependent)) {
@@ -124,9 +126,9 @@
       }
     }
     latestStartMs[vertex.index] = latestMs - MS_PER_S * own.runS();
-    OptionalLong latestFinishMs =
+    OptionalLong latestFinishWallMs =
         latestMs == NO_LATEST_FINISH ? OptionalLong.empty() : OptionalLong.of(Math.round(latestMs));
-    effectiveValues.put(vertex.uid, new EffectiveValues(latestFinishMs, priority));
+    effectiveValues.put(vertex.uid, new EffectiveValues(latestFinishWallMs, priority));
   }
 
   private static boolean isUnfinished(Vertex vertex) {
--- a/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
+++ b/src/main/java/org/ploverspindle/pipelines/DependencyGraph.java
@@ -116,7 +116,7 @@
 
   /**
    * Adds a job that has dependencies which are not known yet. The job is not ready until its
-   * dependencies are set by {@link #put} and are done.
+   * dependencies are set by {@link #setDependencies} and are done.
    */
   public void addWithUnknownDependencies(String uid) {
     Vertex vertex = getOrAddVertex(uid);
@@ -131,7 +131,7 @@
    * Sets the dependencies of a job, and adds the job if it is not in the graph. Dependencies that
    * were set before are replaced. Duplicates in the list are ignored.
    */
-  public void put(String uid, List<String> dependencies) {
+  public void setDependencies(String uid, List<String> dependencies) {
     Collection<String> distinct = new LinkedHashSet<>(dependencies);
     Vertex vertex = getOrAddVertex(uid);
     if (!vertex.dependenciesKnown) {
--- a/src/main/java/org/ploverspindle/pipelines/Pipelines.java
+++ b/src/main/java/org/ploverspindle/pipelines/Pipelines.java
@@ -58,7 +58,7 @@
           }
 
           @Override
-          public void corrected(AcceptedJobIndex.AcceptedJob job) {
+          public void replaced(AcceptedJobIndex.AcceptedJob job) {
             incompleteJobsByRecordName
                 .values()
                 .removeIf(incompleteJob -> incompleteJob.uid().equals(job.uid()));
@@ -101,13 +101,13 @@
     JobRecord.StoredDependencies stored = JobRecord.storedDependencies(job.value());
     if (stored instanceof JobRecord.StoredDependencies.Inline inline) {
       if (!inline.uids().isEmpty() || graph.hasDependencies(job.uid())) {
-        graph.put(job.uid(), inline.uids());
+        graph.setDependencies(job.uid(), inline.uids());
       }
     } else if (stored instanceof JobRecord.StoredDependencies.Separate separate) {
       Optional<List<String>> uids = DependenciesRecord.read(replica, separate);
       if (uids.isPresent()) {
         incompleteJobsByRecordName.remove(separate.name());
-        graph.put(job.uid(), uids.get());
+        graph.setDependencies(job.uid(), uids.get());
       } else {
         incompleteJobsByRecordName.put(separate.name(), job);
         graph.addWithUnknownDependencies(job.uid());
--- a/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
+++ b/src/main/java/org/ploverspindle/placement/AdmissionOrder.java
@@ -61,7 +61,7 @@
 
   /** Estimated work of the job's tasks that may start now, in thousandths of core seconds. */
   private double work(Job job) {
-    return job.schedulableTasks(nowMs) * job.perTask().cores() * estimates.runS(job);
+    return job.schedulableTasks(nowMs) * job.perTask().cores() * estimates.estimatedRuntimeS(job);
   }
 
   /**
--- a/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
+++ b/src/main/java/org/ploverspindle/placement/ArrivalForecast.java
@@ -99,7 +99,7 @@
    * rate. With fewer cores a backlog builds up, as a machine that is requested only once work is
    * pending comes up too late for that work.
    */
-  public double coresForRate(RuntimeEstimates estimates, long wallMs) {
+  public double coresForArrivalRate(RuntimeEstimates estimates, long wallMs) {
     recentWork.removeIf(work -> wallMs - work.wallMs() > RATE_WINDOW_MS);
     double sum = 0;
     for (ArrivedWork work : recentWork) {
--- a/src/main/java/org/ploverspindle/placement/CandidateList.java
+++ b/src/main/java/org/ploverspindle/placement/CandidateList.java
@@ -117,7 +117,7 @@
   boolean isExpensive(Job job, MachineGroup group) {
     double lowestPrice = Double.MAX_VALUE;
     for (int type = 0; type < catalogue.types().size(); type++) {
-      if (job.types().get(type)) {
+      if (job.compatibleTypes().get(type)) {
         lowestPrice = Math.min(lowestPrice, pricePerTaskWhenFull(job, type, job.spec().spot()));
       }
     }
--- a/src/main/java/org/ploverspindle/placement/CoreBalances.java
+++ b/src/main/java/org/ploverspindle/placement/CoreBalances.java
@@ -61,10 +61,10 @@
    * Returns the cores that are kept for arriving work even if only expensive machines are left to
    * be requested, in thousandths.
    *
-   * @param coresForRate the cores that arriving work keeps busy on average, in thousandths
+   * @param coresForArrivalRate the cores that arriving work keeps busy on average, in thousandths
    */
-  static double coresKeptForRate(double coresForRate) {
-    return coresForRate * EXPENSIVE_RATE_HEADROOM;
+  static double coresKeptForArrivalRate(double coresForArrivalRate) {
+    return coresForArrivalRate * EXPENSIVE_RATE_HEADROOM;
   }
 
   /**
@@ -72,11 +72,15 @@
    * that can use groups of this set only, less the cores in the set that exist or are pending and
    * are not taken by jobs that could also run outside of it.
    *
-   * @param coresForRate the cores that work keeps busy if it continues to arrive at the recent
-   *     rate, in thousandths
+   * @param coresForArrivalRate the cores that work keeps busy if it continues to arrive at the
+   *     recent rate, in thousandths
    */
   void compute(
-      Collection<Job> jobs, List<Machine> machines, double coresForRate, long nowMs, long wallMs) {
+      Collection<Job> jobs,
+      List<Machine> machines,
+      double coresForArrivalRate,
+      long nowMs,
+      long wallMs) {
     BitSet allGroups = groupSets.all();
     balances.put(allGroups, new Balance());
     Map<Job, BitSet> usableGroups = new HashMap<>();
@@ -95,9 +99,9 @@
           boolean isAllGroups = groups.equals(allGroups);
           addNeeds(balance, groups, needs, usableGroups);
           if (isAllGroups) {
-            balance.shortfall = Math.max(balance.shortfall, coresForRate * RATE_HEADROOM);
+            balance.shortfall = Math.max(balance.shortfall, coresForArrivalRate * RATE_HEADROOM);
             balance.shortfallAtAnyPrice =
-                Math.max(balance.shortfallAtAnyPrice, coresKeptForRate(coresForRate));
+                Math.max(balance.shortfallAtAnyPrice, coresKeptForArrivalRate(coresForArrivalRate));
           }
           double available = availableCores(groups, isAllGroups, machines, usableGroups);
           balance.shortfall -= available;
--- a/src/main/java/org/ploverspindle/placement/CoreDemand.java
+++ b/src/main/java/org/ploverspindle/placement/CoreDemand.java
@@ -82,7 +82,7 @@
     if (job.spec().kind() != JobKind.BATCH) {
       return new Need(coresPerTask * tasks, coresPerTask * tasks);
     }
-    double runS = Math.max(1, estimates.runS(job));
+    double runS = Math.max(1, estimates.estimatedRuntimeS(job));
     double remainingS = startable * runS;
     for (Placement placement : job.activePlacements()) {
       double runningForS = RuntimeEstimates.runningForS(placement, nowMs);
@@ -121,7 +121,7 @@
       // The last tasks start when all others have run, which is one task's runtime before the work
       // is done.
       double startFraction = expensive ? EXPENSIVE_FRACTION : START_FRACTION;
-      double startWindowS = untilLastStartS * startFraction + estimates.runS(job);
+      double startWindowS = untilLastStartS * startFraction + estimates.estimatedRuntimeS(job);
       windowS = Math.min(windowS, Math.max(drainS, startWindowS));
     }
     return windowS;
@@ -141,7 +141,7 @@
             job -> {
               Resources requiredSoFar =
                   requiredByTeam.merge(job.team(), requiredResources(job, nowMs), Resources::plus);
-              if (teams.guarantees(job.team(), requiredSoFar)) {
+              if (teams.guaranteeCovers(job.team(), requiredSoFar)) {
                 covered.add(job);
               }
             });
--- a/src/main/java/org/ploverspindle/placement/GroupSets.java
+++ b/src/main/java/org/ploverspindle/placement/GroupSets.java
@@ -37,7 +37,7 @@
   /** Returns the groups on whose machines the job's tasks may run and fit. */
   BitSet usableBy(Job job) {
     BitSet groups = new BitSet();
-    BitSet types = job.types();
+    BitSet types = job.compatibleTypes();
     for (int type = types.nextSetBit(0); type >= 0; type = types.nextSetBit(type + 1)) {
       for (int zone = 0; zone < catalogue.zoneCount(); zone++) {
         if (job.requiredZone() < 0 || job.requiredZone() == zone) {
--- a/src/main/java/org/ploverspindle/placement/MachineSelector.java
+++ b/src/main/java/org/ploverspindle/placement/MachineSelector.java
@@ -68,7 +68,8 @@
   Optional<Machine> select(Job job, List<Machine> machines) {
     Machine best = null;
     double bestScore = Double.MAX_VALUE;
-    boolean prefersOnDemand = !job.spec().isCheckpointed() && estimates.runS(job) > SHORT_TASK_S;
+    boolean prefersOnDemand =
+        !job.spec().isCheckpointed() && estimates.estimatedRuntimeS(job) > SHORT_TASK_S;
     double fetchPenaltyCoresPerS =
         objectives.requiresPromptStart(job)
             ? PROMPT_FETCH_PENALTY_CORES_PER_S
--- a/src/main/java/org/ploverspindle/placement/PendingJobOrder.java
+++ b/src/main/java/org/ploverspindle/placement/PendingJobOrder.java
@@ -80,7 +80,7 @@
     List<RankedJob> ranked = new ArrayList<>();
     for (Job job : cluster.jobs().all()) {
       if (!job.isTerminal() && !job.quarantined() && job.schedulableTasks(nowMs) > 0) {
-        boolean withinGuarantee = cluster.teams().withinGuarantee(job.team(), job.perTask());
+        boolean withinGuarantee = cluster.teams().isWithinGuarantee(job.team(), job.perTask());
         double slackS = remainingSlackS(job, wallMs).orElse(Double.MAX_VALUE);
         ranked.add(new RankedJob(job, !withinGuarantee, slackS));
       }
@@ -113,7 +113,7 @@
     }
     jobsByTeam.forEach(
         (team, jobs) -> {
-          OptionalLong limit = cluster.teams().coresWithinLimit(team);
+          OptionalLong limit = cluster.teams().remainingCores(team);
           if (limit.isPresent()) {
             teamCapacity.put(team, new Capacity(jobs, limit.getAsLong(), estimates, nowMs));
           }
@@ -130,7 +130,9 @@
    * estimate; a large number for a job without a deadline.
    */
   double slackS(Job job, long wallMs) {
-    return job.deadlineS().orElse(NO_DEADLINE_S) - waitedS(job, wallMs) - estimates.runS(job);
+    return job.deadlineS().orElse(NO_DEADLINE_S)
+        - waitedS(job, wallMs)
+        - estimates.estimatedRuntimeS(job);
   }
 
   /**
@@ -141,7 +143,7 @@
    * as estimates may be wrong by half.
    */
   OptionalDouble remainingSlackS(Job job, long wallMs) {
-    double runS = estimates.runS(job);
+    double runS = estimates.estimatedRuntimeS(job);
     double waitedS = waitedS(job, wallMs);
     OptionalDouble startByS =
         objectives.startByS(job, runS, waitedS - ESTIMATE_ERROR * runS - LATE_MARGIN_S);
--- a/src/main/java/org/ploverspindle/placement/Placer.java
+++ b/src/main/java/org/ploverspindle/placement/Placer.java
@@ -136,6 +136,6 @@
   }
 
   private static boolean allows(Job job, int type, int zone, boolean spot) {
-    return job.types().get(type) && (job.spec().spot() || !spot) && job.allowsZone(zone);
+    return job.compatibleTypes().get(type) && (job.spec().spot() || !spot) && job.allowsZone(zone);
   }
 }
--- a/src/main/java/org/ploverspindle/placement/Preemption.java
+++ b/src/main/java/org/ploverspindle/placement/Preemption.java
@@ -69,7 +69,7 @@
 
   private boolean mayPreempt(Job job) {
     return job.priority().compareTo(Priority.HIGH) <= 0
-        || teams.withinGuarantee(job.team(), job.perTask());
+        || teams.isWithinGuarantee(job.team(), job.perTask());
   }
 
   /**
@@ -89,7 +89,7 @@
           job.requiredZone() >= 0 || job.spec().oneZone() || job.spec().spreadOverZones();
       return new Requirements(
           job.perTask(),
-          job.types(),
+          job.compatibleTypes(),
           job.spec().spot(),
           job.priority(),
           job.team(),
@@ -148,13 +148,13 @@
 
     private boolean isWithinGuarantee(Job job) {
       Resources reserved = reservedByTeam.getOrDefault(job.team(), Resources.NONE);
-      return teams.withinGuarantee(job.team(), reserved.plus(job.perTask()));
+      return teams.isWithinGuarantee(job.team(), reserved.plus(job.perTask()));
     }
 
     private void execute(Job job, PreemptionPlanner.Plan plan) {
       reservedByTeam.merge(job.team(), job.perTask(), Resources::plus);
       for (Placement victim : plan.victims()) {
-        victim.stop(gracePeriodS(victim.job()));
+        victim.requestStop(gracePeriodS(victim.job()));
         plan.room().release(victim);
         stopped++;
       }
--- a/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/PreemptionPlanner.java
@@ -148,12 +148,12 @@
     boolean exceedsGuarantee =
         withinGuarantee
             && other.team() != job.team()
-            && !teams.withinGuarantee(other.team(), Resources.NONE);
+            && !teams.isWithinGuarantee(other.team(), Resources.NONE);
     if (!lowerPriority && !exceedsGuarantee || !isStarted(placement)) {
       return false;
     }
     double runningForS = RuntimeEstimates.runningForS(placement, nowMs);
-    double expectedS = estimates.runS(other);
+    double expectedS = estimates.estimatedRuntimeS(other);
     boolean isProtectedStart = runningForS <= JUST_STARTED_S && startMatters(other);
     boolean endsSoon = expectedS > 0 && expectedS - runningForS <= ENDS_SOON_S;
     return !isProtectedStart && !endsSoon;
--- a/src/main/java/org/ploverspindle/placement/RuntimeEstimates.java
+++ b/src/main/java/org/ploverspindle/placement/RuntimeEstimates.java
@@ -33,7 +33,7 @@
    * @param runtimeS seconds from the first heartbeat that showed the task running to the one that
    *     showed it completed
    */
-  public void observed(Job job, double runtimeS) {
+  public void recordRuntime(Job job, double runtimeS) {
     if (job.spec().expectedS() <= 0 || runtimeS <= 0) {
       return;
     }
@@ -45,15 +45,15 @@
   }
 
   /** Returns the corrected estimate of how long a task of the job runs, in seconds. */
-  public double runS(Job job) {
-    return runS(job.spec());
+  public double estimatedRuntimeS(Job job) {
+    return estimatedRuntimeS(job.spec());
   }
 
   /**
    * Returns the corrected estimate of how long a task runs, in seconds, for a job that need not be
    * in the job table.
    */
-  public double runS(JobSpec spec) {
+  public double estimatedRuntimeS(JobSpec spec) {
     return spec.expectedS() * ratio(spec.jobClass());
   }
 
@@ -71,8 +71,10 @@
     if (placement.job().spec().expectedS() <= 0) {
       return Double.MAX_VALUE;
     }
-    double runS = runS(placement.job());
-    return Math.max(runS * MIN_REMAINING_FRACTION, runS - runningForS(placement, nowMs));
+    double estimatedRuntimeS = estimatedRuntimeS(placement.job());
+    return Math.max(
+        estimatedRuntimeS * MIN_REMAINING_FRACTION,
+        estimatedRuntimeS - runningForS(placement, nowMs));
   }
 
   /**
--- a/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
+++ b/src/main/java/org/ploverspindle/placement/ScaleOutPlanner.java
@@ -41,14 +41,14 @@
    * @param allJobs all jobs, whether or not they have pending tasks
    * @param expectedJob a job that the next high-priority job is expected to resemble; capacity is
    *     kept for it
-   * @param coresForRate the cores that work keeps busy if it continues to arrive at the recent
-   *     rate, in thousandths
+   * @param coresForArrivalRate the cores that work keeps busy if it continues to arrive at the
+   *     recent rate, in thousandths
    */
   public record Work(
       List<Job> pendingJobs,
       Collection<Job> allJobs,
       Optional<Job> expectedJob,
-      double coresForRate) {}
+      double coresForArrivalRate) {}
 
   /**
    * The capacity that exists, and the groups in which more may be requested.
@@ -105,12 +105,13 @@
       pendingCapacity.add(group);
       totalCores += catalogue.type(group.type()).size().cores();
     }
-    balances.compute(work.allJobs(), machines, work.coresForRate(), nowMs, wallMs);
+    balances.compute(work.allJobs(), machines, work.coresForArrivalRate(), nowMs, wallMs);
     for (Job job : work.pendingJobs()) {
       requestForPendingTasks(job, machines, StarvationProtection.isStarving(job, wallMs), nowMs);
     }
     requestForArrivalRate(
-        work.allJobs(), CoreBalances.coresKeptForRate(work.coresForRate()) - totalCores);
+        work.allJobs(),
+        CoreBalances.coresKeptForArrivalRate(work.coresForArrivalRate()) - totalCores);
     work.expectedJob().ifPresent(job -> requestForExpectedJob(job, machines));
     return candidates.requests();
   }
@@ -119,7 +120,7 @@
    * True when, after the plan, the capacity without the machine is enough for what is needed even
    * at a high price. The machine then counts as removed in later calls.
    */
-  public boolean isExpensiveSurplus(Machine machine) {
+  public boolean removeIfSurplus(Machine machine) {
     return balances.removeIfSurplus(machine);
   }
 
--- a/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
+++ b/src/main/java/org/ploverspindle/placement/ServiceLevelObjectives.java
@@ -95,7 +95,7 @@
    * Returns the largest multiple of a job's deadline for which the class has an objective; 1 if
    * there is none.
    */
-  public double lastMultiple(String jobClass) {
+  public double largestDeadlineMultiple(String jobClass) {
     return deadlineMultiples.getOrDefault(jobClass, List.of()).stream()
         .mapToDouble(Double::doubleValue)
         .reduce(1, Math::max);
--- a/src/main/java/org/ploverspindle/placement/StarvationProtection.java
+++ b/src/main/java/org/ploverspindle/placement/StarvationProtection.java
@@ -94,7 +94,7 @@
 
   /** Returns the estimated work of all the job's tasks, in thousandths of core seconds. */
   private double work(Job job) {
-    return job.spec().tasks() * job.perTask().cores() * estimates.runS(job);
+    return job.spec().tasks() * job.perTask().cores() * estimates.estimatedRuntimeS(job);
   }
 
   /** Returns the cores of the share that no placement uses, in thousandths. */
--- a/src/main/java/org/ploverspindle/placement/TaskPlacer.java
+++ b/src/main/java/org/ploverspindle/placement/TaskPlacer.java
@@ -85,7 +85,7 @@
             task,
             nextAttempt.getAsLong(),
             machine,
-            machine.agentEpoch(),
+            machine.workerEpoch(),
             Placement.Phase.INTENT);
     fleet.addPlacement(placement);
     return placement;
--- a/src/main/java/org/ploverspindle/placement/package-info.java
+++ b/src/main/java/org/ploverspindle/placement/package-info.java
@@ -6,6 +6,6 @@
  * arrival statistics of a term. The package only decides; durable writes, commands to workers and
  * requests to the cloud are made elsewhere.
  *
- * <p>May depend on: {@code cluster}, {@code model}, {@code settings}.
+ * <p>Allowed dependencies: {@code cluster}, {@code model}, {@code settings}.
  */
 package org.ploverspindle.placement;
--- a/src/main/java/org/ploverspindle/policy/package-info.java
+++ b/src/main/java/org/ploverspindle/policy/package-info.java
@@ -6,6 +6,6 @@
  * concerns one line. Owns: the language's grammar, the names of the tunable values, their ranges
  * and defaults.
  *
- * <p>May depend on: {@code settings}, whose values an expression may refer to.
+ * <p>Allowed dependencies: {@code settings}, whose values an expression may refer to.
  */
 package org.ploverspindle.policy;
--- a/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressEncoder.java
@@ -39,12 +39,13 @@
   /**
    * Encodes the statuses of a whole shard as a snapshot.
    *
-   * @param coveredUpTo the sequence number of the last log record that the snapshot covers
+   * @param lastCoveredSequence the sequence number of the last log record that the snapshot covers
    */
-  JsonNode encodeSnapshot(TaskStatuses statuses, long coveredUpTo) {
+  JsonNode encodeSnapshot(TaskStatuses statuses, long lastCoveredSequence) {
     List<SnapshotRecord.RecordedPlacement> placements = toRecorded(statuses.placements());
     Job job = statuses.job();
-    return new SnapshotRecord(statuses.completed(), placements, placements.size(), coveredUpTo)
+    return new SnapshotRecord(
+            statuses.completed(), placements, placements.size(), lastCoveredSequence)
         .encode(job.completedTasks().size(), job.activePlacements().size());
   }
 
@@ -57,6 +58,6 @@
         placement.task(),
         placement.attempt(),
         machineInfo.apply(placement.machine()),
-        placement.agentEpoch());
+        placement.workerEpoch());
   }
 }
--- a/src/main/java/org/ploverspindle/progress/ProgressWriter.java
+++ b/src/main/java/org/ploverspindle/progress/ProgressWriter.java
@@ -54,7 +54,7 @@
   /**
    * The leader's access to the state service.
    *
-   * @param writes the budget of changes: one token for each change
+   * @param changeBudget the budget of changes: one token for each change
    * @param maxChanges the most changes that a transaction may have
    * @param maxValueBytes the size of the largest value that the state service accepts
    */
@@ -191,7 +191,7 @@
    * The number of jobs with progress that is not written yet. A job with several kinds of progress
    * counts once for each kind.
    */
-  public int backlog() {
+  public int backlogSize() {
     return state.pending().size();
   }
 }
--- a/src/main/java/org/ploverspindle/progress/RecordedProgress.java
+++ b/src/main/java/org/ploverspindle/progress/RecordedProgress.java
@@ -29,7 +29,7 @@
   private final Replica replica;
   private final ProgressLoader loader;
   private final Map<String, List<ProgressLogRecord>> recordsByJob = new HashMap<>();
-  private boolean logDamaged;
+  private boolean hasUnreadableLogRecord;
 
   /**
    * The latest recorded statuses of a job's tasks.
@@ -67,7 +67,7 @@
                 + " key={}",
             entry.key());
         loader.loadUnreadableRecord(entry.key());
-        logDamaged = true;
+        hasUnreadableLogRecord = true;
       }
     }
     return records;
@@ -77,8 +77,8 @@
    * Whether a record of the log is unreadable. Tasks may then be running whose placement is in no
    * readable record.
    */
-  public boolean logDamaged() {
-    return logDamaged;
+  public boolean hasUnreadableLogRecord() {
+    return hasUnreadableLogRecord;
   }
 
   /** Whether any record has statuses of the job's tasks. */
@@ -87,14 +87,14 @@
   }
 
   /** Returns the job's progress. Quarantines the job if one of its snapshots is unreadable. */
-  public RecordedStatuses of(Job job) {
+  public RecordedStatuses statusesOf(Job job) {
     RecordedStatuses statuses = new RecordedStatuses(new BitSet(), new TreeMap<>());
-    long[] coveredUpTo = readSnapshots(job, statuses);
+    long[] lastCoveredSequences = readSnapshots(job, statuses);
     for (ProgressLogRecord record : recordsByJob.getOrDefault(job.uid(), List.of())) {
       for (ProgressLogRecord.Delta delta : record.deltas()) {
         if (delta.uid().equals(job.uid())) {
           loader.loadMention(job, record.sequence());
-          applyDelta(job, record.sequence(), delta, coveredUpTo, statuses);
+          applyDelta(job, record.sequence(), delta, lastCoveredSequences, statuses);
         }
       }
     }
@@ -112,7 +112,7 @@
    *     if it covers none
    */
   private long[] readSnapshots(Job job, RecordedStatuses statuses) {
-    long[] coveredUpTo = new long[job.shardCount()];
+    long[] lastCoveredSequences = new long[job.shardCount()];
     for (Entry entry : replica.withPrefix(Keys.snapshotsOf(job.uid())).values()) {
       Optional<SnapshotRecord> snapshot = SnapshotRecord.decode(entry.value());
       OptionalInt shard = shardIndex(entry.key(), job);
@@ -125,22 +125,22 @@
         continue;
       }
       loader.loadSnapshot(job, shard.getAsInt(), entry.modRevision());
-      coveredUpTo[shard.getAsInt()] = snapshot.get().coveredUpTo();
+      lastCoveredSequences[shard.getAsInt()] = snapshot.get().lastCoveredSequence();
       statuses.completed.or(snapshot.get().completed());
       snapshot.get().placements().forEach(p -> statuses.placements.put(p.task(), p));
     }
-    return coveredUpTo;
+    return lastCoveredSequences;
   }
 
   private void applyDelta(
       Job job,
       long sequence,
       ProgressLogRecord.Delta delta,
-      long[] coveredUpTo,
+      long[] lastCoveredSequences,
       RecordedStatuses statuses) {
     BitSet uncovered = new BitSet();
     delta.completed().stream()
-        .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
+        .filter(task -> isUncovered(job, task, sequence, lastCoveredSequences))
         .forEach(
             task -> {
               uncovered.set(task);
@@ -148,14 +148,14 @@
               statuses.placements.remove(task);
             });
     delta.cleared().stream()
-        .filter(task -> isUncovered(job, task, sequence, coveredUpTo))
+        .filter(task -> isUncovered(job, task, sequence, lastCoveredSequences))
         .forEach(
             task -> {
               uncovered.set(task);
               statuses.placements.remove(task);
             });
     for (SnapshotRecord.RecordedPlacement placement : delta.placements()) {
-      if (isUncovered(job, placement.task(), sequence, coveredUpTo)) {
+      if (isUncovered(job, placement.task(), sequence, lastCoveredSequences)) {
         uncovered.set(placement.task());
         statuses.placements.put(placement.task(), placement);
       }
@@ -165,8 +165,9 @@
     }
   }
 
-  private static boolean isUncovered(Job job, int task, long sequence, long[] coveredUpTo) {
-    return task < job.spec().tasks() && sequence > coveredUpTo[job.shardOf(task)];
+  private static boolean isUncovered(
+      Job job, int task, long sequence, long[] lastCoveredSequences) {
+    return task < job.spec().tasks() && sequence > lastCoveredSequences[job.shardOf(task)];
   }
 
   /** Returns the shard's index in the key of a snapshot; empty if the job has no such shard. */
--- a/src/main/java/org/ploverspindle/progress/WriteBatch.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatch.java
@@ -16,7 +16,7 @@
   private static final BitSet NO_TASKS = new BitSet();
 
   private final TransactionBuilder transaction;
-  private final long coveredUpTo;
+  private final long lastCoveredSequence;
   private final List<TaskStatuses> statuses = new ArrayList<>();
   private final List<Job> completedJobs = new ArrayList<>();
   private final List<TaskShard> snapshots = new ArrayList<>();
@@ -24,11 +24,11 @@
   private final Map<Long, Map<TaskShard, BitSet>> records = new LinkedHashMap<>();
 
   /**
-   * @param coveredUpTo the sequence number of the last log record before those of the batch
+   * @param lastCoveredSequence the sequence number of the last log record before those of the batch
    */
-  WriteBatch(TransactionBuilder transaction, long coveredUpTo) {
+  WriteBatch(TransactionBuilder transaction, long lastCoveredSequence) {
     this.transaction = transaction;
-    this.coveredUpTo = coveredUpTo;
+    this.lastCoveredSequence = lastCoveredSequence;
   }
 
   void addCompletion(Job job) {
@@ -106,8 +106,8 @@
    * The sequence number of the last log record before those of the batch. The batch's snapshots
    * cover the log up to that record.
    */
-  long coveredUpTo() {
-    return coveredUpTo;
+  long lastCoveredSequence() {
+    return lastCoveredSequence;
   }
 
   /** The statuses in the batch's log records and snapshots. */
--- a/src/main/java/org/ploverspindle/progress/WriteBatchPlanner.java
+++ b/src/main/java/org/ploverspindle/progress/WriteBatchPlanner.java
@@ -175,7 +175,7 @@
     TaskStatuses statuses = TaskStatuses.of(shard.job(), tasks);
     // The snapshot covers the log before this batch. Log records of the batch that have statuses of
     // the same tasks repeat those in the snapshot.
-    JsonNode value = context.encoder().encodeSnapshot(statuses, batch.coveredUpTo());
+    JsonNode value = context.encoder().encodeSnapshot(statuses, batch.lastCoveredSequence());
     int size = Cbor.jsonSize(value);
     if (size > context.limits().maxValueBytes()) {
       context.snapshots().markTooLarge(shard, context.scheduler().nowMs());
--- a/src/main/java/org/ploverspindle/progress/WriteLimits.java
+++ b/src/main/java/org/ploverspindle/progress/WriteLimits.java
@@ -55,7 +55,8 @@
   /** The number of a job's tasks that is tried first when a log record is filled. */
   int initialTasksPerRecord() {
     return Math.max(
-        ProgressLogRecord.Builder.tasksThatFit(maxValueBytes), maxValueBytes / TYPICAL_TASK_BYTES);
+        ProgressLogRecord.Builder.guaranteedTaskCapacity(maxValueBytes),
+        maxValueBytes / TYPICAL_TASK_BYTES);
   }
 
   /** Whether a transaction with this many conditions has room for those of one more change. */
--- a/src/main/java/org/ploverspindle/progress/WriteOutcome.java
+++ b/src/main/java/org/ploverspindle/progress/WriteOutcome.java
@@ -37,7 +37,7 @@
   void committed(WriteBatch batch, long revision) {
     for (TaskShard shard : batch.snapshots()) {
       state.snapshots().setModRevision(shard, revision);
-      state.slots().releaseUpTo(shard, batch.coveredUpTo());
+      state.slots().releaseUpTo(shard, batch.lastCoveredSequence());
     }
     batch.records().forEach((sequence, shards) -> recordCommitted(sequence, shards, revision));
     List<Placement> placements = new ArrayList<>();
--- a/src/main/java/org/ploverspindle/progress/package-info.java
+++ b/src/main/java/org/ploverspindle/progress/package-info.java
@@ -7,6 +7,7 @@
  * org.ploverspindle.progress.RecordedProgress RecordedProgress}). Owns: the slots of the progress
  * log, and the knowledge of what is durable in this term.
  *
- * <p>May depend on: {@code cluster}, {@code state}, {@code model}, {@code eventloop}, {@code net}.
+ * <p>Allowed dependencies: {@code cluster}, {@code state}, {@code model}, {@code eventloop}, {@code
+ * net}.
  */
 package org.ploverspindle.progress;
--- a/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
+++ b/src/main/java/org/ploverspindle/scalein/TerminationDrain.java
@@ -26,7 +26,7 @@
   static void drain(Machine machine) {
     for (Placement placement : List.copyOf(machine.placements())) {
       if (!placement.isStopping()) {
-        placement.stop(gracePeriodS(placement.job().spec()));
+        placement.requestStop(gracePeriodS(placement.job().spec()));
       }
     }
   }
--- a/src/main/java/org/ploverspindle/settings/Settings.java
+++ b/src/main/java/org/ploverspindle/settings/Settings.java
@@ -7,11 +7,11 @@
  * The platform's settings of this controller. They are checked when {@link SettingsFile} reads
  * them.
  *
- * @param member this controller's name
+ * @param controllerName this controller's name
  * @param location where this controller runs
  * @param userAddress address that users and workers connect to
  * @param peerAddress address that the other controllers connect to
- * @param members the other controllers
+ * @param otherControllers the other controllers
  * @param cloud address of the cloud's API
  * @param state address of the state service
  * @param zones names of the zones that machines may be provisioned in
@@ -19,11 +19,11 @@
  *     milliseconds
  */
 public record Settings(
-    String member,
+    String controllerName,
     String location,
     Address userAddress,
     Address peerAddress,
-    List<Member> members,
+    List<OtherController> otherControllers,
     Address cloud,
     Address state,
     List<String> zones,
@@ -38,7 +38,7 @@
   private static final int BYTES_PER_KIB = 1024;
 
   /** Another controller. */
-  public record Member(String name, String location, Address address) {}
+  public record OtherController(String name, String location, Address address) {}
 
   /**
    * A team's guarantee and limit. A guarantee or limit of 0 means that there is none.
@@ -149,6 +149,6 @@
 
   /** The number of controllers, including this one. */
   public int controllerCount() {
-    return members.size() + 1;
+    return otherControllers.size() + 1;
   }
 }
--- a/src/main/java/org/ploverspindle/settings/SettingsReader.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsReader.java
@@ -34,7 +34,7 @@
         root.requiredString("location"),
         root.requiredAddress("front"),
         root.requiredAddress("back"),
-        members(root),
+        otherControllers(root),
         outside.requiredAddress("cloud"),
         outside.requiredAddress("state"),
         zones(params),
@@ -47,16 +47,16 @@
         quota(quota));
   }
 
-  private static List<Settings.Member> members(TomlSection root) {
-    List<Settings.Member> members = new ArrayList<>();
-    for (TomlSection member : root.optionalTableList("members")) {
-      members.add(
-          new Settings.Member(
-              member.requiredString("member"),
-              member.requiredString("location"),
-              member.requiredAddress("address")));
+  private static List<Settings.OtherController> otherControllers(TomlSection root) {
+    List<Settings.OtherController> otherControllers = new ArrayList<>();
+    for (TomlSection controller : root.optionalTableList("members")) {
+      otherControllers.add(
+          new Settings.OtherController(
+              controller.requiredString("member"),
+              controller.requiredString("location"),
+              controller.requiredAddress("address")));
     }
-    return members;
+    return otherControllers;
   }
 
   private static List<String> zones(TomlSection params) {
--- a/src/main/java/org/ploverspindle/settings/SettingsRules.java
+++ b/src/main/java/org/ploverspindle/settings/SettingsRules.java
@@ -10,7 +10,7 @@
 
   /** Reports every rule that the settings violate. */
   static void check(Settings settings, SettingsProblems problems) {
-    checkMembers(settings, problems);
+    checkOtherControllers(settings, problems);
     checkTeams(settings.teams(), problems);
     if (settings.workers().leaseS() >= settings.workers().cancelS()) {
       problems.report(
@@ -24,13 +24,13 @@
     }
   }
 
-  private static void checkMembers(Settings settings, SettingsProblems problems) {
-    Set<String> names = new HashSet<>(Set.of(settings.member()));
-    for (Settings.Member member : settings.members()) {
-      if (!names.add(member.name())) {
+  private static void checkOtherControllers(Settings settings, SettingsProblems problems) {
+    Set<String> names = new HashSet<>(Set.of(settings.controllerName()));
+    for (Settings.OtherController controller : settings.otherControllers()) {
+      if (!names.add(controller.name())) {
         problems.report(
             "members.member",
-            "the name \"" + member.name() + "\" is used more than once; it must be unique");
+            "the name \"" + controller.name() + "\" is used more than once; it must be unique");
       }
     }
   }
--- a/src/main/java/org/ploverspindle/settings/package-info.java
+++ b/src/main/java/org/ploverspindle/settings/package-info.java
@@ -5,6 +5,6 @@
  * Settings}; reports all problems together, each with its line; warns of limits that are valid but
  * too small for the deployment. Owns: the names of the file's fields and their allowed ranges.
  *
- * <p>May depend on: nothing of this project.
+ * <p>Allowed dependencies: nothing of this project.
  */
 package org.ploverspindle.settings;
--- a/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
+++ b/src/main/java/org/ploverspindle/sizing/AdaptiveSizing.java
@@ -13,11 +13,11 @@
   /**
    * The machines of the pool in one zone.
    *
-   * @param held number of machines in the group, including requested ones
+   * @param machineCount number of machines in the group, including requested ones
    * @param backedOff whether the group is in backoff, since provisioning requests for it have
    *     failed
    */
-  public record Group(int held, boolean backedOff) {}
+  public record Group(int machineCount, boolean backedOff) {}
 
   /** The number of machines that a group must have at least and may have at most. */
   public record Bounds(int min, int max) {}
@@ -50,7 +50,7 @@
    */
   public static List<Bounds> bounds(int poolMin, int poolMax, List<Group> groups) {
     int zones = groups.size();
-    int totalHeld = groups.stream().mapToInt(Group::held).sum();
+    int totalMachineCount = groups.stream().mapToInt(Group::machineCount).sum();
     int healthyCount = 0;
     int backedOffMinSum = 0;
     for (int zone = 0; zone < zones; zone++) {
@@ -64,7 +64,7 @@
     int healthyIndex = 0;
     for (int zone = 0; zone < zones; zone++) {
       Group group = groups.get(zone);
-      int max = Math.max(0, poolMax - (totalHeld - group.held()));
+      int max = Math.max(0, poolMax - (totalMachineCount - group.machineCount()));
       int min = 0;
       if (!group.backedOff()) {
         int takenOver = distribute(healthyIndex, backedOffMinSum, healthyCount);
--- a/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
+++ b/src/main/java/org/ploverspindle/state/AcceptedJobIndex.java
@@ -40,7 +40,7 @@
      * Called after an earlier record of the job replaced the known one. This happens only while the
      * replica is being loaded, since keys are then not read in the order of their revisions.
      */
-    default void corrected(AcceptedJob job) {}
+    default void replaced(AcceptedJob job) {}
   }
 
   private final Map<String, AcceptedJob> jobs = new HashMap<>();
@@ -95,7 +95,7 @@
     if (existing == null) {
       List.copyOf(listeners).forEach(listener -> listener.accepted(job));
     } else {
-      List.copyOf(listeners).forEach(listener -> listener.corrected(job));
+      List.copyOf(listeners).forEach(listener -> listener.replaced(job));
     }
   }
 }
--- a/src/main/java/org/ploverspindle/state/JobRecord.java
+++ b/src/main/java/org/ploverspindle/state/JobRecord.java
@@ -84,8 +84,8 @@
     value.put("cores", spec.cores());
     value.put("accel", spec.accelerators());
     value.put("mem", spec.memoryGb());
-    spec.types().ifPresent(types -> types.forEach(value.putArray("types")::add));
-    spec.zone().ifPresent(zone -> value.put("zone", zone));
+    spec.allowedTypes().ifPresent(types -> types.forEach(value.putArray("types")::add));
+    spec.requiredZone().ifPresent(zone -> value.put("zone", zone));
     value.put("one_zone", spec.oneZone());
     value.put("apart", spec.spreadOverZones());
     value.put("spot", spec.spot());
--- a/src/main/java/org/ploverspindle/state/Keys.java
+++ b/src/main/java/org/ploverspindle/state/Keys.java
@@ -9,7 +9,7 @@
 public final class Keys {
   public static final String PREFIX = "ps1/";
   public static final String LEADER = PREFIX + "leader";
-  public static final String TOKEN = PREFIX + "token";
+  public static final String FENCING_TOKEN = PREFIX + "token";
   public static final String MACHINE_TYPES = PREFIX + "types";
   public static final String JOBS = PREFIX + "j/";
   public static final String JOB_BATCHES = PREFIX + "b/";
@@ -26,7 +26,7 @@
   public static final String SNAPSHOTS = PREFIX + "p/";
   public static final String PROGRESS_LOG = PREFIX + "l/";
   public static final String PROVISIONING_INTENTS = PREFIX + "r/";
-  public static final String BOUNDS = PREFIX + "g/";
+  public static final String POOL_BOUNDS = PREFIX + "g/";
 
   /**
    * The prefix of machine terminations. A termination is recorded before it is requested from the
@@ -89,7 +89,7 @@
   }
 
   /** Returns the key of the recorded bounds of the machine groups of a machine type. */
-  public static String bounds(String machineType) {
-    return BOUNDS + machineType;
+  public static String poolBounds(String machineType) {
+    return POOL_BOUNDS + machineType;
   }
 }
--- a/src/main/java/org/ploverspindle/state/PlacementText.java
+++ b/src/main/java/org/ploverspindle/state/PlacementText.java
@@ -18,7 +18,7 @@
 
   private static final int ATTEMPT = 1;
   private static final int MACHINE = 2;
-  private static final int AGENT_EPOCH = 3;
+  private static final int WORKER_EPOCH = 3;
   private static final int ATTEMPT_RADIX = 36;
 
   private static final String SPOT = "spot";
@@ -30,7 +30,7 @@
   static void appendDetails(StringBuilder text, RecordedPlacement placement, int machineIndex) {
     text.append(':').append(Long.toString(placement.attempt(), ATTEMPT_RADIX));
     text.append(':').append(machineIndex);
-    text.append(':').append(placement.agentEpoch());
+    text.append(':').append(placement.workerEpoch());
   }
 
   static String[] fields(String text) {
@@ -59,7 +59,7 @@
         task,
         attempt,
         machines.get(Integer.parseInt(fields[MACHINE])),
-        Long.parseLong(fields[AGENT_EPOCH]));
+        Long.parseLong(fields[WORKER_EPOCH]));
   }
 
   /** Returns the text form of a machine's group: its type, its zone, and spot or on-demand. */
--- a/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
+++ b/src/main/java/org/ploverspindle/state/ProgressLogRecord.java
@@ -110,7 +110,7 @@
      * Returns how many tasks of one job fit into a record even if each is placed on a different
      * machine, for names of usual length.
      */
-    public static int tasksThatFit(int maxBytes) {
+    public static int guaranteedTaskCapacity(int maxBytes) {
       return Math.max(
           1, (maxBytes - RECORD_OVERHEAD_BYTES - JOB_OVERHEAD_BYTES) / MAX_PLACEMENT_BYTES);
     }
@@ -175,7 +175,7 @@
         RecordedPlacement first, RecordedPlacement next, int distance) {
       return next.task() == first.task() + distance
           && next.attempt() == first.attempt() + distance
-          && next.agentEpoch() == first.agentEpoch()
+          && next.workerEpoch() == first.workerEpoch()
           && next.machine().equals(first.machine());
     }
 
--- a/src/main/java/org/ploverspindle/state/SnapshotRecord.java
+++ b/src/main/java/org/ploverspindle/state/SnapshotRecord.java
@@ -18,12 +18,12 @@
  * @param completed the tasks that have completed
  * @param placements the last placements of tasks
  * @param running the number of tasks that are placed on machines, for display
- * @param coveredUpTo the sequence number of the last progress log record that the snapshot covers.
- *     Records with higher sequence numbers are newer than the snapshot. 0 in snapshots of versions
- *     without a progress log.
+ * @param lastCoveredSequence the sequence number of the last progress log record that the snapshot
+ *     covers. Records with higher sequence numbers are newer than the snapshot. 0 in snapshots of
+ *     versions without a progress log.
  */
 public record SnapshotRecord(
-    BitSet completed, List<RecordedPlacement> placements, int running, long coveredUpTo) {
+    BitSet completed, List<RecordedPlacement> placements, int running, long lastCoveredSequence) {
 
   /**
    * The description of a machine that a new leader needs before the machine sends a heartbeat to it
@@ -32,7 +32,7 @@
   public record MachineInfo(String id, String type, String zone, boolean spot) {}
 
   /** A placement of a task. It is recorded before the launch command is sent to the worker. */
-  public record RecordedPlacement(int task, long attempt, MachineInfo machine, long agentEpoch) {}
+  public record RecordedPlacement(int task, long attempt, MachineInfo machine, long workerEpoch) {}
 
   /**
    * Upper bound of the bytes of a placement whose machine has no other placement in the snapshot,
@@ -59,7 +59,7 @@
    * names of usual length. The result is never less than the minimum shard size, even if the value
    * is too small for it.
    */
-  public static int shardSizeFor(int maxValueBytes) {
+  public static int maxShardSize(int maxValueBytes) {
     int bytesForPlacements = Math.min(maxValueBytes, MAX_VALUE_BYTES) - MAX_OVERHEAD_BYTES;
     return Math.max(MIN_SHARD_SIZE, bytesForPlacements / MAX_PLACEMENT_BYTES);
   }
@@ -84,7 +84,7 @@
     ObjectNode value = Cbor.map();
     value.put("n", completed.cardinality());
     value.put("r", running);
-    value.put("upto", coveredUpTo);
+    value.put("upto", lastCoveredSequence);
     value.put("done", TaskRanges.format(completed));
     value.put("live", placementsText.toString());
     ArrayNode hosts = value.putArray("hosts");
--- a/src/test/java/org/ploverspindle/JobSpecBuilder.java
+++ b/src/test/java/org/ploverspindle/JobSpecBuilder.java
@@ -55,8 +55,8 @@
     builder.cores = spec.cores();
     builder.accelerators = spec.accelerators();
     builder.memoryGb = spec.memoryGb();
-    builder.types = spec.types();
-    builder.zone = spec.zone();
+    builder.types = spec.allowedTypes();
+    builder.zone = spec.requiredZone();
     builder.oneZone = spec.oneZone();
     builder.spreadOverZones = spec.spreadOverZones();
     builder.spot = spec.spot();
--- a/src/test/java/org/ploverspindle/NoOpHeartbeatListener.java
+++ b/src/test/java/org/ploverspindle/NoOpHeartbeatListener.java
@@ -30,7 +30,7 @@
       Placement placement, Heartbeat.ExitReason exitReason, boolean checkpointed, long nowMs) {}
 
   @Override
-  public void completedUnrecorded(Job job, int task) {}
+  public void completedWithoutPlacement(Job job, int task) {}
 
   @Override
   public void phaseChanged(Placement placement) {}
--- a/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
+++ b/src/test/java/org/ploverspindle/api/SubmissionCodecTest.java
@@ -38,7 +38,7 @@
     JobSpec spec = SubmissionCodec.decode(validBody());
     assertEquals(16, spec.tasks());
     assertEquals(JobKind.BATCH, spec.kind());
-    assertEquals(Optional.empty(), spec.zone());
+    assertEquals(Optional.empty(), spec.requiredZone());
     JsonNode stored = Cbor.readMap(Cbor.write(new JobRecord(spec, 77, 80).encode())).orElseThrow();
     assertEquals(Optional.of(new JobRecord(spec, 77, 80)), JobRecord.decode("run-000412", stored));
   }
@@ -50,7 +50,7 @@
     body.remove("due_s");
     body.remove("flavours");
     JobSpec spec = SubmissionCodec.decode(body);
-    assertEquals(Optional.empty(), spec.types());
+    assertEquals(Optional.empty(), spec.allowedTypes());
     assertEquals(false, spec.deadlineS().isPresent());
   }
 
--- a/src/test/java/org/ploverspindle/api/UserApiTest.java
+++ b/src/test/java/org/ploverspindle/api/UserApiTest.java
@@ -57,12 +57,12 @@
 
     @Override
     public void status(Consumer<ApiResponse> responder) {
-      responder.accept(ApiResponse.text("fine"));
+      responder.accept(ApiResponse.operatorText("fine"));
     }
 
     @Override
     public void explainJob(String uid, Consumer<ApiResponse> responder) {
-      responder.accept(ApiResponse.text(uid + " waits"));
+      responder.accept(ApiResponse.operatorText(uid + " waits"));
     }
   }
 
--- a/src/test/java/org/ploverspindle/api/UserRequestsTest.java
+++ b/src/test/java/org/ploverspindle/api/UserRequestsTest.java
@@ -68,7 +68,7 @@
             store,
             new JobViews(
                 replica, acceptedJobs, new Pipelines(store, replica, acceptedJobs), counts),
-            new StateWrites(
+            new StateWriteAccess(
                 store, new TokenBucket(store, 100, 100), "n0-1", new NoOpLeaderNotifier()),
             catalogue,
             settings);
--- a/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
+++ b/src/test/java/org/ploverspindle/cloud/BootTrackerTest.java
@@ -51,7 +51,7 @@
     List<Machine> machines = new ArrayList<>();
     for (int i = firstIndex; i < firstIndex + count; i++) {
       Machine machine = fleet.adopt("i-" + i, "t", "a", true, atMs).orElseThrow();
-      machine.provisionedAt(atMs);
+      machine.recordProvisioned(atMs);
       machines.add(machine);
     }
     return machines;
--- a/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
+++ b/src/test/java/org/ploverspindle/leadership/FencedWorkerClientTest.java
@@ -27,7 +27,8 @@
         new Heartbeat(
             "i-1", "", "t", "a", true, 1, 1, fencingToken, OptionalDouble.empty(), List.of());
     WorkerClient workers =
-        (address, token, agentEpoch, commands, callback) -> callback.accept(Optional.of(heartbeat));
+        (address, token, workerEpoch, commands, callback) ->
+            callback.accept(Optional.of(heartbeat));
     new FencedWorkerClient(workers, TERM, rejections)
         .send("", TERM.fencingToken(), 1, List.of(), result -> {});
     assertEquals(expected, rejections.count(FencingRejections.Kind.WORKER_COMMAND));
--- a/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
+++ b/src/test/java/org/ploverspindle/leadership/LeaderConnectivityTest.java
@@ -65,8 +65,8 @@
         unusedAddress,
         unusedAddress,
         List.of(
-            new Settings.Member("n1", "a", unusedAddress),
-            new Settings.Member("n2", "a", unusedAddress)),
+            new Settings.OtherController("n1", "a", unusedAddress),
+            new Settings.OtherController("n2", "a", unusedAddress)),
         unusedAddress,
         unusedAddress,
         List.of("a"),
@@ -126,16 +126,16 @@
   @Test
   void resignsSoonerWhenMachinesTryOtherControllers() {
     resigns(0, 30_000, true, 7);
-    connectivity.misdirectedHeartbeats(31_500, 40);
+    connectivity.recordMisdirectedHeartbeats(31_500, 40);
     assertTrue(resigns(30_000, 32_500, false, 7));
   }
 
   @Test
   void fewMisdirectedHeartbeatsAloneAreNoReasonToResign() {
     resigns(0, 30_000, true, 7);
-    connectivity.misdirectedHeartbeats(30_000, 40);
+    connectivity.recordMisdirectedHeartbeats(30_000, 40);
     assertFalse(resigns(30_000, 36_000, true, 7));
-    connectivity.misdirectedHeartbeats(36_000, 70);
+    connectivity.recordMisdirectedHeartbeats(36_000, 70);
     assertTrue(
         resigns(36_000, 37_000, true, 7),
         "70 misdirected heartbeats, more than 60 % of 100 machines");
@@ -144,7 +144,7 @@
   @Test
   void waitsAWholeHeartbeatWindowAfterAProcessPause() {
     resigns(0, 30_000, true, 7);
-    connectivity.misdirectedHeartbeats(33_000, 300);
+    connectivity.recordMisdirectedHeartbeats(33_000, 300);
     // The process was paused after 30 s, and has not read yet what arrived during the pause.
     assertFalse(resigns(35_100, 38_000, false, 7));
     assertFalse(resigns(38_010, 60_000, true, 7));
@@ -205,7 +205,7 @@
     addMachinesKnownFromRecordsOnly();
     assertTrue(resigns(0, 39_000, false, 7), "the cloud's list was not read");
     listRead = true;
-    machines.all().forEach(machine -> machine.listedAt(0));
+    machines.all().forEach(machine -> machine.recordListed(0));
     assertTrue(resigns(39_000, 78_000, false, 7));
   }
 
@@ -229,7 +229,7 @@
     for (long nowMs = fromMs; nowMs < toMs; nowMs += 30) {
       heartbeat((int) (nowMs / 30 % MACHINES), 7, nowMs);
       if (nowMs % 120 == 0) {
-        connectivity.misdirectedHeartbeats(nowMs, 2);
+        connectivity.recordMisdirectedHeartbeats(nowMs, 2);
       }
       if (nowMs % 390 == 0) {
         resigned |= connectivity.resignationCause(nowMs).isPresent();
--- a/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
+++ b/src/test/java/org/ploverspindle/leadership/PriorityInheritanceTest.java
@@ -72,7 +72,7 @@
     JobSpec spec = JobSpecFixtures.batch(uid, jobClass, "red", priority, 2, 1, 1, runS, deadlineS);
     records.put(uid, new JobRecord(spec, ACCEPTED, 50));
     if (dependencies.length > 0) {
-      graph.put(uid, List.of(dependencies));
+      graph.setDependencies(uid, List.of(dependencies));
     }
     inheritance.changed();
   }
@@ -136,7 +136,7 @@
     accept("publish", "publish", Priority.HIGH, 8, 100, "compare");
     update();
     assertEquals(OptionalDouble.of(72), index.deadlineS());
-    estimates.observed(addToTable("compare"), 30);
+    estimates.recordRuntime(addToTable("compare"), 30);
     update();
     assertEquals(
         OptionalDouble.of(72), index.deadlineS(), "values are not computed again with each update");
--- a/src/test/java/org/ploverspindle/model/TermTest.java
+++ b/src/test/java/org/ploverspindle/model/TermTest.java
@@ -18,16 +18,16 @@
    */
   @Test
   void termOwnsExactlyTheTokensOfItsRange() {
-    assertFalse(term.owns(FIRST_TOKEN - 1));
-    assertTrue(term.owns(FIRST_TOKEN));
-    assertTrue(term.owns(FIRST_TOKEN_OF_NEXT_TERM - 1));
-    assertFalse(term.owns(FIRST_TOKEN_OF_NEXT_TERM));
+    assertFalse(term.includes(FIRST_TOKEN - 1));
+    assertTrue(term.includes(FIRST_TOKEN));
+    assertTrue(term.includes(FIRST_TOKEN_OF_NEXT_TERM - 1));
+    assertFalse(term.includes(FIRST_TOKEN_OF_NEXT_TERM));
   }
 
   @Test
   void termIsBeforeOnlyTheTokensOfLaterTerms() {
-    assertFalse(term.isBefore(FIRST_TOKEN - 1));
-    assertFalse(term.isBefore(FIRST_TOKEN_OF_NEXT_TERM - 1));
-    assertTrue(term.isBefore(FIRST_TOKEN_OF_NEXT_TERM));
+    assertFalse(term.isDeposedBy(FIRST_TOKEN - 1));
+    assertFalse(term.isDeposedBy(FIRST_TOKEN_OF_NEXT_TERM - 1));
+    assertTrue(term.isDeposedBy(FIRST_TOKEN_OF_NEXT_TERM));
   }
 }
--- a/src/test/java/org/ploverspindle/peers/PeerServerTest.java
+++ b/src/test/java/org/ploverspindle/peers/PeerServerTest.java
@@ -37,9 +37,10 @@
     Address anyPort = new Address("127.0.0.1", 0);
     receiver = new PeerServer(eventLoop, worker, anyPort, List.of(), received::add);
     receiver.open();
-    Settings.Member listening =
-        new Settings.Member("n1", "a", new Address("127.0.0.1", receiver.port()));
-    Settings.Member refusing = new Settings.Member("n2", "a", new Address("127.0.0.1", 1));
+    Settings.OtherController listening =
+        new Settings.OtherController("n1", "a", new Address("127.0.0.1", receiver.port()));
+    Settings.OtherController refusing =
+        new Settings.OtherController("n2", "a", new Address("127.0.0.1", 1));
     sender =
         new PeerServer(eventLoop, worker, anyPort, List.of(listening, refusing), message -> {});
   }
--- a/src/test/java/org/ploverspindle/peers/PipelineVersionPeerMessagesTest.java
+++ b/src/test/java/org/ploverspindle/peers/PipelineVersionPeerMessagesTest.java
@@ -43,7 +43,7 @@
   void messagesAreEncodedInTheSameBytesAsByThatVersion() throws Exception {
     for (PeerMessage message : EVERY_KIND) {
       assertEquals(
-          encodedByPipelineVersion().path(message.member()).asText(),
+          encodedByPipelineVersion().path(message.controllerName()).asText(),
           HexFormat.of().formatHex(PeerCodec.encode(message)),
           message.toString());
     }
@@ -52,7 +52,7 @@
   @Test
   void messagesEncodedByThatVersionAreDecodedWithAllFields() throws Exception {
     for (PeerMessage message : EVERY_KIND) {
-      String hex = encodedByPipelineVersion().path(message.member()).asText();
+      String hex = encodedByPipelineVersion().path(message.controllerName()).asText();
       ByteBuffer received = ByteBuffer.wrap(HexFormat.of().parseHex(hex));
       int length = PeerCodec.nextBodyLength(received);
       assertEquals(Optional.of(message), PeerCodec.decodeNext(received, length));
--- a/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
+++ b/src/test/java/org/ploverspindle/pipelines/DependencyGraphTest.java
@@ -54,7 +54,7 @@
      */
     long latestFinishMs(
         String uid, Map<String, CriticalPath.OwnValues> ownValues, Set<String> aborted) {
-      long latestMs = ownValues.get(uid).latestFinishMs().orElse(Long.MAX_VALUE);
+      long latestMs = ownValues.get(uid).latestFinishWallMs().orElse(Long.MAX_VALUE);
       for (String dependent : unfinishedDependents(uid, aborted)) {
         long dependentLatestMs = latestFinishMs(dependent, ownValues, aborted);
         if (dependentLatestMs != Long.MAX_VALUE) {
@@ -164,7 +164,7 @@
       assertFalse(graph.isReady(uid), "ready although its dependencies are not known yet");
     }
     model.dependencies.put(uid, dependencies);
-    graph.put(uid, dependencies);
+    graph.setDependencies(uid, dependencies);
   }
 
   private static void finishJob(String uid, ReferenceModel model, DependencyGraph graph) {
@@ -259,7 +259,7 @@
         long latestMs = model.latestFinishMs(uid, ownValues, aborted);
         assertEquals(
             latestMs == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(latestMs),
-            effectiveValues.get(uid).latestFinishMs(),
+            effectiveValues.get(uid).latestFinishWallMs(),
             "seed " + seed + " " + uid);
         assertEquals(
             model.highestPriority(uid, ownValues, aborted), effectiveValues.get(uid).priority());
@@ -301,7 +301,7 @@
     RecordingListener notified = new RecordingListener(graph);
     // Jobs are put from the last to the first: each is in the graph as a dependency when it is put.
     for (int i = depth; i > 0; i--) {
-      graph.put(uid(i), List.of(uid(i - 1)));
+      graph.setDependencies(uid(i), List.of(uid(i - 1)));
     }
     Function<String, Optional<CriticalPath.OwnValues>> ownValuesOf =
         uid ->
@@ -310,11 +310,11 @@
                     new CriticalPath.OwnValues(OptionalLong.of(1_000_000_000L), Priority.HIGH, 10))
                 : WITHOUT_DEADLINE.apply(uid);
     CriticalPath.EffectiveValues first = CriticalPath.of(graph, ownValuesOf).get(uid(0));
-    assertEquals(OptionalLong.of(1_000_000_000L - 10_000L * depth), first.latestFinishMs());
+    assertEquals(OptionalLong.of(1_000_000_000L - 10_000L * depth), first.latestFinishWallMs());
     assertEquals(Priority.HIGH, first.priority());
     graph.cancelled(uid(depth));
     assertEquals(
-        OptionalLong.empty(), CriticalPath.of(graph, ownValuesOf).get(uid(0)).latestFinishMs());
+        OptionalLong.empty(), CriticalPath.of(graph, ownValuesOf).get(uid(0)).latestFinishWallMs());
     graph.cancelled(uid(0));
     assertEquals(depth, notified.aborted.size());
     assertTrue(
@@ -338,10 +338,10 @@
     List<String> middleUids = new ArrayList<>();
     for (int i = 1; i <= width; i++) {
       middleUids.add(uid(i));
-      graph.put(uid(i), List.of(uid(0)));
+      graph.setDependencies(uid(i), List.of(uid(0)));
     }
     for (int i = 1; i <= 50; i++) {
-      graph.put(uid(width + i), middleUids);
+      graph.setDependencies(uid(width + i), middleUids);
     }
     long edges = width + 50L * width;
     graph.done(uid(0));
@@ -374,15 +374,15 @@
                 observations.add(uid + (graph.isAborted(uid(3)) ? " consistent" : " inconsistent"));
               }
             });
-    graph.put(uid(1), List.of(uid(0)));
-    graph.put(uid(2), List.of(uid(1)));
-    graph.put(uid(3), List.of(uid(2)));
+    graph.setDependencies(uid(1), List.of(uid(0)));
+    graph.setDependencies(uid(2), List.of(uid(1)));
+    graph.setDependencies(uid(3), List.of(uid(2)));
     graph.cancelled(uid(0));
     assertEquals(
         List.of(uid(1) + " consistent", uid(2) + " consistent", uid(3) + " consistent"),
         observations);
     registration.cancel();
-    graph.put(uid(4), List.of(uid(3)));
+    graph.setDependencies(uid(4), List.of(uid(3)));
     assertEquals(3, observations.size());
     assertTrue(graph.isAborted(uid(4)));
   }
--- a/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
+++ b/src/test/java/org/ploverspindle/placement/EffectiveValuesTest.java
@@ -143,7 +143,7 @@
   @Test
   void deadlinesCountFromAcceptanceAndOtherTimesFromReadiness() {
     Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 100));
-    job.markReady(ACCEPTED + 60_000);
+    job.markEligible(ACCEPTED + 60_000);
     ServiceLevelObjectives objectives = new ServiceLevelObjectives(OBJECTIVES);
     assertEquals(OptionalDouble.of(40), job.deadlineS());
     assertEquals(OptionalDouble.of(20), objectives.startByS(job, 20, 0));
@@ -211,7 +211,7 @@
     Job job = job(JobSpecFixtures.batch("run-1", "c", "red", Priority.NORMAL, 2, 1, 1, 20, 0));
     job.blockOnDependencies();
     assertEquals(0, job.schedulableTasks(0));
-    job.markReady(ACCEPTED + 1);
+    job.markEligible(ACCEPTED + 1);
     assertEquals(2, job.schedulableTasks(0));
   }
 }
--- a/src/test/java/org/ploverspindle/placement/PreemptionTest.java
+++ b/src/test/java/org/ploverspindle/placement/PreemptionTest.java
@@ -80,7 +80,7 @@
     MachineRegistry fleet = fleet();
     Machine machine = fleet.get("i-1").orElseThrow();
     Job victim = job("run-1", running, 4, expectedS, 500);
-    victim.types().set(0);
+    victim.compatibleTypes().set(0);
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
     for (int task = 0; task < 4; task++) {
       fleet.addPlacement(
@@ -93,7 +93,7 @@
         .handle(
             new Heartbeat("i-1", "", "t", "a", true, 1, 2, 7, OptionalDouble.empty(), tasks), NOW);
     Job high = job("run-2", Priority.HIGH, 2, 10, 60);
-    high.types().set(0);
+    high.compatibleTypes().set(0);
     return new Preemption(fleet, TEAMS, new RuntimeEstimates(), objectives, 1_000_000)
         .run(List.of(high), NOW + ranMs);
   }
--- a/src/test/java/org/ploverspindle/placement/RandomFleet.java
+++ b/src/test/java/org/ploverspindle/placement/RandomFleet.java
@@ -92,7 +92,7 @@
             80,
             spec.team().equals("red") ? 0 : 1,
             types,
-            spec.zone().isPresent() ? 1 : -1,
+            spec.requiredZone().isPresent() ? 1 : -1,
             3);
     jobs.put(job.uid(), job);
     return job;
--- a/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
+++ b/src/test/java/org/ploverspindle/placement/ReferencePlacer.java
@@ -76,7 +76,7 @@
   private boolean allows(Job job, Machine machine, Map<Integer, Integer> tasksInZone) {
     int tasksInThisZone = tasksInZone.getOrDefault(machine.zone(), 0);
     int tasksInAllZones = tasksInZone.values().stream().mapToInt(Integer::intValue).sum();
-    return job.types().get(machine.type())
+    return job.compatibleTypes().get(machine.type())
         && (job.spec().spot() || !machine.isSpot())
         && (job.requiredZone() < 0 || job.requiredZone() == machine.zone())
         && (!job.spec().oneZone() || tasksInThisZone == tasksInAllZones)
--- a/src/test/java/org/ploverspindle/placement/ReferencePreemption.java
+++ b/src/test/java/org/ploverspindle/placement/ReferencePreemption.java
@@ -40,7 +40,7 @@
     for (Job job : pending) {
       boolean mayPreempt =
           job.spec().priority().compareTo(Priority.HIGH) <= 0
-              || fleet.teams.withinGuarantee(job.team(), job.perTask());
+              || fleet.teams.isWithinGuarantee(job.team(), job.perTask());
       int tasks = job.pendingTasks().size();
       for (int i = 0; mayPreempt && i < tasks && stopped.size() < maxTasks; i++) {
         mayPreempt = makeRoom(job);
@@ -52,7 +52,8 @@
   /** Makes room for one task of the job; returns false when no machine can give it room. */
   private boolean makeRoom(Job job) {
     Resources reserved = reservedByTeam.getOrDefault(job.team(), Resources.NONE);
-    boolean withinGuarantee = fleet.teams.withinGuarantee(job.team(), reserved.plus(job.perTask()));
+    boolean withinGuarantee =
+        fleet.teams.isWithinGuarantee(job.team(), reserved.plus(job.perTask()));
     Plan best = null;
     for (Machine machine : fleet.machines.all()) {
       if (Placer.allows(job, machine)) {
@@ -114,7 +115,7 @@
     boolean exceedsGuarantee =
         withinGuarantee
             && other.team() != job.team()
-            && !fleet.teams.withinGuarantee(other.team(), Resources.NONE);
+            && !fleet.teams.isWithinGuarantee(other.team(), Resources.NONE);
     double runS = other.spec().expectedS();
     boolean justStarted =
         runningForS(placement) <= 30 && other.spec().priority().compareTo(Priority.HIGH) <= 0;
--- a/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
+++ b/src/test/java/org/ploverspindle/progress/ProgressLogSlotsTest.java
@@ -83,7 +83,7 @@
     slots.slotOverwritten(later);
     assertEquals(Map.of(shard, tasks(1)), slots.latestStatusIn(5));
     assertFalse(slots.isMentioned("run-1"));
-    job.cancel();
+    job.markCancelled();
     slots.slotOverwritten(later);
     assertEquals(Map.of(), slots.latestStatusIn(5));
   }
--- a/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
+++ b/src/test/java/org/ploverspindle/settings/SettingsFileTest.java
@@ -30,7 +30,7 @@
   @Test
   void validFileIsReadAndUnknownFieldsAreIgnored() throws Exception {
     Settings settings = SettingsFile.parse("s.toml", "novelty = 3\n" + sampleText());
-    assertEquals("rehearsal", settings.member());
+    assertEquals("rehearsal", settings.controllerName());
     assertEquals(10.0, settings.workers().leaseS());
     assertEquals(1, settings.controllerCount());
     assertEquals(8192, settings.stateLimits().maxValueBytes());
--- a/src/test/java/org/ploverspindle/sim/BrokenJobsTest.java
+++ b/src/test/java/org/ploverspindle/sim/BrokenJobsTest.java
@@ -61,8 +61,8 @@
     cluster.clock.after(180_000, () -> failingJobs.forEach(job -> cluster.cancel(job.uid(), 0)));
     cluster.clock.after(181_000, cluster::faultsEnded);
     cluster.clock.runUntil(300_000);
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(95, cluster.checker.jobsDone());
     int attempts = launches[1] - launches[0];
     assertTrue(
--- a/src/test/java/org/ploverspindle/sim/CancellationDelayTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationDelayTest.java
@@ -78,7 +78,7 @@
         START_MS + JOB_COUNT * INTERVAL_MS,
         () -> requestsAfter[0] = cluster.state.requestLimiter.requestCount());
     cluster.clock.runUntil(START_MS + JOB_COUNT * INTERVAL_MS + 30_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(JOB_COUNT, leaderDelaysMs.size() + otherDelaysMs.size());
     assertTrue(leaderDelaysMs.size() >= JOB_COUNT / 4 && otherDelaysMs.size() >= JOB_COUNT / 2);
     String delays = "through the leader " + leaderDelaysMs + ", through others " + otherDelaysMs;
@@ -124,7 +124,7 @@
   }
 
   private void cancel(String uid, int controller) {
-    cluster.checker.cancelAsked(uid);
+    cluster.checker.recordCancellationRequest(uid);
     cluster.cancelAt(controller, uid, answer -> confirmed(uid, controller, answer));
   }
 
--- a/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancellationRaceTest.java
@@ -58,7 +58,7 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void completionsUnrecordedAtLeaderCrashAreNotRepeated(long seed) {
     startCluster(seed, 14);
-    jobs(4_000, 100, 700, Priority.NORMAL, 2, 9);
+    submitJobs(4_000, 100, 700, Priority.NORMAL, 2, 9);
     int[] unrecorded = {0};
     for (int at = 30_000; at <= 72_000; at += 14_000) {
       cluster.clock.after(at, () -> crashWithUnrecordedCompletions(unrecorded));
@@ -96,10 +96,11 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void cancellationAtLastCompletionHoldsInvariantsWhileStateServiceIsSlow(long seed) {
     startCluster(seed, 14);
-    cluster.setCancelAtEndShare(0.6);
-    cluster.clock.after(FROM_MS, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 300));
+    cluster.setCancelAtCompletionShare(0.6);
+    cluster.clock.after(
+        FIRST_JOB_MS, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 300));
     cluster.clock.after(80_000, () -> cluster.network.setMaxDelay(SimulatedCluster.STATE, 0));
-    jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
+    submitJobs(FIRST_JOB_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
     long ended = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
     assertAtLeast("jobs done", 20, cluster.checker.jobsDone());
@@ -111,9 +112,9 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void cancellationAtLastCompletionHoldsInvariants(long seed) {
     startCluster(seed, 14);
-    cluster.setCancelAtEndShare(0.6);
+    cluster.setCancelAtCompletionShare(0.6);
     cluster.setRequestBursts(true);
-    jobs(FROM_MS, 80, 600, Priority.NORMAL, 2, 5);
+    submitJobs(FIRST_JOB_MS, 80, 600, Priority.NORMAL, 2, 5);
     runAndCheckRules(80_000, 60_000);
     long ended = submitted.stream().filter(uid -> cluster.checker.isDone(uid)).count();
     assertAtLeast("jobs done", 20, cluster.checker.jobsDone());
@@ -125,10 +126,10 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void cancellationsDuringLeaderChangesHoldInvariants(long seed) {
     startCluster(seed, 14);
-    jobs(4_000, 40, 700, Priority.NORMAL, 2, 250);
+    submitJobs(4_000, 40, 700, Priority.NORMAL, 2, 250);
     for (int round = 0; round < 2; round++) {
       int at = 36_000 + round * 30_000;
-      cancellations(at - 1_500, 12, 500);
+      scheduleCancellations(at - 1_500, 12, 500);
       boolean isPartitioned = (round + seed) % 2 == 0;
       cluster.clock.after(
           at,
@@ -146,6 +147,8 @@
     runAndCheckRules(90_000, (int) cancelMs + 20_000);
     assertAtLeast("terms", 3, cluster.termCount());
     assertAtLeast(
-        "cancellations of jobs with tasks on machines", 12, cluster.checker.cancelledWhileOn());
+        "cancellations of jobs with tasks on machines",
+        12,
+        cluster.checker.cancelledWithRunningTasks());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledLimitsTest.java
@@ -181,7 +181,7 @@
     assertEquals(
         2 * TEAM_LIMIT_CORES, run.coresBefore, "cores in use, with every team at its limit");
     cluster.clock.runUntil(provenMs);
-    run.cancelledJobs.forEach(j -> assertEquals("aborted", cluster.checker.finalWord(j.uid())));
+    run.cancelledJobs.forEach(j -> assertEquals("aborted", cluster.checker.finalStatus(j.uid())));
     run.cancelledJobs.forEach(
         j -> assertEquals(List.of(), recordedPlacements(cluster, j), j.uid()));
     run.workers.forEach(worker -> run.setPartitioned(worker, true));
@@ -192,13 +192,13 @@
     cluster.clock.runUntil(provenMs + MAX_START_DELAY_MS);
     for (JobSpec job : run.laterJobs) {
       assertTrue(
-          cluster.checker.begunMs(job.uid()) >= 0,
+          cluster.checker.firstStartMs(job.uid()) >= 0,
           job.uid() + " has not begun, although all earlier placements are proven ended");
     }
     run.workers.forEach(worker -> run.setPartitioned(worker, false));
     cluster.faultsEnded();
     cluster.clock.runUntil(provenMs + 150_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     fault.assertOccurred(run);
   }
 
@@ -244,11 +244,12 @@
     }
     cluster.clock.runUntil(203_000);
     assertTrue(
-        cluster.checker.cancelledWhileOn() >= 30,
-        cluster.checker.cancelledWhileOn() + " jobs were cancelled while running, fewer than 30");
+        cluster.checker.cancelledWithRunningTasks() >= 30,
+        cluster.checker.cancelledWithRunningTasks()
+            + " jobs were cancelled while running, fewer than 30");
     assertTrue(writeCounts[0] > 150, writeCounts[0] + " writes of progress, not more than 150");
     assertEquals(0, writeCounts[1]);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 
   private static boolean isProgress(Change change) {
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsScenario.java
@@ -183,9 +183,9 @@
     Job takeOver(StoredJob stored, boolean cancelled) {
       Job job = accept(stored);
       if (cancelled) {
-        job.cancel();
+        job.markCancelled();
       }
-      RecordedProgress.RecordedStatuses read = recorded.of(job);
+      RecordedProgress.RecordedStatuses read = recorded.statusesOf(job);
       read.completed().stream().forEach(job::markCompleted);
       read.placements()
           .values()
@@ -213,7 +213,7 @@
     }
 
     void cancel(Job job) {
-      job.cancel();
+      job.markCancelled();
       recordEnds(job);
     }
 
@@ -275,7 +275,7 @@
   void assertNextLeaderFindsPlaced(StoredJob stored, Set<Integer> tasks) {
     assertEquals(tasks, recordedPlacements(stored));
     Leader reader = new Leader();
-    assertEquals(tasks, reader.recorded.of(reader.accept(stored)).placements().keySet());
+    assertEquals(tasks, reader.recorded.statusesOf(reader.accept(stored)).placements().keySet());
     reader.stop();
   }
 
--- a/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
+++ b/src/test/java/org/ploverspindle/sim/CancelledPlacementsTest.java
@@ -286,7 +286,7 @@
       }
       faultProbability = 0;
       runFor(2 * LONGER_THAN_CLEARING_WAIT_MS);
-      assertEquals(0, leader.writer.backlog(), "backlog of progress after 16 s without faults");
+      assertEquals(0, leader.writer.backlogSize(), "backlog of progress after 16 s without faults");
       for (Map.Entry<StoredJob, Job> e : ledJobs.entrySet()) {
         Set<Integer> placed = new TreeSet<>();
         e.getValue().activePlacements().forEach(p -> placed.add(p.task()));
--- a/src/test/java/org/ploverspindle/sim/CutControllerTest.java
+++ b/src/test/java/org/ploverspindle/sim/CutControllerTest.java
@@ -39,8 +39,8 @@
   private static void assertAllJobsComplete(SimulatedCluster cluster) {
     cluster.clock.after(135_000, cluster::faultsEnded);
     cluster.clock.runUntil(400_000);
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(120, cluster.checker.jobsDone());
   }
 
@@ -172,8 +172,8 @@
     }
     cluster.clock.after(135_000, cluster::faultsEnded);
     cluster.clock.runUntil(400_000);
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
     assertTrue(
         cluster.checker.jobsDone() >= 100,
         cluster.checker.jobsDone() + " jobs done, at least 100 expected");
--- a/src/test/java/org/ploverspindle/sim/DayEndCriteriaTest.java
+++ b/src/test/java/org/ploverspindle/sim/DayEndCriteriaTest.java
@@ -34,9 +34,9 @@
   }
 
   private static void assertRulesKept(SimulatedCluster cluster) {
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
-    assertEquals(0, cluster.checker.neverBegun());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
+    assertEquals(0, cluster.checker.neverStartedCount());
   }
 
   @ParameterizedTest
@@ -76,7 +76,7 @@
           () -> cluster.submitAndPoll(job(cluster, "array", Priority.NORMAL, 3, 4, 12, 30)));
     }
     cluster.clock.runUntil(300_000);
-    long begun = cluster.checker.begunMs("run-000000");
+    long begun = cluster.checker.firstStartMs("run-000000");
     assertTrue(
         begun >= 0 && begun <= 240_000,
         "the largest job, due to start by 240000 ms, first started at " + begun);
@@ -101,7 +101,7 @@
           cluster.submitAndPoll(low[0]);
         });
     cluster.clock.runUntil(280_000);
-    long begun = cluster.checker.begunMs(low[0].uid());
+    long begun = cluster.checker.firstStartMs(low[0].uid());
     assertTrue(
         begun >= 0 && begun <= 250_000,
         "the job, due to start by 250000 ms, first started at " + begun);
@@ -191,7 +191,7 @@
         30_000,
         () -> {
           int leader = cluster.leader();
-          assertTrue(leader >= 0 && cluster.checker.begunMs(spec[0].uid()) >= 0);
+          assertTrue(leader >= 0 && cluster.checker.firstStartMs(spec[0].uid()) >= 0);
           cluster.network.partition("n" + leader, SimulatedCluster.STATE, true);
           for (int i = 0; i < CONTROLLERS; i++) {
             cluster.network.partition("n" + leader, "n" + i, true);
--- a/src/test/java/org/ploverspindle/sim/DirectStopTest.java
+++ b/src/test/java/org/ploverspindle/sim/DirectStopTest.java
@@ -65,6 +65,6 @@
     assertTrue(
         machinesWithTasks[0] >= 8,
         machinesWithTasks[0] + " machines had tasks, at least 8 expected");
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/FaultScenario.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenario.java
@@ -257,8 +257,8 @@
     combination.schedule(scenario);
     scenario.at(scenario.faultsEndMs, cluster::faultsEnded);
     cluster.clock.runUntil(scenario.faultsEndMs + RECOVERY_MS);
-    assertEquals(List.of(), cluster.checker.broken());
-    assertEquals(0, cluster.checker.neverBegun(), "accepted jobs that never started");
+    assertEquals(List.of(), cluster.checker.violations());
+    assertEquals(0, cluster.checker.neverStartedCount(), "accepted jobs that never started");
     List<String> missingEvidence =
         scenario.evidence.entrySet().stream()
             .filter(entry -> !entry.getValue().getAsBoolean())
--- a/src/test/java/org/ploverspindle/sim/Faults.java
+++ b/src/test/java/org/ploverspindle/sim/Faults.java
@@ -7,13 +7,13 @@
 enum Faults {
   CONTROLLER_CRASH {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.crash(randomControllerFavoringLeader(cluster, random), 100 + random.nextInt(4_000));
     }
   },
   ALL_CONTROLLERS_CRASH {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       for (int i = 0; i < cluster.controllerCount; i++) {
         cluster.crash(i, 100 + random.nextInt((int) durationMs));
       }
@@ -21,34 +21,34 @@
   },
   CONTROLLER_PAUSE {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.freeze(randomControllerFavoringLeader(cluster, random), durationMs);
     }
   },
   STATE_OUTAGE {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.state.setOutage(true);
       cluster.clock.after(durationMs, () -> cluster.state.setOutage(false));
     }
   },
   CLOUD_OUTAGE {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.cloud.setOutage(true);
       cluster.clock.after(durationMs, () -> cluster.cloud.setOutage(false));
     }
   },
   DELAYED_REQUESTS {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.network.setLateRequestShare(0.05 + random.nextDouble() * 0.2);
       cluster.clock.after(durationMs, () -> cluster.network.setLateRequestShare(0));
     }
   },
   WORKERS_PARTITIONED {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       for (SimWorker worker : randomWorkers(cluster, random)) {
         for (int i = 0; i < cluster.controllerCount; i++) {
           String controller = "n" + i;
@@ -61,25 +61,25 @@
   },
   MACHINE_FAILURES {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       randomWorkers(cluster, random).forEach(worker -> cluster.cloud.fail(worker.host()));
     }
   },
   SPOT_NOTICES {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       randomWorkers(cluster, random).forEach(SimWorker::giveSpotNotice);
     }
   },
   UNRESPONSIVE_WORKERS {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       randomWorkers(cluster, random).forEach(worker -> worker.hang(durationMs));
     }
   },
   MESSAGES_TO_WORKERS_DROPPED {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       for (SimWorker worker : randomWorkers(cluster, random)) {
         cluster.network.dropInbound(worker.host(), true);
         cluster.clock.after(durationMs, () -> cluster.network.dropInbound(worker.host(), false));
@@ -88,7 +88,7 @@
   },
   WORKER_REQUESTS_DROPPED {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       for (SimWorker worker : randomWorkers(cluster, random)) {
         cluster.network.dropRequestsFrom(worker.host(), true);
         cluster.clock.after(
@@ -98,25 +98,25 @@
   },
   UNANSWERED_TRANSACTIONS_DELAYED {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       leaveTransactionsUnanswered(cluster, 0.05 + random.nextDouble() * 0.4, false, durationMs);
     }
   },
   UNANSWERED_TRANSACTIONS_EXECUTED {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       leaveTransactionsUnanswered(cluster, 0.05 + random.nextDouble() * 0.4, true, durationMs);
     }
   },
   STALE_HEARTBEATS {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       replayHeartbeats(cluster, 0.1 + random.nextDouble() * 0.5, false, durationMs);
     }
   },
   STALE_HEARTBEATS_FOR_NEXT_LEADER {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       replayHeartbeats(cluster, 0.1 + random.nextDouble() * 0.5, true, durationMs);
       // The copies arrive only when another controller takes over, so the leader has to crash.
       cluster.clock.after(
@@ -128,7 +128,7 @@
   },
   CONTROLLER_PARTITIONED_PACKETS_HELD {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.partitionController(
           randomControllerFavoringLeader(cluster, random),
           SimulatedCluster.PartitionMode.HOLD_PACKETS,
@@ -137,7 +137,7 @@
   },
   CONTROLLER_PARTITIONED_REQUESTS_REFUSED {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.partitionController(
           randomControllerFavoringLeader(cluster, random),
           SimulatedCluster.PartitionMode.REFUSE_REQUESTS,
@@ -146,27 +146,27 @@
   },
   CANCELLATIONS {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.cancelRunning(1 + random.nextInt(6), random.nextBoolean() ? 0 : durationMs);
     }
   },
   CANCELLATIONS_AT_COMPLETION {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
-      cluster.setCancelAtEndShare(0.5);
-      cluster.clock.after(durationMs, () -> cluster.setCancelAtEndShare(0));
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
+      cluster.setCancelAtCompletionShare(0.5);
+      cluster.clock.after(durationMs, () -> cluster.setCancelAtCompletionShare(0));
     }
   },
   INVALID_REQUESTS {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.setInvalidRequests(true);
       cluster.clock.after(durationMs, () -> cluster.setInvalidRequests(false));
     }
   },
   REQUEST_BURSTS {
     @Override
-    void begin(SimulatedCluster cluster, Random random, long durationMs) {
+    void inject(SimulatedCluster cluster, Random random, long durationMs) {
       cluster.setRequestBursts(true);
       cluster.clock.after(durationMs, () -> cluster.setRequestBursts(false));
     }
@@ -176,7 +176,7 @@
    * Injects the fault now and ends it after {@code durationMs}. Crashed controllers, failed
    * machines and machines with a spot notice don't recover when it ends.
    */
-  abstract void begin(SimulatedCluster cluster, Random random, long durationMs);
+  abstract void inject(SimulatedCluster cluster, Random random, long durationMs);
 
   /**
    * Picks the leader in three of four cases and otherwise any controller, as a fault of a
--- a/src/test/java/org/ploverspindle/sim/FleetLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/FleetLimitsTest.java
@@ -60,7 +60,7 @@
     cluster.clock.runUntil(25_000);
     long refusedAtStart = cluster.cloud.requestLimiter.refusedCount();
     cluster.clock.runUntil(150_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertTrue(cluster.checker.isDone(job.uid()), "a machine was provisioned for the job");
     assertEquals(
         refusedAtStart,
--- a/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
+++ b/src/test/java/org/ploverspindle/sim/FleetSizeTest.java
@@ -81,7 +81,7 @@
                           worker -> cluster.network.partition("n" + leader, worker.host(), false)));
         });
     cluster.clock.runUntil(400_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(1, cluster.checker.jobsDone());
     assertEquals(80, cluster.checker.starts(), "each task started once: no worker lease expired");
   }
@@ -104,7 +104,7 @@
         cluster.cloud.machineCount() >= machines[0],
         "no machine was terminated because responses were lost");
     cluster.clock.runUntil(400_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(80, cluster.checker.starts(), "each task started once: no worker lease expired");
   }
 
@@ -124,7 +124,7 @@
         cluster.cloud.machineCount() >= machines[0],
         "no machine was terminated by timers that fired late");
     cluster.clock.runUntil(400_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(80, cluster.checker.starts(), "each task started once: no worker lease expired");
   }
 
@@ -139,7 +139,7 @@
     }
     cluster.clock.after(105_000, () -> assertEquals(first[0], requireLeader(cluster)));
     cluster.clock.runUntil(400_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(1, cluster.checker.jobsDone());
     assertEquals(
         80, cluster.checker.starts(), "each task started once: no worker counted as unresponsive");
@@ -165,8 +165,8 @@
           cluster.submitAndPoll(next[0]);
         });
     cluster.clock.runUntil(300_000);
-    assertEquals(List.of(), cluster.checker.broken());
-    long begun = cluster.checker.begunMs(next[0].uid());
+    assertEquals(List.of(), cluster.checker.violations());
+    long begun = cluster.checker.firstStartMs(next[0].uid());
     assertTrue(
         begun >= 0 && begun <= 80_000,
         "the next leader's first job, due by 80000 ms, started at " + begun);
@@ -197,7 +197,7 @@
         });
     cluster.clock.after(108_000, () -> before[1] = cluster.checker.starts());
     cluster.clock.runUntil(500_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(60, before[0]);
     int again = cluster.checker.starts() - before[0];
     assertTrue(
@@ -250,8 +250,8 @@
     }
     cluster.clock.after(60_000, () -> cluster.crash(requireLeader(cluster), 500));
     cluster.clock.runUntil(300_000);
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(40, cluster.checker.jobsDone());
   }
 
@@ -309,9 +309,9 @@
           cluster.faultsEnded();
         });
     cluster.clock.runUntil(360_000);
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
-    assertEquals(0, cluster.checker.neverBegun());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
+    assertEquals(0, cluster.checker.neverStartedCount());
     assertTrue(cluster.checker.jobsDone() >= 1_490, cluster.checker.jobsDone() + " jobs done");
     assertTrue(
         cluster.state.requestLimiter.refusedCount()
@@ -357,7 +357,7 @@
                   DayEndCriteriaTest.job(cluster, "a", Priority.NORMAL, 20, 2, 10, 60)));
     }
     cluster.clock.runUntil(200_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(20, cluster.checker.jobsDone());
   }
 
@@ -376,8 +376,8 @@
     cluster.cloud.setBootTimeFactor("large", 1);
     cluster.clock.after(150_000, () -> cluster.cloud.setBootTimeFactor("small", 1));
     cluster.clock.runUntil(400_000);
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(60, cluster.checker.jobsDone());
     assertTrue(
         cluster.cloud.provisionedCount() <= 160,
--- a/src/test/java/org/ploverspindle/sim/InvalidRequests.java
+++ b/src/test/java/org/ploverspindle/sim/InvalidRequests.java
@@ -45,7 +45,7 @@
     this.random = new Random(7);
   }
 
-  void play(boolean enable) {
+  void setActive(boolean enable) {
     if (enable && !active) {
       cluster.clock.after(MEAN_INTERVAL_MS, this::sendAndScheduleNext);
     }
@@ -109,7 +109,7 @@
 
   private void sendRandomRequest() {
     String unfinished = randomOrEmpty(cluster.checker.unfinished());
-    String done = randomOrEmpty(cluster.checker.toldDone());
+    String done = randomOrEmpty(cluster.checker.answeredDone());
     String known = random.nextBoolean() || done.isEmpty() ? unfinished : done;
     switch (random.nextInt(8)) {
       case 0 -> resubmit(unfinished);
