--- a/src/test/java/org/ploverspindle/sim/InvariantChecker.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantChecker.java
@@ -50,7 +50,7 @@
   }
 
   /** A start of a task on a machine; {@code orderedMs} is when its command was sent. */
-  record Start(String uid, int task, long orderedMs, long startedMs) {}
+  record Start(String uid, int task, long commandSentMs, long startedMs) {}
 
   private final SimClock clock;
   private final Settings settings;
@@ -61,7 +61,7 @@
   private final IdleCapacityCheck idleCapacity;
   private final UnknownJobAnswers unknownJobs = new UnknownJobAnswers(this::report);
   private int starts;
-  private int cancelledWhileOn;
+  private int cancelledWithRunningTasks;
   private long faultsEndedMs = -1;
   private Consumer<String> lastTaskListener = uid -> {};
   private Consumer<Start> startListener = start -> {};
@@ -75,7 +75,7 @@
     this.idleCapacity = new IdleCapacityCheck(clock, settings);
   }
 
-  List<Violation> broken() {
+  List<Violation> violations() {
     return violations;
   }
 
@@ -107,7 +107,7 @@
   }
 
   /** Checks the answer to an acceptable submission, whose dependencies all are accepted jobs. */
-  void submissionTold(String uid, int status) {
+  void checkAcceptableSubmission(String uid, int status) {
     if (status == 400 || status == 422) {
       report(Rule.WRONG_STATUS, uid + ", an acceptable submission, was refused with " + status);
     }
@@ -118,13 +118,13 @@
     unknownJobs.expectRefusal(uid, status, reason);
   }
 
-  void troublesAreOver() {
+  void faultsEnded() {
     faultsEndedMs = clock.nowMs();
     jobs.all().forEach(job -> job.unansweredSinceMs = -1);
   }
 
   /** Records that a user polls a job; the poll may stay unanswered. */
-  void asked(String uid) {
+  void recordPoll(String uid) {
     ObservedJob job = jobs.get(uid);
     if (job != null && job.unansweredSinceMs < 0) {
       job.unansweredSinceMs = clock.nowMs();
@@ -147,17 +147,17 @@
   }
 
   /** Returns how many cancellations were confirmed while tasks of the job were on machines. */
-  int cancelledWhileOn() {
-    return cancelledWhileOn;
+  int cancelledWithRunningTasks() {
+    return cancelledWithRunningTasks;
   }
 
   /** Checks, at the end of a run, that no group of jobs was starved: see {@link ServiceCheck}. */
-  void endOfDay() {
+  void checkService() {
     new ServiceCheck(jobs::mayRun, jobs::readyMs, this::report).check(jobs.all());
   }
 
   /** Returns when the job's last task completed, or {@code Long.MAX_VALUE}. */
-  long doneMs(String uid) {
+  long completedMs(String uid) {
     return jobs.get(uid).completedMs;
   }
 
@@ -166,12 +166,12 @@
   }
 
   /** Returns the final status that users were answered, done or aborted, or an empty string. */
-  String finalWord(String uid) {
+  String finalStatus(String uid) {
     return jobs.get(uid).finalStatus;
   }
 
   /** Returns when the job's first task started, or -1. */
-  long begunMs(String uid) {
+  long firstStartMs(String uid) {
     return jobs.get(uid).firstStartMs;
   }
 
@@ -184,8 +184,8 @@
   }
 
   /** Counts the accepted jobs that may run and have not started. */
-  long neverBegun() {
-    return jobs.neverBegun();
+  long neverStartedCount() {
+    return jobs.neverStartedCount();
   }
 
   private boolean isCancellationOverdue(ObservedJob cancelled) {
@@ -193,7 +193,7 @@
         && clock.nowMs() - cancelled.cancellationConfirmedMs > settings.workers().cancelS() * 1000;
   }
 
-  void cancelAsked(String uid) {
+  void recordCancellationRequest(String uid) {
     ObservedJob job = jobs.get(uid);
     if (job != null) {
       job.cancellationRequested = true;
@@ -201,12 +201,12 @@
   }
 
   /** Sets the listener of task starts. */
-  void whenATaskStarts(Consumer<Start> listener) {
+  void onTaskStart(Consumer<Start> listener) {
     startListener = listener;
   }
 
   /** Sets the listener of the uids of jobs whose last task has completed. */
-  void whenALastTaskEnds(Consumer<String> listener) {
+  void onLastTaskEnd(Consumer<String> listener) {
     lastTaskListener = listener;
   }
 
@@ -221,8 +221,8 @@
   }
 
   /** Returns the jobs that a user was answered to be done. */
-  List<String> toldDone() {
-    return jobs.toldDone();
+  List<String> answeredDone() {
+    return jobs.answeredDone();
   }
 
   /** Returns the machines on which tasks of the job run. */
@@ -231,7 +231,7 @@
   }
 
   /** Records that a task resumes on a machine that had been unresponsive. */
-  void goesOn(String uid, int task, Place place) {
+  void recordResume(String uid, int task, Place place) {
     ObservedJob job = jobs.get(uid);
     Place other = job.placesByTask.putIfAbsent(task, place);
     if (other != null && !other.equals(place)) {
@@ -302,14 +302,14 @@
     return jobs.coresInUse(team);
   }
 
-  void leaves(String uid, int task, Place place) {
+  void recordStop(String uid, int task, Place place) {
     ObservedJob job = jobs.get(uid);
     if (job != null) {
       job.placesByTask.remove(task, place);
     }
   }
 
-  void completes(String uid, int task) {
+  void recordCompletion(String uid, int task) {
     ObservedJob job = jobs.get(uid);
     if (job.completedTasks.add(task) && job.isComplete()) {
       job.completedMs = Math.min(job.completedMs, clock.nowMs());
@@ -318,7 +318,7 @@
   }
 
   /** Checks, once per interval, the rules that are violated by the passing of time. */
-  void look() {
+  void checkOverdue() {
     checkUnansweredPolls();
     if (faultsEndedMs >= 0) {
       idleCapacity.check(jobs.all(), jobs::mayRun, this::report);
@@ -339,7 +339,7 @@
    *
    * @param sentMs when the request was sent
    */
-  void told(String uid, int status, String state, boolean submission, long sentMs) {
+  void recordAnswer(String uid, int status, String state, boolean submission, long sentMs) {
     ObservedJob job = jobs.get(uid);
     if (job == null) {
       unknownJobs.check(uid, status, submission);
@@ -387,7 +387,7 @@
     }
     if (state.equals("aborted") && job.cancellationConfirmedMs < 0) {
       job.cancellationConfirmedMs = clock.nowMs();
-      cancelledWhileOn += job.placesByTask.isEmpty() ? 0 : 1;
+      cancelledWithRunningTasks += job.placesByTask.isEmpty() ? 0 : 1;
     }
   }
 
--- a/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantCheckerTest.java
@@ -37,20 +37,21 @@
 
   private void assertOnlyViolation(InvariantChecker.Rule rule) {
     assertEquals(
-        List.of(rule), checker.broken().stream().map(InvariantChecker.Violation::rule).toList());
+        List.of(rule),
+        checker.violations().stream().map(InvariantChecker.Violation::rule).toList());
   }
 
   @Test
   void jobThatRunsEachTaskOnceIsNotReported() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.told("run-1", 201, "queued", true, clock.nowMs());
+    checker.recordAnswer("run-1", 201, "queued", true, clock.nowMs());
     for (int task = 0; task < 2; task++) {
       checker.starts("run-1", task, ZONE_A);
-      checker.completes("run-1", task);
-      checker.leaves("run-1", task, ZONE_A);
+      checker.recordCompletion("run-1", task);
+      checker.recordStop("run-1", task, ZONE_A);
     }
-    checker.told("run-1", 200, "done", false, clock.nowMs());
-    assertEquals(List.of(), checker.broken());
+    checker.recordAnswer("run-1", 200, "done", false, clock.nowMs());
+    assertEquals(List.of(), checker.violations());
   }
 
   @Test
@@ -96,123 +97,123 @@
   void taskRunningAfterTheCancellationTimeIsReportedAsRanCancelled() {
     checker.submitted(spec("run-1", 1, false, false));
     checker.starts("run-1", 0, ZONE_A);
-    checker.cancelAsked("run-1");
-    checker.told("run-1", 200, "aborted", false, clock.nowMs());
+    checker.recordCancellationRequest("run-1");
+    checker.recordAnswer("run-1", 200, "aborted", false, clock.nowMs());
     clock.runUntil(20_001);
-    checker.look();
+    checker.checkOverdue();
     assertOnlyViolation(InvariantChecker.Rule.RAN_CANCELLED);
   }
 
   @Test
   void notFoundAnswerForAnAcceptedJobIsReportedAsForgotten() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.told("run-1", 201, "queued", true, clock.nowMs());
+    checker.recordAnswer("run-1", 201, "queued", true, clock.nowMs());
     clock.runUntil(5);
-    checker.told("run-1", 404, "", false, clock.nowMs());
+    checker.recordAnswer("run-1", 404, "", false, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.FORGOTTEN);
   }
 
   @Test
   void answerForAJobNeverSubmittedIsReportedAsInvented() {
-    checker.told("run-9", 200, "queued", false, clock.nowMs());
+    checker.recordAnswer("run-9", 200, "queued", false, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.INVENTED);
   }
 
   @Test
   void doneWithIncompleteTasksIsReportedAsNotDone() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.completes("run-1", 0);
-    checker.told("run-1", 200, "done", false, clock.nowMs());
+    checker.recordCompletion("run-1", 0);
+    checker.recordAnswer("run-1", 200, "done", false, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.NOT_DONE);
   }
 
   @Test
   void runningAfterAbortedIsReportedAsWentBack() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.cancelAsked("run-1");
-    checker.told("run-1", 200, "aborted", false, clock.nowMs());
-    checker.told("run-1", 200, "running", false, clock.nowMs());
+    checker.recordCancellationRequest("run-1");
+    checker.recordAnswer("run-1", 200, "aborted", false, clock.nowMs());
+    checker.recordAnswer("run-1", 200, "running", false, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.WENT_BACK);
   }
 
   @Test
   void abortedWithoutACancellationIsReportedAsWentBack() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.told("run-1", 200, "aborted", false, clock.nowMs());
+    checker.recordAnswer("run-1", 200, "aborted", false, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.WENT_BACK);
   }
 
   @Test
   void pollsWithoutAnAnswerAreReportedAsUnanswered() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.told("run-1", 201, "queued", true, clock.nowMs());
+    checker.recordAnswer("run-1", 201, "queued", true, clock.nowMs());
     clock.runUntil(10_000);
-    checker.troublesAreOver();
-    checker.asked("run-1");
+    checker.faultsEnded();
+    checker.recordPoll("run-1");
     clock.runUntil(84_000);
-    checker.look();
-    assertEquals(List.of(), checker.broken());
+    checker.checkOverdue();
+    assertEquals(List.of(), checker.violations());
     clock.runUntil(86_000);
-    checker.look();
+    checker.checkOverdue();
     assertOnlyViolation(InvariantChecker.Rule.UNANSWERED);
   }
 
   @Test
   void anAnswerRestartsTheUnansweredTime() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.told("run-1", 201, "queued", true, clock.nowMs());
-    checker.troublesAreOver();
+    checker.recordAnswer("run-1", 201, "queued", true, clock.nowMs());
+    checker.faultsEnded();
     for (int minute = 1; minute <= 4; minute++) {
-      checker.asked("run-1");
+      checker.recordPoll("run-1");
       clock.runUntil(60_000 * minute);
-      checker.told("run-1", 200, "queued", false, clock.nowMs());
-      checker.look();
+      checker.recordAnswer("run-1", 200, "queued", false, clock.nowMs());
+      checker.checkOverdue();
     }
-    assertEquals(List.of(), checker.broken());
+    assertEquals(List.of(), checker.violations());
   }
 
   @Test
   void classServedLessThanHalfIsReportedAsStarved() {
     for (String uid : List.of("run-1", "run-2", "run-3")) {
       checker.submitted(spec(uid, 1, false, false));
-      checker.told(uid, 201, "queued", true, clock.nowMs());
+      checker.recordAnswer(uid, 201, "queued", true, clock.nowMs());
       checker.starts(uid, 0, ZONE_A);
-      checker.leaves(uid, 0, ZONE_A);
+      checker.recordStop(uid, 0, ZONE_A);
     }
-    checker.completes("run-1", 0);
-    checker.completes("run-1", 1);
-    checker.endOfDay();
+    checker.recordCompletion("run-1", 0);
+    checker.recordCompletion("run-1", 1);
+    checker.checkService();
     assertEquals(
         List.of(
             InvariantChecker.Rule.STARVED,
             InvariantChecker.Rule.STARVED,
             InvariantChecker.Rule.STARVED),
-        checker.broken().stream().map(InvariantChecker.Violation::rule).toList(),
+        checker.violations().stream().map(InvariantChecker.Violation::rule).toList(),
         "violations for the class, the team and the largest jobs of the class");
   }
 
   @Test
   void largestJobThatStartsTooLateIsReportedAsStarved() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.told("run-1", 201, "queued", true, clock.nowMs());
+    checker.recordAnswer("run-1", 201, "queued", true, clock.nowMs());
     clock.runUntil(240_001);
     for (int task = 0; task < 2; task++) {
       checker.starts("run-1", task, ZONE_A);
-      checker.completes("run-1", task);
+      checker.recordCompletion("run-1", task);
     }
-    checker.endOfDay();
+    checker.checkService();
     assertOnlyViolation(InvariantChecker.Rule.STARVED);
   }
 
   private void submitAccepted(JobSpec spec) {
     checker.submitted(spec);
-    checker.told(spec.uid(), 201, "queued", true, clock.nowMs());
+    checker.recordAnswer(spec.uid(), 201, "queued", true, clock.nowMs());
   }
 
   private void checkEverySecond(int seconds) {
     for (int i = 0; i < seconds; i++) {
       clock.runUntil(clock.nowMs() + 1_000);
-      checker.look();
+      checker.checkOverdue();
     }
   }
 
@@ -225,9 +226,9 @@
   void jobWaitingBesideAnIdleMachineIsReportedAsIdleRoom() {
     submitAccepted(spec("run-1", 2, false, false));
     machineUp(checker, ZONE_A, 4);
-    checker.troublesAreOver();
+    checker.faultsEnded();
     checkEverySecond(91);
-    assertEquals(List.of(), checker.broken());
+    assertEquals(List.of(), checker.violations());
     checkEverySecond(1);
     assertOnlyViolation(InvariantChecker.Rule.IDLE_ROOM);
   }
@@ -237,7 +238,7 @@
     submitAccepted(spec("run-1", 2, false, false));
     machineUp(checker, ZONE_A, 4);
     checker.starts("run-1", 0, ZONE_A);
-    checker.troublesAreOver();
+    checker.faultsEnded();
     checkEverySecond(95);
     assertOnlyViolation(InvariantChecker.Rule.IDLE_ROOM);
   }
@@ -264,9 +265,9 @@
         Resources.offered(4, 0, 16),
         () -> true);
     checker.starts("run-3", 1, ZONE_A);
-    checker.troublesAreOver();
+    checker.faultsEnded();
     checkEverySecond(200);
-    assertEquals(List.of(), checker.broken());
+    assertEquals(List.of(), checker.violations());
   }
 
   @Test
@@ -275,30 +276,30 @@
     checker.machineUp(largeMachine, Resources.offered(30, 0, 64), () -> true);
     submitAccepted(spec("run-1", 13, false, false));
     checker.starts("run-1", 0, largeMachine);
-    checker.troublesAreOver();
+    checker.faultsEnded();
     checkEverySecond(200);
-    assertEquals(List.of(), checker.broken());
+    assertEquals(List.of(), checker.violations());
   }
 
   @Test
   void jobWithAStartEveryMinuteIsNotReported() {
     submitAccepted(spec("run-1", 1, false, false));
     machineUp(checker, ZONE_A, 4);
-    checker.troublesAreOver();
+    checker.faultsEnded();
     for (int i = 0; i < 4; i++) {
       checkEverySecond(60);
       checker.starts("run-1", 0, ZONE_A);
-      checker.leaves("run-1", 0, ZONE_A);
+      checker.recordStop("run-1", 0, ZONE_A);
     }
-    assertEquals(List.of(), checker.broken());
+    assertEquals(List.of(), checker.violations());
   }
 
   @Test
   void startsAfterAConfirmedCancellationAreListedWithTheirCommandTimes() {
     submitAccepted(spec("run-1", 1, false, false));
-    checker.cancelAsked("run-1");
+    checker.recordCancellationRequest("run-1");
     clock.runUntil(1_000);
-    checker.told("run-1", 200, "aborted", false, clock.nowMs());
+    checker.recordAnswer("run-1", 200, "aborted", false, clock.nowMs());
     assertEquals(List.of(), checker.lateStarts());
     clock.runUntil(3_000);
     checker.starts("run-1", 0, ZONE_A, 900);
@@ -313,21 +314,22 @@
         checker.lateStarts().stream()
             .map(InvariantChecker.LateStart::isCommandSentAfterConfirmation)
             .toList());
-    assertEquals(List.of(), checker.broken(), "both may still be stopped in time");
+    assertEquals(List.of(), checker.violations(), "both may still be stopped in time");
   }
 
   @Test
   void cancelledTaskResumedAfterAHangIsReportedAsRanCancelled() {
     submitAccepted(spec("run-1", 1, false, false));
     checker.starts("run-1", 0, ZONE_A);
-    checker.cancelAsked("run-1");
-    checker.told("run-1", 200, "aborted", false, clock.nowMs());
+    checker.recordCancellationRequest("run-1");
+    checker.recordAnswer("run-1", 200, "aborted", false, clock.nowMs());
     clock.runUntil(6_000);
-    checker.leaves("run-1", 0, ZONE_A);
+    checker.recordStop("run-1", 0, ZONE_A);
     clock.runUntil(20_001);
-    checker.look();
-    assertEquals(List.of(), checker.broken(), "its task left the machine with the worker lease");
-    checker.goesOn("run-1", 0, ZONE_A);
+    checker.checkOverdue();
+    assertEquals(
+        List.of(), checker.violations(), "its task left the machine with the worker lease");
+    checker.recordResume("run-1", 0, ZONE_A);
     assertOnlyViolation(InvariantChecker.Rule.RAN_CANCELLED);
   }
 
@@ -335,29 +337,29 @@
   void taskResumedWhileOnAnotherMachineIsReportedAsRanTwice() {
     submitAccepted(spec("run-1", 1, false, false));
     checker.starts("run-1", 0, ZONE_A);
-    checker.leaves("run-1", 0, ZONE_A);
+    checker.recordStop("run-1", 0, ZONE_A);
     checker.starts("run-1", 0, ZONE_B);
-    checker.goesOn("run-1", 0, ZONE_B);
-    assertEquals(List.of(), checker.broken());
-    checker.goesOn("run-1", 0, ZONE_A);
+    checker.recordResume("run-1", 0, ZONE_B);
+    assertEquals(List.of(), checker.violations());
+    checker.recordResume("run-1", 0, ZONE_A);
     assertOnlyViolation(InvariantChecker.Rule.RAN_TWICE);
   }
 
   @Test
   void acceptedJobThatCanNeverRunIsReportedAsWronglyAccepted() {
     checker.expectRefusal("run-1", 422, "fits no machine");
-    checker.told("run-1", 422, "", true, clock.nowMs());
-    checker.told("run-1", 503, "", true, clock.nowMs());
-    checker.told("run-1", 404, "", false, clock.nowMs());
-    assertEquals(List.of(), checker.broken());
-    checker.told("run-1", 201, "queued", true, clock.nowMs());
+    checker.recordAnswer("run-1", 422, "", true, clock.nowMs());
+    checker.recordAnswer("run-1", 503, "", true, clock.nowMs());
+    checker.recordAnswer("run-1", 404, "", false, clock.nowMs());
+    assertEquals(List.of(), checker.violations());
+    checker.recordAnswer("run-1", 201, "queued", true, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.WRONGLY_ACCEPTED);
   }
 
   @Test
   void refusalWithAnotherStatusIsReportedAsWrongStatus() {
     checker.expectRefusal("run-1", 400, "lacks a field");
-    checker.told("run-1", 422, "", true, clock.nowMs());
+    checker.recordAnswer("run-1", 422, "", true, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.WRONG_STATUS);
   }
 
@@ -367,14 +369,14 @@
     checker.submitted(JobSpecFixtures.withDependencies(spec("run-2", 1, false, false), "run-1"));
     checker.submitted(JobSpecFixtures.withDependencies(spec("run-3", 1, false, false), "run-2"));
     List.of("run-1", "run-2", "run-3")
-        .forEach(uid -> checker.told(uid, 201, "queued", true, clock.nowMs()));
+        .forEach(uid -> checker.recordAnswer(uid, 201, "queued", true, clock.nowMs()));
   }
 
   private void runToCompletion(String uid) {
     for (int task = 0; task < 2; task++) {
       checker.starts(uid, task, ZONE_A);
-      checker.completes(uid, task);
-      checker.leaves(uid, task, ZONE_A);
+      checker.recordCompletion(uid, task);
+      checker.recordStop(uid, task, ZONE_A);
     }
   }
 
@@ -382,14 +384,14 @@
   void pipelineRunInDependencyOrderIsNotReported() {
     submitPipeline();
     List.of("run-1", "run-2", "run-3").forEach(this::runToCompletion);
-    assertEquals(List.of(), checker.broken());
+    assertEquals(List.of(), checker.violations());
   }
 
   @Test
   void startBeforeADependencyIsDoneIsReportedAsTooEarly() {
     submitPipeline();
     checker.starts("run-1", 0, ZONE_A);
-    checker.completes("run-1", 0);
+    checker.recordCompletion("run-1", 0);
     checker.starts("run-2", 0, ZONE_A);
     assertOnlyViolation(InvariantChecker.Rule.TOO_EARLY);
   }
@@ -399,48 +401,48 @@
   void taskRunningAfterItsDependencyWasCancelledIsReportedAsRanCancelled() {
     submitPipeline();
     checker.starts("run-3", 0, ZONE_A);
-    checker.cancelAsked("run-1");
-    checker.told("run-1", 200, "aborted", false, clock.nowMs());
+    checker.recordCancellationRequest("run-1");
+    checker.recordAnswer("run-1", 200, "aborted", false, clock.nowMs());
     clock.runUntil(20_000);
-    checker.look();
-    assertEquals(1, checker.broken().size());
+    checker.checkOverdue();
+    assertEquals(1, checker.violations().size());
     clock.runUntil(20_001);
-    checker.look();
+    checker.checkOverdue();
     assertEquals(
         List.of(InvariantChecker.Rule.TOO_EARLY, InvariantChecker.Rule.RAN_CANCELLED),
-        checker.broken().stream().map(InvariantChecker.Violation::rule).toList());
+        checker.violations().stream().map(InvariantChecker.Violation::rule).toList());
   }
 
   @Test
   void finalRefusalOfAnAcceptableSubmissionIsReportedAsWrongStatus() {
     checker.submitted(spec("run-1", 1, false, false));
-    checker.submissionTold("run-1", 503);
-    assertEquals(List.of(), checker.broken());
-    checker.submissionTold("run-1", 422);
+    checker.checkAcceptableSubmission("run-1", 503);
+    assertEquals(List.of(), checker.violations());
+    checker.checkAcceptableSubmission("run-1", 422);
     assertOnlyViolation(InvariantChecker.Rule.WRONG_STATUS);
   }
 
   @Test
   void indirectDependentNotAbortedInTimeIsReportedAsOrphaned() {
     submitPipeline();
-    checker.cancelAsked("run-1");
-    checker.told("run-1", 200, "aborted", false, clock.nowMs());
+    checker.recordCancellationRequest("run-1");
+    checker.recordAnswer("run-1", 200, "aborted", false, clock.nowMs());
     clock.runUntil(20_000);
-    checker.told("run-3", 200, "queued", false, clock.nowMs());
-    assertEquals(List.of(), checker.broken());
+    checker.recordAnswer("run-3", 200, "queued", false, clock.nowMs());
+    assertEquals(List.of(), checker.violations());
     clock.runUntil(20_001);
-    checker.told("run-3", 200, "queued", false, clock.nowMs());
+    checker.recordAnswer("run-3", 200, "queued", false, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.ORPHANED);
   }
 
   @Test
   void abortedDependencyOfACancelledJobIsReportedAsWentBack() {
     submitPipeline();
-    checker.cancelAsked("run-2");
-    checker.told("run-2", 200, "aborted", false, clock.nowMs());
-    checker.told("run-3", 200, "aborted", false, clock.nowMs());
-    assertEquals(List.of(), checker.broken());
-    checker.told("run-1", 200, "aborted", false, clock.nowMs());
+    checker.recordCancellationRequest("run-2");
+    checker.recordAnswer("run-2", 200, "aborted", false, clock.nowMs());
+    checker.recordAnswer("run-3", 200, "aborted", false, clock.nowMs());
+    assertEquals(List.of(), checker.violations());
+    checker.recordAnswer("run-1", 200, "aborted", false, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.WENT_BACK);
   }
 
@@ -448,9 +450,9 @@
   void abortedDependentOfAJobAnsweredDoneIsReportedAsWentBack() {
     submitPipeline();
     runToCompletion("run-1");
-    checker.cancelAsked("run-1");
-    checker.told("run-1", 200, "done", false, clock.nowMs());
-    checker.told("run-2", 200, "aborted", false, clock.nowMs());
+    checker.recordCancellationRequest("run-1");
+    checker.recordAnswer("run-1", 200, "done", false, clock.nowMs());
+    checker.recordAnswer("run-2", 200, "aborted", false, clock.nowMs());
     assertOnlyViolation(InvariantChecker.Rule.WENT_BACK);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/InvariantsSweep.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantsSweep.java
@@ -20,10 +20,11 @@
     List<String> failed = new ArrayList<>();
     for (long seed = first; seed < first + seeds; seed++) {
       SimulatedCluster cluster = simulate.apply(seed);
-      if (!cluster.checker.broken().isEmpty()) {
-        failed.add(seed + ": " + cluster.checker.broken().get(0));
-      } else if (cluster.checker.neverBegun() > 0) {
-        failed.add(seed + ": " + cluster.checker.neverBegun() + " accepted jobs never started");
+      if (!cluster.checker.violations().isEmpty()) {
+        failed.add(seed + ": " + cluster.checker.violations().get(0));
+      } else if (cluster.checker.neverStartedCount() > 0) {
+        failed.add(
+            seed + ": " + cluster.checker.neverStartedCount() + " accepted jobs never started");
       }
     }
     assertEquals(List.of(), failed);
@@ -43,7 +44,7 @@
 
   @Test
   void rulesHoldForPipelinesUnderFaults() {
-    assertRulesHoldForSeeds(FIRST_SEED, SEEDS, seed -> PipelineFaultsTest.play(seed).w);
+    assertRulesHoldForSeeds(FIRST_SEED, SEEDS, seed -> PipelineFaultsTest.runDay(seed).w);
   }
 
   /**
--- a/src/test/java/org/ploverspindle/sim/InvariantsTest.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantsTest.java
@@ -164,7 +164,7 @@
     submitJobs(cluster, random);
     Faults[] all = Faults.values();
     for (int i = 0; i < pairs; i++) {
-      playPair(
+      scheduleFaultPair(
           cluster,
           random,
           all[random.nextInt(all.length)],
@@ -181,19 +181,20 @@
     submitJobs(cluster, random);
     for (int i = 0; i < 5; i++) {
       int atMs = 15_000 + i * 38_000 + random.nextInt(5_000);
-      playPair(cluster, random, i % 2 == 0 ? first : second, i % 2 == 0 ? second : first, atMs);
+      scheduleFaultPair(
+          cluster, random, i % 2 == 0 ? first : second, i % 2 == 0 ? second : first, atMs);
     }
     return runToEnd(cluster);
   }
 
-  static void playPair(
+  static void scheduleFaultPair(
       SimulatedCluster cluster, Random random, Faults first, Faults second, int atMs) {
     int forMs = 1_000 + random.nextInt(30_000);
     int secondForMs = 1_000 + random.nextInt(30_000);
-    cluster.clock.after(atMs, () -> first.begin(cluster, random, forMs));
+    cluster.clock.after(atMs, () -> first.inject(cluster, random, forMs));
     cluster.clock.after(
         atMs + random.nextInt(Math.min(forMs, 9_000)),
-        () -> second.begin(cluster, random, secondForMs));
+        () -> second.inject(cluster, random, secondForMs));
   }
 
   private static void submitJobs(SimulatedCluster cluster, Random random) {
@@ -215,7 +216,7 @@
   private static SimulatedCluster runToEnd(SimulatedCluster cluster) {
     cluster.clock.after(240_000, cluster::faultsEnded);
     cluster.clock.runUntil(420_000);
-    cluster.checker.endOfDay();
+    cluster.checker.checkService();
     return cluster;
   }
 
@@ -227,19 +228,22 @@
       })
   void rulesHoldUnderRandomFaults(long seed) {
     SimulatedCluster cluster = simulateRandomFaults(seed, 14);
-    assertEquals(List.of(), cluster.checker.broken(), "seed " + seed);
+    assertEquals(List.of(), cluster.checker.violations(), "seed " + seed);
     assertTrue(
         cluster.checker.starts() > 50,
         "seed " + seed + ": " + cluster.checker.starts() + " starts");
     assertEquals(
-        0, cluster.checker.neverBegun(), "seed " + seed + ": accepted jobs that never started");
+        0,
+        cluster.checker.neverStartedCount(),
+        "seed " + seed + ": accepted jobs that never started");
   }
 
   private static void assertRulesKept(SimulatedCluster cluster, String context) {
-    assertEquals(List.of(), cluster.checker.broken(), context);
+    assertEquals(List.of(), cluster.checker.violations(), context);
     assertTrue(
         cluster.checker.starts() > 50, context + ": " + cluster.checker.starts() + " starts");
-    assertEquals(0, cluster.checker.neverBegun(), context + ": accepted jobs that never started");
+    assertEquals(
+        0, cluster.checker.neverStartedCount(), context + ": accepted jobs that never started");
   }
 
   @ParameterizedTest
@@ -271,14 +275,14 @@
     cluster.clock.after(40_000, () -> cluster.crash(0, 1_000));
     cluster.clock.after(45_000, () -> cluster.crash(1, 1_000));
     cluster.clock.runUntil(90_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertTrue(cluster.checker.starts() > 500, cluster.checker.starts() + " starts");
   }
 
   @Test
   void jobsCompleteOnADayWithoutFaults() {
     SimulatedCluster cluster = simulateRandomFaults(77, 0);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertTrue(cluster.checker.jobsDone() >= 25, cluster.checker.jobsDone() + " jobs done");
   }
 }
--- a/src/test/java/org/ploverspindle/sim/LargeFleetDayTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeFleetDayTest.java
@@ -78,10 +78,10 @@
     cluster.clock.runUntil(PARTITION_START_MS);
     assertTrue(cluster.checker.starts() > startsBefore, "the next leader starts tasks");
     cluster.clock.runUntil(DAY_END_MS);
-    cluster.checker.endOfDay();
+    cluster.checker.checkService();
     log(machines, cluster);
-    assertEquals(List.of(), cluster.checker.broken());
-    assertEquals(0, cluster.checker.neverBegun());
+    assertEquals(List.of(), cluster.checker.violations());
+    assertEquals(0, cluster.checker.neverStartedCount());
     assertTrue(partitioned.size() > machines / 8, partitioned.size() + " machines are partitioned");
     assertEquals(2, cluster.termCount(), "terms, with one crash of a leader");
     assertEquals(
--- a/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LargeJobUnderLowerLimitsTest.java
@@ -81,7 +81,7 @@
             0.1,
             TASK_DURATION_S,
             0);
-    cluster.checker.whenATaskStarts(
+    cluster.checker.onTaskStart(
         start -> {
           if (start.uid().equals(large.uid())) {
             largeJobStarts.add(start);
@@ -148,7 +148,7 @@
     for (Iterator<JobSpec> jobs = withoutCompletionRecord.iterator(); jobs.hasNext(); ) {
       JobSpec job = jobs.next();
       if (cluster.state.containsKey(Keys.completion(job.uid()))) {
-        long endedMs = cluster.checker.doneMs(job.uid());
+        long endedMs = cluster.checker.completedMs(job.uid());
         completionDelays.add(new long[] {endedMs, cluster.clock.nowMs() - endedMs});
         jobs.remove();
       }
@@ -201,8 +201,8 @@
   private void assertRulesAndRatesKept(long refusedWhileLoading) {
     enoughSmallJobs = true;
     runFor(60_000);
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(0, cluster.state.refusedAsTooLarge(), "writes refused for their size");
     assertEquals(
         0, cluster.state.changeLimiter.refusedCount(), "changes refused because of their rate");
@@ -232,7 +232,7 @@
     }
     cluster.submitAndPoll(large);
     for (int task = 0; task < done; task++) {
-      cluster.checker.completes(large.uid(), task);
+      cluster.checker.recordCompletion(large.uid(), task);
     }
   }
 
@@ -246,7 +246,7 @@
     logMeasured("accepted after", usage().since(before));
     runUntil(() -> !largeJobStarts.isEmpty(), 20_000);
     logMeasured("first start after", usage().since(before));
-    assertEquals(SHARD_SIZE, SnapshotRecord.shardSizeFor(LIMITS.maxValueBytes()));
+    assertEquals(SHARD_SIZE, SnapshotRecord.maxShardSize(LIMITS.maxValueBytes()));
 
     runUntil(() -> cluster.checker.tasksDone(large.uid()) >= 10_000, 60_000);
     logMeasured("10,000 tasks done after", usage().since(before));
@@ -323,13 +323,13 @@
 
   private boolean anyOrderedAfter(int startsBefore, long orderedMs) {
     return largeJobStarts.subList(startsBefore, largeJobStarts.size()).stream()
-        .anyMatch(s -> s.orderedMs() > orderedMs);
+        .anyMatch(s -> s.commandSentMs() > orderedMs);
   }
 
   private void cancelLargeJob() {
     cluster.cancel(large.uid(), 0);
     long abortedMs =
-        runUntil(() -> cluster.checker.finalWord(large.uid()).equals("aborted"), 2_000);
+        runUntil(() -> cluster.checker.finalStatus(large.uid()).equals("aborted"), 2_000);
     long endedMs =
         runUntil(() -> cluster.checker.hostsOf(large.uid()).isEmpty(), CANCELLATION_LIMIT_MS);
     logMeasured("aborted after", abortedMs + " ms, all tasks gone " + endedMs + " ms later");
--- a/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LeaderChangeFaultsTest.java
@@ -47,7 +47,7 @@
             () -> scenario.recorded("crashes during outage") >= 1);
         scenario.requireEvidence(
             "at least three cancellations of running jobs",
-            () -> cluster.checker.cancelledWhileOn() >= 3);
+            () -> cluster.checker.cancelledWithRunningTasks() >= 3);
       }
 
       private void crashDuringOutage(FaultScenario scenario) {
@@ -115,14 +115,14 @@
       public void schedule(FaultScenario scenario) {
         SimulatedCluster cluster = scenario.cluster;
         scenario.submitJobs(3_000, 1_000, 14, 3, 1, 120);
-        AgentEpochs[] epochs = new AgentEpochs[1];
+        WorkerEpochs[] epochs = new WorkerEpochs[1];
         long downtimeMs = scenario.leaseMs + 3_000 + scenario.random.nextInt(9_000);
         scenario.at(44_000, () -> scenario.record("terms", cluster::termCount));
         scenario.at(44_000, () -> cluster.cancelRunning(3, 0));
         scenario.at(
             45_000,
             () -> {
-              epochs[0] = new AgentEpochs(scenario.busyWorkers());
+              epochs[0] = new WorkerEpochs(scenario.busyWorkers());
               for (int i = 0; i < FaultScenario.CONTROLLERS; i++) {
                 cluster.crash(i, downtimeMs + scenario.random.nextInt(2_000));
               }
@@ -136,7 +136,7 @@
             "at least three worker epochs ended", () -> scenario.recorded("ended epochs") >= 3);
         scenario.requireEvidence(
             "a running job was cancelled before the crash",
-            () -> cluster.checker.cancelledWhileOn() >= 1);
+            () -> cluster.checker.cancelledWithRunningTasks() >= 1);
       }
     },
 
--- a/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LostCancellationsTest.java
@@ -70,7 +70,7 @@
     cluster.clock.after(endMs, () -> cluster.network.setUnansweredWrites(0, true));
     cluster.clock.after(endMs + 20_000, cluster::faultsEnded);
     cluster.clock.runUntil(endMs + 90_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     long longestMs = latenciesMs.stream().mapToLong(ms -> ms).max().orElse(0);
     String summary =
         latenciesMs.size() + " of " + sent + " confirmed, " + refused + " refused, " + latenciesMs;
@@ -93,7 +93,7 @@
   private void cancel(SimulatedCluster cluster, String uid, int controller) {
     sent++;
     long sentMs = cluster.clock.nowMs();
-    cluster.checker.cancelAsked(uid);
+    cluster.checker.recordCancellationRequest(uid);
     cluster.cancelAt(controller, uid, answer -> answered(cluster, uid, sentMs, answer));
   }
 
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsScenario.java
@@ -45,7 +45,7 @@
  */
 abstract class LowerLimitsScenario {
   static final Settings.StateLimits HIGHER = new Settings.StateLimits(1000, 60, 16, 24);
-  static final long AGENT_EPOCH = 3;
+  static final long WORKER_EPOCH = 3;
   static final Settings.StateLimits LOWER = new Settings.StateLimits(1000, 40, 2, 4);
 
   final SimClock clock = new SimClock();
@@ -235,7 +235,7 @@
 
     private void restore(StoredJob stored, String[] expected, RecordedProgress recorded) {
       Job job = addJob(stored);
-      RecordedProgress.RecordedStatuses read = recorded.of(job);
+      RecordedProgress.RecordedStatuses read = recorded.statusesOf(job);
       assertArrayEquals(expected, statusTexts(stored, read), stored.toString());
       read.completed().stream().forEach(job::markCompleted);
       for (SnapshotRecord.RecordedPlacement placement : read.placements().values()) {
@@ -245,7 +245,7 @@
                 placement.task(),
                 placement.attempt(),
                 machine(placement.machine().id()),
-                placement.agentEpoch(),
+                placement.workerEpoch(),
                 Placement.Phase.RECOVERED));
       }
       if (job.allTasksCompleted()) {
@@ -276,7 +276,7 @@
               (task, placement) ->
                   texts[task] =
                       ReferenceProgressRecords.liveStatus(
-                          placement.attempt(), placement.machine().id(), placement.agentEpoch()));
+                          placement.attempt(), placement.machine().id(), placement.workerEpoch()));
       read.completed().stream().forEach(task -> texts[task] = ReferenceProgressRecords.DONE);
       return texts;
     }
@@ -305,7 +305,7 @@
     }
 
     private void cancel(StoredJob stored, Job job) {
-      job.cancel();
+      job.markCancelled();
       List.copyOf(job.activePlacements()).forEach(job::removePlacement);
       writer.jobTerminated(job);
       ledJobs.remove(stored);
@@ -320,8 +320,8 @@
         int task = next < 0 ? job.pendingTasks().next(0) : next;
         long attempt = (terms << 40) + ++attempts;
         job.addPlacement(
-            new Placement(job, task, attempt, machine(host), AGENT_EPOCH, Placement.Phase.INTENT));
-        String status = ReferenceProgressRecords.liveStatus(attempt, host, AGENT_EPOCH);
+            new Placement(job, task, attempt, machine(host), WORKER_EPOCH, Placement.Phase.INTENT));
+        String status = ReferenceProgressRecords.liveStatus(attempt, host, WORKER_EPOCH);
         jobs.get(stored).byTask.get(task).add(status);
         writer.taskChanged(job, task);
       }
@@ -349,11 +349,11 @@
     /** Stops the faults, and asserts that all pending progress is written within 65 s. */
     void settle() {
       faultProbability = 0;
-      for (int i = 0; i < 60 && (i < 3 || writer.backlog() > 0); i++) {
+      for (int i = 0; i < 60 && (i < 3 || writer.backlogSize() > 0); i++) {
         clock.runUntil(clock.nowMs() + 1_000);
       }
       clock.runUntil(clock.nowMs() + 5_000);
-      assertEquals(0, writer.backlog(), "backlog of progress after 65 s without faults");
+      assertEquals(0, writer.backlogSize(), "backlog of progress after 65 s without faults");
       nonTerminalJobs()
           .forEach(j -> jobs.get(j).byTask.forEach(s -> s.subList(0, s.size() - 1).clear()));
     }
@@ -371,7 +371,7 @@
               if (job == placement.job() && job.activePlacement(placement.task()) == placement) {
                 String status =
                     ReferenceProgressRecords.liveStatus(
-                        placement.attempt(), placement.machine().host(), placement.agentEpoch());
+                        placement.attempt(), placement.machine().host(), placement.workerEpoch());
                 jobs.get(stored).confirm(placement.task(), status);
               }
             });
--- a/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
+++ b/src/test/java/org/ploverspindle/sim/LowerLimitsTest.java
@@ -41,7 +41,7 @@
     for (int i = 0; i < steps; i++) {
       List<StoredJob> storedJobs = List.copyOf(writer.jobs());
       if (storedJobs.size() < 15) {
-        StoredJob job = accept(SnapshotRecord.shardSizeFor(HIGHER.maxValueBytes()));
+        StoredJob job = accept(SnapshotRecord.maxShardSize(HIGHER.maxValueBytes()));
         String[] waiting = new String[job.tasks()];
         Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
         writer.addJob(job, waiting);
@@ -82,7 +82,7 @@
     String after;
     if (before.equals(ReferenceProgressRecords.WAITING)) {
       after =
-          ReferenceProgressRecords.liveStatus((terms << 40) + ++attempts, machineId, AGENT_EPOCH);
+          ReferenceProgressRecords.liveStatus((terms << 40) + ++attempts, machineId, WORKER_EPOCH);
     } else if (random.nextInt(3) > 0) {
       after = ReferenceProgressRecords.DONE;
     } else {
@@ -110,7 +110,7 @@
       int steps = 500 + random.nextInt(3_000);
       for (int i = 0; i < steps; i++) {
         if (leader.ledJobs.size() < 15) {
-          leader.addJob(accept(SnapshotRecord.shardSizeFor(LOWER.maxValueBytes())));
+          leader.addJob(accept(SnapshotRecord.maxShardSize(LOWER.maxValueBytes())));
         }
         leader.step(true);
         clock.runUntil(clock.nowMs() + 12);
@@ -168,8 +168,8 @@
     cluster.clock.after(90_000, () -> cluster.crash(cluster.leader(), 1_000));
     cluster.clock.after(130_000, cluster::faultsEnded);
     cluster.clock.runUntil(400_000);
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
     assertEquals(120, cluster.checker.jobsDone());
     assertEquals(0, cluster.state.refusedAsTooLarge(), "writes refused for their size");
   }
@@ -209,9 +209,9 @@
         new ReferenceProgressRecords.EarlierVersionWriter(
             state, newTerm(), HIGHER.maxValueBytes(), HIGHER.maxChangesPerTransaction());
     StoredJob large =
-        new StoredJob("run-large", 260, SnapshotRecord.shardSizeFor(HIGHER.maxValueBytes()));
+        new StoredJob("run-large", 260, SnapshotRecord.maxShardSize(HIGHER.maxValueBytes()));
     StoredJob other =
-        new StoredJob("run-other", 400, SnapshotRecord.shardSizeFor(HIGHER.maxValueBytes()));
+        new StoredJob("run-other", 400, SnapshotRecord.maxShardSize(HIGHER.maxValueBytes()));
     for (StoredJob job : List.of(large, other)) {
       jobs.put(job, new PossibleStatuses(job.tasks()));
       String[] waiting = new String[job.tasks()];
@@ -241,7 +241,7 @@
     state.setLimits(LOWER);
     WritingLeader leader = new WritingLeader(HIGHER, false);
     for (int i = 0; i < 12; i++) {
-      leader.addJob(accept(SnapshotRecord.shardSizeFor(HIGHER.maxValueBytes())));
+      leader.addJob(accept(SnapshotRecord.maxShardSize(HIGHER.maxValueBytes())));
     }
     for (int i = 0; i < 900; i++) {
       leader.step(true);
--- a/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionFailoverTest.java
@@ -93,7 +93,7 @@
       ready.forEach(
           (history, expected) -> {
             Job job = addJob(history.job.uid());
-            RecordedProgress.RecordedStatuses read = recorded.of(job);
+            RecordedProgress.RecordedStatuses read = recorded.statusesOf(job);
             assertArrayEquals(expected, statusTexts(history.job, read), history.job.uid());
             read.completed().stream().forEach(job::markCompleted);
             read.placements()
@@ -132,7 +132,7 @@
               (task, placement) ->
                   texts[task] =
                       ReferenceProgressRecords.liveStatus(
-                          placement.attempt(), placement.machine().id(), placement.agentEpoch()));
+                          placement.attempt(), placement.machine().id(), placement.workerEpoch()));
       read.completed().stream().forEach(task -> texts[task] = ReferenceProgressRecords.DONE);
       return texts;
     }
@@ -149,7 +149,7 @@
           recorded.task(),
           recorded.attempt(),
           machine(recorded.machine().id()),
-          recorded.agentEpoch(),
+          recorded.workerEpoch(),
           phase);
     }
 
@@ -180,14 +180,14 @@
             new SnapshotRecord.MachineInfo(randomMachineId(), "", "", true);
         SnapshotRecord.RecordedPlacement placement =
             new SnapshotRecord.RecordedPlacement(
-                task, (terms << 40) + ++attempts, machine, AGENT_EPOCH);
+                task, (terms << 40) + ++attempts, machine, WORKER_EPOCH);
         job.addPlacement(newPlacement(job, placement, Placement.Phase.INTENT));
         histories
             .get(uid)
             .setStatus(
                 task,
                 ReferenceProgressRecords.liveStatus(
-                    placement.attempt(), machine.id(), AGENT_EPOCH));
+                    placement.attempt(), machine.id(), WORKER_EPOCH));
         writer.taskChanged(job, task);
       }
     }
@@ -215,11 +215,11 @@
 
     void settle() {
       faultProbability = 0;
-      for (int i = 0; i < 60 && (i < 3 || writer.backlog() > 0); i++) {
+      for (int i = 0; i < 60 && (i < 3 || writer.backlogSize() > 0); i++) {
         clock.runUntil(clock.nowMs() + 1_000);
       }
       clock.runUntil(clock.nowMs() + 5_000);
-      assertEquals(0, writer.backlog(), "backlog of progress after 65 s without faults");
+      assertEquals(0, writer.backlogSize(), "backlog of progress after 65 s without faults");
     }
 
     void stop() {
@@ -312,7 +312,7 @@
       if (before.equals(ReferenceProgressRecords.WAITING)) {
         status =
             ReferenceProgressRecords.liveStatus(
-                (terms << 40) + ++attempts, randomMachineId(), AGENT_EPOCH);
+                (terms << 40) + ++attempts, randomMachineId(), WORKER_EPOCH);
       }
       earlierVersion.setStatus(job, task, status);
       histories.get(job.uid()).setStatus(task, status);
--- a/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
@@ -44,8 +44,8 @@
  */
 abstract class MixedVersionScenario {
   static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 60, 1, 6);
-  static final int SHARD_SIZE = SnapshotRecord.shardSizeFor(LIMITS.maxValueBytes());
-  static final long AGENT_EPOCH = 3;
+  static final int SHARD_SIZE = SnapshotRecord.maxShardSize(LIMITS.maxValueBytes());
+  static final long WORKER_EPOCH = 3;
 
   final SimClock clock = new SimClock();
   final SimStateStore state = new SimStateStore(clock, LIMITS);
--- a/src/test/java/org/ploverspindle/sim/ObservedJob.java
+++ b/src/test/java/org/ploverspindle/sim/ObservedJob.java
@@ -40,8 +40,8 @@
 
   /** Whether the job's constraints allow a task there, beside the tasks that run now. */
   boolean allowsPlace(Place place) {
-    boolean typeOk = spec.types().map(types -> types.contains(place.type())).orElse(true);
-    boolean zoneOk = spec.zone().map(zone -> zone.equals(place.zone())).orElse(true);
+    boolean typeOk = spec.allowedTypes().map(types -> types.contains(place.type())).orElse(true);
+    boolean zoneOk = spec.requiredZone().map(zone -> zone.equals(place.zone())).orElse(true);
     long sameZone =
         placesByTask.values().stream().filter(at -> at.zone().equals(place.zone())).count();
     boolean oneZoneOk = !spec.oneZone() || sameZone == placesByTask.size();
--- a/src/test/java/org/ploverspindle/sim/ObservedJobs.java
+++ b/src/test/java/org/ploverspindle/sim/ObservedJobs.java
@@ -57,7 +57,7 @@
   }
 
   /** Counts the accepted jobs that may run and have not started. */
-  long neverBegun() {
+  long neverStartedCount() {
     return jobs.values().stream()
         .filter(job -> job.acceptedMs < Long.MAX_VALUE && mayRun(job) && job.firstStartMs < 0)
         .count();
@@ -74,7 +74,7 @@
   }
 
   /** Returns the jobs that a user was answered to be done. */
-  List<String> toldDone() {
+  List<String> answeredDone() {
     return uids(job -> job.finalStatus.equals("done"));
   }
 
--- a/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PartitionFaultsTest.java
@@ -25,7 +25,7 @@
         scenario.requireEvidence(
             "worker epochs ended in the zone", () -> scenario.recorded("ended epochs") >= 1);
         scenario.requireEvidence(
-            "a running job was cancelled", () -> cluster.checker.cancelledWhileOn() >= 1);
+            "a running job was cancelled", () -> cluster.checker.cancelledWithRunningTasks() >= 1);
       }
 
       private void partitionLeader(FaultScenario scenario) {
@@ -37,8 +37,8 @@
                 : (cluster.leader() + 1) % FaultScenario.CONTROLLERS;
         List<SimWorker> workersInZone =
             cluster.cloud.workers().stream().filter(worker -> worker.zone().equals("b")).toList();
-        AgentEpochs epochs =
-            new AgentEpochs(
+        WorkerEpochs epochs =
+            new WorkerEpochs(
                 scenario.busyWorkers().stream().filter(workersInZone::contains).toList());
         scenario.record("workers with tasks", epochs::workerCount);
         List<String> jobsInZone = scenario.runningJobsOn(workersInZone);
@@ -88,8 +88,8 @@
         int leader = Math.max(0, cluster.leader());
         List<SimWorker> workersInZone =
             cluster.cloud.workers().stream().filter(worker -> worker.zone().equals("b")).toList();
-        AgentEpochs epochs =
-            new AgentEpochs(
+        WorkerEpochs epochs =
+            new WorkerEpochs(
                 scenario.busyWorkers().stream().filter(workersInZone::contains).toList());
         scenario.record("terms", cluster::termCount);
         scenario.record("workers with tasks", epochs::workerCount);
@@ -163,13 +163,13 @@
 
       private void cancelThrough(FaultScenario scenario, int controller, List<String> jobs) {
         SimulatedCluster cluster = scenario.cluster;
-        int cancelledBefore = cluster.checker.cancelledWhileOn();
+        int cancelledBefore = cluster.checker.cancelledWithRunningTasks();
         jobs.forEach(
             uid ->
                 cluster.clock.after(
                     scenario.random.nextInt(1_500),
                     () -> {
-                      cluster.checker.cancelAsked(uid);
+                      cluster.checker.recordCancellationRequest(uid);
                       cluster.cancelAt(controller, uid);
                     }));
         cluster.clock.after(
@@ -177,7 +177,7 @@
             () ->
                 scenario.record(
                     "confirmed by the new leader",
-                    () -> cluster.checker.cancelledWhileOn() - cancelledBefore));
+                    () -> cluster.checker.cancelledWithRunningTasks() - cancelledBefore));
       }
 
       private int nextLeader(SimulatedCluster cluster, int oldLeader) {
--- a/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineFaultsTest.java
@@ -69,7 +69,7 @@
       }
       Faults[] all = Faults.values();
       for (int i = 0; i < 7; i++) {
-        InvariantsTest.playPair(
+        InvariantsTest.scheduleFaultPair(
             w,
             random,
             all[random.nextInt(all.length)],
@@ -88,7 +88,7 @@
           });
       w.clock.after(240_000, w::faultsEnded);
       w.clock.runUntil(480_000);
-      w.checker.endOfDay();
+      w.checker.checkService();
     }
 
     private void submitIndependentJob() {
@@ -168,7 +168,7 @@
       List<String> dependencies = new ArrayList<>(shape.get(i).stream().map(uids::get).toList());
       boolean accepted = dependencies.stream().allMatch(w.checker::isAccepted);
       boolean dependenciesEnded =
-          dependencies.stream().noneMatch(uid -> w.checker.finalWord(uid).isEmpty());
+          dependencies.stream().noneMatch(uid -> w.checker.finalStatus(uid).isEmpty());
       boolean isFinalStep = i == shape.size() - 1;
       if (!accepted || isFinalStep && finalStepWaits && !dependenciesEnded) {
         w.clock.after(300, () -> submit(shape, uids, finalStepWaits, cancelledStep));
@@ -210,7 +210,7 @@
     private void cancelStepThenOutage() {
       List<String> unfinished =
           steps.stream()
-              .filter(uid -> w.checker.isAccepted(uid) && w.checker.finalWord(uid).isEmpty())
+              .filter(uid -> w.checker.isAccepted(uid) && w.checker.finalStatus(uid).isEmpty())
               .toList();
       if (unfinished.isEmpty()) {
         return;
@@ -232,7 +232,7 @@
 
     private void beginOutageOnceEnded(
         String uid, int checksLeft, int outageMs, boolean leaderCrashes) {
-      if (w.checker.finalWord(uid).isEmpty()) {
+      if (w.checker.finalStatus(uid).isEmpty()) {
         if (checksLeft > 0) {
           w.clock.after(
               5, () -> beginOutageOnceEnded(uid, checksLeft - 1, outageMs, leaderCrashes));
@@ -256,7 +256,7 @@
     }
 
     private long countWithOutcome(Collection<String> uids, String outcome) {
-      return uids.stream().filter(uid -> w.checker.finalWord(uid).equals(outcome)).count();
+      return uids.stream().filter(uid -> w.checker.finalStatus(uid).equals(outcome)).count();
     }
 
     @Override
@@ -279,21 +279,21 @@
           + ", requests refused as too large: "
           + w.state.refusedAsTooLarge()
           + ", accepted jobs that never started: "
-          + w.checker.neverBegun();
+          + w.checker.neverStartedCount();
     }
   }
 
-  static Day play(long seed) {
+  static Day runDay(long seed) {
     return new Day(seed);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 98, 243, 379, 549})
   void invariantsHoldForPipelinesUnderOverlappingFaultsAndLoweredLimits(long seed) {
-    Day day = play(seed);
+    Day day = runDay(seed);
     String context = "seed " + seed + ": " + day;
-    assertEquals(List.of(), day.w.checker.broken(), context);
-    assertEquals(0, day.w.checker.neverBegun(), context);
+    assertEquals(List.of(), day.w.checker.violations(), context);
+    assertEquals(0, day.w.checker.neverStartedCount(), context);
     assertEquals(0, day.w.state.refusedAsTooLarge(), context);
     assertTrue(day.limitsLowered && day.w.checker.starts() > 80, context);
     // The seed decides how many pipelines are cancelled. Each final step must be done or aborted.
@@ -369,9 +369,9 @@
     }
     assertTrue(uids.stream().allMatch(cluster.checker::isAccepted));
     cluster.clock.runUntil(cluster.clock.nowMs() + 3_000);
-    assertTrue(cluster.checker.begunMs(first.uid()) >= 0 && cluster.leader() >= 0);
+    assertTrue(cluster.checker.firstStartMs(first.uid()) >= 0 && cluster.leader() >= 0);
     cluster.cancel(first.uid(), 0);
-    while (cluster.checker.finalWord(first.uid()).isEmpty()) {
+    while (cluster.checker.finalStatus(first.uid()).isEmpty()) {
       cluster.clock.runUntil(cluster.clock.nowMs() + 1);
     }
     long abortedMs = cluster.clock.nowMs();
@@ -387,8 +387,8 @@
     assertEquals(outageAndLeaderCrash, cluster.termCount() > termsBefore);
     assertAllAborted(cluster, uids, "60 s after the abort");
     assertTrue(
-        uids.stream().allMatch(uid -> cluster.checker.begunMs(uid) < 0),
+        uids.stream().allMatch(uid -> cluster.checker.firstStartMs(uid) < 0),
         "a dependent of the aborted job started");
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineQueriesTest.java
@@ -32,14 +32,18 @@
 
   private final UserApiCluster cluster = new UserApiCluster(1, 2, LIMITS);
 
-  private static void assertAnswer(int status, String state, UserApiCluster.Heard answer) {
+  private static void assertAnswer(int status, String state, UserApiCluster.Answer answer) {
     assertEquals(status + " " + state, answer.status() + " " + answer.state());
   }
 
-  private UserApiCluster.Heard submitBody(int controller, ObjectNode body) {
-    return cluster.wait(
+  private UserApiCluster.Answer submitBody(int controller, ObjectNode body) {
+    return cluster.awaitAnswer(
         then ->
-            cluster.nodes.get(controller).requests.submit(Cbor.write(body), cluster.heard(then)));
+            cluster
+                .controllers
+                .get(controller)
+                .requests
+                .submit(Cbor.write(body), cluster.answerHandler(then)));
   }
 
   @ParameterizedTest
@@ -50,10 +54,10 @@
       body.set("awaits", new ObjectMapper().readTree(emptyList));
     }
     assertAnswer(201, "queued", submitBody(0, body));
-    cluster.pass(1_000);
-    JsonNode stored = cluster.nodes.get(1).specs.get("run-1").orElseThrow().value();
+    cluster.advance(1_000);
+    JsonNode stored = cluster.controllers.get(1).specs.get("run-1").orElseThrow().value();
     assertFalse(stored.has("awaits") || stored.has("awaits_in"));
-    assertFalse(cluster.nodes.get(1).pipelines.graph().hasDependencies("run-1"));
+    assertFalse(cluster.controllers.get(1).pipelines.graph().hasDependencies("run-1"));
   }
 
   @ParameterizedTest
@@ -73,12 +77,13 @@
     assertEquals(422, cluster.submit(0, "run-2", List.of("run-1")).status());
     assertEquals(422, cluster.submit(0, "run-2", List.of("run-2")).status(), "own uid");
     assertAnswer(201, "queued", cluster.submit(0, "run-1", List.of()));
-    assertFalse(cluster.nodes.get(1).specs.get("run-1").isPresent(), "its replica lags");
+    assertFalse(cluster.controllers.get(1).specs.get("run-1").isPresent(), "its replica lags");
     assertAnswer(201, "queued", cluster.submit(1, "run-2", List.of("run-1", "run-1")));
     assertEquals(422, cluster.submit(1, "run-3", List.of("run-1", "run-9")).status());
-    cluster.pass(1_000);
+    cluster.advance(1_000);
     assertEquals(
-        List.of("run-1"), cluster.nodes.get(0).pipelines.graph().unfinishedDependenciesOf("run-2"));
+        List.of("run-1"),
+        cluster.controllers.get(0).pipelines.graph().unfinishedDependenciesOf("run-2"));
     assertAnswer(200, "queued", cluster.poll(0, "run-2"));
     assertAnswer(200, "queued", cluster.submit(0, "run-2", List.of("run-9")));
     assertAnswer(200, "queued", cluster.submit(1, "run-2", List.of("run-2")));
@@ -87,25 +92,25 @@
   @Test
   void jobIsAcceptedWithin40MsWhenTheReplicaShowsItsDependencies() {
     cluster.submit(0, "run-1", List.of());
-    cluster.pass(1_000);
-    UserApiCluster.Heard answer = cluster.submit(1, "run-2", List.of("run-1"));
+    cluster.advance(1_000);
+    UserApiCluster.Answer answer = cluster.submit(1, "run-2", List.of("run-1"));
     assertEquals(201, answer.status());
     assertTrue(answer.tookMs() < 40, "took " + answer.tookMs() + " ms");
   }
 
   @Test
   void unknownDependencyGets503WhileTheReplicaCannotBeRefreshed() {
-    UserApiCluster.Node partitioned = cluster.nodes.get(1);
-    partitioned.cut = true;
+    UserApiCluster.ApiController partitioned = cluster.controllers.get(1);
+    partitioned.partitioned = true;
     cluster.submit(0, "run-1", List.of());
-    UserApiCluster.Heard first = cluster.submit(1, "run-2", List.of("run-1"));
+    UserApiCluster.Answer first = cluster.submit(1, "run-2", List.of("run-1"));
     assertEquals(503, first.status(), "its replica may lag");
     assertTrue(first.tookMs() <= 1_400, "took " + first.tookMs() + " ms");
-    cluster.pass(5_000);
+    cluster.advance(5_000);
     assertEquals(503, cluster.submit(1, "run-2", List.of("run-9")).status());
     assertEquals(0, cluster.submit(1, "run-2", List.of("run-2")).tookMs(), "ms for its own uid");
-    partitioned.cut = false;
-    cluster.pass(3_000);
+    partitioned.partitioned = false;
+    cluster.advance(3_000);
     assertAnswer(201, "queued", cluster.submit(1, "run-2", List.of("run-1")));
   }
 
@@ -115,7 +120,7 @@
     service.put("shape", "daemon").put("expected_s", 0.0);
     assertAnswer(201, "queued", submitBody(0, service));
     assertEquals(422, cluster.submit(1, "run-2", List.of("run-1")).status());
-    cluster.pass(1_000);
+    cluster.advance(1_000);
     assertEquals(422, cluster.submit(1, "run-2", List.of("run-1")).status());
     assertAnswer(201, "queued", cluster.submit(1, "run-3", List.of()));
   }
@@ -135,13 +140,13 @@
   @Test
   void cancelledPipelineIsAbortedInTheNextAnswerOfEveryController() {
     submitChain(30);
-    assertAnswer(200, "aborted", cluster.withdraw(0, uid(0)));
+    assertAnswer(200, "aborted", cluster.cancel(0, uid(0)));
     assertAnswer(200, "aborted", cluster.poll(1, uid(29)));
     assertAnswer(200, "aborted", cluster.poll(0, uid(1)));
-    int changesBefore = cluster.changes;
-    assertAnswer(200, "aborted", cluster.withdraw(1, uid(17)));
+    int changesBefore = cluster.changeCount;
+    assertAnswer(200, "aborted", cluster.cancel(1, uid(17)));
     assertAnswer(200, "aborted", cluster.submit(0, uid(8), List.of()));
-    assertEquals(changesBefore, cluster.changes, "aborted jobs need no further write");
+    assertEquals(changesBefore, cluster.changeCount, "aborted jobs need no further write");
     assertAnswer(201, "aborted", cluster.submit(1, "run-100", List.of(uid(29))));
     assertAnswer(200, "aborted", cluster.poll(0, "run-100"));
   }
@@ -155,18 +160,18 @@
       assertAnswer(201, "queued", cluster.submit(0, uid(i), List.of()));
       dependencies.add(uid(i));
     }
-    cluster.pass(1_000);
-    List<UserApiCluster.Heard> cancellationAnswers = new ArrayList<>();
-    cluster.withdraw(0, uid(0), cancellationAnswers::add);
+    cluster.advance(1_000);
+    List<UserApiCluster.Answer> cancellationAnswers = new ArrayList<>();
+    cluster.cancel(0, uid(0), cancellationAnswers::add);
     // A read barrier precedes the cancellation and may take as long as the read interval.
-    while (cluster.written.stream().noneMatch(k -> k.startsWith(Keys.CANCELLATIONS))) {
-      cluster.pass(1);
+    while (cluster.writtenKeys.stream().noneMatch(k -> k.startsWith(Keys.CANCELLATIONS))) {
+      cluster.advance(1);
     }
-    cluster.pass(laterMs);
-    UserApiCluster.Heard submitted = cluster.submit(1, "run-50", dependencies);
+    cluster.advance(laterMs);
+    UserApiCluster.Answer submitted = cluster.submit(1, "run-50", dependencies);
     assertAnswer(201, "aborted", submitted);
     assertEquals(
-        List.of(200), cancellationAnswers.stream().map(UserApiCluster.Heard::status).toList());
+        List.of(200), cancellationAnswers.stream().map(UserApiCluster.Answer::status).toList());
     assertAnswer(200, "aborted", cluster.poll(0, "run-50"));
     assertAnswer(200, "aborted", cluster.poll(1, "run-50"));
   }
@@ -179,58 +184,58 @@
       dependencies.add(uid(i));
       cluster.submit(0, uid(i), List.of());
     }
-    cluster.pass(1_000);
-    cluster.nodes.get(1).cut = true;
+    cluster.advance(1_000);
+    cluster.controllers.get(1).partitioned = true;
     assertAnswer(201, "queued", cluster.submit(0, "run-50", dependencies));
-    assertAnswer(200, "aborted", cluster.withdraw(0, uid(0)));
+    assertAnswer(200, "aborted", cluster.cancel(0, uid(0)));
     assertAnswer(200, "aborted", cluster.poll(0, "run-50"));
-    assertFalse(cluster.nodes.get(1).specs.get("run-50").isPresent(), "it lags");
-    cluster.nodes.get(1).cut = false;
-    UserApiCluster.Heard retry = cluster.submit(1, "run-50", dependencies);
+    assertFalse(cluster.controllers.get(1).specs.get("run-50").isPresent(), "it lags");
+    cluster.controllers.get(1).partitioned = false;
+    UserApiCluster.Answer retry = cluster.submit(1, "run-50", dependencies);
     assertEquals("aborted", retry.state());
   }
 
   @Test
   void cancellationAfterCompletionLeavesDependentsQueued() {
     submitChain(3);
-    cluster.done(uid(0));
-    assertAnswer(200, "done", cluster.withdraw(1, uid(0)));
+    cluster.commitCompletion(uid(0));
+    assertAnswer(200, "done", cluster.cancel(1, uid(0)));
     assertAnswer(200, "queued", cluster.poll(0, uid(1)));
-    assertTrue(cluster.nodes.get(0).pipelines.graph().isReady(uid(1)));
-    assertFalse(cluster.nodes.get(0).pipelines.graph().isReady(uid(2)));
-    assertTrue(cluster.nodes.get(0).pipelines.readyWallMs(uid(1)).isPresent());
-    cluster.done(uid(1));
-    assertAnswer(200, "aborted", cluster.withdraw(0, uid(2)));
+    assertTrue(cluster.controllers.get(0).pipelines.graph().isReady(uid(1)));
+    assertFalse(cluster.controllers.get(0).pipelines.graph().isReady(uid(2)));
+    assertTrue(cluster.controllers.get(0).pipelines.readyWallMs(uid(1)).isPresent());
+    cluster.commitCompletion(uid(1));
+    assertAnswer(200, "aborted", cluster.cancel(0, uid(2)));
     assertAnswer(200, "done", cluster.poll(1, uid(1)));
   }
 
   @Test
   void pollAnswersAbortedDuringAStateServiceOutage() {
     submitChain(6);
-    cluster.withdraw(0, uid(0));
+    cluster.cancel(0, uid(0));
     assertAnswer(200, "aborted", cluster.poll(1, uid(5)));
     cluster.state.setOutage(true);
-    cluster.pass(10_000);
+    cluster.advance(10_000);
     assertAnswer(200, "aborted", cluster.poll(1, uid(3)));
     cluster.state.setOutage(false);
     cluster.restart(0);
-    cluster.pass(3_000);
+    cluster.advance(3_000);
     assertAnswer(200, "aborted", cluster.poll(0, uid(5)));
   }
 
   @Test
   void outageRightAfterACancellationGives503UntilItEnds() {
     submitChain(6);
-    cluster.pass(1_000);
-    assertAnswer(200, "aborted", cluster.withdraw(0, uid(0)));
+    cluster.advance(1_000);
+    assertAnswer(200, "aborted", cluster.cancel(0, uid(0)));
     cluster.state.setOutage(true);
     for (int i = 0; i < 12; i++) {
       assertEquals(503, cluster.poll(i % 2, uid(1 + i % 5)).status());
       assertEquals(503, cluster.submit(i % 2, uid(1 + i % 5), List.of(uid(0))).status());
-      cluster.pass(300);
+      cluster.advance(300);
     }
     cluster.state.setOutage(false);
-    cluster.pass(1_000);
+    cluster.advance(1_000);
     for (int i = 1; i < 6; i++) {
       assertAnswer(200, "aborted", cluster.poll(i % 2, uid(i)));
     }
@@ -240,19 +245,19 @@
   void statusNamesUnfinishedDependencies() {
     submitChain(3);
     cluster.submit(0, "run-50", List.of(uid(0), uid(2)));
-    cluster.pass(1_000);
+    cluster.advance(1_000);
     assertEquals(
         "run-50 is queued and awaits 2 of 2 jobs: run-0 (queued), run-2 (queued, awaits 1)",
-        cluster.nodes.get(1).requests.explain("run-50"));
-    assertEquals(3, cluster.nodes.get(1).pipelines.blockedJobs());
-    cluster.done(uid(0));
-    cluster.pass(1_000);
+        cluster.controllers.get(1).requests.explain("run-50"));
+    assertEquals(3, cluster.controllers.get(1).pipelines.blockedJobs());
+    cluster.commitCompletion(uid(0));
+    cluster.advance(1_000);
     assertEquals(
         "run-50 is queued and awaits 1 of 2 jobs: run-2 (queued, awaits 1)",
-        cluster.nodes.get(1).requests.explain("run-50"));
+        cluster.controllers.get(1).requests.explain("run-50"));
     assertEquals(
-        "run-1 is queued and awaits nothing", cluster.nodes.get(1).requests.explain(uid(1)));
-    assertEquals("run-7 is not known here", cluster.nodes.get(1).requests.explain(uid(7)));
+        "run-1 is queued and awaits nothing", cluster.controllers.get(1).requests.explain(uid(1)));
+    assertEquals("run-7 is not known here", cluster.controllers.get(1).requests.explain(uid(7)));
   }
 
   /** Stores accepted jobs in records that fit a value limit of 2 KiB, and returns their uids. */
@@ -265,30 +270,30 @@
       batch.set(uid, new JobRecord(UserApiCluster.job(uid, List.of()), 1, 20).encode());
       if (i + 1 == count || Cbor.jsonSize(batch) > 1_500) {
         Change put = new Change.Put(Keys.jobBatch("old-" + i), batch.deepCopy());
-        while (!(cluster.applied(new Transaction(List.of(), List.of(put)))
+        while (!(cluster.commitAndCheck(new Transaction(List.of(), List.of(put)))
             instanceof TransactionResult.Committed)) {
-          cluster.pass(200);
+          cluster.advance(200);
         }
         batch.removeAll();
       }
     }
-    cluster.pass(2_000);
+    cluster.advance(2_000);
     return uids;
   }
 
   private static long storedListParts(UserApiCluster cluster) {
-    return cluster.written.stream().filter(k -> k.startsWith(Keys.DEPENDENCIES)).count();
+    return cluster.writtenKeys.stream().filter(k -> k.startsWith(Keys.DEPENDENCIES)).count();
   }
 
   /** Submits at the controllers in turn until accepted; retries one second after each 503. */
-  private static UserApiCluster.Heard submitWithRetries(
+  private static UserApiCluster.Answer submitWithRetries(
       UserApiCluster cluster, String uid, List<String> dependencies) {
-    UserApiCluster.Heard answer = new UserApiCluster.Heard(0, "", 0);
+    UserApiCluster.Answer answer = new UserApiCluster.Answer(0, "", 0);
     for (int i = 0; i < 12 && answer.status() != 201 && answer.status() != 200; i++) {
-      answer = cluster.submit(i % cluster.nodes.size(), uid, dependencies);
+      answer = cluster.submit(i % cluster.controllers.size(), uid, dependencies);
       assertTrue(answer.tookMs() < 5_000, "answered after " + answer.tookMs() + " ms");
       assertTrue(answer.status() == 503 || answer.status() < 300, "" + answer);
-      cluster.pass(answer.status() == 503 ? 1_000 : 0);
+      cluster.advance(answer.status() == 503 ? 1_000 : 0);
     }
     return answer;
   }
@@ -303,23 +308,24 @@
     assertTrue(
         requestBytes > 58_000 && requestBytes <= 64 * 1024, "request bytes: " + requestBytes);
     lowLimitCluster.lossShare = lossShare;
-    int changesBefore = lowLimitCluster.changes;
-    UserApiCluster.Heard answer = submitWithRetries(lowLimitCluster, "run-1", dependencies);
+    int changesBefore = lowLimitCluster.changeCount;
+    UserApiCluster.Answer answer = submitWithRetries(lowLimitCluster, "run-1", dependencies);
     assertTrue(answer.status() == 201 || answer.status() == 200, "" + answer);
     assertEquals("queued", answer.state());
     lowLimitCluster.lossShare = 0;
-    lowLimitCluster.pass(20_000);
+    lowLimitCluster.advance(20_000);
     long parts = storedListParts(lowLimitCluster);
     assertTrue(parts > 25 && parts < 45, parts + " parts, expected 26 to 44");
-    assertTrue(lowLimitCluster.changes - changesBefore <= parts + 3, "some part is written twice");
+    assertTrue(
+        lowLimitCluster.changeCount - changesBefore <= parts + 3, "some part is written twice");
     lowLimitCluster.restart(0);
-    lowLimitCluster.pass(5_000);
-    for (UserApiCluster.Node node : lowLimitCluster.nodes) {
+    lowLimitCluster.advance(5_000);
+    for (UserApiCluster.ApiController node : lowLimitCluster.controllers) {
       assertEquals(dependencies, node.pipelines.graph().dependenciesOf("run-1"));
       assertFalse(node.pipelines.graph().isReady("run-1"));
     }
     assertAnswer(201, "queued", lowLimitCluster.submit(0, "run-2", List.of("run-1")));
-    assertAnswer(200, "aborted", lowLimitCluster.withdraw(1, dependencies.get(8_000)));
+    assertAnswer(200, "aborted", lowLimitCluster.cancel(1, dependencies.get(8_000)));
     assertAnswer(200, "aborted", lowLimitCluster.poll(0, "run-2"));
   }
 
@@ -329,10 +335,10 @@
     List<String> dependencies = preloadAcceptedJobs(lowLimitCluster, 8_500);
     lowLimitCluster.submit(0, "run-1", dependencies, h -> {});
     for (int i = 2; i < 12; i++) {
-      UserApiCluster.Heard answer = lowLimitCluster.submit(0, uid(i), List.of());
+      UserApiCluster.Answer answer = lowLimitCluster.submit(0, uid(i), List.of());
       assertEquals(201, answer.status());
       assertTrue(answer.tookMs() < 400, answer.tookMs() + " ms to answer");
-      lowLimitCluster.pass(300);
+      lowLimitCluster.advance(300);
     }
   }
 
@@ -343,22 +349,23 @@
         DependenciesRecord.split("run-1", dependencies, LIMITS.maxValueBytes());
     assertTrue(list.parts().size() > 5);
     cluster.restart(0);
-    UserApiCluster.Node loading = cluster.nodes.get(0);
+    UserApiCluster.ApiController loading = cluster.controllers.get(0);
     while (loading.replica.withPrefix(Keys.PREFIX).isEmpty()) {
-      cluster.pass(1);
+      cluster.advance(1);
     }
     // The restarted replica has read the first page, which holds all keys of dependency lists. It
     // reads the job below with the last page, and the list only afterwards, with the changes.
     for (int i = 0; i < list.parts().size(); i++) {
       Change part = new Change.Put(list.key(i), list.parts().get(i));
-      cluster.applied(new Transaction(List.of(), List.of(part)));
+      cluster.commitAndCheck(new Transaction(List.of(), List.of(part)));
     }
     ObjectNode job = Cbor.map();
     job.set("run-1", new JobRecord(UserApiCluster.job("run-1", List.of()), 1, 20).encode(list));
-    cluster.applied(new Transaction(List.of(), List.of(new Change.Put(Keys.jobBatch("zz"), job))));
+    cluster.commitAndCheck(
+        new Transaction(List.of(), List.of(new Change.Put(Keys.jobBatch("zz"), job))));
     int checksBeforeList = 0;
     for (int i = 0; i < 2_000; i++) {
-      cluster.pass(1);
+      cluster.advance(1);
       boolean listRead = !loading.pipelines.graph().dependenciesOf("run-1").isEmpty();
       if (loading.specs.get("run-1").isPresent() && !listRead) {
         checksBeforeList++;
@@ -380,11 +387,11 @@
       jobs.set(
           "run-7", new JobRecord(UserApiCluster.job("run-7", List.of(dependency)), 1, 20).encode());
       Change put = new Change.Put(Keys.jobBatch(keyAndDependency.substring(0, 1)), jobs);
-      cluster.applied(new Transaction(List.of(), List.of(put)));
+      cluster.commitAndCheck(new Transaction(List.of(), List.of(put)));
     }
     cluster.restart(0);
-    cluster.pass(3_000);
-    for (UserApiCluster.Node node : cluster.nodes) {
+    cluster.advance(3_000);
+    for (UserApiCluster.ApiController node : cluster.controllers) {
       assertEquals(List.of(uid(1)), node.pipelines.graph().dependenciesOf("run-7"));
     }
   }
--- a/src/test/java/org/ploverspindle/sim/PipelineTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineTest.java
@@ -61,7 +61,8 @@
       int remaining,
       boolean lastAfterAllEnded) {
     boolean allAccepted = earlier.stream().allMatch(cluster.checker::isAccepted);
-    boolean allEnded = earlier.stream().noneMatch(uid -> cluster.checker.finalWord(uid).isEmpty());
+    boolean allEnded =
+        earlier.stream().noneMatch(uid -> cluster.checker.finalStatus(uid).isEmpty());
     if (!allAccepted || remaining == 1 && lastAfterAllEnded && !allEnded) {
       cluster.clock.after(
           500, () -> submitSteps(cluster, random, earlier, remaining, lastAfterAllEnded));
@@ -143,7 +144,7 @@
     }
     cluster.clock.after(240_000, cluster::faultsEnded);
     cluster.clock.runUntil(480_000);
-    cluster.checker.endOfDay();
+    cluster.checker.checkService();
     return cluster;
   }
 
@@ -151,11 +152,12 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 291})
   void pipelinesUnderRandomFaultsBreakNoInvariant(long seed) {
     SimulatedCluster cluster = runPipelinesUnderFaults(seed, 12);
-    assertEquals(List.of(), cluster.checker.broken(), "seed " + seed);
+    assertEquals(List.of(), cluster.checker.violations(), "seed " + seed);
     assertTrue(
         cluster.checker.starts() > 60,
         "seed " + seed + ": " + cluster.checker.starts() + " starts, expected more than 60");
-    assertEquals(0, cluster.checker.neverBegun(), "seed " + seed + ": ready jobs that never began");
+    assertEquals(
+        0, cluster.checker.neverStartedCount(), "seed " + seed + ": ready jobs that never began");
   }
 
   // ---- a deadline of the last job counts for the jobs that it depends on
@@ -182,7 +184,7 @@
     clusterWithoutDependent.clock.runUntil(140_000);
     assertEquals(
         -1,
-        clusterWithoutDependent.checker.begunMs(step.uid()),
+        clusterWithoutDependent.checker.firstStartMs(step.uid()),
         "a best-effort step without a dependent started before the normal jobs");
 
     SimulatedCluster cluster = busyCluster();
@@ -191,12 +193,12 @@
     cluster.clock.after(60_000, () -> cluster.submitAndPoll(first));
     cluster.clock.after(80_000, () -> cluster.submitAndPoll(last));
     cluster.clock.runUntil(79_000);
-    assertEquals(-1, cluster.checker.begunMs(first.uid()));
+    assertEquals(-1, cluster.checker.firstStartMs(first.uid()));
     cluster.clock.runUntil(140_000);
-    long begunMs = cluster.checker.begunMs(first.uid());
+    long begunMs = cluster.checker.firstStartMs(first.uid());
     assertTrue(begunMs >= 0 && begunMs < 95_000, "first task began at " + begunMs);
     assertTrue(cluster.checker.isDone(last.uid()));
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 
   /** The deadline of a cancelled dependent must no longer put its dependency before other jobs. */
@@ -222,7 +224,7 @@
         "tasks done after the cancellation: "
             + (doneLater - doneSoonAfter)
             + ", expected at most 1");
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 
   // ---- dependents start without avoidable delay
@@ -240,11 +242,11 @@
       cluster.clock.after(20_000 + i * 1_000, () -> cluster.submitAndPoll(spec));
     }
     cluster.clock.runUntil(220_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     for (int i = 1; i < 12; i++) {
       long gapMs =
-          cluster.checker.begunMs(steps.get(i).uid())
-              - cluster.checker.doneMs(steps.get(i - 1).uid());
+          cluster.checker.firstStartMs(steps.get(i).uid())
+              - cluster.checker.completedMs(steps.get(i - 1).uid());
       // A worker reports the end of a task within 0.5 s, and an image is pulled within 1.7 s.
       assertTrue(
           gapMs > 0 && gapMs < HEARTBEAT_INTERVAL_S * 1_000 + 2_200,
@@ -264,15 +266,16 @@
     cluster.clock.after(3_000, () -> cluster.submitAndPoll(first));
     cluster.clock.after(6_000, () -> cluster.submitAndPoll(second));
     cluster.clock.runUntil(10_000);
-    while (cluster.checker.begunMs(first.uid()) < 0) {
+    while (cluster.checker.firstStartMs(first.uid()) < 0) {
       cluster.clock.runUntil(cluster.clock.nowMs() + 100);
     }
-    cluster.clock.runUntil(cluster.checker.begunMs(first.uid()) + 19_800);
+    cluster.clock.runUntil(cluster.checker.firstStartMs(first.uid()) + 19_800);
     cluster.setRefused(cluster.leader(), SimulatedCluster.RequestKind.READS, true);
     cluster.clock.runUntil(cluster.clock.nowMs() + 9_000);
-    long gapMs = cluster.checker.begunMs(second.uid()) - cluster.checker.doneMs(first.uid());
+    long gapMs =
+        cluster.checker.firstStartMs(second.uid()) - cluster.checker.completedMs(first.uid());
     assertTrue(gapMs > 0 && gapMs < HEARTBEAT_INTERVAL_S * 1_000 + 2_200, gapMs + " ms");
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 
   // ---- blocked jobs
@@ -299,13 +302,13 @@
         cluster.cloud.provisionedCount() + " machines for one task, expected at most 2");
     cluster.clock.runUntil(100_000);
     assertTrue(cluster.checker.isDone(other.uid()), "a blocked job used up the limit of its team");
-    assertEquals(-1, cluster.checker.begunMs(blocked.uid()));
+    assertEquals(-1, cluster.checker.firstStartMs(blocked.uid()));
     cluster.clock.runUntil(200_000);
-    long begunMs = cluster.checker.begunMs(blocked.uid());
+    long begunMs = cluster.checker.firstStartMs(blocked.uid());
     assertTrue(
-        begunMs >= cluster.checker.doneMs(first.uid()) && begunMs < 160_000,
+        begunMs >= cluster.checker.completedMs(first.uid()) && begunMs < 160_000,
         "first task began at " + begunMs);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 
   // ---- failover
@@ -324,7 +327,7 @@
       cluster.clock.after(atS * 1_000, () -> cluster.crash(Math.max(0, cluster.leader()), 2_000));
     }
     cluster.clock.runUntil(200_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertTrue(cluster.checker.isDone(third.uid()));
   }
 
@@ -361,8 +364,8 @@
           cluster.crash(cluster.leader(), 5_000);
         });
     cluster.clock.runUntil(160_000);
-    assertEquals(List.of(), cluster.checker.broken());
-    assertTrue(cluster.checker.doneMs(first.uid()) > 40_000);
+    assertEquals(List.of(), cluster.checker.violations());
+    assertTrue(cluster.checker.completedMs(first.uid()) > 40_000);
     assertTrue(cluster.checker.isDone(second.uid()));
   }
 
@@ -389,7 +392,7 @@
         });
     cluster.clock.after(60_000, () -> cluster.cancel(first.uid(), 0));
     cluster.clock.runUntil(100_000);
-    assertEquals(List.of(), cluster.checker.broken());
-    assertEquals("aborted", cluster.checker.finalWord(second.uid()));
+    assertEquals(List.of(), cluster.checker.violations());
+    assertEquals("aborted", cluster.checker.finalStatus(second.uid()));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineUsersTest.java
@@ -58,7 +58,7 @@
     }
 
     /** Compares an answer with all answers that were received before its request was sent. */
-    private Consumer<UserApiCluster.Heard> answerCheck(String uid, boolean submission) {
+    private Consumer<UserApiCluster.Answer> answerCheck(String uid, boolean submission) {
       long requestedMs = cluster.clock.nowMs();
       return answer -> {
         answers++;
@@ -119,7 +119,7 @@
     private void complete(String uid, Set<String> writtenKeys) {
       if (dependencies.get(uid).stream().allMatch(d -> writtenKeys.contains(Keys.completion(d)))
           && acceptedMs.containsKey(uid)) {
-        cluster.applied(
+        cluster.commitAndCheck(
             new Transaction(
                 List.of(
                     new Condition(Keys.cancellation(uid), 0),
@@ -139,15 +139,15 @@
         String uid = randomUid();
         if (acceptedMs.containsKey(uid)) {
           cancellationsRequested.add(uid);
-          cluster.withdraw(randomController(), uid, answerCheck(uid, false));
+          cluster.cancel(randomController(), uid, answerCheck(uid, false));
         }
       } else if (draw < 90) {
-        complete(randomUid(), cluster.written);
+        complete(randomUid(), cluster.writtenKeys);
       } else if (draw < 93) {
         int partitioned = randomController();
-        cluster.nodes.get(partitioned).cut = true;
+        cluster.controllers.get(partitioned).partitioned = true;
         cluster.clock.after(
-            random.nextInt(6_000), () -> cluster.nodes.get(partitioned).cut = false);
+            random.nextInt(6_000), () -> cluster.controllers.get(partitioned).partitioned = false);
       } else if (draw < 95) {
         cluster.restart(randomController());
       } else if (draw == 95) {
@@ -160,23 +160,23 @@
 
     private void checkFinalAnswers() {
       cluster.lossShare = 0;
-      cluster.pass(10_000);
+      cluster.advance(10_000);
       cluster.state.setOutage(false);
-      cluster.nodes.forEach(n -> n.cut = false);
-      cluster.pass(20_000);
+      cluster.controllers.forEach(n -> n.partitioned = false);
+      cluster.advance(20_000);
       Set<String> cancelled = new HashSet<>();
       dependencies.keySet().stream()
-          .filter(uid -> cluster.written.contains(Keys.cancellation(uid)))
+          .filter(uid -> cluster.writtenKeys.contains(Keys.cancellation(uid)))
           .forEach(cancelled::add);
       for (String uid : dependencies.keySet()) {
         String expectedState = "queued";
-        if (cluster.written.contains(Keys.completion(uid))) {
+        if (cluster.writtenKeys.contains(Keys.completion(uid))) {
           expectedState = "done";
         } else if (isOrDependsOnAnyOf(uid, cancelled)) {
           expectedState = "aborted";
         }
         for (int i = 0; i < 3; i++) {
-          UserApiCluster.Heard answer = cluster.poll(i, uid);
+          UserApiCluster.Answer answer = cluster.poll(i, uid);
           boolean acceptedBefore = acceptedMs.containsKey(uid);
           assertTrue(
               answer.status() == 200 || !acceptedBefore && answer.status() == 404,
@@ -185,8 +185,8 @@
             assertEquals(expectedState, answer.state(), uid + " at controller " + i);
             boolean expectedReady =
                 dependencies.get(uid).stream()
-                    .allMatch(d -> cluster.written.contains(Keys.completion(d)));
-            assertEquals(expectedReady, cluster.nodes.get(i).pipelines.graph().isReady(uid));
+                    .allMatch(d -> cluster.writtenKeys.contains(Keys.completion(d)));
+            assertEquals(expectedReady, cluster.controllers.get(i).pipelines.graph().isReady(uid));
           }
         }
       }
@@ -201,7 +201,7 @@
     // actions depend on the times of the answers, so 900 actions may not show both.
     for (int i = 0; i < 900 || i < 4_000 && !users.sawDoneAndAborted(); i++) {
       users.performRandomAction();
-      users.cluster.pass(users.random.nextInt(120));
+      users.cluster.advance(users.random.nextInt(120));
     }
     users.checkFinalAnswers();
     assertEquals(List.of(), users.violations);
--- a/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/PipelineVersionRecordsTest.java
@@ -137,8 +137,8 @@
         "" + spec.cores(),
         "" + spec.accelerators(),
         "" + spec.memoryGb(),
-        spec.types().map(types -> String.join(",", types)).orElse(ABSENT),
-        spec.zone().orElse(ABSENT),
+        spec.allowedTypes().map(types -> String.join(",", types)).orElse(ABSENT),
+        spec.requiredZone().orElse(ABSENT),
         "" + spec.oneZone(),
         "" + spec.spreadOverZones(),
         "" + spec.spot(),
@@ -179,7 +179,7 @@
         host.type(),
         host.zone(),
         "" + host.spot(),
-        "" + live.agentEpoch());
+        "" + live.workerEpoch());
   }
 
   private static ObjectNode decodedJob(LoadedFixture loaded, String uid) {
@@ -191,7 +191,7 @@
     }
     decoded.put("status", status(loaded, uid));
     Job job = new Job(record.spec(), 0, record.shardSize(), 0, new BitSet(), 0, 2);
-    RecordedProgress.RecordedStatuses statuses = loaded.progress.of(job);
+    RecordedProgress.RecordedStatuses statuses = loaded.progress.statusesOf(job);
     if (!statuses.completed().isEmpty()) {
       decoded.put("done", statuses.completed().toString());
     }
@@ -217,7 +217,7 @@
     assertEquals(Optional.of("n0"), loaded.replica.text(Keys.LEADER, "member"));
     assertEquals(
         Term.TOKENS_PER_TERM,
-        loaded.replica.get(Keys.TOKEN).orElseThrow().value().path("n").asLong());
+        loaded.replica.get(Keys.FENCING_TOKEN).orElseThrow().value().path("n").asLong());
   }
 
   @Test
@@ -226,7 +226,7 @@
     for (String prefix :
         List.of(
             Keys.LEADER,
-            Keys.TOKEN,
+            Keys.FENCING_TOKEN,
             Keys.MACHINE_TYPES,
             Keys.JOB_BATCHES,
             Keys.DEPENDENCIES,
@@ -235,7 +235,7 @@
             Keys.SNAPSHOTS,
             Keys.PROGRESS_LOG,
             Keys.PROVISIONING_INTENTS,
-            Keys.BOUNDS)) {
+            Keys.POOL_BOUNDS)) {
       assertTrue(!store.under(prefix).isEmpty(), prefix);
     }
   }
@@ -338,10 +338,10 @@
     }
     Transaction transaction =
         new Transaction(
-            List.of(new Condition(Keys.LEADER, 0), new Condition(Keys.TOKEN, 258)),
+            List.of(new Condition(Keys.LEADER, 0), new Condition(Keys.FENCING_TOKEN, 258)),
             List.of(
                 new Change.Put(Keys.LEADER, records.path(Keys.LEADER), Optional.of(9L)),
-                new Change.Put(Keys.TOKEN, records.path(Keys.TOKEN)),
+                new Change.Put(Keys.FENCING_TOKEN, records.path(Keys.FENCING_TOKEN)),
                 new Change.Remove(Keys.provisioningIntent("r-1-1"))));
     assertEquals(fixture.path("transaction").asText(), hex(HttpStateStore.encode(transaction)));
   }
@@ -363,11 +363,11 @@
   private static final List<String> COMPARED_PREFIXES =
       List.of(
           Keys.LEADER,
-          Keys.TOKEN,
+          Keys.FENCING_TOKEN,
           Keys.CANCELLATIONS,
           Keys.COMPLETIONS,
           Keys.PROVISIONING_INTENTS,
-          Keys.BOUNDS);
+          Keys.POOL_BOUNDS);
 
   private static void addFieldTypes(String key, JsonNode value, Map<String, Set<String>> types) {
     for (String prefix : COMPARED_PREFIXES) {
@@ -485,11 +485,11 @@
         tasks.set(0, spec.tasks());
       } else {
         Job rebuilt = new Job(spec, 0, 8, 0, new BitSet(), 0, 2);
-        tasks.or(loaded.progress.of(rebuilt).completed());
+        tasks.or(loaded.progress.statusesOf(rebuilt).completed());
       }
-      tasks.stream().forEach(task -> cluster.checker.completes(uid, task));
+      tasks.stream().forEach(task -> cluster.checker.recordCompletion(uid, task));
       if (loaded.replica.get(Keys.cancellation(uid)).isPresent()) {
-        cluster.checker.cancelAsked(uid);
+        cluster.checker.recordCancellationRequest(uid);
       }
       cluster.clock.after(CONTROLLERS_START_MS, () -> cluster.submitAndPoll(spec));
     }
@@ -502,21 +502,21 @@
     SimulatedCluster cluster = clusterFrom(loaded.store);
     resubmitAll(cluster, loaded, fixture.path("jobs"));
     cluster.clock.runUntil(30_000);
-    assertEquals(-1, cluster.checker.begunMs("mark-3"));
-    assertEquals(-1, cluster.checker.begunMs("collect-7"));
+    assertEquals(-1, cluster.checker.firstStartMs("mark-3"));
+    assertEquals(-1, cluster.checker.firstStartMs("collect-7"));
     cluster.clock.runUntil(300_000);
     cluster.faultsEnded();
     cluster.clock.runUntil(360_000);
-    assertEquals(List.of(), cluster.checker.broken());
-    long trainedMs = cluster.checker.doneMs("train-2");
-    assertTrue(cluster.checker.begunMs("train-2") > 0);
+    assertEquals(List.of(), cluster.checker.violations());
+    long trainedMs = cluster.checker.completedMs("train-2");
+    assertTrue(cluster.checker.firstStartMs("train-2") > 0);
     for (String dependent : List.of("mark-3", "collect-7")) {
-      assertTrue(cluster.checker.begunMs(dependent) >= trainedMs, dependent);
-      assertEquals("done", cluster.checker.finalWord(dependent));
+      assertTrue(cluster.checker.firstStartMs(dependent) >= trainedMs, dependent);
+      assertEquals("done", cluster.checker.finalStatus(dependent));
     }
     for (String aborted : List.of("draft-4", "publish-5")) {
-      assertEquals("aborted", cluster.checker.finalWord(aborted));
-      assertEquals(-1, cluster.checker.begunMs(aborted));
+      assertEquals("aborted", cluster.checker.finalStatus(aborted));
+      assertEquals(-1, cluster.checker.firstStartMs(aborted));
     }
     assertTrue(
         cluster.cloud.provisionedCount() >= 18,
--- a/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
+++ b/src/test/java/org/ploverspindle/sim/ProductionRecordsTest.java
@@ -79,8 +79,8 @@
     assertEquals(JobKind.BATCH, record.spec().kind());
     assertEquals(Priority.HIGH, record.spec().priority());
     assertEquals(6, record.spec().tasks());
-    assertEquals(Optional.of("a"), record.spec().zone());
-    assertEquals(Optional.empty(), record.spec().types());
+    assertEquals(Optional.of("a"), record.spec().requiredZone());
+    assertEquals(Optional.empty(), record.spec().allowedTypes());
     assertEquals(18.0, record.spec().expectedS());
     assertEquals(1800000084923L, record.acceptedWallMs());
     assertEquals(79, record.shardSize());
@@ -91,7 +91,7 @@
             new MachineType("large", Resources.offered(16, 2, 64), 40, 1, 1.1, 0.4, 5, zones)),
         MachineTypesRecord.read(replica).orElseThrow());
     assertEquals(Optional.of("n2"), replica.text(Keys.LEADER, "member"));
-    assertEquals(1048576, replica.get(Keys.TOKEN).orElseThrow().value().path("n").asLong());
+    assertEquals(1048576, replica.get(Keys.FENCING_TOKEN).orElseThrow().value().path("n").asLong());
     assertTrue(replica.get(Keys.cancellation("run-000001")).isPresent());
     assertTrue(replica.get(Keys.completion("run-000002")).isPresent());
 
@@ -112,7 +112,8 @@
               public void deposed(String cause) {}
             });
     Job job = new Job(record.spec(), 0, record.shardSize(), 0, new BitSet(), 0, 2);
-    RecordedProgress.RecordedStatuses statuses = new RecordedProgress(replica, writer).of(job);
+    RecordedProgress.RecordedStatuses statuses =
+        new RecordedProgress(replica, writer).statusesOf(job);
     assertEquals(fixture.path("done").asText(), statuses.completed().toString());
     Map<String, String> live = new TreeMap<>();
     statuses
@@ -129,7 +130,7 @@
                       machine.type(),
                       machine.zone(),
                       "" + machine.spot(),
-                      "" + placement.agentEpoch()));
+                      "" + placement.workerEpoch()));
             });
     Map<String, String> expected = new TreeMap<>();
     fixture.path("live").properties().forEach(e -> expected.put(e.getKey(), e.getValue().asText()));
--- a/src/test/java/org/ploverspindle/sim/RoleCluster.java
+++ b/src/test/java/org/ploverspindle/sim/RoleCluster.java
@@ -139,10 +139,10 @@
     @Override
     public JsonNode encode(RoleHolder holder) {
       return Cbor.map()
-          .put("member", holder.member())
+          .put("member", holder.controllerName())
           .put("nonce", holder.nonce())
           .put("epoch", holder.epoch())
-          .put("lease", holder.lease());
+          .put("lease", holder.leaseId());
     }
 
     @Override
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public JsonNode encodeEpochs(long taken) {
+    public JsonNode encodeEpoch(long taken) {
       return Cbor.map().put("last", taken);
     }
 
@@ -231,7 +231,7 @@
           result -> {
             if (result instanceof TransactionResult.Conflict) {
               refusedActions++;
-              role.end("a write was refused");
+              role.stopHolding("a write was refused");
             }
           });
     }
--- a/src/test/java/org/ploverspindle/sim/SimCloud.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloud.java
@@ -10,9 +10,9 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Function;
-import org.ploverspindle.cloud.CloudClient.Host;
-import org.ploverspindle.cloud.CloudClient.HostPage;
-import org.ploverspindle.cloud.CloudClient.HostStatus;
+import org.ploverspindle.cloud.CloudClient.CloudMachine;
+import org.ploverspindle.cloud.CloudClient.MachinePage;
+import org.ploverspindle.cloud.CloudClient.MachineStatus;
 import org.ploverspindle.cloud.CloudClient.ProvisionResult;
 import org.ploverspindle.model.MachineType;
 import org.ploverspindle.settings.Settings;
@@ -28,7 +28,7 @@
     private final String zone;
     private final boolean spot;
     private final long provisionedMs;
-    private HostStatus status = HostStatus.BOOTING;
+    private MachineStatus status = MachineStatus.BOOTING;
     private SimWorker worker;
 
     ProvisionedMachine(String id, String type, String zone, boolean spot, long provisionedMs) {
@@ -58,7 +58,7 @@
   private final TerminationHistory terminations;
   private final Map<String, ProvisionedMachine> machines = new LinkedHashMap<>();
   private final Map<String, ProvisionResult.Provisioned> provisionedByIntent = new HashMap<>();
-  private final List<Map.Entry<Long, List<Host>>> pastLists = new ArrayList<>();
+  private final List<Map.Entry<Long, List<CloudMachine>>> pastLists = new ArrayList<>();
   private int provisionedCount;
   private boolean isOutage;
   private final Map<String, Double> bootTimeFactors = new HashMap<>();
@@ -86,11 +86,11 @@
   }
 
   private void recordList() {
-    List<Host> hosts = new ArrayList<>();
+    List<CloudMachine> hosts = new ArrayList<>();
     for (ProvisionedMachine machine : machines.values()) {
       double age = (clock.nowMs() - machine.provisionedMs) / 1000.0;
       hosts.add(
-          new Host(
+          new CloudMachine(
               machine.id,
               machine.id + ":9000",
               machine.type,
@@ -187,7 +187,7 @@
 
   private void finishBoot(ProvisionedMachine machine) {
     if (machines.get(machine.id) == machine) {
-      machine.status = HostStatus.RUNNING;
+      machine.status = MachineStatus.RUNNING;
       machine.worker =
           startWorker.apply(
               new InvariantChecker.Place(machine.id, machine.type, machine.zone, machine.spot));
@@ -237,20 +237,21 @@
     ProvisionedMachine machine = machines.get(id);
     if (machine != null && machine.worker != null) {
       machine.worker.terminate();
-      clock.after(10_000, () -> machine.status = HostStatus.FAILED);
+      clock.after(10_000, () -> machine.status = MachineStatus.FAILED);
     }
   }
 
-  HostPage listMachines(String after) {
+  MachinePage listMachines(String after) {
     long listedMs = clock.nowMs() - listLagMs - random.nextInt((int) listLagMs);
-    List<Host> listed = List.of();
-    for (Map.Entry<Long, List<Host>> pastList : pastLists) {
+    List<CloudMachine> listed = List.of();
+    for (Map.Entry<Long, List<CloudMachine>> pastList : pastLists) {
       if (pastList.getKey() <= listedMs) {
         listed = pastList.getValue();
       }
     }
-    List<Host> following = listed.stream().filter(host -> host.id().compareTo(after) > 0).toList();
-    return new HostPage(
+    List<CloudMachine> following =
+        listed.stream().filter(host -> host.id().compareTo(after) > 0).toList();
+    return new MachinePage(
         following.subList(0, Math.min(PAGE_SIZE, following.size())), following.size() > PAGE_SIZE);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimCloudClient.java
+++ b/src/test/java/org/ploverspindle/sim/SimCloudClient.java
@@ -64,7 +64,7 @@
   }
 
   @Override
-  public void listMachines(String after, Consumer<Optional<HostPage>> then) {
+  public void listMachines(String after, Consumer<Optional<MachinePage>> then) {
     request(() -> Optional.of(cloud.listMachines(after)), Optional.empty(), Optional.empty(), then);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimStateStore.java
+++ b/src/test/java/org/ploverspindle/sim/SimStateStore.java
@@ -258,7 +258,8 @@
     if (!transaction.changes().isEmpty()) {
       writeListener.accept(transaction);
     }
-    if (transaction.changes().stream().anyMatch(change -> change.key().equals(Keys.TOKEN))) {
+    if (transaction.changes().stream()
+        .anyMatch(change -> change.key().equals(Keys.FENCING_TOKEN))) {
       termListener.run();
     }
     return new TransactionResult.Committed(revision);
@@ -307,7 +308,7 @@
 
   /** The highest fencing token of the latest term, or 0 before the first term. */
   long highestFencingToken() {
-    StoredValue stored = valuesByKey.get(Keys.TOKEN);
+    StoredValue stored = valuesByKey.get(Keys.FENCING_TOKEN);
     return stored == null ? 0 : stored.value().path("n").asLong();
   }
 }
--- a/src/test/java/org/ploverspindle/sim/SimUsers.java
+++ b/src/test/java/org/ploverspindle/sim/SimUsers.java
@@ -194,7 +194,7 @@
         return;
       }
       String status = SimWireCodec.status(response);
-      cluster.checker.told(uid, response.status(), status, isSubmission, sentMs);
+      cluster.checker.recordAnswer(uid, response.status(), status, isSubmission, sentMs);
       responseCounts.merge(response.status(), 1, Integer::sum);
       then.accept(response);
       if (isSuccess(response)) {
@@ -212,7 +212,7 @@
     int controller = randomController();
     Consumer<ApiResponse> then =
         response -> {
-          cluster.checker.submissionTold(spec.uid(), response.status());
+          cluster.checker.checkAcceptableSubmission(spec.uid(), response.status());
           if (isSuccess(response)) {
             accepted[0] = true;
             clock.after(FIRST_POLL_DELAY_MS, () -> poll(spec.uid()));
@@ -235,7 +235,7 @@
   }
 
   void poll(String uid) {
-    cluster.checker.asked(uid);
+    cluster.checker.recordPoll(uid);
     int controller = randomController();
     boolean[] isOver = {false};
     Consumer<ApiResponse> then =
@@ -254,7 +254,7 @@
   }
 
   void cancel(String uid, int retries) {
-    cluster.checker.cancelAsked(uid);
+    cluster.checker.recordCancellationRequest(uid);
     int controller = randomController();
     boolean[] isAcknowledged = {false};
     Consumer<ApiResponse> then = response -> isAcknowledged[0] = response.status() == OK;
--- a/src/test/java/org/ploverspindle/sim/SimWireCodec.java
+++ b/src/test/java/org/ploverspindle/sim/SimWireCodec.java
@@ -30,7 +30,7 @@
         .put("addr", heartbeat.address())
         .put("flavour", heartbeat.type());
     body.put("site", heartbeat.zone()).put("loaners", heartbeat.spot());
-    body.put("tenure", heartbeat.agentEpoch()).put("tally", heartbeat.sequence());
+    body.put("tenure", heartbeat.workerEpoch()).put("tally", heartbeat.sequence());
     body.put("warrant", heartbeat.fencingToken());
     heartbeat.spotNoticeS().ifPresent(seconds -> body.put("recall_s", seconds));
     ArrayNode tasks = body.putArray("pieces");
@@ -75,8 +75,8 @@
     body.put("pieces", spec.tasks());
     body.put("cores", spec.cores()).put("accelerators", spec.accelerators());
     body.put("mem_gb", spec.memoryGb());
-    spec.types().ifPresent(types -> types.forEach(body.putArray("flavours")::add));
-    spec.zone().ifPresent(zone -> body.put("site", zone));
+    spec.allowedTypes().ifPresent(types -> types.forEach(body.putArray("flavours")::add));
+    spec.requiredZone().ifPresent(zone -> body.put("site", zone));
     body.put("one_zone", spec.oneZone())
         .put("apart", spec.spreadOverZones())
         .put("loaners", spec.spot());
--- a/src/test/java/org/ploverspindle/sim/SimWorker.java
+++ b/src/test/java/org/ploverspindle/sim/SimWorker.java
@@ -36,13 +36,13 @@
   private final Map<Long, SimAttempt> attempts = new LinkedHashMap<>();
   private final SimPause pause;
   private int controller;
-  private long agentEpoch = 1;
+  private long workerEpoch = 1;
   private long sequence;
   private long fencingToken;
   private long leaseStartMs;
   private long lastRequestId;
   private long inFlightRequestId = -1;
-  private long inFlightAgentEpoch;
+  private long inFlightWorkerEpoch;
   private long inFlightSentMs;
   private boolean isTerminated;
   private boolean isFailing;
@@ -83,8 +83,8 @@
   }
 
   /** The worker epoch: starts at 1 and grows by one each time the worker lease expires. */
-  long agentEpoch() {
-    return agentEpoch;
+  long workerEpoch() {
+    return workerEpoch;
   }
 
   void setFailing(boolean active) {
@@ -144,7 +144,7 @@
     checkLease();
     for (SimAttempt attempt : attempts.values()) {
       if (attempt.isExecuting()) {
-        checker.goesOn(attempt.uid, attempt.task, place);
+        checker.recordResume(attempt.uid, attempt.task, place);
       }
     }
   }
@@ -152,7 +152,7 @@
   /** Executes direct commands and responds with the heartbeat that results from them. */
   void executeDirect(
       long token,
-      long workerEpoch,
+      long commandEpoch,
       List<WorkerCommand> commands,
       long sentMs,
       Consumer<Heartbeat> then) {
@@ -161,7 +161,7 @@
           if (isTerminated) {
             return;
           }
-          if (token >= fencingToken && workerEpoch == agentEpoch) {
+          if (token >= fencingToken && commandEpoch == workerEpoch) {
             fencingToken = token;
             commands.forEach(command -> execute(command, sentMs));
           }
@@ -178,7 +178,7 @@
 
   private void notifyStopped(SimAttempt attempt) {
     if (attempt.isExecuting()) {
-      checker.leaves(attempt.uid, attempt.task, place);
+      checker.recordStop(attempt.uid, attempt.task, place);
     }
   }
 
@@ -206,7 +206,7 @@
   private void checkLease() {
     if (isLeaseExpired()) {
       killTasks();
-      agentEpoch++;
+      workerEpoch++;
       sequence = 0;
       leaseStartMs = clock.nowMs();
     }
@@ -226,7 +226,7 @@
     }
     long requestId = ++lastRequestId;
     inFlightRequestId = requestId;
-    inFlightAgentEpoch = agentEpoch;
+    inFlightWorkerEpoch = workerEpoch;
     inFlightSentMs = clock.nowMs();
     heartbeatSender.send(this, controller, newHeartbeat(), requestId);
     clock.after(RESPONSE_TIMEOUT_MS, () -> pause.runAfterPause(() -> requestFailed(requestId)));
@@ -246,7 +246,7 @@
         place.type(),
         place.zone(),
         place.spot(),
-        agentEpoch,
+        workerEpoch,
         sequence,
         fencingToken,
         hasSpotNotice ? OptionalDouble.of(8) : OptionalDouble.empty(),
@@ -294,7 +294,7 @@
     }
     inFlightRequestId = -1;
     sendAfter(Math.round(limits.heartbeatIntervalS() * 1000 * (0.75 + random.nextDouble() / 2)));
-    if (inFlightAgentEpoch != agentEpoch || token < fencingToken) {
+    if (inFlightWorkerEpoch != workerEpoch || token < fencingToken) {
       return;
     }
     fencingToken = token;
@@ -365,7 +365,7 @@
   private void end(SimAttempt attempt, Heartbeat.ExitReason exitReason) {
     if (isPresent(attempt) && attempt.phase == Heartbeat.Phase.RUNNING) {
       if (exitReason == Heartbeat.ExitReason.DONE) {
-        checker.completes(attempt.uid, attempt.task);
+        checker.recordCompletion(attempt.uid, attempt.task);
       }
       exit(attempt, exitReason);
     }
--- a/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatedCluster.java
@@ -124,7 +124,7 @@
         new SimStateAccess(clock, random, network, state, deployment.capacity() < SMALL_DEPLOYMENT);
     this.directCommands = new SimDirectCommands(clock, random, network, cloud);
     this.users = new SimUsers(this, specs);
-    checker.whenALastTaskEnds(users::lastTaskEnded);
+    checker.onLastTaskEnd(users::lastTaskEnded);
     for (int i = 0; i < controllerCount; i++) {
       processes.add(null);
       controllers.add(null);
@@ -142,7 +142,7 @@
   }
 
   private void checkPeriodically() {
-    checker.look();
+    checker.checkOverdue();
     clock.after(CHECK_INTERVAL_MS, this::checkPeriodically);
   }
 
@@ -150,10 +150,10 @@
     int controllerCount = deployment.controllerCount();
     List<String> zones = deployment.zones();
     Address unusedAddress = new Address("127.0.0.1", 1);
-    List<Settings.Member> others = new ArrayList<>();
+    List<Settings.OtherController> others = new ArrayList<>();
     for (int i = 0; i < controllerCount; i++) {
       if (!member.equals("n" + i)) {
-        others.add(new Settings.Member("n" + i, zones.get(0), unusedAddress));
+        others.add(new Settings.OtherController("n" + i, zones.get(0), unusedAddress));
       }
     }
     return new Settings(
@@ -301,7 +301,7 @@
 
   /** Tells the checker that all faults have ended, so that requests of users must be answered. */
   void faultsEnded() {
-    checker.troublesAreOver();
+    checker.faultsEnded();
   }
 
   // ---- workers
@@ -373,7 +373,7 @@
     users.cancelRunning(count, hangDurationMs);
   }
 
-  void setCancelAtEndShare(double share) {
+  void setCancelAtCompletionShare(double share) {
     users.setCancelAtEndShare(share);
   }
 
@@ -383,7 +383,7 @@
 
   /** From now on users send late, redundant and invalid requests to all controllers. */
   void setInvalidRequests(boolean active) {
-    invalidRequests.play(active);
+    invalidRequests.setActive(active);
   }
 
   static byte[] encode(JobSpec spec) {
--- a/src/test/java/org/ploverspindle/sim/SimulatorTest.java
+++ b/src/test/java/org/ploverspindle/sim/SimulatorTest.java
@@ -26,7 +26,7 @@
   private SimWorker submitAndAwaitStart(JobSpec spec) {
     cluster.clock.after(5_000, () -> cluster.submitAndPoll(spec));
     while (cluster.checker.hostsOf(spec.uid()).isEmpty()
-        || cluster.checker.begunMs(spec.uid()) < 0) {
+        || cluster.checker.firstStartMs(spec.uid()) < 0) {
       assertTrue(cluster.clock.nowMs() < 60_000, "task did not start within 60 s");
       cluster.clock.runUntil(cluster.clock.nowMs() + 10);
     }
@@ -81,7 +81,7 @@
         "task still counts as running after its worker lease expired");
     advance(100_000);
     assertTrue(cluster.checker.isDone(spec.uid()), "task did not complete on another machine");
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 
   @Test
@@ -115,7 +115,7 @@
     cluster.network.setUnansweredWrites(0, false);
     // The write is executed within 12 s; then follow a retry, a machine's boot, the run and a poll.
     advance(60_000);
-    assertEquals(List.of(spec.uid()), cluster.checker.toldDone());
+    assertEquals(List.of(spec.uid()), cluster.checker.answeredDone());
   }
 
   private static boolean concerns(StateStore.ChangedEntry change, JobSpec spec) {
@@ -164,19 +164,19 @@
     assertEquals(1, cluster.checker.running().size());
     assertTrue(cluster.cloud.workers().stream().anyMatch(worker -> !worker.isHealthy()));
     advance(60_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 
   @Test
   void jobsAreCancelledWhenTheirLastTaskEnds() {
-    cluster.setCancelAtEndShare(1);
+    cluster.setCancelAtCompletionShare(1);
     for (int i = 0; i < 20; i++) {
       JobSpec spec = newJob(5);
       cluster.clock.after(5_000 + i * 1_000, () -> cluster.submitAndPoll(spec));
     }
     advance(100_000);
-    int done = cluster.checker.toldDone().size();
+    int done = cluster.checker.answeredDone().size();
     assertTrue(done > 0 && done < 20, done + " jobs done; expected some done and some cancelled");
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
   }
 }
--- a/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
+++ b/src/test/java/org/ploverspindle/sim/StateOutageCancellationTest.java
@@ -109,11 +109,11 @@
     long faultsEndMs = refusalStartMs;
     cluster.clock.after(faultsEndMs, cluster::faultsEnded);
     cluster.clock.runUntil(faultsEndMs + 120_000);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertTrue(
-        cluster.checker.cancelledWhileOn() >= 8,
+        cluster.checker.cancelledWithRunningTasks() >= 8,
         "cancellations of jobs with tasks on machines, at least 8 expected: "
-            + cluster.checker.cancelledWhileOn());
+            + cluster.checker.cancelledWithRunningTasks());
   }
 
   private static void refuseLeaderThenStopService(
--- a/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TeamLimitFaultsTest.java
@@ -47,7 +47,7 @@
             "at least two workers were unreachable", () -> scenario.recorded("unreachable") >= 2);
         scenario.requireEvidence(
             "at least two cancellations of running jobs",
-            () -> cluster.checker.cancelledWhileOn() >= 2);
+            () -> cluster.checker.cancelledWithRunningTasks() >= 2);
         scenario.requireEvidence(
             "a waiting job ran once there was room",
             () -> waiting.stream().anyMatch(uid -> cluster.checker.isDone(uid)));
@@ -98,7 +98,7 @@
             () -> scenario.recorded("red cores") + scenario.recorded("blue cores") == 32);
         scenario.requireEvidence(
             "at least four cancellations of running jobs",
-            () -> cluster.checker.cancelledWhileOn() >= 4);
+            () -> cluster.checker.cancelledWithRunningTasks() >= 4);
         scenario.requireEvidence(
             "at least two workers unresponsive and two partitioned",
             () -> scenario.recorded("unresponsive") >= 2 && scenario.recorded("partitioned") >= 2);
@@ -196,7 +196,7 @@
         });
     scenario.at(260_000, cluster::faultsEnded);
     cluster.clock.runUntil(260_000 + FaultScenario.RECOVERY_MS);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     assertTrue(scenario.recorded("arrived") >= 1, "no delayed packet was delivered");
     assertTrue(cluster.termCount() > scenario.recorded("terms"), "the leader did not change");
     assertEquals(
--- a/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationFaultsTest.java
@@ -179,7 +179,7 @@
       cluster.clock.runUntil(endMs);
       cluster.faultsEnded();
       cluster.clock.runUntil(endMs + 110_000);
-      cluster.checker.endOfDay();
+      cluster.checker.checkService();
       return this;
     }
 
@@ -191,8 +191,8 @@
   private static void assertInvariantsHold(Scenario scenario, String context) {
     SimulatedCluster cluster = scenario.cluster;
     assertEquals(List.of(), cluster.terminations.withTasks(), context);
-    assertEquals(List.of(), cluster.checker.broken(), context);
-    assertEquals(0, cluster.checker.neverBegun(), context);
+    assertEquals(List.of(), cluster.checker.violations(), context);
+    assertEquals(0, cluster.checker.neverStartedCount(), context);
     assertEquals(
         0, cluster.cloud.machineCount(), context + ": idle machines that were not terminated");
     assertEquals(
--- a/src/test/java/org/ploverspindle/sim/UnguaranteedTeamTest.java
+++ b/src/test/java/org/ploverspindle/sim/UnguaranteedTeamTest.java
@@ -57,9 +57,9 @@
   }
 
   private static void assertServed(SimulatedCluster cluster, List<JobSpec> guaranteed) {
-    cluster.checker.endOfDay();
-    assertEquals(List.of(), cluster.checker.broken());
-    assertEquals(0, cluster.checker.neverBegun());
+    cluster.checker.checkService();
+    assertEquals(List.of(), cluster.checker.violations());
+    assertEquals(0, cluster.checker.neverStartedCount());
     guaranteed.forEach(
         job ->
             assertTrue(
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -14,7 +14,7 @@
 import org.ploverspindle.NoOpLeaderNotifier;
 import org.ploverspindle.api.ApiResponse;
 import org.ploverspindle.api.JobViews;
-import org.ploverspindle.api.StateWrites;
+import org.ploverspindle.api.StateWriteAccess;
 import org.ploverspindle.api.UserRequests;
 import org.ploverspindle.model.Catalogue;
 import org.ploverspindle.model.JobSpec;
@@ -41,15 +41,15 @@
   private static final long TIMEOUT_MS = 2_500;
 
   /** The user API of one controller, with its own connection to the state service. */
-  final class Node implements StateStore {
+  final class ApiController implements StateStore {
     final SimClock.Process process = clock.new Process(random.nextInt(1_000_000), 1, 0);
     final Replica replica = new Replica(process, this, Keys.PREFIX, 700);
     final AcceptedJobIndex specs = new AcceptedJobIndex(replica);
     final Pipelines pipelines = new Pipelines(process, replica, specs);
     final UserRequests requests;
-    boolean cut;
+    boolean partitioned;
 
-    Node(int i, Settings settings) {
+    ApiController(int i, Settings settings) {
       Catalogue catalogue = new Catalogue(settings.zones());
       catalogue.update(
           List.of(
@@ -60,7 +60,7 @@
           new UserRequests(
               process,
               new JobViews(replica, specs, pipelines, new ProgressCounts(replica)),
-              new StateWrites(
+              new StateWriteAccess(
                   this,
                   new TokenBucket(process, Math.max(1, share), Math.max(3, share)),
                   "n" + i,
@@ -84,7 +84,7 @@
       clock.after(TIMEOUT_MS, () -> once.accept(unknown));
       Runnable request =
           () -> {
-            T result = !cut && state.admitsRequest() ? execute.get() : refused;
+            T result = !partitioned && state.admitsRequest() ? execute.get() : refused;
             if (random.nextDouble() >= lossShare) {
               clock.after(1 + random.nextInt(8), () -> once.accept(result));
             }
@@ -96,7 +96,7 @@
     @Override
     public void commit(Transaction txn, Consumer<TransactionResult> then) {
       call(
-          () -> applied(txn),
+          () -> commitAndCheck(txn),
           new TransactionResult.Refused(503),
           new TransactionResult.Unknown(),
           then);
@@ -131,13 +131,13 @@
   }
 
   /** A response: its HTTP status, the job status in it, and the ms from request to response. */
-  record Heard(int status, String state, long tookMs) {}
+  record Answer(int status, String state, long tookMs) {}
 
   final SimClock clock = new SimClock();
   final Random random;
   final SimStateStore state;
-  final List<Node> nodes = new ArrayList<>();
-  final Set<String> written = new HashSet<>();
+  final List<ApiController> controllers = new ArrayList<>();
+  final Set<String> writtenKeys = new HashSet<>();
   private final Settings settings;
 
   /**
@@ -145,7 +145,7 @@
    */
   double lossShare;
 
-  int changes;
+  int changeCount;
 
   UserApiCluster(long seed, int count, Settings.StateLimits limits) {
     random = new Random(seed);
@@ -166,25 +166,25 @@
     for (int i = 0; i < count; i++) {
       restart(i);
     }
-    pass(2_000);
+    advance(2_000);
   }
 
   /** Starts a process of the controller, with an empty replica, in place of the former if any. */
   void restart(int node) {
-    if (node < nodes.size()) {
-      nodes.get(node).process.kill();
-      nodes.set(node, new Node(node, settings));
+    if (node < controllers.size()) {
+      controllers.get(node).process.kill();
+      controllers.set(node, new ApiController(node, settings));
     } else {
-      nodes.add(new Node(node, settings));
+      controllers.add(new ApiController(node, settings));
     }
   }
 
-  TransactionResult applied(Transaction txn) {
+  TransactionResult commitAndCheck(Transaction txn) {
     TransactionResult result = state.commit(txn);
     if (result instanceof TransactionResult.Committed) {
       txn.changes().forEach(this::checkDependencyListWritten);
-      changes += txn.changes().size();
-      txn.changes().forEach(change -> written.add(change.key()));
+      changeCount += txn.changes().size();
+      txn.changes().forEach(change -> writtenKeys.add(change.key()));
     }
     return result;
   }
@@ -197,7 +197,7 @@
             instanceof JobRecord.StoredDependencies.Separate list) {
           for (int i = 0; i < list.parts(); i++) {
             String part = Keys.dependencies(list.name(), i);
-            if (!written.contains(part)) {
+            if (!writtenKeys.contains(part)) {
               throw new IllegalStateException(
                   "a job is written before this part of its dependency list: " + part);
             }
@@ -207,14 +207,14 @@
     }
   }
 
-  void pass(long ms) {
+  void advance(long ms) {
     clock.runUntil(clock.nowMs() + ms);
   }
 
   /** Writes the job's completion with the conditions that a leader uses. */
-  void done(String uid) {
+  void commitCompletion(String uid) {
     TransactionResult result =
-        applied(
+        commitAndCheck(
             new Transaction(
                 List.of(
                     new Condition(Keys.completion(uid), 0),
@@ -234,48 +234,48 @@
     return Cbor.readMap(SimulatedCluster.encode(job(uid, dependencies))).orElseThrow();
   }
 
-  void submit(int node, String uid, List<String> dependencies, Consumer<Heard> then) {
-    nodes.get(node).requests.submit(Cbor.write(body(uid, dependencies)), heard(then));
+  void submit(int node, String uid, List<String> dependencies, Consumer<Answer> then) {
+    controllers.get(node).requests.submit(Cbor.write(body(uid, dependencies)), answerHandler(then));
   }
 
-  void poll(int node, String uid, Consumer<Heard> then) {
-    nodes.get(node).requests.poll(uid, heard(then));
+  void poll(int node, String uid, Consumer<Answer> then) {
+    controllers.get(node).requests.poll(uid, answerHandler(then));
   }
 
-  void withdraw(int node, String uid, Consumer<Heard> then) {
-    nodes.get(node).requests.cancel(uid, heard(then));
+  void cancel(int node, String uid, Consumer<Answer> then) {
+    controllers.get(node).requests.cancel(uid, answerHandler(then));
   }
 
-  Consumer<ApiResponse> heard(Consumer<Heard> then) {
+  Consumer<ApiResponse> answerHandler(Consumer<Answer> then) {
     long sentMs = clock.nowMs();
     return response ->
         then.accept(
-            new Heard(
+            new Answer(
                 response.status(),
                 Cbor.readMap(response.body()).orElseThrow().path("status").asText(),
                 clock.nowMs() - sentMs));
   }
 
   /** Sends a request and advances the clock until its response arrives, for at most 10 s. */
-  Heard wait(Consumer<Consumer<Heard>> ask) {
-    List<Heard> heard = new ArrayList<>();
+  Answer awaitAnswer(Consumer<Consumer<Answer>> ask) {
+    List<Answer> heard = new ArrayList<>();
     ask.accept(heard::add);
     long untilMs = clock.nowMs() + 10_000;
     while (heard.isEmpty() && clock.nowMs() < untilMs) {
-      pass(1);
+      advance(1);
     }
     return heard.get(0);
   }
 
-  Heard submit(int node, String uid, List<String> dependencies) {
-    return wait(then -> submit(node, uid, dependencies, then));
+  Answer submit(int node, String uid, List<String> dependencies) {
+    return awaitAnswer(then -> submit(node, uid, dependencies, then));
   }
 
-  Heard poll(int node, String uid) {
-    return wait(then -> poll(node, uid, then));
+  Answer poll(int node, String uid) {
+    return awaitAnswer(then -> poll(node, uid, then));
   }
 
-  Heard withdraw(int node, String uid) {
-    return wait(then -> withdraw(node, uid, then));
+  Answer cancel(int node, String uid) {
+    return awaitAnswer(then -> cancel(node, uid, then));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/UserFaultsDay.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsDay.java
@@ -19,7 +19,7 @@
  */
 abstract class UserFaultsDay {
   static final int CONTROLLERS = 3;
-  static final int FROM_MS = 12_000;
+  static final int FIRST_JOB_MS = 12_000;
 
   /**
    * Longest time after a confirmed cancellation at which the leader may still send a start command.
@@ -74,14 +74,14 @@
   }
 
   /** Submits {@code count} equal jobs of team blue, one every {@code everyMs}. */
-  void jobs(int fromMs, int count, int everyMs, Priority priority, int tasks, double runS) {
+  void submitJobs(int fromMs, int count, int everyMs, Priority priority, int tasks, double runS) {
     for (int i = 0; i < count; i++) {
       cluster.clock.after(fromMs + i * everyMs, () -> submit("blue", priority, tasks, 1, runS));
     }
   }
 
   /** Cancels up to {@code count} randomly chosen running jobs, one every {@code everyMs}. */
-  void cancellations(int fromMs, int count, int everyMs) {
+  void scheduleCancellations(int fromMs, int count, int everyMs) {
     for (int i = 0; i < count; i++) {
       cluster.clock.after(
           fromMs + i * everyMs,
@@ -97,7 +97,7 @@
   void runAndCheckRules(int faultsEndMs, int recoveryMs) {
     cluster.clock.after(faultsEndMs, cluster::faultsEnded);
     cluster.clock.runUntil(faultsEndMs + recoveryMs);
-    assertEquals(List.of(), cluster.checker.broken());
+    assertEquals(List.of(), cluster.checker.violations());
     long maxCommandSentAfterMs =
         cluster.checker.lateStarts().stream()
             .mapToLong(InvariantChecker.LateStart::commandSentAfterMs)
@@ -106,7 +106,7 @@
     assertTrue(
         maxCommandSentAfterMs <= MAX_START_AFTER_CANCELLATION_MS,
         "a start was sent " + maxCommandSentAfterMs + " ms after a confirmed cancellation");
-    assertEquals(0, cluster.checker.neverBegun(), "accepted jobs that never started");
+    assertEquals(0, cluster.checker.neverStartedCount(), "accepted jobs that never started");
   }
 
   static void assertAtLeast(String quantity, long minimum, long actual) {
--- a/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsTest.java
@@ -21,16 +21,16 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void rulesHoldWhenCommittedWritesGetNoResponse(long seed) {
     startCluster(seed, 10);
-    cluster.clock.after(FROM_MS, () -> cluster.network.setUnansweredWrites(0.3, true));
-    cluster.clock.after(FROM_MS, () -> cluster.setRequestBursts(true));
-    jobs(FROM_MS, 50, 1_000, Priority.NORMAL, 2, 8);
-    cancellations(FROM_MS + 10_000, 12, 4_000);
+    cluster.clock.after(FIRST_JOB_MS, () -> cluster.network.setUnansweredWrites(0.3, true));
+    cluster.clock.after(FIRST_JOB_MS, () -> cluster.setRequestBursts(true));
+    submitJobs(FIRST_JOB_MS, 50, 1_000, Priority.NORMAL, 2, 8);
+    scheduleCancellations(FIRST_JOB_MS + 10_000, 12, 4_000);
     cluster.clock.after(35_000, () -> cluster.crash(Math.max(0, cluster.leader()), 1_000));
     cluster.clock.after(70_000, () -> cluster.network.setUnansweredWrites(0, true));
     runAndCheckRules(70_000, 100_000);
     assertAtLeast(
         "committed transactions without a response", 20, cluster.stateAccess.unansweredWrites());
-    assertAtLeast("jobs cancelled while tasks ran", 3, cluster.checker.cancelledWhileOn());
+    assertAtLeast("jobs cancelled while tasks ran", 3, cluster.checker.cancelledWithRunningTasks());
     assertAtLeast("jobs done", 15, cluster.checker.jobsDone());
   }
 
@@ -38,15 +38,16 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void overloadWithLateRequestsIsServedInTheEnd(long seed) {
     startCluster(seed, 4, 6);
-    cluster.clock.after(FROM_MS, () -> cluster.network.setLateRequestShare(0.15));
-    jobs(FROM_MS, 20, 1_500, Priority.NORMAL, 4, 15);
-    jobs(FROM_MS + 500, 10, 4_000, Priority.HIGH, 3, 6);
+    cluster.clock.after(FIRST_JOB_MS, () -> cluster.network.setLateRequestShare(0.15));
+    submitJobs(FIRST_JOB_MS, 20, 1_500, Priority.NORMAL, 4, 15);
+    submitJobs(FIRST_JOB_MS + 500, 10, 4_000, Priority.HIGH, 3, 6);
     for (int i = 0; i < 6; i++) {
-      cluster.clock.after(FROM_MS + i * 5_000, () -> submit("red", Priority.CRITICAL, 8, 1, 5));
+      cluster.clock.after(
+          FIRST_JOB_MS + i * 5_000, () -> submit("red", Priority.CRITICAL, 8, 1, 5));
     }
-    cancellations(FROM_MS + 15_000, 6, 6_000);
+    scheduleCancellations(FIRST_JOB_MS + 15_000, 6, 6_000);
     long[] waiting = {0};
-    cluster.clock.after(50_000, () -> waiting[0] = cluster.checker.neverBegun());
+    cluster.clock.after(50_000, () -> waiting[0] = cluster.checker.neverStartedCount());
     cluster.clock.after(80_000, () -> cluster.network.setLateRequestShare(0));
     runAndCheckRules(80_000, 500_000);
     assertAtLeast("jobs waiting for capacity at 50 s", 5, waiting[0]);
@@ -74,16 +75,16 @@
       StateServiceFault fault, long seed) {
     startCluster(seed, 14);
     int outageMs = (int) (timing(seed).cancelS() * 1_000) + 12_000;
-    jobs(4_000, 20, 700, Priority.NORMAL, 3, 200);
-    jobs(4_500, 30, 900, Priority.NORMAL, 1, 6);
+    submitJobs(4_000, 20, 700, Priority.NORMAL, 3, 200);
+    submitJobs(4_500, 30, 900, Priority.NORMAL, 1, 6);
     cluster.setRequestBursts(true);
     cluster.clock.after(30_000, () -> degradeStateService(fault));
     // One every 400 ms; the last is sent 100 ms before the outage begins.
-    cancellations(30_500, 22, 400);
+    scheduleCancellations(30_500, 22, 400);
     cluster.clock.after(39_000, () -> cluster.state.setOutage(true));
     cluster.clock.after(39_000 + outageMs, () -> cluster.state.setOutage(false));
     runAndCheckRules(39_000 + outageMs, 60_000);
-    assertAtLeast("jobs cancelled while tasks ran", 4, cluster.checker.cancelledWhileOn());
+    assertAtLeast("jobs cancelled while tasks ran", 4, cluster.checker.cancelledWithRunningTasks());
     assertAtLeast("requests answered 503", 20, cluster.users.responseCount(503));
   }
 
@@ -109,7 +110,7 @@
       boolean cancelled = i % 4 == 3;
       cluster.clock.after(
           // 24 jobs every 6 s, four per second on average: jobs that arrive together share writes.
-          FROM_MS + i / 24 * 6_000,
+          FIRST_JOB_MS + i / 24 * 6_000,
           () -> {
             String uid = submit("blue", Priority.NORMAL, 1, 0.5, 4);
             if (cancelled) {
@@ -119,20 +120,21 @@
     }
     double[] before = new double[2];
     cluster.clock.after(
-        FROM_MS,
+        FIRST_JOB_MS,
         () -> {
           before[0] = cluster.state.requestLimiter.requestCount();
           before[1] = cluster.state.changeLimiter.requestedAmount();
         });
     double[] after = new double[2];
     cluster.clock.after(
-        FROM_MS + count * 250,
+        FIRST_JOB_MS + count * 250,
         () -> {
           after[0] = cluster.state.requestLimiter.requestCount();
           after[1] = cluster.state.changeLimiter.requestedAmount();
         });
-    runAndCheckRules(FROM_MS + count * 250, 90_000);
-    assertAtLeast("jobs cancelled while tasks ran", 10, cluster.checker.cancelledWhileOn());
+    runAndCheckRules(FIRST_JOB_MS + count * 250, 90_000);
+    assertAtLeast(
+        "jobs cancelled while tasks ran", 10, cluster.checker.cancelledWithRunningTasks());
     assertAtLeast("jobs done", count * 3 / 4, cluster.checker.jobsDone());
     double requests = (after[0] - before[0]) / count;
     double changes = (after[1] - before[1]) / count;
@@ -159,11 +161,11 @@
   void rulesHoldWhenAllControllersArePolledRightAfterEachAnswer(long seed) {
     startCluster(seed, 14);
     cluster.setRequestBursts(true);
-    jobs(FROM_MS, 60, 800, Priority.NORMAL, 1, 5);
-    cancellations(FROM_MS + 3_000, 25, 1_700);
+    submitJobs(FIRST_JOB_MS, 60, 800, Priority.NORMAL, 1, 5);
+    scheduleCancellations(FIRST_JOB_MS + 3_000, 25, 1_700);
     runAndCheckRules(70_000, 60_000);
     assertAtLeast("requests answered 200", 1_200, cluster.users.responseCount(200));
-    assertAtLeast("jobs cancelled while tasks ran", 8, cluster.checker.cancelledWhileOn());
+    assertAtLeast("jobs cancelled while tasks ran", 8, cluster.checker.cancelledWithRunningTasks());
     assertAtLeast("jobs done", 15, cluster.checker.jobsDone());
   }
 
@@ -189,9 +191,9 @@
     cluster.setInvalidRequests(true);
     cluster.setRequestBursts(true);
     for (int i = 0; i < 60; i++) {
-      cluster.clock.after(FROM_MS + i * 1_000, this::submitAndRepeatInvalid);
+      cluster.clock.after(FIRST_JOB_MS + i * 1_000, this::submitAndRepeatInvalid);
     }
-    cancellations(FROM_MS + 4_000, 10, 5_000);
+    scheduleCancellations(FIRST_JOB_MS + 4_000, 10, 5_000);
     cluster.clock.after(40_000, () -> cluster.crash(Math.max(0, cluster.leader()), 600));
     cluster.clock.after(80_000, () -> cluster.setInvalidRequests(false));
     runAndCheckRules(80_000, 60_000);
--- a/src/test/java/org/ploverspindle/sim/AgentEpochs.java
+++ b/src/test/java/org/ploverspindle/sim/WorkerEpochs.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /** The epochs of workers at one time, to find out later whose worker lease has expired since. */
-final class AgentEpochs {
+final class WorkerEpochs {
   private final Map<SimWorker, Long> initialEpochs = new HashMap<>();
 
-  AgentEpochs(List<SimWorker> workers) {
-    workers.forEach(worker -> initialEpochs.put(worker, worker.agentEpoch()));
+  WorkerEpochs(List<SimWorker> workers) {
+    workers.forEach(worker -> initialEpochs.put(worker, worker.workerEpoch()));
   }
 
   int workerCount() {
@@ -19,7 +19,7 @@
   /** Number of workers that are in a later epoch now, as their lease has expired. */
   long expiredCount() {
     return initialEpochs.entrySet().stream()
-        .filter(worker -> worker.getKey().agentEpoch() > worker.getValue())
+        .filter(worker -> worker.getKey().workerEpoch() > worker.getValue())
         .count();
   }
 }
--- a/src/test/java/org/ploverspindle/sim/WorkerFaultsTest.java
+++ b/src/test/java/org/ploverspindle/sim/WorkerFaultsTest.java
@@ -17,9 +17,9 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void workersWithoutHeartbeatsExecuteDirectCommandsAndInvariantsHold(long seed) {
     startCluster(seed, 8);
-    jobs(4_000, 75, 1_000, Priority.HIGH, 2, 9);
+    submitJobs(4_000, 75, 1_000, Priority.HIGH, 2, 9);
     // These tasks run for longer than a worker lease, so that the end of a lease stops them.
-    jobs(4_500, 10, 1_500, Priority.HIGH, 2, 60);
+    submitJobs(4_500, 10, 1_500, Priority.HIGH, 2, 60);
     int unreachableMs = (int) (timing(seed).leaseS() * 1_500);
     Set<String> unreachable = new HashSet<>();
     for (int round = 0; round < 2; round++) {
@@ -39,7 +39,7 @@
     }
     cluster.clock.after(
         32_000 + unreachableMs, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
-    cancellations(24_000, 10, 4_000);
+    scheduleCancellations(24_000, 10, 4_000);
     runAndCheckRules(30_000 + 2 * unreachableMs + 8_000, 120_000);
     assertAtLeast("workers that reached no controller", 2, unreachable.size());
     assertAtLeast(
@@ -47,20 +47,22 @@
         1,
         cluster.directCommands.executedWithRequestsDropped());
     assertAtLeast(
-        "cancellations of jobs with tasks on machines", 2, cluster.checker.cancelledWhileOn());
+        "cancellations of jobs with tasks on machines",
+        2,
+        cluster.checker.cancelledWithRunningTasks());
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void delayedDirectCommandsAreExecutedWithoutViolatingInvariants(long seed) {
     startCluster(seed, 8);
-    jobs(4_000, 110, 600, Priority.HIGH, 1, 15);
+    submitJobs(4_000, 110, 600, Priority.HIGH, 1, 15);
     cluster.network.setDelayedCommandShare(0.7);
     cluster.clock.after(80_000, () -> cluster.network.setDelayedCommandShare(0));
-    for (int at = FROM_MS; at < 70_000; at += 3_000) {
+    for (int at = FIRST_JOB_MS; at < 70_000; at += 3_000) {
       cluster.clock.after(at, () -> cluster.cloud.workers().forEach(this::delayWorkerOrItsPackets));
     }
-    cancellations(FROM_MS + 4_000, 20, 2_500);
+    scheduleCancellations(FIRST_JOB_MS + 4_000, 20, 2_500);
     cluster.clock.after(40_000, () -> cluster.crash(Math.max(0, cluster.leader()), 500));
     runAndCheckRules(80_000, 120_000);
     assertAtLeast(
@@ -68,7 +70,9 @@
         5,
         cluster.directCommands.executedAfterTimeout());
     assertAtLeast(
-        "cancellations of jobs with tasks on machines", 8, cluster.checker.cancelledWhileOn());
+        "cancellations of jobs with tasks on machines",
+        8,
+        cluster.checker.cancelledWithRunningTasks());
   }
 
   /**
@@ -95,7 +99,7 @@
   void staleHeartbeatsAfterNewerOnesViolateNoInvariant(long seed) {
     startCluster(seed, 8);
     cluster.network.setHeartbeatReplay(0.5, false);
-    jobs(4_000, 60, 1_100, Priority.HIGH, 3, 12);
+    submitJobs(4_000, 60, 1_100, Priority.HIGH, 3, 12);
     int lostAnswersMs = (int) (timing(seed).leaseS() * 1_300);
     int[] interruptedWorkers = {0};
     for (int at = 20_000; at < 70_000; at += 12_000) {
@@ -114,7 +118,7 @@
           });
     }
     cluster.clock.after(45_000, () -> cluster.crash(Math.max(0, cluster.leader()), 800));
-    cancellations(24_000, 12, 4_000);
+    scheduleCancellations(24_000, 12, 4_000);
     cluster.clock.after(100_000, () -> cluster.network.setHeartbeatReplay(0, false));
     runAndCheckRules(100_000, 220_000);
     assertAtLeast(
@@ -122,6 +126,8 @@
     assertAtLeast(
         "workers whose responses were dropped for longer than a lease", 3, interruptedWorkers[0]);
     assertAtLeast(
-        "cancellations of jobs with tasks on machines", 5, cluster.checker.cancelledWhileOn());
+        "cancellations of jobs with tasks on machines",
+        5,
+        cluster.checker.cancelledWithRunningTasks());
   }
 }
--- a/src/test/java/org/ploverspindle/sizing/AdaptiveSizingTest.java
+++ b/src/test/java/org/ploverspindle/sizing/AdaptiveSizingTest.java
@@ -113,7 +113,7 @@
     for (int i = 0; i < groups.size(); i++) {
       int heldByOtherZones = 0;
       for (int j = 0; j < groups.size(); j++) {
-        heldByOtherZones += j == i ? 0 : groups.get(j).held();
+        heldByOtherZones += j == i ? 0 : groups.get(j).machineCount();
       }
       result.add(new Bounds(mins[i], Math.max(0, max - heldByOtherZones)));
     }
--- a/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/ProgressLogRecordTest.java
@@ -78,7 +78,7 @@
   void recordStaysWithinItsSizeAndHoldsTheGuaranteedNumberOfTasks() {
     for (int kib : new int[] {1, 8, 16}) {
       int maxBytes = kib * 1024;
-      int taskCount = ProgressLogRecord.Builder.tasksThatFit(maxBytes);
+      int taskCount = ProgressLogRecord.Builder.guaranteedTaskCapacity(maxBytes);
       Random random = new Random(kib);
       for (int round = 0; round < 50; round++) {
         ProgressLogRecord.Builder builder =
--- a/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
+++ b/src/test/java/org/ploverspindle/state/SnapshotRecordTest.java
@@ -46,7 +46,7 @@
   void snapshotOfTheLargestShardFitsInAValue() {
     for (int kib : new int[] {4, 8, 16}) {
       List<RecordedPlacement> placements = new ArrayList<>();
-      int shardSize = SnapshotRecord.shardSizeFor(kib * 1024);
+      int shardSize = SnapshotRecord.maxShardSize(kib * 1024);
       for (int task = 0; task < shardSize; task++) {
         MachineInfo machine =
             new MachineInfo("i-99" + task, "machine-type-16", "some-zone-a1", false);
