--- a/src/test/java/org/ploverspindle/sim/FaultScenarioTest.java
+++ b/src/test/java/org/ploverspindle/sim/FaultScenarioTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Plays each of a class's combinations of faults once with the times of each deployment. */
+/** Runs each of the subclass's combinations of faults once with the timing of each deployment. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 abstract class FaultScenarioTest {
   private final FaultScenario.Combination[] combinations;
@@ -16,12 +16,13 @@
   }
 
   Stream<Arguments> scenarios() {
-    return FaultScenario.each(combinations);
+    return FaultScenario.combinationsByDeployment(combinations);
   }
 
   @ParameterizedTest(name = "{0}, {1}, seed {2}")
   @MethodSource("scenarios")
-  void rulesHoldIn(FaultScenario.Combination combination, String deployment, long seed) {
-    FaultScenario.assertRulesHold(combination, deployment, seed);
+  void invariantsHoldInEachFaultCombination(
+      FaultScenario.Combination combination, String deployment, long seed) {
+    FaultScenario.assertInvariantsHold(combination, deployment, seed);
   }
 }
--- a/src/test/java/org/ploverspindle/sim/InvariantChecker.java
+++ b/src/test/java/org/ploverspindle/sim/InvariantChecker.java
@@ -9,8 +9,8 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * The protocol's rules, plainly and slowly, over what truly happens on machines and what users are
- * told. Knows nothing of the code under test.
+ * Checks the protocol's rules against what happens on the simulated machines and what users are
+ * answered. It is independent of the code under test.
  */
 final class InvariantChecker {
   enum Rule {
@@ -24,50 +24,50 @@
     WENT_BACK,
     UNANSWERED,
     STARVED,
-    /** Left waiting while there is room for it. */
+    /** A job waits although a machine has room for a task of it. */
     IDLE_ROOM,
-    /** Accepted though it lacks a field or can never run. */
+    /** A submission is accepted that lacks a field or can never run. */
     WRONGLY_ACCEPTED,
-    /** Not the status that the protocol has for such a request. */
+    /** A request is refused with another status than the protocol defines for it. */
     WRONG_STATUS,
     TOO_EARLY,
     ORPHANED
   }
 
-  record Broken(Rule rule, long atMs, String what) {}
+  record Violation(Rule rule, long atMs, String description) {}
 
   record Place(String host, String type, String zone, boolean spot) {}
 
   /**
-   * A start that was executed after a user was told that the job is cancelled. One that was ordered
-   * before the word was in flight, and is no fault as long as it is gone in time; one that was
-   * ordered after it is what the protocol forbids.
+   * A start that was executed after a user got the confirmation that the job is cancelled. If its
+   * command was sent before the confirmation, it was in flight and only has to be stopped in time;
+   * the protocol forbids sending the command later. Both times are in ms from the confirmation.
    */
-  record LateStart(String uid, int task, long orderedAfterMs, long startedAfterMs) {
-    boolean orderedAfterTheWord() {
-      return orderedAfterMs > 0;
+  record LateStart(String uid, int task, long commandSentAfterMs, long startedAfterMs) {
+    boolean isCommandSentAfterConfirmation() {
+      return commandSentAfterMs > 0;
     }
   }
 
-  /** A task began to be on a machine, by an order that was given then. */
-  record Start(String uid, int task, long orderedMs, long startedMs) {}
+  /** A start of a task on a machine; {@code orderedMs} is when its command was sent. */
+  record Start(String uid, int task, long commandSentMs, long startedMs) {}
 
   private final SimClock clock;
   private final Settings settings;
   private final ObservedJobs jobs = new ObservedJobs();
 
-  private final List<Broken> broken = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
   private final List<LateStart> lateStarts = new ArrayList<>();
   private final IdleCapacityCheck idleCapacity;
   private final UnknownJobAnswers unknownJobs = new UnknownJobAnswers(this::report);
   private int starts;
-  private int cancelledWhileOn;
-  private long troublesOverMs = -1;
-  private Consumer<String> lastTaskEnded = uid -> {};
-  private Consumer<Start> taskStarted = start -> {};
+  private int cancelledWithRunningTasks;
+  private long faultsEndedMs = -1;
+  private Consumer<String> lastTaskListener = uid -> {};
+  private Consumer<Start> startListener = start -> {};
 
-  /** A job about which nothing is answered for this long once all is well counts as forgotten. */
-  private static final long UNANSWERED_MS = 75_000;
+  /** Longest time, after the faults have ended, without an answer to the polls of a job. */
+  private static final long MAX_UNANSWERED_MS = 75_000;
 
   InvariantChecker(SimClock clock, Settings settings) {
     this.clock = clock;
@@ -75,8 +75,8 @@
     this.idleCapacity = new IdleCapacityCheck(clock, settings);
   }
 
-  List<Broken> broken() {
-    return broken;
+  List<Violation> violations() {
+    return violations;
   }
 
   int starts() {
@@ -87,306 +87,307 @@
     return lateStarts;
   }
 
-  /**
-   * A machine is up.
-   *
-   * @param sound whether it can still do what is asked of it
-   */
-  void machineUp(Place place, Resources size, BooleanSupplier sound) {
-    idleCapacity.machineUp(place, size, sound);
+  /** Records that a machine is up; {@code usable} tells whether it can still execute commands. */
+  void machineUp(Place place, Resources size, BooleanSupplier usable) {
+    idleCapacity.machineUp(place, size, usable);
   }
 
   long jobsDone() {
-    return jobs.all().stream().filter(j -> j.finalWord.equals("done")).count();
+    return jobs.all().stream().filter(job -> job.finalStatus.equals("done")).count();
   }
 
-  private void report(Rule rule, String what) {
-    broken.add(new Broken(rule, clock.nowMs(), what));
+  private void report(Rule rule, String description) {
+    violations.add(new Violation(rule, clock.nowMs(), description));
   }
 
   void submitted(JobSpec spec) {
-    ObservedJob seen = new ObservedJob(spec);
-    seen.submittedMs = clock.nowMs();
-    jobs.add(seen);
+    ObservedJob job = new ObservedJob(spec);
+    job.submittedMs = clock.nowMs();
+    jobs.add(job);
   }
 
-  /** A user's own submission of the job, which names only jobs known as accepted, is answered. */
-  void submissionTold(String uid, int status) {
+  /** Checks the answer to an acceptable submission, whose dependencies all are accepted jobs. */
+  void checkAcceptableSubmission(String uid, int status) {
     if (status == 400 || status == 422) {
-      report(Rule.WRONG_STATUS, uid + " is answered " + status);
+      report(Rule.WRONG_STATUS, uid + ", an acceptable submission, was refused with " + status);
     }
   }
 
-  /** Nobody submits a job of this id in a form that can be accepted: it is to be refused so. */
-  void neverAcceptable(String uid, int status, String why) {
-    unknownJobs.refuse(uid, status, why);
+  /** Expects each submission under this uid to be refused with the status. */
+  void expectRefusal(String uid, int status, String reason) {
+    unknownJobs.expectRefusal(uid, status, reason);
   }
 
-  void troublesAreOver() {
-    troublesOverMs = clock.nowMs();
-    jobs.all().forEach(j -> j.askedSinceMs = -1);
+  void faultsEnded() {
+    faultsEndedMs = clock.nowMs();
+    jobs.all().forEach(job -> job.unansweredSinceMs = -1);
   }
 
-  /** A user asks about a job; the question may go unanswered. */
-  void asked(String uid) {
+  /** Records that a user polls a job; the poll may stay unanswered. */
+  void recordPoll(String uid) {
     ObservedJob job = jobs.get(uid);
-    if (job != null && job.askedSinceMs < 0) {
-      job.askedSinceMs = clock.nowMs();
+    if (job != null && job.unansweredSinceMs < 0) {
+      job.unansweredSinceMs = clock.nowMs();
     }
   }
 
-  private void lookForUnanswered() {
-    if (troublesOverMs < 0) {
+  private void checkUnansweredPolls() {
+    if (faultsEndedMs < 0) {
       return;
     }
     for (ObservedJob job : jobs.all()) {
       if (job.acceptedMs <= clock.nowMs()
-          && !job.cancelAsked
-          && job.askedSinceMs >= 0
-          && clock.nowMs() - Math.max(troublesOverMs, job.askedSinceMs) > UNANSWERED_MS) {
+          && !job.cancellationRequested
+          && job.unansweredSinceMs >= 0
+          && clock.nowMs() - Math.max(faultsEndedMs, job.unansweredSinceMs) > MAX_UNANSWERED_MS) {
         report(Rule.UNANSWERED, job.spec.uid());
-        job.askedSinceMs = -1;
+        job.unansweredSinceMs = -1;
       }
     }
   }
 
-  /** How many cancellations were confirmed to users while tasks of theirs were on machines. */
-  int cancelledWhileOn() {
-    return cancelledWhileOn;
+  /** Returns how many cancellations were confirmed while tasks of the job were on machines. */
+  int cancelledWithRunningTasks() {
+    return cancelledWithRunningTasks;
   }
 
-  /**
-   * At the end: of each class, of each team, and of the largest jobs of each class at least half is
-   * served, and the largest began in time. Cancelled jobs count for nobody.
-   */
-  void endOfDay() {
+  /** Checks, at the end of a run, that no group of jobs was starved: see {@link ServiceCheck}. */
+  void checkService() {
     new ServiceCheck(jobs::mayRun, jobs::readyMs, this::report).check(jobs.all());
   }
 
-  /** When its last task completed; far off until then. */
-  long doneMs(String uid) {
-    return jobs.get(uid).doneMs;
+  /** Returns when the job's last task completed, or {@code Long.MAX_VALUE}. */
+  long completedMs(String uid) {
+    return jobs.get(uid).completedMs;
   }
 
   boolean isAccepted(String uid) {
     return jobs.get(uid).acceptedMs <= clock.nowMs();
   }
 
-  /** The last word on it, once there is one: done or aborted. */
-  String finalWord(String uid) {
-    return jobs.get(uid).finalWord;
+  /** Returns the final status that users were answered, done or aborted, or an empty string. */
+  String finalStatus(String uid) {
+    return jobs.get(uid).finalStatus;
   }
 
-  /** When the job's first task began, or -1. */
-  long begunMs(String uid) {
-    return jobs.get(uid).begunMs;
+  /** Returns when the job's first task started, or -1. */
+  long firstStartMs(String uid) {
+    return jobs.get(uid).firstStartMs;
   }
 
-  /** How many of its tasks have completed. */
   int tasksDone(String uid) {
-    return jobs.get(uid).done.size();
+    return jobs.get(uid).completedTasks.size();
   }
 
   boolean isDone(String uid) {
-    return jobs.get(uid).allDone();
+    return jobs.get(uid).isComplete();
   }
 
-  /** Accepted jobs that nobody cancelled and that have not begun. */
-  long neverBegun() {
-    return jobs.neverBegun();
+  /** Counts the accepted jobs that may run and have not started. */
+  long neverStartedCount() {
+    return jobs.neverStartedCount();
   }
 
-  private boolean isToldLongAgo(ObservedJob cancelled) {
-    return cancelled.cancelToldMs >= 0
-        && clock.nowMs() - cancelled.cancelToldMs > settings.workers().cancelS() * 1000;
+  private boolean isCancellationOverdue(ObservedJob cancelled) {
+    return cancelled.cancellationConfirmedMs >= 0
+        && clock.nowMs() - cancelled.cancellationConfirmedMs > settings.workers().cancelS() * 1000;
   }
 
-  void cancelAsked(String uid) {
+  void recordCancellationRequest(String uid) {
     ObservedJob job = jobs.get(uid);
     if (job != null) {
-      job.cancelAsked = true;
+      job.cancellationRequested = true;
     }
   }
 
-  /** To be run whenever a task begins to be on a machine. */
-  void whenATaskStarts(Consumer<Start> then) {
-    taskStarted = then;
+  /** Sets the listener of task starts. */
+  void onTaskStart(Consumer<Start> listener) {
+    startListener = listener;
   }
 
-  /** To be run whenever the last task of a job has completed. */
-  void whenALastTaskEnds(Consumer<String> then) {
-    lastTaskEnded = then;
+  /** Sets the listener of the uids of jobs whose last task has completed. */
+  void onLastTaskEnd(Consumer<String> listener) {
+    lastTaskListener = listener;
   }
 
-  /** Jobs of which something is on a machine, and that nobody has asked to cancel. */
+  /** Returns the jobs with tasks on machines for which no cancellation was requested. */
   List<String> running() {
     return jobs.running();
   }
 
-  /** Jobs that a user was told to be accepted and not to be over. */
+  /** Returns the accepted jobs for which no user was answered a final status. */
   List<String> unfinished() {
     return jobs.unfinished(clock.nowMs());
   }
 
-  /** Jobs that a user was told to be done. */
-  List<String> toldDone() {
-    return jobs.toldDone();
+  /** Returns the jobs that a user was answered to be done. */
+  List<String> answeredDone() {
+    return jobs.answeredDone();
   }
 
-  /** The machines that tasks of the job are on. */
+  /** Returns the machines on which tasks of the job run. */
   List<String> hostsOf(String uid) {
-    return jobs.get(uid).on.values().stream().map(Place::host).distinct().toList();
+    return jobs.get(uid).placesByTask.values().stream().map(Place::host).distinct().toList();
   }
 
-  /** A task that was on a machine goes on after the machine stood still. */
-  void goesOn(String uid, int task, Place place) {
+  /** Records that a task resumes on a machine that had been unresponsive. */
+  void recordResume(String uid, int task, Place place) {
     ObservedJob job = jobs.get(uid);
-    Place other = job.on.putIfAbsent(task, place);
+    Place other = job.placesByTask.putIfAbsent(task, place);
     if (other != null && !other.equals(place)) {
-      report(Rule.RAN_TWICE, uid + "/" + task + " goes on on " + place + " while on " + other);
+      report(Rule.RAN_TWICE, uid + "/" + task + " resumes on " + place + " while on " + other);
     }
-    if (isCancelledTooLong(job)) {
-      report(Rule.RAN_CANCELLED, uid + "/" + task + " goes on on " + place);
+    if (isStopOverdue(job)) {
+      report(Rule.RAN_CANCELLED, uid + "/" + task + " resumes after cancellation on " + place);
     }
   }
 
-  /** It, or a job that it needs. */
-  private boolean isCancelledTooLong(ObservedJob job) {
-    return isToldLongAgo(job) || jobs.neededBy(job).stream().anyMatch(this::isToldLongAgo);
+  /** Whether the cancellation time of the job or of one of its dependencies is over. */
+  private boolean isStopOverdue(ObservedJob job) {
+    return isCancellationOverdue(job)
+        || jobs.dependenciesOf(job).stream().anyMatch(this::isCancellationOverdue);
   }
 
-  /** A task begins to be on a machine, by an order that was given just now. */
+  /** Records a start of a task on a machine by a command sent at this moment. */
   void starts(String uid, int task, Place place) {
     starts(uid, task, place, clock.nowMs());
   }
 
   /**
-   * A task begins to be on a machine: it has its image.
+   * Records a start of a task on a machine, which has its image by now.
    *
-   * @param orderedMs when a controller gave the order that it starts by
+   * @param commandSentMs when a controller sent the command for this start
    */
-  void starts(String uid, int task, Place place, long orderedMs) {
+  void starts(String uid, int task, Place place, long commandSentMs) {
     starts++;
-    taskStarted.accept(new Start(uid, task, orderedMs, clock.nowMs()));
+    startListener.accept(new Start(uid, task, commandSentMs, clock.nowMs()));
     ObservedJob job = jobs.get(uid);
-    job.begunMs = job.begunMs < 0 ? clock.nowMs() : job.begunMs;
-    Place other = job.on.get(task);
+    job.firstStartMs = job.firstStartMs < 0 ? clock.nowMs() : job.firstStartMs;
+    Place other = job.placesByTask.get(task);
     if (other != null) {
       report(Rule.RAN_TWICE, uid + "/" + task + " starts on " + place + " while on " + other);
     }
-    if (!jobs.neededBy(job).stream().allMatch(ObservedJob::allDone)) {
-      report(Rule.TOO_EARLY, uid + "/" + task + " starts before what it needs is done");
+    if (!jobs.dependenciesOf(job).stream().allMatch(ObservedJob::isComplete)) {
+      report(Rule.TOO_EARLY, uid + "/" + task + " starts before its dependencies are done");
     }
-    job.roomSinceMs.clear();
-    if (!job.mayBeOn(place)) {
-      report(Rule.WRONG_PLACE, uid + "/" + task + " on " + place);
+    job.roomSinceMsByHost.clear();
+    if (!job.allowsPlace(place)) {
+      report(Rule.WRONG_PLACE, uid + "/" + task + " starts where its job may not run: " + place);
     }
-    job.on.put(task, place);
-    if (job.cancelToldMs >= 0) {
-      long told = job.cancelToldMs;
-      lateStarts.add(new LateStart(uid, task, orderedMs - told, clock.nowMs() - told));
+    job.placesByTask.put(task, place);
+    if (job.cancellationConfirmedMs >= 0) {
+      long confirmedMs = job.cancellationConfirmedMs;
+      lateStarts.add(
+          new LateStart(uid, task, commandSentMs - confirmedMs, clock.nowMs() - confirmedMs));
     }
-    if (isCancelledTooLong(job)) {
-      report(Rule.RAN_CANCELLED, uid + "/" + task + " starts");
+    if (isStopOverdue(job)) {
+      report(Rule.RAN_CANCELLED, uid + "/" + task + " starts after its cancellation time");
     }
     checkLimit(job.spec.team());
   }
 
   private void checkLimit(String team) {
-    Settings.Team t = settings.team(team).orElseThrow();
-    if (t.maxCores() <= 0) {
+    Settings.Team teamSettings = settings.team(team).orElseThrow();
+    if (teamSettings.maxCores() <= 0) {
       return;
     }
     double cores = coresInUse(team);
-    if (cores > t.maxCores() + 1e-6) {
-      report(Rule.QUOTA, team + " uses " + cores);
+    if (cores > teamSettings.maxCores() + 1e-6) {
+      report(Rule.QUOTA, team + " uses more cores than its limit: " + cores);
     }
   }
 
-  /** What the team's tasks on machines take. */
+  /** Returns how many cores the team's tasks on machines use. */
   double coresInUse(String team) {
     return jobs.coresInUse(team);
   }
 
-  void leaves(String uid, int task, Place place) {
+  void recordStop(String uid, int task, Place place) {
     ObservedJob job = jobs.get(uid);
     if (job != null) {
-      job.on.remove(task, place);
+      job.placesByTask.remove(task, place);
     }
   }
 
-  void completes(String uid, int task) {
+  void recordCompletion(String uid, int task) {
     ObservedJob job = jobs.get(uid);
-    if (job.done.add(task) && job.allDone()) {
-      job.doneMs = Math.min(job.doneMs, clock.nowMs());
-      lastTaskEnded.accept(uid);
+    if (job.completedTasks.add(task) && job.isComplete()) {
+      job.completedMs = Math.min(job.completedMs, clock.nowMs());
+      lastTaskListener.accept(uid);
     }
   }
 
-  /** Looked at now and then: whatever is on a machine too long after its cancellation. */
-  void look() {
-    lookForUnanswered();
-    if (troublesOverMs >= 0) {
+  /** Checks, once per interval, the rules that are violated by the passing of time. */
+  void checkOverdue() {
+    checkUnansweredPolls();
+    if (faultsEndedMs >= 0) {
       idleCapacity.check(jobs.all(), jobs::mayRun, this::report);
     }
     for (ObservedJob job : jobs.all()) {
-      if (!job.on.isEmpty() && !job.runsOnReported && isCancelledTooLong(job)) {
-        report(Rule.RAN_CANCELLED, job.spec.uid() + " is still on " + job.on.values());
-        job.runsOnReported = true;
+      if (!job.placesByTask.isEmpty() && !job.overdueReported && isStopOverdue(job)) {
+        report(
+            Rule.RAN_CANCELLED,
+            job.spec.uid() + " runs after its cancellation time on " + job.placesByTask.values());
+        job.overdueReported = true;
       }
     }
   }
 
   /**
-   * A user gets an answer on a job: to a submission, a poll or a cancellation. What was asked
-   * before another answer came may be older than that one.
+   * Checks an answer to a user's submission, poll or cancellation. A request sent before another
+   * answer arrived may be answered with an older status.
+   *
+   * @param sentMs when the request was sent
    */
-  void told(String uid, int status, String state, boolean submission, long askedMs) {
+  void recordAnswer(String uid, int status, String state, boolean submission, long sentMs) {
     ObservedJob job = jobs.get(uid);
     if (job == null) {
       unknownJobs.check(uid, status, submission);
       return;
     }
-    if (askedMs >= job.acceptedMs
+    if (sentMs >= job.acceptedMs
         && (status == 404 || submission && (status == 400 || status == 422))) {
-      report(Rule.FORGOTTEN, uid + " is answered " + status);
+      report(Rule.FORGOTTEN, uid + ", an accepted job, is answered " + status);
     }
     if (status == 200 || status == 201) {
-      job.askedSinceMs = -1;
+      job.unansweredSinceMs = -1;
       job.acceptedMs = Math.min(job.acceptedMs, clock.nowMs());
-      checkState(job, state, askedMs);
-      noteState(job, state);
+      checkState(job, state, sentMs);
+      recordState(job, state);
     }
   }
 
-  private void checkState(ObservedJob job, String state, long askedMs) {
+  private void checkState(ObservedJob job, String state, long sentMs) {
     String uid = job.spec.uid();
-    if ((askedMs >= job.finalMs || isFinal(state) && !job.finalWord.isEmpty())
-        && !job.finalWord.equals(state)) {
-      report(Rule.WENT_BACK, uid + " was " + job.finalWord + " and is " + state);
+    if ((sentMs >= job.finalStatusMs || isFinal(state) && !job.finalStatus.isEmpty())
+        && !job.finalStatus.equals(state)) {
+      report(Rule.WENT_BACK, uid + " was answered " + job.finalStatus + " and then " + state);
     }
-    if (!isFinal(state) && jobs.neededBy(job).stream().anyMatch(this::isToldLongAgo)) {
+    if (!isFinal(state)
+        && jobs.dependenciesOf(job).stream().anyMatch(this::isCancellationOverdue)) {
       report(
-          Rule.ORPHANED, uid + " is called " + state + " after a job that it needs is cancelled");
+          Rule.ORPHANED, uid + " is answered " + state + " long after a dependency's cancellation");
     }
     if (state.equals("aborted")
-        && !job.cancelAsked
-        && jobs.neededBy(job).stream().noneMatch(ObservedJob::isCancelled)) {
-      report(Rule.WENT_BACK, uid + " is called cancelled, which nobody asked for");
+        && !job.cancellationRequested
+        && jobs.dependenciesOf(job).stream().noneMatch(ObservedJob::isCancelled)) {
+      report(Rule.WENT_BACK, uid + " is answered aborted without a cancellation");
     }
-    if (state.equals("done") && job.done.size() < job.spec.tasks()) {
-      report(Rule.NOT_DONE, uid + " with " + job.done.size() + " of " + job.spec.tasks());
+    if (state.equals("done") && job.completedTasks.size() < job.spec.tasks()) {
+      report(
+          Rule.NOT_DONE,
+          uid + " is answered done with " + job.completedTasks.size() + " of " + job.spec.tasks());
     }
   }
 
-  private void noteState(ObservedJob job, String state) {
+  private void recordState(ObservedJob job, String state) {
     if (isFinal(state)) {
-      job.finalWord = state;
-      job.finalMs = Math.min(job.finalMs, clock.nowMs());
+      job.finalStatus = state;
+      job.finalStatusMs = Math.min(job.finalStatusMs, clock.nowMs());
     }
-    if (state.equals("aborted") && job.cancelToldMs < 0) {
-      job.cancelToldMs = clock.nowMs();
-      cancelledWhileOn += job.on.isEmpty() ? 0 : 1;
+    if (state.equals("aborted") && job.cancellationConfirmedMs < 0) {
+      job.cancellationConfirmedMs = clock.nowMs();
+      cancelledWithRunningTasks += job.placesByTask.isEmpty() ? 0 : 1;
     }
   }
 
--- a/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
+++ b/src/test/java/org/ploverspindle/sim/MixedVersionScenario.java
@@ -26,7 +26,7 @@
 import org.ploverspindle.model.Term;
 import org.ploverspindle.net.Cbor;
 import org.ploverspindle.settings.Settings;
-import org.ploverspindle.sim.ReferenceProgressRecords.Kind;
+import org.ploverspindle.sim.ReferenceProgressRecords.StoredJob;
 import org.ploverspindle.state.DependenciesRecord;
 import org.ploverspindle.state.JobRecord;
 import org.ploverspindle.state.Keys;
@@ -38,20 +38,21 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 
 /**
- * Jobs that controllers of this version and of an earlier one accept into the same records, with
- * what happened to each of their tasks.
+ * Jobs that controllers of this version and of commit f659783 accept into the same state service.
+ * For each task it keeps the statuses that any leader has given it, so that the stored records can
+ * be compared with them.
  */
 abstract class MixedVersionScenario {
   static final Settings.StateLimits LIMITS = new Settings.StateLimits(1000, 60, 1, 6);
-  static final int CHUNK = SnapshotRecord.shardSizeFor(LIMITS.maxValueBytes());
-  static final long AGENT_EPOCH = 3;
+  static final int SHARD_SIZE = SnapshotRecord.maxShardSize(LIMITS.maxValueBytes());
+  static final long WORKER_EPOCH = 3;
 
   final SimClock clock = new SimClock();
   final SimStateStore state = new SimStateStore(clock, LIMITS);
-  final Map<String, Truth> truths = new TreeMap<>();
+  final Map<String, JobHistory> histories = new TreeMap<>();
   Random random = new Random(1);
   JsonNode specWithoutDependencies = Cbor.map();
-  double faults;
+  double faultProbability;
   long terms = 1;
   int jobCount;
   long attempts;
@@ -59,35 +60,38 @@
   /** Jobs that were blocked on dependencies when a leader took over, summed over all terms. */
   int blockedAtTakeOver;
 
-  /** A job with the present status of each task by its last leader, and all earlier ones. */
-  static final class Truth {
-    final Kind kind;
+  /**
+   * The statuses of a job's tasks: the present ones as its last leader knew them, and for each task
+   * all that it has had.
+   */
+  static final class JobHistory {
+    final StoredJob job;
     final List<String> dependencies;
-    final String[] now;
-    final List<Set<String>> ever = new ArrayList<>();
+    final String[] statuses;
+    final List<Set<String>> allStatuses = new ArrayList<>();
 
-    Truth(Kind kind, List<String> dependencies, String[] now) {
-      this.kind = kind;
+    JobHistory(StoredJob job, List<String> dependencies, String[] statuses) {
+      this.job = job;
       this.dependencies = dependencies;
-      this.now = now;
-      for (String task : now) {
-        ever.add(new HashSet<>(Set.of(task)));
+      this.statuses = statuses;
+      for (String status : statuses) {
+        allStatuses.add(new HashSet<>(Set.of(status)));
       }
     }
 
-    void now(int task, String text) {
-      now[task] = text;
-      ever.get(task).add(text);
+    void setStatus(int task, String status) {
+      statuses[task] = status;
+      allStatuses.get(task).add(status);
     }
 
-    void isRecorded(String[] recorded) {
-      System.arraycopy(recorded, 0, now, 0, recorded.length);
+    void setRecorded(String[] recorded) {
+      System.arraycopy(recorded, 0, statuses, 0, recorded.length);
     }
   }
 
-  // ---- the state service
+  // ---- State service
 
-  /** Retries while the rate of changes is exceeded. */
+  /** Commits the transaction, and retries every 50 ms while the state service refuses it. */
   TransactionResult commit(Transaction transaction) {
     TransactionResult result = state.commit(transaction);
     while (result instanceof TransactionResult.Refused) {
@@ -103,7 +107,10 @@
     assertInstanceOf(TransactionResult.Committed.class, commit(transaction));
   }
 
-  /** The state service as a leader of this version reaches it: some answers are lost or late. */
+  /**
+   * Through this a leader of this version reaches the state service. With the fault probability, a
+   * transaction is lost, executed without an answer, or executed late.
+   */
   final class FaultyStateClient extends StubStateStore {
     private final SimClock.Process process;
 
@@ -114,8 +121,9 @@
 
     @Override
     public void commit(Transaction transaction, Consumer<TransactionResult> then) {
-      if (random.nextDouble() < faults) {
-        // Never executed, executed without an answer, or executed when the next leader may lead.
+      if (random.nextDouble() < faultProbability) {
+        // Kind 0 is never executed, 1 is executed after 5 ms, and 2 after 400 ms to 4.4 s, when the
+        // next leader may already lead. None is answered with its result.
         int kind = random.nextInt(3);
         if (kind > 0) {
           clock.after(kind == 1 ? 5 : 400 + random.nextInt(4_000), () -> state.commit(transaction));
@@ -133,7 +141,7 @@
   }
 
   long newTerm() {
-    long before = LowerLimitsTest.all(state).get(Keys.LEADER).modRevision();
+    long before = LowerLimitsTest.allEntries(state).get(Keys.LEADER).modRevision();
     JsonNode leader =
         Cbor.map().put("member", "n0").put("token", 1 + terms++ * Term.TOKENS_PER_TERM);
     TransactionResult result =
@@ -144,7 +152,7 @@
     return assertInstanceOf(TransactionResult.Committed.class, result).revision();
   }
 
-  // ---- jobs
+  // ---- Jobs
 
   void startFromFixture() throws IOException {
     JsonNode records = FixtureStore.fixture(FixtureStore.HEAD_F659783).path("records");
@@ -153,62 +161,67 @@
     specWithoutDependencies =
         fixture.under("ps1/b/n1-1uy9swvfcl9p-16").get(0).value().path("prepare-1");
     assertTrue(specWithoutDependencies.isObject());
-    SortedMap<String, Entry> all = LowerLimitsTest.all(state);
-    ReferenceJobRecords reference = new ReferenceJobRecords(all);
+    SortedMap<String, Entry> entries = LowerLimitsTest.allEntries(state);
+    ReferenceJobRecords reference = new ReferenceJobRecords(entries);
     reference
         .jobs()
         .forEach(
             (uid, job) -> {
-              String[] now = ReferenceProgressRecords.read(all, job.kind());
+              String[] statuses = ReferenceProgressRecords.read(entries, job.stored());
               if (reference.status(uid).equals(ReferenceJobRecords.DONE)) {
-                Arrays.fill(now, ReferenceProgressRecords.DONE);
+                Arrays.fill(statuses, ReferenceProgressRecords.DONE);
               }
-              truths.put(uid, new Truth(job.kind(), job.awaits(), now));
+              histories.put(uid, new JobHistory(job.stored(), job.dependencies(), statuses));
             });
   }
 
-  /** Jobs that are not terminal: those that a new one may depend on. */
-  List<String> open(ReferenceJobRecords reference) {
-    List<String> open = new ArrayList<>();
+  /** Returns the jobs that are neither done nor aborted, on which a new job may depend. */
+  List<String> nonTerminalJobs(ReferenceJobRecords reference) {
+    List<String> uids = new ArrayList<>();
     for (String uid : reference.jobs().keySet()) {
       if (Set.of(ReferenceJobRecords.WAITING, ReferenceJobRecords.READY)
           .contains(reference.status(uid))) {
-        open.add(uid);
+        uids.add(uid);
       }
     }
-    return open;
+    return uids;
   }
 
-  /** A controller of either version accepts a job, some with lists too long for its record. */
+  /**
+   * A controller of either version accepts a job that depends on up to three others. One job in
+   * four also depends on the fixture's "step" jobs, and its dependencies are stored in a list apart
+   * from its record.
+   */
   void accept(boolean byEarlierVersion) {
-    ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.all(state));
-    List<String> open = open(reference);
+    ReferenceJobRecords reference = new ReferenceJobRecords(LowerLimitsTest.allEntries(state));
+    List<String> candidates = nonTerminalJobs(reference);
     Set<String> dependencies = new HashSet<>();
-    for (int i = 1 + random.nextInt(3); i > 0 && !open.isEmpty(); i--) {
-      dependencies.add(open.get(random.nextInt(open.size())));
+    for (int i = 1 + random.nextInt(3); i > 0 && !candidates.isEmpty(); i--) {
+      dependencies.add(candidates.get(random.nextInt(candidates.size())));
     }
-    boolean isLong = random.nextInt(4) == 0;
-    if (isLong) {
-      // Those of the fixture from f659783, whose names fill a list in two parts.
-      truths.keySet().stream().filter(uid -> uid.startsWith("step")).forEach(dependencies::add);
+    boolean storedSeparately = random.nextInt(4) == 0;
+    if (storedSeparately) {
+      // The "step" jobs of the f659783 fixture: their names fill a list of two parts.
+      histories.keySet().stream().filter(uid -> uid.startsWith("step")).forEach(dependencies::add);
     }
-    List<String> list = List.copyOf(dependencies);
+    List<String> dependencyList = List.copyOf(dependencies);
     String uid = String.format("job-%06d", ++jobCount);
     int tasks = 1 + random.nextInt(30);
     JsonNode spec =
         byEarlierVersion
-            ? acceptedByEarlierVersion(uid, tasks, list, isLong)
-            : acceptedByThisVersion(uid, tasks, list, isLong);
+            ? acceptedByEarlierVersion(uid, tasks, dependencyList, storedSeparately)
+            : acceptedByThisVersion(uid, tasks, dependencyList, storedSeparately);
     put("ps1/b/n2-test-" + jobCount, Cbor.map().set(uid, spec));
     String[] waiting = new String[tasks];
     Arrays.fill(waiting, ReferenceProgressRecords.WAITING);
-    truths.put(uid, new Truth(new Kind(uid, tasks, CHUNK), list, waiting));
+    histories.put(
+        uid, new JobHistory(new StoredJob(uid, tasks, SHARD_SIZE), dependencyList, waiting));
   }
 
   JsonNode acceptedByEarlierVersion(
-      String uid, int tasks, List<String> dependencies, boolean isLong) {
+      String uid, int tasks, List<String> dependencies, boolean storedSeparately) {
     ObjectNode spec = ReferenceJobRecords.spec(specWithoutDependencies, tasks);
-    if (isLong) {
+    if (storedSeparately) {
       String name = uid + "-0123456789abcdef0123";
       int half = dependencies.size() / 2;
       List<List<String>> parts =
@@ -224,75 +237,85 @@
     return spec;
   }
 
-  JsonNode acceptedByThisVersion(String uid, int tasks, List<String> dependencies, boolean isLong) {
+  JsonNode acceptedByThisVersion(
+      String uid, int tasks, List<String> dependencies, boolean storedSeparately) {
     JobSpec spec =
         JobSpecFixtures.withDependencies(
             JobSpecFixtures.batch(uid, "class-0", "blue", Priority.NORMAL, tasks, 1, 1, 5, 0),
             dependencies.toArray(String[]::new));
-    JobRecord record = new JobRecord(spec, clock.nowMs(), CHUNK);
-    if (!isLong) {
+    JobRecord record = new JobRecord(spec, clock.nowMs(), SHARD_SIZE);
+    if (!storedSeparately) {
       return record.encode();
     }
-    DependenciesRecord list = DependenciesRecord.split(uid, dependencies, LIMITS.maxValueBytes());
-    IntStream.range(0, list.parts().size())
-        .forEach(part -> put(list.key(part), list.parts().get(part)));
-    return record.encode(list);
+    DependenciesRecord dependenciesRecord =
+        DependenciesRecord.split(uid, dependencies, LIMITS.maxValueBytes());
+    IntStream.range(0, dependenciesRecord.parts().size())
+        .forEach(part -> put(dependenciesRecord.key(part), dependenciesRecord.parts().get(part)));
+    return record.encode(dependenciesRecord);
   }
 
-  void cancelOne() {
-    List<String> open = open(new ReferenceJobRecords(LowerLimitsTest.all(state)));
-    if (open.size() > 12) {
-      put("ps1/c/" + open.get(random.nextInt(open.size())), Cbor.map().put("at", 1_800_000_000L));
+  void cancelRandomJob() {
+    List<String> candidates =
+        nonTerminalJobs(new ReferenceJobRecords(LowerLimitsTest.allEntries(state)));
+    if (candidates.size() > 12) {
+      put(
+          "ps1/c/" + candidates.get(random.nextInt(candidates.size())),
+          Cbor.map().put("at", 1_800_000_000L));
     }
   }
 
-  // ---- taking over
+  // ---- Takeover
 
   /**
-   * Asserts that the records match what happened; returns the statuses of the jobs that may run.
+   * Asserts that the stored records agree with the histories of all jobs.
+   *
+   * @param recordsComplete whether the last leader had written all its progress, so that each
+   *     recorded status must be the present one and not only one that the task has had
+   * @return the recorded statuses of the jobs that are ready to run
    */
-  Map<Truth, String[]> takeOver(boolean settled) {
-    SortedMap<String, Entry> all = LowerLimitsTest.all(state);
-    ReferenceJobRecords reference = new ReferenceJobRecords(all);
-    assertEquals(truths.keySet(), reference.jobs().keySet());
-    Map<Truth, String[]> ready = new LinkedHashMap<>();
-    truths.forEach(
-        (uid, truth) -> {
-          assertEquals(truth.dependencies, reference.jobs().get(uid).awaits(), uid);
+  Map<JobHistory, String[]> takeOver(boolean recordsComplete) {
+    SortedMap<String, Entry> entries = LowerLimitsTest.allEntries(state);
+    ReferenceJobRecords reference = new ReferenceJobRecords(entries);
+    assertEquals(histories.keySet(), reference.jobs().keySet());
+    Map<JobHistory, String[]> ready = new LinkedHashMap<>();
+    histories.forEach(
+        (uid, history) -> {
+          assertEquals(history.dependencies, reference.jobs().get(uid).dependencies(), uid);
           String status = reference.status(uid);
-          String[] read = ReferenceProgressRecords.read(all, truth.kind);
+          String[] read = ReferenceProgressRecords.read(entries, history.job);
           if (status.equals(ReferenceJobRecords.DONE)) {
-            truth.ever.forEach(e -> assertTrue(e.contains(ReferenceProgressRecords.DONE), uid));
+            history.allStatuses.forEach(
+                e -> assertTrue(e.contains(ReferenceProgressRecords.DONE), uid));
           } else if (status.equals(ReferenceJobRecords.WAITING)) {
             blockedAtTakeOver++;
             assertTrue(Arrays.stream(read).allMatch(ReferenceProgressRecords.WAITING::equals), uid);
           } else if (status.equals(ReferenceJobRecords.READY)) {
-            assertHappened(truth, read);
-            if (settled) {
-              assertArrayEquals(truth.now, read, uid);
+            assertStatusesWereHeld(history, read);
+            if (recordsComplete) {
+              assertArrayEquals(history.statuses, read, uid);
             }
-            truth.isRecorded(read);
-            ready.put(truth, read);
+            history.setRecorded(read);
+            ready.put(history, read);
           }
         });
     return ready;
   }
 
-  static void assertHappened(Truth truth, String[] read) {
+  static void assertStatusesWereHeld(JobHistory history, String[] read) {
     for (int task = 0; task < read.length; task++) {
-      String what = truth.kind.uid() + "/" + task + " is recorded as " + read[task];
-      assertTrue(truth.ever.get(task).contains(read[task]), what);
+      String message = history.job.uid() + "/" + task + " is recorded as " + read[task];
+      assertTrue(history.allStatuses.get(task).contains(read[task]), message);
     }
   }
 
-  void assertMayRun(String uid) {
+  void assertReady(String uid) {
     assertEquals(
         ReferenceJobRecords.READY,
-        new ReferenceJobRecords(LowerLimitsTest.all(state)).status(uid),
-        uid + " is placed");
+        new ReferenceJobRecords(LowerLimitsTest.allEntries(state)).status(uid),
+        uid + " is placed although its dependencies are not all done");
   }
 
-  String newHost() {
+  String randomMachineId() {
     return "i-" + (100_000 + random.nextInt(60));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/ObservedJob.java
+++ b/src/test/java/org/ploverspindle/sim/ObservedJob.java
@@ -8,42 +8,43 @@
 import org.ploverspindle.model.JobSpec;
 import org.ploverspindle.sim.InvariantChecker.Place;
 
-/** What truly happened to a job on machines, and what its users asked and were told. */
+/** What happened to a job on machines, and what its users requested and were answered. */
 final class ObservedJob {
   final JobSpec spec;
   long acceptedMs = Long.MAX_VALUE;
   long submittedMs;
-  long begunMs = -1;
-  long askedSinceMs = -1;
-  boolean cancelAsked;
-  long cancelToldMs = -1;
-  boolean runsOnReported;
-  String finalWord = "";
-  long finalMs = Long.MAX_VALUE;
-  final Set<Integer> done = new HashSet<>();
-  long doneMs = Long.MAX_VALUE;
-  final Map<Integer, Place> on = new LinkedHashMap<>();
-  final Map<String, Long> roomSinceMs = new HashMap<>();
+  long firstStartMs = -1;
+  long unansweredSinceMs = -1;
+  boolean cancellationRequested;
+  long cancellationConfirmedMs = -1;
+  boolean overdueReported;
+  String finalStatus = "";
+  long finalStatusMs = Long.MAX_VALUE;
+  final Set<Integer> completedTasks = new HashSet<>();
+  long completedMs = Long.MAX_VALUE;
+  final Map<Integer, Place> placesByTask = new LinkedHashMap<>();
+  final Map<String, Long> roomSinceMsByHost = new HashMap<>();
 
   ObservedJob(JobSpec spec) {
     this.spec = spec;
   }
 
-  boolean allDone() {
-    return done.size() == spec.tasks();
+  boolean isComplete() {
+    return completedTasks.size() == spec.tasks();
   }
 
-  /** Its user asked to cancel it, and was not told that it is done already. */
+  /** Whether a cancellation was requested and no user was answered that the job is done. */
   boolean isCancelled() {
-    return cancelAsked && !finalWord.equals("done");
+    return cancellationRequested && !finalStatus.equals("done");
   }
 
-  /** By the job's demands and where its other tasks are now. */
-  boolean mayBeOn(Place place) {
-    boolean typeOk = spec.types().map(types -> types.contains(place.type())).orElse(true);
-    boolean zoneOk = spec.zone().map(zone -> zone.equals(place.zone())).orElse(true);
-    long sameZone = on.values().stream().filter(at -> at.zone().equals(place.zone())).count();
-    boolean oneZoneOk = !spec.oneZone() || sameZone == on.size();
+  /** Whether the job's constraints allow a task there, beside the tasks that run now. */
+  boolean allowsPlace(Place place) {
+    boolean typeOk = spec.allowedTypes().map(types -> types.contains(place.type())).orElse(true);
+    boolean zoneOk = spec.requiredZone().map(zone -> zone.equals(place.zone())).orElse(true);
+    long sameZone =
+        placesByTask.values().stream().filter(at -> at.zone().equals(place.zone())).count();
+    boolean oneZoneOk = !spec.oneZone() || sameZone == placesByTask.size();
     boolean spreadOk = !spec.spreadOverZones() || sameZone < (spec.tasks() + 1) / 2;
     return typeOk && zoneOk && oneZoneOk && spreadOk && (spec.spot() || !place.spot());
   }
--- a/src/test/java/org/ploverspindle/sim/ObservedJobs.java
+++ b/src/test/java/org/ploverspindle/sim/ObservedJobs.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** All jobs that users submitted, and what follows from their dependencies on each other. */
+/** All jobs that users submitted, and the states that follow from their dependencies. */
 final class ObservedJobs {
   private final Map<String, ObservedJob> jobs = new HashMap<>();
 
@@ -18,7 +18,7 @@
     jobs.putIfAbsent(job.spec.uid(), job);
   }
 
-  /** The job, or null if nobody submitted one of this id. */
+  /** Returns the job, or null if no job with this uid was submitted. */
   ObservedJob get(String uid) {
     return jobs.get(uid);
   }
@@ -27,66 +27,67 @@
     return jobs.values();
   }
 
-  /** All jobs that it needs, directly or through others. */
-  Set<ObservedJob> neededBy(ObservedJob job) {
-    Set<ObservedJob> needed = new LinkedHashSet<>();
-    Deque<ObservedJob> open = new ArrayDeque<>(List.of(job));
-    while (!open.isEmpty()) {
-      for (String uid : open.poll().spec.dependencies()) {
+  /** Returns the job's direct and indirect dependencies. */
+  Set<ObservedJob> dependenciesOf(ObservedJob job) {
+    Set<ObservedJob> dependencies = new LinkedHashSet<>();
+    Deque<ObservedJob> pending = new ArrayDeque<>(List.of(job));
+    while (!pending.isEmpty()) {
+      for (String uid : pending.poll().spec.dependencies()) {
         ObservedJob dependency = jobs.get(uid);
-        if (dependency != null && needed.add(dependency)) {
-          open.add(dependency);
+        if (dependency != null && dependencies.add(dependency)) {
+          pending.add(dependency);
         }
       }
     }
-    return needed;
+    return dependencies;
   }
 
-  /** Nobody cancelled it or what it needs, and all that it needs is done. */
+  /** Whether all dependencies are complete, and neither they nor the job were cancelled. */
   boolean mayRun(ObservedJob job) {
-    return !job.cancelAsked
-        && neededBy(job).stream().allMatch(needed -> needed.allDone() && !needed.isCancelled());
+    return !job.cancellationRequested
+        && dependenciesOf(job).stream()
+            .allMatch(dependency -> dependency.isComplete() && !dependency.isCancelled());
   }
 
-  /** When the last job that it needs had its last task done, or when it was submitted. */
+  /** Returns when the last dependency completed, or the time of submission if that is later. */
   long readyMs(ObservedJob job) {
-    return neededBy(job).stream()
-        .mapToLong(needed -> needed.doneMs)
+    return dependenciesOf(job).stream()
+        .mapToLong(dependency -> dependency.completedMs)
         .reduce(job.submittedMs, Math::max);
   }
 
-  /** Accepted jobs that nobody cancelled and that have not begun. */
-  long neverBegun() {
+  /** Counts the accepted jobs that may run and have not started. */
+  long neverStartedCount() {
     return jobs.values().stream()
-        .filter(job -> job.acceptedMs < Long.MAX_VALUE && mayRun(job) && job.begunMs < 0)
+        .filter(job -> job.acceptedMs < Long.MAX_VALUE && mayRun(job) && job.firstStartMs < 0)
         .count();
   }
 
-  /** Jobs of which something is on a machine, and that nobody has asked to cancel. */
+  /** Returns the jobs with tasks on machines for which no cancellation was requested. */
   List<String> running() {
-    return uids(job -> !job.on.isEmpty() && !job.cancelAsked);
+    return uids(job -> !job.placesByTask.isEmpty() && !job.cancellationRequested);
   }
 
-  /** Jobs that a user was told to be accepted and not to be over. */
+  /** Returns the accepted jobs for which no user was answered a final status. */
   List<String> unfinished(long nowMs) {
-    return uids(job -> job.acceptedMs <= nowMs && job.finalWord.isEmpty());
+    return uids(job -> job.acceptedMs <= nowMs && job.finalStatus.isEmpty());
   }
 
-  /** Jobs that a user was told to be done. */
-  List<String> toldDone() {
-    return uids(job -> job.finalWord.equals("done"));
+  /** Returns the jobs that a user was answered to be done. */
+  List<String> answeredDone() {
+    return uids(job -> job.finalStatus.equals("done"));
   }
 
   private List<String> uids(Predicate<ObservedJob> filter) {
     return jobs.values().stream().filter(filter).map(job -> job.spec.uid()).sorted().toList();
   }
 
-  /** What the team's tasks on machines take. */
+  /** Returns how many cores the team's tasks on machines use. */
   double coresInUse(String team) {
     double cores = 0;
     for (ObservedJob job : jobs.values()) {
       if (job.spec.team().equals(team)) {
-        cores += job.on.size() * job.spec.cores();
+        cores += job.placesByTask.size() * job.spec.cores();
       }
     }
     return cores;
--- a/src/test/java/org/ploverspindle/sim/ReferenceRole.java
+++ b/src/test/java/org/ploverspindle/sim/ReferenceRole.java
@@ -7,72 +7,78 @@
 import org.ploverspindle.state.StateStore.Transaction;
 
 /**
- * A duty as the state service sees it: who holds it is who wrote the record last. No clocks, no
- * leases; it counts what must never be accepted.
+ * Reference model of a role as the state service sees it: the holder is the controller whose holder
+ * record was committed last. It has no clocks and no leases. It counts the commits that must never
+ * happen.
  */
 final class ReferenceRole {
   private final Set<Long> epochs = new HashSet<>();
-  private Optional<Long> epoch = Optional.empty();
-  private int staleAccepted;
-  private int accepted;
-  private int epochsNotAbove;
-  private int unconditional;
+  private Optional<Long> currentEpoch = Optional.empty();
+  private int staleActions;
+  private int currentActions;
+  private int nonIncreasingEpochs;
+  private int unconditionalAcquisitions;
 
-  /** Takes in what was carried out, in its order. */
-  void written(Transaction txn) {
-    for (Change change : txn.changes()) {
-      if (change instanceof Change.Put put && put.key().equals(RoleCluster.HOLDER)) {
-        long fresh = put.value().path("epoch").asLong();
-        boolean above = epoch.map(last -> fresh > last).orElse(true);
-        epochsNotAbove += above && epochs.add(fresh) ? 0 : 1;
-        epoch = Optional.of(fresh);
-        unconditional += isConditional(txn) ? 0 : 1;
-      } else if (change instanceof Change.Put put && put.key().equals(RoleCluster.ACTION)) {
-        boolean current = Optional.of(put.value().path("epoch").asLong()).equals(epoch);
-        accepted += current ? 1 : 0;
-        staleAccepted += current ? 0 : 1;
+  /** Applies a committed transaction. To be called in the order of the commits. */
+  void committed(Transaction transaction) {
+    for (Change change : transaction.changes()) {
+      if (change instanceof Change.Put put && put.key().equals(RoleCluster.HOLDER_KEY)) {
+        long newEpoch = put.value().path("epoch").asLong();
+        boolean higher = currentEpoch.map(last -> newEpoch > last).orElse(true);
+        nonIncreasingEpochs += higher && epochs.add(newEpoch) ? 0 : 1;
+        currentEpoch = Optional.of(newEpoch);
+        unconditionalAcquisitions += isConditional(transaction) ? 0 : 1;
+      } else if (change instanceof Change.Put put && put.key().equals(RoleCluster.ACTION_KEY)) {
+        boolean current = Optional.of(put.value().path("epoch").asLong()).equals(currentEpoch);
+        currentActions += current ? 1 : 0;
+        staleActions += current ? 0 : 1;
       }
     }
   }
 
   /**
-   * A try that is carried out late must fail: on the holder's record while another one holds the
-   * duty, and on the epochs' record when that one has come and gone meanwhile.
+   * Does the transaction that acquires the role have both conditions that make it fail if it is
+   * executed late? The condition on the holder record fails while another controller holds the
+   * role. The condition on the epoch record fails if another one has acquired and lost it in the
+   * meantime.
    */
-  private static boolean isConditional(Transaction txn) {
-    boolean nobodyHolds =
-        txn.conditions().stream()
-            .anyMatch(c -> c.key().equals(RoleCluster.HOLDER) && c.modRevision() == 0);
-    boolean sameEpochs =
-        txn.conditions().stream().anyMatch(c -> c.key().equals(RoleCluster.EPOCHS));
-    return nobodyHolds && sameEpochs;
+  private static boolean isConditional(Transaction transaction) {
+    boolean requiresNoHolder =
+        transaction.conditions().stream()
+            .anyMatch(
+                condition ->
+                    condition.key().equals(RoleCluster.HOLDER_KEY) && condition.modRevision() == 0);
+    boolean requiresSameEpochRecord =
+        transaction.conditions().stream()
+            .anyMatch(condition -> condition.key().equals(RoleCluster.EPOCH_KEY));
+    return requiresNoHolder && requiresSameEpochRecord;
   }
 
-  /** Holders whose record was written without both conditions. */
-  int unconditional() {
-    return unconditional;
+  /** How many acquisitions were committed without both conditions. */
+  int unconditionalAcquisitions() {
+    return unconditionalAcquisitions;
   }
 
-  /** The epoch of the last holder. */
-  Optional<Long> epoch() {
-    return epoch;
+  /** The epoch of the last holder, even if it has lost the role. */
+  Optional<Long> currentEpoch() {
+    return currentEpoch;
   }
 
-  int holders() {
+  int acquisitions() {
     return epochs.size();
   }
 
-  int accepted() {
-    return accepted;
+  int currentActions() {
+    return currentActions;
   }
 
-  /** Actions of a former holder that were carried out after the next one's record stood. */
-  int staleAccepted() {
-    return staleAccepted;
+  /** How many actions of a former holder were committed after the next holder's record. */
+  int staleActions() {
+    return staleActions;
   }
 
-  /** Holders whose epoch was not above all earlier ones. */
-  int epochsNotAbove() {
-    return epochsNotAbove;
+  /** How many acquisitions had an epoch that was not above all earlier ones. */
+  int nonIncreasingEpochs() {
+    return nonIncreasingEpochs;
   }
 }
--- a/src/test/java/org/ploverspindle/sim/TerminationHistory.java
+++ b/src/test/java/org/ploverspindle/sim/TerminationHistory.java
@@ -5,54 +5,68 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The cloud's side of returns: who asked for what, whether it led then, and what was lost. */
+/**
+ * The termination requests that the cloud executed: which controller sent each, whether it led at
+ * that moment, and which machines were terminated.
+ */
 final class TerminationHistory {
   /**
-   * A request that was executed.
+   * An executed termination request.
    *
-   * @param stale whoever asked did not hold the lead at that moment
-   * @param ended machines that were there and are gone now
-   * @param withTasks those of them that had tasks
+   * @param controller the controller that sent the request
+   * @param stale whether that controller was not the leader when the request was executed
+   * @param terminated the machines that the request terminated
+   * @param withTasks those of the terminated machines that had tasks
    */
-  record Release(long atMs, String by, boolean stale, List<String> ended, List<String> withTasks) {}
+  record TerminationRequest(
+      long atMs,
+      String controller,
+      boolean stale,
+      List<String> terminated,
+      List<String> withTasks) {}
 
   private final SimClock clock;
   private final Supplier<String> leader;
-  private final List<Release> releases = new ArrayList<>();
-  private Consumer<Release> executed = release -> {};
+  private final List<TerminationRequest> requests = new ArrayList<>();
+  private Consumer<TerminationRequest> executionListener = request -> {};
 
   TerminationHistory(SimClock clock, Supplier<String> leader) {
     this.clock = clock;
     this.leader = leader;
   }
 
-  void whenExecuted(Consumer<Release> then) {
-    executed = then;
+  void onExecuted(Consumer<TerminationRequest> listener) {
+    executionListener = listener;
   }
 
-  void add(String by, List<String> ended, List<String> withTasks) {
-    Release release =
-        new Release(clock.nowMs(), by, !by.equals(leader.get()), ended, List.copyOf(withTasks));
-    releases.add(release);
-    executed.accept(release);
+  void add(String controller, List<String> terminated, List<String> withTasks) {
+    TerminationRequest request =
+        new TerminationRequest(
+            clock.nowMs(),
+            controller,
+            !controller.equals(leader.get()),
+            terminated,
+            List.copyOf(withTasks));
+    requests.add(request);
+    executionListener.accept(request);
   }
 
-  /** Requests that ended a machine on which there were tasks. */
-  List<Release> withTasks() {
-    return releases.stream().filter(release -> !release.withTasks().isEmpty()).toList();
+  /** Returns the requests that terminated a machine with tasks. */
+  List<TerminationRequest> withTasks() {
+    return requests.stream().filter(request -> !request.withTasks().isEmpty()).toList();
   }
 
-  /** Requests of controllers that did not lead any more. */
-  List<Release> stale() {
-    return releases.stream().filter(Release::stale).toList();
+  /** Returns the requests of controllers that did not lead when they were executed. */
+  List<TerminationRequest> stale() {
+    return requests.stream().filter(TerminationRequest::stale).toList();
   }
 
   int count() {
-    return releases.size();
+    return requests.size();
   }
 
-  /** Machines that went back. */
-  int ended() {
-    return releases.stream().mapToInt(release -> release.ended().size()).sum();
+  /** Returns how many machines were terminated by request. */
+  int terminatedMachineCount() {
+    return requests.stream().mapToInt(request -> request.terminated().size()).sum();
   }
 }
--- a/src/test/java/org/ploverspindle/sim/UnknownJobAnswers.java
+++ b/src/test/java/org/ploverspindle/sim/UnknownJobAnswers.java
@@ -5,11 +5,11 @@
 import java.util.function.BiConsumer;
 import org.ploverspindle.sim.InvariantChecker.Rule;
 
-/** What users may be answered about ids under which nobody submitted an acceptable job. */
+/** Checks what users are answered about uids without an acceptable submission. */
 final class UnknownJobAnswers {
-  private record Refusal(int status, String why) {}
+  private record Refusal(int status, String reason) {}
 
-  private static final Refusal NOT_FOUND = new Refusal(404, "nobody submitted it");
+  private static final Refusal NOT_FOUND = new Refusal(404, "never submitted");
 
   private final BiConsumer<Rule, String> report;
   private final Map<String, Refusal> refusals = new HashMap<>();
@@ -18,18 +18,18 @@
     this.report = report;
   }
 
-  /** A submission under this id is to be refused with the status. */
-  void refuse(String uid, int status, String why) {
-    refusals.put(uid, new Refusal(status, why));
+  /** Expects each submission under this uid to be refused with the status. */
+  void expectRefusal(String uid, int status, String reason) {
+    refusals.put(uid, new Refusal(status, reason));
   }
 
   void check(String uid, int status, boolean submission) {
     Refusal refusal = refusals.getOrDefault(uid, NOT_FOUND);
-    String what = uid + " (" + refusal.why + ") is answered " + status;
+    String description = uid + " (" + refusal.reason + ") is answered " + status;
     if (status == 200 || status == 201) {
-      report.accept(submission ? Rule.WRONGLY_ACCEPTED : Rule.INVENTED, what);
+      report.accept(submission ? Rule.WRONGLY_ACCEPTED : Rule.INVENTED, description);
     } else if (!isRetryable(status) && status != (submission ? refusal.status : 404)) {
-      report.accept(Rule.WRONG_STATUS, what);
+      report.accept(Rule.WRONG_STATUS, description);
     }
   }
 
--- a/src/test/java/org/ploverspindle/sim/UserApiCluster.java
+++ b/src/test/java/org/ploverspindle/sim/UserApiCluster.java
@@ -14,7 +14,7 @@
 import org.ploverspindle.NoOpLeaderNotifier;
 import org.ploverspindle.api.ApiResponse;
 import org.ploverspindle.api.JobViews;
-import org.ploverspindle.api.StateWrites;
+import org.ploverspindle.api.StateWriteAccess;
 import org.ploverspindle.api.UserRequests;
 import org.ploverspindle.model.Catalogue;
 import org.ploverspindle.model.JobSpec;
@@ -36,20 +36,20 @@
 import org.ploverspindle.state.StateStore.TransactionResult;
 import org.ploverspindle.state.TokenBucket;
 
-/** The users' side of several nodes over one state service; nobody leads. */
+/** The user API of several controllers over one state service, without a leader. */
 final class UserApiCluster {
   private static final long TIMEOUT_MS = 2_500;
 
-  /** One node's users' side. */
-  final class Node implements StateStore {
+  /** The user API of one controller, with its own connection to the state service. */
+  final class ApiController implements StateStore {
     final SimClock.Process process = clock.new Process(random.nextInt(1_000_000), 1, 0);
     final Replica replica = new Replica(process, this, Keys.PREFIX, 700);
     final AcceptedJobIndex specs = new AcceptedJobIndex(replica);
     final Pipelines pipelines = new Pipelines(process, replica, specs);
     final UserRequests requests;
-    boolean cut;
+    boolean partitioned;
 
-    Node(int i, Settings settings) {
+    ApiController(int i, Settings settings) {
       Catalogue catalogue = new Catalogue(settings.zones());
       catalogue.update(
           List.of(
@@ -60,43 +60,43 @@
           new UserRequests(
               process,
               new JobViews(replica, specs, pipelines, new ProgressCounts(replica)),
-              new StateWrites(
+              new StateWriteAccess(
                   this,
                   new TokenBucket(process, Math.max(1, share), Math.max(3, share)),
                   "n" + i,
                   new NoOpLeaderNotifier()),
               catalogue,
               settings);
-      // What a node of seven has of sixty requests a second.
+      // The share of one of seven controllers at 60 requests per second, as ms between reads.
       replica.setReadInterval(220);
       replica.start();
     }
 
-    private <T> void call(Supplier<T> execute, T refused, T none, Consumer<T> then) {
-      boolean[] over = {false};
+    private <T> void call(Supplier<T> execute, T refused, T unknown, Consumer<T> then) {
+      boolean[] answered = {false};
       Consumer<T> once =
-          t -> {
-            if (!over[0]) {
-              over[0] = true;
-              process.schedule(0, () -> then.accept(t));
+          result -> {
+            if (!answered[0]) {
+              answered[0] = true;
+              process.schedule(0, () -> then.accept(result));
             }
           };
-      clock.after(TIMEOUT_MS, () -> once.accept(none));
-      Runnable work =
+      clock.after(TIMEOUT_MS, () -> once.accept(unknown));
+      Runnable request =
           () -> {
-            T result = !cut && state.admitsRequest() ? execute.get() : refused;
+            T result = !partitioned && state.admitsRequest() ? execute.get() : refused;
             if (random.nextDouble() >= lossShare) {
               clock.after(1 + random.nextInt(8), () -> once.accept(result));
             }
           };
       boolean late = random.nextDouble() < lossShare / 2;
-      clock.after(late ? 2_000 + random.nextInt(6_000) : 1 + random.nextInt(8), work);
+      clock.after(late ? 2_000 + random.nextInt(6_000) : 1 + random.nextInt(8), request);
     }
 
     @Override
     public void commit(Transaction txn, Consumer<TransactionResult> then) {
       call(
-          () -> applied(txn),
+          () -> commitAndCheck(txn),
           new TransactionResult.Refused(503),
           new TransactionResult.Unknown(),
           then);
@@ -109,9 +109,9 @@
     }
 
     @Override
-    public void readChanges(String prefix, long ledger, Consumer<ChangesResult> then) {
+    public void readChanges(String prefix, long revision, Consumer<ChangesResult> then) {
       ChangesResult failed = new ChangesResult.Failed();
-      call(() -> state.readChanges(prefix, ledger), failed, failed, then);
+      call(() -> state.readChanges(prefix, revision), failed, failed, then);
     }
 
     @Override
@@ -120,27 +120,32 @@
     }
 
     @Override
-    public void renewLease(long hold, Consumer<Renewal> then) {
+    public void renewLease(long lease, Consumer<Renewal> then) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public void closeLease(long hold) {
+    public void closeLease(long lease) {
       throw new UnsupportedOperationException();
     }
   }
 
-  /** An answer, with how long it took. */
-  record Heard(int status, String state, long tookMs) {}
+  /** A response: its HTTP status, the job status in it, and the ms from request to response. */
+  record Answer(int status, String state, long tookMs) {}
 
   final SimClock clock = new SimClock();
   final Random random;
   final SimStateStore state;
-  final List<Node> nodes = new ArrayList<>();
-  final Set<String> written = new HashSet<>();
+  final List<ApiController> controllers = new ArrayList<>();
+  final Set<String> writtenKeys = new HashSet<>();
   private final Settings settings;
+
+  /**
+   * Share of responses that are lost; half that share of the requests is executed 2 to 8 s late.
+   */
   double lossShare;
-  int changes;
+
+  int changeCount;
 
   UserApiCluster(long seed, int count, Settings.StateLimits limits) {
     random = new Random(seed);
@@ -161,39 +166,40 @@
     for (int i = 0; i < count; i++) {
       restart(i);
     }
-    pass(2_000);
+    advance(2_000);
   }
 
-  /** A process of the node that knows nothing yet. */
-  void restart(int i) {
-    if (i < nodes.size()) {
-      nodes.get(i).process.kill();
-      nodes.set(i, new Node(i, settings));
+  /** Starts a process of the controller, with an empty replica, in place of the former if any. */
+  void restart(int node) {
+    if (node < controllers.size()) {
+      controllers.get(node).process.kill();
+      controllers.set(node, new ApiController(node, settings));
     } else {
-      nodes.add(new Node(i, settings));
+      controllers.add(new ApiController(node, settings));
     }
   }
 
-  TransactionResult applied(Transaction txn) {
+  TransactionResult commitAndCheck(Transaction txn) {
     TransactionResult result = state.commit(txn);
     if (result instanceof TransactionResult.Committed) {
-      txn.changes().forEach(this::checkListStands);
-      changes += txn.changes().size();
-      txn.changes().forEach(c -> written.add(c.key()));
+      txn.changes().forEach(this::checkDependencyListWritten);
+      changeCount += txn.changes().size();
+      txn.changes().forEach(change -> writtenKeys.add(change.key()));
     }
     return result;
   }
 
-  /** A job may be seen by anybody as soon as it is written: its list must be there before. */
-  private void checkListStands(Change change) {
+  /** Every controller can read a job once it is written: its dependency list must come first. */
+  private void checkDependencyListWritten(Change change) {
     if (change instanceof Change.Put put && put.key().startsWith(Keys.JOB_BATCHES)) {
       for (JsonNode job : put.value()) {
         if (JobRecord.storedDependencies(job)
             instanceof JobRecord.StoredDependencies.Separate list) {
           for (int i = 0; i < list.parts(); i++) {
             String part = Keys.dependencies(list.name(), i);
-            if (!written.contains(part)) {
-              throw new IllegalStateException("a job is written before " + part);
+            if (!writtenKeys.contains(part)) {
+              throw new IllegalStateException(
+                  "a job is written before this part of its dependency list: " + part);
             }
           }
         }
@@ -201,75 +207,75 @@
     }
   }
 
-  void pass(long ms) {
+  void advance(long ms) {
     clock.runUntil(clock.nowMs() + ms);
   }
 
-  /** As a leader writes it. */
-  void done(String uid) {
+  /** Writes the job's completion with the conditions that a leader uses. */
+  void commitCompletion(String uid) {
     TransactionResult result =
-        applied(
+        commitAndCheck(
             new Transaction(
                 List.of(
                     new Condition(Keys.completion(uid), 0),
                     new Condition(Keys.cancellation(uid), 0)),
                 List.of(new Change.Put(Keys.completion(uid), Cbor.map().put("tasks", 1)))));
     if (!(result instanceof TransactionResult.Committed)) {
-      throw new IllegalStateException(uid + " is not done: " + result);
+      throw new IllegalStateException(uid + ": its completion was not committed: " + result);
     }
   }
 
-  static JobSpec job(String uid, List<String> awaits) {
+  static JobSpec job(String uid, List<String> dependencies) {
     JobSpec spec = JobSpecFixtures.batch(uid, "c", "blue", Priority.NORMAL, 1, 1, 1, 10, 0);
-    return JobSpecFixtures.withDependencies(spec, awaits.toArray(String[]::new));
+    return JobSpecFixtures.withDependencies(spec, dependencies.toArray(String[]::new));
   }
 
-  static ObjectNode body(String uid, List<String> awaits) {
-    return Cbor.readMap(SimulatedCluster.encode(job(uid, awaits))).orElseThrow();
+  static ObjectNode body(String uid, List<String> dependencies) {
+    return Cbor.readMap(SimulatedCluster.encode(job(uid, dependencies))).orElseThrow();
   }
 
-  void submit(int node, String uid, List<String> awaits, Consumer<Heard> then) {
-    nodes.get(node).requests.submit(Cbor.write(body(uid, awaits)), heard(then));
+  void submit(int node, String uid, List<String> dependencies, Consumer<Answer> then) {
+    controllers.get(node).requests.submit(Cbor.write(body(uid, dependencies)), answerHandler(then));
   }
 
-  void poll(int node, String uid, Consumer<Heard> then) {
-    nodes.get(node).requests.poll(uid, heard(then));
+  void poll(int node, String uid, Consumer<Answer> then) {
+    controllers.get(node).requests.poll(uid, answerHandler(then));
   }
 
-  void withdraw(int node, String uid, Consumer<Heard> then) {
-    nodes.get(node).requests.cancel(uid, heard(then));
+  void cancel(int node, String uid, Consumer<Answer> then) {
+    controllers.get(node).requests.cancel(uid, answerHandler(then));
   }
 
-  Consumer<ApiResponse> heard(Consumer<Heard> then) {
-    long askedMs = clock.nowMs();
-    return a ->
+  Consumer<ApiResponse> answerHandler(Consumer<Answer> then) {
+    long sentMs = clock.nowMs();
+    return response ->
         then.accept(
-            new Heard(
-                a.status(),
-                Cbor.readMap(a.body()).orElseThrow().path("status").asText(),
-                clock.nowMs() - askedMs));
+            new Answer(
+                response.status(),
+                Cbor.readMap(response.body()).orElseThrow().path("status").asText(),
+                clock.nowMs() - sentMs));
   }
 
-  /** Lets time pass until the answer is there. */
-  Heard wait(Consumer<Consumer<Heard>> ask) {
-    List<Heard> heard = new ArrayList<>();
+  /** Sends a request and advances the clock until its response arrives, for at most 10 s. */
+  Answer awaitAnswer(Consumer<Consumer<Answer>> ask) {
+    List<Answer> heard = new ArrayList<>();
     ask.accept(heard::add);
     long untilMs = clock.nowMs() + 10_000;
     while (heard.isEmpty() && clock.nowMs() < untilMs) {
-      pass(1);
+      advance(1);
     }
     return heard.get(0);
   }
 
-  Heard submit(int node, String uid, List<String> awaits) {
-    return wait(then -> submit(node, uid, awaits, then));
+  Answer submit(int node, String uid, List<String> dependencies) {
+    return awaitAnswer(then -> submit(node, uid, dependencies, then));
   }
 
-  Heard poll(int node, String uid) {
-    return wait(then -> poll(node, uid, then));
+  Answer poll(int node, String uid) {
+    return awaitAnswer(then -> poll(node, uid, then));
   }
 
-  Heard withdraw(int node, String uid) {
-    return wait(then -> withdraw(node, uid, then));
+  Answer cancel(int node, String uid) {
+    return awaitAnswer(then -> cancel(node, uid, then));
   }
 }
--- a/src/test/java/org/ploverspindle/sim/UserFaultsDay.java
+++ b/src/test/java/org/ploverspindle/sim/UserFaultsDay.java
@@ -14,16 +14,17 @@
 import org.ploverspindle.settings.Settings;
 
 /**
- * A day with faults during users' polls, submissions and cancellations. Each seed uses the report,
- * lease and cancellation times of one deployment.
+ * Base class of tests with faults during users' polls, submissions and cancellations. The seed
+ * selects the heartbeat interval, worker lease and cancellation time of one deployment.
  */
 abstract class UserFaultsDay {
-  static final int NODES = 3;
-  static final int FROM_MS = 12_000;
+  static final int CONTROLLERS = 3;
+  static final int FIRST_JOB_MS = 12_000;
 
   /**
-   * A leader hears of what another node is about to confirm by a hint, or by its next read; what it
-   * orders before that is in flight, and must be gone in time.
+   * Longest time after a confirmed cancellation at which the leader may still send a start command.
+   * The leader learns of a cancellation that another controller is about to confirm by a
+   * notification or by its next read. Starts sent before that must be stopped in time.
    */
   static final long MAX_START_AFTER_CANCELLATION_MS = 50;
 
@@ -42,19 +43,19 @@
     startCluster(seed, capacity, 0);
   }
 
-  void startCluster(long seed, int capacity, double redCores) {
+  void startCluster(long seed, int capacity, double redMaxCores) {
     cluster =
         new SimulatedCluster(
             seed,
             new SimulatedCluster.Deployment(
-                NODES,
+                CONTROLLERS,
                 capacity,
                 List.of("a"),
                 timing(seed),
                 new Settings.StateLimits(120, 35, 8, 12),
                 new Settings.CloudLimits(20, 3),
                 List.of(
-                    new Settings.Team("red", 8, redCores, 0, 0),
+                    new Settings.Team("red", 8, redMaxCores, 0, 0),
                     new Settings.Team("blue", 8, 0, 0, 0)),
                 new Policy(3, 8, 15, 0, 100, 20, Map.of())));
   }
@@ -63,24 +64,24 @@
     return TIMINGS.get((int) (seed % TIMINGS.size()));
   }
 
-  String submit(String team, Priority urgency, int tasks, double cores, double runS) {
+  String submit(String team, Priority priority, int tasks, double cores, double runS) {
     JobSpec spec =
         JobSpecFixtures.batch(
-            cluster.newUid(), "c-" + urgency, team, urgency, tasks, cores, 0.1, runS, 0);
+            cluster.newUid(), "c-" + priority, team, priority, tasks, cores, 0.1, runS, 0);
     submitted.add(spec.uid());
     cluster.submitAndPoll(spec);
     return spec.uid();
   }
 
-  /** One job after another, at a spacing. */
-  void jobs(int fromMs, int count, int everyMs, Priority urgency, int tasks, double runS) {
+  /** Submits {@code count} equal jobs of team blue, one every {@code everyMs}. */
+  void submitJobs(int fromMs, int count, int everyMs, Priority priority, int tasks, double runS) {
     for (int i = 0; i < count; i++) {
-      cluster.clock.after(fromMs + i * everyMs, () -> submit("blue", urgency, tasks, 1, runS));
+      cluster.clock.after(fromMs + i * everyMs, () -> submit("blue", priority, tasks, 1, runS));
     }
   }
 
-  /** Users cancel some of what has been submitted and is not over, one after another. */
-  void cancellations(int fromMs, int count, int everyMs) {
+  /** Cancels up to {@code count} randomly chosen running jobs, one every {@code everyMs}. */
+  void scheduleCancellations(int fromMs, int count, int everyMs) {
     for (int i = 0; i < count; i++) {
       cluster.clock.after(
           fromMs + i * everyMs,
@@ -96,19 +97,19 @@
   void runAndCheckRules(int faultsEndMs, int recoveryMs) {
     cluster.clock.after(faultsEndMs, cluster::faultsEnded);
     cluster.clock.runUntil(faultsEndMs + recoveryMs);
-    assertEquals(List.of(), cluster.checker.broken());
-    long lateMs =
+    assertEquals(List.of(), cluster.checker.violations());
+    long maxCommandSentAfterMs =
         cluster.checker.lateStarts().stream()
-            .mapToLong(InvariantChecker.LateStart::orderedAfterMs)
+            .mapToLong(InvariantChecker.LateStart::commandSentAfterMs)
             .max()
             .orElse(0);
     assertTrue(
-        lateMs <= MAX_START_AFTER_CANCELLATION_MS,
-        "ordered " + lateMs + " ms after a confirmed cancellation");
-    assertEquals(0, cluster.checker.neverBegun(), "accepted jobs that never began");
+        maxCommandSentAfterMs <= MAX_START_AFTER_CANCELLATION_MS,
+        "a start was sent " + maxCommandSentAfterMs + " ms after a confirmed cancellation");
+    assertEquals(0, cluster.checker.neverStartedCount(), "accepted jobs that never started");
   }
 
-  static void assertAtLeast(String what, long least, long found) {
-    assertTrue(found >= least, what + ": " + found + ", at least " + least + " expected");
+  static void assertAtLeast(String quantity, long minimum, long actual) {
+    assertTrue(actual >= minimum, quantity + ": " + actual + ", at least " + minimum + " expected");
   }
 }
